--- a/benchmarks/contact_cost.py
+++ b/benchmarks/contact_cost.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from mesh.control_plane.contact_probes import Probing
+from mesh.control_plane.contact_probes import ContactProbes
 from mesh.data_plane.membership import CONTROLLER
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place, Tolerance
@@ -47,7 +47,7 @@
     owner: Any = SimpleNamespace(loop=loop, open=channels)
     ledger: Any = SimpleNamespace(whole=True)
     event_log: Any = SimpleNamespace(tell=lambda *_, **__: None)
-    probing = Probing(CONTACT_MS, owner, council, ledger, lambda *_: None, lambda: 0.0, event_log)
+    probing = ContactProbes(CONTACT_MS, owner, council, ledger, lambda *_: None, lambda: 0.0, event_log)
     for one in channels:
         probing.opened(one)
     size = frames = 0
--- a/mesh/control_plane/accept_pages.py
+++ b/mesh/control_plane/accept_pages.py
@@ -12,7 +12,7 @@
 PAGE_BYTES = 1 << 20  # of contents in one accept
 
 
-def pages_of(writes: Mapping[Number, Value], tags: Mapping[Number, str]) -> list[list[Any]]:
+def split_into_pages(writes: Mapping[Number, Value], tags: Mapping[Number, str]) -> list[list[Any]]:
     """An accept's rows, each content encoded once, in pages of bounded size."""
     pages: list[list[Any]] = [[]]
     room = PAGE_BYTES
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import unpack
 from mesh.event_log import events
@@ -35,13 +35,13 @@
 from mesh.storage.layout import pack_ceiling, pack_generations
 from mesh.transport.frames import Head
 
-MOST_STATES = 8 << 20  # bytes of one promise
-ROW_BYTES = 200  # about, of a row beside its content
-FULL = "disk: no room for more; drop some and wait till they are forgotten"
-PAGED = 8  # orders that come in pages at once; the oldest makes room
+MAX_PROMISE_BYTES = 8 << 20  # bytes of one promise
+ROW_OVERHEAD_BYTES = 200  # about, of a row beside its content
+DISK_FULL = "disk: no room for more; drop some and wait till they are forgotten"
+MAX_PAGED_ORDERS = 8  # orders that come in pages at once; the oldest makes room
 
 
-class Acceptance:
+class AcceptorHost:
     """``level``: whether this member may vote for a view that stands alone; ``viewed`` is told of a new
     view."""
 
@@ -49,8 +49,8 @@
         self,
         acceptor: Acceptor,
         charter: Store,
-        ledger: Ledger,
-        council: Council,
+        ledger: DiskWriter,
+        council: MemberSet,
         event_log: EventLog,
         changed: Callable[[list[Item]], None],
     ) -> None:
@@ -116,7 +116,7 @@
             if kind == VIEW and value is not None and "before" not in value and not self.level():
                 return Refusal(0, "it is not level")
         if not self.fits(writes):
-            return Refusal(0, FULL)
+            return Refusal(0, DISK_FULL)
         changed = self.acceptor.accept(ballot, by, writes, tags)
         if isinstance(changed, Refusal):
             return changed
@@ -127,7 +127,7 @@
     def fits(self, writes: Mapping[Number, Value]) -> bool:
         """Whether the disk has room for what an order sets; what drops, and views, always find some."""
         sets = [value for (kind, _, _), value in writes.items() if value is not None and kind != VIEW]
-        return not sets or self._ledger.fits(ROW_BYTES * len(sets) + sum(map(_bytes, sets)))
+        return not sets or self._ledger.fits(ROW_OVERHEAD_BYTES * len(sets) + sum(map(_bytes, sets)))
 
     async def fence(self, round: int, member: str, generation: int) -> None:
         """Refuses from now on, and returns once the disk says so, too."""
@@ -182,16 +182,16 @@
         read."""
         kind = head["t"]
         if kind == "prepare":
-            numbers = [read_number(told) for told in head["k"]]
-            self.spawn(self._prepared(channel, head, read_ballot(head["b"]), numbers))
+            numbers = [decode_number(told) for told in head["k"]]
+            self.spawn(self._prepared(channel, head, decode_ballot(head["b"]), numbers))
         elif kind == "accept":
             rows = self._page(channel, head)
             if rows is not None:
-                writes = {read_number(row): row[3] for row in rows}
-                tags = {read_number(row): str(row[4]) for row in rows if len(row) > 4}
+                writes = {decode_number(row): row[3] for row in rows}
+                tags = {decode_number(row): str(row[4]) for row in rows if len(row) > 4}
                 if any(not (value is None or isinstance(value, dict)) for value in writes.values()):
                     raise ValueError("a content is an object, or null where the item is dropped")
-                self.spawn(self._proposed(channel, head, read_ballot(head["b"]), writes, tags))
+                self.spawn(self._proposed(channel, head, decode_ballot(head["b"]), writes, tags))
         elif kind == "decided":
             self._told_decided(head)
         else:
@@ -200,14 +200,14 @@
 
     def _page(self, channel: Channel, head: Head) -> list[Any] | None:
         """All rows of an order, once the last of its pages has come."""
-        place, of, where = int(head["p"]), int(head["of"]), (address_of(channel), read_ballot(head["b"]))
+        place, of, where = int(head["p"]), int(head["of"]), (address_of(channel), decode_ballot(head["b"]))
         if of == 1:
             return list(head["w"])
         held = self._pages.pop(where, []) if place else []
         if place != len(held):
             return None
         self._pages[where] = [*held, head["w"]]
-        while len(self._pages) > PAGED:
+        while len(self._pages) > MAX_PAGED_ORDERS:
             del self._pages[next(iter(self._pages))]
         if place + 1 < of:
             channel.link.send({"t": "accepted", "b": head["b"], "e": head["e"], "p": place})
@@ -219,7 +219,7 @@
             self.take([unpack(fields) for fields in head["items"]], {})
             return
         source, first = str(head["s"]), int(head["at"])
-        decided = sorted(self.acceptor.at(read_ballot(head["b"])).items(), key=lambda one: one[0])
+        decided = sorted(self.acceptor.at(decode_ballot(head["b"])).items(), key=lambda one: one[0])
         if len(decided) == head["of"]:
             items = [Item(*number, value, source, first + at) for at, (number, value) in enumerate(decided)]
             self.take(items, self._charter.following(source, first, len(items)), bool(head.get("whole")))
@@ -233,9 +233,9 @@
             return
         places = {number: place for place, number in enumerate(numbers)}
         full = bool(head.get("full"))
-        rows = [[places[number], *write_state(state, full)] for number, state in answer.states.items()]
+        rows = [[places[number], *encode_state(state, full)] for number, state in answer.states.items()]
         packed = msgspec.json.encode(rows)
-        if len(packed) > MOST_STATES:
+        if len(packed) > MAX_PROMISE_BYTES:
             self._refuse(channel, head, Refusal(0, "too much is open at once"))
             return
         told = {"t": "promise", "b": head["b"], "e": head["e"], "g": answer.generation}
@@ -275,11 +275,11 @@
     return len(msgspec.json.encode(value))
 
 
-def write_ballot(ballot: Ballot) -> list[Any]:
+def encode_ballot(ballot: Ballot) -> list[Any]:
     return [ballot.round, ballot.proposer]
 
 
-def read_ballot(told: Any) -> Ballot:
+def decode_ballot(told: Any) -> Ballot:
     """Raises TypeError or ValueError for what is none."""
     round, proposer = told
     if not isinstance(round, int) or not isinstance(proposer, str):
@@ -287,7 +287,7 @@
     return Ballot(round, proposer)
 
 
-def read_number(told: Any) -> Number:
+def decode_number(told: Any) -> Number:
     """Of the first three fields. Raises TypeError or ValueError for what is none."""
     kind, name, version = told[:3]
     if not (isinstance(kind, str) and isinstance(name, str) and isinstance(version, int)):
@@ -295,20 +295,20 @@
     return kind, name, version
 
 
-def write_state(state: State, full: bool) -> list[Any]:
+def encode_state(state: State, full: bool) -> list[Any]:
     """``full``: with the content of what stands."""
     if isinstance(state, Vote):
-        return ["v", *write_ballot(state.ballot), state.value, state.tag]
+        return ["v", *encode_ballot(state.ballot), state.value, state.tag]
     if isinstance(state, Settled):
         told = ["d", state.digest, state.tag]
         return [*told, state.value] if full and state.has else told
     return ["f"]
 
 
-def read_state(told: Sequence[Any]) -> State:
+def decode_state(told: Sequence[Any]) -> State:
     """Raises TypeError or ValueError for what is none."""
     if told[0] == "v":
-        return Vote(read_ballot(told[1:3]), told[3], str(told[4]))
+        return Vote(decode_ballot(told[1:3]), told[3], str(told[4]))
     if told[0] == "d":
         return Settled(str(told[1]), len(told) > 3, told[3] if len(told) > 3 else None, str(told[2]))
     if told[0] == "f":
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.dissemination.peers import Channel, Channels
 from mesh.dissemination.pull_exchange import pack, unpack
@@ -54,7 +54,7 @@
         seed: int,
         stores: Mapping[str, Store],
         channels: Channels,
-        ledger: Ledger,
+        ledger: DiskWriter,
         event_log: EventLog,
         changed: Callable[[str, list[Item]], None],
     ) -> None:
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.replication.store import Store
 from mesh.runtime.introspection_calls import Handler, Refusal, Told
 from mesh.storage.layout import StorageError, held
@@ -32,7 +32,7 @@
         state_dir: str,
         disk_mb: float,
         charter: Store,
-        ledger: Ledger,
+        ledger: DiskWriter,
         damaged: Callable[[], None],
     ) -> None:
         """``damaged`` is told where a check finds something: who mends looks for himself."""
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -12,9 +12,9 @@
 import asyncio
 from collections.abc import Collection, Iterable
 
-from mesh.control_plane.acceptor_host import Acceptance
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.acceptor_host import AcceptorHost
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.data_plane.membership import CONTROLLER
 from mesh.dissemination.peers import Channel, Channels
 from mesh.dissemination.pull_exchange import unpack
@@ -40,10 +40,10 @@
         self,
         charter: Store,
         acceptor: Acceptor,
-        ledger: Ledger,
-        council: Council,
+        ledger: DiskWriter,
+        council: MemberSet,
         channels: Channels,
-        acceptance: Acceptance,
+        acceptance: AcceptorHost,
         event_log: EventLog,
     ) -> None:
         self._loop = asyncio.get_running_loop()
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -23,21 +23,21 @@
 from mesh.replication.items import Item
 from mesh.rollout.report import RolloutReport, needs_of
 
-LARGE = 64  # items, from which an order waits
-JAM_S = 0.5  # an order that is not confirmed for so long holds up what comes behind it
+LARGE_ORDER_ITEMS = 64  # items, from which an order waits
+OVERDUE_S = 0.5  # an order that is not confirmed for so long holds up what comes behind it
 BOUND_SHARE = 0.5  # of the time that the operators give an acknowledgement
-ITEM_S = 0.003  # that they give more for each route
-LIVE_S = 0.6  # a link on which nothing came for longer does not show that its proxy runs
-UNLINKED_S = 1.0  # for so long at the most a proxy is waited for that has no link to this process
-TOLD_S = 1.2  # what another control process told of proxies that are behind holds for so long
-BEHIND_MOST = 16  # that are told
-LOOK_S = 0.02
-KEPT = 64  # orders that may be jammed
+EXTRA_S_PER_ITEM = 0.003  # that they give more for each route
+LINK_ALIVE_S = 0.6  # a link on which nothing came for longer does not show that its proxy runs
+UNLINKED_WAIT_S = 1.0  # for so long at the most a proxy is waited for that has no link to this process
+PEER_REPORT_VALID_S = 1.2  # what another control process told of proxies that are behind holds for so long
+MAX_BEHIND_NAMES = 16  # that are told
+POLL_S = 0.02
+MAX_ORDERS_KEPT = 64  # orders that may be jammed
 
 Needs = Mapping[str, int]  # by source, the number to which a vector that holds all of an order has risen
 
 
-class Spread(Struct, frozen=True):
+class DecidedOrder(Struct, frozen=True):
     """An order that was decided: what confirms it, and since when it is known here."""
 
     needs: Needs
@@ -60,7 +60,7 @@
         self._began = self._loop.time()
         self.tune(ack_ms, contact_ms)
         self._reports, self._channels, self._event_log = reports, channels, event_log
-        self._orders: deque[Spread] = deque(maxlen=KEPT)
+        self._orders: deque[DecidedOrder] = deque(maxlen=MAX_ORDERS_KEPT)
         self._told: dict[str, tuple[float, frozenset[str]]] = {}  # by control process: when, who is behind
         self._lives: dict[
             str, tuple[str, float]
@@ -72,11 +72,11 @@
 
     def bound_s(self, count: int) -> float:
         """From its decision an order of so many items is acknowledged within this, whoever has it."""
-        return BOUND_SHARE * (self._ack_s + ITEM_S * count)
+        return BOUND_SHARE * (self._ack_s + EXTRA_S_PER_ITEM * count)
 
     def changed(self, items: Sequence[Item]) -> None:
         """Items of the configuration have come."""
-        self._orders.append(Spread(needs_of(items), self._loop.time()))
+        self._orders.append(DecidedOrder(needs_of(items), self._loop.time()))
 
     def tick(self, now: float) -> None:
         """Called several times a second: which lives of proxies are linked."""
@@ -89,7 +89,7 @@
 
     def _in_touch(self, now: float) -> set[str]:
         """Proxies for which the rules hold, as far as this process hears itself or is told."""
-        told = [names for at, names in self._told.values() if now - at <= TOLD_S]
+        told = [names for at, names in self._told.values() if now - at <= PEER_REPORT_VALID_S]
         return self._heard(now).union(*told)
 
     def _heard(self, now: float) -> set[str]:
@@ -98,7 +98,7 @@
             for channel in self._channels.open
             if channel.extra.get("role") == PROXY
             and channel.link.up
-            and now - channel.link.heard_at <= LIVE_S
+            and now - channel.link.heard_at <= LINK_ALIVE_S
             and now - self._lives.get(channel.node, ("", now))[1] >= self._contact_s
         }
 
@@ -112,7 +112,7 @@
 
     def _waited_for(self, now: float, decided: float) -> set[str]:
         """Whose confirmation an order that was decided then waits for."""
-        if now - decided >= UNLINKED_S:
+        if now - decided >= UNLINKED_WAIT_S:
             return self._in_touch(now)
         linked = {channel.node for channel in self._channels.open}
         return self._in_touch(now) | (self._reports.keys() - linked)
@@ -121,20 +121,20 @@
         """Proxies that this process hears itself and that have not confirmed an order of some time ago."""
         now = self._loop.time()
         heard = self._heard(now)
-        late = [one for one in self._orders if JAM_S < now - one.known < 2.0 * self._ack_s]
-        return sorted(set().union(*(self._lacking(heard, one.needs) for one in late)))[:BEHIND_MOST]
+        late = [one for one in self._orders if OVERDUE_S < now - one.known < 2.0 * self._ack_s]
+        return sorted(set().union(*(self._lacking(heard, one.needs) for one in late)))[:MAX_BEHIND_NAMES]
 
     def told_behind(self, address: str, names: object) -> None:
         """The control process there has answered, and says who is behind. Raises TypeError for what is no
         list."""
         if not isinstance(names, list | tuple):
             raise TypeError("those that are behind are a list of names")
-        self._told[address] = (self._loop.time(), frozenset(str(name) for name in names[:BEHIND_MOST]))
+        self._told[address] = (self._loop.time(), frozenset(str(name) for name in names[:MAX_BEHIND_NAMES]))
 
     def jammed(self, now: float) -> bool:
         """Whether a proxy in touch has not confirmed an order of some time ago."""
         return any(
-            now - one.known > JAM_S and self._lacking(self._in_touch(now), one.needs)
+            now - one.known > OVERDUE_S and self._lacking(self._in_touch(now), one.needs)
             for one in self._orders
             if now - one.known < 2.0 * self._ack_s
         )
@@ -149,12 +149,12 @@
         for one in self._orders:
             if one.needs.get(item.source, 0) >= item.number:
                 return one.known
-        return self._orders[0].known if len(self._orders) == KEPT else self._began
+        return self._orders[0].known if len(self._orders) == MAX_ORDERS_KEPT else self._began
 
     async def spread(self, items: Sequence[Item], within_s: float) -> bool:
         """Until the order of these items may be acknowledged; False where that takes longer."""
         began = now = self._loop.time()
-        if len(items) < LARGE and not self.jammed(now):
+        if len(items) < LARGE_ORDER_ITEMS and not self.jammed(now):
             return True
         needs, decided = needs_of(items), self._decided(items)
         while lacking := self._lacking(self._waited_for(now, decided), needs):
@@ -166,6 +166,6 @@
                 return True
             if now - began >= within_s:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
             now = self._loop.time()
         return True
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.data_plane.membership import CONTROLLER
 from mesh.dissemination.peers import Channel, Channels
 from mesh.dissemination.pull_exchange import unpack
@@ -23,8 +23,8 @@
 from mesh.replication.quorum_contact import BOUND_SHARE, EVERY_SHARE, OPEN_SHARE, Contact, Proof
 from mesh.transport.frames import Head
 
-SOON_S = 0.005  # links that come up within it are asked together
-ADDRESS = re.compile(
+PROBE_DELAY_S = 0.005  # links that come up within it are asked together
+ADDRESS_PATTERN = re.compile(
     r"[0-9A-Za-z.:\[\]-]{3,64}"
 )  # of a peer's control port, as it says; it goes into a header
 
@@ -33,13 +33,13 @@
     return
 
 
-class Probing:
+class ContactProbes:
     def __init__(
         self,
         contact_ms: float,
         channels: Channels,
-        council: Council,
-        ledger: Ledger,
+        council: MemberSet,
+        ledger: DiskWriter,
         take: Callable[[list[Item], Mapping[str, int]], object],
         open_s: Callable[[], float],
         event_log: EventLog,
@@ -93,7 +93,7 @@
         contact; "" where there is none."""
         said = {address_of(channel): str(channel.extra.get("control", "")) for channel in self._links}
         for who in self.contact.with_contact(self._loop.time()):
-            if ADDRESS.fullmatch(said.get(who, "")):
+            if ADDRESS_PATTERN.fullmatch(said.get(who, "")):
                 return said[who]
         return ""
 
@@ -150,7 +150,7 @@
         once the others have heard of it, too."""
         self._ask()
         if self._soon is None:
-            self._soon = self._loop.call_later(SOON_S, self._ask_soon)
+            self._soon = self._loop.call_later(PROBE_DELAY_S, self._ask_soon)
 
     def opened(self, channel: Channel) -> None:
         """A link is up: contact need not wait for the next question's time. Behind it may be another life
@@ -163,7 +163,7 @@
             self._lives[address] = channel.peer_source
             self.contact.forget(address)
         if self._soon is None:
-            self._soon = self._loop.call_later(SOON_S, self._ask_soon)
+            self._soon = self._loop.call_later(PROBE_DELAY_S, self._ask_soon)
 
     def closed(self, channel: Channel) -> None:
         address = address_of(channel)
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.acceptor import Acceptor
@@ -18,19 +18,19 @@
 from mesh.storage.lmdb_store import Failed, Fresh, Keeper, Opened, SetAside, room
 
 
-def open_disk(settings: Settings, charter: Store, event_log: EventLog) -> tuple[Ledger, Acceptor]:
+def open_disk(settings: Settings, charter: Store, event_log: EventLog) -> tuple[DiskWriter, Acceptor]:
     """Fills the store ``charter``. Raises OSError where the disk cannot be used at all."""
     folder = Path(settings.state_dir) / "charter"
     outcome = Keeper.open(folder, room(settings.limits.disk_mb))
     if isinstance(outcome, Failed):
         event_log.tell(events.DISK_FAILED, reason=outcome.reason)
         raise OSError(outcome.reason)
-    kept = _restored(settings, charter, event_log, outcome)
-    acceptor = acceptor_of(settings.ip, kept, lambda key: forgotten_to(charter, key))
-    ledger = Ledger(charter, acceptor, outcome.keeper, event_log, kept.whole)
+    kept = _restore(settings, charter, event_log, outcome)
+    acceptor = restore_acceptor(settings.ip, kept, lambda key: forgotten_to(charter, key))
+    ledger = DiskWriter(charter, acceptor, outcome.keeper, event_log, kept.whole)
     ledger.lives = dict(kept.lives)
     if isinstance(outcome, Fresh) and settings.cold_boot:
-        _found(settings, charter, acceptor, ledger)
+        _install_first_view(settings, charter, acceptor, ledger)
     else:
         claimed = charter.claim()
         if claimed:
@@ -38,7 +38,7 @@
     return ledger, acceptor
 
 
-def _restored(
+def _restore(
     settings: Settings, charter: Store, event_log: EventLog, outcome: Opened | Fresh | SetAside
 ) -> Held:
     """What the disk held; its items are in the store."""
@@ -57,7 +57,7 @@
     return kept
 
 
-def _found(settings: Settings, charter: Store, acceptor: Acceptor, ledger: Ledger) -> None:
+def _install_first_view(settings: Settings, charter: Store, acceptor: Acceptor, ledger: DiskWriter) -> None:
     """The machines that every process is told of at the very first start are the first view: the same item
     in all of them, decided from the start."""
     founders = {host: Place("", "") for host, _ in settings.seeds}
@@ -75,7 +75,7 @@
     return known.version(key) if key in charter.items else known.watermark(key)
 
 
-def acceptor_of(me: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
+def restore_acceptor(me: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
     """As its disk has it: all that its last life may have promised is refused."""
     acceptor = Acceptor(me, kept.ceiling, forgotten)
     acceptor.generations = dict(kept.generations)
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -11,9 +11,9 @@
 import msgspec
 from msgspec import Struct, field
 
-from mesh.control_plane.acceptor_host import Acceptance, read_ballot, read_number, write_ballot
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.acceptor_host import AcceptorHost, decode_ballot, decode_number, encode_ballot
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import pack, unpack
 from mesh.replication.acceptor import Forgotten, Number, Settled, Vote, fenced_by
@@ -25,7 +25,7 @@
 
 PAGE_BYTES = 1 << 20
 Row = Item | tuple[Number, Vote | str] | Past
-GIVEN = 4  # answers that are given in pages at once; the oldest makes room
+MAX_PAGED_ANSWERS = 4  # answers that are given in pages at once; the oldest makes room
 
 
 class _Asking(Struct, eq=False):
@@ -43,7 +43,9 @@
 
 
 class Fencing:
-    def __init__(self, charter: Store, ledger: Ledger, council: Council, acceptance: Acceptance) -> None:
+    def __init__(
+        self, charter: Store, ledger: DiskWriter, council: MemberSet, acceptance: AcceptorHost
+    ) -> None:
         self._loop = asyncio.get_running_loop()
         self._charter, self._ledger, self._council = charter, ledger, council
         self._acceptance = acceptance
@@ -116,7 +118,7 @@
             asking.done.set_result(None)
 
     def reach(self, address: str, anew: bool = False) -> None:
-        """As `Voting.reach`."""
+        """As `ProposerHost.reach`."""
         peer = self._council.peers().get(address)
         for number, asking in self._askings.items():
             if peer is not None and (anew or asking.asked.get(address) is not peer):
@@ -166,7 +168,7 @@
         rows += acceptor.tags.items()
         where = (address_of(channel), number)
         self._given[where] = (rows, [0])
-        while len(self._given) > GIVEN:
+        while len(self._given) > MAX_PAGED_ANSWERS:
             del self._given[next(iter(self._given))]
         self._give(channel, number, epoch, 0)
 
@@ -220,11 +222,11 @@
                     digest, _, tag = str(digest).partition("/")
                     self._acceptance.told((kind, name, int(version)), Settled(digest, tag=tag))
                 self._acceptance.told((kind, name, int(unknown)), Forgotten())
-        acceptor.tags.update((read_number(row[1:4]), str(row[4])) for row in rows if row[0] == "t")
+        acceptor.tags.update((decode_number(row[1:4]), str(row[4])) for row in rows if row[0] == "t")
         merged = []
         for row in rows:
             if row[0] == "v":
-                number, vote = read_number(row[1:4]), Vote(read_ballot(row[4:6]), row[6], str(row[7]))
+                number, vote = decode_number(row[1:4]), Vote(decode_ballot(row[4:6]), row[6], str(row[7]))
                 held = acceptor.state(number)
                 if held is None or (isinstance(held, Vote) and held.ballot < vote.ballot):
                     acceptor.votes[number] = vote
@@ -253,4 +255,4 @@
     number, told = row
     if isinstance(told, str):
         return ["t", *number, told]
-    return ["v", *number, *write_ballot(told.ballot), told.value, told.tag]
+    return ["v", *number, *encode_ballot(told.ballot), told.value, told.tag]
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -8,14 +8,14 @@
 
 from msgspec import Struct
 
-from mesh.control_plane.contact_probes import Probing
+from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.key_assignment import KeyAssignment
 from mesh.control_plane.leases import Duties
 from mesh.control_plane.member_changes import Minding
-from mesh.control_plane.member_set import Council
-from mesh.control_plane.proposals import Voting
+from mesh.control_plane.member_set import MemberSet
+from mesh.control_plane.proposals import ProposerHost
 from mesh.control_plane.rollouts import NAMED, Rollouts
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.data_plane.membership import CONTROLLER, Membership
 from mesh.replication.membership_epochs import VIEW
 from mesh.replication.store import Store
@@ -31,14 +31,14 @@
     settings: Settings
     charter: Store
     roll: Store
-    ledger: Ledger
-    council: Council
+    ledger: DiskWriter
+    council: MemberSet
     membership: Membership
     rollouts: Rollouts
     duties: Duties
     minding: Minding
-    probing: Probing
-    voting: Voting
+    probing: ContactProbes
+    voting: ProposerHost
     key_assignment: KeyAssignment
     control: str
     stopping: asyncio.Event
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -9,11 +9,11 @@
 
 from msgspec import Struct
 
-from mesh.control_plane.acceptor_host import Acceptance
+from mesh.control_plane.acceptor_host import AcceptorHost
 from mesh.control_plane.fencing import Fencing
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.proposals import Voting
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.proposals import ProposerHost
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
@@ -70,11 +70,11 @@
     def __init__(
         self,
         settings: Settings,
-        council: Council,
-        acceptance: Acceptance,
-        voting: Voting,
+        council: MemberSet,
+        acceptance: AcceptorHost,
+        voting: ProposerHost,
         fencing: Fencing,
-        ledger: Ledger,
+        ledger: DiskWriter,
         event_log: EventLog,
         became_whole: Callable[[], None],
     ) -> None:
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from mesh.configuration.commands import PLANT
-from mesh.control_plane.member_set import Council
-from mesh.control_plane.proposals import Voting
+from mesh.control_plane.member_set import MemberSet
+from mesh.control_plane.proposals import ProposerHost
 from mesh.data_plane.membership import CONTROLLER, Membership
 from mesh.dissemination.peers import Channel
 from mesh.event_log import events
@@ -55,8 +55,8 @@
         hold_max_ms: float,
         charter: Store,
         membership: Membership,
-        council: Council,
-        voting: Voting,
+        council: MemberSet,
+        voting: ProposerHost,
         acts: Callable[[], bool],
         live: Callable[[float, float], set[str]],
         event_log: EventLog,
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, field
 
-from mesh.control_plane.member_set import Council
+from mesh.control_plane.member_set import MemberSet
 from mesh.data_plane.membership import CONTROLLER, INSTANCE, NODE, Membership
 from mesh.dissemination.peers import Channel, Channels
 from mesh.event_log import events
@@ -67,7 +67,7 @@
         roll: Store,
         membership: Membership,
         channels: Channels,
-        council: Council,
+        council: MemberSet,
         contact: Callable[[], bool],
         event_log: EventLog,
         changed: Callable[[list[Item]], None],
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -12,9 +12,9 @@
 
 from mesh.control_plane.joining import LIVELY_S, Joining
 from mesh.control_plane.leases import Duties
-from mesh.control_plane.member_set import Council
+from mesh.control_plane.member_set import MemberSet
 from mesh.control_plane.member_silence import MemberSilence
-from mesh.control_plane.proposals import Voting
+from mesh.control_plane.proposals import ProposerHost
 from mesh.data_plane.membership import CONTROLLER, Membership
 from mesh.dissemination.peers import Channel
 from mesh.event_log import events
@@ -43,8 +43,8 @@
         spans: failure_detection.Spans,
         roll: Store,
         membership: Membership,
-        council: Council,
-        voting: Voting,
+        council: MemberSet,
+        voting: ProposerHost,
         joining: Joining,
         duties: Duties,
         event_log: EventLog,
--- a/mesh/control_plane/member_set.py
+++ b/mesh/control_plane/member_set.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.data_plane.membership import CONTROLLER
 from mesh.dissemination.peers import Channel, Channels
 from mesh.dissemination.pull_exchange import pack
@@ -13,11 +13,11 @@
 from mesh.replication.store import Store
 
 
-class Council:
+class MemberSet:
     """``contact``: whether what is held here, or is being told, can miss nothing that was acknowledged."""
 
     def __init__(
-        self, me: str, charter: Store, ledger: Ledger, channels: Channels, tolerance: Tolerance
+        self, me: str, charter: Store, ledger: DiskWriter, channels: Channels, tolerance: Tolerance
     ) -> None:
         """``me``: the address by which this machine is known as a member."""
         self.me, self.tolerance = me, tolerance
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -11,7 +11,7 @@
 from mesh.control_plane import member_messages
 from mesh.control_plane.leases import ROUND_S, Duties
 from mesh.control_plane.member_messages import Answer, Overtaken, Question
-from mesh.control_plane.member_set import Council, address_of
+from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.data_plane.membership import CONTROLLER, Membership
 from mesh.dissemination.peers import Channel
 from mesh.event_log import events
@@ -56,7 +56,7 @@
         spans: Spans,
         turn: Turn,
         membership: Membership,
-        council: Council,
+        council: MemberSet,
         duties: Duties,
         event_log: EventLog,
     ) -> None:
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -13,8 +13,8 @@
 from mesh.configuration.read_back import render
 from mesh.configuration.validation import check
 from mesh.control_plane.confirmations import Confirmations
-from mesh.control_plane.contact_probes import Probing
-from mesh.control_plane.proposals import Voting
+from mesh.control_plane.contact_probes import ContactProbes
+from mesh.control_plane.proposals import ProposerHost
 from mesh.control_plane.rollouts import Rollouts
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
@@ -25,54 +25,54 @@
 from mesh.replication.store import Store
 from mesh.transport.http_calls import Answer
 
-HOLD_S = 0.85  # a caller goes elsewhere after a second of silence
-HOLD_BYTE_S = 2e-6  # and waits longer for a large body
-READ_S = 0.4
-BUSY_S = 0.2  # after which a caller may come back
+RESPONSE_TIMEOUT_S = 0.85  # a caller goes elsewhere after a second of silence
+RESPONSE_TIMEOUT_PER_BYTE_S = 2e-6  # and waits longer for a large body
+READ_TIMEOUT_S = 0.4
+RETRY_AFTER_S = 0.2  # after which a caller may come back
 PATH = b"/configuration"
 
 
-class ReadAll(Struct, frozen=True):
+class ReadConfiguration(Struct, frozen=True):
     """The newest configuration, whole."""
 
 
-class Unknown(Struct, frozen=True):
+class UnknownEndpoint(Struct, frozen=True):
     """No call of ours."""
 
     status: int
 
 
-Command = ConfigurationWrite | ReadAll | Invalid | Unknown
+Command = ConfigurationWrite | ReadConfiguration | Invalid | UnknownEndpoint
 
 
-def decode(message: http.Message) -> Command:
+def decode_command(message: http.Message) -> Command:
     if message.target.partition(b"?")[0] != PATH:
-        return Unknown(404)
+        return UnknownEndpoint(404)
     if message.method == b"GET":
-        return ReadAll()
+        return ReadConfiguration()
     if message.method == b"PATCH":
         return decode_change(message.body)
-    return Unknown(405)
+    return UnknownEndpoint(405)
 
 
-def error(line: str) -> bytes:
+def error_body(line: str) -> bytes:
     return msgspec.json.encode({"error": line})
 
 
-def unclear(reason: str) -> Answer:
+def unclear_answer(reason: str) -> Answer:
     """It may be in force or come into it; the caller is to ask again."""
-    return Answer(503, error(reason), retry_after_s=BUSY_S)
+    return Answer(503, error_body(reason), retry_after_s=RETRY_AFTER_S)
 
 
-class Clerk:
+class OperatorApi:
     def __init__(
         self,
         charter: Store,
-        voting: Voting,
+        voting: ProposerHost,
         acceptor: Acceptor,
         event_log: EventLog,
         rollouts: Rollouts,
-        probing: Probing,
+        probing: ContactProbes,
         confirmations: Confirmations,
     ) -> None:
         self._confirmations = confirmations
@@ -81,17 +81,21 @@
         self._loop = asyncio.get_running_loop()
 
     async def handle(self, message: http.Message) -> Answer:
-        command = decode(message)
-        if isinstance(command, Unknown):
-            return Answer(command.status, error("path: this address takes GET and PATCH of /configuration"))
-        wanted = Proof.READS if isinstance(command, ReadAll) else Proof.ORDERS
+        command = decode_command(message)
+        if isinstance(command, UnknownEndpoint):
+            return Answer(
+                command.status, error_body("path: this address takes GET and PATCH of /configuration")
+            )
+        wanted = Proof.READS if isinstance(command, ReadConfiguration) else Proof.ORDERS
         if self._probing.proof() < wanted:
             return self._without_contact()
         if isinstance(command, Invalid):
             return self._refused(command)
-        if isinstance(command, ReadAll):
+        if isinstance(command, ReadConfiguration):
             return await self._read()
-        return await self._change(command, HOLD_S + HOLD_BYTE_S * len(message.body))
+        return await self._change(
+            command, RESPONSE_TIMEOUT_S + RESPONSE_TIMEOUT_PER_BYTE_S * len(message.body)
+        )
 
     def _without_contact(self) -> Answer:
         """At once: who is cut off knows neither what stands nor what is refused elsewhere, so neither 200 nor
@@ -99,11 +103,11 @@
         elsewhere = self._probing.elsewhere()
         if elsewhere:
             return Answer(307, location=f"http://{elsewhere}{PATH.decode()}")
-        return unclear("no contact with most control processes here; another one may have it")
+        return unclear_answer("no contact with most control processes here; another one may have it")
 
     async def _read(self) -> Answer:
-        if not await self._voting.read(READ_S):
-            return unclear("too few control processes answer to know the newest")
+        if not await self._voting.read(READ_TIMEOUT_S):
+            return unclear_answer("too few control processes answer to know the newest")
         return Answer(200, self._rendered())
 
     def _rendered(self) -> bytes:
@@ -119,7 +123,7 @@
         invalid = check(change, self._standing)
         if invalid is not None:
             # What this copy does not know another may: nothing proper is refused for that.
-            if not await self._voting.read(READ_S):
+            if not await self._voting.read(READ_TIMEOUT_S):
                 return self._unclear("too few control processes answer")
             invalid = check(change, self._standing)
             if invalid is not None and any(
@@ -141,7 +145,7 @@
             kind, name, version = outcome.number
             line = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
             self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
-            return Answer(409, error(line))
+            return Answer(409, error_body(line))
         return self._unclear(outcome.reason)
 
     async def _spread(self, numbers: Collection[Number], within_s: float) -> Answer:
@@ -153,11 +157,11 @@
 
     def _unclear(self, reason: str) -> Answer:
         self._event_log.tell(events.NOT_ACKNOWLEDGED, reason=reason)
-        return unclear(reason)
+        return unclear_answer(reason)
 
     def _refused(self, invalid: Invalid) -> Answer:
         self._event_log.tell(events.CHANGE_REFUSED, reason=invalid.line())
-        return Answer(400, error(invalid.line()))
+        return Answer(400, error_body(invalid.line()))
 
     def _standing(self, kind: str, name: str) -> tuple[int, dict[str, object] | None] | None:
         item = self._charter.items.get((kind, name))
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -7,12 +7,12 @@
 import time
 import zlib
 
-from mesh.control_plane.acceptor_host import Acceptance
+from mesh.control_plane.acceptor_host import AcceptorHost
 from mesh.control_plane.anti_entropy import CHARTER, ROLL, Repairing
 from mesh.control_plane.backup import Safekeeping
 from mesh.control_plane.catch_up import CatchingUp
 from mesh.control_plane.confirmations import Confirmations
-from mesh.control_plane.contact_probes import Probing
+from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.disk_opening import open_disk
 from mesh.control_plane.fencing import Fencing
 from mesh.control_plane.introspection import Shown, answers_of
@@ -20,9 +20,9 @@
 from mesh.control_plane.key_assignment import KeyAssignment
 from mesh.control_plane.leases import Duties
 from mesh.control_plane.member_changes import Minding
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.operator_api import Clerk, unclear
-from mesh.control_plane.proposals import Voting
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.operator_api import OperatorApi, unclear_answer
+from mesh.control_plane.proposals import ProposerHost
 from mesh.control_plane.restore import Restoring
 from mesh.control_plane.rollouts import Rollouts
 from mesh.control_plane.tombstone_collection import Forgetting
@@ -44,11 +44,11 @@
 from mesh.transport.http_calls import HttpServer
 from mesh.transport.link import Link, listen
 
-MOST_CHARTER = 20_000  # items, dropped ones included
-MOST_ROLL = 20_000
+MAX_CHARTER_ITEMS = 20_000  # items, dropped ones included
+MAX_ROLL_ITEMS = 20_000
 TICK_S = 0.1
-LOOK_S = 0.02  # between two looks at what is in hand, at an end
-ALL = 64  # control processes that each other one asks; beyond that, the first in its order
+SHUTDOWN_POLL_S = 0.02  # between two looks at what is in hand, at an end
+MAX_PEERS = 64  # control processes that each other one asks; beyond that, the first in its order
 
 
 class Controller:
@@ -58,8 +58,8 @@
         self.me = settings.ip
         self.peer_address = (settings.ip, settings.port_range[0])
         life = f"{settings.node}.{os.urandom(4).hex()}"
-        self.charter, self.roll = Store(life, MOST_CHARTER, decided=True), Store(life, MOST_ROLL)
-        self.reports = Store(life, 2 * MOST_ROLL)  # two a sidecar, which the roll has an item of as well
+        self.charter, self.roll = Store(life, MAX_CHARTER_ITEMS, decided=True), Store(life, MAX_ROLL_ITEMS)
+        self.reports = Store(life, 2 * MAX_ROLL_ITEMS)  # two a sidecar, which the roll has an item of as well
         self.membership = Membership()
         self.tombs = Tombs()
         self.ledger, self.acceptor = open_disk(settings, self.charter, event_log)
@@ -76,7 +76,7 @@
                 "control": control_address(settings),
             },
             {"charter": self.charter, "roll": self.roll, REPORTS: self.reports},
-            ALL,
+            MAX_PEERS,
             event_log,
             self._changed,
             whole=lambda: self.probing.holds_all(),
@@ -86,8 +86,8 @@
             up=(REPORTS,),
             greeted=self._greeted,
         )
-        self.council = Council(self.me, self.charter, self.ledger, self.channels, settings.tolerance)
-        self.acceptance = Acceptance(
+        self.council = MemberSet(self.me, self.charter, self.ledger, self.channels, settings.tolerance)
+        self.acceptance = AcceptorHost(
             self.acceptor,
             self.charter,
             self.ledger,
@@ -96,7 +96,7 @@
             lambda items: self._changed(CHARTER, items),
         )
         seed = zlib.crc32(life.encode())
-        self.voting = Voting(life, seed, self.charter, self.council, self.acceptance, event_log)
+        self.voting = ProposerHost(life, seed, self.charter, self.council, self.acceptance, event_log)
         self.fencing = Fencing(self.charter, self.ledger, self.council, self.acceptance)
         self.forgetting = Forgetting(
             self.charter, self.acceptor, self.ledger, self.council, self.acceptance, event_log
@@ -112,7 +112,7 @@
         )
         self.channels.silent = self.catching_up.silent
         bounds = settings.bounds
-        self.probing = Probing(
+        self.probing = ContactProbes(
             bounds.contact_ms,
             self.channels,
             self.council,
@@ -218,14 +218,14 @@
         self._server: asyncio.Server | None = None
         self._touched = self.loop.time()  # when there was last a link with news
 
-    def _make_clerk(self) -> Clerk:
+    def _make_clerk(self) -> OperatorApi:
         bounds = self.settings.bounds
         self.confirmations = Confirmations(
             bounds.ack_ms, bounds.contact_ms, self.rollouts.reports, self.channels, self.event_log
         )
         self.probing.behind = self.confirmations.behind
         self.probing.told_behind = self.confirmations.told_behind
-        return Clerk(
+        return OperatorApi(
             self.charter,
             self.voting,
             self.acceptor,
@@ -321,10 +321,10 @@
         self.stopping.set()
         self.http_server.stop()
         while self.http_server.busy and self.loop.time() < until:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
         if self.http_server.busy:
-            self.http_server.give_up(unclear("this control process ends"))
-            await asyncio.sleep(LOOK_S)  # the answers leave
+            self.http_server.give_up(unclear_answer("this control process ends"))
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # the answers leave
         if self._server is not None:
             self._server.close()
         self.event_log.tell(events.ENDED)
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -11,16 +11,16 @@
 import msgspec
 from msgspec import Struct, field
 
-from mesh.control_plane.accept_pages import pages_of
+from mesh.control_plane.accept_pages import split_into_pages
 from mesh.control_plane.acceptor_host import (
-    FULL,
-    Acceptance,
-    read_ballot,
-    read_state,
-    write_ballot,
+    DISK_FULL,
+    AcceptorHost,
+    decode_ballot,
+    decode_state,
+    encode_ballot,
 )
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.quorum_reads import QuorumReads, show_view
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.quorum_reads import QuorumReads, send_view
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import unpack
 from mesh.event_log import events
@@ -31,15 +31,21 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-CARRY_S = 3.0  # an order is carried on for so long, whether or not its caller waits
-PAUSE_S, PAUSE_MOST_S = 0.01, 0.4  # drawn up to it between two ballots that rivals may have cut short
-HASTY = 3  # ballots begun at once, one after the other
-OPEN_S, RANK_S = 1.0, 0.3  # an open vote is left to its proposer for so long, and a rank longer
-GRACE_S = 0.03  # a read leaves an open vote to its proposer for so long
-PENDING = 256  # orders under way at once; more are answered as busy
-MOST_TAKEN_UP = 2000  # open votes, and
-TAKEN_UP_BYTES = 2 << 20  # bytes of them, brought to their decision at once
-RIVALS = 16  # rivalled numbers that are remembered for operators
+ORDER_TIMEOUT_S = 3.0  # an order is carried on for so long, whether or not its caller waits
+FIRST_BACKOFF_S, MAX_BACKOFF_S = (
+    0.01,
+    0.4,
+)  # drawn up to it between two ballots that rivals may have cut short
+MAX_IMMEDIATE_BALLOTS = 3  # ballots begun at once, one after the other
+OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = (
+    1.0,
+    0.3,
+)  # an open vote is left to its proposer for so long, and a rank longer
+READ_GRACE_S = 0.03  # a read leaves an open vote to its proposer for so long
+MAX_PENDING_ORDERS = 256  # orders under way at once; more are answered as busy
+MAX_RECOVERED_VOTES = 2000  # open votes, and
+MAX_RECOVERED_BYTES = 2 << 20  # bytes of them, brought to their decision at once
+MAX_RIVALLED = 16  # rivalled numbers that are remembered for operators
 
 Outcome = Decided | Rivalled | Unclear
 Step = Decided | Rivalled | Unclear | Again
@@ -67,7 +73,7 @@
     task: asyncio.Task[Outcome]
 
 
-class Voting:
+class ProposerHost:
     """The orders of this process, its reads, and the open votes that it takes up."""
 
     def __init__(
@@ -75,8 +81,8 @@
         life: str,
         seed: int,
         charter: Store,
-        council: Council,
-        acceptance: Acceptance,
+        council: MemberSet,
+        acceptance: AcceptorHost,
         event_log: EventLog,
     ) -> None:
         """``life``: of this process, as ballots bear it; ``seed``: of the drawn pauses."""
@@ -93,21 +99,21 @@
         # As well, but never counted anew; of those on disk nobody knows how long they have been open.
         self._opened = dict.fromkeys(self._acceptor.votes, float("-inf"))
         self._taking_up: asyncio.Task[None] | None = None
-        self.rivalled: deque[tuple[float, Number]] = deque(maxlen=RIVALS)
+        self.rivalled: deque[tuple[float, Number]] = deque(maxlen=MAX_RIVALLED)
 
     # Orders
 
     async def decide(self, writes: Mapping[Number, Value], within_s: float) -> Outcome:
-        """One order, until it is decided or that time is over. It is carried on for CARRY_S whatever becomes
-        of the caller; the same order sent here meanwhile waits for the same ballots."""
+        """Decides one order, or gives up waiting after ``within_s``. The order is pursued for ORDER_TIMEOUT_S
+        even if the caller leaves; the same order sent here meanwhile shares its ballots."""
         proposer = Proposer(self._life, writes, self._council.tolerance)
         name = tuple(sorted((number, digest_of(value)) for number, value in writes.items()))
         known = self._orders.get(name)
         if known is None:
-            refused = self._room(writes) if self.acceptance.fits(writes) else FULL
+            refused = self._room(writes) if self.acceptance.fits(writes) else DISK_FULL
             if refused:
                 return Unclear(refused)
-            task = self._loop.create_task(self._run(proposer, CARRY_S))
+            task = self._loop.create_task(self._run(proposer, ORDER_TIMEOUT_S))
             known = self._orders[name] = _Order(proposer, task)
             task.add_done_callback(lambda _: self._orders.pop(name, None))
         await asyncio.wait([known.task], timeout=within_s)
@@ -120,8 +126,8 @@
 
     def _room(self, writes: Collection[Number]) -> str:
         """Why no more is taken now; "" where there is room."""
-        if len(self._orders) >= PENDING:
-            return f"{PENDING} orders wait already"
+        if len(self._orders) >= MAX_PENDING_ORDERS:
+            return f"{MAX_PENDING_ORDERS} orders wait already"
         keys = {(kind, name) for kind, name, _ in [*writes, *self._acceptor.votes]}
         count = len(self._charter.items) + sum(key not in self._charter.items for key in keys)
         if count > self._charter.most and count > len(self._charter.items):
@@ -130,16 +136,16 @@
 
     async def _run(self, proposer: Proposer, within_s: float) -> Outcome:
         """Ballots, one after the other, until one ends it or the time is over."""
-        until, pause, hasty = self._loop.time() + within_s, PAUSE_S, 0
+        until, pause, hasty = self._loop.time() + within_s, FIRST_BACKOFF_S, 0
         while True:
             step = await self._ballot(proposer, until)
             if not isinstance(step, Again):
                 return step
             self._top = max(self._top, step.round)
             hasty = hasty + 1 if step.at_once else 0
-            if not step.at_once or hasty > HASTY:  # what lasts would spin without a pause
+            if not step.at_once or hasty > MAX_IMMEDIATE_BALLOTS:  # what lasts would spin without a pause
                 await asyncio.sleep(self._random.uniform(0.0, pause))
-                pause = min(2.0 * pause, PAUSE_MOST_S)
+                pause = min(2.0 * pause, MAX_BACKOFF_S)
 
     async def _ballot(self, proposer: Proposer, until: float) -> Step:
         self._top = max(self._top, self._acceptor.floor) + 1
@@ -171,7 +177,7 @@
             return
         told = {
             "t": "prepare",
-            "b": write_ballot(one.prepare.ballot),
+            "b": encode_ballot(one.prepare.ballot),
             "e": one.prepare.epoch,
             "k": one.prepare.numbers,
         }
@@ -182,7 +188,7 @@
         channel.link.send(
             {
                 "t": "accept",
-                "b": write_ballot(one.accept.ballot),
+                "b": encode_ballot(one.accept.ballot),
                 "e": one.accept.epoch,
                 "by": one.accept.by,
                 "w": one.pages[place],
@@ -215,7 +221,7 @@
             return
         step = one.proposer.promised(who, epoch, one.prepare.ballot, promised)
         if isinstance(step, Accept):
-            one.accept, one.pages = step, pages_of(step.writes, step.tags)
+            one.accept, one.pages = step, split_into_pages(step.writes, step.tags)
             self._ask_all(one)
         elif step is not None:
             one.over(step)
@@ -239,7 +245,7 @@
         self.acceptance.take(items, vector, chosen.whole)
         told = {
             "t": "decided",
-            "b": write_ballot(chosen.ballot),
+            "b": encode_ballot(chosen.ballot),
             "e": self._council.view().epoch,
             "s": self._charter.source,
             "at": items[0].number,
@@ -275,7 +281,7 @@
         """Brings these open votes to their decision; whether that is done."""
         left = self._unsettled(numbers)
         if left:
-            await asyncio.sleep(GRACE_S)
+            await asyncio.sleep(READ_GRACE_S)
             left = self._unsettled(left)
         if not left:
             return True
@@ -315,17 +321,17 @@
             return
         names, ranks = self._council.view().names, dict[Ballot, int]()
         due: list[Number] = []
-        room = TAKEN_UP_BYTES
+        room = MAX_RECOVERED_BYTES
         for number, since in self._since.items():
-            if now - since < OPEN_S:
+            if now - since < OPEN_VOTE_TIMEOUT_S:
                 continue
             ballot = votes[number].ballot
             if ballot not in ranks:
                 wanted = order(f"{ballot.round}.{ballot.proposer}", names)
                 ranks[ballot] = wanted.index(self._council.me) if self._council.me in wanted else len(wanted)
-            if now - since >= OPEN_S + RANK_S * ranks[ballot]:
+            if now - since >= OPEN_VOTE_TIMEOUT_S + RANK_DELAY_S * ranks[ballot]:
                 room -= len(msgspec.json.encode(votes[number].value))
-                if due and (room < 0 or len(due) >= MOST_TAKEN_UP):
+                if due and (room < 0 or len(due) >= MAX_RECOVERED_VOTES):
                     break
                 due.append(number)
         if due:
@@ -339,7 +345,7 @@
     async def _taken_up(self, due: list[Number]) -> None:
         try:
             self._event_log.tell(events.VOTES_TAKEN_UP, items=len(due))
-            await self._take_up(due, CARRY_S)
+            await self._take_up(due, ORDER_TIMEOUT_S)
             now = self._loop.time()
             self._since.update((number, now) for number in due if number in self._since)
         finally:
@@ -363,7 +369,7 @@
         read."""
         kind = head["t"]
         if kind in ("promise", "accepted", "refuse"):
-            one = self._rounds.get(read_ballot(head["b"]))
+            one = self._rounds.get(decode_ballot(head["b"]))
             if one is not None:
                 self._answered(one, channel, kind, head)
             elif kind == "refuse" and "view" in head:
@@ -376,7 +382,7 @@
         who, epoch = address_of(channel), int(head["e"])
         if kind == "promise":
             numbers = one.prepare.numbers
-            states = {numbers[int(told[0])]: read_state(told[1:]) for told in head["s"]}
+            states = {numbers[int(told[0])]: decode_state(told[1:]) for told in head["s"]}
             self._promised(one, who, epoch, Promised(states, int(head["g"])))
         elif kind == "accepted":
             if one.accept is not None and int(head["p"]) + 1 < len(one.pages):
@@ -387,7 +393,7 @@
             self.acceptance.take([unpack(fields) for fields in head["view"]], {})
         elif epoch < one.prepare.epoch and who not in one.shown:
             one.shown.add(who)
-            show_view(self._council, channel)
+            send_view(self._council, channel)
             self._ask(one, who, channel)
         else:
             self._refused(one, who, Refusal(int(head["r"]), str(head["why"]), not head.get("now")))
--- a/mesh/control_plane/quorum_reads.py
+++ b/mesh/control_plane/quorum_reads.py
@@ -9,8 +9,8 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from mesh.control_plane.acceptor_host import Acceptance, read_number
-from mesh.control_plane.member_set import Council, address_of
+from mesh.control_plane.acceptor_host import AcceptorHost, decode_number
+from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import pack, unpack
 from mesh.replication.acceptor import Forgotten, Number, Settled
@@ -18,9 +18,9 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-MOST_READS = 256  # under way at once; more are answered as busy
-OPEN_LOOK_S = 0.03  # between two looks at votes that others bring to their decision
-MOST_ITEMS = 1000  # of one page of an answer
+MAX_PENDING_READS = 256  # under way at once; more are answered as busy
+OPEN_VOTE_POLL_S = 0.03  # between two looks at votes that others bring to their decision
+MAX_PAGE_ITEMS = 1000  # of one page of an answer
 
 
 @dataclass(eq=False, slots=True)
@@ -38,7 +38,7 @@
 class QuorumReads:
     """The reads of this process, and its answers to those of others."""
 
-    def __init__(self, charter: Store, council: Council, acceptance: Acceptance) -> None:
+    def __init__(self, charter: Store, council: MemberSet, acceptance: AcceptorHost) -> None:
         """``charter``: what is heard comes into it, by way of ``acceptance``."""
         self._loop = asyncio.get_running_loop()
         self._charter, self._council, self._acceptance = charter, council, acceptance
@@ -53,7 +53,7 @@
     async def hear(self, until: float, of: str = "") -> set[Number] | None:
         """The numbers of the votes that are open at a quorum, once the store here has all that it holds; None
         where not enough answer in time. ``of``: only votes on items of that kind."""
-        if len(self._under_way) >= MOST_READS:
+        if len(self._under_way) >= MAX_PENDING_READS:
             return None
         self._count += 1
         number = self._count
@@ -80,7 +80,7 @@
         while any(not isinstance(acceptor.state(number), Settled | Forgotten) for number in numbers):
             if self._loop.time() >= until:
                 return False
-            await asyncio.sleep(OPEN_LOOK_S)
+            await asyncio.sleep(OPEN_VOTE_POLL_S)
         return True
 
     def _begin(self, number: int, of: str) -> _Read:
@@ -132,7 +132,7 @@
         epoch = self._council.view().epoch
         whole = await self._acceptance.stands(epoch) is None
         of = str(head.get("of", ""))
-        lack = self._charter.lacking(head["v"], MOST_ITEMS)
+        lack = self._charter.lacking(head["v"], MAX_PAGE_ITEMS)
         channel.link.send(
             {
                 "t": "have",
@@ -154,16 +154,16 @@
             return
         if epoch < read.view.epoch:
             if read.asked.pop(who, None) is not None:
-                show_view(self._council, channel)
+                send_view(self._council, channel)
                 self._ask(int(head["n"]), read, who, channel)
         elif head["complete"] and epoch == read.view.epoch:
             read.heard.add(who)
-            read.open.update(read_number(told) for told in head["open"])
+            read.open.update(decode_number(told) for told in head["open"])
             self._check(read)
         elif head["whole"] and read.asked.get(who) is channel:  # that was a page
             self._ask(int(head["n"]), read, who, channel)
 
 
-def show_view(council: Council, channel: Channel) -> None:
+def send_view(council: MemberSet, channel: Channel) -> None:
     """Tells one that has an older view which one is in force."""
     channel.link.send({"t": "decided", "e": council.view().epoch, "items": council.view_item()})
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from mesh.control_plane.acceptor_host import Acceptance
+from mesh.control_plane.acceptor_host import AcceptorHost
 from mesh.control_plane.backup import inside
-from mesh.control_plane.member_set import Council
-from mesh.control_plane.proposals import Voting
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.member_set import MemberSet
+from mesh.control_plane.proposals import ProposerHost
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.acceptor import Acceptor
@@ -37,10 +37,10 @@
         disk_mb: float,
         charter: Store,
         acceptor: Acceptor,
-        ledger: Ledger,
-        council: Council,
-        acceptance: Acceptance,
-        voting: Voting,
+        ledger: DiskWriter,
+        council: MemberSet,
+        acceptance: AcceptorHost,
+        voting: ProposerHost,
         event_log: EventLog,
         whole: Callable[[], dict[str, bool]],
     ) -> None:
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct, field
 
-from mesh.control_plane.acceptor_host import Acceptance, read_number
-from mesh.control_plane.member_set import Council, address_of
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.acceptor_host import AcceptorHost, decode_number
+from mesh.control_plane.member_set import MemberSet, address_of
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
@@ -49,9 +49,9 @@
         self,
         charter: Store,
         acceptor: Acceptor,
-        ledger: Ledger,
-        council: Council,
-        acceptance: Acceptance,
+        ledger: DiskWriter,
+        council: MemberSet,
+        acceptance: AcceptorHost,
         event_log: EventLog,
     ) -> None:
         self._loop = asyncio.get_running_loop()
@@ -180,4 +180,4 @@
     """Raises TypeError or ValueError for what are none."""
     if not isinstance(told, list) or len(told) > MOST:
         raise ValueError(f"at most {MOST} drops")
-    return [((kind, name), version) for kind, name, version in map(read_number, told)]
+    return [((kind, name), version) for kind, name, version in map(decode_number, told)]
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -2,7 +2,7 @@
 disk that hangs holds up nothing but what waits for it.
 
 What is decided stands on disk as votes already, at so many that it is durable. So it goes into the rows of
-items with the next batch that is waited for, or after LAZY_S: an order costs one sync, not two.
+items with the next batch that is waited for, or after LAZY_WRITE_S: an order costs one sync, not two.
 """
 
 from __future__ import annotations
@@ -34,15 +34,17 @@
 )
 from mesh.storage.lmdb_store import Keeper, Kept, Refused
 
-AGAIN_S = 0.3  # after a disk has refused a batch
-LAZY_S = 0.25  # what is decided goes to disk so much later, where nothing that is waited for takes it along
-SLOW_S = 0.5  # a batch that took longer is told of
+RETRY_S = 0.3  # after a disk has refused a batch
+LAZY_WRITE_S = (
+    0.25  # what is decided goes to disk so much later, where nothing that is waited for takes it along
+)
+SLOW_BATCH_S = 0.5  # a batch that took longer is told of
 
 Rows = list[tuple[bytes, bytes]]
 T = TypeVar("T")
 
 
-class Ledger:
+class DiskWriter:
     """The charter's disk. ``whole``: this disk holds all that this machine ever said it holds."""
 
     def __init__(
@@ -81,7 +83,7 @@
             return
         self._marked += 1
         if self._later is None:
-            self._later = self._loop.call_later(LAZY_S, self._write)
+            self._later = self._loop.call_later(LAZY_WRITE_S, self._write)
 
     def mark_votes(self, numbers: Iterable[Number]) -> None:
         """Votes that are to be on disk before they are said."""
@@ -154,10 +156,10 @@
                     self._voted |= votes
                     self._extra = {**extra, **self._extra}
                     self._urgent = True
-                    await asyncio.sleep(AGAIN_S)
+                    await asyncio.sleep(RETRY_S)
                     continue
                 self.refused = ""
-                if took > SLOW_S:
+                if took > SLOW_BATCH_S:
                     self._event_log.tell(events.DISK_SLOW, took_ms=int(took * 1000), rows=len(rows))
                 self._done = number
                 waiting, self._waiting = self._waiting, []
--- a/rigs/soak/faults.py
+++ b/rigs/soak/faults.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from mesh.control_plane import operator_api
-from mesh.control_plane.operator_api import Clerk
+from mesh.control_plane.operator_api import OperatorApi
 from mesh.data_plane.shutdown import Shutdown
 from mesh.data_plane.staged_routes import Stages
 from mesh.replication.items import Item
@@ -59,16 +59,16 @@
 
 def _reads_what_is_old() -> None:
     """A read is answered with what stood some seconds ago."""
-    rendered = Clerk._rendered
+    rendered = OperatorApi._rendered
     kept: dict[str, tuple[float, bytes]] = {}
 
-    def old(self: Clerk) -> bytes:
+    def old(self: OperatorApi) -> bytes:
         now = asyncio.get_running_loop().time()
         if not kept or now - kept["last"][0] > STALE_S:
             kept["last"] = (now, rendered(self))
         return kept["last"][1]
 
-    replace(Clerk, "_rendered", old)
+    replace(OperatorApi, "_rendered", old)
 
 
 def _keeps_nothing() -> None:
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from mesh.control_plane.contact_probes import Probing
+from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.member_set import address_of
-from mesh.control_plane.operator_api import Clerk
-from mesh.control_plane.proposals import Voting
+from mesh.control_plane.operator_api import OperatorApi
+from mesh.control_plane.proposals import ProposerHost
 from mesh.data_plane.program import Proxy
 from mesh.dissemination.peers import Channels
 from mesh.replication import quorum_contact as contact_module
@@ -18,13 +18,13 @@
 def open_links_are_contact(patch: Patch) -> None:
     """How it was: who has a link that stands, and has told all by it once, counts."""
 
-    def proof(self: Probing, settled: bool = False) -> Proof:
+    def proof(self: ContactProbes, settled: bool = False) -> Proof:
         heard = {address_of(channel) for channel in self._links if channel.exchange.pulled}
         heard |= {self._council.me} if self._ledger.whole else set()
         view, tolerance = self._council.view(), self._council.tolerance
         return Proof.ORDERS if view.overlaps(heard, tolerance) else Proof.NONE
 
-    patch.setattr(Probing, "proof", proof)
+    patch.setattr(ContactProbes, "proof", proof)
 
 
 def answers_count_from_their_coming(patch: Patch) -> None:
@@ -52,15 +52,15 @@
 
 
 def orders_are_taken_without_contact(patch: Patch) -> None:
-    async def handle(self: Clerk, message: Any) -> Any:
+    async def handle(self: OperatorApi, message: Any) -> Any:
         probing, self._probing = self._probing, _Always()  # type: ignore[assignment]
         try:
             return await real(self, message)
         finally:
             self._probing = probing
 
-    real = Clerk.handle
-    patch.setattr(Clerk, "handle", handle)
+    real = OperatorApi.handle
+    patch.setattr(OperatorApi, "handle", handle)
 
 
 class _Always:
@@ -93,17 +93,17 @@
 
 
 def open_votes_are_not_heeded(patch: Patch) -> None:
-    patch.setattr(Probing, "_open", lambda self: False)
+    patch.setattr(ContactProbes, "_open", lambda self: False)
 
 
 def open_votes_are_counted_anew(patch: Patch) -> None:
     """A fault that drawn plays found: who had tried to bring a vote to its end in vain held all again."""
 
-    def open_s(self: Voting) -> float:
+    def open_s(self: ProposerHost) -> float:
         return self._loop.time() - min(self._since.values(), default=self._loop.time())
 
-    patch.setattr(Voting, "open_s", open_s)
+    patch.setattr(ProposerHost, "open_s", open_s)
 
 
 def duties_are_kept(patch: Patch) -> None:
-    patch.setattr(Probing, "acts", lambda self: True)
+    patch.setattr(ContactProbes, "acts", lambda self: True)
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -6,14 +6,14 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
 
-from mesh.control_plane import operator_api as clerk_module
-from mesh.control_plane import write_batches as ledger_module
-from mesh.control_plane.acceptor_host import Acceptance
+from mesh.control_plane import operator_api as operator_api_module
+from mesh.control_plane import write_batches as write_batches_module
+from mesh.control_plane.acceptor_host import AcceptorHost
 from mesh.control_plane.catch_up import CatchingUp
-from mesh.control_plane.contact_probes import Probing
+from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.joining import Joining
-from mesh.control_plane.proposals import Voting
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.proposals import ProposerHost
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.pull_exchange import Exchange
 from mesh.membership.failure_detection import Known, Report, Spans, Verdict, least_silent
 from mesh.replication.acceptor import Acceptor, Refusal
@@ -32,16 +32,16 @@
 
 
 def ack_without_a_disk(patch: Patch) -> None:
-    async def kept(self: Ledger) -> None:
+    async def kept(self: DiskWriter) -> None:
         return None
 
-    patch.setattr(Ledger, "kept", kept)
+    patch.setattr(DiskWriter, "kept", kept)
 
 
 def own_counts_before_sync(patch: Patch) -> None:
-    real = Acceptance.accept
+    real = AcceptorHost.accept
 
-    async def accept(self: Acceptance, epoch: int, ballot: Any, by: Any, writes: Any, tags: Any) -> Any:
+    async def accept(self: AcceptorHost, epoch: int, ballot: Any, by: Any, writes: Any, tags: Any) -> Any:
         if ballot.proposer != self._charter.source:
             return await real(self, epoch, ballot, by, writes, tags)
         changed = self.acceptor.accept(ballot, by, writes, tags)
@@ -50,27 +50,27 @@
         self._ledger.mark_votes(changed)
         return None
 
-    patch.setattr(Acceptance, "accept", accept)
+    patch.setattr(AcceptorHost, "accept", accept)
 
 
 def reads_answered_without_asking(patch: Patch) -> None:
-    async def read(self: Voting, within_s: float) -> bool:
+    async def read(self: ProposerHost, within_s: float) -> bool:
         return True
 
-    patch.setattr(Voting, "read", read)
-    patch.setattr(Probing, "proof", lambda self, settled=False: Proof.ORDERS)
+    patch.setattr(ProposerHost, "read", read)
+    patch.setattr(ContactProbes, "proof", lambda self, settled=False: Proof.ORDERS)
 
 
 def wiped_counts_at_once(patch: Patch) -> None:
     """And nobody else's word that its disk is another one makes it start over."""
     patch.setattr(CatchingUp, "_start_over", lambda self, reason: None)
-    begin = Ledger.__init__
+    begin = DiskWriter.__init__
 
-    def init(self: Ledger, *args: Any) -> None:
+    def init(self: DiskWriter, *args: Any) -> None:
         begin(self, *args)
         self.whole = True
 
-    patch.setattr(Ledger, "__init__", init)
+    patch.setattr(DiskWriter, "__init__", init)
 
 
 def whole_before_it_heard_all(patch: Patch) -> None:
@@ -89,15 +89,15 @@
 def in_force_before_it_is_decided(patch: Patch) -> None:
     """A fault that was shipped: what a process is sent is in its copy at once, and repair turns equal
     versions over by their bytes."""
-    real = Voting.decide
+    real = ProposerHost.decide
 
-    async def decide(self: Voting, writes: Any, within_s: float) -> Any:
+    async def decide(self: ProposerHost, writes: Any, within_s: float) -> Any:
         items, vector = self.acceptance.stamped(writes.items())
         self._charter._decided = False
         self.acceptance._changed(self._charter.merge(items, vector))  # type: ignore[arg-type]
         return await real(self, writes, within_s)
 
-    patch.setattr(Voting, "decide", decide)
+    patch.setattr(ProposerHost, "decide", decide)
     patch.setattr(
         Acceptor, "settle", lambda self, number, value, whole=False: bool(self.votes.pop(number, None))
     )
@@ -108,7 +108,7 @@
 
 
 def unknown_service_is_taken(patch: Patch) -> None:
-    patch.setattr(clerk_module, "check", lambda change, standing: None)
+    patch.setattr(operator_api_module, "check", lambda change, standing: None)
 
 
 def tombstone_is_forgotten_at_once(patch: Patch) -> None:
@@ -131,15 +131,15 @@
 def views_of_answerers_are_ignored(patch: Patch) -> None:
     """Anything is answered under any view, and a proposer goes on with the view that it began with."""
 
-    async def stands(self: Acceptance, epoch: int) -> None:
+    async def stands(self: AcceptorHost, epoch: int) -> None:
         return None
 
-    patch.setattr(Acceptance, "stands", stands)
-    patch.setattr(Voting, "_viewed", lambda self: None)
+    patch.setattr(AcceptorHost, "stands", stands)
+    patch.setattr(ProposerHost, "_viewed", lambda self: None)
 
 
 def refused_counts_as_kept(patch: Patch) -> None:
-    patch.setattr(ledger_module, "Kept", (Refused, object))
+    patch.setattr(write_batches_module, "Kept", (Refused, object))
 
 
 def questions_are_not_asked_again(patch: Patch) -> None:
@@ -153,13 +153,13 @@
 
 
 def a_gap_is_counted(patch: Patch) -> None:
-    real = Acceptance.take
+    real = AcceptorHost.take
 
-    def take(self: Acceptance, items: Any, vector: Any) -> None:
+    def take(self: AcceptorHost, items: Any, vector: Any) -> None:
         claimed = {item.source: item.number for item in items}
         real(self, items, {**claimed, **vector})
 
-    patch.setattr(Acceptance, "take", take)
+    patch.setattr(AcceptorHost, "take", take)
 
 
 def always_something_to_say(patch: Patch) -> None:
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -127,7 +127,7 @@
 
 def test_names_that_come_and_go_are_taken_without_end() -> None:
     with (
-        mock.patch("mesh.control_plane.program.MOST_CHARTER", 60),
+        mock.patch("mesh.control_plane.program.MAX_CHARTER_ITEMS", 60),
         mock.patch("mesh.data_plane.program.MOST_CHARTER", 60),
     ):
         assert played(names_without_end) == []
@@ -135,7 +135,7 @@
 
 def test_without_forgetting_the_store_is_full_for_good() -> None:
     with (
-        mock.patch("mesh.control_plane.program.MOST_CHARTER", 60),
+        mock.patch("mesh.control_plane.program.MAX_CHARTER_ITEMS", 60),
         mock.patch("mesh.control_plane.tombstone_collection.Forgetting.tick"),
         pytest.raises(AssertionError, match=r", None\)"),
     ):
--- a/tests/mesh/test_contact_probing.py
+++ b/tests/mesh/test_contact_probing.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mesh.control_plane.contact_probes import SOON_S, Probing
+from mesh.control_plane.contact_probes import PROBE_DELAY_S, ContactProbes
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.event_log.log import EventLog
 from mesh.replication.membership_epochs import View
@@ -40,7 +40,7 @@
         self.soon: list[Any] = []
 
         def call_later(after_s: float, call: Any) -> object:
-            assert after_s == SOON_S
+            assert after_s == PROBE_DELAY_S
             self.soon.append(call)
             return object()
 
@@ -53,7 +53,7 @@
         )
         channels: Any = SimpleNamespace(loop=loop)
         ledger: Any = SimpleNamespace(whole=True)
-        self.probing = Probing(
+        self.probing = ContactProbes(
             3000.0,
             channels,
             council,
--- a/tests/mesh/test_control_confirmations.py
+++ b/tests/mesh/test_control_confirmations.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from mesh.control_plane.confirmations import LARGE, Confirmations
+from mesh.control_plane.confirmations import LARGE_ORDER_ITEMS, Confirmations
 from mesh.data_plane.membership import PROXY
 from mesh.dissemination.peers import Channels
 from mesh.event_log.log import EventLog
@@ -25,7 +25,7 @@
     return Item("route", name, 1, {}, source, number)
 
 
-ROUTES = [item(f"r{at}", "c1", at + 1) for at in range(LARGE)]
+ROUTES = [item(f"r{at}", "c1", at + 1) for at in range(LARGE_ORDER_ITEMS)]
 STANDING = item("service", "c0", 7)  # decided long ago, and a part of the order
 
 
@@ -73,7 +73,7 @@
         there.found.changed([STANDING])
         there.pass_by(60.0)
         there.found.changed(ROUTES)
-        bound_s = there.found.bound_s(LARGE + 1)
+        bound_s = there.found.bound_s(LARGE_ORDER_ITEMS + 1)
         assert bound_s - LOOK_S <= await there.taken_after_s([STANDING, *ROUTES]) <= bound_s + CALL_S
 
     play(test, WHOLE_S)
@@ -86,7 +86,7 @@
         there.found.changed(ROUTES[:40])
         there.pass_by(1.0)
         there.found.changed(ROUTES[40:])
-        bound_s = there.found.bound_s(LARGE)
+        bound_s = there.found.bound_s(LARGE_ORDER_ITEMS)
         assert bound_s - LOOK_S <= await there.taken_after_s(ROUTES) <= bound_s + CALL_S
 
     play(test, WHOLE_S)
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -11,10 +11,16 @@
 import simpy
 
 from mesh.control_plane import accept_pages, quorum_reads
-from mesh.control_plane import proposals as voting_module
-from mesh.control_plane.operator_api import HOLD_S
-from mesh.control_plane.proposals import HASTY, OPEN_S, PENDING, RANK_S, Voting
-from mesh.control_plane.quorum_reads import MOST_READS
+from mesh.control_plane import proposals as proposals_module
+from mesh.control_plane.operator_api import RESPONSE_TIMEOUT_S
+from mesh.control_plane.proposals import (
+    MAX_IMMEDIATE_BALLOTS,
+    MAX_PENDING_ORDERS,
+    OPEN_VOTE_TIMEOUT_S,
+    RANK_DELAY_S,
+    ProposerHost,
+)
+from mesh.control_plane.quorum_reads import MAX_PENDING_READS
 from mesh.replication.acceptor import Settled
 from mesh.replication.proposer import Again, Proposer, Unclear
 from simulation.mesh import troubles
@@ -166,14 +172,14 @@
         began = world.env.now
         sent = [(at % 3, order([f"r{at}"], 1, 1)) for at in range(8)]
         assert (yield from at_once(world, *sent)) == [200] * 8
-        assert world.env.now - began < HOLD_S
+        assert world.env.now - began < RESPONSE_TIMEOUT_S
 
     assert played(eight) == []
 
 
 def test_more_orders_than_may_wait_are_told_to_come_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(voting_module, "PENDING", 3)
-    assert PENDING == 256
+    monkeypatch.setattr(proposals_module, "MAX_PENDING_ORDERS", 3)
+    assert MAX_PENDING_ORDERS == 256
 
     def many(world: World) -> Script:
         sent = [(0, order([f"r{at}"], 1, 1)) for at in range(5)]
@@ -183,8 +189,8 @@
 
 
 def test_more_reads_than_may_be_under_way_are_told_to_come_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(quorum_reads, "MOST_READS", 3)
-    assert MOST_READS == 256
+    monkeypatch.setattr(quorum_reads, "MAX_PENDING_READS", 3)
+    assert MAX_PENDING_READS == 256
 
     def many(world: World) -> Script:
         first = world.controllers()[0]
@@ -221,7 +227,7 @@
             yield world.env.timeout(0.0005)
         world.kill(first)
         assert decided(world) == {None}
-        yield world.env.timeout(OPEN_S + 3 * RANK_S + 0.1)
+        yield world.env.timeout(OPEN_VOTE_TIMEOUT_S + 3 * RANK_DELAY_S + 0.1)
         assert decided(world) == {(1, 1)}
         assert not any(machine.program.acceptor.votes for machine in others)
         rival = order(["r1"], 1, 2)  # with a service: 409 for several items needs a word of all members
@@ -253,17 +259,17 @@
 ) -> None:
     ballots = []
 
-    async def hasty(self: Voting, proposer: Proposer, until: float) -> Again | Unclear:
+    async def hasty(self: ProposerHost, proposer: Proposer, until: float) -> Again | Unclear:
         ballots.append(self._loop.time())
         return Again(0, "as ever") if len(ballots) < 500 else Unclear("without an end")
 
     def then(world: World) -> Script:
-        monkeypatch.setattr(Voting, "_ballot", hasty)
+        monkeypatch.setattr(ProposerHost, "_ballot", hasty)
         yield from world.patch(world.controllers()[0], order(["r1"], 1, 1))
         monkeypatch.undo()
 
     assert played(then) == []
-    assert HASTY < len(ballots) < 100
+    assert MAX_IMMEDIATE_BALLOTS < len(ballots) < 100
 
 
 def test_an_order_goes_on_after_its_caller_has_left() -> None:
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from mesh.control_plane import program as controller_program
-from mesh.control_plane.contact_probes import Probing
+from mesh.control_plane.contact_probes import ContactProbes
 from mesh.data_plane import program as proxy_program
 from mesh.data_plane.call_messages import Call, End, Returned
 from mesh.data_plane.upstream_registration import Registry
@@ -361,7 +361,7 @@
 
 def drops_while_cut_from_most(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(failure_detection, "enough", lambda heard, members: True)
-    patch.setattr(Probing, "acts", lambda self: True)
+    patch.setattr(ContactProbes, "acts", lambda self: True)
 
 
 def others_are_not_listened_to(patch: pytest.MonkeyPatch) -> None:
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -14,7 +14,7 @@
 from anisestair.http import codec as http
 from mesh.control_plane import anti_entropy
 from mesh.control_plane.anti_entropy import CHARTER, EVERY_S, Repairing
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channels
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
@@ -274,7 +274,7 @@
         assert isinstance(opened, Fresh)
         store, log = Store("a", 100), io.StringIO()
         event_log = EventLog("a", log)
-        ledger = Ledger(store, Acceptor("a"), opened.keeper, event_log, whole=True)
+        ledger = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, whole=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
         repair = Repairing(1, {CHARTER: store}, channels, ledger, event_log, lambda name, items: None)
         taken = store.take_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
--- a/tests/mesh/test_thread_points.py
+++ b/tests/mesh/test_thread_points.py
@@ -17,7 +17,7 @@
 
 from mesh.control_plane import write_batches
 from mesh.control_plane.backup import _survey
-from mesh.control_plane.write_batches import Ledger
+from mesh.control_plane.write_batches import DiskWriter
 from mesh.event_log.log import EventLog
 from mesh.replication.acceptor import Acceptor
 from mesh.replication.items import Item
@@ -73,7 +73,7 @@
         self.keeper = opened.keeper
         traced: Any = TracedKeeper(opened.keeper, self.points)
         acceptor = Acceptor("here", 0, lambda _: 0)
-        self.ledger = Ledger(self.store, acceptor, traced, EventLog("here", io.StringIO()), True)
+        self.ledger = DiskWriter(self.store, acceptor, traced, EventLog("here", io.StringIO()), True)
 
     def _meanwhile(self) -> None:
         done = threading.Event()
@@ -183,7 +183,7 @@
     assert all_points(memory / "points", first, step) == []
 
 
-async def _beside(ledger: Ledger, work: Callable[[Any], Any]) -> Any:
+async def _beside(ledger: DiskWriter, work: Callable[[Any], Any]) -> Any:
     """Seeded fault: the store is used from the loop's thread, without waiting for the disk's."""
     return work(ledger._keeper)
 
@@ -191,7 +191,7 @@
 def test_work_on_the_store_beside_the_disks_thread_is_found(
     memory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Ledger, "between", _beside)
+    monkeypatch.setattr(DiskWriter, "between", _beside)
     assert all_points(memory / "points", "keep", "questions") != []
 
 
@@ -199,10 +199,10 @@
     memory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seeded fault: the disk's thread goes through rows to which the loop still adds, and answers for all."""
-    real_keep, real_rows = Keeper.keep, Ledger._rows
+    real_keep, real_rows = Keeper.keep, DiskWriter._rows
     shared: list[tuple[bytes, bytes]] = []
 
-    def rows(ledger: Ledger, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
+    def rows(ledger: DiskWriter, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
         told, gone = real_rows(ledger, *given)
         shared[:] = told
         return shared, gone
@@ -212,7 +212,7 @@
         disk.put("b")
         disk.begin(disk.ledger.kept())
 
-    monkeypatch.setattr(Ledger, "_rows", rows)
+    monkeypatch.setattr(DiskWriter, "_rows", rows)
     monkeypatch.setitem(STEPS, "shared", put)
     monkeypatch.setattr(Keeper, "keep", lambda keeper, told, gone=(): real_keep(keeper, told, gone))
     assert all_points(memory / "points", "keep", "shared") != []
