--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -123,7 +123,7 @@
     for _ in range(50):
         life = world.controllers()[0].life
         assert life is not None
-        answer = yield world.ask(life, life.program.clerk.handle, message)
+        answer = yield world.ask(life, life.program.operator_api.handle, message)
         if answer is not None and answer.status == 200:
             return
         yield world.env.timeout(0.2)
@@ -134,8 +134,8 @@
     program, other = taker.program, world.controllers()[0].program
     return (
         program is not None
-        and program.ledger.whole
-        and program.council.contact()
+        and program.disk_writer.whole
+        and program.member_set.has_contact()
         and program.charter.digests.root() == other.charter.digests.root()
     )
 
--- a/benchmarks/contact_cost.py
+++ b/benchmarks/contact_cost.py
@@ -39,31 +39,33 @@
     view = View(7, {name: Place("z", "r") for name in names})
     now = [0.0]
     loop = SimpleNamespace(time=lambda: now[0], call_later=lambda *_: None)
-    council: Any = SimpleNamespace(me=names[0], tolerance=Tolerance(1, 0, 0), view=lambda: view)
+    member_set: Any = SimpleNamespace(own_address=names[0], tolerance=Tolerance(1, 0, 0), view=lambda: view)
     sent: list[bytes] = []
     link = SimpleNamespace(send=lambda head: sent.append(frame(head)))
     pulled = SimpleNamespace(pulled=True)
     channels: list[Any] = [_Link(name, {"ip": name, "role": CONTROLLER}, link, pulled) for name in names[1:]]
     owner: Any = SimpleNamespace(loop=loop, open=channels)
-    ledger: Any = SimpleNamespace(whole=True)
+    disk_writer: Any = SimpleNamespace(whole=True)
     event_log: Any = SimpleNamespace(tell=lambda *_, **__: None)
-    probing = ContactProbes(CONTACT_MS, owner, council, ledger, lambda *_: None, lambda: 0.0, event_log)
+    contact_probes = ContactProbes(
+        CONTACT_MS, owner, member_set, disk_writer, lambda *_: None, lambda: 0.0, event_log
+    )
     for one in channels:
-        probing.opened(one)
+        contact_probes.link_opened(one)
     size = frames = 0
     every_s = EVERY_SHARE * CONTACT_MS / 1000.0
     began = time.process_time()
     for number in range(1, rounds + 1):
         at = now[0] = number * every_s
-        probing.tick(at, at)
+        contact_probes.tick(at, at)
         for step in range(int(every_s / TICK_S)):  # the looks between, and who asks whether all is held
-            probing.tick(at + step * TICK_S / 10, at + step * TICK_S / 10)
-            probing.holds_all()
+            contact_probes.tick(at + step * TICK_S / 10, at + step * TICK_S / 10)
+            contact_probes.holds_all()
         for one in channels:
             question = frame({"t": "probe", "n": number, "e": 7})
             answer = frame({"t": "probed", "n": number, "e": 7, "w": True, "c": True})
             for head, _ in Frames().feed(question + answer):
-                probing.frame(one, head)
+                contact_probes.handle_frame(one, head)
             size += len(question) + len(answer)
         size += sum(map(len, sent))
         frames += len(sent) + 2 * len(channels)
--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -258,7 +258,7 @@
                 new is not None
                 and new is not program
                 and len(new.roll.items) >= known
-                and new.probing.has()
+                and new.contact_probes.has_contact()
                 and len(askers(new)) >= asked
             )
 
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -49,55 +49,55 @@
         self,
         acceptor: Acceptor,
         charter: Store,
-        ledger: DiskWriter,
-        council: MemberSet,
+        disk_writer: DiskWriter,
+        member_set: MemberSet,
         event_log: EventLog,
         changed: Callable[[list[Item]], None],
     ) -> None:
         """``changed`` is told of items of the charter that changed here, and tells `took`."""
         self._loop = asyncio.get_running_loop()
-        self.acceptor, self._charter, self._ledger = acceptor, charter, ledger
-        self._council, self._event_log, self._changed = council, event_log, changed
-        self.level: Callable[[], bool] = lambda: True
-        self.viewed: Callable[[], None] = lambda: None
-        self._epoch_kept = 0
+        self.acceptor, self._charter, self._disk_writer = acceptor, charter, disk_writer
+        self._member_set, self._event_log, self._on_change = member_set, event_log, changed
+        self.caught_up: Callable[[], bool] = lambda: True
+        self.on_view_change: Callable[[], None] = lambda: None
+        self._durable_epoch = 0
         self._ceiling = acceptor.ceiling  # that is on its way to the disk
         self._pages: dict[tuple[str, Ballot], list[Any]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     # What is answered
 
-    async def stands(self, epoch: int) -> Refusal | None:
+    async def check_epoch(self, epoch: int) -> Refusal | None:
         """Why nothing can be said under that epoch; None where it can. Waits until the epoch is on disk."""
         while True:
-            if not self._ledger.whole:
+            if not self._disk_writer.whole:
                 return Refusal(0, "its disk does not count")
-            if self._council.view().epoch != epoch:
-                return Refusal(0, f"it has epoch {self._council.view().epoch}")
-            if self._epoch_kept == epoch:
+            if self._member_set.view().epoch != epoch:
+                return Refusal(0, f"it has epoch {self._member_set.view().epoch}")
+            if self._durable_epoch == epoch:
                 return None
-            await self._ledger.kept()
-            if self._council.view().epoch == epoch:
-                self._epoch_kept = epoch
+            await self._disk_writer.flush()
+            if self._member_set.view().epoch == epoch:
+                self._durable_epoch = epoch
 
     async def promise(self, epoch: int, ballot: Ballot, numbers: Sequence[Number]) -> Promised | Refusal:
         while True:
-            refusal = await self.stands(epoch)
+            refusal = await self.check_epoch(epoch)
             if refusal is not None:
                 return refusal
             ceiling = self.acceptor.wants(ballot.round)
             if not ceiling:
                 break
-            await self.raise_to(ceiling)
+            await self.raise_ceiling(ceiling)
         ahead = self.acceptor.wants(ballot.round + BLOCK // 2)
         if ahead > self._ceiling:
-            self.spawn(self.raise_to(ahead))
+            self.spawn(self.raise_ceiling(ahead))
         return self.acceptor.promise(ballot, numbers)
 
-    async def raise_to(self, ceiling: int) -> None:
+    async def raise_ceiling(self, ceiling: int) -> None:
         self._ceiling = max(self._ceiling, ceiling)
-        self._ledger.put(pack_ceiling(self._ceiling))
-        await self._ledger.kept()
+        self._disk_writer.put_row(pack_ceiling(self._ceiling))
+        await self._disk_writer.flush()
         self.acceptor.raised(ceiling)
 
     async def accept(
@@ -109,35 +109,37 @@
         tags: Mapping[Number, str],
     ) -> Refusal | None:
         """None once it is on disk."""
-        refusal = await self.stands(epoch)
+        refusal = await self.check_epoch(epoch)
         if refusal is not None:
             return refusal
         for (kind, _, _), value in writes.items():
-            if kind == VIEW and value is not None and "before" not in value and not self.level():
+            if kind == VIEW and value is not None and "before" not in value and not self.caught_up():
                 return Refusal(0, "it is not level")
-        if not self.fits(writes):
+        if not self.has_room(writes):
             return Refusal(0, DISK_FULL)
         changed = self.acceptor.accept(ballot, by, writes, tags)
         if isinstance(changed, Refusal):
             return changed
-        self._ledger.mark_votes(changed)
-        await self._ledger.kept()
+        self._disk_writer.mark_votes(changed)
+        await self._disk_writer.flush()
         return None
 
-    def fits(self, writes: Mapping[Number, Value]) -> bool:
+    def has_room(self, writes: Mapping[Number, Value]) -> bool:
         """Whether the disk has room for what an order sets; what drops, and views, always find some."""
         sets = [value for (kind, _, _), value in writes.items() if value is not None and kind != VIEW]
-        return not sets or self._ledger.fits(ROW_OVERHEAD_BYTES * len(sets) + sum(map(_bytes, sets)))
+        return not sets or self._disk_writer.has_room(
+            ROW_OVERHEAD_BYTES * len(sets) + sum(map(_encoded_size, sets))
+        )
 
     async def fence(self, round: int, member: str, generation: int) -> None:
         """Refuses from now on, and returns once the disk says so, too."""
         self.acceptor.fence(round, member, generation)
-        self._ledger.put(pack_generations(self.acceptor.generations))
-        await self.raise_to(self.acceptor.ceiling)
+        self._disk_writer.put_row(pack_generations(self.acceptor.generations))
+        await self.raise_ceiling(self.acceptor.ceiling)
 
     # What is decided
 
-    def take(self, items: Sequence[Item], vector: Mapping[str, int], whole: bool = False) -> None:
+    def apply(self, items: Sequence[Item], vector: Mapping[str, int], whole: bool = False) -> None:
         """Decided items, whoever stamped them. ``whole``: with all of the order that they came with."""
         changed = self._charter.merge(items, vector)
         if isinstance(changed, StoreFull):
@@ -145,9 +147,9 @@
             return
         self._settle([item for item in items if item.key in self._charter.items], whole)  # not the forgotten
         if changed:
-            self._changed(changed)
+            self._on_change(changed)
 
-    def stamped(self, decided: Iterable[tuple[Number, Value]]) -> tuple[list[Item], dict[str, int]]:
+    def stamp_items(self, decided: Iterable[tuple[Number, Value]]) -> tuple[list[Item], dict[str, int]]:
         """Items of this store's own stamp, in the order of their numbers, and its vector with them."""
         source = self._charter.source
         first = self._charter.vector.get(source, 0) + 1
@@ -157,48 +159,48 @@
         ]
         return items, {source: first - 1 + len(items)}
 
-    def took(self, items: Sequence[Item]) -> None:
+    def items_changed(self, items: Sequence[Item]) -> None:
         """Items of the charter have changed, by whatever way: all that comes there is decided."""
         self._settle(items, False)
-        self._ledger.mark(items)
+        self._disk_writer.mark_items(items)
         if any(item.kind == VIEW for item in items):
-            self.viewed()
+            self.on_view_change()
 
-    def told(self, number: Number, state: Settled | Forgotten) -> None:
+    def record_outcome(self, number: Number, state: Settled | Forgotten) -> None:
         """Another acceptor knows of it; nothing more is to be had."""
         if self.acceptor.told(number, state):
-            self._ledger.mark_settled([number])
+            self._disk_writer.mark_settled([number])
 
     def _settle(self, items: Iterable[Item], whole: bool) -> None:
         told = [((item.kind, item.name, item.version), item.value) for item in items]
-        self._ledger.mark_settled(
+        self._disk_writer.mark_settled(
             [number for number, value in told if self.acceptor.settle(number, value, whole)]
         )
 
     # Frames
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one for the acceptor. Raises KeyError, TypeError or ValueError for what cannot be
         read."""
         kind = head["t"]
         if kind == "prepare":
             numbers = [decode_number(told) for told in head["k"]]
-            self.spawn(self._prepared(channel, head, decode_ballot(head["b"]), numbers))
+            self.spawn(self._handle_prepare(channel, head, decode_ballot(head["b"]), numbers))
         elif kind == "accept":
-            rows = self._page(channel, head)
+            rows = self._collect_pages(channel, head)
             if rows is not None:
                 writes = {decode_number(row): row[3] for row in rows}
                 tags = {decode_number(row): str(row[4]) for row in rows if len(row) > 4}
                 if any(not (value is None or isinstance(value, dict)) for value in writes.values()):
                     raise ValueError("a content is an object, or null where the item is dropped")
-                self.spawn(self._proposed(channel, head, decode_ballot(head["b"]), writes, tags))
+                self.spawn(self._handle_accept(channel, head, decode_ballot(head["b"]), writes, tags))
         elif kind == "decided":
-            self._told_decided(head)
+            self._handle_decided(head)
         else:
             return False
         return True
 
-    def _page(self, channel: Channel, head: Head) -> list[Any] | None:
+    def _collect_pages(self, channel: Channel, head: Head) -> list[Any] | None:
         """All rows of an order, once the last of its pages has come."""
         place, of, where = int(head["p"]), int(head["of"]), (address_of(channel), decode_ballot(head["b"]))
         if of == 1:
@@ -214,34 +216,36 @@
             return None
         return [row for page in self._pages.pop(where) for row in page]
 
-    def _told_decided(self, head: Head) -> None:
+    def _handle_decided(self, head: Head) -> None:
         if "items" in head:
-            self.take([unpack(fields) for fields in head["items"]], {})
+            self.apply([unpack(fields) for fields in head["items"]], {})
             return
         source, first = str(head["s"]), int(head["at"])
         decided = sorted(self.acceptor.at(decode_ballot(head["b"])).items(), key=lambda one: one[0])
         if len(decided) == head["of"]:
             items = [Item(*number, value, source, first + at) for at, (number, value) in enumerate(decided)]
-            self.take(items, self._charter.following(source, first, len(items)), bool(head.get("whole")))
+            self.apply(items, self._charter.following(source, first, len(items)), bool(head.get("whole")))
         elif decided:  # some were decided otherwise meanwhile, or were so before
-            self.take(*self.stamped(decided))
+            self.apply(*self.stamp_items(decided))
 
-    async def _prepared(self, channel: Channel, head: Head, ballot: Ballot, numbers: list[Number]) -> None:
+    async def _handle_prepare(
+        self, channel: Channel, head: Head, ballot: Ballot, numbers: list[Number]
+    ) -> None:
         answer = await self.promise(int(head["e"]), ballot, numbers)
         if isinstance(answer, Refusal):
-            self._refuse(channel, head, answer)
+            self._send_refusal(channel, head, answer)
             return
         places = {number: place for place, number in enumerate(numbers)}
         full = bool(head.get("full"))
         rows = [[places[number], *encode_state(state, full)] for number, state in answer.states.items()]
         packed = msgspec.json.encode(rows)
         if len(packed) > MAX_PROMISE_BYTES:
-            self._refuse(channel, head, Refusal(0, "too much is open at once"))
+            self._send_refusal(channel, head, Refusal(0, "too much is open at once"))
             return
         told = {"t": "promise", "b": head["b"], "e": head["e"], "g": answer.generation}
         channel.link.send({**told, "s": msgspec.Raw(packed)})
 
-    async def _proposed(
+    async def _handle_accept(
         self,
         channel: Channel,
         head: Head,
@@ -252,17 +256,17 @@
         by = {str(name): int(generation) for name, generation in head["by"].items()}
         refusal = await self.accept(int(head["e"]), ballot, by, writes, tags)
         if refusal is not None:
-            self._refuse(channel, head, refusal)
+            self._send_refusal(channel, head, refusal)
         else:
             channel.link.send({"t": "accepted", "b": head["b"], "e": head["e"], "p": int(head["of"]) - 1})
 
-    def _refuse(self, channel: Channel, head: Head, refusal: Refusal) -> None:
-        epoch = self._council.view().epoch
+    def _send_refusal(self, channel: Channel, head: Head, refusal: Refusal) -> None:
+        epoch = self._member_set.view().epoch
         told = {"t": "refuse", "b": head["b"], "e": epoch, "r": refusal.round, "why": refusal.reason}
         if not refusal.contended:
             told["now"] = True
         if epoch > int(head["e"]):
-            told["view"] = self._council.view_item()
+            told["view"] = self._member_set.view_item()
         channel.link.send(told)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -271,7 +275,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _bytes(value: Value) -> int:
+def _encoded_size(value: Value) -> int:
     return len(msgspec.json.encode(value))
 
 
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -54,14 +54,14 @@
         seed: int,
         stores: Mapping[str, Store],
         channels: Channels,
-        ledger: DiskWriter,
+        disk_writer: DiskWriter,
         event_log: EventLog,
         changed: Callable[[str, list[Item]], None],
     ) -> None:
         """``stores``: those that are compared, by name; ``changed`` is told what was mended here."""
         self._loop = asyncio.get_running_loop()
         self._random = random.Random(seed)
-        self._stores, self._channels, self._ledger = stores, channels, ledger
+        self._stores, self._channels, self._disk_writer = stores, channels, disk_writer
         self._event_log, self._changed = event_log, changed
         now = self._loop.time()
         self._look_at = now
@@ -100,14 +100,14 @@
             self._count += 1
             self._random.choice(peers).link.send({"t": "digest", "roots": roots})
 
-    def closed(self, channel: Channel) -> None:
+    def link_closed(self, channel: Channel) -> None:
         for name in self._stores:
             self._told.pop((channel.node, name), None)
             self._left.pop((channel.node, name), None)
 
     # Comparing
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of repair. Raises KeyError, TypeError or ValueError for what cannot be read."""
         kind = head["t"]
         if kind not in FRAMES or channel.extra.get("role") != CONTROLLER:
@@ -195,11 +195,11 @@
 
     async def _check_disk(self) -> None:
         try:
-            findings = await self._ledger.between(lambda keeper: keeper.verify())
+            findings = await self._disk_writer.run_between_batches(lambda keeper: keeper.verify())
             if not findings:
                 return
             items = len(self._stores[CHARTER].items)
-            outcome = await self._ledger.rewrite()
+            outcome = await self._disk_writer.rewrite()
             if isinstance(outcome, Kept):
                 self._event_log.tell(
                     events.DISK_MENDED, items=items, findings=len(findings), first=findings[0]
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -32,12 +32,12 @@
         state_dir: str,
         disk_mb: float,
         charter: Store,
-        ledger: DiskWriter,
+        disk_writer: DiskWriter,
         damaged: Callable[[], None],
     ) -> None:
         """``damaged`` is told where a check finds something: who mends looks for himself."""
         self._base, self._most = state_dir, int(disk_mb * (1 << 20))
-        self._charter, self._ledger, self._damaged = charter, ledger, damaged
+        self._charter, self._disk_writer, self._damaged = charter, disk_writer, damaged
 
     def answers(self) -> dict[str, Handler]:
         """The questions that are answered here, by name."""
@@ -46,9 +46,9 @@
     async def verify(self, head: Head) -> Told:
         """Every row read and checked, and the digest of what the disk holds beside that of what is held in
         memory. ``moving``: the two could not be compared, since changes came meanwhile."""
-        await self._ledger.kept()
+        await self._disk_writer.flush()
         before = self._charter.digests.root()
-        disk = await self._ledger.between(_survey)
+        disk = await self._disk_writer.run_between_batches(_survey)
         if disk.findings:
             self._damaged()
         return {
@@ -57,7 +57,7 @@
             "disk": disk.digest,
             "memory": before,
             "moving": before != self._charter.digests.root(),
-            "whole": self._ledger.whole,
+            "whole": self._disk_writer.whole,
         }
 
     async def backup(self, head: Head) -> Told | Refusal:
@@ -65,8 +65,10 @@
         to = inside(self._base, str(head["to"]))
         if isinstance(to, Refusal):
             return to
-        await self._ledger.kept()
-        return await self._ledger.between(lambda keeper: _copy(keeper, to, Path(self._base), self._most))
+        await self._disk_writer.flush()
+        return await self._disk_writer.run_between_batches(
+            lambda keeper: _copy(keeper, to, Path(self._base), self._most)
+        )
 
 
 def _survey(keeper: Keeper) -> _Disk:
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -40,31 +40,36 @@
         self,
         charter: Store,
         acceptor: Acceptor,
-        ledger: DiskWriter,
-        council: MemberSet,
+        disk_writer: DiskWriter,
+        member_set: MemberSet,
         channels: Channels,
-        acceptance: AcceptorHost,
+        acceptor_host: AcceptorHost,
         event_log: EventLog,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._charter, self._acceptor, self._ledger, self._council = charter, acceptor, ledger, council
-        self._channels, self._acceptance, self._event_log = channels, acceptance, event_log
+        self._charter, self._acceptor, self._disk_writer, self._member_set = (
+            charter,
+            acceptor,
+            disk_writer,
+            member_set,
+        )
+        self._channels, self._acceptor_host, self._event_log = channels, acceptor_host, event_log
         self._life, self._lives_here = charter.source, 1  # of the process; as what it counts since it began
         self._read = False  # the disk is one of a reader; its view may be older than its own joining
         self._counted = False  # this start is on disk
         self._settled = False  # there has been contact in this life
-        self._view = council.view()
+        self._view = member_set.view()
         self._size_at = self._loop.time() + LOOK_S
         self._sizing: asyncio.Task[None] | None = None
 
     async def begin(self) -> None:
         """Before anything is said to anybody: this start is counted, on disk where the disk is well."""
-        me = self._council.me
+        me = self._member_set.own_address
         self._lived(me, self._starts() + 1, self._charter.source)
         self._read = self._view.epoch > 0 and me not in self._view.names
         try:
             async with asyncio.timeout(BEGIN_S):
-                await self._ledger.kept()
+                await self._disk_writer.flush()
         except TimeoutError:
             pass
         else:
@@ -72,27 +77,30 @@
         self._say()
 
     def _starts(self) -> int:
-        return self._ledger.lives.get(self._council.me, (0, ""))[0]
+        return self._disk_writer.incarnations.get(self._member_set.own_address, (0, ""))[0]
 
     # What is said of this process
 
     def _say(self) -> None:
         hello = self._channels.hello
-        lives = dict(self._ledger.lives)
+        lives = dict(self._disk_writer.incarnations)
         if not self._counted:
-            del lives[self._council.me]  # the next life may count to the same number
-        hello["view"], hello["lives"] = self._council.view_item(), lives
-        hello["complete"] = self._ledger.whole
+            del lives[self._member_set.own_address]  # the next life may count to the same number
+        hello["view"], hello["lives"] = self._member_set.view_item(), lives
+        hello["complete"] = self._disk_writer.whole
 
     def _lived(self, who: str, starts: int, life: str) -> None:
         """That machine has started so often; ``life``: of its last start. Those that count stay known the
         longest."""
-        self._ledger.lives.pop(who, None)
-        self._ledger.lives[who] = (starts, life)
-        lives, keep = self._ledger.lives, self._council.view().names | {self._council.me}
+        self._disk_writer.incarnations.pop(who, None)
+        self._disk_writer.incarnations[who] = (starts, life)
+        lives, keep = (
+            self._disk_writer.incarnations,
+            self._member_set.view().names | {self._member_set.own_address},
+        )
         for one in [one for one in lives if one not in keep][: max(len(lives) - MOST_LIVES, 0)]:
             del lives[one]
-        self._ledger.put(pack_lives(lives))
+        self._disk_writer.put_row(pack_lives(lives))
         self._say()
 
     def silent(self, role: str) -> Collection[str]:
@@ -108,21 +116,21 @@
         for fields in told.get("view", ()):
             item = unpack(fields)
             self._meets(read_view(item.version, item.value))
-            self._acceptance.take([item], {})
+            self._acceptor_host.apply([item], {})
         lives = {str(one): (int(n), str(life)) for one, (n, life) in told.get("lives", {}).items()}
-        known, mine = lives.get(self._council.me, (0, "")), self._charter.source
+        known, mine = lives.get(self._member_set.own_address, (0, "")), self._charter.source
         if known[0] >= self._starts() and known[1] != mine:
-            if self._ledger.whole:
+            if self._disk_writer.whole:
                 self._start_over(f"{channel.node} knows of a later start than its disk")
             starts = max(known[0], self._starts()) + 1
-            self._lived(self._council.me, starts, self._charter.source)
+            self._lived(self._member_set.own_address, starts, self._charter.source)
         theirs = lives.get(who, (0, ""))
-        if theirs[0] > self._ledger.lives.get(who, (0, ""))[0]:
+        if theirs[0] > self._disk_writer.incarnations.get(who, (0, ""))[0]:
             self._lived(who, *theirs)
 
     def _meets(self, view: View) -> None:
         """A view that another has; who was one of those who count and is none by it starts over."""
-        before, me = self._view, self._council.me
+        before, me = self._view, self._member_set.own_address
         if view.epoch < before.epoch:
             return
         self._view = view
@@ -136,7 +144,7 @@
     def changed(self, items: Iterable[Item]) -> None:
         """The charter has changed here, by whatever way."""
         if any(item.kind == VIEW for item in items):
-            self._loop.call_soon(self._meets, self._council.view())  # what called goes on with the items
+            self._loop.call_soon(self._meets, self._member_set.view())  # what called goes on with the items
             self._say()
 
     # Starting over
@@ -144,30 +152,30 @@
     def _start_over(self, reason: str) -> None:
         self._event_log.tell(events.DISK_OLDER, reason=reason, items=len(self._charter.items))
         view = self._charter.items.get((VIEW, MEMBERS))
-        self._ledger.whole, self._settled, self._read = False, False, False
+        self._disk_writer.whole, self._settled, self._read = False, False, False
         # As a new life of this process: what the one before stamped, others hold and this one lacks.
         self._lives_here += 1
         self._charter.start_over(f"{self._life}/{self._lives_here}")
         self._channels.hello["source"] = self._charter.source
         self._acceptor.start_over()
-        self._lived(self._council.me, self._starts() + 1, self._charter.source)
+        self._lived(self._member_set.own_address, self._starts() + 1, self._charter.source)
         if view is not None:
             self._charter.merge([view], {})
-        self._acceptance.spawn(self._rewritten())
+        self._acceptor_host.spawn(self._rewritten())
         self._say()
         # What was asked on these links says what was held: answers to it would claim what is gone.
         for channel in list(self._channels.open):
             channel.link.close("its disk starts over")
 
     async def _rewritten(self) -> None:
-        while not isinstance(await self._ledger.rewrite(), Kept):
+        while not isinstance(await self._disk_writer.rewrite(), Kept):
             await asyncio.sleep(AGAIN_S)
 
     # The file
 
     def tick(self, now: float) -> None:
         """Called several times a second."""
-        if not self._settled and self._council.contact():
+        if not self._settled and self._member_set.has_contact():
             self._settled = True
             self._channels.poke()
         if now >= self._size_at and self._sizing is None:
@@ -177,9 +185,9 @@
     async def _compact(self) -> None:
         """The file never shrinks by itself: one that is much larger than what it holds is written anew."""
         try:
-            size = await self._ledger.between(_size)
+            size = await self._disk_writer.run_between_batches(_size)
             if size is not None and size.file > SPARE + TIMES * size.used:
-                await self._ledger.rewrite()
+                await self._disk_writer.rewrite()
                 self._event_log.tell(events.DISK_COMPACTED, before=size.file, used=size.used)
         finally:
             self._sizing = None
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -58,15 +58,17 @@
         """Nothing was decided yet."""
         self._loop = asyncio.get_running_loop()
         self._began = self._loop.time()
-        self.tune(ack_ms, contact_ms)
+        self.update_bounds(ack_ms, contact_ms)
         self._reports, self._channels, self._event_log = reports, channels, event_log
         self._orders: deque[DecidedOrder] = deque(maxlen=MAX_ORDERS_KEPT)
-        self._told: dict[str, tuple[float, frozenset[str]]] = {}  # by control process: when, who is behind
-        self._lives: dict[
+        self._peer_reports: dict[
+            str, tuple[float, frozenset[str]]
+        ] = {}  # by control process: when, who is behind
+        self._incarnations: dict[
             str, tuple[str, float]
         ] = {}  # of proxies by node: the life, and since when it is known
 
-    def tune(self, ack_ms: float, contact_ms: float) -> None:
+    def update_bounds(self, ack_ms: float, contact_ms: float) -> None:
         """Other bounds, for what comes from now on."""
         self._ack_s, self._contact_s = ack_ms / 1000.0, contact_ms / 1000.0
 
@@ -74,7 +76,7 @@
         """From its decision an order of so many items is acknowledged within this, whoever has it."""
         return BOUND_SHARE * (self._ack_s + EXTRA_S_PER_ITEM * count)
 
-    def changed(self, items: Sequence[Item]) -> None:
+    def items_changed(self, items: Sequence[Item]) -> None:
         """Items of the configuration have come."""
         self._orders.append(DecidedOrder(needs_of(items), self._loop.time()))
 
@@ -83,23 +85,23 @@
         for channel in self._channels.open:
             if channel.extra.get("role") != PROXY:
                 continue
-            known = self._lives.get(channel.node)
+            known = self._incarnations.get(channel.node)
             if known is None or known[0] != channel.peer_source:
-                self._lives[channel.node] = (channel.peer_source, now)
+                self._incarnations[channel.node] = (channel.peer_source, now)
 
     def _in_touch(self, now: float) -> set[str]:
         """Proxies for which the rules hold, as far as this process hears itself or is told."""
-        told = [names for at, names in self._told.values() if now - at <= PEER_REPORT_VALID_S]
-        return self._heard(now).union(*told)
+        told = [names for at, names in self._peer_reports.values() if now - at <= PEER_REPORT_VALID_S]
+        return self._live_proxies(now).union(*told)
 
-    def _heard(self, now: float) -> set[str]:
+    def _live_proxies(self, now: float) -> set[str]:
         return {
             channel.node
             for channel in self._channels.open
             if channel.extra.get("role") == PROXY
             and channel.link.up
             and now - channel.link.heard_at <= LINK_ALIVE_S
-            and now - self._lives.get(channel.node, ("", now))[1] >= self._contact_s
+            and now - self._incarnations.get(channel.node, ("", now))[1] >= self._contact_s
         }
 
     def _lacking(self, among: Collection[str], needs: Needs) -> set[str]:
@@ -117,21 +119,24 @@
         linked = {channel.node for channel in self._channels.open}
         return self._in_touch(now) | (self._reports.keys() - linked)
 
-    def behind(self) -> list[str]:
+    def find_behind(self) -> list[str]:
         """Proxies that this process hears itself and that have not confirmed an order of some time ago."""
         now = self._loop.time()
-        heard = self._heard(now)
+        heard = self._live_proxies(now)
         late = [one for one in self._orders if OVERDUE_S < now - one.known < 2.0 * self._ack_s]
         return sorted(set().union(*(self._lacking(heard, one.needs) for one in late)))[:MAX_BEHIND_NAMES]
 
-    def told_behind(self, address: str, names: object) -> None:
+    def peer_reported_behind(self, address: str, names: object) -> None:
         """The control process there has answered, and says who is behind. Raises TypeError for what is no
         list."""
         if not isinstance(names, list | tuple):
             raise TypeError("those that are behind are a list of names")
-        self._told[address] = (self._loop.time(), frozenset(str(name) for name in names[:MAX_BEHIND_NAMES]))
+        self._peer_reports[address] = (
+            self._loop.time(),
+            frozenset(str(name) for name in names[:MAX_BEHIND_NAMES]),
+        )
 
-    def jammed(self, now: float) -> bool:
+    def has_overdue(self, now: float) -> bool:
         """Whether a proxy in touch has not confirmed an order of some time ago."""
         return any(
             now - one.known > OVERDUE_S and self._lacking(self._in_touch(now), one.needs)
@@ -151,10 +156,10 @@
                 return one.known
         return self._orders[0].known if len(self._orders) == MAX_ORDERS_KEPT else self._began
 
-    async def spread(self, items: Sequence[Item], within_s: float) -> bool:
+    async def wait_confirmed(self, items: Sequence[Item], within_s: float) -> bool:
         """Until the order of these items may be acknowledged; False where that takes longer."""
         began = now = self._loop.time()
-        if len(items) < LARGE_ORDER_ITEMS and not self.jammed(now):
+        if len(items) < LARGE_ORDER_ITEMS and not self.has_overdue(now):
             return True
         needs, decided = needs_of(items), self._decided(items)
         while lacking := self._lacking(self._waited_for(now, decided), needs):
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -27,15 +27,15 @@
         raise OSError(outcome.reason)
     kept = _restore(settings, charter, event_log, outcome)
     acceptor = restore_acceptor(settings.ip, kept, lambda key: forgotten_to(charter, key))
-    ledger = DiskWriter(charter, acceptor, outcome.keeper, event_log, kept.whole)
-    ledger.lives = dict(kept.lives)
+    disk_writer = DiskWriter(charter, acceptor, outcome.keeper, event_log, kept.whole)
+    disk_writer.incarnations = dict(kept.lives)
     if isinstance(outcome, Fresh) and settings.cold_boot:
-        _install_first_view(settings, charter, acceptor, ledger)
+        _install_first_view(settings, charter, acceptor, disk_writer)
     else:
         claimed = charter.claim()
         if claimed:
-            ledger.mark(claimed)
-    return ledger, acceptor
+            disk_writer.mark_items(claimed)
+    return disk_writer, acceptor
 
 
 def _restore(
@@ -57,7 +57,9 @@
     return kept
 
 
-def _install_first_view(settings: Settings, charter: Store, acceptor: Acceptor, ledger: DiskWriter) -> None:
+def _install_first_view(
+    settings: Settings, charter: Store, acceptor: Acceptor, disk_writer: DiskWriter
+) -> None:
     """The machines that every process is told of at the very first start are the first view: the same item
     in all of them, decided from the start."""
     founders = {host: Place("", "") for host, _ in settings.seeds}
@@ -65,8 +67,8 @@
     assert isinstance(first, Item)
     acceptor.settle((VIEW, MEMBERS, 1), first.value)
     if settings.ip in founders:
-        ledger.founded()
-    ledger.mark([first])
+        disk_writer.mark_founded()
+    disk_writer.mark_items([first])
 
 
 def forgotten_to(charter: Store, key: Key) -> int:
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -28,7 +28,7 @@
 MAX_PAGED_ANSWERS = 4  # answers that are given in pages at once; the oldest makes room
 
 
-class _Asking(Struct, eq=False):
+class _FenceRequest(Struct, eq=False):
     """``round`` and ``generation``: of the fence; None where none is raised."""
 
     view: View
@@ -44,14 +44,16 @@
 
 class Fencing:
     def __init__(
-        self, charter: Store, ledger: DiskWriter, council: MemberSet, acceptance: AcceptorHost
+        self, charter: Store, disk_writer: DiskWriter, member_set: MemberSet, acceptor_host: AcceptorHost
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._charter, self._ledger, self._council = charter, ledger, council
-        self._acceptance = acceptance
+        self._charter, self._disk_writer, self._member_set = charter, disk_writer, member_set
+        self._acceptor_host = acceptor_host
         self._count = 0
-        self._askings: dict[int, _Asking] = {}
-        self._given: dict[tuple[str, int], tuple[list[Row], list[int]]] = {}  # and where its pages begin
+        self._requests: dict[int, _FenceRequest] = {}
+        self._paged_answers: dict[
+            tuple[str, int], tuple[list[Row], list[int]]
+        ] = {}  # and where its pages begin
 
     async def fence_and_read(self, within_s: float, fence: bool = True) -> bool:
         """Whether this process now holds, on disk, all that could have been chosen under the view in force.
@@ -60,50 +62,50 @@
         each set that promised or accepted anything meets them outside this machine. Without it: what an
         overlapping set of the view, of the one before where it is joint, holds now.
         """
-        view = self._council.view()
+        view = self._member_set.view()
         try:
             async with asyncio.timeout(within_s):
                 if not fence:
-                    await self._ask(view, None)
+                    await self._request(view, None)
                 else:
-                    told = await self._ask(view, (0, 0))
+                    told = await self._request(view, (0, 0))
                     round = max((top for top, _ in told.values()), default=0)
                     generation = 1 + max((known for _, known in told.values()), default=0)
-                    await self._ask(view, (round, generation))
-                    await self._acceptance.fence(round, self._council.me, generation)
-                await self._ledger.kept()
+                    await self._request(view, (round, generation))
+                    await self._acceptor_host.fence(round, self._member_set.own_address, generation)
+                await self._disk_writer.flush()
         except TimeoutError:
             return False
-        return self._council.view().epoch == view.epoch
+        return self._member_set.view().epoch == view.epoch
 
-    async def _ask(self, view: View, fence: tuple[int, int] | None) -> dict[str, tuple[int, int]]:
+    async def _request(self, view: View, fence: tuple[int, int] | None) -> dict[str, tuple[int, int]]:
         self._count += 1
         number = self._count
-        others = view.names - {self._council.me}
-        asking = self._askings[number] = _Asking(view, fence, self._loop.create_future(), others)
-        if fence is None and self._ledger.whole:
-            asking.heard.add(self._council.me)
+        others = view.names - {self._member_set.own_address}
+        asking = self._requests[number] = _FenceRequest(view, fence, self._loop.create_future(), others)
+        if fence is None and self._disk_writer.whole:
+            asking.heard.add(self._member_set.own_address)
         try:
-            for address, channel in self._council.peers().items():
+            for address, channel in self._member_set.peers().items():
                 self._send(number, asking, address, channel)
             self._check(asking)
             await asking.done
             return asking.told
         finally:
-            del self._askings[number]
+            del self._requests[number]
 
-    def _send(self, number: int, asking: _Asking, address: str, channel: Channel) -> None:
+    def _send(self, number: int, asking: _FenceRequest, address: str, channel: Channel) -> None:
         if address not in asking.others or address in asking.heard:
             return
         asking.asked[address] = channel
         asking.pages[address] = 0
         told: Head = {"t": "fence", "n": number, "e": asking.view.epoch, "v": self._charter.vector}
         if asking.fence is not None:
-            told.update(r=asking.fence[0], g=asking.fence[1], m=self._council.me)
+            told.update(r=asking.fence[0], g=asking.fence[1], m=self._member_set.own_address)
         channel.link.send(told)
 
-    def _enough(self, asking: _Asking) -> bool:
-        view, tolerance, heard = asking.view, self._council.tolerance, asking.heard
+    def _has_enough(self, asking: _FenceRequest) -> bool:
+        view, tolerance, heard = asking.view, self._member_set.tolerance, asking.heard
         if asking.fence is None:
             before = view if view.before is None else View(view.epoch, view.before)
             return before.overlaps(heard, tolerance)
@@ -111,53 +113,53 @@
             # The first start: a founder whose disk never counted has said nothing that could be counted, and
             # each tolerated loss since leaves a whole one, if ever anything was acknowledged.
             return True
-        return fenced_by(view, heard, self._council.me, tolerance)
+        return fenced_by(view, heard, self._member_set.own_address, tolerance)
 
-    def _check(self, asking: _Asking) -> None:
-        if not asking.done.done() and self._enough(asking):
+    def _check(self, asking: _FenceRequest) -> None:
+        if not asking.done.done() and self._has_enough(asking):
             asking.done.set_result(None)
 
-    def reach(self, address: str, anew: bool = False) -> None:
+    def resend_pending(self, address: str, anew: bool = False) -> None:
         """As `ProposerHost.reach`."""
-        peer = self._council.peers().get(address)
-        for number, asking in self._askings.items():
+        peer = self._member_set.peers().get(address)
+        for number, asking in self._requests.items():
             if peer is not None and (anew or asking.asked.get(address) is not peer):
                 self._send(number, asking, address, peer)
 
     # Frames
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of fences. Raises KeyError, TypeError or ValueError for what cannot be read."""
         if head["t"] == "fence":
             if "at" in head:
-                self._give(channel, int(head["n"]), int(head["e"]), int(head["at"]))
+                self._send_page(channel, int(head["n"]), int(head["e"]), int(head["at"]))
             else:
-                self._acceptance.spawn(self._answer(channel, head))
+                self._acceptor_host.spawn(self._answer(channel, head))
         elif head["t"] == "fenced":
-            self._fenced(channel, head)
+            self._handle_fenced(channel, head)
         else:
             return False
         return True
 
     async def _answer(self, channel: Channel, head: Head) -> None:
         epoch, number = int(head["e"]), int(head["n"])
-        if await self._acceptance.stands(epoch) is not None:
-            mine = self._council.view()
+        if await self._acceptor_host.check_epoch(epoch) is not None:
+            mine = self._member_set.view()
             told: Head = {"t": "fenced", "n": number, "e": mine.epoch, "no": True}
-            if not self._ledger.whole:
+            if not self._disk_writer.whole:
                 told["empty"] = True
                 if "r" in head and head["g"]:
-                    await self._acceptance.fence(int(head["r"]), str(head["m"]), int(head["g"]))
-            channel.link.send({**told, "view": self._council.view_item()} if mine.epoch > epoch else told)
+                    await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
+            channel.link.send({**told, "view": self._member_set.view_item()} if mine.epoch > epoch else told)
             return
-        acceptor = self._acceptance.acceptor
+        acceptor = self._acceptor_host.acceptor
         if "r" in head and not head["g"]:
             generation = acceptor.generations.get(str(head["m"]), 0)
             told = {"t": "fenced", "n": number, "e": epoch, "top": acceptor.top(), "g": generation}
             channel.link.send({**told, "w": [], "more": False})
             return
         if "r" in head:
-            await self._acceptance.fence(int(head["r"]), str(head["m"]), int(head["g"]))
+            await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
         all_of_it = 2 * self._charter.most
         rows: list[Row] = [*self._charter.lacking(head["v"], all_of_it, sys.maxsize).items]
         rows += [(number_, vote) for number_, vote in acceptor.votes.items()]
@@ -167,15 +169,15 @@
         ]
         rows += acceptor.tags.items()
         where = (address_of(channel), number)
-        self._given[where] = (rows, [0])
-        while len(self._given) > MAX_PAGED_ANSWERS:
-            del self._given[next(iter(self._given))]
-        self._give(channel, number, epoch, 0)
+        self._paged_answers[where] = (rows, [0])
+        while len(self._paged_answers) > MAX_PAGED_ANSWERS:
+            del self._paged_answers[next(iter(self._paged_answers))]
+        self._send_page(channel, number, epoch, 0)
 
-    def _give(self, channel: Channel, number: int, epoch: int, at: int) -> None:
+    def _send_page(self, channel: Channel, number: int, epoch: int, at: int) -> None:
         """A page of what stood at the fence, which later decisions do not touch."""
         where = (address_of(channel), number)
-        rows, begins = self._given.get(where, ([], []))
+        rows, begins = self._paged_answers.get(where, ([], []))
         if not 0 <= at < len(begins):
             return
         page = _page(rows, begins[at])
@@ -185,13 +187,13 @@
         told: Head = {"t": "fenced", "n": number, "e": epoch, "at": at, "w": page, "more": more}
         channel.link.send({**told, "top": 0, "g": 0})
         if not more:
-            del self._given[where]
+            del self._paged_answers[where]
 
-    def _fenced(self, channel: Channel, head: Head) -> None:
+    def _handle_fenced(self, channel: Channel, head: Head) -> None:
         who, number = address_of(channel), int(head["n"])
         if "view" in head:
-            self._acceptance.take([unpack(fields) for fields in head["view"]], {})
-        asking = self._askings.get(number)
+            self._acceptor_host.apply([unpack(fields) for fields in head["view"]], {})
+        asking = self._requests.get(number)
         if asking is None or head["e"] != asking.view.epoch or who not in asking.others:
             return
         if head.get("no"):
@@ -203,7 +205,7 @@
         if head.get("at", 0) != asking.pages[who]:
             return
         # What was accepted there, and is decided, counts whatever becomes of the rest.
-        self._take(head["w"])
+        self._merge_rows(head["w"])
         asking.pages[who] += 1
         if head["more"]:
             told = {"t": "fence", "n": number, "e": asking.view.epoch, "at": asking.pages[who]}
@@ -212,16 +214,16 @@
         asking.heard.add(who)
         self._check(asking)
 
-    def _take(self, rows: Collection[Any]) -> None:
-        acceptor = self._acceptance.acceptor
-        self._acceptance.take([unpack(row[1:]) for row in rows if row[0] == "i"], {})
+    def _merge_rows(self, rows: Collection[Any]) -> None:
+        acceptor = self._acceptor_host.acceptor
+        self._acceptor_host.apply([unpack(row[1:]) for row in rows if row[0] == "i"], {})
         for row in rows:
             if row[0] == "p":
                 _, kind, name, unknown, digests = row
                 for version, digest in digests.items():
                     digest, _, tag = str(digest).partition("/")
-                    self._acceptance.told((kind, name, int(version)), Settled(digest, tag=tag))
-                self._acceptance.told((kind, name, int(unknown)), Forgotten())
+                    self._acceptor_host.record_outcome((kind, name, int(version)), Settled(digest, tag=tag))
+                self._acceptor_host.record_outcome((kind, name, int(unknown)), Forgotten())
         acceptor.tags.update((decode_number(row[1:4]), str(row[4])) for row in rows if row[0] == "t")
         merged = []
         for row in rows:
@@ -231,7 +233,7 @@
                 if held is None or (isinstance(held, Vote) and held.ballot < vote.ballot):
                     acceptor.votes[number] = vote
                     merged.append(number)
-        self._ledger.mark_votes(merged)
+        self._disk_writer.mark_votes(merged)
 
 
 def _page(rows: Sequence[Row], begin: int) -> list[msgspec.Raw]:
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -31,14 +31,14 @@
     settings: Settings
     charter: Store
     roll: Store
-    ledger: DiskWriter
-    council: MemberSet
+    disk_writer: DiskWriter
+    member_set: MemberSet
     membership: Membership
     rollouts: Rollouts
     duties: Duties
     minding: Minding
-    probing: ContactProbes
-    voting: ProposerHost
+    contact_probes: ContactProbes
+    proposer_host: ProposerHost
     key_assignment: KeyAssignment
     control: str
     stopping: asyncio.Event
@@ -62,12 +62,12 @@
 def votes(shown: Shown) -> Told:
     """``open``: votes that are not decided, as known here; ``rivalled``: numbers for which this process
     refused an order of late since another one has them, the newest first."""
-    now, voting = shown.steady(), shown.voting
+    now, proposer_host = shown.steady(), shown.proposer_host
     rivalled = [
         {"ago_ms": round((now - at) * 1000.0), "kind": kind, "name": name, "version": version}
-        for at, (kind, name, version) in reversed(voting.rivalled)
+        for at, (kind, name, version) in reversed(proposer_host.rivalled)
     ]
-    return {"open": len(voting.acceptance.acceptor.votes), "rivalled": rivalled}
+    return {"open": len(proposer_host.acceptor_host.acceptor.votes), "rivalled": rivalled}
 
 
 def rollouts(shown: Shown) -> Told:
@@ -121,18 +121,18 @@
     so, and who has answered lately; ``control``: where it takes the operator's calls; ``duties``:
     who has which, under which epoch, as known here, and whether this process acts on it; ``borne``: how many
     more losses of each kind orders would go on after, -1 where they do not now."""
-    settings, ledger = shown.settings, shown.ledger
-    tolerance, view = settings.tolerance, shown.council.view()
+    settings, disk_writer = shown.settings, shown.disk_writer
+    tolerance, view = settings.tolerance, shown.member_set.view()
     return {
         **common(settings, shown.charter, shown.roll, clock),
         "role": CONTROLLER,
         "ending": shown.stopping.is_set(),
         "control": shown.control,
         "counted": settings.counted,
-        "whole": ledger.whole,
-        "refused": ledger.refused,
-        "in_touch": shown.probing.has(),
-        "contact": shown.probing.told(),
+        "whole": disk_writer.whole,
+        "refused": disk_writer.last_refusal,
+        "in_touch": shown.contact_probes.has_contact(),
+        "contact": shown.contact_probes.status(),
         "votes": votes(shown),
         "duties": {**shown.duties.told(), **shown.minding.told()},
         "epoch": view.epoch,
@@ -140,6 +140,7 @@
         "borne": shown.minding.losses(),
         "tolerates": {"machines": tolerance.machines, "zones": tolerance.zones, "regions": tolerance.regions},
         "members": {
-            address: [place.zone, place.region] for address, place in sorted(shown.council.members().items())
+            address: [place.zone, place.region]
+            for address, place in sorted(shown.member_set.members().items())
         },
     }
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -70,18 +70,18 @@
     def __init__(
         self,
         settings: Settings,
-        council: MemberSet,
-        acceptance: AcceptorHost,
-        voting: ProposerHost,
+        member_set: MemberSet,
+        acceptor_host: AcceptorHost,
+        proposer_host: ProposerHost,
         fencing: Fencing,
-        ledger: DiskWriter,
+        disk_writer: DiskWriter,
         event_log: EventLog,
         became_whole: Callable[[], None],
     ) -> None:
         """``became_whole`` is told once this disk counts."""
         self._loop = asyncio.get_running_loop()
-        self.settings, self._council, self._acceptance = settings, council, acceptance
-        self._voting, self._fencing, self._ledger = voting, fencing, ledger
+        self.settings, self._member_set, self._acceptor_host = settings, member_set, acceptor_host
+        self._proposer_host, self._fencing, self._disk_writer = proposer_host, fencing, disk_writer
         self._event_log, self._became_whole = event_log, became_whole
         self.level = 0  # the epoch with which this machine is level
         self.leaving = False
@@ -89,7 +89,7 @@
         self._began = self._loop.time()
         self._said: Said | None = None  # as the others were told last
         self.others: dict[str, Said] = {}  # by address, as they said last, also of those that are silent now
-        acceptance.level = self._is_level
+        acceptor_host.caught_up = self._is_level
         self._task: asyncio.Task[None] | None = None
 
     # What this machine is
@@ -99,27 +99,27 @@
 
     def settled(self) -> bool:
         """Whether it is what its settings say, under a view that is no change any more."""
-        view = self._council.view()
+        view = self._member_set.view()
         if view.joint or not view.epoch:
             return False
-        me = view.now.get(self._council.me)
+        me = view.now.get(self._member_set.own_address)
         if not self.settings.counted:
             return me is None
-        return me == self.place and self._ledger.whole
+        return me == self.place and self._disk_writer.whole
 
     @property
     def place(self) -> Place:
         return Place(self.settings.zone, self.settings.region)
 
     def _is_level(self) -> bool:
-        view = self._council.view()
-        return not view.joint or self._council.me not in view.now or self.level >= view.epoch
+        view = self._member_set.view()
+        return not view.joint or self._member_set.own_address not in view.now or self.level >= view.epoch
 
     def state(self) -> Said:
-        view, counted = self._council.view(), self.settings.counted
+        view, counted = self._member_set.view(), self.settings.counted
         return Said(
             view.epoch,
-            self._ledger.whole,
+            self._disk_writer.whole,
             self.level,
             counted and self._caught_up and not self.leaving,
             self.leaving or not counted,
@@ -136,10 +136,10 @@
             await asyncio.sleep(AGAIN_S)
 
     async def _step(self) -> None:
-        view, me = self._council.view(), self._council.me
+        view, me = self._member_set.view(), self._member_set.own_address
         if not view.epoch:
             self._begin()
-        elif not self._ledger.whole:
+        elif not self._disk_writer.whole:
             if me in view.names or self.settings.counted:
                 await self._become_whole()
         elif me in view.names:
@@ -148,12 +148,12 @@
                 if await self._fencing.fence_and_read(STEP_S, fence=False):
                     self.level = view.epoch
         elif self.settings.counted and not self._caught_up:
-            self._caught_up = await self._voting.read(STEP_S)
+            self._caught_up = await self._proposer_host.read(STEP_S)
 
     async def _become_whole(self) -> None:
         if not await self._fencing.fence_and_read(STEP_S):
             return
-        await self._ledger.become_whole()
+        await self._disk_writer.mark_whole()
         self._caught_up = True
         self._became_whole()
 
@@ -163,7 +163,7 @@
         within `contact_ms` knows one. The first view follows from the settings alone, so it is the same in
         all of them."""
         founders = {host for host, _ in self.settings.seeds}
-        me, now = self._council.me, self._loop.time()
+        me, now = self._member_set.own_address, self._loop.time()
         if me not in founders or now - self._began < self.settings.bounds.contact_ms / 1000.0:
             return
         heard = self.heard()
@@ -173,7 +173,7 @@
             return
         first = write_view(View(1, dict.fromkeys(founders, Place("", ""))))
         self._event_log.tell(events.BEGUN_ANEW, founders=", ".join(sorted(founders)))
-        self._acceptance.take(*self._acceptance.stamped([((VIEW, MEMBERS, 1), first)]))
+        self._acceptor_host.apply(*self._acceptor_host.stamp_items([((VIEW, MEMBERS, 1), first)]))
 
     # What is said, and heard
 
@@ -182,13 +182,13 @@
         state = self.state()
         if state != self._said:
             self._said = state
-            for channel in self._council.peers().values():
+            for channel in self._member_set.peers().values():
                 channel.link.send(state.write())
 
-    def opened(self, channel: Channel) -> None:
+    def link_opened(self, channel: Channel) -> None:
         channel.link.send(self.state().write())
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of these. Raises KeyError, TypeError or ValueError for what cannot be read."""
         if head["t"] != "member":
             return False
@@ -202,22 +202,22 @@
         now = self._loop.time()
         return {
             address
-            for address, channel in self._council.peers().items()
+            for address, channel in self._member_set.peers().items()
             if now - channel.link.heard_at <= LIVELY_S
         }
 
     def known(self, absences: Mapping[str, Absence], removed: str = "") -> dict[str, Known]:
         """What a proposer knows of each machine. ``absences``: by the word of more than half, by address;
         ``removed``: by an operator's word."""
-        view, heard = self._council.view(), self.heard()
+        view, heard = self._member_set.view(), self.heard()
         found = {}
-        for address in view.names | self.others.keys() | {self._council.me}:
-            said = self.state() if address == self._council.me else self.others.get(address)
+        for address in view.names | self.others.keys() | {self._member_set.own_address}:
+            said = self.state() if address == self._member_set.own_address else self.others.get(address)
             absence = absences.get(address, PRESENT)
             place = view.now.get(address) or (view.before or {}).get(address) or Place("", "")
             found[address] = Known(
                 said.place if said is not None else place,
-                address == self._council.me or address in heard,
+                address == self._member_set.own_address or address in heard,
                 said is not None and said.whole,
                 said.level if said is not None else 0,
                 said is not None and said.counts,
@@ -248,14 +248,14 @@
             self._task.cancel()
 
     def _awaits(self) -> bool:
-        view, me = self._council.view(), self._council.me
+        view, me = self._member_set.view(), self._member_set.own_address
         if me not in view.names:
             return self._untold(view)
         known = self.known({})
         # Contact is proven anew with each view, so it says nothing of these two.
         if view.joint or self._lacks(view, known):
             return True
-        if not self._council.contact():
+        if not self._member_set.has_contact():
             return False
         coming = any(
             one.heard and name not in view.now and not one.leaves for name, one in known.items() if name != me
@@ -270,9 +270,11 @@
     def _lacks(self, view: View, known: Mapping[str, Known]) -> bool:
         """Whether another member is away, or its disk is not whole: it may need what is held here, and
         without it this one cannot be taken out."""
-        others = [one for name, one in known.items() if name in view.now and name != self._council.me]
+        others = [
+            one for name, one in known.items() if name in view.now and name != self._member_set.own_address
+        ]
         return not all(one.heard and one.whole for one in others)
 
     def _after(self, view: View, known: Mapping[str, Known]) -> Mapping[str, Any]:
-        planned = plan(view, known, self._council.tolerance).view
+        planned = plan(view, known, self._member_set.tolerance).view
         return planned.now if planned is not None else view.now
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -55,8 +55,8 @@
         hold_max_ms: float,
         charter: Store,
         membership: Membership,
-        council: MemberSet,
-        voting: ProposerHost,
+        member_set: MemberSet,
+        proposer_host: ProposerHost,
         acts: Callable[[], bool],
         live: Callable[[float, float], set[str]],
         event_log: EventLog,
@@ -65,8 +65,8 @@
         time and how long they must have been awake."""
         self._loop = asyncio.get_running_loop()
         self._node, self._terms = node, terms_of(hold_max_ms)
-        self._charter, self._membership, self._council = charter, membership, council
-        self._voting, self._acts, self._live, self._event_log = voting, acts, live, event_log
+        self._charter, self._membership, self._member_set = charter, membership, member_set
+        self._proposer_host, self._acts, self._live, self._event_log = proposer_host, acts, live, event_log
         self._divided: dict[str, float] = {}  # services, by when their first upstream was seen; 0: none yet
         self._maps: dict[str, KeyMap] = {}
         self._leaving: dict[RowKey, float] = {}  # since when a row is known to leave
@@ -131,7 +131,7 @@
 
     # Which map holds
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was a proxy's question. Raises KeyError, TypeError or ValueError."""
         if head["t"] != "keys":
             return False
@@ -147,7 +147,9 @@
             while self._questions:
                 await asyncio.sleep(GATHER_S)
                 asked, self._questions = self._questions, []
-                if not await self._voting.reads.current(OWNERSHIP, self._loop.time() + READ_S):
+                if not await self._proposer_host.reads.wait_until_current(
+                    OWNERSHIP, self._loop.time() + READ_S
+                ):
                     continue  # who asked asks again, elsewhere
                 versions = {service: key_map.version for service, key_map in self._maps.items()}
                 for channel, number in asked:
@@ -251,7 +253,7 @@
 
     async def _decide(self, service: str, version: int, value: dict[str, Any]) -> None:
         try:
-            outcome = await self._voting.decide({(OWNERSHIP, service, version): value}, DECIDE_S)
+            outcome = await self._proposer_host.decide({(OWNERSHIP, service, version): value}, DECIDE_S)
             if isinstance(outcome, Decided):
                 self._event_log.tell(
                     events.KEYS_ASSIGNED, service=service, version=version, rows=len(value["rows"])
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -67,7 +67,7 @@
         roll: Store,
         membership: Membership,
         channels: Channels,
-        council: MemberSet,
+        member_set: MemberSet,
         contact: Callable[[], bool],
         event_log: EventLog,
         changed: Callable[[list[Item]], None],
@@ -77,7 +77,7 @@
         self._loop = asyncio.get_running_loop()
         self.node, self._address, self.spans = node, address, spans
         self._roll, self._membership, self._channels = roll, membership, channels
-        self._council, self._event_log, self._changed = council, event_log, changed
+        self._member_set, self._event_log, self._changed = member_set, event_log, changed
         self._contact = contact
         now = self._loop.time()
         self.turn = Turn(REAPING, node, spans.suspect_s)
@@ -103,7 +103,7 @@
                 except ValueError as fault:
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
-    def closed(self, channel: Channel) -> None:
+    def link_closed(self, channel: Channel) -> None:
         self._hear(channel)
 
     def _hear(self, channel: Channel) -> None:
@@ -163,7 +163,7 @@
     def _nodes(self) -> dict[str, failure_detection.Known]:
         """All that the roll names. Whose disk counts stays, whatever its silence: others must go on trying to
         reach it; so does this one."""
-        members = self._council.view().names
+        members = self._member_set.view().names
         found = {}
         for name, told in self._membership.nodes.items():
             address = self._membership.address(name)
@@ -194,7 +194,7 @@
             "epoch": epoch,
             "holder": self.node,
             "nodes": asked,
-            "e": self._council.view().epoch,
+            "e": self._member_set.view().epoch,
         }
         for channel in list(self._channels.open):
             if channel.extra.get("role") == CONTROLLER and channel.node not in round.waits | {self.node}:
@@ -207,7 +207,7 @@
         round = self._round
         if round is None or round.waits or now - round.began > ROUND_S:
             return
-        if not failure_detection.enough(round.heard, self._council.members()) or not self._contact():
+        if not failure_detection.enough(round.heard, self._member_set.members()) or not self._contact():
             return
         if self.turn.newest != Standing(round.epoch, self.node):
             return
@@ -242,7 +242,7 @@
 
     # Frames
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of duties. Raises KeyError, TypeError or ValueError for what cannot be read."""
         kind = head["t"]
         if kind not in ("heard", "hears", "overtaken") or channel.extra.get("role") != CONTROLLER:
@@ -264,7 +264,7 @@
             or len(nodes) > failure_detection.MOST_ASKED
         ):
             raise ValueError("not a question of a duty that is known here")
-        known = self._council.view().epoch
+        known = self._member_set.view().epoch
         # Who goes by an older view may count a majority that is none any more.
         old_view = int(head.get("e", known)) < known
         if not self.turn.note(now, standing) or old_view:
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -43,8 +43,8 @@
         spans: failure_detection.Spans,
         roll: Store,
         membership: Membership,
-        council: MemberSet,
-        voting: ProposerHost,
+        member_set: MemberSet,
+        proposer_host: ProposerHost,
         joining: Joining,
         duties: Duties,
         event_log: EventLog,
@@ -53,17 +53,17 @@
         """``changed`` is told of items of the roll that are written here."""
         self._loop = asyncio.get_running_loop()
         self.node, self.spans = node, spans
-        self._roll, self._membership, self._council = roll, membership, council
-        self._voting, self.joining, self._duties = voting, joining, duties
+        self._roll, self._membership, self._member_set = roll, membership, member_set
+        self._proposer_host, self.joining, self._duties = proposer_host, joining, duties
         self._event_log, self._changed = event_log, changed
         now = self._loop.time()
         self.turn = Turn(MINDING, node, spans.suspect_s * STEADY_SHARE)
-        self.silence = MemberSilence(node, spans, self.turn, membership, council, duties, event_log)
+        self.silence = MemberSilence(node, spans, self.turn, membership, member_set, duties, event_log)
         self._held = 0
         self._live_at = now  # when it could last act
         self._proposing: asyncio.Task[bool] | None = None
         self._again_at = now
-        self._epoch = council.view().epoch
+        self._epoch = member_set.view().epoch
         self._stays: Mapping[str, str] = {}
         self._below: tuple[str, ...] = ()  # kinds of which fewer losses are borne than are asked, as told
         self._below_since: float | None = None
@@ -81,7 +81,7 @@
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
     def tick(self, now: float) -> None:
-        view = self._council.view()
+        view = self._member_set.view()
         self.silence.tick(now, view)
         self.joining.forget(view)
         if view.epoch != self._epoch:
@@ -126,9 +126,9 @@
 
     def _mind(self, now: float, view: View) -> None:
         self.silence.ask(now, view, self._held)
-        if self._proposing is not None or now < self._again_at or not self._council.contact():
+        if self._proposing is not None or now < self._again_at or not self._member_set.has_contact():
             return
-        planned = plan(view, self.joining.known(self.silence.absences(now)), self._council.tolerance)
+        planned = plan(view, self.joining.known(self.silence.absences(now)), self._member_set.tolerance)
         for address, why in planned.stays.items():
             said = self.joining.others.get(address)
             if self._stays.get(address) != why and said is not None and said.leaves:
@@ -140,25 +140,25 @@
 
     async def _propose(self, view: View) -> bool:
         number = (VIEW, MEMBERS, view.epoch)
-        return isinstance(await self._voting.decide({number: write_view(view)}, DECIDE_S), Decided)
+        return isinstance(await self._proposer_host.decide({number: write_view(view)}, DECIDE_S), Decided)
 
     def _proposed(self, task: asyncio.Task[bool]) -> None:
         self._proposing = None
         if task.cancelled() or task.exception() is not None or not task.result():
             self._again_at = self._loop.time() + PAUSE_S
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of this duty. Raises KeyError, TypeError or ValueError for what cannot be
         read."""
-        return self.silence.frame(channel, head)
+        return self.silence.handle_frame(channel, head)
 
     # What can be lost
 
     def borne(self) -> Borne:
-        view = self._council.view()
+        view = self._member_set.view()
         there = heard_whole(self.joining.known({}), view.names)
         if self._borne is None or self._borne[:2] != (view, there):  # asked for at every tick
-            self._borne = view, there, borne(view, there, self._council.tolerance)
+            self._borne = view, there, borne(view, there, self._member_set.tolerance)
         return self._borne[2]
 
     def losses(self) -> Told:
@@ -167,9 +167,9 @@
 
     def _tell_borne(self, now: float, view: View) -> None:
         """Every process tells it for itself, once it has lasted: links that come and go are no loss."""
-        if self._council.me not in view.names:
+        if self._member_set.own_address not in view.names:
             return
-        below = self.borne().below(self._council.tolerance)
+        below = self.borne().below(self._member_set.tolerance)
         if below == self._below:
             self._below_since = None
         elif self._below_since is None:
@@ -183,9 +183,9 @@
 
     def show(self) -> Told:
         """``members``: all that count, or want to, by address."""
-        now, view = self._loop.time(), self._council.view()
+        now, view = self._loop.time(), self._member_set.view()
         known = self.joining.known(self.silence.absences(now))
-        planned = plan(view, known, self._council.tolerance)
+        planned = plan(view, known, self._member_set.tolerance)
         nodes = self._nodes()
         rows: list[dict[str, Any]] = []
         for address, one in sorted(known.items()):
@@ -243,21 +243,21 @@
     async def remove(self, head: Head) -> Told | Refusal:
         """An operator's word that a machine is gone for good: no silence is waited for. Safe or not is judged
         as for any other change."""
-        name, view = str(head["node"]), self._council.view()
+        name, view = str(head["node"]), self._member_set.view()
         nodes = self._nodes()
         address = next((a for a, node in nodes.items() if node == name), name)
         if address not in view.names:
             return Refusal(f"{name}: does not count; members show lists those that do")
-        if address in self.joining.heard() | {self._council.me}:
+        if address in self.joining.heard() | {self._member_set.own_address}:
             return Refusal(f"{name}: runs, and would join again: end it, or set counted = false there")
-        if not self._council.contact():
+        if not self._member_set.has_contact():
             return Refusal(f"{self.node} has no contact with most members; ask another with --at")
         if view.joint:
             return Refusal(f"a change is under way (epoch {view.epoch}); try again once it is over")
         planned = plan(
             view,
             self.joining.known(self.silence.absences(self._loop.time()), address),
-            self._council.tolerance,
+            self._member_set.tolerance,
         )
         if address in planned.stays:
             return Refusal(f"{name}: not safe now: {planned.stays[address]}")
@@ -268,7 +268,7 @@
             return Refusal(
                 f"{name}: the change was not decided in time; look with members show, and try again"
             )
-        while (after := self._council.view()).joint and self._loop.time() < until:
+        while (after := self._member_set.view()).joint and self._loop.time() < until:
             await asyncio.sleep(0.02)
         if address in after.names:
             return Refusal(f"{name}: the change is under way (epoch {after.epoch}); look with members show")
--- a/mesh/control_plane/member_set.py
+++ b/mesh/control_plane/member_set.py
@@ -17,13 +17,18 @@
     """``contact``: whether what is held here, or is being told, can miss nothing that was acknowledged."""
 
     def __init__(
-        self, me: str, charter: Store, ledger: DiskWriter, channels: Channels, tolerance: Tolerance
+        self,
+        own_address: str,
+        charter: Store,
+        disk_writer: DiskWriter,
+        channels: Channels,
+        tolerance: Tolerance,
     ) -> None:
-        """``me``: the address by which this machine is known as a member."""
-        self.me, self.tolerance = me, tolerance
-        self._charter, self._ledger, self._channels = charter, ledger, channels
+        """``own_address``: the address by which this machine is known as a member."""
+        self.own_address, self.tolerance = own_address, tolerance
+        self._charter, self._disk_writer, self._channels = charter, disk_writer, channels
         self._view = NOBODY
-        self.contact: Callable[[], bool] = lambda: False
+        self.has_contact: Callable[[], bool] = lambda: False
 
     def view(self) -> View:
         """The view in force here; its epoch is 0 where none is known yet."""
@@ -47,7 +52,7 @@
         found: dict[str, Channel] = {}
         for channel in self._channels.open:
             address = address_of(channel)
-            if channel.extra.get("role") == CONTROLLER and channel.link.up and address != self.me:
+            if channel.extra.get("role") == CONTROLLER and channel.link.up and address != self.own_address:
                 if address not in found or (channel.opened_here, channel.node) > (
                     found[address].opened_here,
                     found[address].node,
@@ -55,7 +60,7 @@
                     found[address] = channel
         return found
 
-    def said_complete(self) -> None:
+    def announce_complete(self) -> None:
         """Tell the others that this disk counts now."""
         for channel in self.peers().values():
             channel.link.send({"t": "complete"})
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -56,7 +56,7 @@
         spans: Spans,
         turn: Turn,
         membership: Membership,
-        council: MemberSet,
+        member_set: MemberSet,
         duties: Duties,
         event_log: EventLog,
     ) -> None:
@@ -64,7 +64,7 @@
         self._loop = asyncio.get_running_loop()
         self._node, self.spans, self._turn = node, spans, turn
         self._early = Spans(spans.suspect_s, spans.suspect_s, spans.zone_s)
-        self._membership, self._council, self._duties = membership, council, duties
+        self._membership, self._member_set, self._duties = membership, member_set, duties
         self._event_log = event_log
         self._began = self._loop.time()
         self.watch = Watch(self._began)  # of members, by address
@@ -76,9 +76,9 @@
 
     def tick(self, now: float, view: View) -> None:
         """Notes which members have been heard; to be called every GAP_S at least."""
-        self.watch.look(now, view.names | {self._council.me})
-        self.watch.heard_over_link(now, self._council.me, self._began)
-        for address, channel in self._council.peers().items():
+        self.watch.look(now, view.names | {self._member_set.own_address})
+        self.watch.heard_over_link(now, self._member_set.own_address, self._began)
+        for address, channel in self._member_set.peers().items():
             self.watch.heard_over_link(channel.link.heard_at, address, channel.link.since)
 
     def stop(self) -> None:
@@ -106,9 +106,9 @@
         self._asked_at = now
         self._count += 1
         names = [*silent, *self._companions(now, view, silent)][:MOST_ASKED]
-        self._round = asked = _Round(self._count, now, names, set(), {self._council.me})
+        self._round = asked = _Round(self._count, now, names, set(), {self._member_set.own_address})
         question = member_messages.write(Question(self._count, epoch, self._node, names))
-        for address, channel in self._council.peers().items():
+        for address, channel in self._member_set.peers().items():
             asked.waits.add(address)
             channel.link.send(question)
         self._conclude(now)
@@ -134,10 +134,10 @@
 
     def _watch_of(self, name: str) -> Watch:
         """Members are watched by their address, other nodes by their name."""
-        return self.watch if name in self._council.view().names else self._duties.watch
+        return self.watch if name in self._member_set.view().names else self._duties.watch
 
     def _conclude(self, now: float) -> None:
-        asked, view = self._round, self._council.view()
+        asked, view = self._round, self._member_set.view()
         if asked is None or asked.waits or now - asked.began > ROUND_S:
             return
         if not enough(asked.heard, view.names):
@@ -200,7 +200,7 @@
 
     # Frames
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of this conversation. Raises ValueError for what cannot be read."""
         frame = member_messages.read(head)
         if isinstance(frame, Question):
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -68,15 +68,15 @@
     def __init__(
         self,
         charter: Store,
-        voting: ProposerHost,
+        proposer_host: ProposerHost,
         acceptor: Acceptor,
         event_log: EventLog,
         rollouts: Rollouts,
-        probing: ContactProbes,
+        contact_probes: ContactProbes,
         confirmations: Confirmations,
     ) -> None:
         self._confirmations = confirmations
-        self._charter, self._voting, self._probing = charter, voting, probing
+        self._charter, self._proposer_host, self._contact_probes = charter, proposer_host, contact_probes
         self._acceptor, self._event_log, self._rollouts = acceptor, event_log, rollouts
         self._loop = asyncio.get_running_loop()
 
@@ -87,26 +87,26 @@
                 command.status, error_body("path: this address takes GET and PATCH of /configuration")
             )
         wanted = Proof.READS if isinstance(command, ReadConfiguration) else Proof.ORDERS
-        if self._probing.proof() < wanted:
-            return self._without_contact()
+        if self._contact_probes.proof() < wanted:
+            return self._answer_without_contact()
         if isinstance(command, Invalid):
-            return self._refused(command)
+            return self._answer_refused(command)
         if isinstance(command, ReadConfiguration):
             return await self._read()
         return await self._change(
             command, RESPONSE_TIMEOUT_S + RESPONSE_TIMEOUT_PER_BYTE_S * len(message.body)
         )
 
-    def _without_contact(self) -> Answer:
+    def _answer_without_contact(self) -> Answer:
         """At once: who is cut off knows neither what stands nor what is refused elsewhere, so neither 200 nor
         4xx is its to give."""
-        elsewhere = self._probing.elsewhere()
+        elsewhere = self._contact_probes.redirect_address()
         if elsewhere:
             return Answer(307, location=f"http://{elsewhere}{PATH.decode()}")
         return unclear_answer("no contact with most control processes here; another one may have it")
 
     async def _read(self) -> Answer:
-        if not await self._voting.read(READ_TIMEOUT_S):
+        if not await self._proposer_host.read(READ_TIMEOUT_S):
             return unclear_answer("too few control processes answer to know the newest")
         return Answer(200, self._rendered())
 
@@ -120,50 +120,50 @@
     async def _change(self, change: ConfigurationWrite, within_s: float) -> Answer:
         until = self._loop.time() + within_s
         writes = {(w.kind, w.name, w.version): w.value for w in change.writes}
-        invalid = check(change, self._standing)
+        invalid = check(change, self._current)
         if invalid is not None:
             # What this copy does not know another may: nothing proper is refused for that.
-            if not await self._voting.read(READ_TIMEOUT_S):
-                return self._unclear("too few control processes answer")
-            invalid = check(change, self._standing)
+            if not await self._proposer_host.read(READ_TIMEOUT_S):
+                return self._answer_unclear("too few control processes answer")
+            invalid = check(change, self._current)
             if invalid is not None and any(
                 isinstance(self._acceptor.state(number), Vote) for number in writes
             ):
-                return self._unclear("a part of it is being decided")
+                return self._answer_unclear("a part of it is being decided")
         if invalid is not None:
-            return self._refused(invalid)
+            return self._answer_refused(invalid)
         if not writes:
             return Answer(200, b"{}")
-        hurting = self._rollouts.hurting(change.writes, self._standing)
-        outcome = await self._voting.decide(writes, until - self._loop.time())
+        hurting = self._rollouts.hurting(change.writes, self._current)
+        outcome = await self._proposer_host.decide(writes, until - self._loop.time())
         if isinstance(outcome, Decided):
             self._event_log.tell(events.CHANGE_TAKEN, items=len(writes))
             if hurting:
                 await self._rollouts.first_part(hurting, until - self._loop.time())
-            return await self._spread(writes, until - self._loop.time())
+            return await self._acknowledge(writes, until - self._loop.time())
         if isinstance(outcome, Rivalled):
             kind, name, version = outcome.number
             line = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
             self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
             return Answer(409, error_body(line))
-        return self._unclear(outcome.reason)
+        return self._answer_unclear(outcome.reason)
 
-    async def _spread(self, numbers: Collection[Number], within_s: float) -> Answer:
+    async def _acknowledge(self, numbers: Collection[Number], within_s: float) -> Answer:
         """The acknowledgement of a decided order, once it is in force where it must be."""
         found = [self._charter.items.get((kind, name)) for kind, name, _ in numbers]
-        if await self._confirmations.spread([item for item in found if item is not None], within_s):
+        if await self._confirmations.wait_confirmed([item for item in found if item is not None], within_s):
             return Answer(200, b"{}")
-        return self._unclear("it is decided, and not in force at all sidecars yet")
+        return self._answer_unclear("it is decided, and not in force at all sidecars yet")
 
-    def _unclear(self, reason: str) -> Answer:
+    def _answer_unclear(self, reason: str) -> Answer:
         self._event_log.tell(events.NOT_ACKNOWLEDGED, reason=reason)
         return unclear_answer(reason)
 
-    def _refused(self, invalid: Invalid) -> Answer:
+    def _answer_refused(self, invalid: Invalid) -> Answer:
         self._event_log.tell(events.CHANGE_REFUSED, reason=invalid.line())
         return Answer(400, error_body(invalid.line()))
 
-    def _standing(self, kind: str, name: str) -> tuple[int, dict[str, object] | None] | None:
+    def _current(self, kind: str, name: str) -> tuple[int, dict[str, object] | None] | None:
         item = self._charter.items.get((kind, name))
         if item is None:
             return None
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -55,23 +55,23 @@
     def __init__(self, settings: Settings, event_log: EventLog) -> None:
         self.settings, self.event_log = settings, event_log
         self.loop = asyncio.get_running_loop()
-        self.me = settings.ip
+        self.own_address = settings.ip
         self.peer_address = (settings.ip, settings.port_range[0])
         life = f"{settings.node}.{os.urandom(4).hex()}"
         self.charter, self.roll = Store(life, MAX_CHARTER_ITEMS, decided=True), Store(life, MAX_ROLL_ITEMS)
         self.reports = Store(life, 2 * MAX_ROLL_ITEMS)  # two a sidecar, which the roll has an item of as well
         self.membership = Membership()
         self.tombs = Tombs()
-        self.ledger, self.acceptor = open_disk(settings, self.charter, event_log)
+        self.disk_writer, self.acceptor = open_disk(settings, self.charter, event_log)
         self.channels = Channels(
             settings.node,
             {
                 "t": "hello",
                 "node": settings.node,
                 "source": life,
-                "ip": self.me,
+                "ip": self.own_address,
                 "role": CONTROLLER,
-                "complete": self.ledger.whole,
+                "complete": self.disk_writer.whole,
                 "takes": [REPORTS],
                 "control": control_address(settings),
             },
@@ -79,49 +79,53 @@
             MAX_PEERS,
             event_log,
             self._changed,
-            whole=lambda: self.probing.holds_all(),
-            extra=lambda channel, head, _: self._frame(channel, head),
-            opened=self._opened,
-            closed=self._closed,
+            whole=lambda: self.contact_probes.holds_all(),
+            extra=lambda channel, head, _: self._handle_channel_frame(channel, head),
+            opened=self._channel_opened,
+            closed=self._channel_closed,
             up=(REPORTS,),
-            greeted=self._greeted,
+            greeted=self._channel_greeted,
         )
-        self.council = MemberSet(self.me, self.charter, self.ledger, self.channels, settings.tolerance)
-        self.acceptance = AcceptorHost(
+        self.member_set = MemberSet(
+            self.own_address, self.charter, self.disk_writer, self.channels, settings.tolerance
+        )
+        self.acceptor_host = AcceptorHost(
             self.acceptor,
             self.charter,
-            self.ledger,
-            self.council,
+            self.disk_writer,
+            self.member_set,
             event_log,
             lambda items: self._changed(CHARTER, items),
         )
         seed = zlib.crc32(life.encode())
-        self.voting = ProposerHost(life, seed, self.charter, self.council, self.acceptance, event_log)
-        self.fencing = Fencing(self.charter, self.ledger, self.council, self.acceptance)
+        self.proposer_host = ProposerHost(
+            life, seed, self.charter, self.member_set, self.acceptor_host, event_log
+        )
+        self.fencing = Fencing(self.charter, self.disk_writer, self.member_set, self.acceptor_host)
         self.forgetting = Forgetting(
-            self.charter, self.acceptor, self.ledger, self.council, self.acceptance, event_log
+            self.charter, self.acceptor, self.disk_writer, self.member_set, self.acceptor_host, event_log
         )
         self.catching_up = CatchingUp(
             self.charter,
             self.acceptor,
-            self.ledger,
-            self.council,
+            self.disk_writer,
+            self.member_set,
             self.channels,
-            self.acceptance,
+            self.acceptor_host,
             event_log,
         )
         self.channels.silent = self.catching_up.silent
         bounds = settings.bounds
-        self.probing = ContactProbes(
+        self.contact_probes = ContactProbes(
             bounds.contact_ms,
             self.channels,
-            self.council,
-            self.ledger,
-            self.acceptance.take,
-            self.voting.open_s,
+            self.member_set,
+            self.disk_writer,
+            self.acceptor_host.apply,
+            self.proposer_host.oldest_open_vote_s,
             event_log,
         )
-        self.council.contact = self.probing.has
+        self.member_set.has_contact = self.contact_probes.has_contact
         self.rollouts = Rollouts(
             bounds.settle_ms,
             bounds.ack_ms,
@@ -129,19 +133,19 @@
             self.membership,
             self.channels,
             event_log,
-            self.probing.has,
+            self.contact_probes.has_contact,
         )
-        self.clerk = self._make_clerk()
-        self.http_server = HttpServer(self.clerk.handle)
+        self.operator_api = self._make_operator_api()
+        self.http_server = HttpServer(self.operator_api.handle)
         self.duties = Duties(
             settings.node,
-            self.me,
+            self.own_address,
             spans(bounds.contact_ms, settings.beat_period_ms),
             self.roll,
             self.membership,
             self.channels,
-            self.council,
-            self.probing.acts,
+            self.member_set,
+            self.contact_probes.may_act,
             event_log,
             lambda items: self._changed(ROLL, items),
         )
@@ -150,7 +154,7 @@
             seed,
             {CHARTER: self.charter, ROLL: self.roll},
             self.channels,
-            self.ledger,
+            self.disk_writer,
             event_log,
             self._changed,
         )
@@ -158,7 +162,7 @@
             settings.state_dir,
             settings.limits.disk_mb,
             self.charter,
-            self.ledger,
+            self.disk_writer,
             self.repairing.check_disk,
         )
         restoring = Restoring(
@@ -166,20 +170,20 @@
             settings.limits.disk_mb,
             self.charter,
             self.acceptor,
-            self.ledger,
-            self.council,
-            self.acceptance,
-            self.voting,
+            self.disk_writer,
+            self.member_set,
+            self.acceptor_host,
+            self.proposer_host,
             event_log,
-            self._reached,
+            self._reachable_members,
         )
         self.joining = Joining(
             settings,
-            self.council,
-            self.acceptance,
-            self.voting,
+            self.member_set,
+            self.acceptor_host,
+            self.proposer_host,
             self.fencing,
-            self.ledger,
+            self.disk_writer,
             event_log,
             self._became_whole,
         )
@@ -188,8 +192,8 @@
             spans(bounds.contact_ms, settings.beat_period_ms),
             self.roll,
             self.membership,
-            self.council,
-            self.voting,
+            self.member_set,
+            self.proposer_host,
             self.joining,
             self.duties,
             event_log,
@@ -200,14 +204,14 @@
             settings,
             self.charter,
             self.roll,
-            self.ledger,
-            self.council,
+            self.disk_writer,
+            self.member_set,
             self.membership,
             self.rollouts,
             self.duties,
             self.minding,
-            self.probing,
-            self.voting,
+            self.contact_probes,
+            self.proposer_host,
             self.key_assignment,
             control_address(settings),
             self.stopping,
@@ -216,22 +220,22 @@
         answers = {**answers_of(self.shown, time.time), **safekeeping.answers()}
         self.questions = Questions({**answers, **restoring.answers()})
         self._server: asyncio.Server | None = None
-        self._touched = self.loop.time()  # when there was last a link with news
+        self._last_linked_at = self.loop.time()  # when there was last a link with news
 
-    def _make_clerk(self) -> OperatorApi:
+    def _make_operator_api(self) -> OperatorApi:
         bounds = self.settings.bounds
         self.confirmations = Confirmations(
             bounds.ack_ms, bounds.contact_ms, self.rollouts.reports, self.channels, self.event_log
         )
-        self.probing.behind = self.confirmations.behind
-        self.probing.told_behind = self.confirmations.told_behind
+        self.contact_probes.find_behind = self.confirmations.find_behind
+        self.contact_probes.on_behind = self.confirmations.peer_reported_behind
         return OperatorApi(
             self.charter,
-            self.voting,
+            self.proposer_host,
             self.acceptor,
             self.event_log,
             self.rollouts,
-            self.probing,
+            self.contact_probes,
             self.confirmations,
         )
 
@@ -241,9 +245,9 @@
             self.settings.bounds.hold_max_ms,
             self.charter,
             self.membership,
-            self.council,
-            self.voting,
-            self.probing.acts,
+            self.member_set,
+            self.proposer_host,
+            self.contact_probes.may_act,
             self.duties.live,
             self.event_log,
         )
@@ -255,18 +259,20 @@
     async def start(self) -> None:
         settings = self.settings
         await self.catching_up.begin()
-        self._server = await listen(self.peer_address, lambda: Link(lambda _: None, self._met, self._unmet))
+        self._server = await listen(
+            self.peer_address, lambda: Link(lambda _: None, self._handle_frame, self._link_lost)
+        )
         assert settings.ports.control is not None
         await self.http_server.listen(settings.ports.control)
         first = self.acceptor.wants(self.acceptor.floor + 1)
-        self.acceptance.spawn(self.acceptance.raise_to(first))  # ahead of the first order
-        self._say_node()
-        self._know()
+        self.acceptor_host.spawn(self.acceptor_host.raise_ceiling(first))  # ahead of the first order
+        self._publish_node()
+        self._update_known_peers()
         self.joining.start()
         self.loop.call_later(TICK_S, self._tick)
         self.event_log.tell(events.STARTED, role=ROLE_NAMES[CONTROLLER])
 
-    def _say_node(self) -> None:
+    def _publish_node(self) -> None:
         settings = self.settings
         told = self.roll.take(
             NODE,
@@ -287,11 +293,11 @@
             return
         self.loop.call_later(TICK_S, self._tick)  # first: signs of life go on whatever is raised below
         now = self.loop.time()
-        self.probing.tick(now, time.time())  # before what goes by it
+        self.contact_probes.tick(now, time.time())  # before what goes by it
         self.channels.tick(now)
         self.rollouts.tick(now)
         self.confirmations.tick(now)
-        self.voting.tick(now)
+        self.proposer_host.tick(now)
         self.duties.tick(now)
         self.minding.tick(now)
         self.key_assignment.tick(now)
@@ -301,14 +307,16 @@
         for key in self.tombs.due(now):
             self.roll.forget(key)
             self.reports.forget(key)
-        if now - self._touched > ASKS_ANEW_S:  # looked at before the links: they outlast standing still
-            self._touched = now
+        if (
+            now - self._last_linked_at > ASKS_ANEW_S
+        ):  # looked at before the links: they outlast standing still
+            self._last_linked_at = now
             self._changed("roll", self.roll.clear())
-            self._say_node()
+            self._publish_node()
         elif self.channels.open:
-            self._touched = now
+            self._last_linked_at = now
         if dropped(self.roll.items.get((NODE, self.settings.node))):
-            self._say_node()
+            self._publish_node()
 
     def open_calls(self) -> int:
         """Of operators, not answered yet."""
@@ -331,20 +339,20 @@
 
     def _became_whole(self) -> None:
         self.event_log.tell(events.DISK_WHOLE, items=len(self.charter.items))
-        self.council.said_complete()
+        self.member_set.announce_complete()
         self.channels.hello["complete"] = True
 
     # News
 
     def _changed(self, name: str, items: list[Item]) -> None:
         if name == "charter":
-            self.acceptance.took(items)
+            self.acceptor_host.items_changed(items)
             self.forgetting.note(items)
             self.catching_up.changed(items)
             if any(item.kind == VIEW for item in items):
-                self.probing.viewed()
+                self.contact_probes.view_changed()
             self.rollouts.changed(items)
-            self.confirmations.changed(items)
+            self.confirmations.items_changed(items)
             self.key_assignment.changed(items)
         elif name == REPORTS:
             self.rollouts.reported([item for item in items if item.kind == REPORT])
@@ -356,11 +364,11 @@
             self.minding.news(items)
             self.tombs.note(self.loop.time(), items)
             if any(item.kind == NODE for item in items):
-                self._know()
-                self._unreport([item.name for item in items if item.kind == NODE and item.value is None])
+                self._update_known_peers()
+                self._drop_reports([item.name for item in items if item.kind == NODE and item.value is None])
         self.channels.poke()
 
-    def _unreport(self, nodes: list[str]) -> None:
+    def _drop_reports(self, nodes: list[str]) -> None:
         """Sidecars that the membership has no more say nothing more."""
         for key in [(kind, node) for node in nodes for kind in (REPORT, KEY_REPORT)]:
             known = self.reports.items.get(key)
@@ -369,61 +377,71 @@
                 if isinstance(gone, Item):
                     self._changed(REPORTS, [gone])
 
-    def _frame(self, channel: Channel, head: Head) -> None:
+    def _handle_channel_frame(self, channel: Channel, head: Head) -> None:
         """Raises KeyError, TypeError or ValueError for what cannot be read."""
-        known = (self.key_assignment.frame, self.probing.frame, self.duties.frame, self.repairing.frame)
+        known = (
+            self.key_assignment.handle_frame,
+            self.contact_probes.handle_frame,
+            self.duties.handle_frame,
+            self.repairing.handle_frame,
+        )
         if any(takes(channel, head) for takes in known) or channel.extra.get("role") != CONTROLLER:
             return
         if head["t"] == "complete":
-            self._reach(address_of(channel), True)
+            self._resend_pending(address_of(channel), True)
         elif not any(
             takes(channel, head)
-            for takes in (self.joining.frame, self.minding.frame, self.forgetting.frame, self.voting.frame)
+            for takes in (
+                self.joining.handle_frame,
+                self.minding.handle_frame,
+                self.forgetting.handle_frame,
+                self.proposer_host.handle_frame,
+            )
         ):
-            self.fencing.frame(channel, head)
+            self.fencing.handle_frame(channel, head)
 
-    def _reached(self) -> dict[str, bool]:
+    def _reachable_members(self) -> dict[str, bool]:
         """Other control processes that answer, by address, and whether the disk of each counts."""
-        lately = self.probing.contact.lately(self.loop.time())
-        return {who: who in lately and lately[who].whole for who in self.council.peers()}
+        lately = self.contact_probes.contact.lately(self.loop.time())
+        return {who: who in lately and lately[who].whole for who in self.member_set.peers()}
 
-    def _greeted(self, channel: Channel) -> None:
+    def _channel_greeted(self, channel: Channel) -> None:
         if channel.extra.get("role") == CONTROLLER:
             self.catching_up.met(channel)
 
-    def _opened(self, channel: Channel) -> None:
+    def _channel_opened(self, channel: Channel) -> None:
         if channel.extra.get("role") == CONTROLLER:
-            self.forgetting.opened(channel)
-            self.probing.opened(channel)
-            self._reach(address_of(channel))
-            self.joining.opened(channel)
+            self.forgetting.link_opened(channel)
+            self.contact_probes.link_opened(channel)
+            self._resend_pending(address_of(channel))
+            self.joining.link_opened(channel)
 
-    def _reach(self, address: str, anew: bool = False) -> None:
-        self.voting.reach(address, anew)
-        self.fencing.reach(address, anew)
+    def _resend_pending(self, address: str, anew: bool = False) -> None:
+        self.proposer_host.resend_pending(address, anew)
+        self.fencing.resend_pending(address, anew)
 
-    def _closed(self, channel: Channel) -> None:
+    def _channel_closed(self, channel: Channel) -> None:
         """What a peer wrote here and may never tell as news is told from here on."""
-        self.probing.closed(channel)
-        self.duties.closed(channel)
-        self.repairing.closed(channel)
+        self.contact_probes.link_closed(channel)
+        self.duties.link_closed(channel)
+        self.repairing.link_closed(channel)
         if channel.extra.get("role") == CONTROLLER:
-            self._reach(address_of(channel))
+            self._resend_pending(address_of(channel))
         claimed = self.charter.claim(channel.peer_source) if channel.peer_source else []
         if claimed:
-            self.ledger.mark(claimed)
+            self.disk_writer.mark_items(claimed)
             self.rollouts.restamped(claimed)
             self.channels.poke()
 
-    def _know(self) -> None:
+    def _update_known_peers(self) -> None:
         """Other control processes: those of the settings, and those that have said that they are."""
         port = self.settings.port_range[0]
         known = {host: (host, port) for host, _ in self.settings.seeds}
         known.update(self.membership.controllers())
-        known.pop(self.me, None)
+        known.pop(self.own_address, None)
         self.channels.know(known)
 
-    def _met(self, link: Link, head: Head, body: bytes) -> None:
+    def _handle_frame(self, link: Link, head: Head, body: bytes) -> None:
         if isinstance(link.peer, Channel):
             self.channels.frame(link.peer, head, body)
         elif isinstance(link.peer, Asker):
@@ -435,7 +453,7 @@
         else:
             link.close("no hello")
 
-    def _unmet(self, link: Link, why: str) -> None:
+    def _link_lost(self, link: Link, why: str) -> None:
         self.questions.lost(link)
         if isinstance(link.peer, Channel):
             self.channels.lost(link.peer, why)
@@ -443,10 +461,10 @@
     def retune(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, other bounds for stages."""
         self.settings = self.joining.settings = self.shown.settings = settings
-        self.rollouts.tune(settings.bounds.settle_ms, settings.bounds.ack_ms)
-        self.confirmations.tune(settings.bounds.ack_ms, settings.bounds.contact_ms)
-        self.probing.tune(settings.bounds.contact_ms)
-        self._know()
+        self.rollouts.update_bounds(settings.bounds.settle_ms, settings.bounds.ack_ms)
+        self.confirmations.update_bounds(settings.bounds.ack_ms, settings.bounds.contact_ms)
+        self.contact_probes.update_bounds(settings.bounds.contact_ms)
+        self._update_known_peers()
 
 
 def control_address(settings: Settings) -> str:
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -51,7 +51,7 @@
 Step = Decided | Rivalled | Unclear | Again
 
 
-class _Round(Struct, eq=False):
+class _RunningBallot(Struct, eq=False):
     """One ballot under way. ``asked``: by address, the link that bears the question."""
 
     proposer: Proposer
@@ -81,24 +81,26 @@
         life: str,
         seed: int,
         charter: Store,
-        council: MemberSet,
-        acceptance: AcceptorHost,
+        member_set: MemberSet,
+        acceptor_host: AcceptorHost,
         event_log: EventLog,
     ) -> None:
         """``life``: of this process, as ballots bear it; ``seed``: of the drawn pauses."""
         self._loop = asyncio.get_running_loop()
-        self._life, self._random = life, random.Random(seed)
-        self._charter, self._council, self._event_log = charter, council, event_log
-        self.acceptance, self._acceptor = acceptance, acceptance.acceptor
-        acceptance.viewed = self._viewed
-        self.reads = QuorumReads(charter, council, acceptance)
-        self._top = 0
-        self._rounds: dict[Ballot, _Round] = {}
+        self._incarnation, self._random = life, random.Random(seed)
+        self._charter, self._member_set, self._event_log = charter, member_set, event_log
+        self.acceptor_host, self._acceptor = acceptor_host, acceptor_host.acceptor
+        acceptor_host.on_view_change = self._view_changed
+        self.reads = QuorumReads(charter, member_set, acceptor_host)
+        self._highest_round = 0
+        self._ballots: dict[Ballot, _RunningBallot] = {}
         self._orders: dict[tuple[Any, ...], _Order] = {}
-        self._since: dict[Number, float] = {}  # open votes, by when they were seen first, or taken up last
+        self._recovery_since: dict[
+            Number, float
+        ] = {}  # open votes, by when they were seen first, or taken up last
         # As well, but never counted anew; of those on disk nobody knows how long they have been open.
-        self._opened = dict.fromkeys(self._acceptor.votes, float("-inf"))
-        self._taking_up: asyncio.Task[None] | None = None
+        self._open_since = dict.fromkeys(self._acceptor.votes, float("-inf"))
+        self._recovery_task: asyncio.Task[None] | None = None
         self.rivalled: deque[tuple[float, Number]] = deque(maxlen=MAX_RIVALLED)
 
     # Orders
@@ -106,11 +108,11 @@
     async def decide(self, writes: Mapping[Number, Value], within_s: float) -> Outcome:
         """Decides one order, or gives up waiting after ``within_s``. The order is pursued for ORDER_TIMEOUT_S
         even if the caller leaves; the same order sent here meanwhile shares its ballots."""
-        proposer = Proposer(self._life, writes, self._council.tolerance)
+        proposer = Proposer(self._incarnation, writes, self._member_set.tolerance)
         name = tuple(sorted((number, digest_of(value)) for number, value in writes.items()))
         known = self._orders.get(name)
         if known is None:
-            refused = self._room(writes) if self.acceptance.fits(writes) else DISK_FULL
+            refused = self._check_room(writes) if self.acceptor_host.has_room(writes) else DISK_FULL
             if refused:
                 return Unclear(refused)
             task = self._loop.create_task(self._run(proposer, ORDER_TIMEOUT_S))
@@ -124,7 +126,7 @@
             self.rivalled.append((self._loop.time(), outcome.number))
         return outcome
 
-    def _room(self, writes: Collection[Number]) -> str:
+    def _check_room(self, writes: Collection[Number]) -> str:
         """Why no more is taken now; "" where there is room."""
         if len(self._orders) >= MAX_PENDING_ORDERS:
             return f"{MAX_PENDING_ORDERS} orders wait already"
@@ -138,20 +140,20 @@
         """Ballots, one after the other, until one ends it or the time is over."""
         until, pause, hasty = self._loop.time() + within_s, FIRST_BACKOFF_S, 0
         while True:
-            step = await self._ballot(proposer, until)
+            step = await self._run_ballot(proposer, until)
             if not isinstance(step, Again):
                 return step
-            self._top = max(self._top, step.round)
+            self._highest_round = max(self._highest_round, step.round)
             hasty = hasty + 1 if step.at_once else 0
             if not step.at_once or hasty > MAX_IMMEDIATE_BALLOTS:  # what lasts would spin without a pause
                 await asyncio.sleep(self._random.uniform(0.0, pause))
                 pause = min(2.0 * pause, MAX_BACKOFF_S)
 
-    async def _ballot(self, proposer: Proposer, until: float) -> Step:
-        self._top = max(self._top, self._acceptor.floor) + 1
-        told = proposer.prepare(self._top, self._council.view())
-        one = _Round(proposer, told, self._loop.create_future())
-        self._rounds[told.ballot] = one
+    async def _run_ballot(self, proposer: Proposer, until: float) -> Step:
+        self._highest_round = max(self._highest_round, self._acceptor.floor) + 1
+        told = proposer.prepare(self._highest_round, self._member_set.view())
+        one = _RunningBallot(proposer, told, self._loop.create_future())
+        self._ballots[told.ballot] = one
         try:
             self._ask_all(one)
             async with asyncio.timeout_at(until):
@@ -159,16 +161,16 @@
         except TimeoutError:
             return proposer.gave_up()
         finally:
-            del self._rounds[told.ballot]
+            del self._ballots[told.ballot]
 
-    def _ask_all(self, one: _Round) -> None:
+    def _ask_all(self, one: _RunningBallot) -> None:
         one.asked.clear()
-        for address, channel in self._council.peers().items():
+        for address, channel in self._member_set.peers().items():
             self._ask(one, address, channel)
-        if self._council.me in one.proposer.view.names:
-            self.acceptance.spawn(self._own(one, one.accept))
+        if self._member_set.own_address in one.proposer.view.names:
+            self.acceptor_host.spawn(self._ask_own_acceptor(one, one.accept))
 
-    def _ask(self, one: _Round, address: str, channel: Channel) -> None:
+    def _ask(self, one: _RunningBallot, address: str, channel: Channel) -> None:
         if address not in one.proposer.view.names or one.done.done():
             return
         one.asked[address] = channel
@@ -183,7 +185,7 @@
         }
         channel.link.send({**told, "full": True} if one.proposer.adopts else told)
 
-    def _send_page(self, one: _Round, channel: Channel, place: int) -> None:
+    def _send_page(self, one: _RunningBallot, channel: Channel, place: int) -> None:
         assert one.accept is not None
         channel.link.send(
             {
@@ -197,15 +199,15 @@
             }
         )
 
-    async def _own(self, one: _Round, accept: Accept | None) -> None:
-        told, me = one.prepare, self._council.me
+    async def _ask_own_acceptor(self, one: _RunningBallot, accept: Accept | None) -> None:
+        told, me = one.prepare, self._member_set.own_address
         if accept is None:
-            answer = await self.acceptance.promise(told.epoch, told.ballot, told.numbers)
+            answer = await self.acceptor_host.promise(told.epoch, told.ballot, told.numbers)
             if isinstance(answer, Promised):
                 self._promised(one, me, told.epoch, answer)
                 return
         else:
-            refusal = await self.acceptance.accept(
+            refusal = await self.acceptor_host.accept(
                 accept.epoch, accept.ballot, accept.by, accept.writes, accept.tags
             )
             if refusal is None:
@@ -216,7 +218,7 @@
 
     # What comes of a ballot
 
-    def _promised(self, one: _Round, who: str, epoch: int, promised: Promised) -> None:
+    def _promised(self, one: _RunningBallot, who: str, epoch: int, promised: Promised) -> None:
         if one.done.done():
             return
         step = one.proposer.promised(who, epoch, one.prepare.ballot, promised)
@@ -226,49 +228,49 @@
         elif step is not None:
             one.over(step)
 
-    def _accepted(self, one: _Round, who: str, epoch: int) -> None:
+    def _accepted(self, one: _RunningBallot, who: str, epoch: int) -> None:
         if one.done.done():
             return
         chosen = one.proposer.accepted(who, epoch, one.prepare.ballot)
         if chosen is not None:
-            self._tell(chosen)
+            self._announce(chosen)
             one.over(one.proposer.outcome() or Again(0, "another order had a number of this one"))
 
-    def _refused(self, one: _Round, who: str, refusal: Refusal) -> None:
+    def _refused(self, one: _RunningBallot, who: str, refusal: Refusal) -> None:
         step = one.proposer.refused(who, one.prepare.ballot, refusal)
         if step is not None:
             one.over(step)
 
-    def _tell(self, chosen: Chosen) -> None:
+    def _announce(self, chosen: Chosen) -> None:
         """It is decided: into the charter here, and the others are told. They have the contents."""
-        items, vector = self.acceptance.stamped(chosen.writes.items())
-        self.acceptance.take(items, vector, chosen.whole)
+        items, vector = self.acceptor_host.stamp_items(chosen.writes.items())
+        self.acceptor_host.apply(items, vector, chosen.whole)
         told = {
             "t": "decided",
             "b": encode_ballot(chosen.ballot),
-            "e": self._council.view().epoch,
+            "e": self._member_set.view().epoch,
             "s": self._charter.source,
             "at": items[0].number,
             "of": len(items),
             "whole": chosen.whole,
         }
-        for channel in self._council.peers().values():
+        for channel in self._member_set.peers().values():
             channel.link.send(told)
 
-    def _viewed(self) -> None:
+    def _view_changed(self) -> None:
         """Another view is in force: what was asked under the one before counts for nothing."""
-        epoch = self._council.view().epoch
-        for one in list(self._rounds.values()):
+        epoch = self._member_set.view().epoch
+        for one in list(self._ballots.values()):
             if one.prepare.epoch < epoch:
                 one.over(Again(0, "another view came"))
-        self.reads.viewed()
+        self.reads.view_changed()
 
     # Reads
 
     async def read(self, within_s: float) -> bool:
         """Until this store has all that was acknowledged before now; False where not enough answer."""
         until = self._loop.time() + within_s
-        opened = await self.reads.hear(until)
+        opened = await self.reads.collect_open_votes(until)
         if opened is None:
             return False
         return await self._settle(opened | self._acceptor.votes.keys(), until)
@@ -285,10 +287,12 @@
             left = self._unsettled(left)
         if not left:
             return True
-        return await self._take_up(left, max(until - self._loop.time(), 0.0))
+        return await self._recover(left, max(until - self._loop.time(), 0.0))
 
-    async def _take_up(self, numbers: Collection[Number], within_s: float) -> bool:
-        proposer = Proposer(self._life, dict.fromkeys(numbers), self._council.tolerance, adopts=True)
+    async def _recover(self, numbers: Collection[Number], within_s: float) -> bool:
+        proposer = Proposer(
+            self._incarnation, dict.fromkeys(numbers), self._member_set.tolerance, adopts=True
+        )
         outcome = await self._run(proposer, within_s)
         found = []
         for number, digest in proposer.settled.items():
@@ -298,12 +302,12 @@
             elif vote is not None and digest_of(vote.value) == digest:
                 found.append((number, vote.value))
             else:
-                self.acceptance.told(number, Settled(digest))
+                self.acceptor_host.record_outcome(number, Settled(digest))
         for number in proposer.forgotten:
-            self.acceptance.told(number, Forgotten())
+            self.acceptor_host.record_outcome(number, Forgotten())
         lacking = [one for one in found if not isinstance(self._acceptor.state(one[0]), Settled)]
         if lacking:
-            self.acceptance.take(*self.acceptance.stamped(lacking))
+            self.acceptor_host.apply(*self.acceptor_host.stamp_items(lacking))
         return isinstance(outcome, Decided)
 
     # Votes that nobody brings to an end
@@ -312,73 +316,79 @@
         """Called several times a second."""
         votes = self._acceptor.votes
         if not votes:
-            self._since.clear()
-            self._opened.clear()
+            self._recovery_since.clear()
+            self._open_since.clear()
             return
-        self._opened = {number: self._opened.get(number, now) for number in votes}
-        self._since = {number: self._since.get(number, now) for number in votes}
-        if self._taking_up is not None or not self._council.contact():
+        self._open_since = {number: self._open_since.get(number, now) for number in votes}
+        self._recovery_since = {number: self._recovery_since.get(number, now) for number in votes}
+        if self._recovery_task is not None or not self._member_set.has_contact():
             return
-        names, ranks = self._council.view().names, dict[Ballot, int]()
+        names, ranks = self._member_set.view().names, dict[Ballot, int]()
         due: list[Number] = []
         room = MAX_RECOVERED_BYTES
-        for number, since in self._since.items():
+        for number, since in self._recovery_since.items():
             if now - since < OPEN_VOTE_TIMEOUT_S:
                 continue
             ballot = votes[number].ballot
             if ballot not in ranks:
                 wanted = order(f"{ballot.round}.{ballot.proposer}", names)
-                ranks[ballot] = wanted.index(self._council.me) if self._council.me in wanted else len(wanted)
+                ranks[ballot] = (
+                    wanted.index(self._member_set.own_address)
+                    if self._member_set.own_address in wanted
+                    else len(wanted)
+                )
             if now - since >= OPEN_VOTE_TIMEOUT_S + RANK_DELAY_S * ranks[ballot]:
                 room -= len(msgspec.json.encode(votes[number].value))
                 if due and (room < 0 or len(due) >= MAX_RECOVERED_VOTES):
                     break
                 due.append(number)
         if due:
-            self._taking_up = self._loop.create_task(self._taken_up(due))
+            self._recovery_task = self._loop.create_task(self._recover_due(due))
 
-    def open_s(self) -> float:
+    def oldest_open_vote_s(self) -> float:
         """For how long the oldest of the open votes has been one, as last looked at."""
-        oldest = min((self._opened[n] for n in self._acceptor.votes if n in self._opened), default=None)
+        oldest = min(
+            (self._open_since[n] for n in self._acceptor.votes if n in self._open_since), default=None
+        )
         return self._loop.time() - oldest if oldest is not None else 0.0
 
-    async def _taken_up(self, due: list[Number]) -> None:
+    async def _recover_due(self, due: list[Number]) -> None:
         try:
             self._event_log.tell(events.VOTES_TAKEN_UP, items=len(due))
-            await self._take_up(due, ORDER_TIMEOUT_S)
+            await self._recover(due, ORDER_TIMEOUT_S)
             now = self._loop.time()
-            self._since.update((number, now) for number in due if number in self._since)
+            self._recovery_since.update((number, now) for number in due if number in self._recovery_since)
         finally:
-            self._taking_up = None
+            self._recovery_task = None
 
     # Links and frames
 
-    def reach(self, address: str, anew: bool = False) -> None:
+    def resend_pending(self, address: str, anew: bool = False) -> None:
         """A link to another control process has come or gone, or (``anew``) its disk counts now: what waits
         is asked there."""
-        peer = self._council.peers().get(address)
+        peer = self._member_set.peers().get(address)
         if peer is None:
             return
-        for one in list(self._rounds.values()):
+        for one in list(self._ballots.values()):
             if anew or one.asked.get(address) is not peer:
                 self._ask(one, address, peer)
-        self.reads.reach(address, peer, anew)
+        self.reads.resend_pending(address, peer, anew)
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of votes or reads. Raises KeyError, TypeError or ValueError for what cannot be
         read."""
         kind = head["t"]
         if kind in ("promise", "accepted", "refuse"):
-            one = self._rounds.get(decode_ballot(head["b"]))
+            one = self._ballots.get(decode_ballot(head["b"]))
             if one is not None:
                 self._answered(one, channel, kind, head)
             elif kind == "refuse" and "view" in head:
-                self.acceptance.take([unpack(fields) for fields in head["view"]], {})
+                self.acceptor_host.apply([unpack(fields) for fields in head["view"]], {})
         else:
-            return self.reads.frame(channel, head) or self.acceptance.frame(channel, head)
+            return self.reads.handle_frame(channel, head) or self.acceptor_host.handle_frame(channel, head)
         return True
 
-    def _answered(self, one: _Round, channel: Channel, kind: str, head: Head) -> None:
+    def _answered(self, one: _RunningBallot, channel: Channel, kind: str, head: Head) -> None:
         who, epoch = address_of(channel), int(head["e"])
         if kind == "promise":
             numbers = one.prepare.numbers
@@ -390,10 +400,10 @@
             else:
                 self._accepted(one, who, epoch)
         elif "view" in head:
-            self.acceptance.take([unpack(fields) for fields in head["view"]], {})
+            self.acceptor_host.apply([unpack(fields) for fields in head["view"]], {})
         elif epoch < one.prepare.epoch and who not in one.shown:
             one.shown.add(who)
-            send_view(self._council, channel)
+            send_view(self._member_set, channel)
             self._ask(one, who, channel)
         else:
             self._refused(one, who, Refusal(int(head["r"]), str(head["why"]), not head.get("now")))
--- a/mesh/control_plane/quorum_reads.py
+++ b/mesh/control_plane/quorum_reads.py
@@ -38,22 +38,22 @@
 class QuorumReads:
     """The reads of this process, and its answers to those of others."""
 
-    def __init__(self, charter: Store, council: MemberSet, acceptance: AcceptorHost) -> None:
+    def __init__(self, charter: Store, member_set: MemberSet, acceptor_host: AcceptorHost) -> None:
         """``charter``: what is heard comes into it, by way of ``acceptance``."""
         self._loop = asyncio.get_running_loop()
-        self._charter, self._council, self._acceptance = charter, council, acceptance
+        self._charter, self._member_set, self._acceptor_host = charter, member_set, acceptor_host
         self._count = 0
-        self._under_way: dict[int, _Read] = {}
+        self._pending: dict[int, _Read] = {}
 
     @property
-    def under_way(self) -> int:
+    def pending_count(self) -> int:
         """How many reads wait for answers."""
-        return len(self._under_way)
+        return len(self._pending)
 
-    async def hear(self, until: float, of: str = "") -> set[Number] | None:
+    async def collect_open_votes(self, until: float, of: str = "") -> set[Number] | None:
         """The numbers of the votes that are open at a quorum, once the store here has all that it holds; None
         where not enough answer in time. ``of``: only votes on items of that kind."""
-        if len(self._under_way) >= MAX_PENDING_READS:
+        if len(self._pending) >= MAX_PENDING_READS:
             return None
         self._count += 1
         number = self._count
@@ -66,16 +66,16 @@
         except TimeoutError:
             return None
         finally:
-            self._under_way.pop(number, None)
+            self._pending.pop(number, None)
 
-    async def current(self, kind: str, until: float) -> bool:
+    async def wait_until_current(self, kind: str, until: float) -> bool:
         """Until the store here has all items of that kind that were decided before now. Open votes on them
         are left to those who brought them, so that no order under way is cut short by a read; False where
         these, or the answers, take too long."""
-        opened = await self.hear(until, kind)
+        opened = await self.collect_open_votes(until, kind)
         if opened is None:
             return False
-        acceptor = self._acceptance.acceptor
+        acceptor = self._acceptor_host.acceptor
         numbers = opened | {number for number in acceptor.votes if number[0] == kind}
         while any(not isinstance(acceptor.state(number), Settled | Forgotten) for number in numbers):
             if self._loop.time() >= until:
@@ -84,10 +84,10 @@
         return True
 
     def _begin(self, number: int, of: str) -> _Read:
-        read = self._under_way[number] = _Read(self._council.view(), self._loop.create_future(), of)
-        for address, channel in self._council.peers().items():
+        read = self._pending[number] = _Read(self._member_set.view(), self._loop.create_future(), of)
+        for address, channel in self._member_set.peers().items():
             self._ask(number, read, address, channel)
-        self._acceptance.spawn(self._own(read))
+        self._acceptor_host.spawn(self._count_own_store(read))
         return read
 
     def _ask(self, number: int, read: _Read, address: str, channel: Channel) -> None:
@@ -95,42 +95,42 @@
         told = {"t": "read", "n": number, "e": read.view.epoch, "v": self._charter.vector}
         channel.link.send({**told, "of": read.of} if read.of else told)
 
-    async def _own(self, read: _Read) -> None:
-        if await self._acceptance.stands(read.view.epoch) is None:
-            read.heard.add(self._council.me)
+    async def _count_own_store(self, read: _Read) -> None:
+        if await self._acceptor_host.check_epoch(read.view.epoch) is None:
+            read.heard.add(self._member_set.own_address)
             self._check(read)
 
     def _check(self, read: _Read) -> None:
-        if not read.done.done() and read.view.overlaps(read.heard, self._council.tolerance):
+        if not read.done.done() and read.view.overlaps(read.heard, self._member_set.tolerance):
             read.done.set_result(True)
 
-    def viewed(self) -> None:
+    def view_changed(self) -> None:
         """Another view is in force: reads under the one before begin anew."""
-        epoch = self._council.view().epoch
-        for read in list(self._under_way.values()):
+        epoch = self._member_set.view().epoch
+        for read in list(self._pending.values()):
             if read.view.epoch < epoch and not read.done.done():
                 read.done.set_result(False)
 
-    def reach(self, address: str, channel: Channel, anew: bool) -> None:
+    def resend_pending(self, address: str, channel: Channel, anew: bool) -> None:
         """That one is reached by this link now: what waits is asked there; ``anew``: whatever was asked."""
-        for number, read in self._under_way.items():
+        for number, read in self._pending.items():
             if anew or read.asked.get(address) is not channel:
                 self._ask(number, read, address, channel)
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of reads. Raises KeyError, TypeError or ValueError for what cannot be read."""
         if head["t"] == "read":
-            self._acceptance.spawn(self._answer(channel, head))
+            self._acceptor_host.spawn(self._answer(channel, head))
         elif head["t"] == "have":
-            self._heard(channel, head)
+            self._handle_have(channel, head)
         else:
             return False
         return True
 
     async def _answer(self, channel: Channel, head: Head) -> None:
         """Under this process's own epoch, which is on disk by then."""
-        epoch = self._council.view().epoch
-        whole = await self._acceptance.stands(epoch) is None
+        epoch = self._member_set.view().epoch
+        whole = await self._acceptor_host.check_epoch(epoch) is None
         of = str(head.get("of", ""))
         lack = self._charter.lacking(head["v"], MAX_PAGE_ITEMS)
         channel.link.send(
@@ -140,21 +140,23 @@
                 "e": epoch,
                 "items": [pack(item) for item in lack.items],
                 "v": lack.vector,
-                "open": [number for number in self._acceptance.acceptor.votes if not of or number[0] == of],
+                "open": [
+                    number for number in self._acceptor_host.acceptor.votes if not of or number[0] == of
+                ],
                 "whole": whole,
                 "complete": whole and not lack.more,
             }
         )
 
-    def _heard(self, channel: Channel, head: Head) -> None:
+    def _handle_have(self, channel: Channel, head: Head) -> None:
         who, epoch = address_of(channel), int(head["e"])
-        self._acceptance.take([unpack(fields) for fields in head["items"]], head["v"])
-        read = self._under_way.get(head["n"])
+        self._acceptor_host.apply([unpack(fields) for fields in head["items"]], head["v"])
+        read = self._pending.get(head["n"])
         if read is None:
             return
         if epoch < read.view.epoch:
             if read.asked.pop(who, None) is not None:
-                send_view(self._council, channel)
+                send_view(self._member_set, channel)
                 self._ask(int(head["n"]), read, who, channel)
         elif head["complete"] and epoch == read.view.epoch:
             read.heard.add(who)
@@ -164,6 +166,6 @@
             self._ask(int(head["n"]), read, who, channel)
 
 
-def send_view(council: MemberSet, channel: Channel) -> None:
+def send_view(member_set: MemberSet, channel: Channel) -> None:
     """Tells one that has an older view which one is in force."""
-    channel.link.send({"t": "decided", "e": council.view().epoch, "items": council.view_item()})
+    channel.link.send({"t": "decided", "e": member_set.view().epoch, "items": member_set.view_item()})
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -37,17 +37,22 @@
         disk_mb: float,
         charter: Store,
         acceptor: Acceptor,
-        ledger: DiskWriter,
-        council: MemberSet,
-        acceptance: AcceptorHost,
-        voting: ProposerHost,
+        disk_writer: DiskWriter,
+        member_set: MemberSet,
+        acceptor_host: AcceptorHost,
+        proposer_host: ProposerHost,
         event_log: EventLog,
         whole: Callable[[], dict[str, bool]],
     ) -> None:
         self._base, self._room = state_dir, room(disk_mb)
-        self._charter, self._acceptor, self._ledger = charter, acceptor, ledger
-        self._council, self._acceptance, self._event_log, self._whole = council, acceptance, event_log, whole
-        self._voting, self._busy = voting, False
+        self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
+        self._member_set, self._acceptor_host, self._event_log, self._whole = (
+            member_set,
+            acceptor_host,
+            event_log,
+            whole,
+        )
+        self._proposer_host, self._busy = proposer_host, False
 
     def answers(self) -> dict[str, Handler]:
         """The question that is answered here, by name."""
@@ -60,7 +65,7 @@
             return Refusal("another restore is under way")
         self._busy = True
         try:
-            if not self._council.contact():
+            if not self._member_set.has_contact():
                 return await self._restore(str(head["copy"]), lost)
             if head["copy"] and all(item.kind == VIEW for item in self._charter.items.values()):
                 return await self._fill(str(head["copy"]))
@@ -78,19 +83,21 @@
             return kept
         writes = [((i.kind, i.name, i.version), i.value) for i in kept.items if i.kind != VIEW]
         for at in range(0, len(writes), BATCH):
-            outcome = await self._voting.decide(dict(writes[at : at + BATCH]), FILL_S)
+            outcome = await self._proposer_host.decide(dict(writes[at : at + BATCH]), FILL_S)
             if not isinstance(outcome, Decided):
                 return Refusal(f"{at} of {len(writes)} items are in force; restore again")
-        return self._told(self._council.view())
+        return self._told(self._member_set.view())
 
     async def _restore(self, copy: str, lost: list[str]) -> Told | Refusal:
         kept = self._copy(copy) if copy else Held()
         if isinstance(kept, Refusal):
             return kept
         view = _view(kept) if copy else None
-        reached = {**self._whole(), self._council.me: self._ledger.whole}
-        tolerance = self._council.tolerance
-        begins = restored(self._council.me, self._council.view(), reached, lost, view, tolerance)
+        reached = {**self._whole(), self._member_set.own_address: self._disk_writer.whole}
+        tolerance = self._member_set.tolerance
+        begins = restored(
+            self._member_set.own_address, self._member_set.view(), reached, lost, view, tolerance
+        )
         if isinstance(begins, str):
             return Refusal(begins)
         if copy:
@@ -98,11 +105,11 @@
             if refused is not None:
                 return refused
         item = Item(VIEW, MEMBERS, begins.epoch, write_view(begins))
-        self._acceptance.take([item], {})
-        if not self._ledger.whole:
-            await self._ledger.become_whole()
-        await self._ledger.kept()
-        self._council.said_complete()
+        self._acceptor_host.apply([item], {})
+        if not self._disk_writer.whole:
+            await self._disk_writer.mark_whole()
+        await self._disk_writer.flush()
+        self._member_set.announce_complete()
         told = self._told(begins)
         self._event_log.tell(
             events.STATE_RESTORED, epoch=begins.epoch, items=told["items"], lost=", ".join(lost)
@@ -129,15 +136,15 @@
     def _take(self, kept: Held) -> Refusal | None:
         """What the copy holds, where nothing newer is held; what was accepted or overtaken with it."""
         buckets, keys = self._charter.forget_all(kept.forgotten)
-        self._ledger.forget(keys, buckets)
+        self._disk_writer.remove_keys(keys, buckets)
         items = [item for item in kept.items if item.kind != VIEW]
         taken = self._charter.mend(items)
         if isinstance(taken, StoreFull):
             return Refusal(taken.reason)
-        self._acceptance.took(taken)
+        self._acceptor_host.items_changed(taken)
         kept.fill(self._acceptor)
-        self._ledger.mark_votes(kept.votes)
-        self._ledger.mark_settled([(*past.key, 0) for past in kept.past])
+        self._disk_writer.mark_votes(kept.votes)
+        self._disk_writer.mark_settled([(*past.key, 0) for past in kept.past])
         return None
 
 
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -79,7 +79,7 @@
         self._counts: dict[Key, dict[str, CanaryCounts]] = {}  # by item and node; of items that change now
         self._waits: set[_Wait] = set()
 
-    def tune(self, settle_ms: float, ack_ms: float) -> None:
+    def update_bounds(self, settle_ms: float, ack_ms: float) -> None:
         """Other bounds, for what comes from now on."""
         self._settle_s, self.wait_s = settle_ms / 1000.0, derive(settle_ms, ack_ms).ack_wait_s
 
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -49,14 +49,14 @@
         self,
         charter: Store,
         acceptor: Acceptor,
-        ledger: DiskWriter,
-        council: MemberSet,
-        acceptance: AcceptorHost,
+        disk_writer: DiskWriter,
+        member_set: MemberSet,
+        acceptor_host: AcceptorHost,
         event_log: EventLog,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._charter, self._acceptor, self._ledger = charter, acceptor, ledger
-        self._council, self._acceptance, self._event_log = council, acceptance, event_log
+        self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
+        self._member_set, self._acceptor_host, self._event_log = member_set, acceptor_host, event_log
         self._tombs = Tombs()
         self._tombs.note(self._loop.time(), charter.items.values())
         self._due = self._loop.time() + EVERY_S
@@ -76,8 +76,13 @@
         if now < self._due or self._asking is not None:
             return
         self._due = now + EVERY_S
-        view, me = self._council.view(), self._council.me
-        if view.joint or me not in view.now or not self._ledger.whole or not self._council.contact():
+        view, me = self._member_set.view(), self._member_set.own_address
+        if (
+            view.joint
+            or me not in view.now
+            or not self._disk_writer.whole
+            or not self._member_set.has_contact()
+        ):
             return
         rank = sorted(view.now).index(me)
         ripe = self._tombs.ripe(now - rank * EVERY_S, MOST)
@@ -88,21 +93,21 @@
         self._count += 1
         asking = self._asking = _Asking(view, drops, now + WITHIN_S)
         told = {"t": "held", "n": self._count, "e": view.epoch, "k": [[*key, v] for key, v in drops]}
-        for address, channel in self._council.peers().items():
+        for address, channel in self._member_set.peers().items():
             if address in view.now:
                 channel.link.send(told)
-        self._acceptance.spawn(self._own(asking))
+        self._acceptor_host.spawn(self._own(asking))
 
     async def _own(self, asking: _Asking) -> None:
         lacking = await self._lacking(asking.view.epoch, asking.drops)
         if lacking is not None:
-            self._heard(asking, self._council.me, lacking)
+            self._heard(asking, self._member_set.own_address, lacking)
 
     async def _lacking(self, epoch: int, drops: Sequence[Drop]) -> list[int] | None:
         """Places of those that this disk does not hold; None where nothing can be said under that epoch."""
         lacking = [place for place, drop in enumerate(drops) if not self._holds(*drop)]
-        await self._ledger.kept()
-        return None if await self._acceptance.stands(epoch) is not None else lacking
+        await self._disk_writer.flush()
+        return None if await self._acceptor_host.check_epoch(epoch) is not None else lacking
 
     def _holds(self, key: Key, version: int) -> bool:
         item = self._charter.items.get(key)
@@ -110,7 +115,7 @@
         return known >= version
 
     def _heard(self, asking: _Asking, who: str, lacking: Iterable[int]) -> None:
-        view = self._council.view()
+        view = self._member_set.view()
         if self._asking is not asking or view.epoch != asking.view.epoch:
             return
         asking.heard.add(who)
@@ -121,7 +126,7 @@
         gone = [drop for place, drop in enumerate(asking.drops) if place not in asking.lacking]
         if gone:
             told = {"t": "forget", "k": [[*key, version] for key, version in gone]}
-            for channel in self._council.peers().values():
+            for channel in self._member_set.peers().values():
                 channel.link.send(told)
             self._forget(gone)
             self._event_log.tell(events.DROPS_FORGOTTEN, items=len(gone))
@@ -138,15 +143,15 @@
             self._acceptor.forget(key)
         self._tombs.drop(keys)
         if buckets or keys:
-            self._ledger.forget(keys, buckets)
+            self._disk_writer.remove_keys(keys, buckets)
 
     # Links and frames
 
-    def opened(self, channel: Channel) -> None:
+    def link_opened(self, channel: Channel) -> None:
         """A link to another control process is up: what is left of drops comes before all else on it."""
         channel.link.send({"t": "gone", "d": self._charter.forgotten.root()})
 
-    def frame(self, channel: Channel, head: Head) -> bool:
+    def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of forgetting. Raises KeyError, TypeError or ValueError for what cannot be
         read."""
         kind = head["t"]
@@ -154,7 +159,7 @@
             return False
         if kind == "held":
             drops = _read(head["k"])
-            self._acceptance.spawn(self._answer(channel, int(head["n"]), int(head["e"]), drops))
+            self._acceptor_host.spawn(self._answer(channel, int(head["n"]), int(head["e"]), drops))
         elif kind == "holding":
             lacking = [int(place) for place in head["not"]]
             if self._asking is not None and head["n"] == self._count:
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -53,123 +53,130 @@
         self._loop = asyncio.get_running_loop()
         self._store, self._acceptor, self._keeper, self._event_log = store, acceptor, keeper, event_log
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
-        self._dirty: set[Key] = set()
-        self._voted: set[Number] = set()  # votes that came or went
-        self._extra: dict[bytes, bytes] = {}
-        self._marked = self._done = 0  # batches are numbered by what was marked before them
-        self._waiting: list[tuple[int, asyncio.Future[None]]] = []
-        self._writing: asyncio.Task[None] | None = None
+        self._dirty_keys: set[Key] = set()
+        self._dirty_votes: set[Number] = set()  # votes that came or went
+        self._extra_rows: dict[bytes, bytes] = {}
+        self._marked_batch = self._written_batch = 0  # batches are numbered by what was marked before them
+        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
+        self._write_task: asyncio.Task[None] | None = None
         self._urgent = False  # something was marked that is waited for
-        self._later: asyncio.TimerHandle | None = None
+        self._lazy_timer: asyncio.TimerHandle | None = None
         self.whole = whole
-        self.lives: dict[str, tuple[int, str]] = {}  # how often each machine has started, and its last life
-        self.refused = ""  # the disk's last word, where that was no
+        self.incarnations: dict[
+            str, tuple[int, str]
+        ] = {}  # how often each machine has started, and its last life
+        self.last_refusal = ""  # the disk's last word, where that was no
 
-    def mark(self, items: Iterable[Item]) -> None:
+    def mark_items(self, items: Iterable[Item]) -> None:
         """These are decided and have changed; they go to disk with the next batch, and the vector as it is
         then."""
-        self._lazily({item.key for item in items}, ())
+        self._mark_lazily({item.key for item in items}, ())
 
     def mark_settled(self, numbers: Iterable[Number]) -> None:
         """These are known to be decided: their votes leave the disk with the batch that has their items, or
         their places in the past."""
         settled = set(numbers)
-        self._lazily({(kind, name) for kind, name, _ in settled}, settled)
+        self._mark_lazily({(kind, name) for kind, name, _ in settled}, settled)
 
-    def _lazily(self, keys: Iterable[Key], numbers: Iterable[Number]) -> None:
-        self._dirty.update(keys)
-        self._voted.update(numbers)
-        if not (self._dirty or self._voted):
+    def _mark_lazily(self, keys: Iterable[Key], numbers: Iterable[Number]) -> None:
+        self._dirty_keys.update(keys)
+        self._dirty_votes.update(numbers)
+        if not (self._dirty_keys or self._dirty_votes):
             return
-        self._marked += 1
-        if self._later is None:
-            self._later = self._loop.call_later(LAZY_WRITE_S, self._write)
+        self._marked_batch += 1
+        if self._lazy_timer is None:
+            self._lazy_timer = self._loop.call_later(LAZY_WRITE_S, self._start_writing)
 
     def mark_votes(self, numbers: Iterable[Number]) -> None:
         """Votes that are to be on disk before they are said."""
-        self._voted.update(numbers)
-        self._marked += 1
-        self._write()
+        self._dirty_votes.update(numbers)
+        self._marked_batch += 1
+        self._start_writing()
 
-    def forget(self, keys: Iterable[Key], buckets: Iterable[str]) -> None:
+    def remove_keys(self, keys: Iterable[Key], buckets: Iterable[str]) -> None:
         """These keys' rows leave the disk, and with the same batch come those of what is left of them."""
-        self._dirty.update(keys)
+        self._dirty_keys.update(keys)
         for bucket in buckets:
-            self._extra.update([pack_forgotten(bucket, self._store.forgotten.row(bucket))])
-        self._marked += 1
-        self._write()
+            self._extra_rows.update([pack_forgotten(bucket, self._store.forgotten.row(bucket))])
+        self._marked_batch += 1
+        self._start_writing()
 
-    def put(self, row: tuple[bytes, bytes]) -> None:
+    def put_row(self, row: tuple[bytes, bytes]) -> None:
         """A row of its own, with the next batch."""
-        self._extra[row[0]] = row[1]
-        self._marked += 1
-        self._write()
+        self._extra_rows[row[0]] = row[1]
+        self._marked_batch += 1
+        self._start_writing()
 
-    async def kept(self) -> None:
+    async def flush(self) -> None:
         """Returns once all that was marked until now is synced; may take as long as the disk hangs."""
-        if self._done >= self._marked:
+        if self._written_batch >= self._marked_batch:
             return
-        self._write()
+        self._start_writing()
         future: asyncio.Future[None] = self._loop.create_future()
-        self._waiting.append((self._marked, future))
+        self._waiters.append((self._marked_batch, future))
         await future
 
-    def fits(self, more_bytes: int) -> bool:
+    def has_room(self, more_bytes: int) -> bool:
         """Whether the disk takes so much more of what orders set."""
         return self._keeper.fits(more_bytes)
 
-    def founded(self) -> None:
+    def mark_founded(self) -> None:
         """An empty disk of the very first start lacks nothing, and says so with its first batch."""
         self.whole = True
-        self.put(pack_whole(True))
+        self.put_row(pack_whole(True))
 
-    async def become_whole(self) -> None:
+    async def mark_whole(self) -> None:
         """This machine now holds all that was acknowledged; said on disk before it counts."""
-        self.put(pack_whole(True))
-        await self.kept()
+        self.put_row(pack_whole(True))
+        await self.flush()
         self.whole = True
 
-    def _write(self) -> None:
-        if self._later is not None:
-            self._later.cancel()
-            self._later = None
+    def _start_writing(self) -> None:
+        if self._lazy_timer is not None:
+            self._lazy_timer.cancel()
+            self._lazy_timer = None
         self._urgent = True
-        if self._writing is None:
-            self._writing = self._loop.create_task(self._work())
+        if self._write_task is None:
+            self._write_task = self._loop.create_task(self._write_batches())
 
-    async def _work(self) -> None:
+    async def _write_batches(self) -> None:
         try:
             while self._urgent:
                 self._urgent = False
-                number, keys, votes, extra = self._marked, self._dirty, self._voted, self._extra
-                self._dirty, self._voted, self._extra = set(), set(), {}
+                number, keys, votes, extra = (
+                    self._marked_batch,
+                    self._dirty_keys,
+                    self._dirty_votes,
+                    self._extra_rows,
+                )
+                self._dirty_keys, self._dirty_votes, self._extra_rows = set(), set(), {}
                 rows, gone = self._rows(keys, votes)
                 rows += extra.items()
                 began = self._loop.time()
                 outcome = await self._loop.run_in_executor(self._thread, self._keeper.keep, rows, gone)
                 took = self._loop.time() - began
                 if not isinstance(outcome, Kept):
-                    if self.refused != outcome.reason:
+                    if self.last_refusal != outcome.reason:
                         self._event_log.tell(events.DISK_REFUSED, reason=outcome.reason)
-                    self.refused = outcome.reason
-                    self._dirty |= keys
-                    self._voted |= votes
-                    self._extra = {**extra, **self._extra}
+                    self.last_refusal = outcome.reason
+                    self._dirty_keys |= keys
+                    self._dirty_votes |= votes
+                    self._extra_rows = {**extra, **self._extra_rows}
                     self._urgent = True
                     await asyncio.sleep(RETRY_S)
                     continue
-                self.refused = ""
+                self.last_refusal = ""
                 if took > SLOW_BATCH_S:
                     self._event_log.tell(events.DISK_SLOW, took_ms=int(took * 1000), rows=len(rows))
-                self._done = number
-                waiting, self._waiting = self._waiting, []
+                self._written_batch = number
+                waiting, self._waiters = self._waiters, []
                 for wanted, future in waiting:
-                    if wanted > self._done:
-                        self._waiting.append((wanted, future))
+                    if wanted > self._written_batch:
+                        self._waiters.append((wanted, future))
                     elif not future.done():
                         future.set_result(None)
         finally:
-            self._writing = None
+            self._write_task = None
 
     def _rows(self, keys: Iterable[Key], votes: Iterable[Number]) -> tuple[Rows, list[bytes]]:
         """What is on disk of these hereafter, and which rows leave it."""
@@ -196,7 +203,7 @@
                 gone.append(vote_key(number))
         return rows, gone
 
-    async def between(self, work: Callable[[Keeper], T]) -> T:
+    async def run_between_batches(self, work: Callable[[Keeper], T]) -> T:
         """Runs ``work`` on the disk's thread between two batches, which wait meanwhile."""
         return await self._loop.run_in_executor(self._thread, work, self._keeper)
 
@@ -207,9 +214,9 @@
         told, _ = self._rows(self._store.items.keys() | acceptor.past.keys(), acceptor.votes)
         rows = dict(told)
         rows.update([pack_whole(self.whole), pack_generations(acceptor.generations)])
-        rows.update([pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_lives(self.lives)])
+        rows.update([pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_lives(self.incarnations)])
         rows.update(pack_forgotten(*told) for told in self._store.forgotten.rows().items())
-        return await self.between(lambda keeper: keeper.rewrite(rows))
+        return await self.run_between_batches(lambda keeper: keeper.rewrite(rows))
 
     def close(self) -> None:
         self._thread.shutdown(wait=False, cancel_futures=True)
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -20,8 +20,8 @@
 
     def proof(self: ContactProbes, settled: bool = False) -> Proof:
         heard = {address_of(channel) for channel in self._links if channel.exchange.pulled}
-        heard |= {self._council.me} if self._ledger.whole else set()
-        view, tolerance = self._council.view(), self._council.tolerance
+        heard |= {self._member_set.own_address} if self._disk_writer.whole else set()
+        view, tolerance = self._member_set.view(), self._member_set.tolerance
         return Proof.ORDERS if view.overlaps(heard, tolerance) else Proof.NONE
 
     patch.setattr(ContactProbes, "proof", proof)
@@ -53,11 +53,11 @@
 
 def orders_are_taken_without_contact(patch: Patch) -> None:
     async def handle(self: OperatorApi, message: Any) -> Any:
-        probing, self._probing = self._probing, _Always()  # type: ignore[assignment]
+        contact_probes, self._contact_probes = self._contact_probes, _Always()  # type: ignore[assignment]
         try:
             return await real(self, message)
         finally:
-            self._probing = probing
+            self._contact_probes = contact_probes
 
     real = OperatorApi.handle
     patch.setattr(OperatorApi, "handle", handle)
@@ -93,17 +93,17 @@
 
 
 def open_votes_are_not_heeded(patch: Patch) -> None:
-    patch.setattr(ContactProbes, "_open", lambda self: False)
+    patch.setattr(ContactProbes, "_has_stale_vote", lambda self: False)
 
 
 def open_votes_are_counted_anew(patch: Patch) -> None:
     """A fault that drawn plays found: who had tried to bring a vote to its end in vain held all again."""
 
-    def open_s(self: ProposerHost) -> float:
-        return self._loop.time() - min(self._since.values(), default=self._loop.time())
+    def oldest_open_vote_s(self: ProposerHost) -> float:
+        return self._loop.time() - min(self._recovery_since.values(), default=self._loop.time())
 
-    patch.setattr(ProposerHost, "open_s", open_s)
+    patch.setattr(ProposerHost, "oldest_open_vote_s", oldest_open_vote_s)
 
 
 def duties_are_kept(patch: Patch) -> None:
-    patch.setattr(ContactProbes, "acts", lambda self: True)
+    patch.setattr(ContactProbes, "may_act", lambda self: True)
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -95,12 +95,12 @@
         reached = {
             other.ip
             for other, there in self.programs(core=True)
-            if there.ledger.whole
+            if there.disk_writer.whole
             and (other is machine or not self.wire.parted(machine.ip, other.ip))
             and other.life is not None
             and other.life.frozen_until <= now
         }
-        view = program.council.view()
+        view = program.member_set.view()
         if not view.overlaps(reached, self.tolerance):
             return Proof.NONE
         return Proof.ORDERS if view.durable(reached, self.tolerance) else Proof.READS
@@ -113,7 +113,7 @@
                 for proof in (Proof.READS, Proof.ORDERS):
                     if best >= proof:
                         self.lost_at.pop((machine.name, proof), None)
-                    elif self.sure(machine, proof) and program.probing.proof() >= proof:
+                    elif self.sure(machine, proof) and program.contact_probes.proof() >= proof:
                         self.say(f"{machine.name} still has {proof.name}, cut off for {BOUND_S:g} s")
                     else:
                         self.lost_at.setdefault((machine.name, proof), now)
--- a/simulation/mesh/key_seeds.py
+++ b/simulation/mesh/key_seeds.py
@@ -45,7 +45,7 @@
     async def read(*_: Any) -> bool:
         return True
 
-    return mock.patch.object(QuorumReads, "current", read)
+    return mock.patch.object(QuorumReads, "wait_until_current", read)
 
 
 def old_maps_are_current() -> Patch:
--- a/simulation/mesh/members.py
+++ b/simulation/mesh/members.py
@@ -70,7 +70,7 @@
     wanted = {machine.ip for machine in machines}
 
     def holds() -> bool:
-        views = [machine.program.council.view() for machine in machines if machine.program is not None]
+        views = [machine.program.member_set.view() for machine in machines if machine.program is not None]
         return len(views) == len(wanted) and all(not view.joint and set(view.now) == wanted for view in views)
 
     return holds
@@ -194,9 +194,9 @@
     """All lose power right after a change of members, and one its disk."""
     new = begin(world, 9)
     first = world.controllers()[0]
-    epoch = first.program.council.view().epoch
+    epoch = first.program.member_set.view().epoch
     yield from world.until(
-        lambda: first.program.council.view().epoch > epoch, JOINS_S, "a change of members begins"
+        lambda: first.program.member_set.view().epoch > epoch, JOINS_S, "a change of members begins"
     )
     life = new.life
     assert life is not None
@@ -211,7 +211,7 @@
     half = cores[: len(cores) // 2]
     world.cut(half, [machine for machine in world.machines.values() if machine not in half])
     yield world.env.timeout(40.0)
-    before = {machine.name: machine.program.council.view().epoch for machine in cores}
+    before = {machine.name: machine.program.member_set.view().epoch for machine in cores}
     for machine, gone in ((cores[0], cores[-1]), (cores[-1], cores[0])):
         told: list[object] = []
 
@@ -224,7 +224,7 @@
         if not told or isinstance(told[0], dict):
             world.witness.broken.append(f"{machine.name}: a word removed {gone.name}: {told}")
     for machine in cores:
-        if machine.program.council.view().epoch != before[machine.name]:
+        if machine.program.member_set.view().epoch != before[machine.name]:
             world.witness.broken.append(f"{machine.name}: members changed while halves were cut")
     world.heal()
     yield world.env.timeout(3.0)
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -65,8 +65,8 @@
         """Whether the new member counts by all, and the losses that are asked are borne."""
         programs = [program for _, program in self.programs(core=True)]
         return all(
-            new.ip in program.council.view().now
-            and not program.council.view().joint
+            new.ip in program.member_set.view().now
+            and not program.member_set.view().joint
             and not program.minding.borne().below(self.tolerance)
             for program in programs
         )
@@ -83,7 +83,12 @@
         """Each process that has contact says for each silent member why it still counts."""
         for machine, program in self.programs(core=True):
             for row in program.minding.show()["members"]:
-                if program.council.contact() and not row["heard"] and row["counts"] and not row["stays"]:
+                if (
+                    program.member_set.has_contact()
+                    and not row["heard"]
+                    and row["counts"]
+                    and not row["stays"]
+                ):
                     self.witness.broken.append(f"{machine.name} does not say why {row['address']} stays")
 
     def nobody_lacking(self) -> bool:
@@ -232,7 +237,7 @@
         for _ in range(50):
             yield world.env.timeout(0.1)
             for machine in world.controllers():
-                if set(machine.program.council.view().names) != members:
+                if set(machine.program.member_set.view().names) != members:
                     world.witness.broken.append(f"{world.env.now:.1f} {machine.name}: a zone was thrown out")
                     return
         if not world.nobody_lacking():
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -32,10 +32,10 @@
 
 
 def ack_without_a_disk(patch: Patch) -> None:
-    async def kept(self: DiskWriter) -> None:
+    async def flush(self: DiskWriter) -> None:
         return None
 
-    patch.setattr(DiskWriter, "kept", kept)
+    patch.setattr(DiskWriter, "flush", flush)
 
 
 def own_counts_before_sync(patch: Patch) -> None:
@@ -47,7 +47,7 @@
         changed = self.acceptor.accept(ballot, by, writes, tags)
         if isinstance(changed, Refusal):
             return changed
-        self._ledger.mark_votes(changed)
+        self._disk_writer.mark_votes(changed)
         return None
 
     patch.setattr(AcceptorHost, "accept", accept)
@@ -75,7 +75,7 @@
 
 def whole_before_it_heard_all(patch: Patch) -> None:
     async def become(self: Joining) -> None:
-        await self._ledger.become_whole()
+        await self._disk_writer.mark_whole()
         self._became_whole()
 
     patch.setattr(Joining, "_become_whole", become)
@@ -92,9 +92,9 @@
     real = ProposerHost.decide
 
     async def decide(self: ProposerHost, writes: Any, within_s: float) -> Any:
-        items, vector = self.acceptance.stamped(writes.items())
+        items, vector = self.acceptor_host.stamp_items(writes.items())
         self._charter._decided = False
-        self.acceptance._changed(self._charter.merge(items, vector))  # type: ignore[arg-type]
+        self.acceptor_host._on_change(self._charter.merge(items, vector))  # type: ignore[arg-type]
         return await real(self, writes, within_s)
 
     patch.setattr(ProposerHost, "decide", decide)
@@ -131,11 +131,11 @@
 def views_of_answerers_are_ignored(patch: Patch) -> None:
     """Anything is answered under any view, and a proposer goes on with the view that it began with."""
 
-    async def stands(self: AcceptorHost, epoch: int) -> None:
+    async def check_epoch(self: AcceptorHost, epoch: int) -> None:
         return None
 
-    patch.setattr(AcceptorHost, "stands", stands)
-    patch.setattr(ProposerHost, "_viewed", lambda self: None)
+    patch.setattr(AcceptorHost, "check_epoch", check_epoch)
+    patch.setattr(ProposerHost, "_view_changed", lambda self: None)
 
 
 def refused_counts_as_kept(patch: Patch) -> None:
@@ -153,13 +153,13 @@
 
 
 def a_gap_is_counted(patch: Patch) -> None:
-    real = AcceptorHost.take
+    real = AcceptorHost.apply
 
-    def take(self: AcceptorHost, items: Any, vector: Any) -> None:
+    def apply(self: AcceptorHost, items: Any, vector: Any) -> None:
         claimed = {item.source: item.number for item in items}
         real(self, items, {**claimed, **vector})
 
-    patch.setattr(AcceptorHost, "take", take)
+    patch.setattr(AcceptorHost, "apply", apply)
 
 
 def always_something_to_say(patch: Patch) -> None:
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -61,7 +61,7 @@
 
     def members(self) -> int:
         """How many count, as the fullest view has it."""
-        return max((len(p.council.view().names) for _, p in self.world.programs(core=True)), default=0)
+        return max((len(p.member_set.view().names) for _, p in self.world.programs(core=True)), default=0)
 
     # What operators send and hear
 
@@ -227,9 +227,9 @@
         for machine in self.world.controllers():
             program = machine.program
             if program is not None:
-                view = program.council.view()
+                view = program.member_set.view()
                 views.append((machine.name, view))
-                counts, epoch = program.ledger.whole, view.epoch
+                counts, epoch = program.disk_writer.whole, view.epoch
                 items, votes = program.charter.items, program.acceptor.votes
             else:
                 kept = machine.disk.holds()
--- a/simulation/mesh/world.py
+++ b/simulation/mesh/world.py
@@ -336,7 +336,7 @@
         # A write wants more than half; half of them is enough for a read, since it meets every write.
         too_few = self.witness.members() // 2 if method == b"PATCH" else (self.witness.members() - 1) // 2
         apart = self.reaches(machine) <= too_few
-        event = self.ask(life, life.program.clerk.handle, message)
+        event = self.ask(life, life.program.operator_api.handle, message)
         yield event | self.env.timeout(SILENCE_S)
         answer: Answer | None = event.value if event.triggered else None
         apart = apart and self.reaches(machine) <= too_few and self.troubled_at < began
@@ -400,13 +400,17 @@
         """Until these count, by their own word and by the newest view of all that run."""
 
         def all_count() -> bool:
-            views = [program.council.view() for _, program in self.programs(core=True)]
+            views = [program.member_set.view() for _, program in self.programs(core=True)]
             newest = max(views, key=lambda view: view.epoch, default=NOBODY)
             for machine in machines:
                 program = machine.program
-                if program is None or not program.joining.settled() or not program.probing.has():
+                if (
+                    program is None
+                    or not program.joining.settled()
+                    or not program.contact_probes.has_contact()
+                ):
                     return False
-                if program.council.view().epoch != newest.epoch:
+                if program.member_set.view().epoch != newest.epoch:
                     return False
                 if machine.counted != (machine.ip in newest.now):
                     return False
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -224,14 +224,14 @@
 def taken_out(world: World, who: Machine) -> Script:
     """By the two numbers of a change, as they are agreed on."""
     program = world.controllers()[0].program
-    view = program.council.view()
+    view = program.member_set.view()
     rest = {ip: place for ip, place in view.now.items() if ip != who.ip}
     for next_one in (View(view.epoch + 1, rest, view.now), View(view.epoch + 2, rest)):
         number = (VIEW, MEMBERS, next_one.epoch)
         done = world.env.event()
 
         async def decide(number: Number = number, told: View = next_one, done: simpy.Event = done) -> None:
-            done.succeed(await program.voting.decide({number: write_view(told)}, 2.0))
+            done.succeed(await program.proposer_host.decide({number: write_view(told)}, 2.0))
 
         world.controllers()[0].life.context.run(world.loop.create_task, decide())
         assert isinstance((yield done), Decided)
@@ -249,9 +249,9 @@
         world.start(one)
         while one.program is None or (VIEW, MEMBERS) not in one.program.charter.items:
             yield world.env.timeout(0.001)
-        while one.program.ledger.whole and not world.tellers(events.DISK_OLDER):
+        while one.program.disk_writer.whole and not world.tellers(events.DISK_OLDER):
             yield world.env.timeout(0.001)
-        while not one.program.ledger.whole:
+        while not one.program.disk_writer.whole:
             yield world.env.timeout(0.001)
         held = {item.key for item in one.program.charter.items.values()}
         assert held >= world.witness.acked.keys()
@@ -278,8 +278,8 @@
         world.heal()
         while not world.tellers(events.DISK_OLDER):
             yield world.env.timeout(0.001)
-        assert not one.program.ledger.whole
-        while not one.program.ledger.whole:
+        assert not one.program.disk_writer.whole
+        while not one.program.disk_writer.whole:
             yield world.env.timeout(0.001)
         held = {item.key: item.version for item in one.program.charter.items.values()}
         assert {key: held.get(key) for key in world.witness.acked} == {
@@ -333,7 +333,7 @@
     world.witness.sends(body, True)
     life = world.controllers()[0].life
     message = http.Message(method=b"PATCH", target=b"/configuration", body=body)
-    answer = yield world.ask(life, life.program.clerk.handle, message)
+    answer = yield world.ask(life, life.program.operator_api.handle, message)
     assert answer.status == 200
     yield world.env.timeout(1.0)
 
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -135,7 +135,9 @@
 def mesh(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Mesh]:
     there = Mesh(tmp_path_factory.mktemp("mesh"))
     try:
-        there.wait(lambda: all(core.joining.settled() and core.probing.has() for core in there.cores))
+        there.wait(
+            lambda: all(core.joining.settled() and core.contact_probes.has_contact() for core in there.cores)
+        )
         file = there.folder / "first.json"
         file.write_text(json.dumps(FIRST))
         result = run(there, "config", "apply", str(file))
@@ -325,7 +327,7 @@
 def test_a_disk_that_refuses_and_upstreams_that_fall_silent_are_told_with_their_mend(
     mesh: Mesh, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(mesh.cores[0].ledger, "refused", "no space left")
+    monkeypatch.setattr(mesh.cores[0].disk_writer, "last_refusal", "no space left")
     monkeypatch.setattr(mesh.sides[1].upstream, "heard", -1e9)
     found = {one["kind"]: one for one in told(mesh, "doctor", code=1)}
     assert found["disk refuses"]["subject"] == "core-0" and found["no beats"]["subject"] == "side-1"
--- a/tests/mesh/test_contact_probing.py
+++ b/tests/mesh/test_contact_probing.py
@@ -45,19 +45,19 @@
             return object()
 
         loop = SimpleNamespace(time=lambda: self.now, call_later=call_later)
-        council: Any = SimpleNamespace(
-            me="c0",
+        member_set: Any = SimpleNamespace(
+            own_address="c0",
             tolerance=Tolerance(1, 0, 0),
             view=lambda: self.view,
             view_item=lambda: [["view", "members", self.view.epoch, {}, "s", 1]],
         )
         channels: Any = SimpleNamespace(loop=loop)
-        ledger: Any = SimpleNamespace(whole=True)
-        self.probing = ContactProbes(
+        disk_writer: Any = SimpleNamespace(whole=True)
+        self.contact_probes = ContactProbes(
             3000.0,
             channels,
-            council,
-            ledger,
+            member_set,
+            disk_writer,
             lambda items, _: self.taken.extend(items),
             lambda: self.open,
             EventLog("c0", self.log),
@@ -67,15 +67,17 @@
         return View(epoch, {f"c{n}": Place("", "") for n in range(3)})
 
     def opens(self, peer: Any) -> Any:
-        self.probing.opened(peer)
+        self.contact_probes.link_opened(peer)
         return peer
 
     def asks(self) -> int:
-        self.probing._ask()
-        return self.probing.contact._count
+        self.contact_probes._send_probes()
+        return self.contact_probes.contact._count
 
     def hears(self, peer: Any, number: int, **said: Any) -> bool:
-        return self.probing.frame(peer, {"t": "probed", "n": number, "e": 4, "w": True, "c": True, **said})
+        return self.contact_probes.handle_frame(
+            peer, {"t": "probed", "n": number, "e": 4, "w": True, "c": True, **said}
+        )
 
 
 def test_links_that_come_up_are_asked_together_and_at_once() -> None:
@@ -93,7 +95,7 @@
     assert not alone.soon
     alone.asks()
     assert not side.sent and not me.sent
-    assert not alone.probing.frame(side, {"t": "probed", "n": 1, "e": 4, "w": True})
+    assert not alone.contact_probes.handle_frame(side, {"t": "probed", "n": 1, "e": 4, "w": True})
 
 
 def test_an_answer_of_a_life_that_ended_counts_for_nothing() -> None:
@@ -101,45 +103,45 @@
     old = alone.opens(Peer("c1", "c1.a"))
     number = alone.asks()
     alone.hears(old, number)
-    assert alone.probing.proof() is Proof.ORDERS
+    assert alone.contact_probes.proof() is Proof.ORDERS
     new = alone.opens(Peer("c1", "c1.b"))
-    assert alone.probing.proof() is Proof.NONE  # its disk may be another
+    assert alone.contact_probes.proof() is Proof.NONE  # its disk may be another
     alone.hears(old, alone.asks())
-    assert alone.probing.proof() is Proof.NONE
+    assert alone.contact_probes.proof() is Proof.NONE
     alone.hears(new, alone.asks())
-    assert alone.probing.proof() is Proof.ORDERS
-    alone.probing.closed(old)
-    assert alone.probing.proof() is Proof.ORDERS
-    alone.probing.closed(new)
-    assert alone.probing.proof() is Proof.NONE
-    assert not alone.probing.contact.lately(0.0)  # nothing is kept of who is gone
+    assert alone.contact_probes.proof() is Proof.ORDERS
+    alone.contact_probes.link_closed(old)
+    assert alone.contact_probes.proof() is Proof.ORDERS
+    alone.contact_probes.link_closed(new)
+    assert alone.contact_probes.proof() is Proof.NONE
+    assert not alone.contact_probes.contact.lately(0.0)  # nothing is kept of who is gone
 
 
 def test_who_asks_under_an_older_view_is_told_the_newer_one_and_takes_it() -> None:
     alone = Alone()
     peer = alone.opens(Peer("c1", "c1.a"))
-    alone.probing.frame(peer, {"t": "probe", "n": 7, "e": 3})
+    alone.contact_probes.handle_frame(peer, {"t": "probe", "n": 7, "e": 3})
     told = peer.sent[-1]
     assert (told["t"], told["n"], told["e"], told["w"], told["c"]) == ("probed", 7, 4, True, False)
     assert told["view"] == [["view", "members", 4, {}, "s", 1]]
-    alone.probing.frame(peer, {"t": "probe", "n": 8, "e": 4})
+    alone.contact_probes.handle_frame(peer, {"t": "probe", "n": 8, "e": 4})
     assert "view" not in peer.sent[-1]
     alone.hears(peer, alone.asks(), e=5, view=told["view"])
-    assert [item.version for item in alone.taken] == [4] and alone.probing.proof() is Proof.NONE
+    assert [item.version for item in alone.taken] == [4] and alone.contact_probes.proof() is Proof.NONE
 
 
 def test_an_open_vote_is_told_and_heeded_in_what_sidecars_are_told() -> None:
     alone = Alone()
     peer = alone.opens(Peer("c1", "c1.a"))
     alone.hears(peer, alone.asks())
-    assert alone.probing.holds_all()
+    assert alone.contact_probes.holds_all()
     alone.open = 0.6
-    assert not alone.probing.holds_all() and alone.probing.has()
-    alone.probing.frame(peer, {"t": "probe", "n": 7, "e": 4})
+    assert not alone.contact_probes.holds_all() and alone.contact_probes.has_contact()
+    alone.contact_probes.handle_frame(peer, {"t": "probe", "n": 7, "e": 4})
     assert peer.sent[-1]["o"] is True
     alone.open = 0.4
     alone.hears(peer, alone.asks(), o=True)
-    assert not alone.probing.holds_all() and alone.probing.proof() is Proof.ORDERS
+    assert not alone.contact_probes.holds_all() and alone.contact_probes.proof() is Proof.ORDERS
 
 
 @pytest.mark.parametrize(
@@ -150,11 +152,11 @@
     good, bad = alone.opens(Peer("c1", "c1.a")), alone.opens(Peer("c2", "c2.a", control=control))
     number = alone.asks()
     alone.hears(bad, number)
-    assert alone.probing.elsewhere() == ""
+    assert alone.contact_probes.redirect_address() == ""
     alone.hears(good, number)
-    assert alone.probing.elsewhere() == "10.0.0.9:8146"
+    assert alone.contact_probes.redirect_address() == "10.0.0.9:8146"
     alone.now = 1.1
-    assert alone.probing.elsewhere() == ""
+    assert alone.contact_probes.redirect_address() == ""
 
 
 def test_what_changed_is_told_once_and_shown() -> None:
@@ -162,13 +164,13 @@
     peer = alone.opens(Peer("c1", "c1.a"))
     alone.hears(peer, alone.asks())
     for alone.now in (0.1, 0.2, 1.3, 1.4):
-        alone.probing.tick(alone.now, alone.now)
+        alone.contact_probes.tick(alone.now, alone.now)
     lines = [line.split(" ", 1)[1] for line in alone.log.getvalue().splitlines()]
     assert lines == [
         "I221 contact with most members proven without_ms=100",
         "W220 contact with most members lost heard=0 of=3",
     ]
-    shown = alone.probing.told()
+    shown = alone.contact_probes.status()
     assert (shown["proof"], shown["for_ms"], shown["heard"]) == ("none", 100, {})
 
 
@@ -177,5 +179,5 @@
     peer = alone.opens(Peer("c1", "c1.a"))
     for head in ({"t": "probe"}, {"t": "probe", "n": "x", "e": 4}, {"t": "probed", "n": 1}):
         with pytest.raises((KeyError, ValueError)):
-            alone.probing.frame(peer, head)
-    assert not alone.probing.frame(peer, {"t": "pull"})
+            alone.contact_probes.handle_frame(peer, head)
+    assert not alone.contact_probes.handle_frame(peer, {"t": "pull"})
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -140,7 +140,7 @@
         at, near = cores[0], cores[1]
         world.cut([at], cores[2:])
         yield world.env.timeout(BOUND_S + 0.5)
-        assert at.program.probing.proof() is Proof.NONE
+        assert at.program.contact_probes.proof() is Proof.NONE
         for method, body in ((b"GET", b""), (b"PATCH", order("last", 2, 700))):
             answer = yield from world.call(at, method, body)
             assert (answer.status, answer.location) == (307, f"http://{near.ip}:8146/configuration")
@@ -179,7 +179,7 @@
         for step_s in (3600.0, -7200.0):
             world.steps[at.name] = world.steps.get(at.name, 0.0) + step_s
             yield world.env.timeout(0.5)
-            assert at.program.probing.proof() is Proof.ORDERS
+            assert at.program.contact_probes.proof() is Proof.ORDERS
             answer = yield from world.call(at, b"GET")
             assert answer.status == 200
 
--- a/tests/mesh/test_control_confirmations.py
+++ b/tests/mesh/test_control_confirmations.py
@@ -47,7 +47,7 @@
 
     async def call(self, items: list[Item]) -> bool:
         """One call's wait; the proxy is heard all the while."""
-        task = self.loop.create_task(self.found.spread(items, CALL_S))
+        task = self.loop.create_task(self.found.wait_confirmed(items, CALL_S))
         while not task.done():
             self.pass_by(LOOK_S)
             await turns()
@@ -70,9 +70,9 @@
 
     async def test() -> None:
         there = Beside()
-        there.found.changed([STANDING])
+        there.found.items_changed([STANDING])
         there.pass_by(60.0)
-        there.found.changed(ROUTES)
+        there.found.items_changed(ROUTES)
         bound_s = there.found.bound_s(LARGE_ORDER_ITEMS + 1)
         assert bound_s - LOOK_S <= await there.taken_after_s([STANDING, *ROUTES]) <= bound_s + CALL_S
 
@@ -83,9 +83,9 @@
     async def test() -> None:
         there = Beside()
         there.pass_by(60.0)
-        there.found.changed(ROUTES[:40])
+        there.found.items_changed(ROUTES[:40])
         there.pass_by(1.0)
-        there.found.changed(ROUTES[40:])
+        there.found.items_changed(ROUTES[40:])
         bound_s = there.found.bound_s(LARGE_ORDER_ITEMS)
         assert bound_s - LOOK_S <= await there.taken_after_s(ROUTES) <= bound_s + CALL_S
 
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -38,7 +38,7 @@
         members = {f"ip-{name}": None for name in CORES}
         self.touch = True
         self.view = 3
-        council: Any = SimpleNamespace(
+        member_set: Any = SimpleNamespace(
             members=lambda: members, view=lambda: SimpleNamespace(epoch=self.view, names=frozenset(members))
         )
         channels: Any = self.channels
@@ -49,7 +49,7 @@
             self.roll,
             self.membership,
             channels,
-            council,
+            member_set,
             lambda: self.touch,
             EventLog(ME, self.log),
             self.took,
@@ -91,7 +91,7 @@
 
     def hear(self, name: str, head: dict[str, Any]) -> bool:
         (channel,) = [one for one in self.channels.open if one.node == name]
-        return self.duties.frame(channel, head)
+        return self.duties.handle_frame(channel, head)
 
     def answer(self, name: str, silent_s: float) -> None:
         question = questions(self, name)[-1]
@@ -262,7 +262,7 @@
         alone.node("s0", PROXY, "10.0.1.1", version=2)
         gone: Any = alone.channel("s1", PROXY)
         gone.link.heard_at = alone.now
-        alone.duties.closed(gone)
+        alone.duties.link_closed(gone)
         alone.go_on(alone.now + SPANS.gone_s - 1.0)
         assert not questions(alone, OTHERS[0])
         alone.go_on(alone.now + 2.0)
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -107,7 +107,7 @@
         for machine in world.founders[:2]:
             world.start(machine)
         yield world.env.timeout(30.0)
-        assert all(machine.program.council.view().epoch == 0 for machine in world.founders[:2])
+        assert all(machine.program.member_set.view().epoch == 0 for machine in world.founders[:2])
 
     with World() as world:
         assert world.run(script) == []
@@ -319,19 +319,19 @@
 def test_a_restart_in_turn_changes_no_members_and_a_place_that_changes_is_made_known() -> None:
     def restarts(world: World) -> Script:
         cores = world.controllers()
-        epoch = cores[0].program.council.view().epoch
+        epoch = cores[0].program.member_set.view().epoch
         for machine in cores:
             began = world.env.now
             yield from end(world, machine)
             assert world.env.now - began < 0.5  # nothing to wait for
             world.start(machine)
             yield from world.joined([machine])
-        assert cores[0].program.council.view().epoch == epoch
+        assert cores[0].program.member_set.view().epoch == epoch
         world.zone = lambda machine: "y" if machine is cores[0] else "z"  # type: ignore[method-assign]
         world.kill(cores[0])
         world.start(cores[0])
         yield from world.joined(cores)
-        assert cores[1].program.council.view().now[cores[0].ip].zone == "y"
+        assert cores[1].program.member_set.view().now[cores[0].ip].zone == "y"
         cores[0].program.retune(world.settings(cores[0], False))
 
     assert played(3, restarts) == []
@@ -378,7 +378,7 @@
     """A restart in turn must leave a core that bears a loss at any time."""
     for machine in world.controllers():
         yield from end(world, machine)
-        counted = max(len(program.council.view().now) for _, program in world.programs(core=True))
+        counted = max(len(program.member_set.view().now) for _, program in world.programs(core=True))
         if counted < 3:
             world.witness.broken.append(f"{counted} count")
         world.start(machine)
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -264,7 +264,7 @@
         return Again(0, "as ever") if len(ballots) < 500 else Unclear("without an end")
 
     def then(world: World) -> Script:
-        monkeypatch.setattr(ProposerHost, "_ballot", hasty)
+        monkeypatch.setattr(ProposerHost, "_run_ballot", hasty)
         yield from world.patch(world.controllers()[0], order(["r1"], 1, 1))
         monkeypatch.undo()
 
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -52,7 +52,7 @@
         yield from world.until(lambda: in_force(world, 1), 2.0, "the route is in force")
         yield from world.joined(world.controllers())
         programs = [program for _, program in world.programs(core=True)]
-        assert all(len(program.council.members()) == 4 for program in programs)
+        assert all(len(program.member_set.members()) == 4 for program in programs)
         yield from world.witness.finish()
 
     with World() as world:
@@ -161,9 +161,12 @@
             held = [key for key in program.charter.items if key[0] == "route"]
             assert len(held) == AT_ONCE and len(program.charter.vector) < 10  # versions leave nothing behind
         for _, program in world.programs(core=True):
-            voting = program.voting
+            proposer_host = program.proposer_host
             assert not (
-                voting._orders or voting._rounds or voting.reads.under_way or voting.acceptance.acceptor.votes
+                proposer_host._orders
+                or proposer_host._ballots
+                or proposer_host.reads.pending_count
+                or proposer_host.acceptor_host.acceptor.votes
             )
         yield from world.witness.finish()
 
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -361,7 +361,7 @@
 
 def drops_while_cut_from_most(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(failure_detection, "enough", lambda heard, members: True)
-    patch.setattr(ContactProbes, "acts", lambda self: True)
+    patch.setattr(ContactProbes, "may_act", lambda self: True)
 
 
 def others_are_not_listened_to(patch: pytest.MonkeyPatch) -> None:
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -274,20 +274,20 @@
         assert isinstance(opened, Fresh)
         store, log = Store("a", 100), io.StringIO()
         event_log = EventLog("a", log)
-        ledger = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, whole=True)
+        disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, whole=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
-        repair = Repairing(1, {CHARTER: store}, channels, ledger, event_log, lambda name, items: None)
+        repair = Repairing(1, {CHARTER: store}, channels, disk_writer, event_log, lambda name, items: None)
         taken = store.take_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
         assert isinstance(taken, list)
-        ledger.mark(taken)
-        await ledger.kept()
+        disk_writer.mark_items(taken)
+        await disk_writer.flush()
         repair.check_disk()
         repair.tick(channels.loop.time())
         assert repair._disk is not None
         await repair._disk
         assert log.getvalue() == ""  # nothing was wrong
 
-        await ledger.between(lambda keeper: keeper.close())
+        await disk_writer.run_between_batches(lambda keeper: keeper.close())
         path = tmp_path / "store.mdb"
         data = path.read_bytes()
         assert data.count(b"value 7") >= 1
@@ -295,8 +295,8 @@
         store.take("route", "r0", 2, None)  # known here, and not on disk yet
         await repair._check_disk()
         assert "W705 damaged store written anew items=20 findings=" in log.getvalue()
-        assert await ledger.between(lambda keeper: keeper.verify()) == ()
-        await ledger.between(lambda keeper: keeper.close())
+        assert await disk_writer.run_between_batches(lambda keeper: keeper.verify()) == ()
+        await disk_writer.run_between_batches(lambda keeper: keeper.close())
         again = Keeper.open(tmp_path, 1 << 20)
         assert isinstance(again, Opened)
         kept = held(again.rows)
@@ -304,7 +304,7 @@
         assert {i.key: i for i in kept.items} == store.items
         assert again.keeper.keep([(b"more", b"1")]) == Kept()
         assert again.keeper.verify() == ()
-        ledger.close()
+        disk_writer.close()
 
     asyncio.run(run())
 
--- a/tests/mesh/test_simulated_mesh.py
+++ b/tests/mesh/test_simulated_mesh.py
@@ -305,9 +305,9 @@
         for machine in joiners:
             world.start(machine)
         yield world.env.timeout(0.01)
-        while any(len(machine.program.council.view().names) < 5 for machine in world.controllers()):
+        while any(len(machine.program.member_set.view().names) < 5 for machine in world.controllers()):
             yield world.env.timeout(0.001)
-        assert any(machine.program.council.view().joint for machine in world.controllers())
+        assert any(machine.program.member_set.view().joint for machine in world.controllers())
         troubles.wiped(world, cores[2].life, None)  # type: ignore[arg-type]
         yield world.env.timeout(2.0)
 
@@ -441,7 +441,7 @@
     world.start(joiner)
 
     def counts() -> bool:
-        view = other.program.council.view()
+        view = other.program.member_set.view()
         return joiner.ip in view.now and not view.joint
 
     yield from world.until(counts, 0.9, "one joins")
--- a/tests/mesh/test_thread_points.py
+++ b/tests/mesh/test_thread_points.py
@@ -60,7 +60,7 @@
 
 
 class Disk:
-    """A ledger on a real store. ``step`` is what the loop does while the disk's thread is stopped."""
+    """A disk writer on a real store. ``step`` is what the loop does while the disk's thread is stopped."""
 
     def __init__(self, folder: Path, stop_at: int) -> None:
         self.folder, self.loop, self.version = folder, asyncio.get_running_loop(), 0
@@ -73,7 +73,7 @@
         self.keeper = opened.keeper
         traced: Any = TracedKeeper(opened.keeper, self.points)
         acceptor = Acceptor("here", 0, lambda _: 0)
-        self.ledger = DiskWriter(self.store, acceptor, traced, EventLog("here", io.StringIO()), True)
+        self.disk_writer = DiskWriter(self.store, acceptor, traced, EventLog("here", io.StringIO()), True)
 
     def _meanwhile(self) -> None:
         done = threading.Event()
@@ -92,7 +92,7 @@
         self.version += 1
         item = self.store.take("route", name, self.version, {"v": self.version, "text": "x" * 200})
         assert isinstance(item, Item)
-        self.ledger.mark([item])
+        self.disk_writer.mark_items([item])
         return item
 
     def begin(self, work: Awaitable[Any]) -> None:
@@ -104,8 +104,8 @@
         await first(self)
         told = await asyncio.gather(*self.begun, return_exceptions=True)
         wrong = [repr(one) for one in told if isinstance(one, Exception)]
-        await asyncio.wait_for(self.ledger.kept(), WITHIN_S)
-        self.ledger._thread.shutdown()
+        await asyncio.wait_for(self.disk_writer.flush(), WITHIN_S)
+        self.disk_writer._thread.shutdown()
         self.keeper.close()
         wanted = dict(self.store.items)
         again = Keeper.open(self.folder, MOST)
@@ -120,31 +120,31 @@
     """What orders do: items, rows of their own, a question whether there is room."""
     disk.put("b")
     disk.put("a")
-    disk.ledger.put((b"whole", b"true"))
-    assert disk.ledger.fits(10) in (True, False)
-    disk.begin(disk.ledger.kept())
+    disk.disk_writer.put_row((b"whole", b"true"))
+    assert disk.disk_writer.has_room(10) in (True, False)
+    disk.begin(disk.disk_writer.flush())
 
 
 def questions(disk: Disk) -> None:
     """What operators and repair ask of the disk: its check, its size, to be written anew."""
     disk.put("b")
-    disk.begin(disk.ledger.between(_survey))
-    disk.begin(disk.ledger.between(lambda keeper: keeper.size()))
-    disk.begin(disk.ledger.rewrite())
-    disk.begin(disk.ledger.kept())
+    disk.begin(disk.disk_writer.run_between_batches(_survey))
+    disk.begin(disk.disk_writer.run_between_batches(lambda keeper: keeper.size()))
+    disk.begin(disk.disk_writer.rewrite())
+    disk.begin(disk.disk_writer.flush())
 
 
 def copies(disk: Disk) -> None:
     """A copy of the store and a write behind it."""
     to = disk.folder.parent / "copy"
-    disk.begin(disk.ledger.between(lambda keeper: keeper.backup(to)))
+    disk.begin(disk.disk_writer.run_between_batches(lambda keeper: keeper.backup(to)))
     changes(disk)
 
 
 FIRST: dict[str, Callable[[Disk], Awaitable[Any]]] = {
-    "keep": lambda disk: disk.ledger.kept(),
-    "rewrite": lambda disk: disk.ledger.rewrite(),
-    "survey": lambda disk: disk.ledger.between(_survey),
+    "keep": lambda disk: disk.disk_writer.flush(),
+    "rewrite": lambda disk: disk.disk_writer.rewrite(),
+    "survey": lambda disk: disk.disk_writer.run_between_batches(_survey),
 }
 STEPS = {"changes": changes, "questions": questions, "copies": copies}
 
@@ -183,9 +183,9 @@
     assert all_points(memory / "points", first, step) == []
 
 
-async def _beside(ledger: DiskWriter, work: Callable[[Any], Any]) -> Any:
+async def _beside(disk_writer: DiskWriter, work: Callable[[Any], Any]) -> Any:
     """Seeded fault: the store is used from the loop's thread, without waiting for the disk's."""
-    return work(ledger._keeper)
+    return work(disk_writer._keeper)
 
 
 def test_work_on_the_store_beside_the_disks_thread_is_found(
@@ -202,15 +202,15 @@
     real_keep, real_rows = Keeper.keep, DiskWriter._rows
     shared: list[tuple[bytes, bytes]] = []
 
-    def rows(ledger: DiskWriter, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
-        told, gone = real_rows(ledger, *given)
+    def rows(disk_writer: DiskWriter, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
+        told, gone = real_rows(disk_writer, *given)
         shared[:] = told
         return shared, gone
 
     def put(disk: Disk) -> None:
         shared.clear()
         disk.put("b")
-        disk.begin(disk.ledger.kept())
+        disk.begin(disk.disk_writer.flush())
 
     monkeypatch.setattr(DiskWriter, "_rows", rows)
     monkeypatch.setitem(STEPS, "shared", put)
@@ -230,11 +230,11 @@
                 for version in range(2, 40):
                     disk.put(f"r{version % 5}")
                     disk.put("a")
-                    disk.begin(disk.ledger.kept())
+                    disk.begin(disk.disk_writer.flush())
                     if version % 5 == 0:
                         questions(disk)
                     await asyncio.sleep(0)
-                await disk.ledger.kept()
+                await disk.disk_writer.flush()
 
             return await disk.play(many)
 
