--- a/mesh/data_plane/body_transfer.py
+++ b/mesh/data_plane/body_transfer.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from mesh.admission.buffer_budget import Reservation
-from mesh.data_plane.call_messages import Arrived, Octets, Piece
+from mesh.data_plane.call_messages import BodyAck, BodyBytes, BodyPiece
 from mesh.transport.body_pieces import IncomingBody, OutgoingBodies
 from mesh.transport.link import Link
 
-Whole = Callable[[Octets, Reservation], None]
+Whole = Callable[[BodyBytes, Reservation], None]
 
 
 class BodyTransfer:
@@ -25,7 +25,7 @@
         self._incoming: dict[int, tuple[IncomingBody, Reservation, Whole]] = {}
         link.on_writable = self._write
 
-    def send(self, number: int, body: Octets, written: Callable[[], None]) -> None:
+    def send(self, number: int, body: BodyBytes, written: Callable[[], None]) -> None:
         """``written`` is called once, perhaps before this returns, unless the body is cancelled."""
         self._count(1)
         self._written[number] = written
@@ -35,7 +35,7 @@
     def _write(self) -> None:
         """As much as the link and the windows take, bodies in turn."""
         while self._link.up and not self._link.choked and (part := self._outgoing.next()) is not None:
-            self._link.send(Piece(number=part.number), part.data)
+            self._link.send(BodyPiece(number=part.number), part.data)
             if part.last:
                 self._written.pop(part.number)()
 
@@ -48,7 +48,7 @@
         self._count(1)
         self._incoming[number] = IncomingBody(size), hold, whole
 
-    def arrived(self, message: Arrived) -> None:
+    def arrived(self, message: BodyAck) -> None:
         """Raises PieceError."""
         if self._outgoing.confirm(message.number, message.count):
             self._count(-1)
@@ -61,7 +61,7 @@
             return
         body, hold, whole = found
         body.add(part)
-        self._link.send(Arrived(number=number, count=body.confirm()))
+        self._link.send(BodyAck(number=number, count=body.confirm()))
         if body.whole:
             del self._incoming[number]
             self._count(-1)
--- a/mesh/data_plane/call_messages.py
+++ b/mesh/data_plane/call_messages.py
@@ -19,7 +19,7 @@
 from mesh.admission.final_check import Why
 from mesh.transport.frames import FrameHead, decode_object
 
-Octets = bytes | bytearray  # a body; one that came in pieces is not copied once more
+BodyBytes = bytes | bytearray  # a body; one that came in pieces is not copied once more
 HeaderFields = list[tuple[str, str]]  # headers on the wire
 
 
@@ -34,14 +34,14 @@
     window: int = 0
 
 
-class Life(FrameHead, tag_field="t", tag="life"):
+class GreetingReply(FrameHead, tag_field="t", tag="life"):
     """The second hop's answer to a greeting; ``window`` as there."""
 
     life: str
     window: int = 0
 
 
-class Patience(msgspec.Struct, array_like=True):
+class WaitLimits(msgspec.Struct, array_like=True):
     """Milliseconds that a call waits for a place at the most, and where others there are of lower rank."""
 
     usual: float = 0.0
@@ -69,9 +69,9 @@
     headers: HeaderFields = msgspec.field(name="h")
     instance: str = msgspec.field(name="i")
     caller: str = msgspec.field(name="c")
-    left_ms: float = msgspec.field(name="l")
+    remaining_ms: float = msgspec.field(name="l")
     rank: float = msgspec.field(name="k")
-    patience: Patience = msgspec.field(name="q")
+    wait_limits: WaitLimits = msgspec.field(name="q")
     route: RouteUsed = msgspec.field(name="v", default_factory=RouteUsed)
     size: int = msgspec.field(name="z", default=0)
 
@@ -83,28 +83,28 @@
     number: int = msgspec.field(name="n")
     status: int | None = msgspec.field(name="s", default=None)
     headers: HeaderFields | None = msgspec.field(name="h", default=None)
-    ran: bool | None = msgspec.field(name="r", default=None)
-    why: Why | None = msgspec.field(name="w", default=None)
-    arrived: bool | None = msgspec.field(name="v", default=None)
-    newer: list[Any] | None = msgspec.field(name="i", default=None)
+    executed: bool | None = msgspec.field(name="r", default=None)
+    reason: Why | None = msgspec.field(name="w", default=None)
+    reached_upstream: bool | None = msgspec.field(name="v", default=None)
+    newer_item: list[Any] | None = msgspec.field(name="i", default=None)
     unclear: str | None = msgspec.field(name="u", default=None)
     size: int = msgspec.field(name="z", default=0)
 
 
-class Passed(FrameHead, tag_field="t", tag="passed"):
+class InProgress(FrameHead, tag_field="t", tag="passed"):
     """The upstream has a call that was asked after."""
 
     number: int = msgspec.field(name="n")
 
 
-class AskBack(FrameHead, tag_field="t", tag="ask"):
+class StatusQuery(FrameHead, tag_field="t", tag="ask"):
     """What became of a call whose link was lost?"""
 
     number: int = msgspec.field(name="n")
     attempt: str = msgspec.field(name="a")
 
 
-class Leaving(FrameHead, tag_field="t", tag="leaving"):
+class GoAway(FrameHead, tag_field="t", tag="leaving"):
     """The second hop ends. No call with a number above ``last`` has been taken over this link or will be."""
 
     last: int
@@ -116,36 +116,38 @@
     number: int = msgspec.field(name="n")
 
 
-class Piece(FrameHead, tag_field="t", tag="piece"):
+class BodyPiece(FrameHead, tag_field="t", tag="piece"):
     """The next bytes, behind it as its body, of a call's body or, from the second hop, of its answer's."""
 
     number: int = msgspec.field(name="n")
 
 
-class Arrived(FrameHead, tag_field="t", tag="arrived"):
+class BodyAck(FrameHead, tag_field="t", tag="arrived"):
     """So many first bytes of a body in pieces have come."""
 
     number: int = msgspec.field(name="n")
     count: int = msgspec.field(name="b")
 
 
-FirstHopMessage = Greeting | CallHead | AskBack | Drop | Piece | Arrived
-SecondHopMessage = Life | EndHead | Passed | Leaving | Piece | Arrived
-KNOWN = frozenset({"hello", "life", "call", "end", "passed", "leaving", "ask", "drop", "piece", "arrived"})
+FirstHopMessage = Greeting | CallHead | StatusQuery | Drop | BodyPiece | BodyAck
+SecondHopMessage = GreetingReply | EndHead | InProgress | GoAway | BodyPiece | BodyAck
+KNOWN_TAGS = frozenset(
+    {"hello", "life", "call", "end", "passed", "leaving", "ask", "drop", "piece", "arrived"}
+)
 _decode_first: Callable[[bytes], FirstHopMessage] = msgspec.json.Decoder(FirstHopMessage).decode
 _decode_second: Callable[[bytes], SecondHopMessage] = msgspec.json.Decoder(SecondHopMessage).decode
 
 
-class LaterFrame(FrameHead):
+class UnknownFrame(FrameHead):
     """A frame of a later program."""
 
 
-def _unknown(text: bytes, fault: msgspec.ValidationError) -> Any:
+def _decode_unknown(text: bytes, fault: msgspec.ValidationError) -> Any:
     """What is passed over; raises the fault where the frame is one of ours, and wrong."""
     head = decode_object(text)
-    if head.get("t") in KNOWN:
+    if head.get("t") in KNOWN_TAGS:
         raise fault
-    return msgspec.convert(head, LaterFrame) if head else head
+    return msgspec.convert(head, UnknownFrame) if head else head
 
 
 def decode_from_first_hop(text: bytes) -> Any:
@@ -153,7 +155,7 @@
     try:
         return _decode_first(text)
     except msgspec.ValidationError as fault:
-        return _unknown(text, fault)
+        return _decode_unknown(text, fault)
 
 
 def decode_from_second_hop(text: bytes) -> Any:
@@ -161,13 +163,13 @@
     try:
         return _decode_second(text)
     except msgspec.ValidationError as fault:
-        return _unknown(text, fault)
+        return _decode_unknown(text, fault)
 
 
-def from_first_hop(head: dict[str, Any]) -> Any:
+def convert_from_first_hop(head: dict[str, Any]) -> Any:
     """A message that was read as a mere object: it stood right behind the greeting. Raises ValueError."""
-    if head.get("t") not in KNOWN:
-        return LaterFrame()
+    if head.get("t") not in KNOWN_TAGS:
+        return UnknownFrame()
     try:
         return msgspec.convert(head, FirstHopMessage)
     except msgspec.ValidationError as fault:
@@ -181,17 +183,17 @@
     method: bytes
     target: bytes
     headers: http.Headers
-    body: Octets
+    body: BodyBytes
     instance: str
     caller: str
-    left_ms: float
+    remaining_ms: float
     rank: float = 0.0  # its worth for its work; the most is served first
-    patience_ms: float = 0.0  # it waits so long for a place at the most
-    longer_ms: float = 0.0  # and so long where others there are of lower rank
+    max_wait_ms: float = 0.0  # it waits so long for a place at the most
+    extended_wait_ms: float = 0.0  # and so long where others there are of lower rank
     route: str = ""  # by which it goes, and its version; "" from a program that does not tell
     version: int = 0
     age_ms: float = 0.0  # since its client had sent it whole
-    anyway: bool = False  # it was turned away as of an old version once, and there is no newer one to be had
+    accept_stale_route: bool = False  # a second hop rejected its version as old, and no newer one is known
     effectful: bool = False  # it may run once at the most
     aim_ms: float = 0.0  # known at the first hop alone
     repeat: bool = False  # another try has arrived before, or a repeat's run has made it
@@ -206,51 +208,53 @@
             headers=pack_headers(self.headers),
             instance=self.instance,
             caller=self.caller,
-            left_ms=round(self.left_ms, 1),
+            remaining_ms=round(self.remaining_ms, 1),
             rank=self.rank,
-            patience=Patience(round(self.patience_ms, 1), round(self.longer_ms, 1)),
+            wait_limits=WaitLimits(round(self.max_wait_ms, 1), round(self.extended_wait_ms, 1)),
             route=self._route_used(),
             size=len(self.body) if in_pieces else 0,
         )
 
     def _route_used(self) -> RouteUsed:
         age_ms = round(self.age_ms)
-        return RouteUsed(self.route, self.version, age_ms, self.anyway, self.effectful, self.repeat)
+        return RouteUsed(
+            self.route, self.version, age_ms, self.accept_stale_route, self.effectful, self.repeat
+        )
 
-    def wait(self, waited_ms: float) -> None:
+    def charge_wait(self, waited_ms: float) -> None:
         """Charges ``waited_ms`` of either hop, so that whoever has the call next knows what is left."""
-        self.left_ms -= waited_ms
-        self.patience_ms -= waited_ms
-        self.longer_ms -= waited_ms
+        self.remaining_ms -= waited_ms
+        self.max_wait_ms -= waited_ms
+        self.extended_wait_ms -= waited_ms
         self.age_ms += waited_ms
 
 
 @dataclass(frozen=True, slots=True)  # a Struct has no field that equality passes over
-class Returned:
+class UpstreamResponse:
     """The upstream's own answer, whole. ``hold``: the memory that is taken for its body."""
 
     status: int
     headers: http.Headers
-    body: Octets
-    ran: bool  # it says that it ran the call, or does not say that it did not
-    hold: Reservation | None = field(default=None, compare=False, repr=False)
+    body: BodyBytes
+    executed: bool  # it says that it ran the call, or does not say that it did not
+    reservation: Reservation | None = field(default=None, compare=False, repr=False)
 
 
-class TurnedAway(Struct, frozen=True):
+class NotExecuted(Struct, frozen=True):
     """It has not run and never will."""
 
-    why: Why
-    arrived: bool = False  # the upstream itself turned it away
-    newer: list[Any] | None = None  # where its version is old, the item that holds, as news pack it
+    reason: Why
+    reached_upstream: bool = False  # the upstream itself turned it away
+    newer_item: list[Any] | None = None  # where its version is old, the item that holds, as news pack it
 
 
 class Unclear(Struct, frozen=True):
     """No answer, and it may have run."""
 
-    why: str
+    reason: str
 
 
-End = Returned | TurnedAway | Unclear
+End = UpstreamResponse | NotExecuted | Unclear
 
 
 def pack_headers(headers: http.Headers) -> HeaderFields:
@@ -263,7 +267,7 @@
     return [(name.encode("latin-1"), value.encode("latin-1")) for name, value in fields]
 
 
-def read_call(head: CallHead, body: Octets) -> Call:
+def read_call(head: CallHead, body: BodyBytes) -> Call:
     """Raises ValueError for what is no call."""
     route = head.route
     return Call(
@@ -274,37 +278,41 @@
         body=body,
         instance=head.instance,
         caller=head.caller,
-        left_ms=head.left_ms,
+        remaining_ms=head.remaining_ms,
         rank=head.rank,
-        patience_ms=head.patience.usual,
-        longer_ms=head.patience.longer,
+        max_wait_ms=head.wait_limits.usual,
+        extended_wait_ms=head.wait_limits.longer,
         route=route.name,
         version=route.version,
         age_ms=route.age_ms,
-        anyway=route.anyway,
+        accept_stale_route=route.anyway,
         effectful=route.effectful,
         repeat=route.repeat,
     )
 
 
-def end_head(number: int, end: End, in_pieces: bool = False) -> tuple[EndHead, Octets | None]:
+def end_head(number: int, end: End, in_pieces: bool = False) -> tuple[EndHead, BodyBytes | None]:
     """An end as a frame, and the body in it; ``in_pieces``: that is not in the frame."""
-    if isinstance(end, Returned):
+    if isinstance(end, UpstreamResponse):
         size = len(end.body) if in_pieces else 0
         fields = pack_headers(end.headers)
-        head = EndHead(number=number, status=end.status, headers=fields, ran=end.ran, size=size)
+        head = EndHead(number=number, status=end.status, headers=fields, executed=end.executed, size=size)
         return head, None if in_pieces else end.body
-    if isinstance(end, TurnedAway):
-        return EndHead(number=number, why=end.why, arrived=end.arrived, newer=end.newer), None
-    return EndHead(number=number, unclear=end.why), None
+    if isinstance(end, NotExecuted):
+        return EndHead(
+            number=number, reason=end.reason, reached_upstream=end.reached_upstream, newer_item=end.newer_item
+        ), None
+    return EndHead(number=number, unclear=end.reason), None
 
 
-def read_end(head: EndHead, body: Octets, hold: Reservation | None = None) -> End:
+def read_end(head: EndHead, body: BodyBytes, hold: Reservation | None = None) -> End:
     """Raises ValueError for what is no end."""
     if head.status is not None:
-        return Returned(head.status, unpack_headers(head.headers or []), body, head.ran is not False, hold)
-    if head.why is not None:
-        return TurnedAway(head.why, head.arrived is True, head.newer)
+        return UpstreamResponse(
+            head.status, unpack_headers(head.headers or []), body, head.executed is not False, hold
+        )
+    if head.reason is not None:
+        return NotExecuted(head.reason, head.reached_upstream is True, head.newer_item)
     if head.unclear is not None:
         return Unclear(head.unclear)
     raise ValueError("an end without a word")
--- a/mesh/data_plane/call_state.py
+++ b/mesh/data_plane/call_state.py
@@ -17,10 +17,10 @@
 from hareloom.interface import Outcome
 from mesh.admission.final_check import Why
 from mesh.configuration.routes import Route
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway
+from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 
 # What waited in vain, or was lost on its way, says nothing of the upstream's pace, which is what w is.
-WAITED = frozenset({Why.FULL, Why.LATE, Why.LOST, Why.OLD})
+NOT_CONNECT_FAILURES = frozenset({Why.FULL, Why.LATE, Why.LOST, Why.OLD})
 
 
 class State(IntEnum):
@@ -64,7 +64,7 @@
     WHOLE = 18  # the last of them has come
 
 
-class Certain(Enum):
+class ExecutionStatus(Enum):
     """What is known of a call's run."""
 
     NOT_YET = "has not run"
@@ -86,22 +86,27 @@
     hop: Hop
     state: State
     event: Event
-    to: State
-    certain: Certain
-    told: str
-    keeper: str
-
-
-S, E, C = State, Event, Certain
-OWN, PROMISE, NONE, OPEN = "the upstream's", "503, or sent elsewhere", "502, 504", "nothing yet"
-PASSAGE, UPSTREAM_DISPATCH, TAP = (
+    next_state: State
+    execution: ExecutionStatus
+    client_result: str
+    handler: str
+
+
+S, E, C = State, Event, ExecutionStatus
+UPSTREAM_RESPONSE, NOT_EXECUTED, NO_RESPONSE, PENDING = (
+    "the upstream's",
+    "503, or sent elsewhere",
+    "502, 504",
+    "nothing yet",
+)
+PEER_CALLS, UPSTREAM_DISPATCH, UPSTREAM_CONNECTIONS = (
     "data_plane/peer_calls.py:",
     "data_plane/upstream_dispatch.py:",
     "data_plane/upstream_connections.py:",
 )
-OUT = PASSAGE + "Outgoing."
-RACE = UPSTREAM_DISPATCH + "UpstreamDispatch."
-CONNECTION = TAP + "TapConnection."
+PEER_LINK = PEER_CALLS + "Outgoing."
+DISPATCH = UPSTREAM_DISPATCH + "UpstreamDispatch."
+CONNECTION = UPSTREAM_CONNECTIONS + "TapConnection."
 INCOMING = "data_plane/incoming_calls.py:Incoming."
 
 EDGES: tuple[Edge, ...] = tuple(
@@ -110,49 +115,49 @@
         (
             Hop.FIRST,
             (
-                (S.CHOSEN, E.LINK_UP, S.SENT, C.MAY, OPEN, OUT + "_write"),
-                (S.CHOSEN, E.LINK_DOWN, S.ENDED, C.NEVER, PROMISE, OUT + "_turn_away"),
-                (S.CHOSEN, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, PROMISE, OUT + "drop"),
-                (S.CHOSEN, E.PARTLY_SENT, S.SENDING, C.NOT_YET, OPEN, OUT + "_write"),
-                (S.SENDING, E.WHOLE_SENT, S.SENT, C.MAY, OPEN, OUT + "_sent_whole"),
-                (S.SENDING, E.TURNED_AWAY, S.ENDED, C.NEVER, PROMISE, OUT + "_ended"),
-                (S.SENDING, E.NO_ANSWER, S.ENDED, C.MAY, NONE, OUT + "_ended"),
-                (S.SENDING, E.LINK_LOST, S.ENDED, C.NEVER, PROMISE, OUT + "_cut"),
-                (S.SENDING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, PROMISE, OUT + "drop"),
-                (S.SENT, E.ANSWER, S.ENDED, C.RAN, OWN, OUT + "_ended"),
-                (S.SENT, E.TURNED_AWAY, S.ENDED, C.NEVER, PROMISE, OUT + "_ended"),
-                (S.SENT, E.NO_ANSWER, S.ENDED, C.MAY, NONE, OUT + "_ended"),
-                (S.SENT, E.LINK_LOST, S.UNCLEAR, C.MAY, OPEN, OUT + "_cut"),
-                (S.SENT, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NONE, OUT + "drop"),
-                (S.UNCLEAR, E.LINK_LOST, S.UNCLEAR, C.MAY, OPEN, OUT + "_cut"),
-                (S.UNCLEAR, E.PASSED, S.SENT, C.MAY, OPEN, OUT + "_frame"),
-                (S.UNCLEAR, E.ANSWER, S.ENDED, C.RAN, OWN, OUT + "_ended"),
-                (S.UNCLEAR, E.TURNED_AWAY, S.ENDED, C.NEVER, PROMISE, OUT + "_ended"),
-                (S.UNCLEAR, E.NO_ANSWER, S.ENDED, C.MAY, NONE, OUT + "_ended"),
-                (S.UNCLEAR, E.TIME_OVER, S.ENDED, C.MAY, NONE, OUT + "_unclear"),
-                (S.UNCLEAR, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NONE, OUT + "drop"),
+                (S.CHOSEN, E.LINK_UP, S.SENT, C.MAY, PENDING, PEER_LINK + "_write"),
+                (S.CHOSEN, E.LINK_DOWN, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_turn_away"),
+                (S.CHOSEN, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, PEER_LINK + "drop"),
+                (S.CHOSEN, E.PARTLY_SENT, S.SENDING, C.NOT_YET, PENDING, PEER_LINK + "_write"),
+                (S.SENDING, E.WHOLE_SENT, S.SENT, C.MAY, PENDING, PEER_LINK + "_sent_whole"),
+                (S.SENDING, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_ended"),
+                (S.SENDING, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_ended"),
+                (S.SENDING, E.LINK_LOST, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_cut"),
+                (S.SENDING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, PEER_LINK + "drop"),
+                (S.SENT, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_ended"),
+                (S.SENT, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_ended"),
+                (S.SENT, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_ended"),
+                (S.SENT, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_cut"),
+                (S.SENT, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, PEER_LINK + "drop"),
+                (S.UNCLEAR, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_cut"),
+                (S.UNCLEAR, E.PASSED, S.SENT, C.MAY, PENDING, PEER_LINK + "_frame"),
+                (S.UNCLEAR, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_ended"),
+                (S.UNCLEAR, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_ended"),
+                (S.UNCLEAR, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_ended"),
+                (S.UNCLEAR, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_unclear"),
+                (S.UNCLEAR, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, PEER_LINK + "drop"),
             ),
         ),
         (
             Hop.SECOND,
             (
-                (S.RECEIVING, E.WHOLE, S.READ, C.NOT_YET, OPEN, INCOMING + "_whole"),
-                (S.RECEIVING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, PROMISE, INCOMING + "_withdraw"),
-                (S.RECEIVING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, PROMISE, INCOMING + "lost"),
-                (S.RECEIVING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, PROMISE, INCOMING + "_withdraw"),
-                (S.READ, E.PLACE, S.PASSED_ON, C.MAY, OPEN, RACE + "_start"),
-                (S.READ, E.NO_PLACE, S.WAITING, C.NOT_YET, OPEN, RACE + "take"),
-                (S.WAITING, E.PLACE, S.PASSED_ON, C.MAY, OPEN, RACE + "_start"),
-                (S.WAITING, E.TURNED_AWAY, S.ENDED, C.NEVER, PROMISE, RACE + "_turn_away"),
-                (S.WAITING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, PROMISE, RACE + "drop"),
-                (S.WAITING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, PROMISE, RACE + "drop"),
-                (S.WAITING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, PROMISE, RACE + "drop"),
+                (S.RECEIVING, E.WHOLE, S.READ, C.NOT_YET, PENDING, INCOMING + "_whole"),
+                (S.RECEIVING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "_withdraw"),
+                (S.RECEIVING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "lost"),
+                (S.RECEIVING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "_withdraw"),
+                (S.READ, E.PLACE, S.PASSED_ON, C.MAY, PENDING, DISPATCH + "_start"),
+                (S.READ, E.NO_PLACE, S.WAITING, C.NOT_YET, PENDING, DISPATCH + "take"),
+                (S.WAITING, E.PLACE, S.PASSED_ON, C.MAY, PENDING, DISPATCH + "_start"),
+                (S.WAITING, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_turn_away"),
+                (S.WAITING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
+                (S.WAITING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
+                (S.WAITING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
                 (
                     S.PASSED_ON,
                     E.LINK_LOST,
                     S.PASSED_ON,
                     C.MAY,
-                    OPEN,
+                    PENDING,
                     INCOMING + "lost",
                 ),
                 (
@@ -160,15 +165,22 @@
                     E.ASKED_BACK,
                     S.PASSED_ON,
                     C.MAY,
-                    OPEN,
+                    PENDING,
                     INCOMING + "_asked",
                 ),
-                (S.PASSED_ON, E.ANSWER, S.ANSWERED, C.RAN, OWN, RACE + "_tell"),
-                (S.PASSED_ON, E.TURNED_AWAY, S.ENDED, C.NEVER, PROMISE, RACE + "_tell"),
-                (S.PASSED_ON, E.NO_ANSWER, S.ENDED, C.MAY, NONE, RACE + "_tell"),
-                (S.PASSED_ON, E.TIME_OVER, S.ENDED, C.MAY, NONE, RACE + "_expire"),
-                (S.PASSED_ON, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NONE, RACE + "drop"),
-                (S.ANSWERED, E.ASKED_BACK, S.ANSWERED, C.RAN, OWN, "admission/call_sessions.py:Session.ask"),
+                (S.PASSED_ON, E.ANSWER, S.ANSWERED, C.RAN, UPSTREAM_RESPONSE, DISPATCH + "_tell"),
+                (S.PASSED_ON, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_tell"),
+                (S.PASSED_ON, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_tell"),
+                (S.PASSED_ON, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_expire"),
+                (S.PASSED_ON, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, DISPATCH + "drop"),
+                (
+                    S.ANSWERED,
+                    E.ASKED_BACK,
+                    S.ANSWERED,
+                    C.RAN,
+                    UPSTREAM_RESPONSE,
+                    "admission/call_sessions.py:Session.ask",
+                ),
                 (
                     S.ENDED,
                     E.ASKED_BACK,
@@ -190,56 +202,57 @@
         (
             Hop.TAP,
             (
-                (S.IDLE, E.ASK, S.SENT, C.MAY, OPEN, CONNECTION + "ask"),
+                (S.IDLE, E.ASK, S.SENT, C.MAY, PENDING, CONNECTION + "ask"),
                 (S.IDLE, E.STRAY, S.CLOSED, C.SAME, "nobody", CONNECTION + "data_received"),
-                (S.IDLE, E.TIME_OVER, S.CLOSED, C.SAME, "nobody", TAP + "Tap.sweep"),
-                (S.SENT, E.STRAY, S.SENT, C.MAY, OPEN, CONNECTION + "_settle"),
-                (S.SENT, E.ANSWER, S.IDLE, C.RAN, OWN, CONNECTION + "_settle"),
-                (S.SENT, E.CROWDED, S.CLOSED, C.RAN, OWN, CONNECTION + "_settle"),
-                (S.SENT, E.NO_ANSWER, S.CLOSED, C.MAY, NONE, CONNECTION + "connection_lost"),
-                (S.SENT, E.GIVEN_UP, S.CLOSED, C.MAY, NONE, CONNECTION + "drop"),
+                (S.IDLE, E.TIME_OVER, S.CLOSED, C.SAME, "nobody", UPSTREAM_CONNECTIONS + "Tap.sweep"),
+                (S.SENT, E.STRAY, S.SENT, C.MAY, PENDING, CONNECTION + "_settle"),
+                (S.SENT, E.ANSWER, S.IDLE, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_settle"),
+                (S.SENT, E.CROWDED, S.CLOSED, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_settle"),
+                (S.SENT, E.NO_ANSWER, S.CLOSED, C.MAY, NO_RESPONSE, CONNECTION + "connection_lost"),
+                (S.SENT, E.GIVEN_UP, S.CLOSED, C.MAY, NO_RESPONSE, CONNECTION + "drop"),
             ),
         ),
     )
     for row in rows
 )
 
-Table = dict[tuple[State, Event], State]
+Transitions = dict[tuple[State, Event], State]
 
 
-def _table(hop: Hop) -> Table:
-    return {(edge.state, edge.event): edge.to for edge in EDGES if edge.hop is hop}
+def _transitions(hop: Hop) -> Transitions:
+    return {(edge.state, edge.event): edge.next_state for edge in EDGES if edge.hop is hop}
 
 
-FIRST, SECOND, CONNECTIONS = _table(Hop.FIRST), _table(Hop.SECOND), _table(Hop.TAP)
+FIRST_HOP_TABLE, SECOND_HOP_TABLE = _transitions(Hop.FIRST), _transitions(Hop.SECOND)
+CONNECTION_TABLE = _transitions(Hop.TAP)
 
 
 # Members of an enumeration are found slowly, and these are asked for with every call.
-ANSWERED, TURNED, UNANSWERED = Event.ANSWER, Event.TURNED_AWAY, Event.NO_ANSWER
+ANSWERED, TURNED_AWAY, UNANSWERED = Event.ANSWER, Event.TURNED_AWAY, Event.NO_ANSWER
 OK = Outcome.OK
 
 
 def event_of(end: End) -> Event:
     """What the end of a call is at either hop."""
-    if isinstance(end, Returned):
+    if isinstance(end, UpstreamResponse):
         return ANSWERED
-    return TURNED if isinstance(end, TurnedAway) else UNANSWERED
+    return TURNED_AWAY if isinstance(end, NotExecuted) else UNANSWERED
 
 
-PROMISES = frozenset({408, 421, 429, 503})  # by which a client knows that its request has not run
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})  # statuses that promise the client: not executed
 
 
 def outcome_of(end: End) -> Outcome:
     """What the decisions are told: those of `hareloom.interface.NEVER_RAN` have not run and never will."""
-    if isinstance(end, Returned):
-        if end.status in PROMISES:  # without the mark that it did not run it is none
+    if isinstance(end, UpstreamResponse):
+        if end.status in NOT_EXECUTED_STATUSES:  # without the mark that it did not run it is none
             return Outcome.ERROR
         if end.status >= 500:
             return Outcome.TIMEOUT if end.status == 504 else Outcome.ERROR
         return OK
-    if isinstance(end, TurnedAway):
-        if end.why in WAITED:
-            return Outcome.FULL if end.arrived else Outcome.MOOT
+    if isinstance(end, NotExecuted):
+        if end.reason in NOT_CONNECT_FAILURES:
+            return Outcome.FULL if end.reached_upstream else Outcome.MOOT
         return Outcome.CONNECT_FAILED
     return Outcome.RESET
 
@@ -247,7 +260,7 @@
 # The upstream's connection
 
 
-def own(wanted: bytes, told: bytes | None) -> bool:
+def answers_call(wanted: bytes, told: bytes | None) -> bool:
     """Whether an answer that tells that id, or none, is for the call on its connection."""
     return told is None or told == wanted
 
@@ -258,7 +271,7 @@
 class Served(Struct, frozen=True):
     """An upstream's own answer, to be passed on as it is."""
 
-    answer: Returned
+    answer: UpstreamResponse
 
 
 class Refused(Struct, frozen=True):
@@ -273,63 +286,73 @@
     late: bool
 
 
-class Anew(Struct, frozen=True):
+class RouteChanged(Struct, frozen=True):
     """It has not run, and its route is another by now: it is to be taken anew."""
 
 
-Final = Served | Refused | Failed | Anew
+ClientResult = Served | Refused | Failed | RouteChanged
 Try = tuple[str, str, float]  # the upstream, how it ended, after so many milliseconds
 
 
 CHOSEN, SENDING = State.CHOSEN, State.SENDING
-NOT_BEGUN = frozenset({State.READ, State.WAITING})  # of a call at the second hop
+NOT_STARTED = frozenset({State.READ, State.WAITING})  # of a call at the second hop
 
 
-class Out:
+class OutgoingCall:
     """A call that the first hop has out."""
 
-    __slots__ = ("asking", "call", "ended", "life", "link", "number", "running", "sent", "state")
+    __slots__ = (
+        "query_timer",
+        "call",
+        "on_end",
+        "peer_incarnation",
+        "link",
+        "number",
+        "dispatched",
+        "sent_s",
+        "state",
+    )
 
     def __init__(self, call: Call, ended: Callable[[End], None]) -> None:
-        self.call, self.ended = call, ended
+        self.call, self.on_end = call, ended
         self.state = CHOSEN
         self.link: Any = None  # the node's, as the passage has it
         self.number = 0
-        self.sent = 0.0  # seconds of the loop's clock; until it is written, when it was handed over
-        self.life: str | None = None  # of the second hop, on the link that was lost
-        self.running: Any = None  # where the second hop is this process
-        self.asking: asyncio.TimerHandle | None = None  # when asking back is over
+        self.sent_s = 0.0  # seconds of the loop's clock; until it is written, when it was handed over
+        self.peer_incarnation: str | None = None  # of the second hop, on the link that was lost
+        self.dispatched: Any = None  # where the second hop is this process
+        self.query_timer: asyncio.TimerHandle | None = None  # when asking back is over
 
     @property
-    def begun(self) -> bool:
+    def may_have_started(self) -> bool:
         """Whether it may have reached the upstream, or still may once nobody here waits for it."""
-        if self.running is not None:
-            return self.running.state not in NOT_BEGUN
+        if self.dispatched is not None:
+            return self.dispatched.state not in NOT_STARTED
         return self.state not in (CHOSEN, SENDING)
 
-    def on(self, event: Event) -> bool:
+    def apply(self, event: Event) -> bool:
         """Takes the event; False where it has no effect in this state."""
-        state = FIRST.get((self.state, event))
+        state = FIRST_HOP_TABLE.get((self.state, event))
         if state is None:
             return False
         self.state = state
         return True
 
 
-ASK_LEAST = 0.25  # of its aim a call is asked back for, however late its link was lost
+MIN_QUERY_SHARE = 0.25  # of its aim a call is asked back for, however late its link was lost
 
 
-def asked_for_ms(call: Call, since_ms: float) -> float:
+def query_window_ms(call: Call, since_ms: float) -> float:
     """How long the end of a call whose link is lost is asked for: what its aim leaves, and a quarter of the
     aim at the least; not beyond its deadline. ``since_ms``: since it was sent. What may be repeated is not
     asked for: it goes elsewhere at once."""
     if not call.effectful:
         return 0.0
     leaves = call.aim_ms - call.age_ms - since_ms
-    return max(min(max(leaves, ASK_LEAST * call.aim_ms), call.left_ms - since_ms), 0.0)
+    return max(min(max(leaves, MIN_QUERY_SHARE * call.aim_ms), call.remaining_ms - since_ms), 0.0)
 
 
-class Ask(Struct, eq=False):
+class ClientRequest(Struct, eq=False):
     """A client's request, from its whole arrival to its one answer."""
 
     id: str
@@ -339,28 +362,28 @@
     headers: http.Headers
     attempt: str
     caller: str
-    taken: float  # milliseconds of the loop's clock
+    received_ms: float  # milliseconds of the loop's clock
     deadline: float
-    answer: Callable[[Final], None]
-    outs: list[Out | None] = field(default_factory=list)
-    sent: list[float] = field(default_factory=list)
-    tried: list[Try] = field(default_factory=list)
-    arrived: int = 0  # upstreams that it reached, or may have
+    reply: Callable[[ClientResult], None]
+    outgoing: list[OutgoingCall | None] = field(default_factory=list)
+    sent_ms: list[float] = field(default_factory=list)
+    tries: list[Try] = field(default_factory=list)
+    reached: int = 0  # upstreams that it reached, or may have
     unclear: bool = False  # it may have run
-    last: Returned | None = None  # an upstream's answer that was no success
-    guard: asyncio.TimerHandle | None = None
-    over: bool = False
-    anyway: bool = False  # its version was said to be old: the newest known here is what it goes by
+    last_error: UpstreamResponse | None = None  # an upstream's answer that was no success
+    deadline_timer: asyncio.TimerHandle | None = None
+    finished: bool = False
+    accept_stale_route: bool = False  # its route version was rejected as old, and no newer one is known here
     repeat: bool = False  # made by a run that was itself a repeat, as far as can be known
     key: int | None = None  # of a divided service, the key that it is on
 
     def may_have_run(self) -> bool:
         """One whose body has not left whole has not run, and never does once it is dropped."""
-        return self.unclear or any(out is not None and out.state is not SENDING for out in self.outs)
+        return self.unclear or any(out is not None and out.state is not SENDING for out in self.outgoing)
 
-    def final(self, late: bool, retry_after_ms: float) -> Final:
+    def client_result(self, late: bool, retry_after_ms: float) -> ClientResult:
         """What its client may be told now that nothing more is done for it: a promise only where it is
         certain that it has not run and never will."""
-        if self.last is not None:
-            return Served(self.last)
+        if self.last_error is not None:
+            return Served(self.last_error)
         return Failed(late) if self.may_have_run() else Refused(retry_after_ms)
--- a/mesh/data_plane/call_trace.py
+++ b/mesh/data_plane/call_trace.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from mesh.data_plane.call_messages import Call, End
-from mesh.data_plane.call_state import Ask, Failed, Refused
+from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.client_connection import ClientListener
 from mesh.data_plane.membership import Membership
 from mesh.data_plane.peer_links import Passage
@@ -61,7 +61,7 @@
         proxy.client_listener.trace = self.answer_left
         self._count_bytes()
 
-    def first_hop(self, now: float, ask: Ask, told: int | Refused | Failed | None) -> None:
+    def first_hop(self, now: float, ask: ClientRequest, told: int | Refused | Failed | None) -> None:
         """A client's call has its end, or its client has left (None)."""
         ends = {Refused: "refused", Failed: "failed", type(None): "left"}
         self._event_log.tell(
@@ -70,18 +70,18 @@
             route=ask.route.name,
             service=ask.service,
             aim_ms=ask.route.aim_ms,
-            took_ms=round(now - ask.taken, 1),
+            took_ms=round(now - ask.received_ms, 1),
             end=told if isinstance(told, int) else ends[type(told)],
             tries="|".join(self._tries(now, ask)),
         )
 
-    def _tries(self, now: float, ask: Ask) -> Iterable[str]:
+    def _tries(self, now: float, ask: ClientRequest) -> Iterable[str]:
         """Each try as upstream, when it was sent (ms), how long it took, and its end; one that is still out
         has taken until now."""
-        for number, (instance, end, took) in enumerate(ask.tried[:MOST_TRIES]):
-            sent = ask.sent[number]
+        for number, (instance, end, took) in enumerate(ask.tries[:MOST_TRIES]):
+            sent = ask.sent_ms[number]
             took_ms = now - sent if end == "out" else took
-            yield f"{instance}/{sent - ask.taken:.1f}/{took_ms:.1f}/{end[:MOST_END]}"
+            yield f"{instance}/{sent - ask.received_ms:.1f}/{took_ms:.1f}/{end[:MOST_END]}"
 
     def second_hop(self, now: float, call: Call, came: float, began: float, end: End) -> None:
         """A call for the upstream beside this proxy has its end; ``began`` is 0 where it was never passed
--- a/mesh/data_plane/client_connection.py
+++ b/mesh/data_plane/client_connection.py
@@ -20,7 +20,7 @@
 from anisestair.http.frontend import ACCEPT_S, EXIT_S, READ_AHEAD, ClientConnection, Frontend, unread
 from mesh.admission.buffer_budget import SHORT, Reservation
 from mesh.configuration.limits import InputLimits
-from mesh.data_plane.call_messages import Octets
+from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.request_dispatch import OTHERS_S, RequestDispatcher
 
 AT_ONCE = 8  # requests of one connection that are in hand
@@ -83,7 +83,7 @@
 
     status: int
     headers: http.Headers
-    body: Octets
+    body: BodyBytes
 
 
 class Slot:
@@ -182,7 +182,7 @@
         last = self._slots[-1]
         return not last.closes and (route is None or not route.effectful)
 
-    def _say(self, slot: Slot, status: int, headers: http.Headers, body: Octets) -> None:
+    def _say(self, slot: Slot, status: int, headers: http.Headers, body: BodyBytes) -> None:
         if self.transport is None or slot.reply is not None:
             return
         slot.id, slot.reply = None, Response(status, headers, body)
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -12,25 +12,25 @@
 from mesh.admission.final_check import Why
 from mesh.data_plane.body_transfer import BodyTransfer
 from mesh.data_plane.call_messages import (
-    Arrived,
-    AskBack,
+    BodyAck,
+    BodyBytes,
+    BodyPiece,
     Call,
     CallHead,
     Drop,
     End,
-    Leaving,
-    Octets,
-    Passed,
-    Piece,
-    Returned,
-    TurnedAway,
+    GoAway,
+    InProgress,
+    NotExecuted,
+    StatusQuery,
     Unclear,
+    UpstreamResponse,
+    convert_from_first_hop,
     decode_from_first_hop,
     end_head,
-    from_first_hop,
     read_call,
 )
-from mesh.data_plane.call_state import SECOND, Event, State
+from mesh.data_plane.call_state import SECOND_HOP_TABLE, Event, State
 from mesh.data_plane.upstream_dispatch import OVER, Running, UpstreamDispatch
 from mesh.transport.body_pieces import PIECE_BYTES
 from mesh.transport.frames import MOST, RefusedBody
@@ -49,7 +49,7 @@
 
     def on(self, event: Event) -> None:
         """Takes an event that its state has a row for."""
-        self.state = SECOND[self.state, event]
+        self.state = SECOND_HOP_TABLE[self.state, event]
 
 
 class Incoming:
@@ -71,7 +71,7 @@
         self._sessions, self._session = sessions, session
         self._receiving: dict[int, Receiving] = {}
         self._running: dict[int, Running] = {}
-        self._sending: dict[int, Returned] = {}  # answers in pieces that are not written whole
+        self._sending: dict[int, UpstreamResponse] = {}  # answers in pieces that are not written whole
         self._loop = asyncio.get_running_loop()
         self._transfer = BodyTransfer(link, window)
         self._last = 0  # the highest number that has come over this link
@@ -81,18 +81,18 @@
     def frame(self, message: Any, body: bytes) -> None:
         """A `FirstHopMessage`, or the object of one right behind the greeting. Raises ValueError."""
         if isinstance(message, dict):
-            message = from_first_hop(message)
+            message = convert_from_first_hop(message)
         if self._left:
             return
         if isinstance(message, CallHead):
             self._called(message, body)
-        elif isinstance(message, Piece):
+        elif isinstance(message, BodyPiece):
             self._transfer.piece(message.number, body)
-        elif isinstance(message, Arrived):
+        elif isinstance(message, BodyAck):
             self._transfer.arrived(message)
         elif isinstance(message, Drop):
             self._dropped(message.number)
-        elif isinstance(message, AskBack) and self._session is not None:
+        elif isinstance(message, StatusQuery) and self._session is not None:
             self._asked(self._session, message.number, message.attempt)
 
     def _called(self, message: CallHead, body: bytes) -> None:
@@ -105,7 +105,7 @@
         hold = Reservation(self._upstream_dispatch.bodies)
         full = len(self._running) + len(self._receiving) >= self.MOST
         if full or isinstance(body, RefusedBody) or not hold.grow(message.size or len(body)):
-            self._end(number, TurnedAway(Why.FULL))
+            self._end(number, NotExecuted(Why.FULL))
             return
         kept: Kept[End] | None = None
         if session is not None and call.effectful:
@@ -118,13 +118,13 @@
             kept.run = (receiving, self)
         self._transfer.expect(number, message.size, hold, partial(self._whole, number))
 
-    def _whole(self, number: int, body: Octets, hold: Reservation) -> None:
+    def _whole(self, number: int, body: BodyBytes, hold: Reservation) -> None:
         """The last piece of a call's body has come."""
         receiving = self._receiving.pop(number)
         receiving.on(Event.WHOLE)
         call, kept = receiving.call, receiving.kept
         call.body = body
-        call.wait((self._loop.time() - receiving.began) * 1000.0)
+        call.charge_wait((self._loop.time() - receiving.began) * 1000.0)
         if kept is not None:
             kept.run = None
         self._begin(number, call, kept, hold)
@@ -153,32 +153,32 @@
         hold.release()
         here: Incoming | None = self if kept.run is None else kept.run[1]
         if self._session is not None and self._sessions is not None:
-            size = len(end.body) if isinstance(end, Returned) else 0
+            size = len(end.body) if isinstance(end, UpstreamResponse) else 0
             self._sessions.end(self._session, number, end, size, self._loop.time())
         if here is not None:
             here._end(number, end)
-        elif isinstance(end, Returned) and end.hold is not None:
-            end.hold.release()  # what is held for a question has a bound of its own
+        elif isinstance(end, UpstreamResponse) and end.reservation is not None:
+            end.reservation.release()  # what is held for a question has a bound of its own
 
     def _end(self, number: int, end: End) -> None:
         self._running.pop(number, None)
         self._link.owes -= 1
-        if isinstance(end, Returned) and len(end.body) > PIECE_BYTES and self._transfer.takes_pieces:
+        if isinstance(end, UpstreamResponse) and len(end.body) > PIECE_BYTES and self._transfer.takes_pieces:
             self._sending[number] = end
             self._link.send(end_head(number, end, in_pieces=True)[0])
             self._transfer.send(number, end.body, partial(self._written, number))
             return
-        if isinstance(end, Returned) and len(end.body) > MOST:
+        if isinstance(end, UpstreamResponse) and len(end.body) > MOST:
             end = Unclear(f"an answer of {len(end.body)} bytes is more than an earlier program takes")
         self._link.send(*end_head(number, end))
-        if isinstance(end, Returned) and end.hold is not None:
-            end.hold.release()
+        if isinstance(end, UpstreamResponse) and end.reservation is not None:
+            end.reservation.release()
 
     def _written(self, number: int) -> None:
         """The last piece of an answer has left, or nobody wants the rest."""
         end = self._sending.pop(number)
-        if end.hold is not None:
-            end.hold.release()
+        if end.reservation is not None:
+            end.reservation.release()
 
     def _dropped(self, number: int) -> None:
         self._transfer.cancel_sending(number)  # of an answer, also when all of it is written
@@ -215,7 +215,7 @@
                 before._leave(number)
             kept.run, self._running[number] = (running, self), running
             running.on(Event.ASKED_BACK)
-            self._link.send(Passed(number=number))
+            self._link.send(InProgress(number=number))
             return
         if kept is not None and kept.run is not None:  # it waits
             waiting, before = kept.run
@@ -226,7 +226,7 @@
                     before._leave(number)
                 self._drop(waiting, Event.ASKED_BACK)
         if verdict is Verdict.NO:
-            self._end(number, TurnedAway(Why.LOST))
+            self._end(number, NotExecuted(Why.LOST))
         elif verdict is Verdict.DONE and kept is not None and kept.end is not None:
             self._end(number, kept.end)
         else:
@@ -246,10 +246,10 @@
             self._withdraw(number, Event.GIVEN_UP)
             self._link.owes += 1  # for the word that comes now
             if kept is not None and self._session is not None and self._sessions is not None:
-                self._sessions.end(self._session, number, TurnedAway(Why.LEAVING), 0, self._loop.time())
-            self._end(number, TurnedAway(Why.LEAVING))
+                self._sessions.end(self._session, number, NotExecuted(Why.LEAVING), 0, self._loop.time())
+            self._end(number, NotExecuted(Why.LEAVING))
         self._left = True
-        self._link.send(Leaving(last=max(self._last, self._session.highest if self._session else 0)))
+        self._link.send(GoAway(last=max(self._last, self._session.highest if self._session else 0)))
 
     def _leave(self, number: int) -> None:
         """Its first hop waits for it over another link now."""
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -17,24 +17,24 @@
 from mesh.admission.final_check import Why
 from mesh.data_plane.body_transfer import BodyTransfer
 from mesh.data_plane.call_messages import (
-    Arrived,
-    AskBack,
+    BodyAck,
+    BodyBytes,
+    BodyPiece,
     Drop,
     End,
     EndHead,
+    GoAway,
     Greeting,
-    Leaving,
-    Life,
-    Octets,
-    Passed,
-    Piece,
+    GreetingReply,
+    InProgress,
+    NotExecuted,
     SecondHopMessage,
-    TurnedAway,
+    StatusQuery,
     Unclear,
     decode_from_second_hop,
     read_end,
 )
-from mesh.data_plane.call_state import FIRST, Event, Out, State, asked_for_ms, event_of
+from mesh.data_plane.call_state import FIRST_HOP_TABLE, Event, OutgoingCall, State, event_of, query_window_ms
 from mesh.data_plane.paced_turns import PacedTurns
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.event_log import events
@@ -54,7 +54,7 @@
 LIFE_S = 0.1  # effectful calls wait so long for the life of a second hop that has told none yet
 REFUSED_S = 0.3  # a connection that fails sooner was refused, or broke as it came up
 SENDING = State.SENDING  # members of an enumeration are found slowly
-AFTER_LINK_UP = FIRST[State.CHOSEN, Event.LINK_UP]
+AFTER_LINK_UP = FIRST_HOP_TABLE[State.CHOSEN, Event.LINK_UP]
 LEFT = "the other end has ended"
 ELSEWHERE = "its node has another address now, or is gone"
 
@@ -85,9 +85,9 @@
         self.life: str | None = None  # of the second hop, as it told last
         self.known = False  # it has told it on this link, or is taken for a program that tells none
         self.unproved = self.refused = 0  # links in a row that said nothing, that were refused
-        self.out: dict[int, Out] = {}  # on the link
-        self.asking: dict[int, Out] = {}  # to be asked after over the next link
-        self.waiting: list[Out] = []  # while it comes up
+        self.out: dict[int, OutgoingCall] = {}  # on the link
+        self.asking: dict[int, OutgoingCall] = {}  # to be asked after over the next link
+        self.waiting: list[OutgoingCall] = []  # while it comes up
         self.coming: asyncio.Task[None] | None = None
         self.not_before, self.pause = 0.0, AGAIN_S
         self.used = self.opened = 0.0
@@ -95,9 +95,9 @@
         self.left = False  # the node is elsewhere now, or gone
         self.leaving = False  # the other end of the link has said its last word
 
-    def send(self, out: Out) -> None:
+    def send(self, out: OutgoingCall) -> None:
         """Writes a call, or keeps it until the link is up, or turns it away."""
-        self.used = out.sent = self.passage.loop.time()
+        self.used = out.sent_s = self.passage.loop.time()
         if self._may_write(out):
             self._write(out)
         elif self.down or self.leaving:
@@ -109,7 +109,7 @@
             if self.coming is None and self.link is None:
                 self.open()
 
-    def _may_write(self, out: Out) -> bool:
+    def _may_write(self, out: OutgoingCall) -> bool:
         """What is effectful waits until it is known of whom it could be asked for, and a long body until it
         is known whether the other end takes pieces."""
         up = self.proved and not self.leaving and self.link is not None and self.link.up
@@ -120,10 +120,10 @@
         self.opened = self.passage.loop.time()
         self.coming = self.passage.loop.create_task(self._come_up())
 
-    def _turn_away(self, out: Out, why: Why = Why.DOWN) -> None:
+    def _turn_away(self, out: OutgoingCall, why: Why = Why.DOWN) -> None:
         """Nothing of it has left."""
-        if out.on(Event.LINK_DOWN):
-            out.ended(TurnedAway(why))
+        if out.apply(Event.LINK_DOWN):
+            out.on_end(NotExecuted(why))
 
     def _release(self) -> None:
         """Whoever still waits for the first link waits no more."""
@@ -140,7 +140,7 @@
             self.down = True
             self.passage.reached(self.node, False)
 
-    def _write(self, out: Out) -> None:
+    def _write(self, out: OutgoingCall) -> None:
         assert self.link is not None and self.transfer is not None
         body = out.call.body
         in_pieces = len(body) > PIECE_BYTES and self.transfer.takes_pieces
@@ -148,22 +148,22 @@
             self._turn_away(out, Why.FULL)  # an earlier program ends the link on such a frame
             return
         self.passage.count += 1  # over all links of this life, and never used again
-        out.number, out.sent = self.passage.count, self.passage.loop.time()
+        out.number, out.sent_s = self.passage.count, self.passage.loop.time()
         if not self.link.send(out.call.head(out.number, in_pieces), None if in_pieces else body):
             self._turn_away(out)
         elif not in_pieces:
             out.state = AFTER_LINK_UP
             self._expect(out)
         else:
-            out.on(Event.PARTLY_SENT)
+            out.apply(Event.PARTLY_SENT)
             self._expect(out)
             self.transfer.send(out.number, body, partial(self._sent_whole, out))
 
-    def _sent_whole(self, out: Out) -> None:
+    def _sent_whole(self, out: OutgoingCall) -> None:
         """The last piece of its body has left: from now on it may run."""
-        out.on(Event.WHOLE_SENT)
+        out.apply(Event.WHOLE_SENT)
 
-    def _expect(self, out: Out) -> None:
+    def _expect(self, out: OutgoingCall) -> None:
         assert self.link is not None
         self.out[out.number] = out
         self.link.expects += 1
@@ -174,7 +174,7 @@
         waiting, self.waiting = self.waiting, []
         for out in waiting:
             if self._may_write(out):
-                out.call.wait((self.passage.loop.time() - out.sent) * 1000.0)
+                out.call.charge_wait((self.passage.loop.time() - out.sent_s) * 1000.0)
                 self._write(out)
             elif self.link is not None and self.link.up:
                 self.waiting.append(out)
@@ -250,17 +250,17 @@
         try:
             if isinstance(message, EndHead):
                 self._end(link, self.transfer, message, body)
-            elif isinstance(message, Piece):
+            elif isinstance(message, BodyPiece):
                 self.transfer.piece(message.number, body)
-            elif isinstance(message, Arrived):
+            elif isinstance(message, BodyAck):
                 self.transfer.arrived(message)
-            elif isinstance(message, Passed):
+            elif isinstance(message, InProgress):
                 out = self.out.get(message.number)
-                if out is not None and out.on(Event.PASSED):
+                if out is not None and out.apply(Event.PASSED):
                     self._asked(out)
-            elif isinstance(message, Life):
+            elif isinstance(message, GreetingReply):
                 self._told(link, message)
-            elif isinstance(message, Leaving):
+            elif isinstance(message, GoAway):
                 self._left_alone(link, message)
         except ValueError as fault:
             link.close(f"unreadable {type(message).__name__}: {fault}")
@@ -284,44 +284,46 @@
         else:
             self._ended(link, out, read_end(message, body, hold))
 
-    def _left_alone(self, link: Link, message: Leaving) -> None:
+    def _left_alone(self, link: Link, message: GoAway) -> None:
         """The other end has taken its last call, and all its ends have come before this word. What was
         written behind that call has not run and never will. What was asked after may have come over an
         earlier link, and stays unclear."""
         self.leaving = True  # whoever is turned away may be sent again before this returns
         for number, out in list(self.out.items()):
             if number > message.last and out.state is not State.UNCLEAR:
-                self._ended(link, out, TurnedAway(Why.LEAVING))
+                self._ended(link, out, NotExecuted(Why.LEAVING))
         link.close(LEFT)
 
-    def _answered(self, link: Link, out: Out, message: EndHead, body: Octets, hold: Reservation) -> None:
+    def _answered(
+        self, link: Link, out: OutgoingCall, message: EndHead, body: BodyBytes, hold: Reservation
+    ) -> None:
         """The last piece of an answer has come."""
         self._ended(link, out, read_end(message, body, hold))
 
-    def _ended(self, link: Link, out: Out, end: End) -> None:
+    def _ended(self, link: Link, out: OutgoingCall, end: End) -> None:
         del self.out[out.number]
         link.expects -= 1
-        if out.asking is not None:
+        if out.query_timer is not None:
             self._asked(out)
-        state = FIRST.get((out.state, event_of(end)))
+        state = FIRST_HOP_TABLE.get((out.state, event_of(end)))
         if state is None:
             return
         self._stop_sending(out)
         out.state = state
-        out.ended(end)
+        out.on_end(end)
 
-    def _stop_sending(self, out: Out) -> None:
+    def _stop_sending(self, out: OutgoingCall) -> None:
         """Also where all of its body is written: who turned the call away confirms none of it."""
         if self.transfer is not None and len(out.call.body) > PIECE_BYTES:
             self.transfer.cancel_sending(out.number)
 
-    def _stop_receiving(self, out: Out) -> None:
+    def _stop_receiving(self, out: OutgoingCall) -> None:
         if self.transfer is not None:
             self.transfer.cancel_receiving(out.number)
 
     # After a loss
 
-    def _told(self, link: Link, message: Life) -> None:
+    def _told(self, link: Link, message: GreetingReply) -> None:
         """The second hop's life, once a link."""
         if self.link is not link or self.transfer is None:
             return
@@ -336,21 +338,21 @@
         for out in list(self.asking.values()):
             self.passage.turns.take(partial(self._ask, out), question=True)
 
-    def _ask(self, out: Out) -> None:
+    def _ask(self, out: OutgoingCall) -> None:
         link = self.link
         if link is None or not self.proved or out.number not in self.asking:
             return  # over the next link, or never
-        if out.life != self.life:
+        if out.peer_incarnation != self.life:
             self._unclear(out, "another life is there")
         elif self.asking.pop(out.number, None) is not None:
             self._expect(out)
-            link.send(AskBack(number=out.number, attempt=out.call.attempt))
+            link.send(StatusQuery(number=out.number, attempt=out.call.attempt))
 
-    def _asked(self, out: Out) -> None:
+    def _asked(self, out: OutgoingCall) -> None:
         """What became of it is known, or where it is."""
-        if out.asking is not None:
-            out.asking.cancel()
-            out.asking = None
+        if out.query_timer is not None:
+            out.query_timer.cancel()
+            out.query_timer = None
 
     def _lost(self, link: Link, why: str) -> None:
         if self.link is not link:
@@ -376,29 +378,29 @@
         if self.asking and self.coming is None and self.passage.loop.time() - self.opened > AGAIN_S:
             self.open()
 
-    def _cut(self, out: Out, why: str) -> None:
+    def _cut(self, out: OutgoingCall, why: str) -> None:
         """The link that it was out on is lost."""
         partly = out.state is SENDING
-        if not out.on(Event.LINK_LOST):
+        if not out.apply(Event.LINK_LOST):
             return
         if partly:  # the rest of its body never leaves
-            self.passage.turns.take(partial(out.ended, TurnedAway(Why.LOST)))
+            self.passage.turns.take(partial(out.on_end, NotExecuted(Why.LOST)))
         else:
             self._ask_back(out, why)
 
-    def _ask_back(self, out: Out, why: str) -> None:
+    def _ask_back(self, out: OutgoingCall, why: str) -> None:
         """A call whose link is lost: asked after over the next one where that can tell anything in time."""
-        now, out.life = self.passage.loop.time(), self.life
-        wait_ms = asked_for_ms(out.call, (now - out.sent) * 1000.0)
-        if self.left or out.life is None or wait_ms <= 0.0:
+        now, out.peer_incarnation = self.passage.loop.time(), self.life
+        wait_ms = query_window_ms(out.call, (now - out.sent_s) * 1000.0)
+        if self.left or out.peer_incarnation is None or wait_ms <= 0.0:
             self._asked(out)
             self.passage.turns.take(partial(self._unclear, out, why))
             return
         self.asking[out.number] = out
-        if out.asking is None:
-            out.asking = self.passage.loop.call_later(wait_ms / 1000.0, self._unclear, out, why)
+        if out.query_timer is None:
+            out.query_timer = self.passage.loop.call_later(wait_ms / 1000.0, self._unclear, out, why)
 
-    def _unclear(self, out: Out, why: str) -> None:
+    def _unclear(self, out: OutgoingCall, why: str) -> None:
         """Nothing more is done to learn what became of it."""
         self._asked(out)
         self.asking.pop(out.number, None)
@@ -406,12 +408,12 @@
             self.link.expects -= 1
             self._stop_sending(out)
             self._stop_receiving(out)
-        if out.on(Event.TIME_OVER):
-            out.ended(Unclear(why))
+        if out.apply(Event.TIME_OVER):
+            out.on_end(Unclear(why))
 
-    def drop(self, out: Out) -> None:
+    def drop(self, out: OutgoingCall) -> None:
         """Nobody waits for it any more."""
-        if not out.on(Event.GIVEN_UP):
+        if not out.apply(Event.GIVEN_UP):
             return
         self._asked(out)
         self.asking.pop(out.number, None)
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from mesh.admission.final_check import Why
-from mesh.data_plane.call_messages import Call, End, TurnedAway
-from mesh.data_plane.call_state import Out
+from mesh.data_plane.call_messages import Call, End, NotExecuted
+from mesh.data_plane.call_state import OutgoingCall
 from mesh.data_plane.paced_turns import PacedTurns
 from mesh.data_plane.peer_calls import Outgoing
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
@@ -37,15 +37,17 @@
         self._leaving: set[str] = set()  # known no more, with calls still out
         self.turns = PacedTurns(self.loop)  # of calls of lost links, over all links
 
-    def send(self, call: Call, node: str, address: Address | None, ended: Callable[[End], None]) -> Out:
+    def send(
+        self, call: Call, node: str, address: Address | None, ended: Callable[[End], None]
+    ) -> OutgoingCall:
         """``ended`` is called once, perhaps before this returns, unless the call is dropped."""
-        out = Out(call, ended)
+        out = OutgoingCall(call, ended)
         if node == self.node:
-            out.running = self.local.take(call, ended)
+            out.dispatched = self.local.take(call, ended)
             return out
         link = self._links.get(node)
         if address is None:
-            ended(TurnedAway(Why.DOWN))
+            ended(NotExecuted(Why.DOWN))
             return out
         self._leaving.discard(node)
         if link is None or link.address != address:
@@ -59,10 +61,10 @@
         link.send(out)
         return out
 
-    def drop(self, out: Out) -> None:
+    def drop(self, out: OutgoingCall) -> None:
         """Nobody waits for it any more."""
-        if out.running is not None:
-            self.local.drop(out.running)
+        if out.dispatched is not None:
+            self.local.drop(out.dispatched)
         elif out.link is not None:
             out.link.drop(out)
 
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -14,7 +14,7 @@
 from mesh.configuration.commands import INPUT_LIMITS, PLANT, ROUTE
 from mesh.configuration.limits import read_limits
 from mesh.configuration.routes import Routes
-from mesh.data_plane.call_messages import End, Life
+from mesh.data_plane.call_messages import End, GreetingReply
 from mesh.data_plane.client_connection import ClientListener
 from mesh.data_plane.control_contact import ControlContact
 from mesh.data_plane.incoming_calls import Incoming
@@ -401,7 +401,7 @@
             link.node = str(head.get("node", ""))
             self.incoming_links.add(link)
             if session is not None:
-                link.send(Life(life=self.life, window=WINDOW_BYTES))
+                link.send(GreetingReply(life=self.life, window=WINDOW_BYTES))
             self._hear_of(head.get("core"))
         elif head.get("t") == "hello" and head.get("for") == "news" and "source" in head and "node" in head:
             self.channels.adopt(link, head)
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -13,8 +13,8 @@
 from mesh.admission.repeat_runs import RepeatRuns
 from mesh.configuration.limits import InputLimits
 from mesh.configuration.routes import Route, pick
-from mesh.data_plane.call_messages import Octets, Returned
-from mesh.data_plane.call_state import Anew, Ask, Failed, Final, Refused, Served
+from mesh.data_plane.call_messages import BodyBytes, UpstreamResponse
+from mesh.data_plane.call_state import ClientRequest, ClientResult, Failed, Refused, RouteChanged, Served
 from mesh.data_plane.key_maps import KEY
 from mesh.data_plane.service_tables import Tables
 from mesh.data_plane.upstream_dispatch import OURS
@@ -24,7 +24,7 @@
 OTHERS_S = 0.2  # and where nothing better is known
 ID = re.compile(rb"[!-~]{1,128}")
 WHOLE = re.compile(rb"[0-9]{1,9}")
-Reply = Callable[[int, http.Headers, Octets], None]
+Reply = Callable[[int, http.Headers, BodyBytes], None]
 
 ONCE = frozenset({b"host", b"attempt-id", b"time-remaining", KEY})
 
@@ -61,7 +61,7 @@
         self.limits = InputLimits()  # a request keeps to those that hold when it begins
         self.closed = False  # at an end: there is no time left for what comes now
         self._count = 0
-        self._asks: dict[str, Ask] = {}
+        self._asks: dict[str, ClientRequest] = {}
 
     def now(self) -> float:
         return self.tables.now()
@@ -125,7 +125,7 @@
         key = read_key(message.get(KEY)) if self.tables.keys.divided(service) else None
         if key is not None:
             self.tables.keys.count(service, key)
-        ask = Ask(
+        ask = ClientRequest(
             id=number,
             route=route,
             service=service,
@@ -133,10 +133,10 @@
             headers=[item for item in message.end_to_end() if item[0] not in OURS],
             attempt=message.get(b"attempt-id") or "",
             caller=self.caller,
-            taken=taken,
+            received_ms=taken,
             deadline=taken + waits,
-            answer=lambda final: self._answer(reply, ask, final),
-            anyway=anyway,
+            reply=lambda final: self._answer(reply, ask, final),
+            accept_stale_route=anyway,
             repeat=left is not None and self.repeats.made(taken + float(left)),
             key=key,
         )
@@ -147,16 +147,16 @@
         table.take(ask)
         return ask.id if ask.id in self._asks else None
 
-    def _answer(self, reply: Reply, ask: Ask, final: Final) -> None:
+    def _answer(self, reply: Reply, ask: ClientRequest, final: ClientResult) -> None:
         self._asks.pop(ask.id, None)
-        if isinstance(final, Anew):
+        if isinstance(final, RouteChanged):
             route = self.route_of(ask.message)
             if route is None:
                 reply(HTTPStatus.NOT_FOUND, [], b"")
             else:
-                self._take(ask.id, route, ask.taken, ask.message, reply, anyway=True)
+                self._take(ask.id, route, ask.received_ms, ask.message, reply, anyway=True)
         elif isinstance(final, Served):
-            answer: Returned = final.answer
+            answer: UpstreamResponse = final.answer
             if answer.status in http.STATUS_LINES:
                 reply(answer.status, answer.headers, answer.body)
             else:
--- a/mesh/data_plane/service_balancers.py
+++ b/mesh/data_plane/service_balancers.py
@@ -14,8 +14,17 @@
 from mesh.admission.final_check import Why
 from mesh.admission.retry_budget import Budget
 from mesh.configuration.routes import Route
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway
-from mesh.data_plane.call_state import PROMISES, Anew, Ask, Failed, Final, Refused, Served, outcome_of
+from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
+from mesh.data_plane.call_state import (
+    NOT_EXECUTED_STATUSES,
+    ClientRequest,
+    ClientResult,
+    Failed,
+    Refused,
+    RouteChanged,
+    Served,
+    outcome_of,
+)
 from mesh.data_plane.keyed_balancer import KeyedBalancer
 from mesh.data_plane.route_classes import RouteClasses, worth_of
 from mesh.data_plane.service_parts import ServiceParts
@@ -42,7 +51,7 @@
         self.classes = RouteClasses()
         self.classes.take(first)
         self.balancer = self._balancer()
-        self.asks: dict[str, Ask] = {}
+        self.asks: dict[str, ClientRequest] = {}
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._entries: dict[str, api.ServerEntry] = {}
@@ -133,84 +142,84 @@
 
     # Requests
 
-    def take(self, ask: Ask) -> None:
+    def take(self, ask: ClientRequest) -> None:
         now = self.tables.now()
         self.budget.request(now)
         self.asks[ask.id] = ask
-        ask.guard = self.loop.call_at((ask.deadline + GUARD_MS) / 1000.0, self._overdue, ask)
+        ask.deadline_timer = self.loop.call_at((ask.deadline + GUARD_MS) / 1000.0, self._overdue, ask)
         klass = self._add(ask.route)
         self.handle(api.Request(ask.id, klass, ask.deadline))
 
-    def gone(self, ask: Ask) -> None:
+    def gone(self, ask: ClientRequest) -> None:
         """Its client has left."""
-        if not ask.over:
+        if not ask.finished:
             self._over(ask)
             self.tables.traces.ended(self.tables.now(), ask, None)
             self.handle(api.ClientGone(ask.id))
             self._cut(ask, Outcome.CANCELLED)
 
-    def give_up(self, ask: Ask) -> None:
+    def give_up(self, ask: ClientRequest) -> None:
         """This process ends. What an upstream is at work on, or may be, is left as it is: an answer of our
         own in the place of the upstream's would say more than is known."""
-        if any(out is not None and out.begun for out in ask.outs):
+        if any(out is not None and out.may_have_started for out in ask.outgoing):
             return
         withdrawn = self._withdraw(ask)
-        self._finish(ask, ask.final(False, 0.0))  # nothing is out any more
+        self._finish(ask, ask.client_result(False, 0.0))  # nothing is out any more
         self.handle(api.ClientGone(ask.id))
         self._tell_withdrawn(ask, withdrawn, Outcome.CANCELLED)
 
-    def _overdue(self, ask: Ask) -> None:
-        if not ask.over:
+    def _overdue(self, ask: ClientRequest) -> None:
+        if not ask.finished:
             final = Failed(True) if ask.may_have_run() else Refused(0.0)
             withdrawn = self._withdraw(ask)
             self._finish(ask, final)
             self.handle(api.ClientGone(ask.id))
             self._tell_withdrawn(ask, withdrawn, Outcome.TIMEOUT)
 
-    def _cut(self, ask: Ask, outcome: Outcome) -> None:
+    def _cut(self, ask: ClientRequest, outcome: Outcome) -> None:
         """Withdraws what is still out of a request that is over."""
         self._tell_withdrawn(ask, self._withdraw(ask), outcome)
 
-    def _withdraw(self, ask: Ask) -> list[int]:
+    def _withdraw(self, ask: ClientRequest) -> list[int]:
         """Attempts that were out and are dropped. Done before its client is told anything: the rest of a body
         that has not left whole must never leave, or what is refused could run."""
         numbers = []
-        for number, out in enumerate(ask.outs):
+        for number, out in enumerate(ask.outgoing):
             if out is not None:
-                ask.outs[number] = None
+                ask.outgoing[number] = None
                 self.tables.passage.drop(out)
                 numbers.append(number)
         return numbers
 
-    def _tell_withdrawn(self, ask: Ask, numbers: list[int], outcome: Outcome) -> None:
+    def _tell_withdrawn(self, ask: ClientRequest, numbers: list[int], outcome: Outcome) -> None:
         """The decisions hear of each end: they would count it as out, and its upstream as busy with it, for
         good."""
         now = self.tables.now()
         for number in numbers:
-            self.handle(api.AttemptEnded(ask.id, number, outcome, now - ask.sent[number], False))
+            self.handle(api.AttemptEnded(ask.id, number, outcome, now - ask.sent_ms[number], False))
 
-    def _over(self, ask: Ask) -> None:
-        ask.over = True
-        ask.last = None  # its memory goes with it, not with the next collection of cycles
-        if ask.guard is not None:
-            ask.guard.cancel()
+    def _over(self, ask: ClientRequest) -> None:
+        ask.finished = True
+        ask.last_error = None  # its memory goes with it, not with the next collection of cycles
+        if ask.deadline_timer is not None:
+            ask.deadline_timer.cancel()
         self.asks.pop(ask.id, None)
 
-    def _finish(self, ask: Ask, final: Final) -> None:
-        if not ask.over:
+    def _finish(self, ask: ClientRequest, final: ClientResult) -> None:
+        if not ask.finished:
             self._over(ask)
-            assert not isinstance(final, Anew)
+            assert not isinstance(final, RouteChanged)
             told = final.answer.status if isinstance(final, Served) else final
             self.tables.traces.ended(self.tables.now(), ask, told)
             self.tables.watch(ask, told)
-            ask.answer(final)
+            ask.reply(final)
 
-    def _anew(self, ask: Ask) -> None:
+    def _anew(self, ask: ClientRequest) -> None:
         """Nothing of it has run or is out; whoever took it does so once more, by the route as it is now."""
         self._over(ask)
         self.budget.withdraw(self.tables.now())
         self.handle(api.ClientGone(ask.id))
-        ask.answer(Anew())
+        ask.reply(RouteChanged())
 
     # The module: events in, actions out
 
@@ -254,7 +263,7 @@
                 return
             wait_ms = action.retry_after_ms if isinstance(action, api.Refuse) else 0.0
             late = self.tables.now() >= ask.deadline - 2.0
-            final, withdrawn = ask.final(late, wait_ms), self._withdraw(ask)
+            final, withdrawn = ask.client_result(late, wait_ms), self._withdraw(ask)
             self._finish(ask, final)
             self._tell_withdrawn(ask, withdrawn, Outcome.TIMEOUT if late else Outcome.CANCELLED)
 
@@ -268,14 +277,14 @@
             self._denied_told, self._denied_told_at = self.budget.denied, now
         return False
 
-    def _send(self, ask: Ask, instance: str) -> None:
+    def _send(self, ask: ClientRequest, instance: str) -> None:
         tables, now = self.tables, self.tables.now()
-        number = len(ask.outs)
-        ask.outs.append(None)
-        ask.sent.append(now)
-        ask.tried.append((instance, "out", 0.0))
-        if ask.arrived and (ask.arrived >= ask.route.trials or not self._may_retry(now)):
-            ask.tried[number] = (instance, "not sent: no budget for a further try", 0.0)
+        number = len(ask.outgoing)
+        ask.outgoing.append(None)
+        ask.sent_ms.append(now)
+        ask.tries.append((instance, "out", 0.0))
+        if ask.reached and (ask.reached >= ask.route.trials or not self._may_retry(now)):
+            ask.tries[number] = (instance, "not sent: no budget for a further try", 0.0)
             self.handle(api.AttemptEnded(ask.id, number, Outcome.MOOT, 0.0, False))
             return
         node = tables.node_of(instance)
@@ -289,19 +298,19 @@
             ask.caller,
             ask.deadline - now,
             rank=worth_of(ask.route) / max(ask.route.aim_ms, 1.0),
-            patience_ms=PATIENCE * ask.route.aim_ms - (now - ask.taken),
-            longer_ms=PATIENCE_OVER * ask.route.aim_ms - (now - ask.taken),
+            max_wait_ms=PATIENCE * ask.route.aim_ms - (now - ask.received_ms),
+            extended_wait_ms=PATIENCE_OVER * ask.route.aim_ms - (now - ask.received_ms),
             route=ask.route.name,
             version=ask.route.version,
-            age_ms=now - ask.taken,
-            anyway=ask.anyway,
+            age_ms=now - ask.received_ms,
+            accept_stale_route=ask.accept_stale_route,
             effectful=ask.route.effectful,
             aim_ms=ask.route.aim_ms,
-            repeat=ask.repeat or ask.arrived > 0,
+            repeat=ask.repeat or ask.reached > 0,
         )
         if ask.repeat and number == 0:
             self.budget.charge(now)
-        ask.arrived += 1
+        ask.reached += 1
         ended = False
 
         def end_with(end: End) -> None:
@@ -311,28 +320,28 @@
 
         out = tables.passage.send(call, node, tables.address_of(node), end_with)
         if not ended:  # it may have been turned away at once
-            ask.outs[number] = out
+            ask.outgoing[number] = out
 
-    def _ended(self, ask: Ask, number: int, end: End) -> None:
-        if ask.over:
+    def _ended(self, ask: ClientRequest, number: int, end: End) -> None:
+        if ask.finished:
             return
-        ask.outs[number] = None
-        latency = self.tables.now() - ask.sent[number]
-        ask.tried[number] = (ask.tried[number][0], words(end), latency)
+        ask.outgoing[number] = None
+        latency = self.tables.now() - ask.sent_ms[number]
+        ask.tries[number] = (ask.tries[number][0], words(end), latency)
         outcome = outcome_of(end)
         closed = outcome is Outcome.OK
         ask.unclear = ask.unclear or outcome not in NEVER_RAN and not closed
-        if isinstance(end, TurnedAway):
-            ask.arrived -= not end.arrived
-            if end.why is Why.OLD:
-                ask.anyway = True
-                self.tables.renew(end.newer)
-                if not ask.arrived and not ask.unclear:
+        if isinstance(end, NotExecuted):
+            ask.reached -= not end.reached_upstream
+            if end.reason is Why.OLD:
+                ask.accept_stale_route = True
+                self.tables.renew(end.newer_item)
+                if not ask.reached and not ask.unclear:
                     self._anew(ask)
                     return
-        elif isinstance(end, Returned):
+        elif isinstance(end, UpstreamResponse):
             if closed:
                 self._finish(ask, Served(end))
-            elif end.status not in PROMISES:
-                ask.last = end
+            elif end.status not in NOT_EXECUTED_STATUSES:
+                ask.last_error = end
         self.handle(api.AttemptEnded(ask.id, number, outcome, latency, closed))
--- a/mesh/data_plane/service_parts.py
+++ b/mesh/data_plane/service_parts.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from mesh.data_plane.call_state import Ask, Failed, Refused
+from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.key_maps import KeyMaps
 from mesh.data_plane.peer_links import Passage
 from mesh.data_plane.traces import FirstHop
@@ -30,7 +30,7 @@
     many_zones: bool
     keys: KeyMaps
     traces: FirstHop
-    watch: Callable[[Ask, int | Refused | Failed], None]
+    watch: Callable[[ClientRequest, int | Refused | Failed], None]
     renew: Callable[[list[Any] | None], None]
 
     def now(self) -> float:
--- a/mesh/data_plane/service_tables.py
+++ b/mesh/data_plane/service_tables.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from mesh.configuration.routes import Route
-from mesh.data_plane.call_state import Ask, Failed, Refused
+from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.key_maps import KeyMaps
 from mesh.data_plane.peer_links import Passage
 from mesh.data_plane.service_balancers import Table
@@ -51,7 +51,7 @@
         self.by_service: dict[str, Table] = {}
         self.keys = KeyMaps()
         self.traces = FirstHop()
-        self.watch: Callable[[Ask, int | Refused | Failed], None] = _pass_over  # each call's end
+        self.watch: Callable[[ClientRequest, int | Refused | Failed], None] = _pass_over  # each call's end
         self.renew: Callable[[list[Any] | None], None] = _pass_over  # a second hop knows a newer item
 
     def now(self) -> float:
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -10,7 +10,7 @@
 from mesh.configuration.commands import ROUTE
 from mesh.configuration.routes import Route, Routes, read_route
 from mesh.data_plane.call_messages import Call
-from mesh.data_plane.call_state import Ask, Failed, Refused
+from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.membership import Membership
 from mesh.dissemination.peers import Channels
 from mesh.dissemination.pull_exchange import pack as pack_item
@@ -147,11 +147,11 @@
 
     # Calls
 
-    def ended(self, ask: Ask, told: int | Refused | Failed) -> None:
+    def ended(self, ask: ClientRequest, told: int | Refused | Failed) -> None:
         """A client's call is over."""
         now, route = self._loop.time(), ask.route
         failed = not isinstance(told, int) or told >= 500
-        took = now * 1000.0 - ask.taken
+        took = now * 1000.0 - ask.received_ms
         watched = self.watch.ended(now, route.name, route.version, failed, took, route.aim_ms)
         if watched is None:
             return
--- a/mesh/data_plane/traces.py
+++ b/mesh/data_plane/traces.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
 
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway
-from mesh.data_plane.call_state import Ask, Failed, Refused, Try
+from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
+from mesh.data_plane.call_state import ClientRequest, Failed, Refused, Try
 
 KEPT = 400  # calls of each ring
 MOST_TRIES = 8  # of one call, the first; the others are only counted
@@ -48,15 +48,15 @@
 
 def words(end: End) -> str:
     """An end in few characters."""
-    if isinstance(end, Returned):
+    if isinstance(end, UpstreamResponse):
         return str(end.status)
-    if isinstance(end, TurnedAway):
+    if isinstance(end, NotExecuted):
         return (
-            f"turned away by the upstream: {end.why.value}"
-            if end.arrived
-            else f"turned away: {end.why.value}"
+            f"turned away by the upstream: {end.reason.value}"
+            if end.reached_upstream
+            else f"turned away: {end.reason.value}"
         )
-    return f"unclear: {end.why[:MOST_WORDS]}"
+    return f"unclear: {end.reason[:MOST_WORDS]}"
 
 
 class FirstHop:
@@ -64,16 +64,16 @@
 
     def __init__(self) -> None:
         self.plain, self.odd = Ring[First](), Ring[First]()
-        self.trace: Callable[[float, Ask, int | Refused | Failed | None], None] | None = None
+        self.trace: Callable[[float, ClientRequest, int | Refused | Failed | None], None] | None = None
 
-    def ended(self, now: float, ask: Ask, told: int | Refused | Failed | None) -> None:
+    def ended(self, now: float, ask: ClientRequest, told: int | Refused | Failed | None) -> None:
         """``told``: the status passed on, or what this sidecar said itself; None: the client left."""
-        tried, route = ask.tried, ask.route
+        tried, route = ask.tries, ask.route
         count = len(tried)
-        plain = count == 1 and isinstance(told, int) and told < 500 and now - ask.taken <= route.aim_ms
+        plain = count == 1 and isinstance(told, int) and told < 500 and now - ask.received_ms <= route.aim_ms
         (self.plain if plain else self.odd).add(
             (
-                *(ask.attempt, ask.taken, now, route.name, route.version, route.aim_ms, ask.service),
+                *(ask.attempt, ask.received_ms, now, route.name, route.version, route.aim_ms, ask.service),
                 *(tuple(tried[:MOST_TRIES]), count, told),
             )
         )
@@ -90,7 +90,7 @@
 
     def ended(self, now: float, call: Call, came: float, began: float, end: End) -> None:
         """``came`` and ``began``: when it came here, and was passed on (0: never)."""
-        plain = isinstance(end, Returned) and end.status < 500
+        plain = isinstance(end, UpstreamResponse) and end.status < 500
         (self.plain if plain else self.odd).add(
             (
                 *(call.attempt[:MOST_NAME], came, began, now),
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -22,8 +22,8 @@
 
 from anisestair.http import codec as http
 from mesh.admission.buffer_budget import Holding, Reservation
-from mesh.data_plane.call_messages import Octets
-from mesh.data_plane.call_state import CONNECTIONS, Event, State, own
+from mesh.data_plane.call_messages import BodyBytes
+from mesh.data_plane.call_state import CONNECTION_TABLE, Event, State, answers_call
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.transport.link import Address
@@ -40,8 +40,8 @@
 ID = b"attempt-id"
 # Members of an enumeration are found slowly, and these are asked for with every call.
 SENT = State.SENT
-AFTER_ASK = CONNECTIONS[State.IDLE, Event.ASK]
-AFTER_ANSWER = CONNECTIONS[SENT, Event.ANSWER]
+AFTER_ASK = CONNECTION_TABLE[State.IDLE, Event.ASK]
+AFTER_ANSWER = CONNECTION_TABLE[SENT, Event.ANSWER]
 
 
 class Answered(Struct, frozen=True):
@@ -129,7 +129,7 @@
 
     def on(self, event: Event) -> bool:
         """Takes the event; False where it has no effect in this state."""
-        state = CONNECTIONS.get((self.state, event))
+        state = CONNECTION_TABLE.get((self.state, event))
         if state is None:
             return False
         self.state = state
@@ -152,7 +152,7 @@
         )
 
     def ask(
-        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: Octets = b""
+        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: BodyBytes = b""
     ) -> None:
         """``body`` goes behind the payload."""
         assert self._transport is not None
@@ -211,7 +211,7 @@
             answered = answers.pop(0)
             answer = answered.message
             told = answer.get(ID)
-            if not own(self._id, told.encode("latin-1") if told is not None else None):
+            if not answers_call(self._id, told.encode("latin-1") if told is not None else None):
                 self.on(Event.STRAY)
                 self._passed_over += 1
                 self._tap.event_log.tell(events.WRONG_ANSWER, wanted=self._id.decode("latin-1"), got=told)
@@ -251,7 +251,7 @@
         self._coming = 0
 
     async def ask(
-        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: Octets = b""
+        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: BodyBytes = b""
     ) -> TapConnection | None:
         """Puts a call on a connection, ``body`` behind its payload; ``ended`` is called once with its
         outcome, unless it is dropped."""
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -14,8 +14,8 @@
 from mesh.admission.final_check import Passed, Turned, Why, judge, places
 from mesh.admission.repeat_runs import RepeatRuns
 from mesh.admission.wait_queue import Line, Lowest
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway, Unclear
-from mesh.data_plane.call_state import SECOND, Event, State, event_of
+from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
+from mesh.data_plane.call_state import SECOND_HOP_TABLE, Event, State, event_of
 from mesh.data_plane.traces import SecondHop
 from mesh.data_plane.upstream_connections import Answered, NotSent, Outcome, Tap, TapConnection
 from mesh.event_log import events
@@ -49,7 +49,7 @@
 
     def on(self, event: Event) -> bool:
         """Takes the event; False where it has no effect in this state."""
-        state = SECOND.get((self.state, event))
+        state = SECOND_HOP_TABLE.get((self.state, event))
         if state is None:
             return False
         self.state = state
@@ -91,27 +91,27 @@
     def take(self, call: Call, ended: Callable[[End], None]) -> Running | None:
         """``ended`` is called once, at once where the call is turned away, unless it is dropped."""
         now = self.now()
-        if call.route and not call.anyway and (newer := self.newer(call)) is not None:
-            end = TurnedAway(Why.OLD, newer=newer)
+        if call.route and not call.accept_stale_route and (newer := self.newer(call)) is not None:
+            end = NotExecuted(Why.OLD, newer_item=newer)
             self.traces.ended(now, call, now, 0.0, end)
             ended(end)
             return None
-        verdict = judge(now, self.upstream, call.instance, call.left_ms)
+        verdict = judge(now, self.upstream, call.instance, call.remaining_ms)
         if isinstance(verdict, Passed) and not self.holds(call):
             verdict = Turned(Why.OTHER)
         if isinstance(verdict, Turned):
-            self.traces.ended(now, call, now, 0.0, TurnedAway(verdict.why))
-            ended(TurnedAway(verdict.why))
+            self.traces.ended(now, call, now, 0.0, NotExecuted(verdict.why))
+            ended(NotExecuted(verdict.why))
             return None
         running = Running(call, ended, now)
         self.shares.came(now, call.rank)
         at_once, waiting = places(self.upstream)
-        patience = call.longer_ms if self.lowest.over(now, call.rank) else call.patience_ms
+        patience = call.extended_wait_ms if self.lowest.over(now, call.rank) else call.max_wait_ms
         if len(self.running) < at_once:
             self._start(running)
         elif patience <= 0.0:
-            self.traces.ended(now, call, now, 0.0, TurnedAway(Why.FULL))
-            ended(TurnedAway(Why.FULL))
+            self.traces.ended(now, call, now, 0.0, NotExecuted(Why.FULL))
+            ended(NotExecuted(Why.FULL))
             return None
         else:
             running.on(Event.NO_PLACE)
@@ -122,24 +122,24 @@
         return running
 
     def _start(self, running: Running) -> None:
-        running.state = SECOND[running.state, PLACE]
+        running.state = SECOND_HOP_TABLE[running.state, PLACE]
         if running.kept is not None:
             running.kept.waits = False
         call, running.began = running.call, self.now()
-        call.left_ms -= running.began - running.came
+        call.remaining_ms -= running.began - running.came
         self.running.add(running)
         if call.repeat:
-            self.repeats.began(running, running.began + call.left_ms)
+            self.repeats.began(running, running.began + call.remaining_ms)
         self.shares.passed(call.rank)
-        running.expiry = self._loop.call_later(call.left_ms / 1000.0 + LATE_S, self._expire, running)
+        running.expiry = self._loop.call_later(call.remaining_ms / 1000.0 + LATE_S, self._expire, running)
         running.task = task = self._loop.create_task(self._pass(running))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def _turn_away(self, running: Running, why: Why) -> None:
         if running.on(Event.TURNED_AWAY):
-            self.traces.ended(self.now(), running.call, running.came, 0.0, TurnedAway(why))
-            running.ended(TurnedAway(why))
+            self.traces.ended(self.now(), running.call, running.came, 0.0, NotExecuted(why))
+            running.ended(NotExecuted(why))
 
     def _next(self) -> None:
         """Places that are free go to those that wait."""
@@ -148,7 +148,7 @@
             assert isinstance(running, Running)
             call = running.call
             verdict = judge(
-                self.now(), self.upstream, call.instance, call.left_ms - self.now() + running.came
+                self.now(), self.upstream, call.instance, call.remaining_ms - self.now() + running.came
             )
             if isinstance(verdict, Turned):
                 self._turn_away(running, verdict.why)
@@ -192,7 +192,7 @@
         headers = [item for item in call.headers if item[0] not in OURS]
         headers += [
             (b"attempt-id", call.attempt.encode("latin-1")),
-            (b"time-remaining", b"%d" % max(int(call.left_ms), 1)),
+            (b"time-remaining", b"%d" % max(int(call.remaining_ms), 1)),
             (b"target-instance", call.instance.encode("latin-1")),
             (b"calling-service", call.caller.encode("latin-1")),
         ]
@@ -225,7 +225,7 @@
             self._next()
 
     def _tell(self, running: Running, end: End, event: Event | None = None) -> None:
-        state = SECOND.get((running.state, event_of(end) if event is None else event))
+        state = SECOND_HOP_TABLE.get((running.state, event_of(end) if event is None else event))
         if state is not None:
             running.state = state
             self._forget(running)
@@ -238,7 +238,7 @@
         if isinstance(outcome, NotSent):
             if outcome.refused:
                 self._publish(self.upstream.refused(self.now()))
-            self._tell(running, TurnedAway(Why.DOWN if outcome.refused else Why.FULL))
+            self._tell(running, NotExecuted(Why.DOWN if outcome.refused else Why.FULL))
             return
         if not isinstance(outcome, Answered):
             self._event_log.tell(events.UNCLEAR, attempt=running.call.attempt, why=outcome.why)
@@ -247,15 +247,15 @@
         message = outcome.message
         self._note_load(message.get(b"plant-load"))
         if message.status == 421:
-            self._tell(running, TurnedAway(Why.OTHER, arrived=True))
+            self._tell(running, NotExecuted(Why.OTHER, reached_upstream=True))
         elif message.get(b"not-executed") is not None:
-            self._tell(running, TurnedAway(Why.FULL, arrived=True))
+            self._tell(running, NotExecuted(Why.FULL, reached_upstream=True))
         elif 200 <= message.status < 300 and not self._sealed(running, message):
             # Bytes that look like a success and are not the upstream's.
             self._tell(running, Unclear("a success without its seal or id"))
         else:
             headers = [item for item in message.end_to_end() if item[0] not in TELLING]
-            self._tell(running, Returned(message.status, headers, message.body, True, outcome.hold))
+            self._tell(running, UpstreamResponse(message.status, headers, message.body, True, outcome.hold))
 
     def _sealed(self, running: Running, message: http.Message) -> bool:
         return bool(message.get(b"response-seal")) and message.get(b"attempt-id") == running.call.attempt
--- a/rigs/answer_world.py
+++ b/rigs/answer_world.py
@@ -13,7 +13,7 @@
 
 from anisestair.http import codec as http
 from mesh.configuration.routes import Route
-from mesh.data_plane.call_messages import Octets
+from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.upstream_connections import Answered, Outcome
 from rigs.call_world import READ, TROUBLES, WRITE, Asked, CallWorld, Tap, Work, token_of
 from simulation.mesh.wire import End
@@ -39,7 +39,7 @@
     """Stands in for the connections to an upstream that gives the world's answers in turn."""
 
     async def ask(
-        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: Octets = b""
+        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: BodyBytes = b""
     ) -> Work | None:
         """Begins the request unless the answer says that it did not, and ends it with that answer."""
         world = self.world
--- a/rigs/call_hosts.py
+++ b/rigs/call_hosts.py
@@ -12,18 +12,18 @@
 from mesh.admission.final_check import Why
 from mesh.data_plane import call_messages
 from mesh.data_plane import call_state as table
-from mesh.data_plane.call_state import Ask, Event, Failed, Refused, State, event_of, outcome_of
+from mesh.data_plane.call_state import ClientRequest, Event, Failed, Refused, State, event_of, outcome_of
 from statecheck.model import State as Whole
 
-NO, UNCLEAR = call_messages.TurnedAway(Why.LOST), call_messages.Unclear("lost")
-FULL = call_messages.TurnedAway(Why.FULL)
+NO, UNCLEAR = call_messages.NotExecuted(Why.LOST), call_messages.Unclear("lost")
+FULL = call_messages.NotExecuted(Why.FULL)
 TRIES = 2
 OVER = frozenset({State.ENDED, State.WITHDRAWN})
 
 
-def answer(call: int) -> call_messages.Returned:
+def answer(call: int) -> call_messages.UpstreamResponse:
     """Of the upstream to that call; its body says whose it is."""
-    return call_messages.Returned(200, cast(Any, ()), b"%d" % call, True)
+    return call_messages.UpstreamResponse(200, cast(Any, ()), b"%d" % call, True)
 
 
 class Attempt(NamedTuple):
@@ -172,7 +172,7 @@
         return tries[at]
 
     def on(self, call: int, at: int, event: Event) -> bool:
-        state = table.FIRST.get((self.calls[call].tries[at].state, event))
+        state = table.FIRST_HOP_TABLE.get((self.calls[call].tries[at].state, event))
         if state is not None:
             self.attempt(call, at, state=state)
         return state is not None
@@ -193,7 +193,7 @@
         outcome = outcome_of(end)
         self.attempt(call, at, outcome=outcome)
         if outcome is Outcome.OK and self.calls[call].told == "open":
-            assert isinstance(end, call_messages.Returned)
+            assert isinstance(end, call_messages.UpstreamResponse)
             self.tell(call, "served " + end.body.decode())
 
     def tell(self, call: int, words: str) -> None:
@@ -225,13 +225,13 @@
         """Its client is answered now, whatever is out."""
         one = self.calls[call]
         nothing = cast(Any, None)
-        ask = Ask("", nothing, "", nothing, [], "", "", 0.0, 0.0, lambda final: None)
-        ask.outs = [cast(Any, item) if item.state not in OVER else None for item in one.tries]
+        ask = ClientRequest("", nothing, "", nothing, [], "", "", 0.0, 0.0, lambda final: None)
+        ask.outgoing = [cast(Any, item) if item.state not in OVER else None for item in one.tries]
         ask.unclear = any(
             item.outcome is not None and item.outcome not in NEVER_RAN and item.outcome is not Outcome.OK
             for item in one.tries
         )
-        final = ask.final(False, 0.0)
+        final = ask.client_result(False, 0.0)
         assert isinstance(final, Refused | Failed)
         self.cut(call)
         self.tell(call, "503" if isinstance(final, Refused) else "502")
@@ -299,7 +299,7 @@
             for number, call, waits, done, end in entries:
                 session.calls[number] = Kept(self.size.ids[call], call, waits, end, done)
                 if done:
-                    size = len(end.body) if isinstance(end, call_messages.Returned) else 0
+                    size = len(end.body) if isinstance(end, call_messages.UpstreamResponse) else 0
                     book._ends.append((0.0, session, number, size))
                     book.bytes += size
             book.by_life[life] = session
@@ -375,7 +375,7 @@
             if session.take(number):
                 session.calls[number] = Kept(self.size.ids[frame[2]], frame[2])
                 calls[life, number] = frame[2]
-                waiting = table.SECOND[State.READ, Event.NO_PLACE]
+                waiting = table.SECOND_HOP_TABLE[State.READ, Event.NO_PLACE]
                 run = Run(life, number, frame[2], waiting, link.id)
                 self.seconds[link.second] = self.seconds[link.second]._replace(
                     runs=(*self.seconds[link.second].runs, run)
@@ -410,7 +410,7 @@
 
     def withdraw(self, second: int, at: int, event: Event) -> None:
         run = self.seconds[second].runs[at]
-        if table.SECOND.get((run.state, event)) is State.WITHDRAWN:
+        if table.SECOND_HOP_TABLE.get((run.state, event)) is State.WITHDRAWN:
             self.end_run(second, at)
 
     def unmet(self, link: Link) -> None:
@@ -431,13 +431,13 @@
     def over(self, second: int, at: int, end: call_messages.End) -> None:
         """A run has its end there."""
         run = self.seconds[second].runs[at]
-        if (run.state, event_of(end)) not in table.SECOND:
+        if (run.state, event_of(end)) not in table.SECOND_HOP_TABLE:
             return
         self.end_run(second, at)
         book, calls = self.book(second), self.owners(second)
         session = book.by_life[cast(str, run.life)]
         if run.number in session.calls:
-            size = len(end.body) if isinstance(end, call_messages.Returned) else 0
+            size = len(end.body) if isinstance(end, call_messages.UpstreamResponse) else 0
             book.end(session, run.number, end, size, 0.0)
         self.shelve(second, book, calls)
         if run.link:
@@ -447,7 +447,7 @@
         """It goes on to the upstream, on the idle connection where that may be."""
         there = self.seconds[second]
         run = there.runs[at]
-        state = table.SECOND.get((run.state, Event.PLACE))
+        state = table.SECOND_HOP_TABLE.get((run.state, Event.PLACE))
         if state is None:
             return
         if run.link == 0:
@@ -476,12 +476,12 @@
         run = there.runs[at]
         order = [*run.strays, run.call, *([run.call] if twice and together else [])]
         wanted = self.size.ids[run.call].encode()
-        mine = (at for at, one in enumerate(order) if table.own(wanted, self.size.ids[one].encode()))
+        mine = (at for at, one in enumerate(order) if table.answers_call(wanted, self.size.ids[one].encode()))
         found = next(mine, None)
         if found is None:
             return
         alone = found == len(order) - 1
-        state = table.CONNECTIONS[State.SENT, Event.ANSWER if alone else Event.CROWDED]
+        state = table.CONNECTION_TABLE[State.SENT, Event.ANSWER if alone else Event.CROWDED]
         if state is State.IDLE and there.idle is None:
             rest: tuple[int, ...] = (run.call,) if twice and not together else ()
             self.seconds[second] = there._replace(idle=rest)
--- a/rigs/call_model.py
+++ b/rigs/call_model.py
@@ -149,7 +149,7 @@
         life, count = world.firsts[first]
         world.firsts[first] = (life, count + 1)
         one = world.calls[call]
-        state = table.FIRST[State.CHOSEN, Event.LINK_UP]
+        state = table.FIRST_HOP_TABLE[State.CHOSEN, Event.LINK_UP]
         tries = (*one.tries, Attempt(count + 1, second, state, 0))
         world.calls[call] = one._replace(tries=tries)
         link = world.up(first, second)
@@ -231,7 +231,7 @@
         world.over(second, at, call_messages.Unclear("the connection ended"))
 
     def _stray_seen(self, world: World, second: int) -> None:
-        assert table.CONNECTIONS[State.IDLE, Event.STRAY] is State.CLOSED
+        assert table.CONNECTION_TABLE[State.IDLE, Event.STRAY] is State.CLOSED
         world.seconds[second] = world.seconds[second]._replace(idle=None)
 
     def _forget(self, world: World, second: int) -> None:
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -21,7 +21,7 @@
 
 from anisestair.http import codec as http
 from mesh.configuration.routes import Route
-from mesh.data_plane.call_messages import Octets
+from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.peer_calls import Outgoing
 from mesh.data_plane.upstream_connections import Answered, Broken, NotSent, Outcome
 from mesh.transport.body_pieces import PIECE_BYTES
@@ -66,7 +66,7 @@
         return self.route.effectful
 
 
-def token_of(body: Octets) -> str:
+def token_of(body: BodyBytes) -> str:
     """Whose body it is, a request's or one that an answer repeats."""
     return bytes(body).partition(PAD)[0].decode()
 
@@ -93,7 +93,7 @@
         self.world, self.machine, self.most = world, machine, 100
 
     async def ask(
-        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: Octets = b""
+        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: BodyBytes = b""
     ) -> Work | None:
         world, draw = self.world, self.world.draw
         chance = draw.random() if world.fails else 1.0
@@ -248,7 +248,7 @@
             one.asked = one.asked.ljust(LONG, PAD)
         message = http.Message(method=b"POST", target=target, headers=headers, body=one.asked)
 
-        def reply(status: int, headers: http.Headers, body: Octets) -> None:
+        def reply(status: int, headers: http.Headers, body: BodyBytes) -> None:
             one.got.append(status)
             one.headers, one.body, one.answered_at = headers, bytes(body), self.loop.time()
 
--- a/rigs/lost_links/hop.py
+++ b/rigs/lost_links/hop.py
@@ -20,7 +20,7 @@
 from mesh.admission.final_check import Why
 from mesh.control_plane.program import Controller
 from mesh.data_plane import client_connection, peer_calls, upstream_connections, upstream_dispatch
-from mesh.data_plane.call_messages import TurnedAway
+from mesh.data_plane.call_messages import NotExecuted
 from mesh.data_plane.program import Proxy
 from mesh.runtime.startup import run
 from rigs.relayed_process import listen_at, replace
@@ -48,7 +48,7 @@
 
 def _without_ids() -> Replaced:
     """Whatever comes on a connection is the answer to the call on it."""
-    return [(upstream_connections, "own", lambda wanted, told: True), *_without_seal()]
+    return [(upstream_connections, "answers_call", lambda wanted, told: True), *_without_seal()]
 
 
 def _without_seal() -> Replaced:
@@ -57,11 +57,11 @@
 
 def _without_unclear() -> Replaced:
     """A lost call counts as one that never left."""
-    return [(peer_calls, "Unclear", lambda why: TurnedAway(Why.LOST)), *_without_ask_back()]
+    return [(peer_calls, "Unclear", lambda why: NotExecuted(Why.LOST)), *_without_ask_back()]
 
 
 def _without_ask_back() -> Replaced:
-    return [(peer_calls, "asked_for_ms", lambda call, since_ms: 0.0)]
+    return [(peer_calls, "query_window_ms", lambda call, since_ms: 0.0)]
 
 
 def _without_order() -> Replaced:
--- a/rigs/shutdown_world/judgement.py
+++ b/rigs/shutdown_world/judgement.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from mesh.data_plane.call_state import PROMISES
+from mesh.data_plane.call_state import NOT_EXECUTED_STATUSES
 from rigs.shutdown_world.client import BEHIND, CUT, Sent
 from rigs.shutdown_world.plan import GRACE_S
 
@@ -35,7 +35,7 @@
     """The rules that it shows as broken. ``term_at``: of the sidecar that took it, seconds of the loop."""
     if request.effectful and run.count > 1:
         yield Finding("TWICE", request.attempt, f"ran {run.count} times")
-    if request.status in PROMISES and run.count and request.effectful:
+    if request.status in NOT_EXECUTED_STATUSES and run.count and request.effectful:
         yield Finding("REFUSED", request.attempt, f"{request.status}, and it ran")
     told = _lost(request, run, request.at - term_at, term_at)
     if told:
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -18,7 +18,7 @@
 from msgspec.structs import replace
 
 from anisestair.http import codec as http
-from mesh.data_plane.call_state import PROMISES
+from mesh.data_plane.call_state import NOT_EXECUTED_STATUSES
 from mesh.data_plane.membership import INSTANCE, NODE
 from mesh.data_plane.program import Proxy
 from mesh.data_plane.request_dispatch import Reply
@@ -224,8 +224,8 @@
                 result.excused += excused(request, run, self.term_at)
             elif status is not None and status > 0:
                 result.answered += status == 200
-                result.refused += status in PROMISES
-                result.failed += status != 200 and status not in PROMISES
+                result.refused += status in NOT_EXECUTED_STATUSES
+                result.failed += status != 200 and status not in NOT_EXECUTED_STATUSES
         return result
 
     def _run(self, request: Sent) -> Run:
--- a/rigs/soak/request_ledger.py
+++ b/rigs/soak/request_ledger.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from mesh.data_plane.call_state import PROMISES
+from mesh.data_plane.call_state import NOT_EXECUTED_STATUSES
 from rigs.shutdown_world.judgement import EXCUSED_S, LAST_SIXTH
 from rigs.soak.configuration_ledger import Finding, Request
 from rigs.soak.contact import ContactRecord
@@ -101,7 +101,7 @@
         runs = self.runs.get(attempt, [])
         if one.effectful and len(runs) > 1:
             self._find("TWICE", one.at, f"{attempt} ran {len(runs)} times: {runs}")
-        if one.effectful and one.outcome in PROMISES and runs:
+        if one.effectful and one.outcome in NOT_EXECUTED_STATUSES and runs:
             self._find("REFUSED", one.at, f"{attempt} was told {one.outcome} and ran: {runs}")
         if one.outcome == 200 and not (one.whole and runs):
             self._find(
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -7,7 +7,7 @@
 
 from mesh.admission.final_check import Why
 from mesh.configuration.routes import read_route
-from mesh.data_plane.call_messages import Call, End, TurnedAway
+from mesh.data_plane.call_messages import Call, End, NotExecuted
 from mesh.data_plane.staged_routes import Stages
 from mesh.data_plane.upstream_dispatch import Running, UpstreamDispatch
 from mesh.rollout import bounds as rollout_bounds
@@ -94,9 +94,9 @@
     real = UpstreamDispatch.take
 
     def take(self: UpstreamDispatch, call: Call, ended: Callable[[End], None]) -> Running | None:
-        if call.anyway:
+        if call.accept_stale_route:
             return real(self, call, ended)
-        return real(self, call, lambda end: ended(TurnedAway(Why.OLD)))
+        return real(self, call, lambda end: ended(NotExecuted(Why.OLD)))
 
     patch.setattr(UpstreamDispatch, "take", take)
 
--- a/tests/mesh/test_answer_world.py
+++ b/tests/mesh/test_answer_world.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from mesh.data_plane import request_dispatch, service_balancers
-from mesh.data_plane.call_messages import End, Returned, TurnedAway, Unclear
-from mesh.data_plane.call_state import Ask, Final, Served
+from mesh.data_plane.call_messages import End, NotExecuted, Unclear, UpstreamResponse
+from mesh.data_plane.call_state import ClientRequest, ClientResult, Served
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from rigs.answer_world import AnswerWorld, UpstreamAnswer
 from rigs.call_world import TROUBLES
@@ -56,7 +56,7 @@
 def passes_headers_on_with_a_status_of_its_own(patch: Patch) -> None:
     real = request_dispatch.RequestDispatcher._answer
 
-    def answer(self: Any, reply: Any, ask: Ask, final: Final) -> None:
+    def answer(self: Any, reply: Any, ask: ClientRequest, final: ClientResult) -> None:
         if isinstance(final, Served) and final.answer.status == 520:
             self._asks.pop(ask.id, None)
             reply(502, final.answer.headers, final.answer.body)
@@ -75,39 +75,43 @@
 
 
 def gives_the_second_answer_the_status_of_the_first(patch: Patch) -> None:
-    def final(self: Ask, late: bool, retry_after_ms: float) -> Final:
-        if self.last is not None:
-            return Served(Returned(500, self.last.headers, self.last.body, True))
-        return FINAL(self, late, retry_after_ms)
+    def final(self: ClientRequest, late: bool, retry_after_ms: float) -> ClientResult:
+        if self.last_error is not None:
+            return Served(UpstreamResponse(500, self.last_error.headers, self.last_error.body, True))
+        return CLIENT_RESULT(self, late, retry_after_ms)
 
-    patch.setattr(Ask, "final", final)
+    patch.setattr(ClientRequest, "client_result", final)
 
 
 def counts_no_run_whose_end_is_unclear(patch: Patch) -> None:
-    def ended(self: Any, ask: Ask, number: int, end: End) -> None:
-        ask.arrived -= isinstance(end, Unclear)
+    def ended(self: Any, ask: ClientRequest, number: int, end: End) -> None:
+        ask.reached -= isinstance(end, Unclear)
         ENDED(self, ask, number, end)
 
     patch.setattr(service_balancers.Table, "_ended", ended)
 
 
 def counts_no_run_that_failed(patch: Patch) -> None:
-    def ended(self: Any, ask: Ask, number: int, end: End) -> None:
-        ask.arrived -= not isinstance(end, TurnedAway) and not ask.over
+    def ended(self: Any, ask: ClientRequest, number: int, end: End) -> None:
+        ask.reached -= not isinstance(end, NotExecuted) and not ask.finished
         ENDED(self, ask, number, end)
 
     patch.setattr(service_balancers.Table, "_ended", ended)
 
 
 def holds_a_request_for_as_long_as_its_client_waits(patch: Patch) -> None:
-    def take(self: Any, ask: Ask) -> None:
-        ask.deadline = ask.taken + float(ask.message.get(b"time-remaining") or 0.0)
+    def take(self: Any, ask: ClientRequest) -> None:
+        ask.deadline = ask.received_ms + float(ask.message.get(b"time-remaining") or 0.0)
         TAKE(self, ask)
 
     patch.setattr(service_balancers.Table, "take", take)
 
 
-FINAL, ENDED, TAKE = Ask.final, service_balancers.Table._ended, service_balancers.Table.take
+CLIENT_RESULT, ENDED, TAKE = (
+    ClientRequest.client_result,
+    service_balancers.Table._ended,
+    service_balancers.Table.take,
+)
 SEEDED: list[tuple[Callable[[Patch], None], str]] = [
     (passes_headers_on_with_a_status_of_its_own, "seal"),
     (passes_any_status_on, "status"),
--- a/tests/mesh/test_call_model.py
+++ b/tests/mesh/test_call_model.py
@@ -11,7 +11,7 @@
 from hareloom.interface import Outcome
 from mesh.admission.call_sessions import Kept, Session, Verdict
 from mesh.data_plane import call_state as table
-from mesh.data_plane.call_state import Ask, Event, State
+from mesh.data_plane.call_state import ClientRequest, Event, State
 from rigs import call_hosts
 from rigs.call_hosts import UNCLEAR, World
 from rigs.call_model import SIZES, Calls
@@ -97,7 +97,7 @@
 
 
 def promises_what_is_out(patch: Patch) -> None:
-    patch.setattr(Ask, "may_have_run", lambda self: self.unclear)
+    patch.setattr(ClientRequest, "may_have_run", lambda self: self.unclear)
 
 
 def sends_again_what_may_have_run(patch: Patch) -> None:
@@ -107,7 +107,7 @@
 
 
 def any_answer_will_do(patch: Patch) -> None:
-    patch.setattr(table, "own", lambda wanted, told: True)
+    patch.setattr(table, "answers_call", lambda wanted, told: True)
 
 
 def uses_a_connection_for_an_id_again(patch: Patch) -> None:
@@ -137,8 +137,8 @@
 
 def an_end_ends_twice(patch: Patch) -> None:
     """What is passed on is placed once more when it is asked back."""
-    changed = {**table.SECOND, (State.PASSED_ON, Event.PLACE): State.PASSED_ON}
-    patch.setattr(table, "SECOND", changed)
+    changed = {**table.SECOND_HOP_TABLE, (State.PASSED_ON, Event.PLACE): State.PASSED_ON}
+    patch.setattr(table, "SECOND_HOP_TABLE", changed)
     real = World.asked
 
     def asked(self: World, link: Any, book: Any, session: Any, number: int, attempt: str) -> None:
--- a/tests/mesh/test_call_world.py
+++ b/tests/mesh/test_call_world.py
@@ -11,8 +11,8 @@
 from mesh.admission.call_sessions import Session, Verdict
 from mesh.admission.final_check import Why
 from mesh.data_plane import service_balancers
-from mesh.data_plane.call_messages import TurnedAway, Unclear
-from mesh.data_plane.call_state import Ask, outcome_of
+from mesh.data_plane.call_messages import NotExecuted, Unclear
+from mesh.data_plane.call_state import ClientRequest, outcome_of
 from mesh.data_plane.peer_calls import Outgoing
 from rigs.call_world import QUIET_S, TROUBLES, CallWorld
 from simulation.mesh.seeds import Patch
@@ -143,7 +143,7 @@
 
 
 def promises_what_is_out(patch: Patch) -> None:
-    patch.setattr(Ask, "may_have_run", lambda self: self.unclear)
+    patch.setattr(ClientRequest, "may_have_run", lambda self: self.unclear)
 
 
 def takes_unclear_for_never_sent(patch: Patch) -> None:
@@ -157,7 +157,7 @@
     def lost(self: Outgoing, link: Any, why: str) -> None:
         out, self.out = self.out, {}
         for one in out.values():
-            one.ended(TurnedAway(Why.DOWN))
+            one.on_end(NotExecuted(Why.DOWN))
         self.link, self.proved = None, False
         self._again()
 
--- a/tests/mesh/test_calls_table.py
+++ b/tests/mesh/test_calls_table.py
@@ -9,22 +9,22 @@
 
 from hareloom.interface import NEVER_RAN
 from mesh.admission.final_check import Why
-from mesh.data_plane.call_messages import Call, Returned, TurnedAway, Unclear
+from mesh.data_plane.call_messages import Call, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.call_state import (
     EDGES,
-    FIRST,
-    OPEN,
-    OWN,
-    PROMISE,
-    SECOND,
-    Certain,
+    FIRST_HOP_TABLE,
+    NOT_EXECUTED,
+    PENDING,
+    SECOND_HOP_TABLE,
+    UPSTREAM_RESPONSE,
     Event,
+    ExecutionStatus,
     Hop,
     State,
-    asked_for_ms,
+    answers_call,
     event_of,
     outcome_of,
-    own,
+    query_window_ms,
 )
 
 ROOT = Path(__file__).parents[2]
@@ -42,8 +42,8 @@
     ]
     assert rows[2:] == [
         [
-            *(edge.hop.value, words(edge.state.name), words(edge.event.name), words(edge.to.name)),
-            *(edge.certain.value, edge.told, f"`{edge.keeper}`"),
+            *(edge.hop.value, words(edge.state.name), words(edge.event.name), words(edge.next_state.name)),
+            *(edge.execution.value, edge.client_result, f"`{edge.handler}`"),
         ]
         for edge in EDGES
     ]
@@ -51,8 +51,8 @@
 
 def test_each_edge_has_a_keeper_that_is_there() -> None:
     for edge in EDGES:
-        path, _, name = edge.keeper.partition(":")
-        assert name in names(ROOT / "mesh" / path), edge.keeper
+        path, _, name = edge.handler.partition(":")
+        assert name in names(ROOT / "mesh" / path), edge.handler
 
 
 def test_no_event_has_two_edges_in_one_state() -> None:
@@ -62,14 +62,14 @@
 
 def test_a_promise_is_made_only_where_it_never_runs_and_an_answer_only_where_it_has() -> None:
     for edge in EDGES:
-        if edge.told == PROMISE:
-            assert edge.certain is Certain.NEVER, edge
-        if edge.told == OWN:
-            assert edge.certain is Certain.RAN, edge
-        if edge.certain is Certain.NEVER:
-            assert edge.to in (State.ENDED, State.WITHDRAWN), edge
-        if edge.told == OPEN:
-            assert edge.to not in OVER, edge
+        if edge.client_result == NOT_EXECUTED:
+            assert edge.execution is ExecutionStatus.NEVER, edge
+        if edge.client_result == UPSTREAM_RESPONSE:
+            assert edge.execution is ExecutionStatus.RAN, edge
+        if edge.execution is ExecutionStatus.NEVER:
+            assert edge.next_state in (State.ENDED, State.WITHDRAWN), edge
+        if edge.client_result == PENDING:
+            assert edge.next_state not in OVER, edge
 
 
 def test_what_may_have_run_is_never_again_what_has_not() -> None:
@@ -78,14 +78,18 @@
         if (
             edge.hop is Hop.FIRST
             and edge.state in (State.SENT, State.UNCLEAR)
-            and edge.certain is Certain.NEVER
+            and edge.execution is ExecutionStatus.NEVER
         ):
             assert edge.event is Event.TURNED_AWAY, edge
-        if edge.hop is Hop.SECOND and edge.state is State.PASSED_ON and edge.certain is Certain.NEVER:
+        if (
+            edge.hop is Hop.SECOND
+            and edge.state is State.PASSED_ON
+            and edge.execution is ExecutionStatus.NEVER
+        ):
             assert edge.event is Event.TURNED_AWAY, edge
 
 
-@pytest.mark.parametrize("table", [FIRST, SECOND], ids=["first", "second"])
+@pytest.mark.parametrize("table", [FIRST_HOP_TABLE, SECOND_HOP_TABLE], ids=["first", "second"])
 def test_what_is_over_stays_over(table: dict[tuple[State, Event], State]) -> None:
     for (state, _), to in table.items():
         if state in OVER:
@@ -93,7 +97,7 @@
 
 
 def test_every_state_that_is_not_over_can_end() -> None:
-    for table, begins in ((FIRST, State.CHOSEN), (SECOND, State.READ)):
+    for table, begins in ((FIRST_HOP_TABLE, State.CHOSEN), (SECOND_HOP_TABLE, State.READ)):
         seen, found = {begins}, [begins]
         while found:
             state = found.pop()
@@ -107,23 +111,28 @@
 @pytest.mark.parametrize(
     ("end", "event", "runs"),
     [
-        (Returned(200, [], b"", True), Event.ANSWER, True),
-        (Returned(503, [], b"", True), Event.ANSWER, True),
-        (Returned(504, [], b"", True), Event.ANSWER, True),
-        (TurnedAway(Why.LOST), Event.TURNED_AWAY, False),
-        (TurnedAway(Why.FULL, arrived=True), Event.TURNED_AWAY, False),
-        (TurnedAway(Why.DOWN), Event.TURNED_AWAY, False),
+        (UpstreamResponse(200, [], b"", True), Event.ANSWER, True),
+        (UpstreamResponse(503, [], b"", True), Event.ANSWER, True),
+        (UpstreamResponse(504, [], b"", True), Event.ANSWER, True),
+        (NotExecuted(Why.LOST), Event.TURNED_AWAY, False),
+        (NotExecuted(Why.FULL, reached_upstream=True), Event.TURNED_AWAY, False),
+        (NotExecuted(Why.DOWN), Event.TURNED_AWAY, False),
         (Unclear("x"), Event.NO_ANSWER, True),
     ],
 )
 def test_what_the_decisions_are_told_of_an_end(
-    end: Returned | TurnedAway | Unclear, event: Event, runs: bool
+    end: UpstreamResponse | NotExecuted | Unclear, event: Event, runs: bool
 ) -> None:
     assert event_of(end) is event and (outcome_of(end) not in NEVER_RAN) is runs
 
 
 def test_an_answer_is_whose_id_it_has() -> None:
-    assert own(b"a", b"a") and own(b"a", None) and not own(b"a", b"b") and not own(b"a", b"")
+    assert (
+        answers_call(b"a", b"a")
+        and answers_call(b"a", None)
+        and not answers_call(b"a", b"b")
+        and not answers_call(b"a", b"")
+    )
 
 
 @pytest.mark.parametrize(
@@ -131,6 +140,6 @@
     [(0.0, True, 300.0), (250.0, True, 100.0), (500.0, True, 100.0), (850.0, True, 50.0), (0.0, False, 0.0)],
 )
 def test_how_long_a_lost_call_is_asked_for(since_ms: float, effectful: bool, waits_ms: float) -> None:
-    call = Call("a", b"GET", b"/", [], b"", "i", "s", left_ms=900.0, age_ms=100.0, aim_ms=400.0)
+    call = Call("a", b"GET", b"/", [], b"", "i", "s", remaining_ms=900.0, age_ms=100.0, aim_ms=400.0)
     call.effectful = effectful
-    assert asked_for_ms(call, since_ms) == waits_ms
+    assert query_window_ms(call, since_ms) == waits_ms
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -11,7 +11,7 @@
 from hareloom import interface as api
 from hareloom.records import Server
 from mesh.admission.final_check import Why
-from mesh.data_plane.call_messages import Call, Returned, TurnedAway, Unclear
+from mesh.data_plane.call_messages import Call, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.call_state import Failed, Refused
 from mesh.data_plane.introspection import why
 from mesh.data_plane.traces import KEPT, MOST_TRIES, FirstHop, Ring, SecondHop, words
@@ -63,12 +63,12 @@
 
 def test_a_flood_of_fine_calls_does_not_push_out_the_others() -> None:
     first, second = FirstHop(), SecondHop()
-    ok = Returned(200, [], b"", True)
+    ok = UpstreamResponse(200, [], b"", True)
     for at, told in enumerate((500, Refused(1.0), Failed(False), None)):
         first.ended(1.0, asked(f"odd-{at}"), told)
     first.ended(1.0, asked("twice", tries=2), 200)
     first.ended(101.0, asked("late"), 200)
-    second.ended(1.0, call("full"), 0.0, 0.0, TurnedAway(Why.FULL))
+    second.ended(1.0, call("full"), 0.0, 0.0, NotExecuted(Why.FULL))
     for at in range(3 * KEPT):
         first.ended(1.0, asked(f"{at}"), 200)
         second.ended(1.0, call(f"{at}"), 0.0, 0.5, ok)
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -15,8 +15,8 @@
 
 from mesh.admission.buffer_budget import LONG_SHARE, Holding
 from mesh.admission.final_check import Why
-from mesh.data_plane.call_messages import AskBack, End, Piece, TurnedAway, Unclear
-from mesh.data_plane.call_state import Out, State
+from mesh.data_plane.call_messages import BodyPiece, End, NotExecuted, StatusQuery, Unclear
+from mesh.data_plane.call_state import OutgoingCall, State
 from mesh.data_plane.incoming_calls import Incoming
 from mesh.data_plane.peer_calls import LIFE_S
 from mesh.transport.body_pieces import PIECE_BYTES, WINDOW_BYTES
@@ -54,7 +54,7 @@
 
 async def midway(far: Far) -> Incoming:
     """The second hop has some of a call's body, and not all; it reads no more for now."""
-    await until(lambda: any(isinstance(head, Piece) for head in far.heads))
+    await until(lambda: any(isinstance(head, BodyPiece) for head in far.heads))
     far.deaf = True
     incoming = far.links[-1].peer
     assert isinstance(incoming, Incoming) and incoming._receiving
@@ -67,7 +67,9 @@
     return link
 
 
-async def served(bench: Bench, far: Far, body: bytes = LONG, answer: bytes = LONG) -> tuple[Out, End]:
+async def served(
+    bench: Bench, far: Far, body: bytes = LONG, answer: bytes = LONG
+) -> tuple[OutgoingCall, End]:
     out, end = bench.send(far, long_call("a1", body=body))
     before = len(far.second.taken)
     await until(lambda: len(far.second.taken) > before)
@@ -80,7 +82,7 @@
     async def test(bench: Bench, far: Far) -> None:
         _, end = await served(bench, far)
         assert end == dataclasses.replace(SERVED, body=LONG)
-        pieces = [head for head in far.heads if isinstance(head, Piece)]
+        pieces = [head for head in far.heads if isinstance(head, BodyPiece)]
         assert len(pieces) == len(LONG) // PIECE_BYTES
         assert (link_of(bench).owes, link_of(bench).expects) == (0, 0)
         await until(lambda: (far.links[0].owes, far.links[0].expects) == (0, 0))
@@ -156,7 +158,7 @@
         late, far.unread = far.unread, []
         (number,), session = incoming._receiving, far.sessions.by_life["f1"]
         other = Incoming(Link(lambda _: None, far._frame, far._lost), far.second, far.sessions, session)
-        other.frame(AskBack(number=number, attempt="a1"), b"")
+        other.frame(StatusQuery(number=number, attempt="a1"), b"")
         assert not incoming._receiving and far.second.bodies.held == 0 and number not in session.calls
         for _, head, data in late:
             incoming.frame(head, data)
@@ -249,7 +251,7 @@
         await until(lambda: len(far.second.taken) == 1 + fit)
         assert far.second.bodies.held == fit * size
         await until(lambda: sum(end.done() for _, end in sent) == 500 - fit)
-        assert {end.result() for _, end in sent if end.done()} == {TurnedAway(Why.FULL)}
+        assert {end.result() for _, end in sent if end.done()} == {NotExecuted(Why.FULL)}
         for at in range(1, 1 + fit):
             far.second.end(at, SERVED)
         ends = await asyncio.gather(*(soon(end) for _, end in sent))
@@ -264,7 +266,7 @@
         bodies, far.second.bodies = far.second.bodies, Holding(0, 0)
         for at in range(3):
             out, end = bench.send(far, long_call(f"a{at}", body=bytes(WINDOW_BYTES)))
-            assert out.state is State.SENT and await soon(end) == TurnedAway(Why.FULL)
+            assert out.state is State.SENT and await soon(end) == NotExecuted(Why.FULL)
         assert (link_of(bench).owes, link_of(bench).expects) == (0, 0)
         far.second.bodies = bodies
         assert (await served(bench, far))[1] == dataclasses.replace(SERVED, body=LONG)
@@ -280,7 +282,7 @@
         assert end == dataclasses.replace(SERVED, body=LONG)
         assert "piece" not in [kind_of(head) for head in far.heads]
         _, end = bench.send(far, long_call("a2", body=bytes(MOST + 1)))  # type: ignore[assignment]
-        assert end.result() == TurnedAway(Why.FULL)  # type: ignore[attr-defined]
+        assert end.result() == NotExecuted(Why.FULL)  # type: ignore[attr-defined]
         assert len(far.links) == 1 and far.links[0].up
 
     over_earlier(test)
@@ -302,7 +304,7 @@
         await bench.known(far)
         far.links[0]._frames._room = Holding(len(LONG), len(LONG))  # its copies leave half of that
         _, end = bench.send(far, long_call("a1"))
-        assert await soon(end) == TurnedAway(Why.FULL)
+        assert await soon(end) == NotExecuted(Why.FULL)
         _, end = bench.send(far, call("a2"))
         await until(lambda: len(far.second.taken) == 2)
         far.second.end(1, SERVED)
@@ -348,7 +350,7 @@
         incoming = await midway(far)
         (number,) = incoming._receiving
         with pytest.raises(ValueError):
-            incoming.frame(Piece(number=number), bytes(WINDOW_BYTES + 1))
+            incoming.frame(BodyPiece(number=number), bytes(WINDOW_BYTES + 1))
         link_of(bench).close("over")
         await until(lambda: far.second.bodies.held == 0)
 
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -16,8 +16,17 @@
 from mesh.admission.call_sessions import Sessions
 from mesh.admission.final_check import Why
 from mesh.data_plane import peer_calls as module
-from mesh.data_plane.call_messages import Call, End, Leaving, Life, Returned, TurnedAway, Unclear, end_head
-from mesh.data_plane.call_state import ASK_LEAST, Event, Out, State
+from mesh.data_plane.call_messages import (
+    Call,
+    End,
+    GoAway,
+    GreetingReply,
+    NotExecuted,
+    Unclear,
+    UpstreamResponse,
+    end_head,
+)
+from mesh.data_plane.call_state import MIN_QUERY_SHARE, Event, OutgoingCall, State
 from mesh.data_plane.incoming_calls import Incoming
 from mesh.data_plane.paced_turns import AT_ONCE, PACE_S
 from mesh.data_plane.peer_calls import LIFE_S, UNPROVED_MOST
@@ -29,8 +38,8 @@
 from mesh.transport.link import SILENT_S, Address, Link, listen
 from rigs.mesh_peers import move, play, soon, turns, until
 
-SERVED = Returned(200, [(b"response-seal", b"s")], b"body", True)
-NOT_RUN = TurnedAway(Why.LOST)
+SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body", True)
+NOT_RUN = NotExecuted(Why.LOST)
 AIM_MS = 400.0
 
 
@@ -103,7 +112,7 @@
             session = self.sessions.open(str(head["life"]))
             theirs = head["window"] if self.window else 0
             link.peer = Incoming(link, self.second, self.sessions, session, theirs)
-            link.send(Life(life=self.life, window=self.window))
+            link.send(GreetingReply(life=self.life, window=self.window))
 
     def _lost(self, link: Link, why: str) -> None:
         if isinstance(link.peer, Incoming):
@@ -127,7 +136,7 @@
         self.log = io.StringIO()
         self.passage = Passage("here", Second(), EventLog("t", self.log), lambda node, up: None, "f1")
 
-    def send(self, far: Far, call: Call) -> tuple[Out, asyncio.Future[End]]:
+    def send(self, far: Far, call: Call) -> tuple[OutgoingCall, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # one end, or it raises
         return self.passage.send(call, "there", far.address, end.set_result), end
 
@@ -360,7 +369,7 @@
         _, end = bench.send(far, call("write"))
         await until(lambda: bench.passage._links["there"].proved)
         far.links[0].close("reset")
-        assert await soon(end) == TurnedAway(Why.DOWN)
+        assert await soon(end) == NotExecuted(Why.DOWN)
 
     over(test)
 
@@ -494,9 +503,9 @@
             move(0.002)
         for _ in range(50):
             await turns()
-        assert isinstance(await soon(end), TurnedAway), (others, end)
+        assert isinstance(await soon(end), NotExecuted), (others, end)
 
-    assert ASK_LEAST * 400.0 == 100.0
+    assert MIN_QUERY_SHARE * 400.0 == 100.0
     over(test)
 
 
@@ -514,7 +523,7 @@
         await until(lambda: len(far.unread) == 1)
         (link,) = far.links
         link.peer.leave()
-        assert await soon(unread) == TurnedAway(Why.LEAVING)
+        assert await soon(unread) == NotExecuted(Why.LEAVING)
         assert not bench.passage.reaches("there")
         far.hear()  # the late copy
         assert [running.call.attempt for running in far.second.taken] == ["warm", "a1"]
@@ -541,7 +550,7 @@
         bench.passage.send(call("a1"), "there", far.address, ended)
         await until(lambda: len(far.unread) == 1)
         far.links[0].peer.leave()
-        assert await soon(again) == TurnedAway(Why.DOWN)
+        assert await soon(again) == NotExecuted(Why.DOWN)
         await turns()
         assert len(far.unread) == 1
 
@@ -558,9 +567,9 @@
         far.deaf = True
         far.links[0].close("reset")
         await until(lambda: len(far.unread) == 1)  # the greeting
-        far.links[-1].send(Life(life="s1"))
+        far.links[-1].send(GreetingReply(life="s1"))
         await until(lambda: out.number in bench.passage._links["there"].out)  # it is asked after
-        far.links[-1].send(Leaving(last=0))
+        far.links[-1].send(GoAway(last=0))
         await until(lambda: not far.links[-1].up)
         assert not end.done()
         far.unread.clear()
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -13,8 +13,8 @@
 
 from mesh.admission.buffer_budget import Holding
 from mesh.admission.final_check import Why
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway, Unclear, end_head
-from mesh.data_plane.call_state import Event, Out
+from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse, end_head
+from mesh.data_plane.call_state import Event, OutgoingCall
 from mesh.data_plane.incoming_calls import Incoming
 from mesh.data_plane.peer_calls import AGAIN_S, HOLD_S, IDLE_S
 from mesh.data_plane.peer_links import Passage
@@ -27,7 +27,7 @@
 from mesh.transport.link import SILENT_S, Address, Link, listen
 from rigs.mesh_peers import Upstream, free_ports, move, play, soon, turns, until, write_settings
 
-SERVED = Returned(200, [(b"response-seal", b"s")], b"body\x00", True)
+SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body\x00", True)
 
 
 def call(attempt: str, body: bytes = b"") -> Call:
@@ -46,7 +46,7 @@
 
     def take(self, call: Call, ended: Callable[[End], None]) -> Running | None:
         if self.full:
-            ended(TurnedAway(Why.FULL))
+            ended(NotExecuted(Why.FULL))
             return None
         running = Running(call, ended, 0.0)
         self.taken.put_nowait(running)
@@ -112,7 +112,7 @@
 
     def send(
         self, attempt: str, address: Address | None, node: str = "there", body: bytes = b""
-    ) -> tuple[Out, asyncio.Future[End]]:
+    ) -> tuple[OutgoingCall, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # one end, or it raises
         return self.passage.send(call(attempt, body), node, address, end.set_result), end
 
@@ -142,7 +142,7 @@
         assert far.links[0].owes == 1
         running.ended(SERVED)
         assert await soon(end) == SERVED
-        for told in (TurnedAway(Why.LEAVING), TurnedAway(Why.OTHER, arrived=True), Unclear("why")):
+        for told in (NotExecuted(Why.LEAVING), NotExecuted(Why.OTHER, reached_upstream=True), Unclear("why")):
             _, end = bench.send("a2", far.address)
             (await soon(far.second.taken.get())).ended(told)
             assert await soon(end) == told
@@ -164,7 +164,7 @@
         for end in ends[0], ends[2]:
             assert isinstance(await soon(end), Unclear)
         assert not bench.passage.reaches("there") and bench.reached == [("there", False)]
-        assert bench.send("b", far.address)[1].result() == TurnedAway(Why.DOWN)
+        assert bench.send("b", far.address)[1].result() == NotExecuted(Why.DOWN)
         bench.tick()  # not at once
         await turns()
         assert len(far.links) == 1
@@ -222,9 +222,9 @@
         await turns()
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(2)]
         for end in ends:
-            assert await soon(end) == TurnedAway(Why.DOWN)
-        assert bench.send("b", far.address)[1].result() == TurnedAway(Why.DOWN)  # with no try at all
-        assert bench.send("c", None)[1].result() == TurnedAway(Why.DOWN)
+            assert await soon(end) == NotExecuted(Why.DOWN)
+        assert bench.send("b", far.address)[1].result() == NotExecuted(Why.DOWN)  # with no try at all
+        assert bench.send("c", None)[1].result() == NotExecuted(Why.DOWN)
         assert bench.reached == [("there", False)]  # once
         await far.start(far.address[1])
         await bench.comes_back()
@@ -248,7 +248,7 @@
         assert not end.done()
         move(HOLD_S + 0.01)
         await turns()
-        assert end.result() == TurnedAway(Why.DOWN)
+        assert end.result() == NotExecuted(Why.DOWN)
         assert bench.reached == [("there", False)]
         loop.create_connection = connects  # type: ignore[method-assign]
         move(1.0)  # the try itself is given up
@@ -289,9 +289,9 @@
         least = 500.0 * HOLD_S - 1.0  # ages cross the link as whole milliseconds
         most = 1000.0 * HOLD_S
         waited = (
-            began.left_ms - told.left_ms,
-            began.patience_ms - told.patience_ms,
-            began.longer_ms - told.longer_ms,
+            began.remaining_ms - told.remaining_ms,
+            began.max_wait_ms - told.max_wait_ms,
+            began.extended_wait_ms - told.extended_wait_ms,
             told.age_ms,
         )
         assert all(least <= waited_ms <= most for waited_ms in waited), waited
@@ -341,7 +341,7 @@
     async def test(bench: Bench, far: Far) -> None:
         assert far.second is not None
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(4)]
-        assert await soon(ends[3]) == TurnedAway(Why.FULL)
+        assert await soon(ends[3]) == NotExecuted(Why.FULL)
         runnings = [await soon(far.second.taken.get()) for _ in range(3)]
         assert far.second.taken.empty() and far.links[0].owes == 3
         runnings[0].ended(SERVED)
@@ -349,7 +349,7 @@
         bench.send("b", far.address)
         assert (await soon(far.second.taken.get())).call.attempt == "b"
         far.second.full = True
-        assert await soon(bench.send("c", far.address)[1]) == TurnedAway(Why.FULL)
+        assert await soon(bench.send("c", far.address)[1]) == NotExecuted(Why.FULL)
         assert far.links[0].owes == 3
 
     over(test, real=True)
@@ -360,8 +360,8 @@
         assert far.second is not None
         bodies = far.second.bodies  # 2,048 bytes, 1,024 of one body
         first = [bench.send(f"a{at}", far.address, body=b"x" * 900) for at in range(3)]
-        assert await soon(first[2][1]) == TurnedAway(Why.FULL) and bodies.held == 1800
-        assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == TurnedAway(Why.FULL)
+        assert await soon(first[2][1]) == NotExecuted(Why.FULL) and bodies.held == 1800
+        assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(Why.FULL)
         (await soon(far.second.taken.get())).ended(SERVED)
         assert await soon(first[0][1]) == SERVED
         bench.passage.drop(first[1][0])
@@ -369,7 +369,7 @@
         bench.send("c", far.address, body=b"x" * 900)
         await until(lambda: bodies.held == 900)
         far.second.full = True
-        assert await soon(bench.send("d", far.address, body=b"x" * 900)[1]) == TurnedAway(Why.FULL)
+        assert await soon(bench.send("d", far.address, body=b"x" * 900)[1]) == NotExecuted(Why.FULL)
         assert bodies.held == 900
         link = bench.passage._links["there"].link
         assert link is not None and isinstance(far.links[0].peer, Incoming)
@@ -427,7 +427,7 @@
         bench.passage.drop(out)
         assert bench.local.dropped == ["a1"] and not end.done()
         bench.local.full = True
-        assert bench.send("a2", None, node="here")[1].result() == TurnedAway(Why.FULL)
+        assert bench.send("a2", None, node="here")[1].result() == NotExecuted(Why.FULL)
 
     over(test)
 
@@ -451,7 +451,7 @@
         bench.send("a2", moved.address)
         await moved.next()
         try:
-            assert isinstance(await asyncio.wait_for(old, 0.2), TurnedAway | Unclear)
+            assert isinstance(await asyncio.wait_for(old, 0.2), NotExecuted | Unclear)
         except TimeoutError:
             raise AssertionError("what waited for the old address waits on") from None
         finally:
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -16,8 +16,16 @@
 from mesh.admission.final_check import Why
 from mesh.configuration.routes import Route
 from mesh.data_plane import route_classes
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway, Unclear
-from mesh.data_plane.call_state import Anew, Ask, Failed, Final, Refused, Served, State
+from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
+from mesh.data_plane.call_state import (
+    ClientRequest,
+    ClientResult,
+    Failed,
+    Refused,
+    RouteChanged,
+    Served,
+    State,
+)
 from mesh.data_plane.service_balancers import GUARD_MS, Table
 from mesh.data_plane.service_tables import Tables
 from mesh.event_log.log import EventLog
@@ -26,10 +34,10 @@
 READ = Route("read", 1, "h", "/r/", False, 1000.0, 400.0, 3, 1, (("s", 1.0),))
 PAY = replace(READ, name="pay", prefix="/p/", effectful=True)
 
-OK = Returned(200, [(b"response-seal", b"s")], b"body", True)
-ERROR = Returned(500, [], b"own words", True)
-FULL = TurnedAway(Why.FULL)
-FULL_THERE = TurnedAway(Why.FULL, arrived=True)
+OK = UpstreamResponse(200, [(b"response-seal", b"s")], b"body", True)
+ERROR = UpstreamResponse(500, [], b"own words", True)
+FULL = NotExecuted(Why.FULL)
+FULL_THERE = NotExecuted(Why.FULL, reached_upstream=True)
 UNCLEAR = Unclear("cut")
 
 
@@ -91,13 +99,17 @@
             table.tell([(f"i{at}", value) for at in range(self.upstreams)], whole=True)
         return table
 
-    def ask(self, route: Route, left_ms: float = 1000.0) -> tuple[Ask, asyncio.Future[Final]]:
+    def ask(
+        self, route: Route, left_ms: float = 1000.0
+    ) -> tuple[ClientRequest, asyncio.Future[ClientResult]]:
         self.asked += 1
-        final: asyncio.Future[Final] = asyncio.get_running_loop().create_future()  # one answer, or it raises
+        final: asyncio.Future[ClientResult] = (
+            asyncio.get_running_loop().create_future()
+        )  # one answer, or it raises
         now = self.tables.now()
         message = http.Message(method=b"POST", target=b"/x", body=b"b")
         attempt = f"a{self.asked}"
-        ask = Ask(
+        ask = ClientRequest(
             attempt,
             route,
             "s",
@@ -123,7 +135,7 @@
             self.end(OK)
             assert final.result() == Served(OK)
 
-    def sends(self, ask: Ask) -> list[str]:
+    def sends(self, ask: ClientRequest) -> list[str]:
         return [sent.call.instance for sent in self.passage.sent if sent.call.attempt == ask.attempt]
 
 
@@ -142,10 +154,10 @@
         (sent,) = bench.passage.sent
         assert sent.node == "n-" + sent.call.instance
         assert (sent.call.attempt, sent.call.body, sent.call.caller) == ("a1", b"b", "me")
-        assert 690.0 < sent.call.left_ms <= 700.0
+        assert 690.0 < sent.call.remaining_ms <= 700.0
         bench.end(OK)
         assert final.result() == Served(OK)
-        assert ask.over and not bench.table(READ).asks
+        assert ask.finished and not bench.table(READ).asks
         move(2.0)
         await turns()
         assert not bench.passage.dropped
@@ -153,20 +165,20 @@
     at_table(test)
 
 
-@pytest.mark.parametrize("end", [UNCLEAR, ERROR, Returned(504, [], b"", True)])
+@pytest.mark.parametrize("end", [UNCLEAR, ERROR, UpstreamResponse(504, [], b"", True)])
 def test_an_effectful_call_that_may_have_run_is_never_sent_again_and_not_promised(end: End) -> None:
     async def test(bench: Bench) -> None:
         ask, final = bench.ask(PAY)
         bench.end(end)
         assert len(bench.sends(ask)) == 1
-        assert final.result() == (Served(end) if isinstance(end, Returned) else Failed(False))
+        assert final.result() == (Served(end) if isinstance(end, UpstreamResponse) else Failed(False))
 
     at_table(test)
 
 
-@pytest.mark.parametrize("first", [FULL, FULL_THERE, TurnedAway(Why.DOWN), TurnedAway(Why.LEAVING)])
+@pytest.mark.parametrize("first", [FULL, FULL_THERE, NotExecuted(Why.DOWN), NotExecuted(Why.LEAVING)])
 def test_an_effectful_call_that_was_turned_away_may_go_elsewhere_and_then_may_have_run(
-    first: TurnedAway,
+    first: NotExecuted,
 ) -> None:
     async def test(bench: Bench) -> None:
         ask, final = bench.ask(PAY)
@@ -200,13 +212,13 @@
         )
         ask, final = bench.ask(PAY)
         bench.passage.sent[-1].state = State.SENDING
-        answer, dropped_by_then = ask.answer, []
+        answer, dropped_by_then = ask.reply, []
 
-        def answered(told: Final) -> None:
+        def answered(told: ClientResult) -> None:
             dropped_by_then.extend(bench.passage.dropped)
             answer(told)
 
-        ask.answer = answered
+        ask.reply = answered
         move(1.0 + GUARD_MS / 1000.0 + 0.01)
         assert isinstance(await soon(final), Refused)
         assert [sent.call.attempt for sent in dropped_by_then] == [ask.attempt]
@@ -239,7 +251,7 @@
 def test_a_promise_that_the_upstream_did_not_give_is_not_passed_on(status: int) -> None:
     async def test(bench: Bench) -> None:
         _, final = bench.ask(PAY)
-        bench.end(Returned(status, [], b"", True))
+        bench.end(UpstreamResponse(status, [], b"", True))
         told = final.result()
         assert not (isinstance(told, Served) and told.answer.status in (408, 429, 503))
 
@@ -312,8 +324,8 @@
 def test_a_request_that_is_taken_anew_is_counted_by_whoever_takes_it_alone() -> None:
     async def test(bench: Bench) -> None:
         _, final = bench.ask(READ)
-        bench.end(TurnedAway(Why.OLD))
-        assert final.result() == Anew()
+        bench.end(NotExecuted(Why.OLD))
+        assert final.result() == RouteChanged()
         assert sum(slot[1] for slot in bench.table(READ).budget._slots) == 0.0
 
     at_table(test)
@@ -368,7 +380,7 @@
 
 def test_what_was_turned_away_at_once_everywhere_is_refused() -> None:
     async def test(bench: Bench) -> None:
-        bench.passage.at_once = [TurnedAway(Why.DOWN)] * 20
+        bench.passage.at_once = [NotExecuted(Why.DOWN)] * 20
         for route in (READ, PAY):
             _, final = bench.ask(route)
             move(1.2)
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -11,7 +11,13 @@
 from msgspec.structs import replace
 
 from mesh.admission.final_check import Why
-from mesh.data_plane.call_messages import Leaving, Piece, Returned, TurnedAway, decode_from_second_hop
+from mesh.data_plane.call_messages import (
+    BodyPiece,
+    GoAway,
+    NotExecuted,
+    UpstreamResponse,
+    decode_from_second_hop,
+)
 from mesh.data_plane.client_connection import CROSSING_S, FIRST_REQUEST_S, REST_SHARE
 from mesh.data_plane.incoming_calls import Incoming
 from mesh.data_plane.request_dispatch import OTHERS_S
@@ -303,7 +309,7 @@
         if not data:
             return found
         found += [head for head, _ in other.frames.feed(data) if head]
-        if any(isinstance(head, Leaving) for head in found):
+        if any(isinstance(head, GoAway) for head in found):
             return found
 
 
@@ -311,14 +317,14 @@
     async def test(there: Beside) -> None:
         other = await Other.to(there)
         other.send(1, "/read/ok")
-        assert isinstance(await other.end(), Returned)
+        assert isinstance(await other.end(), UpstreamResponse)
         other.send(2, "/read/ok")
-        assert isinstance(await other.end(), Returned)
+        assert isinstance(await other.end(), UpstreamResponse)
         (link,) = there.proxy.incoming_links
         ends = ending(there)
         await passed(NOTICE_S + 0.1)
         words = await last_words(other)
-        assert [one.last for one in words if isinstance(one, Leaving)] == [2]
+        assert [one.last for one in words if isinstance(one, GoAway)] == [2]
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(there.peers)
         other.send(3, "/read/ok")  # crosses it
@@ -340,7 +346,7 @@
         await until(lambda: len(proxy.upstream_dispatch.line) == 1)
         proxy.upstream_dispatch.leave()
         found = await other.end()
-        assert found == TurnedAway(Why.LEAVING)
+        assert found == NotExecuted(Why.LEAVING)
         assert len(proxy.upstream_dispatch.running) == 9
         other.writer.close()
 
@@ -351,14 +357,14 @@
     async def test(there: Beside) -> None:
         other = await Other.to(there)
         head = passing("b1", "/read/ok", b"x" * 100_000).head(1, in_pieces=True)
-        other.writer.write(frame(head) + frame(Piece(number=1), b"x" * 1000))
+        other.writer.write(frame(head) + frame(BodyPiece(number=1), b"x" * 1000))
         await until(lambda: bool(there.proxy.incoming_links))
         (link,) = there.proxy.incoming_links
         await until(lambda: isinstance(link.peer, Incoming) and link.peer.receiving)
         assert isinstance(link.peer, Incoming)
         link.peer.leave()
-        assert await other.end() == TurnedAway(Why.LEAVING)
-        other.writer.write(frame(Piece(number=1), b"x" * 99_000))  # the rest, too late
+        assert await other.end() == NotExecuted(Why.LEAVING)
+        other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest, too late
         await turns()
         assert there.upstream.seen == [] and not link.peer.receiving and link.owes == 0
         assert there.proxy.request_dispatcher.bodies.held == 0
@@ -368,4 +374,4 @@
 
 
 def test_the_word_that_an_end_is_near_is_read_as_what_it_is() -> None:
-    assert decode_from_second_hop(b'{"t":"leaving","last":7}') == Leaving(last=7)
+    assert decode_from_second_hop(b'{"t":"leaving","last":7}') == GoAway(last=7)
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -13,7 +13,7 @@
 from anisestair.http import codec as http
 from mesh.admission.final_check import DRAIN_SHARE, Why, places
 from mesh.admission.wait_queue import Line
-from mesh.data_plane.call_messages import Call, End, Returned, TurnedAway, Unclear
+from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.upstream_connections import Tap
 from mesh.data_plane.upstream_dispatch import LATE_S, Running, UpstreamDispatch
 from mesh.event_log.log import EventLog
@@ -106,7 +106,7 @@
             "a1", headers=sent, method=b"POST", target=b"/x?q=1", body=b"\x00\r\n", left_ms=700.9
         )
         answer = await soon(end)
-        assert isinstance(answer, Returned) and answer.status == 200
+        assert isinstance(answer, UpstreamResponse) and answer.status == 200
         (seen,) = bench.upstream.seen
         assert (seen.method, seen.target, seen.body) == (b"POST", b"/x?q=1", b"\x00\r\n")
         names = [name for name, _ in seen.headers]
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize(("way", "why"), [("full", Why.FULL), ("421", Why.OTHER)])
 def test_what_the_upstream_says_that_it_did_not_run_is_a_turn_away_that_arrived(way: str, why: Why) -> None:
     async def test(bench: Bench) -> None:
-        assert await soon(bench.take("a1")[1]) == TurnedAway(why, arrived=True)
+        assert await soon(bench.take("a1")[1]) == NotExecuted(why, reached_upstream=True)
         assert not bench.upstream.runs
 
     behind(test, lambda _: way)
@@ -152,8 +152,8 @@
 def test_the_upstreams_own_failure_is_its_answer() -> None:
     async def test(bench: Bench) -> None:
         end = await soon(bench.take("a1")[1])
-        assert isinstance(end, Returned)
-        assert (end.status, end.body, end.ran) == (500, b"own words", True)
+        assert isinstance(end, UpstreamResponse)
+        assert (end.status, end.body, end.executed) == (500, b"own words", True)
 
     behind(test, lambda _: "500")
 
@@ -161,12 +161,12 @@
 def test_nobody_there_is_a_turn_away_that_did_not_arrive_and_an_end_once_beats_are_missing() -> None:
     async def test(bench: Bench) -> None:
         bench.upstream.close()
-        assert await soon(bench.take("a1")[1]) == TurnedAway(Why.DOWN)
+        assert await soon(bench.take("a1")[1]) == NotExecuted(Why.DOWN)
         assert not bench.told
         move(SILENT_BEATS + 0.1)
-        assert await soon(bench.take("a2")[1]) == TurnedAway(Why.DOWN)
+        assert await soon(bench.take("a2")[1]) == NotExecuted(Why.DOWN)
         assert [(one.instance, one.value) for one in bench.told] == [("i-1", None)]
-        assert bench.take("a3")[1].result() == TurnedAway(Why.DOWN)  # at once now
+        assert bench.take("a3")[1].result() == NotExecuted(Why.DOWN)  # at once now
 
     behind(test)
 
@@ -175,7 +175,7 @@
     async def test(bench: Bench) -> None:
         bench.take("held-1")
         await bench.runs()
-        assert await soon(bench.take("a")[1]) == TurnedAway(Why.FULL)
+        assert await soon(bench.take("a")[1]) == NotExecuted(Why.FULL)
 
     behind(test, held, capacity=4, most=1)
 
@@ -184,12 +184,12 @@
     async def test(bench: Bench) -> None:
         running, end = bench.take("a", instance="i-0")
         assert running is None
-        assert end.result() == TurnedAway(Why.OTHER)
-        assert bench.take("a", left_ms=0.0)[1].result() == TurnedAway(Why.LATE)
+        assert end.result() == NotExecuted(Why.OTHER)
+        assert bench.take("a", left_ms=0.0)[1].result() == NotExecuted(Why.LATE)
         bench.beat("decaying")
-        assert isinstance(await soon(bench.take("a")[1]), Returned)
+        assert isinstance(await soon(bench.take("a")[1]), UpstreamResponse)
         move(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
-        assert bench.take("a")[1].result() == TurnedAway(Why.LEAVING)
+        assert bench.take("a")[1].result() == NotExecuted(Why.LEAVING)
         assert len(bench.upstream.seen) == 1
 
     behind(test)
@@ -221,14 +221,14 @@
         assert len(bench.upstream_dispatch.line) == waiting
         assert not any(end.done() for _, end in line)
         _, more = bench.take("more")
-        assert line[0][1].result() == TurnedAway(Why.FULL)  # the longest there, and none is lower in rank
-        assert bench.take("least", rank=-1.0)[1].result() == TurnedAway(Why.FULL)
-        assert bench.take("hasty", patience_ms=0.0)[1].result() == TurnedAway(Why.FULL)
+        assert line[0][1].result() == NotExecuted(Why.FULL)  # the longest there, and none is lower in rank
+        assert bench.take("least", rank=-1.0)[1].result() == NotExecuted(Why.FULL)
+        assert bench.take("hasty", patience_ms=0.0)[1].result() == NotExecuted(Why.FULL)
         assert len(bench.upstream.seen) == at_once
         bench.upstream.release.set()
         for _, end in [*taken, *line[1:]]:
-            assert isinstance(await soon(end), Returned)
-        assert isinstance(await soon(more), Returned)
+            assert isinstance(await soon(end), UpstreamResponse)
+        assert isinstance(await soon(more), UpstreamResponse)
         assert len(bench.upstream.seen) == at_once + waiting
         assert not bench.upstream_dispatch.running and not len(bench.upstream_dispatch.line)
 
@@ -260,7 +260,7 @@
         bench.take("low", rank=0.1)
         _, waiting = places(bench.upstream_dispatch.upstream)
         others = [bench.take(f"b{at}", rank=5.0) for at in range(waiting)]
-        assert await soon(others[0][1]) == TurnedAway(Why.FULL)
+        assert await soon(others[0][1]) == NotExecuted(Why.FULL)
         bench.upstream.release.set()
         for _ in range(places(bench.upstream_dispatch.upstream)[0]):
             await bench.runs()
@@ -278,10 +278,10 @@
         await turns()
         assert not short.done()
         move(0.15)
-        assert await soon(short) == TurnedAway(Why.FULL)
+        assert await soon(short) == NotExecuted(Why.FULL)
         assert not long.done() and len(bench.upstream_dispatch.line) == 1
         move(2.5)
-        assert await soon(long) == TurnedAway(Why.FULL)
+        assert await soon(long) == NotExecuted(Why.FULL)
         assert not bench.upstream.runs.keys() & {"short", "long"}
 
     behind(test, held)
@@ -293,10 +293,10 @@
         _, low = bench.take("low", rank=0.0, patience_ms=300.0, longer_ms=900.0)
         _, high = bench.take("high", rank=2.0, patience_ms=300.0, longer_ms=900.0)
         move(0.35)
-        assert await soon(low) == TurnedAway(Why.FULL)
+        assert await soon(low) == NotExecuted(Why.FULL)
         assert not high.done()
         move(0.6)
-        assert await soon(high) == TurnedAway(Why.FULL)
+        assert await soon(high) == NotExecuted(Why.FULL)
 
     behind(test, held)
 
@@ -319,7 +319,7 @@
         _, end = bench.take("late", left_ms=300.0, patience_ms=3000.0)
         move(0.4)
         bench.upstream.release.set()
-        assert await soon(end) == TurnedAway(Why.LATE)
+        assert await soon(end) == NotExecuted(Why.LATE)
         assert "late" not in bench.upstream.runs
 
     behind(test, held)
@@ -331,7 +331,7 @@
         _, end = bench.take("w", left_ms=1000.0, patience_ms=900.0)
         move(0.6)
         bench.upstream.release.set()
-        assert isinstance(await soon(end), Returned)
+        assert isinstance(await soon(end), UpstreamResponse)
         assert 0 < int(bench.upstream.seen[-1].get(b"time-remaining") or "") <= 400
 
     behind(test, held)
@@ -361,7 +361,7 @@
         running, end = taken[0]
         assert running is not None
         bench.upstream_dispatch.drop(running)
-        assert isinstance(await soon(waits), Returned)
+        assert isinstance(await soon(waits), UpstreamResponse)
         await until(lambda: bench.upstream.open == len(taken))  # less the dropped one's, with that of "w"
         assert not end.done()
 
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -15,7 +15,7 @@
 from mesh.admission.buffer_budget import LONG_SHARE, SHORT, Holding
 from mesh.admission.final_check import DRAIN_SHARE, Why
 from mesh.configuration.limits import HEAD_BESIDE, MOST_HEAD, InputLimits, read_limits
-from mesh.data_plane.call_messages import End, Returned, TurnedAway
+from mesh.data_plane.call_messages import End, NotExecuted, UpstreamResponse
 from mesh.data_plane.shutdown import NOTICE_S
 from mesh.replication.membership_epochs import MEMBERS, VIEW
 from mesh.runtime.grace import EXIT_S as BEFORE_KILL_S
@@ -341,7 +341,7 @@
             await turns()
         assert not ends.done(), "the other has not read it yet"
         found = await other.end()
-        assert isinstance(found, Returned) and found.body.endswith(body)
+        assert isinstance(found, UpstreamResponse) and found.body.endswith(body)
         await soon(ends)
         other.writer.close()
 
@@ -427,16 +427,16 @@
 
         assert await told(b"PUT", b"no beat") == 400  # and nothing of it is taken
         assert await told(b"PUT", upstream.beat("decaying")) == 200
-        assert isinstance(await passes("b1"), Returned)
+        assert isinstance(await passes("b1"), UpstreamResponse)
         move(0.9 * DRAIN_SHARE * 2.0)
         assert await told(b"PUT", upstream.beat("decaying")) == 200  # again: the time counts from the first
-        assert isinstance(await passes("b2"), Returned)
+        assert isinstance(await passes("b2"), UpstreamResponse)
         move(0.2 * DRAIN_SHARE * 2.0)
-        assert await passes("b3") == TurnedAway(Why.LEAVING)
+        assert await passes("b3") == NotExecuted(Why.LEAVING)
         assert await told(b"DELETE") == 200 and await told(b"DELETE") == 200
-        assert await passes("b4") == TurnedAway(Why.DOWN)
+        assert await passes("b4") == NotExecuted(Why.DOWN)
         assert await told(b"PUT", upstream.beat()) == 200  # late: that life is over
-        assert await passes("b5") == TurnedAway(Why.DOWN)
+        assert await passes("b5") == NotExecuted(Why.DOWN)
 
     beside(tmp_path, test)
 
@@ -451,6 +451,6 @@
         proxy.registry.reconcile()
         ended: list[End] = []
         proxy.upstream_dispatch.take(replace(passing("b1", "/read/ok"), instance="i-9"), ended.append)
-        assert ended == [TurnedAway(Why.LEAVING)]
+        assert ended == [NotExecuted(Why.LEAVING)]
 
     beside(tmp_path, test)
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -12,7 +12,7 @@
 from mesh.control_plane import program as controller_program
 from mesh.control_plane.contact_probes import ContactProbes
 from mesh.data_plane import program as proxy_program
-from mesh.data_plane.call_messages import Call, End, Returned
+from mesh.data_plane.call_messages import Call, End, UpstreamResponse
 from mesh.data_plane.upstream_registration import Registry
 from mesh.event_log import events
 from mesh.membership import failure_detection
@@ -168,7 +168,7 @@
     assert other.life is not None and caller.life is not None
 
     def take(call: Call, ended: Callable[[End], None]) -> None:
-        ended(Returned(200, [], call.instance.encode(), True))
+        ended(UpstreamResponse(200, [], call.instance.encode(), True))
 
     other.program.upstream_dispatch.take = take
     instance = f"i-{other.name}"
@@ -177,7 +177,7 @@
     node = membership.node_of(instance)
     caller.life.context.run(caller.program.passage.send, call, node, membership.address(node), ends.append)
     yield world.env.timeout(0.5)
-    return ends == [Returned(200, [], instance.encode(), True)]
+    return ends == [UpstreamResponse(200, [], instance.encode(), True)]
 
 
 def test_one_that_was_away_until_even_its_drop_was_forgotten_is_known_again() -> None:
--- a/tests/mesh/test_stages_frames.py
+++ b/tests/mesh/test_stages_frames.py
@@ -12,7 +12,7 @@
 from mesh.admission.final_check import Why
 from mesh.data_plane.call_messages import (
     Call,
-    TurnedAway,
+    NotExecuted,
     decode_from_first_hop,
     decode_from_second_hop,
     end_head,
@@ -117,18 +117,29 @@
 
 def test_a_call_names_its_route_and_one_that_does_not_is_read_all_the_same() -> None:
     call = Call(
-        "a1", b"GET", b"/x", [], b"", "i-1", "s", 700.0, route="a", version=7, age_ms=12.0, anyway=True
+        "a1",
+        b"GET",
+        b"/x",
+        [],
+        b"",
+        "i-1",
+        "s",
+        700.0,
+        route="a",
+        version=7,
+        age_ms=12.0,
+        accept_stale_route=True,
     )
     told = msgspec.to_builtins(call.head(3))
     ((head, body),) = typed(frame({**told, "of a newer program": [1]}, b""), decode_from_first_hop)
     assert read_call(head, body) == call
     del told["v"]
     old = read_call(typed(frame(told), decode_from_first_hop)[0][0], b"")
-    assert (old.route, old.anyway) == ("", False)
+    assert (old.route, old.accept_stale_route) == ("", False)
 
 
 def test_a_turning_away_carries_the_newer_item() -> None:
     item = Item("route", "a", 8, {"x": 1}, "c1", 4)
-    for end in (TurnedAway(Why.OLD, newer=pack(item)), TurnedAway(Why.FULL)):
+    for end in (NotExecuted(Why.OLD, newer_item=pack(item)), NotExecuted(Why.FULL)):
         ((head, body),) = typed(frame(end_head(1, end)[0]), decode_from_second_hop)
         assert read_end(head, body) == end
