--- a/mesh/admission/final_check.py
+++ b/mesh/admission/final_check.py
@@ -41,16 +41,16 @@
 
 def judge(now: float, upstream: Upstream, instance: str, left_ms: float) -> Passed | Turned:
     """``instance``: whom the first hop chose."""
-    beat = upstream.beat
+    beat = upstream.heartbeat
     if left_ms <= 0.0:
         return Turned(Why.LATE)
     if beat is None:  # a start without a beat yet: the upstream itself tells whether it is the one
-        return Turned(Why.LEAVING) if instance in upstream.said_decaying else Passed()
+        return Turned(Why.LEAVING) if instance in upstream.published_decaying else Passed()
     if beat.instance != instance:
         return Turned(Why.OTHER)
     if upstream.gone:
         return Turned(Why.DOWN)
-    since = upstream.drains_since
+    since = upstream.drain_started_at
     if since is not None and now - since > DRAIN_SHARE * upstream.drain_ms:
         return Turned(Why.LEAVING)
     return Passed()
@@ -58,5 +58,5 @@
 
 def places(upstream: Upstream) -> tuple[int, int]:
     """How many calls may be at the upstream, and how many may wait for it here."""
-    slots = upstream.beat.capacity if upstream.beat is not None else UNKNOWN_SLOTS
+    slots = upstream.heartbeat.capacity if upstream.heartbeat is not None else UNKNOWN_SLOTS
     return slots + max(int(AHEAD_SHARE * slots), AHEAD_LEAST), LINE_SHARE * slots
--- a/mesh/cli/judge.py
+++ b/mesh/cli/judge.py
@@ -8,7 +8,7 @@
 
 from mesh.cli.mesh_snapshot import MeshSnapshot, Process, number, part, text
 from mesh.data_plane.membership import CONTROLLER, PROXY
-from mesh.membership.instance_lifecycle import SILENT_BEATS
+from mesh.membership.instance_lifecycle import SILENT_HEARTBEATS
 
 RIVALLED_MS = 600_000.0  # how long a refused order is told of
 CLOCK_S = 2.0  # a clock further off than this from the others' is told; retries and log lines suffer from it
@@ -201,7 +201,7 @@
             what = "no upstream has announced itself beside it"
         elif upstream.get("gone"):
             what = f"its upstream {text(upstream, 'instance')} has gone and no other has come"
-        elif silent > SILENT_BEATS * beat_ms:
+        elif silent > SILENT_HEARTBEATS * beat_ms:
             what = f"its upstream {text(upstream, 'instance')} is silent for {silent / 1000.0:.1f} s"
         else:
             continue
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -19,7 +19,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership.instance_commands import SETTLED
-from mesh.membership.lease import first
+from mesh.membership.lease import first_live
 from mesh.ownership.assignment import Candidate, Word, first_map, next_map
 from mesh.ownership.key_load import KeyLoad
 from mesh.ownership.key_map import BUCKET, OWNERSHIP, KeyMap, Row, read_map, write_map
@@ -176,7 +176,7 @@
 
     def _proposes(self, now: float) -> bool:
         names = {name for name, told in self._membership.nodes.items() if told.get("role") == CONTROLLER}
-        return first(DUTY_NAME, names | {self._node}, self._live(now, 0.0)) == self._node
+        return first_live(DUTY_NAME, names | {self._node}, self._live(now, 0.0)) == self._node
 
     def _look(self, now: float, service: str) -> None:
         candidates = self._candidates(now, service)
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -18,7 +18,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership import failure_detection
-from mesh.membership.lease import DUTY, REAPING, Claim, Hold, Standing, Turn, read_standing, value
+from mesh.membership.lease import DUTY, REAPING, Claim, DutyLease, Hold, LeaseRecord, lease_value, read_lease
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
@@ -39,7 +39,7 @@
     nodes: list[str]
     waits: set[str]  # control processes that have not answered, by node
     heard: set[str]  # addresses that have, this one among them
-    reports: list[failure_detection.Report] = field(default_factory=list)
+    reports: list[failure_detection.SilenceReport] = field(default_factory=list)
 
 
 def write_linked(seconds: Iterable[float | None]) -> list[float | None]:
@@ -47,7 +47,7 @@
     return [None if linked_s is None else round(linked_s, 1) for linked_s in seconds]
 
 
-def read_report(nodes: Sequence[str], head: Head) -> failure_detection.Report:
+def read_report(nodes: Sequence[str], head: Head) -> failure_detection.SilenceReport:
     """An answer, for the nodes that were asked for; processes from before ``linked`` leave it out. Raises
     KeyError, TypeError or ValueError for what cannot be read."""
     silent = [float(silent_s) for silent_s in head["silent"]]
@@ -55,7 +55,7 @@
     if len(silent) != len(nodes) or len(linked) != len(nodes):
         raise ValueError("not as many answers as were asked for")
     heard = {name: float(heard_s) for name, heard_s in zip(nodes, linked, strict=True) if heard_s is not None}
-    return failure_detection.Report(dict(zip(nodes, silent, strict=True)), heard)
+    return failure_detection.SilenceReport(dict(zip(nodes, silent, strict=True)), heard)
 
 
 class Duties:
@@ -63,7 +63,7 @@
         self,
         node: str,
         address: str,
-        spans: failure_detection.Spans,
+        spans: failure_detection.SilenceThresholds,
         roll: Store,
         membership: Membership,
         channels: Channels,
@@ -80,9 +80,9 @@
         self._member_set, self._event_log, self._changed = member_set, event_log, changed
         self._contact = contact
         now = self._loop.time()
-        self.turn = Turn(REAPING, node, spans.suspect_s)
+        self.turn = DutyLease(REAPING, node, spans.suspect_s)
         self._began = now
-        self.watch = failure_detection.Watch(now)
+        self.watch = failure_detection.SilenceTracker(now)
         self._look_at = now
         self._held = 0  # the epoch under which this process has the duty; 0: it has not
         self._count = 0
@@ -96,10 +96,10 @@
         now = self._loop.time()
         for item in items:
             if item.kind == NODE and item.value is not None:
-                self.watch.heard(now, item.name)
+                self.watch.note_contact(now, item.name)
             elif item.kind == DUTY and item.name == REAPING:
                 try:
-                    self.turn.note(now, read_standing(item.version, item.value))
+                    self.turn.note(now, read_lease(item.version, item.value))
                 except ValueError as fault:
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
@@ -107,23 +107,23 @@
         self._hear(channel)
 
     def _hear(self, channel: Channel) -> None:
-        self.watch.heard_over_link(channel.link.heard_at, channel.node, channel.link.since)
+        self.watch.note_link_contact(channel.link.heard_at, channel.node, channel.link.since)
 
     def tick(self, now: float) -> None:
         if now < self._look_at:
             return
         self._look_at = now + LOOK_S
         nodes = self._nodes()
-        self.watch.look(now, nodes.keys())
-        self.watch.heard_over_link(now, self.node, self._began)
+        self.watch.poll(now, nodes.keys())
+        self.watch.note_link_contact(now, self.node, self._began)
         for channel in self._channels.open:
             self._hear(channel)
         names = {name for name, told in self._membership.nodes.items() if told.get("role") == CONTROLLER}
         decided = self.turn.decide(now, names | {self.node}, self.live(now, self.spans.suspect_s))
         if isinstance(decided, Claim):
-            item = self._roll.take(DUTY, REAPING, decided.epoch, value(self.node))
+            item = self._roll.take(DUTY, REAPING, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
-                self.turn.claimed(now, decided.epoch)
+                self.turn.note_claimed(now, decided.epoch)
                 self._changed([item])
                 decided = Hold(decided.epoch)
         if isinstance(decided, Hold):
@@ -135,7 +135,7 @@
             self._leave()
 
     def _leave(self) -> None:
-        newest = self.turn.newest
+        newest = self.turn.latest
         if newest.epoch != self._held:
             why = f"{newest.holder} has it"
         elif not self._contact():
@@ -156,11 +156,11 @@
             and channel.whole
             and now - channel.link.heard_at <= LIVELY_S
         }
-        if self._contact() and self.watch.awake_s(now) >= awake_s:
+        if self._contact() and self.watch.listening_s(now) >= awake_s:
             found.add(self.node)
         return found
 
-    def _nodes(self) -> dict[str, failure_detection.Known]:
+    def _nodes(self) -> dict[str, failure_detection.NodeInfo]:
         """All that the roll names. Whose disk counts stays, whatever its silence: others must go on trying to
         reach it; so does this one."""
         members = self._member_set.view().names
@@ -168,20 +168,20 @@
         for name, told in self._membership.nodes.items():
             address = self._membership.address(name)
             member = told.get("role") == CONTROLLER and address is not None and address[0] in members
-            found[name] = failure_detection.Known(str(told.get("zone", "")), member or name == self.node)
+            found[name] = failure_detection.NodeInfo(str(told.get("zone", "")), member or name == self.node)
         for told in self._membership.instances.values():
             name = str(told["node"])
             if name not in found:  # its node was dropped, and then came news of it from before
-                found[name] = failure_detection.Known(str(told.get("zone", "")))
+                found[name] = failure_detection.NodeInfo(str(told.get("zone", "")))
         return found
 
     # Asking, and acting on what was answered
 
-    def _ask(self, now: float, nodes: dict[str, failure_detection.Known], epoch: int) -> None:
+    def _ask(self, now: float, nodes: dict[str, failure_detection.NodeInfo], epoch: int) -> None:
         if self._round is not None and now - self._round.began < self.spans.suspect_s:
             return
-        doubts = {name: self.watch.doubt_s(now, name) for name in nodes}
-        asked = failure_detection.asks(nodes, doubts, self.spans)
+        doubts = {name: self.watch.silent_anywhere_s(now, name) for name in nodes}
+        asked = failure_detection.nodes_to_query(nodes, doubts, self.spans)
         self._round = None
         if not asked:
             return
@@ -207,22 +207,22 @@
         round = self._round
         if round is None or round.waits or now - round.began > ROUND_S:
             return
-        if not failure_detection.enough(round.heard, self._member_set.members()) or not self._contact():
+        if not failure_detection.is_majority(round.heard, self._member_set.members()) or not self._contact():
             return
-        if self.turn.newest != Standing(round.epoch, self.node):
+        if self.turn.latest != LeaseRecord(round.epoch, self.node):
             return
         nodes = self._nodes()
         own = self._own_report(now, nodes)
-        verdict = failure_detection.judge(nodes, [own, *round.reports], self.spans)
-        for zone in set(verdict.zones) - self._kept:
+        verdict = failure_detection.assess_silence(nodes, [own, *round.reports], self.spans)
+        for zone in set(verdict.kept_zones) - self._kept:
             self._event_log.tell(events.ZONE_KEPT, zone=zone)
-        self._kept = set(verdict.zones)
+        self._kept = set(verdict.kept_zones)
         for name in verdict.gone[:MOST_DROPPED]:
-            self._drop(name, own.silent[name])
+            self._drop(name, own.silent_s[name])
 
-    def _own_report(self, now: float, names: Iterable[str]) -> failure_detection.Report:
+    def _own_report(self, now: float, names: Iterable[str]) -> failure_detection.SilenceReport:
         heard = {name: self.watch.linked_anywhere_s(now, name) for name in names}
-        return failure_detection.Report(
+        return failure_detection.SilenceReport(
             {name: self.watch.silent_s(now, name) for name in names},
             {name: heard_s for name, heard_s in heard.items() if heard_s is not None},
         )
@@ -231,7 +231,7 @@
         instances = self._membership.at(name)
         keys = [(NODE, name), *((INSTANCE, instance) for instance in instances)]
         held = [self._roll.items[key] for key in keys if key in self._roll.items]
-        taken = self._roll.take_all(failure_detection.drops(held))
+        taken = self._roll.take_all(failure_detection.drop_writes(held))
         if isinstance(taken, StoreFull):
             self._event_log.tell(events.STATE_FULL, reason=taken.reason)
             return
@@ -251,24 +251,24 @@
         if kind == "heard":
             self._answer(now, channel, head)
         elif kind == "overtaken":
-            self.turn.note(now, read_standing(head["epoch"], {"holder": head["holder"]}))
+            self.turn.note(now, read_lease(head["epoch"], {"holder": head["holder"]}))
         else:
             self._answered(now, channel, head)
         return True
 
     def _answer(self, now: float, channel: Channel, head: Head) -> None:
-        standing, nodes = read_standing(head["epoch"], {"holder": head["holder"]}), head["nodes"]
+        standing, nodes = read_lease(head["epoch"], {"holder": head["holder"]}), head["nodes"]
         if (
             head["duty"] != REAPING
             or not isinstance(nodes, list)
-            or len(nodes) > failure_detection.MOST_ASKED
+            or len(nodes) > failure_detection.MAX_QUERIED_NODES
         ):
             raise ValueError("not a question of a duty that is known here")
         known = self._member_set.view().epoch
         # Who goes by an older view may count a majority that is none any more.
         old_view = int(head.get("e", known)) < known
         if not self.turn.note(now, standing) or old_view:
-            newest = self.turn.newest
+            newest = self.turn.latest
             self._event_log.tell(events.EPOCH_OLD, duty=REAPING, epoch=standing.epoch, newest=newest.epoch)
             channel.link.send({"t": "overtaken", "epoch": newest.epoch, "holder": newest.holder})
             return
@@ -284,13 +284,13 @@
         round.waits.discard(channel.node)
         round.heard.add(str(channel.extra.get("ip", "")))
         round.reports.append(report)
-        for name, silent_s in report.silent.items():
-            self.watch.told(round.began - silent_s, name)
-        for name, heard_s in report.heard.items():
-            self.watch.told_linked(round.began - heard_s, name)
+        for name, silent_s in report.silent_s.items():
+            self.watch.note_reported_contact(round.began - silent_s, name)
+        for name, heard_s in report.linked_s.items():
+            self.watch.note_reported_link_contact(round.began - heard_s, name)
         self._conclude(now)
 
     def told(self) -> dict[str, Any]:
         """For operators: who has which duty, under which epoch."""
-        newest = self.turn.newest
+        newest = self.turn.latest
         return {REAPING: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held)}}
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -20,7 +20,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership import failure_detection
-from mesh.membership.lease import DUTY, Claim, Hold, Standing, Turn, read_standing, value
+from mesh.membership.lease import DUTY, Claim, DutyLease, Hold, LeaseRecord, lease_value, read_lease
 from mesh.membership.lease import MEMBERS as MINDING
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
@@ -40,7 +40,7 @@
     def __init__(
         self,
         node: str,
-        spans: failure_detection.Spans,
+        spans: failure_detection.SilenceThresholds,
         roll: Store,
         membership: Membership,
         member_set: MemberSet,
@@ -57,7 +57,7 @@
         self._proposer_host, self.joining, self._duties = proposer_host, joining, duties
         self._event_log, self._changed = event_log, changed
         now = self._loop.time()
-        self.turn = Turn(MINDING, node, spans.suspect_s * STEADY_SHARE)
+        self.turn = DutyLease(MINDING, node, spans.suspect_s * STEADY_SHARE)
         self.silence = MemberSilence(node, spans, self.turn, membership, member_set, duties, event_log)
         self._held = 0
         self._live_at = now  # when it could last act
@@ -76,7 +76,7 @@
         for item in items:
             if item.kind == DUTY and item.name == MINDING:
                 try:
-                    self.turn.note(self._loop.time(), read_standing(item.version, item.value))
+                    self.turn.note(self._loop.time(), read_lease(item.version, item.value))
                 except ValueError as fault:
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
@@ -94,9 +94,9 @@
         live = self._duties.live(now, self.spans.suspect_s * STEADY_SHARE)
         decided = self.turn.decide(now, self._candidates(view), live)
         if isinstance(decided, Claim):
-            item = self._roll.take(DUTY, MINDING, decided.epoch, value(self.node))
+            item = self._roll.take(DUTY, MINDING, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
-                self.turn.claimed(now, decided.epoch)
+                self.turn.note_claimed(now, decided.epoch)
                 self._changed([item])
                 decided = Hold(decided.epoch)
         if isinstance(decided, Hold) and self._held != decided.epoch:
@@ -108,8 +108,8 @@
             return
         # Whoever is first now has to claim it before: until then nobody else would do it. A view that has
         # just come leaves this process without contact for a moment.
-        if self.turn.newest != Standing(self._held, self.node):
-            self._leave(f"{self.turn.newest.holder} has it")
+        if self.turn.latest != LeaseRecord(self._held, self.node):
+            self._leave(f"{self.turn.latest.holder} has it")
         elif now - self._live_at > LIVELY_S:
             self._leave("no contact with most members")
         else:
@@ -214,7 +214,7 @@
             "members": rows,
             "borne": self.losses(),
             "waits": planned.waits,
-            "holder": self.turn.newest.holder,
+            "holder": self.turn.latest.holder,
         }
 
     def _why_silent_stays(self, now: float, view: View, one: Known, address: str) -> str:
@@ -222,14 +222,14 @@
         if one.heard or address not in view.now:
             return ""
         if not self._held:
-            holder = self.turn.newest.holder or "nobody yet"
+            holder = self.turn.latest.holder or "nobody yet"
             return f"{holder} has the duty members, and knows why"
         why = self.silence.why_it_stays(now, view, address)
         return why or ("" if not view.joint else "the change under way comes first")
 
     def told(self) -> Told:
         """For operators: who has the duty, under which epoch."""
-        newest = self.turn.newest
+        newest = self.turn.latest
         return {MINDING: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held)}}
 
     def _nodes(self) -> dict[str, str]:
--- a/mesh/control_plane/member_messages.py
+++ b/mesh/control_plane/member_messages.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from mesh.membership.failure_detection import MOST_ASKED, Report
-from mesh.membership.lease import Standing, read_standing, value
+from mesh.membership.failure_detection import MAX_QUERIED_NODES, SilenceReport
+from mesh.membership.lease import LeaseRecord, lease_value, read_lease
 from mesh.transport.frames import Head
 
 
@@ -30,13 +30,13 @@
     silent: list[float]
     linked: list[float | None] = []
 
-    def report(self, nodes: list[str]) -> Report:
+    def report(self, nodes: list[str]) -> SilenceReport:
         """For the nodes that were asked for. Raises ValueError where it answers another question."""
         linked = self.linked or [None] * len(nodes)
         if len(self.silent) != len(nodes) or len(linked) != len(nodes):
             raise ValueError("not as many answers as were asked for")
         heard = {name: heard_s for name, heard_s in zip(nodes, linked, strict=True) if heard_s is not None}
-        return Report(dict(zip(nodes, self.silent, strict=True)), heard)
+        return SilenceReport(dict(zip(nodes, self.silent, strict=True)), heard)
 
 
 class Overtaken(msgspec.Struct, frozen=True, tag_field="t", tag="outdone"):
@@ -58,7 +58,7 @@
         frame: Frame = msgspec.convert(head, Frame)
     except msgspec.ValidationError as fault:
         raise ValueError(str(fault)) from fault
-    if isinstance(frame, Question) and len(frame.of) > MOST_ASKED:
+    if isinstance(frame, Question) and len(frame.of) > MAX_QUERIED_NODES:
         raise ValueError("a question for too many nodes")
     return frame
 
@@ -69,6 +69,6 @@
     return told
 
 
-def standing(frame: Question | Overtaken) -> Standing:
+def standing(frame: Question | Overtaken) -> LeaseRecord:
     """The claim of the duty that it goes by. Raises ValueError for what is no claim."""
-    return read_standing(frame.epoch, value(frame.holder))
+    return read_lease(frame.epoch, lease_value(frame.holder))
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -17,16 +17,16 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership.failure_detection import (
-    MOST_ASKED,
-    Known,
-    Report,
-    Spans,
-    Watch,
-    enough,
-    judge,
-    least_silent,
+    MAX_QUERIED_NODES,
+    NodeInfo,
+    SilenceReport,
+    SilenceThresholds,
+    SilenceTracker,
+    assess_silence,
+    is_majority,
+    min_silence,
 )
-from mesh.membership.lease import MEMBERS, Turn
+from mesh.membership.lease import MEMBERS, DutyLease
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place
 from mesh.replication.reconfiguration import Absence
@@ -44,7 +44,7 @@
     nodes: list[str]
     waits: set[str]  # addresses that have not answered
     heard: set[str]  # addresses that have, this one among them
-    reports: list[Report] = field(default_factory=list)
+    reports: list[SilenceReport] = field(default_factory=list)
 
 
 class MemberSilence:
@@ -53,8 +53,8 @@
     def __init__(
         self,
         node: str,
-        spans: Spans,
-        turn: Turn,
+        spans: SilenceThresholds,
+        turn: DutyLease,
         membership: Membership,
         member_set: MemberSet,
         duties: Duties,
@@ -63,11 +63,11 @@
         """``node``: this process; ``turn``: its turn at the duty, under which it asks."""
         self._loop = asyncio.get_running_loop()
         self._node, self.spans, self._turn = node, spans, turn
-        self._early = Spans(spans.suspect_s, spans.suspect_s, spans.zone_s)
+        self._early = SilenceThresholds(spans.suspect_s, spans.suspect_s, spans.zone_gone_s)
         self._membership, self._member_set, self._duties = membership, member_set, duties
         self._event_log = event_log
         self._began = self._loop.time()
-        self.watch = Watch(self._began)  # of members, by address
+        self.watch = SilenceTracker(self._began)  # of members, by address
         self._count = 0
         self._round: _Round | None = None
         self._asked_at = -1e18
@@ -76,10 +76,10 @@
 
     def tick(self, now: float, view: View) -> None:
         """Notes which members have been heard; to be called every GAP_S at least."""
-        self.watch.look(now, view.names | {self._member_set.own_address})
-        self.watch.heard_over_link(now, self._member_set.own_address, self._began)
+        self.watch.poll(now, view.names | {self._member_set.own_address})
+        self.watch.note_link_contact(now, self._member_set.own_address, self._began)
         for address, channel in self._member_set.peers().items():
-            self.watch.heard_over_link(channel.link.heard_at, address, channel.link.since)
+            self.watch.note_link_contact(channel.link.heard_at, address, channel.link.since)
 
     def stop(self) -> None:
         """The duty is another's now."""
@@ -105,7 +105,7 @@
             return
         self._asked_at = now
         self._count += 1
-        names = [*silent, *self._companions(now, view, silent)][:MOST_ASKED]
+        names = [*silent, *self._companions(now, view, silent)][:MAX_QUERIED_NODES]
         self._round = asked = _Round(self._count, now, names, set(), {self._member_set.own_address})
         question = member_messages.write(Question(self._count, epoch, self._node, names))
         for address, channel in self._member_set.peers().items():
@@ -120,7 +120,7 @@
         return [
             name
             for name, zone in self._others(view).items()
-            if zone in zones and self._duties.watch.silent_s(now, name) >= self.spans.apart_s
+            if zone in zones and self._duties.watch.silent_s(now, name) >= self.spans.partition_window_s
         ]
 
     def _others(self, view: View) -> dict[str, str]:
@@ -132,7 +132,7 @@
                 found[name] = str(told.get("zone", ""))
         return found
 
-    def _watch_of(self, name: str) -> Watch:
+    def _watch_of(self, name: str) -> SilenceTracker:
         """Members are watched by their address, other nodes by their name."""
         return self.watch if name in self._member_set.view().names else self._duties.watch
 
@@ -140,27 +140,27 @@
         asked, view = self._round, self._member_set.view()
         if asked is None or asked.waits or now - asked.began > ROUND_S:
             return
-        if not enough(asked.heard, view.names):
+        if not is_majority(asked.heard, view.names):
             return
-        known = {address: Known(_place(view, address).zone, member=True) for address in view.names}
-        known |= {name: Known(zone, stays=True) for name, zone in self._others(view).items()}
+        known = {address: NodeInfo(_place(view, address).zone, member=True) for address in view.names}
+        known |= {name: NodeInfo(zone, exempt=True) for name, zone in self._others(view).items()}
         reports = [self._own_report(now, known), *asked.reports]
-        verdict = judge(known, reports, self._early)
-        gone = set(judge(known, reports, self.spans).gone) & set(verdict.gone)
-        silent_s = least_silent(view.names, reports)
+        verdict = assess_silence(known, reports, self._early)
+        gone = set(assess_silence(known, reports, self.spans).gone) & set(verdict.gone)
+        silent_s = min_silence(view.names, reports)
         self._absences = {
             address: Absence(
                 silent=address in verdict.gone,
                 gone=address in gone,
                 silent_s=silent_s[address],
-                zone_silent=known[address].zone in verdict.zones,
+                zone_silent=known[address].zone in verdict.kept_zones,
             )
             for address in asked.nodes
             if address in view.names
         }
         self._judged_at = now
 
-    def _own_report(self, now: float, names: Iterable[str]) -> Report:
+    def _own_report(self, now: float, names: Iterable[str]) -> SilenceReport:
         silent, heard = {}, {}
         for name in names:
             watch = self._watch_of(name)
@@ -168,7 +168,7 @@
             heard_s = watch.linked_s(now, name)
             if heard_s is not None:
                 heard[name] = heard_s
-        return Report(silent, heard)
+        return SilenceReport(silent, heard)
 
     # Operators
 
@@ -184,7 +184,7 @@
             waits = ", ".join(sorted(asked.waits)) if asked is not None else ""
             if waits:
                 return f"the others are asked; no answer yet from {waits}"
-            if asked is not None and not enough(asked.heard, view.names):
+            if asked is not None and not is_majority(asked.heard, view.names):
                 return f"of {len(view.names)} members only {len(asked.heard)} could be asked"
             return "the others are asked next"
         if absence.silent:
@@ -192,7 +192,7 @@
         if absence.silent_s < bound_s:
             return f"another member heard it {absence.silent_s:.0f} s ago"
         zone = _place(view, address).zone
-        left_s = max(self.spans.zone_s - absence.silent_s, 0.0)
+        left_s = max(self.spans.zone_gone_s - absence.silent_s, 0.0)
         return (
             f"nobody of zone {zone} was heard after it, or only just now: the zone may be cut off. It goes "
             f"once another machine of the zone is heard, after {left_s:.0f} s, or by members remove"
@@ -214,16 +214,16 @@
     def _answer(self, now: float, channel: Channel, question: Question) -> None:
         claim = member_messages.standing(question)
         if not self._turn.note(now, claim):
-            newest = self._turn.newest
+            newest = self._turn.latest
             self._event_log.tell(events.EPOCH_OLD, duty=MEMBERS, epoch=claim.epoch, newest=newest.epoch)
             refused = Overtaken(newest.epoch, newest.holder)
             channel.link.send(member_messages.write(refused))
             return
         report = self._own_report(now, question.of)
-        linked = [report.heard.get(name) for name in question.of]
+        linked = [report.linked_s.get(name) for name in question.of]
         answer = Answer(
             question.n,
-            [round(report.silent[name], 1) for name in question.of],
+            [round(report.silent_s[name], 1) for name in question.of],
             [None if heard_s is None else round(heard_s, 1) for heard_s in linked],
         )
         channel.link.send(member_messages.write(answer))
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -30,8 +30,8 @@
 from mesh.dissemination.peers import Channel, Channels
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.failure_detection import above, dropped, spans
-from mesh.membership.tombstones import ASKS_ANEW_S, Tombs
+from mesh.membership.failure_detection import silence_thresholds, version_above, was_dropped
+from mesh.membership.tombstones import RESYNC_AFTER_S, Tombstones
 from mesh.ownership.key_report import KEY_REPORT
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import VIEW
@@ -61,7 +61,7 @@
         self.charter, self.roll = Store(life, MAX_CHARTER_ITEMS, decided=True), Store(life, MAX_ROLL_ITEMS)
         self.reports = Store(life, 2 * MAX_ROLL_ITEMS)  # two a sidecar, which the roll has an item of as well
         self.membership = Membership()
-        self.tombs = Tombs()
+        self.tombs = Tombstones()
         self.disk_writer, self.acceptor = open_disk(settings, self.charter, event_log)
         self.channels = Channels(
             settings.node,
@@ -140,7 +140,7 @@
         self.duties = Duties(
             settings.node,
             self.own_address,
-            spans(bounds.contact_ms, settings.beat_period_ms),
+            silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
             self.roll,
             self.membership,
             self.channels,
@@ -189,7 +189,7 @@
         )
         self.minding = Minding(
             settings.node,
-            spans(bounds.contact_ms, settings.beat_period_ms),
+            silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
             self.roll,
             self.membership,
             self.member_set,
@@ -277,7 +277,7 @@
         told = self.roll.take(
             NODE,
             settings.node,
-            above(self.roll.items.get((NODE, settings.node)), int(time.time() * 1000)),
+            version_above(self.roll.items.get((NODE, settings.node)), int(time.time() * 1000)),
             {
                 "address": f"{self.peer_address[0]}:{self.peer_address[1]}",
                 "role": CONTROLLER,
@@ -304,18 +304,18 @@
         self.repairing.tick(now)
         self.forgetting.tick(now)
         self.catching_up.tick(now)
-        for key in self.tombs.due(now):
+        for key in self.tombs.pop_expired(now):
             self.roll.forget(key)
             self.reports.forget(key)
         if (
-            now - self._last_linked_at > ASKS_ANEW_S
+            now - self._last_linked_at > RESYNC_AFTER_S
         ):  # looked at before the links: they outlast standing still
             self._last_linked_at = now
             self._changed("roll", self.roll.clear())
             self._publish_node()
         elif self.channels.open:
             self._last_linked_at = now
-        if dropped(self.roll.items.get((NODE, self.settings.node))):
+        if was_dropped(self.roll.items.get((NODE, self.settings.node))):
             self._publish_node()
 
     def open_calls(self) -> int:
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -25,7 +25,7 @@
 from mesh.dissemination.pull_exchange import unpack
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.rendezvous import order
+from mesh.membership.rendezvous import rendezvous_order
 from mesh.replication.acceptor import Ballot, Forgotten, Number, Promised, Refusal, Settled, Value, digest_of
 from mesh.replication.proposer import Accept, Again, Chosen, Decided, Prepare, Proposer, Rivalled, Unclear
 from mesh.replication.store import Store
@@ -331,7 +331,7 @@
                 continue
             ballot = votes[number].ballot
             if ballot not in ranks:
-                wanted = order(f"{ballot.round}.{ballot.proposer}", names)
+                wanted = rendezvous_order(f"{ballot.round}.{ballot.proposer}", names)
                 ranks[ballot] = (
                     wanted.index(self._member_set.own_address)
                     if self._member_set.own_address in wanted
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -19,7 +19,7 @@
 from mesh.dissemination.peers import Channel
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.tombstones import Tombs
+from mesh.membership.tombstones import Tombstones
 from mesh.replication.acceptor import Acceptor
 from mesh.replication.items import Item, Key
 from mesh.replication.membership_epochs import View
@@ -57,7 +57,7 @@
         self._loop = asyncio.get_running_loop()
         self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
         self._member_set, self._acceptor_host, self._event_log = member_set, acceptor_host, event_log
-        self._tombs = Tombs()
+        self._tombs = Tombstones()
         self._tombs.note(self._loop.time(), charter.items.values())
         self._due = self._loop.time() + EVERY_S
         self._count = 0
@@ -85,7 +85,7 @@
         ):
             return
         rank = sorted(view.now).index(me)
-        ripe = self._tombs.ripe(now - rank * EVERY_S, MOST)
+        ripe = self._tombs.expired(now - rank * EVERY_S, MOST)
         held = [self._charter.items.get(key) for key in ripe]
         drops = [(item.key, item.version) for item in held if item is not None and item.value is None]
         if not drops:
@@ -141,7 +141,7 @@
         """In one batch on disk: what is gone, and what is left of it."""
         for key in keys:
             self._acceptor.forget(key)
-        self._tombs.drop(keys)
+        self._tombs.discard(keys)
         if buckets or keys:
             self._disk_writer.remove_keys(keys, buckets)
 
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -67,7 +67,7 @@
 
 def _upstream(proxy: Proxy) -> Told | None:
     """The upstream beside it; None before its first beat."""
-    upstream, beat = proxy.upstream, proxy.upstream.beat
+    upstream, beat = proxy.upstream, proxy.upstream.heartbeat
     if beat is None:
         return None
     return {
@@ -76,7 +76,7 @@
         "state": beat.state,
         "capacity": beat.capacity,
         "gone": upstream.gone,
-        "silent_ms": round(proxy.tables.now() - upstream.heard),
+        "silent_ms": round(proxy.tables.now() - upstream.heartbeat_at),
         "running": len(proxy.upstream_dispatch.running),
         "waiting": len(proxy.upstream_dispatch.line),
     }
--- a/mesh/data_plane/key_holds.py
+++ b/mesh/data_plane/key_holds.py
@@ -13,7 +13,7 @@
 from mesh.data_plane.call_messages import Call
 from mesh.data_plane.key_maps import KEY, KeyMaps
 from mesh.dissemination.peers import Channels
-from mesh.membership.instance_commands import DECAYING, Beat
+from mesh.membership.instance_commands import DECAYING, Heartbeat
 from mesh.ownership.key_map import OWNERSHIP, KeyMap, read_key
 from mesh.ownership.key_report import KEY_REPORT, write_report
 from mesh.ownership.lease_terms import terms_of
@@ -119,7 +119,7 @@
 
     # Beats
 
-    async def answer(self, beat: Beat) -> dict[str, Any]:
+    async def answer(self, beat: Heartbeat) -> dict[str, Any]:
         """The answer's fields. May wait a moment for a map that is on its way."""
         if not self._maps.divided(beat.plant) or beat.plant != self._service:
             return {}
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -39,7 +39,7 @@
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.rendezvous import few
+from mesh.membership.rendezvous import select_top
 from mesh.transport.body_pieces import PIECE_BYTES, WINDOW_BYTES
 from mesh.transport.frames import MOST, RefusedBody
 from mesh.transport.link import Address, Link, connect
@@ -207,7 +207,7 @@
                 node=self.passage.node,
                 purpose="calls",
                 life=self.passage.life,
-                core=few(self.node, core, MOST_TOLD),
+                core=select_top(self.node, core, MOST_TOLD),
                 window=WINDOW_BYTES,
             )
         )
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -35,10 +35,10 @@
 from mesh.dissemination.pull_exchange import unpack
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.failure_detection import above, dropped
+from mesh.membership.failure_detection import version_above, was_dropped
 from mesh.membership.instance_commands import read_address
 from mesh.membership.instance_lifecycle import Upstream
-from mesh.membership.tombstones import ASKS_ANEW_S, Tombs
+from mesh.membership.tombstones import RESYNC_AFTER_S, Tombstones
 from mesh.ownership.key_map import OWNERSHIP
 from mesh.replication.items import Item
 from mesh.replication.store import Store
@@ -75,8 +75,8 @@
         self.life = f"{settings.node}.{os.urandom(4).hex()}"
         self.charter, self.roll = Store(self.life, MOST_CHARTER, decided=True), Store(self.life, MOST_ROLL)
         self.reports = Store(self.life, 2)  # what this sidecar says of itself; nobody else's comes here
-        self.membership, self.routes, self.tombs = Membership(), Routes(), Tombs()
-        self._dropped = Tombs()  # of the charter
+        self.membership, self.routes, self.tombs = Membership(), Routes(), Tombstones()
+        self._dropped = Tombstones()  # of the charter
         bounds = settings.bounds
         self.upstream = Upstream(settings.node, settings.zone, settings.beat_period_ms, bounds.drain_ms)
         assert settings.upstream is not None
@@ -199,7 +199,7 @@
 
     def _say_node(self) -> None:
         settings = self.settings
-        self._node_version = above(self.roll.items.get((NODE, settings.node)), self._node_version + 1)
+        self._node_version = version_above(self.roll.items.get((NODE, settings.node)), self._node_version + 1)
         told = self.roll.take(
             NODE,
             settings.node,
@@ -233,18 +233,18 @@
         self.sessions.sweep(now)
         for link in list(self.incoming_links):
             link.tick(now)
-        for key in self.tombs.due(now):
+        for key in self.tombs.pop_expired(now):
             self.roll.forget(key)
-        for key in self._dropped.due(now):
+        for key in self._dropped.pop_expired(now):
             self.charter.forget(key)
         self._doubts(now)
-        if now - self._touched > ASKS_ANEW_S:  # looked at before the links: they outlast standing still
+        if now - self._touched > RESYNC_AFTER_S:  # looked at before the links: they outlast standing still
             self._touched = now
             self._changed("roll", self.roll.clear())
             self._say_again()
         elif self.channels.open:
             self._touched = now
-        if dropped(self.roll.items.get((NODE, self.settings.node))):
+        if was_dropped(self.roll.items.get((NODE, self.settings.node))):
             self._say_again()
         self.registry.reconcile()
 
@@ -255,7 +255,7 @@
             if self.channels.whole_at > self._doubted_at:
                 self._doubted_at = None
                 self._changed("charter", self.charter.settle())
-        elif self.configured() and not self.channels.fresh(ASKS_ANEW_S):
+        elif self.configured() and not self.channels.fresh(RESYNC_AFTER_S):
             self._doubted_at = now
             self.charter.doubt()
             for channel in list(self.channels.open):
--- a/mesh/data_plane/route_preparation.py
+++ b/mesh/data_plane/route_preparation.py
@@ -7,7 +7,7 @@
 from mesh.data_plane.peer_links import Passage
 from mesh.data_plane.service_tables import Tables
 from mesh.membership.instance_commands import SETTLED
-from mesh.membership.rendezvous import few
+from mesh.membership.rendezvous import select_top
 
 
 def prepare(route: Route, node: str, tables: Tables, membership: Membership, passage: Passage) -> list[str]:
@@ -20,7 +20,7 @@
         live = [value for _, value in known if value is not None and value["state"] == SETTLED]
         if new:
             table.tell(known, whole=True)
-            for other in few(node, {str(value["node"]) for value in live}, 1):
+            for other in select_top(node, {str(value["node"]) for value in live}, 1):
                 address = membership.address(other)
                 if address is not None:
                     passage.warm(other, address)
--- a/mesh/data_plane/shutdown.py
+++ b/mesh/data_plane/shutdown.py
@@ -96,7 +96,7 @@
     async def run(self) -> None:
         """Returns when the process may exit."""
         proxy, times, began = self._proxy, self._times, self._loop.time()
-        proxy.registry.publish(proxy.upstream.end(proxy.tables.now()))
+        proxy.registry.publish(proxy.upstream.shut_down(proxy.tables.now()))
         late = self._loop.call_later(times.last_request_s, self._refuse_requests)
         clients = self._loop.create_task(
             proxy.client_listener.stop(accept_s=times.notice_s, exit_s=times.exit_s)
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -20,7 +20,7 @@
 from mesh.data_plane.upstream_connections import Answered, NotSent, Outcome, Tap, TapConnection
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.instance_lifecycle import Publish, Upstream
+from mesh.membership.instance_lifecycle import InstanceUpdate, Upstream
 
 # Written anew here, whatever was sent; the first hop leaves them out, earlier ones did not.
 OURS = frozenset({b"time-remaining", b"target-instance", b"calling-service", b"attempt-id"})
@@ -62,7 +62,11 @@
 
 class UpstreamDispatch:
     def __init__(
-        self, upstream: Upstream, tap: Tap, event_log: EventLog, publish: Callable[[list[Publish]], None]
+        self,
+        upstream: Upstream,
+        tap: Tap,
+        event_log: EventLog,
+        publish: Callable[[list[InstanceUpdate]], None],
     ) -> None:
         self.upstream, self.tap, self._event_log, self._publish = upstream, tap, event_log, publish
         self._loop = asyncio.get_running_loop()
@@ -237,7 +241,7 @@
             return
         if isinstance(outcome, NotSent):
             if outcome.refused:
-                self._publish(self.upstream.refused(self.now()))
+                self._publish(self.upstream.on_connection_refused(self.now()))
             self._tell(running, NotExecuted(Why.DOWN if outcome.refused else Why.FULL))
             return
         if not isinstance(outcome, Answered):
--- a/mesh/data_plane/upstream_registration.py
+++ b/mesh/data_plane/upstream_registration.py
@@ -13,8 +13,8 @@
 from mesh.data_plane.membership import INSTANCE, Membership
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.instance_commands import DECAYING, Beat, Leave, Unreadable, read_beat
-from mesh.membership.instance_lifecycle import GONE_VERSION, SILENT_BEATS, Publish, Upstream
+from mesh.membership.instance_commands import DECAYING, Heartbeat, InvalidCommand, Leave, read_heartbeat
+from mesh.membership.instance_lifecycle import FINAL_VERSION, SILENT_HEARTBEATS, InstanceUpdate, Upstream
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from mesh.transport.http_calls import Answer
@@ -28,7 +28,7 @@
     status: int
 
 
-Command = Beat | Leave | Unreadable | Unknown
+Command = Heartbeat | Leave | InvalidCommand | Unknown
 
 
 def decode(message: http.Message) -> Command:
@@ -39,9 +39,9 @@
     try:
         instance = path[len(PATH) :].decode("ascii")
     except UnicodeDecodeError:
-        return Unreadable("path", "an id is of ASCII characters")
+        return InvalidCommand("path", "an id is of ASCII characters")
     if message.method == b"PUT":
-        return read_beat(instance, message.body)
+        return read_heartbeat(instance, message.body)
     if message.method == b"DELETE":
         return Leave(instance)
     return Unknown(405)
@@ -58,7 +58,7 @@
         event_log: EventLog,
         now: Callable[[], float],
         changed: Callable[[list[Item]], None],
-        keys: Callable[[Beat], Awaitable[dict[str, Any]]] | None = None,
+        keys: Callable[[Heartbeat], Awaitable[dict[str, Any]]] | None = None,
     ) -> None:
         """``now`` gives milliseconds; ``changed`` is told of items written here; ``keys`` gives the fields of
         a beat's answer that say which keys its upstream is to hold."""
@@ -73,20 +73,20 @@
         command = decode(message)
         if isinstance(command, Unknown):
             return Answer(command.status)
-        if isinstance(command, Unreadable):
+        if isinstance(command, InvalidCommand):
             return Answer(400, msgspec.json.encode({"error": command.line()}))
         if isinstance(command, Leave):
             self._event_log.tell(
                 events.INSTANCE_GONE,
-                service=self._upstream.beat.plant if self._upstream.beat is not None else "",
+                service=self._upstream.heartbeat.plant if self._upstream.heartbeat is not None else "",
                 instance=command.instance,
                 why="signed off",
             )
             self.publish(self._upstream.leave(command.instance))
             return Answer(200, b"{}")
-        known = self._upstream.beat
-        self.publish(self._upstream.take(self._now(), command, self._is_over(command.instance)))
-        if self._upstream.unproven == command.instance:  # what is not taken is not acknowledged
+        known = self._upstream.heartbeat
+        self.publish(self._upstream.on_heartbeat(self._now(), command, self._is_over(command.instance)))
+        if self._upstream.contender == command.instance:  # what is not taken is not acknowledged
             return Answer(503)
         self._tell(known, command)
         return Answer(200, msgspec.json.encode(await self._keys(command)))
@@ -94,9 +94,9 @@
     def _is_over(self, instance: str) -> bool:
         """Whether this machine has said so, in an earlier life of this process too."""
         item = self._roll.items.get((INSTANCE, instance))
-        return item is not None and item.value is None and item.version >= GONE_VERSION
+        return item is not None and item.value is None and item.version >= FINAL_VERSION
 
-    def _tell(self, known: Beat | None, beat: Beat) -> None:
+    def _tell(self, known: Heartbeat | None, beat: Heartbeat) -> None:
         """What a beat has changed, for the log. ``known``: the newest before it."""
         if self._upstream.instance != beat.instance:
             return
@@ -114,7 +114,7 @@
                 instance=beat.instance,
             )
 
-    def publish(self, told: list[Publish]) -> None:
+    def publish(self, told: list[InstanceUpdate]) -> None:
         """Makes what the others are to be told items of the roll."""
         items = []
         for one in told:
@@ -131,8 +131,8 @@
         if not mine:
             here = self._membership.at(self._upstream.node)
             states = {name: self._membership.instances[name].get("state") for name in here}
-            self._upstream.said_decaying = frozenset(name for name in here if states[name] == DECAYING)
-        silent = self._now() - self._began > SILENT_BEATS * self._upstream.beat_ms
+            self._upstream.published_decaying = frozenset(name for name in here if states[name] == DECAYING)
+        silent = self._now() - self._began > SILENT_HEARTBEATS * self._upstream.heartbeat_ms
         told = []
         item = self._roll.items.get((INSTANCE, mine))  # dropped, it may be, and then not in the membership
         if item is not None and item.version > self._upstream.version:
@@ -140,8 +140,8 @@
         for instance in self._membership.at(self._upstream.node):
             if instance != mine and (mine or silent):
                 # above what was said of it once more while it was taken for the one that is here
-                version = max(GONE_VERSION, self._roll.items[INSTANCE, instance].version + 1)
-                told.append(Publish(instance, version, None))
+                version = max(FINAL_VERSION, self._roll.items[INSTANCE, instance].version + 1)
+                told.append(InstanceUpdate(instance, version, None))
         self.publish(told)
 
     def republish(self) -> None:
@@ -150,5 +150,5 @@
         self.publish(self._upstream.republish(item.version if item is not None else 0))
 
 
-async def _no_keys(_: Beat) -> dict[str, Any]:
+async def _no_keys(_: Heartbeat) -> dict[str, Any]:
     return {}
--- a/mesh/dissemination/peers.py
+++ b/mesh/dissemination/peers.py
@@ -17,7 +17,7 @@
 from mesh.dissemination.pull_exchange import Exchange
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.membership.rendezvous import order
+from mesh.membership.rendezvous import rendezvous_order
 from mesh.replication.items import Item
 from mesh.replication.snapshot import SNAPSHOTS
 from mesh.replication.store import Store
@@ -222,7 +222,7 @@
         others from being tried, but costs none that stands: a seed that is gone is tried for ever."""
         now, wanted, standing = self.loop.time(), 0, 0
         if self._order is None:
-            self._order = order(self.me, self._asked)
+            self._order = rendezvous_order(self.me, self._asked)
         for name in self._order:
             asked = self._asked[name]
             if asked.channel is not None:
--- a/mesh/membership/instance_commands.py
+++ b/mesh/membership/instance_commands.py
@@ -10,12 +10,12 @@
 from mesh.ownership.server_holds import HeldRow, ReleasedRow
 from mesh.transport.link import Address
 
-NAME = 128  # characters of an instance's id at the most
+MAX_INSTANCE_ID_LENGTH = 128  # characters of an instance's id at the most
 SETTLED, DECAYING = "settled", "decaying"
-ROWS_MOST = 1024  # of keys in one beat
+MAX_KEY_ROWS = 1024  # of keys in one beat
 
 
-class Beat(Struct, frozen=True):
+class Heartbeat(Struct, frozen=True):
     instance: str
     plant: str
     address: Address
@@ -33,12 +33,12 @@
     instance: str
 
 
-class Unreadable(Struct, frozen=True):
+class InvalidCommand(Struct, frozen=True):
     field: str
-    mend: str
+    remedy: str
 
     def line(self) -> str:
-        return f"beat: {self.field}: {self.mend}"
+        return f"beat: {self.field}: {self.remedy}"
 
 
 def read_address(text: Any) -> Address | None:
@@ -50,42 +50,42 @@
     return host, int(port)
 
 
-def _number(value: Any) -> bool:
+def _is_number(value: Any) -> bool:
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value < 2**53
 
 
-def read_beat(instance: str, body: bytes) -> Beat | Unreadable:
-    if not 0 < len(instance) <= NAME:
-        return Unreadable("path", f"an id has 1 to {NAME} characters")
+def read_heartbeat(instance: str, body: bytes) -> Heartbeat | InvalidCommand:
+    if not 0 < len(instance) <= MAX_INSTANCE_ID_LENGTH:
+        return InvalidCommand("path", f"an id has 1 to {MAX_INSTANCE_ID_LENGTH} characters")
     try:
         told = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError):
-        return Unreadable("body", "send a JSON object")
+        return InvalidCommand("body", "send a JSON object")
     if not isinstance(told, dict):
-        return Unreadable("body", "send a JSON object")
+        return InvalidCommand("body", "send a JSON object")
     address = read_address(told.get("address"))
     if address is None:
-        return Unreadable("address", "give HOST:PORT")
+        return InvalidCommand("address", "give HOST:PORT")
     if told.get("state") not in (SETTLED, DECAYING):
-        return Unreadable("state", f"give {SETTLED} or {DECAYING}")
+        return InvalidCommand("state", f"give {SETTLED} or {DECAYING}")
     for field in ("capacity", "sample_count"):
-        if not _number(told.get(field)) or int(told[field]) != told[field]:
-            return Unreadable(field, "give a whole number from 0")
-    if not _number(told.get("warmup_left_ms", 0)):
-        return Unreadable("warmup_left_ms", "give a number from 0")
+        if not _is_number(told.get(field)) or int(told[field]) != told[field]:
+            return InvalidCommand(field, "give a whole number from 0")
+    if not _is_number(told.get("warmup_left_ms", 0)):
+        return InvalidCommand("warmup_left_ms", "give a number from 0")
     for field in ("plant", "zone", "epoch"):
         if not isinstance(told.get(field, ""), str) or len(told.get(field, "")) > 256:
-            return Unreadable(field, "give text of 256 characters at the most")
+            return InvalidCommand(field, "give text of 256 characters at the most")
     if not told.get("plant"):
-        return Unreadable("plant", "give the service's name")
+        return InvalidCommand("plant", "give the service's name")
     try:
         holds = msgspec.convert(told.get("holds") or [], tuple[HeldRow, ...])
         released = msgspec.convert(told.get("released") or [], tuple[ReleasedRow, ...])
     except msgspec.ValidationError as fault:
-        return Unreadable("holds, released", f"give rows of keys: {fault}")
-    if len(holds) > ROWS_MOST or len(released) > ROWS_MOST:
-        return Unreadable("holds, released", f"give {ROWS_MOST} rows at the most")
-    return Beat(
+        return InvalidCommand("holds, released", f"give rows of keys: {fault}")
+    if len(holds) > MAX_KEY_ROWS or len(released) > MAX_KEY_ROWS:
+        return InvalidCommand("holds, released", f"give {MAX_KEY_ROWS} rows at the most")
+    return Heartbeat(
         instance=instance,
         plant=told["plant"],
         address=address,
--- a/mesh/membership/instance_lifecycle.py
+++ b/mesh/membership/instance_lifecycle.py
@@ -14,16 +14,18 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from mesh.membership.instance_commands import DECAYING, SETTLED, Beat
+from mesh.membership.instance_commands import DECAYING, SETTLED, Heartbeat
 
-STEP = 1000  # versions that one beat leaves room for
-SILENT_BEATS = 2.6  # periods without a beat, and a connection refused as well, tell of an end without a word
-ENDED = 64  # lives that are over and known to be
-GONE_VERSION = 1 << 52  # of an id that never comes back
-STEADY_MS = 1000.0  # a life that beats for so long, with no other's beat between, is the one that is here
+VERSIONS_PER_HEARTBEAT = 1000  # versions that one beat leaves room for
+SILENT_HEARTBEATS = (
+    2.6  # periods without a beat, and a connection refused as well, tell of an end without a word
+)
+MAX_ENDED_INSTANCES = 64  # lives that are over and known to be
+FINAL_VERSION = 1 << 52  # of an id that never comes back
+TAKEOVER_MS = 1000.0  # a life that beats for so long, with no other's beat between, is the one that is here
 
 
-class Publish(Struct, frozen=True):
+class InstanceUpdate(Struct, frozen=True):
     """What the others are to be told of one instance; no value: it is gone."""
 
     instance: str
@@ -31,7 +33,7 @@
     value: dict[str, Any] | None
 
 
-class Unproven(Struct, frozen=True):
+class Contender(Struct, frozen=True):
     """A life that beats beside the one that is here, and since when."""
 
     instance: str
@@ -42,139 +44,145 @@
     """The one upstream of this machine, as its beats and its connections show it."""
 
     def __init__(self, node: str, zone: str, beat_ms: float, drain_ms: float) -> None:
-        self.node, self.zone, self.beat_ms, self.drain_ms = node, zone, beat_ms, drain_ms
-        self.beat: Beat | None = None
-        self.heard = 0.0  # when the last beat came
-        self.drains_since: float | None = None  # when its draining, or this sidecar's, was first acknowledged
-        self.said_decaying: frozenset[str] = (
+        self.node, self.zone, self.heartbeat_ms, self.drain_ms = node, zone, beat_ms, drain_ms
+        self.heartbeat: Heartbeat | None = None
+        self.heartbeat_at = 0.0  # when the last beat came
+        self.drain_started_at: float | None = (
+            None  # when its draining, or this sidecar's, was first acknowledged
+        )
+        self.published_decaying: frozenset[str] = (
             frozenset()
         )  # instances here, as others have it; until a beat comes
         self.leaving = False  # this sidecar ends: nothing new can reach its upstream
         self.gone = False
         self.version = 0
-        self._said: dict[str, Any] | None = None
+        self._published: dict[str, Any] | None = None
         self._ended: dict[str, None] = {}  # lives that are over here, the oldest first
         self._former: dict[str, None] = {}  # that were here, and are over once the next has beaten on
-        self._unproven: Unproven | None = None
-        self._placed_at = 0.0  # when the life that is here took its place
+        self._contender: Contender | None = None
+        self._current_since = 0.0  # when the life that is here took its place
 
     @property
     def instance(self) -> str:
-        return self.beat.instance if self.beat is not None else ""
+        return self.heartbeat.instance if self.heartbeat is not None else ""
 
-    def take(self, now: float, beat: Beat, over: bool = False) -> list[Publish]:
+    def on_heartbeat(self, now: float, beat: Heartbeat, over: bool = False) -> list[InstanceUpdate]:
         """A beat. A late one of the same life, and any of a life that has ended here, changes nothing; one of
         another life may have to prove itself (`unproven`). ``over``: this machine has said before that this
         life is over."""
         if beat.instance in self._ended:
             return []
-        if self.beat is not None and self.beat.instance == beat.instance:
-            return self._beats_on(now, beat)
-        if not self._proven(now, beat, over):
+        if self.heartbeat is not None and self.heartbeat.instance == beat.instance:
+            return self._on_current_heartbeat(now, beat)
+        if not self._may_replace(now, beat, over):
             return []
-        return self._take_place(now, beat)
+        return self._replace_current(now, beat)
 
-    def _beats_on(self, now: float, beat: Beat) -> list[Publish]:
-        known = self.beat
+    def _on_current_heartbeat(self, now: float, beat: Heartbeat) -> list[InstanceUpdate]:
+        known = self.heartbeat
         assert known is not None
-        self.heard, self._unproven = now, None
-        published = self._end_former() if now - self._placed_at >= STEADY_MS else []
+        self.heartbeat_at, self._contender = now, None
+        published = self._end_former() if now - self._current_since >= TAKEOVER_MS else []
         if beat.sample_count <= known.sample_count:
             return published
         if known.state == DECAYING and beat.state == SETTLED:  # no way leads back in one life
             beat = replace(beat, state=DECAYING)
-        self.beat = beat
+        self.heartbeat = beat
         if self.gone:  # it was only silent
-            self.gone, self._said = False, None
-        if beat.state == DECAYING and self.drains_since is None:
-            self.drains_since = now
+            self.gone, self._published = False, None
+        if beat.state == DECAYING and self.drain_started_at is None:
+            self.drain_started_at = now
         return published + self._publish()
 
-    def _proven(self, now: float, beat: Beat, over: bool) -> bool:
+    def _may_replace(self, now: float, beat: Heartbeat, over: bool) -> bool:
         """Whether a life that is not the one here may take its place. Beats may be read in another order than
         they were sent in, as by a process that wakes or starts: one that may be late takes nobody's place
         before it is followed by another."""
-        known = self.beat
+        known = self.heartbeat
         if not over and beat.instance not in self._former:
-            present = known is not None and not self.gone and now - self.heard < self.beat_ms
+            present = known is not None and not self.gone and now - self.heartbeat_at < self.heartbeat_ms
             # Lives count from their own start: the next one has counted no further than the one before.
             if not present or known is None or beat.sample_count <= known.sample_count:
                 return True
-        if self._unproven is None or self._unproven.instance != beat.instance:
-            self._unproven = Unproven(beat.instance, now)
-        return now - self._unproven.since >= STEADY_MS
+        if self._contender is None or self._contender.instance != beat.instance:
+            self._contender = Contender(beat.instance, now)
+        return now - self._contender.since >= TAKEOVER_MS
 
-    def _take_place(self, now: float, beat: Beat) -> list[Publish]:
-        known, published = self.beat, list[Publish]()
+    def _replace_current(self, now: float, beat: Heartbeat) -> list[InstanceUpdate]:
+        known, published = self.heartbeat, list[InstanceUpdate]()
         if known is not None and known.instance not in self._ended:
             self._former[known.instance] = None
             if not self.gone:
-                published.append(Publish(known.instance, self._next_version(known), None))
+                published.append(InstanceUpdate(known.instance, self._next_version(known), None))
         self._former.pop(beat.instance, None)
-        self.beat, self.heard, self._placed_at, self._unproven = beat, now, now, None
-        self.gone, self._said, self.version, self.drains_since = False, None, 0, None
+        self.heartbeat, self.heartbeat_at, self._current_since, self._contender = beat, now, now, None
+        self.gone, self._published, self.version, self.drain_started_at = False, None, 0, None
         if beat.state == DECAYING:  # an earlier life of this sidecar may have acknowledged that long ago
-            self.drains_since = -math.inf if beat.instance in self.said_decaying else now
+            self.drain_started_at = -math.inf if beat.instance in self.published_decaying else now
         return published + self._publish()
 
-    def _end_former(self) -> list[Publish]:
+    def _end_former(self) -> list[InstanceUpdate]:
         """The life that is here has beaten on, with no beat of a former one between: those are over."""
         former = list(self._former)
         self._former.clear()
         for instance in former:
             self._note_ended(instance)
-        return [Publish(instance, GONE_VERSION, None) for instance in former]
+        return [InstanceUpdate(instance, FINAL_VERSION, None) for instance in former]
 
     @property
-    def unproven(self) -> str:
+    def contender(self) -> str:
         """The life whose beat came here, and that is not taken for the one that is here; "" where none is."""
-        return self._unproven.instance if self._unproven is not None else ""
+        return self._contender.instance if self._contender is not None else ""
 
-    def leave(self, instance: str) -> list[Publish]:
+    def leave(self, instance: str) -> list[InstanceUpdate]:
         """The upstream has signed off."""
-        if self.beat is None or self.beat.instance != instance or self.gone:
+        if self.heartbeat is None or self.heartbeat.instance != instance or self.gone:
             return []
         return self._end()
 
-    def refused(self, now: float) -> list[Publish]:
+    def on_connection_refused(self, now: float) -> list[InstanceUpdate]:
         """A connection to it was refused: with no beat for a while, it has ended without a word."""
-        if self.beat is None or self.gone or now - self.heard < SILENT_BEATS * self.beat_ms:
+        if (
+            self.heartbeat is None
+            or self.gone
+            or now - self.heartbeat_at < SILENT_HEARTBEATS * self.heartbeat_ms
+        ):
             return []
         self.gone = True  # it may still come back in this life: the item's version stays below the last
-        self.version = self._next_version(self.beat)
-        return [Publish(self.beat.instance, self.version, None)]
+        self.version = self._next_version(self.heartbeat)
+        return [InstanceUpdate(self.heartbeat.instance, self.version, None)]
 
-    def end(self, now: float) -> list[Publish]:
+    def shut_down(self, now: float) -> list[InstanceUpdate]:
         """This sidecar was told to end."""
         self.leaving = True
-        if self.drains_since is None:
-            self.drains_since = now
-        return self._publish() if self.beat is not None and not self.gone else []
+        if self.drain_started_at is None:
+            self.drain_started_at = now
+        return self._publish() if self.heartbeat is not None and not self.gone else []
 
-    def republish(self, above: int) -> list[Publish]:
+    def republish(self, above: int) -> list[InstanceUpdate]:
         """Somebody else has spoken for it, with that version; what holds is said again, above it."""
-        if self.beat is None or self.gone:
+        if self.heartbeat is None or self.gone:
             return []
-        self.version, self._said = max(self.version, above), None
+        self.version, self._published = max(self.version, above), None
         return self._publish()
 
-    def _end(self) -> list[Publish]:
+    def _end(self) -> list[InstanceUpdate]:
         self.gone = True
-        assert self.beat is not None
-        self._note_ended(self.beat.instance)
-        return [Publish(self.beat.instance, GONE_VERSION, None)]
+        assert self.heartbeat is not None
+        self._note_ended(self.heartbeat.instance)
+        return [InstanceUpdate(self.heartbeat.instance, FINAL_VERSION, None)]
 
     def _note_ended(self, instance: str) -> None:
         self._ended[instance] = None
-        while len(self._ended) > ENDED:
+        while len(self._ended) > MAX_ENDED_INSTANCES:
             del self._ended[next(iter(self._ended))]
 
-    def _next_version(self, beat: Beat) -> int:
+    def _next_version(self, beat: Heartbeat) -> int:
         """Above all that was said of this life so far, with room below what its next beat brings."""
-        return max(self.version + 1, beat.sample_count * STEP)
+        return max(self.version + 1, beat.sample_count * VERSIONS_PER_HEARTBEAT)
 
-    def _publish(self) -> list[Publish]:
-        beat = self.beat
+    def _publish(self) -> list[InstanceUpdate]:
+        beat = self.heartbeat
         assert beat is not None
         value: dict[str, Any] = {
             "plant": beat.plant,
@@ -184,9 +192,9 @@
             "capacity": beat.capacity,
             "state": DECAYING if self.leaving else beat.state,
         }
-        if self._said is not None and {**self._said, "cold_ms": 0} == {**value, "cold_ms": 0}:
+        if self._published is not None and {**self._published, "cold_ms": 0} == {**value, "cold_ms": 0}:
             return []
         value["cold_ms"] = beat.warmup_left_ms
-        self._said = value
+        self._published = value
         self.version = self._next_version(beat)
-        return [Publish(beat.instance, self.version, value)]
+        return [InstanceUpdate(beat.instance, self.version, value)]
--- a/mesh/membership/rendezvous.py
+++ b/mesh/membership/rendezvous.py
@@ -14,11 +14,11 @@
     return int.from_bytes(blake2b(f"{one}\0{other}".encode(), digest_size=8).digest(), "big")
 
 
-def order(me: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(me: str, names: Iterable[str]) -> list[str]:
     """All of them, the heaviest first."""
     return sorted(names, key=lambda name: (weight(me, name), name), reverse=True)
 
 
-def few(me: str, names: Iterable[str], most: int) -> list[str]:
+def select_top(me: str, names: Iterable[str], most: int) -> list[str]:
     """The heaviest ``most`` of them."""
-    return order(me, names)[:most]
+    return rendezvous_order(me, names)[:most]
--- a/mesh/membership/tombstones.py
+++ b/mesh/membership/tombstones.py
@@ -11,12 +11,12 @@
 
 from mesh.replication.items import Item, Key
 
-KEPT_S = 600.0
-ASKS_ANEW_S = 0.5 * KEPT_S  # out of touch for so long
-MOST = 4096  # beyond which the oldest go before their time
+RETENTION_S = 600.0
+RESYNC_AFTER_S = 0.5 * RETENTION_S  # out of touch for so long
+MAX_TOMBSTONES = 4096  # beyond which the oldest go before their time
 
 
-class Tombs:
+class Tombstones:
     def __init__(self) -> None:
         self._since: dict[Key, float] = {}
 
@@ -27,24 +27,24 @@
             else:
                 self._since.pop(item.key, None)
 
-    def ripe(self, now: float, most: int) -> list[Key]:
+    def expired(self, now: float, most: int) -> list[Key]:
         """The first of those whose time is over; they stay until they are dropped."""
         found: list[Key] = []
         for key, since in self._since.items():
-            if now - since < KEPT_S or len(found) >= most:
+            if now - since < RETENTION_S or len(found) >= most:
                 break
             found.append(key)
         return found
 
-    def drop(self, keys: Iterable[Key]) -> None:
+    def discard(self, keys: Iterable[Key]) -> None:
         for key in keys:
             self._since.pop(key, None)
 
-    def due(self, now: float) -> list[Key]:
+    def pop_expired(self, now: float) -> list[Key]:
         """Those whose time is over, forgotten here with this."""
         found = []
         for key, since in list(self._since.items()):  # in the order in which they came
-            if now - since < KEPT_S and len(self._since) <= MOST:
+            if now - since < RETENTION_S and len(self._since) <= MAX_TOMBSTONES:
                 break
             del self._since[key]
             found.append(key)
--- a/mesh/rollout/canary_selection.py
+++ b/mesh/rollout/canary_selection.py
@@ -11,7 +11,7 @@
 from bisect import bisect_left
 from collections.abc import Mapping
 
-from mesh.membership.rendezvous import order, weight
+from mesh.membership.rendezvous import rendezvous_order, weight
 
 FIRST_SHARE = (
     0.1  # of the sidecars, rounded down, one at least: what a broken change may reach before the rest
@@ -33,7 +33,7 @@
     def first(self, kind: str, name: str, version: int) -> frozenset[str]:
         """The first part for that version of that item; empty without sidecars."""
         label = f"{kind}/{name}/{version}"
-        circles = [self._circles[zone] for zone in order(label, self._circles)]
+        circles = [self._circles[zone] for zone in rendezvous_order(label, self._circles)]
         start = weight(label, "")
         found: list[str] = []
         turn = 0
--- a/rigs/silence_model.py
+++ b/rigs/silence_model.py
@@ -3,8 +3,8 @@
 
 Two members elsewhere listen; the first judges, at each step of half a second. In the zone stand a member,
 its successor and a sidecar, and dead nodes that the membership store still names. A cut is of both
-listeners, or of the judge alone; its nodes fall silent within less than `Spans.apart_s` of each other, and
-are heard again within RETURN_S of its end, in any order.
+listeners, or of the judge alone; its nodes fall silent within the partition window of each other, and
+are heard again within RECONNECT_S of its end, in any order.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from typing import Any, NamedTuple
 
 from mesh.membership import failure_detection
-from mesh.membership.failure_detection import RETURN_S, Known, Report, Spans
+from mesh.membership.failure_detection import RECONNECT_S, NodeInfo, SilenceReport, SilenceThresholds
 from statecheck import Model, Violation
 from statecheck.model import State
 
 TICK_S = 0.5
-SPANS = Spans(3.0, 3.0, 600.0)  # the shorter bound, by the usual figures
+SPANS = SilenceThresholds(3.0, 3.0, 600.0)  # the shorter bound, by the usual figures
 ZONE = "z"
 DEAD_S = 60.0  # for so long the dead nodes of the store have been silent
 MOST_TICKS = 12  # of silence told apart; beyond the bound and the return nothing differs any more
-RETURN_TICKS = int(RETURN_S / TICK_S)
+RETURN_TICKS = int(RECONNECT_S / TICK_S)
 STOOD_TICKS = RETURN_TICKS + 1
 
 
 class Machine(NamedTuple):
     """At the judge and at the other listener, in ticks: for how long it is ``silent``, its link ``stands``,
-    and since it was heard over a link that had stood for RETURN_S (``linked``). ``dead``: ticks since it
+    and since it was heard over a link that had stood for RECONNECT_S (``linked``). ``dead``: ticks since it
     died, 0: it lives; ``late``: it is heard for one tick of the cut; ``back``: its links stand, where the cut
     is over."""
 
@@ -66,9 +66,9 @@
     def __init__(self, name: str, size: Size) -> None:
         """``name`` is the model's, for its reports."""
         self.name, self.size = name, size
-        self.nodes = {name: Known(ZONE, member=name in size.members) for name in size.machines}
-        self.nodes |= {f"dead-{n}": Known(ZONE, stays=True) for n in range(size.dead)}
-        self.nodes["judge"] = Known("a", member=True)
+        self.nodes = {name: NodeInfo(ZONE, member=name in size.members) for name in size.machines}
+        self.nodes |= {f"dead-{n}": NodeInfo(ZONE, exempt=True) for n in range(size.dead)}
+        self.nodes["judge"] = NodeInfo("a", member=True)
 
     def initial(self) -> Iterable[State]:
         """All live and are heard."""
@@ -136,7 +136,7 @@
 
     def _stood(self, ticks: int) -> bool:
         """Whether a link that stands for so long tells that its zone can be reached."""
-        return ticks * TICK_S >= RETURN_S
+        return ticks * TICK_S >= RECONNECT_S
 
     def _judged(self, machines: tuple[Machine, ...]) -> tuple[str, ...]:
         """What the judge takes out after this tick."""
@@ -146,8 +146,8 @@
         for listener in (0, 1):
             silent = {name: one.silent[listener] * TICK_S for name, one in named} | dead
             linked = {name: one.linked[listener] * TICK_S for name, one in named} | dead
-            reports.append(Report(silent, linked))
-        return failure_detection.judge(self.nodes, reports, SPANS).gone
+            reports.append(SilenceReport(silent, linked))
+        return failure_detection.assess_silence(self.nodes, reports, SPANS).gone
 
     # What must hold
 
@@ -166,7 +166,7 @@
             return
         for name in self.size.members:
             # Dead for the bound, and for the time that a zone has to come back, and somebody is heard.
-            if named[name].dead * TICK_S > SPANS.gone_s + RETURN_S and name not in gone:
+            if named[name].dead * TICK_S > SPANS.gone_s + RECONNECT_S and name not in gone:
                 yield Violation(
                     "kept", f"{name} is dead for good, others of its zone are heard, and it stays"
                 )
--- a/simulation/mesh/drops.py
+++ b/simulation/mesh/drops.py
@@ -57,7 +57,7 @@
             for channel in program.channels.open:
                 if channel.node == node and now - channel.link.heard_at < HEARD_S:
                     self._say(f"{by.name} drops {node}, which {machine.name} hears")
-            newest = program.duties.turn.newest
+            newest = program.duties.turn.latest
             if machine is not by and duties._held < newest.epoch:
                 self._say(f"{by.name} drops under {duties._held}, {machine.name} knows {newest}")
         if 2 * self.reaches(by) <= self.witness.members():
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -7,14 +7,16 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from mesh.membership.failure_detection import RETURN_S, spans
+from mesh.membership.failure_detection import RECONNECT_S, silence_thresholds
 from mesh.replication.quorum import Tolerance
 from simulation.mesh import troubles
 from simulation.mesh.members import BOUNDS, SETTLES_S, begin, confirms, counts, end, go
 from simulation.mesh.world import BEAT_S, POWER_S, RESTART_S, Machine, Script, World
 
 SUCCESSOR_AFTER_S = 1.0  # the loss of the machine, then the start of the next
-DROPPED_S = spans(BOUNDS.contact_ms, 1000.0 * BEAT_S).gone_s + 7.0  # and looks, rounds, and the news of it
+DROPPED_S = (
+    silence_thresholds(BOUNDS.contact_ms, 1000.0 * BEAT_S).gone_s + 7.0
+)  # and looks, rounds, and the news of it
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +179,7 @@
 def holder_is_replaced(world: ZonedWorld) -> Script:
     """Three times the one that has the duty `members` is the one that is lost."""
     for number in range(3):
-        holder = world.controllers()[0].program.minding.turn.newest.holder
+        holder = world.controllers()[0].program.minding.turn.latest.holder
         yield from world.replaced(11 + number, world.machines[holder])
     yield from bears_one_more(world)
 
@@ -276,7 +278,7 @@
     def script(world: World) -> Script:
         assert isinstance(world, ZonedWorld)
         yield from world.boot(layout.cores, layout.sidecars)
-        yield world.env.timeout(RETURN_S + 1.0)  # its links have stood for a while
+        yield world.env.timeout(RECONNECT_S + 1.0)  # its links have stood for a while
         world.env.process(world.witness.watch())
         yield from play(world)
         world.heal()
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -15,7 +15,7 @@
 from mesh.control_plane.proposals import ProposerHost
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.pull_exchange import Exchange
-from mesh.membership.failure_detection import Known, Report, Spans, Verdict, least_silent
+from mesh.membership.failure_detection import NodeInfo, SilenceReport, SilenceThresholds, Verdict, min_silence
 from mesh.replication.acceptor import Acceptor, Refusal
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum_contact import Proof
@@ -167,17 +167,17 @@
 
 
 def most_of_the_store_is_silent(
-    nodes: Mapping[str, Known], reports: Sequence[Report], spans: Spans
+    nodes: Mapping[str, NodeInfo], reports: Sequence[SilenceReport], spans: SilenceThresholds
 ) -> Verdict:
     """The rule before: a zone is cut off where more than half of its nodes in the store are silent."""
-    least = least_silent(nodes, reports)
+    least = min_silence(nodes, reports)
     there = Counter(node.zone for node in nodes.values())
     silent = Counter(node.zone for name, node in nodes.items() if least[name] >= spans.suspect_s)
     gone, kept = [], set()
     for name, node in nodes.items():
-        if node.stays or least[name] < spans.gone_s:
+        if node.exempt or least[name] < spans.gone_s:
             continue
-        if 2 * silent[node.zone] > there[node.zone] and least[name] < spans.zone_s:
+        if 2 * silent[node.zone] > there[node.zone] and least[name] < spans.zone_gone_s:
             kept.add(node.zone)
         else:
             gone.append(name)
--- a/tests/mesh/test_admission_final_check.py
+++ b/tests/mesh/test_admission_final_check.py
@@ -15,20 +15,20 @@
     judge,
     places,
 )
-from mesh.membership.instance_commands import DECAYING, SETTLED, Beat
+from mesh.membership.instance_commands import DECAYING, SETTLED, Heartbeat
 from mesh.membership.instance_lifecycle import Upstream
 
 BEAT_MS, DRAIN_MS = 1500.0, 2000.0
 
 
-def beat(instance: str = "i-1", count: int = 1, state: str = SETTLED, capacity: int = 10) -> Beat:
-    return Beat(instance, "p", ("10.0.0.1", 8147), "z", "v1", capacity, state, 0.0, count)
+def beat(instance: str = "i-1", count: int = 1, state: str = SETTLED, capacity: int = 10) -> Heartbeat:
+    return Heartbeat(instance, "p", ("10.0.0.1", 8147), "z", "v1", capacity, state, 0.0, count)
 
 
-def upstream(*beats: Beat) -> Upstream:
+def upstream(*beats: Heartbeat) -> Upstream:
     found = Upstream("n", "z", BEAT_MS, DRAIN_MS)
     for one in beats:
-        found.take(0.0, one)
+        found.on_heartbeat(0.0, one)
     return found
 
 
@@ -39,12 +39,12 @@
 
 def test_a_drain_that_an_earlier_life_of_this_sidecar_acknowledged_is_over_at_once() -> None:
     found = upstream()
-    found.said_decaying = frozenset({"i-1"})
+    found.published_decaying = frozenset({"i-1"})
     assert judge(0.0, found, "i-1", 100.0) == Turned(Why.LEAVING)
     assert judge(0.0, found, "i-2", 100.0) == Passed()
-    found.take(0.0, beat(state=DECAYING))
+    found.on_heartbeat(0.0, beat(state=DECAYING))
     assert judge(0.0, found, "i-1", 100.0) == Turned(Why.LEAVING)
-    found.take(1.0, beat("i-2", state=DECAYING))  # another's begins with its own word
+    found.on_heartbeat(1.0, beat("i-2", state=DECAYING))  # another's begins with its own word
     assert judge(1.0, found, "i-2", 100.0) == Passed()
 
 
@@ -62,22 +62,22 @@
 def test_nothing_passes_to_one_that_signed_off_or_ended_without_a_word() -> None:
     left, silent = upstream(beat()), upstream(beat())
     left.leave("i-1")
-    silent.refused(4 * BEAT_MS)
+    silent.on_connection_refused(4 * BEAT_MS)
     assert judge(1.0, left, "i-1", 100.0) == Turned(Why.DOWN)
     assert judge(4 * BEAT_MS, silent, "i-1", 100.0) == Turned(Why.DOWN)
-    silent.take(4 * BEAT_MS, beat(count=2))
+    silent.on_heartbeat(4 * BEAT_MS, beat(count=2))
     assert judge(4 * BEAT_MS, silent, "i-1", 100.0) == Passed()
 
 
 def drained() -> Any:
     found = upstream(beat())
-    found.take(1000.0, beat(count=2, state=DECAYING))
+    found.on_heartbeat(1000.0, beat(count=2, state=DECAYING))
     return found
 
 
 def ended() -> Any:
     found = upstream(beat())
-    found.end(1000.0)
+    found.shut_down(1000.0)
     return found
 
 
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -42,8 +42,8 @@
 def short() -> Iterator[None]:
     """Drops are kept for seconds here, and all that goes by it is as much shorter."""
     with (
-        mock.patch("mesh.membership.tombstones.KEPT_S", KEPT_S),
-        mock.patch("mesh.data_plane.program.ASKS_ANEW_S", ANEW_S),
+        mock.patch("mesh.membership.tombstones.RETENTION_S", KEPT_S),
+        mock.patch("mesh.data_plane.program.RESYNC_AFTER_S", ANEW_S),
         mock.patch("mesh.control_plane.tombstone_collection.EVERY_S", 0.5),
     ):
         yield
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -21,7 +21,7 @@
 from mesh.data_plane.upstream_connections import Tap
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.event_log.log import EventLog
-from mesh.membership.instance_commands import Beat, read_beat
+from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.membership.instance_lifecycle import Upstream as Life
 from mesh.transport.link import Address
 from rigs.mesh_peers import Client, Upstream, move, play, route, soon, turns, until
@@ -42,9 +42,9 @@
     def __init__(self, upstream: Upstream, rules: tuple[dict[str, Any], ...]) -> None:
         event_log = EventLog("t", io.StringIO())
         life = Life("n1", "z", 500.0, 2000.0)
-        beat = read_beat(upstream.instance, upstream.beat())
-        assert isinstance(beat, Beat)
-        life.take(0.0, beat)
+        beat = read_heartbeat(upstream.instance, upstream.beat())
+        assert isinstance(beat, Heartbeat)
+        life.on_heartbeat(0.0, beat)
         self.upstream, self.routes, self.known = upstream, Routes(), True
         self.tap = Tap(upstream.address, 40, event_log)
         self.upstream_dispatch = UpstreamDispatch(life, self.tap, event_log, lambda _: None)
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -21,7 +21,7 @@
 from mesh.data_plane.program import TICK_S, Proxy
 from mesh.data_plane.upstream_dispatch import Running, UpstreamDispatch
 from mesh.event_log.log import EventLog
-from mesh.membership.instance_commands import Beat, read_beat
+from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.runtime.settings import Settings, read
 from mesh.transport.frames import Head
 from mesh.transport.link import SILENT_S, Address, Link, listen
@@ -474,9 +474,9 @@
         told = read(file.read_text())
         assert isinstance(told, Settings), told
         proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is taken
-        beat = read_beat(upstream.instance, upstream.beat())
-        assert isinstance(beat, Beat)
-        proxy.upstream.take(proxy.tables.now(), beat)
+        beat = read_heartbeat(upstream.instance, upstream.beat())
+        assert isinstance(beat, Heartbeat)
+        proxy.upstream.on_heartbeat(proxy.tables.now(), beat)
         link = Link(lambda _: None, proxy._met, proxy._unmet)
         proxy._met(link, {"t": "hello", "node": "n2", "for": "calls"}, b"")
         for number in range(3):
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -45,7 +45,7 @@
 
 def keep(there: Beside) -> None:
     """Its own upstream takes calls on, as another sidecar's would: the clients' side alone ends."""
-    there.proxy.upstream.end = lambda _: []  # type: ignore[method-assign]
+    there.proxy.upstream.shut_down = lambda _: []  # type: ignore[method-assign]
 
 
 # When
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -17,8 +17,8 @@
 from mesh.data_plane.upstream_connections import Tap
 from mesh.data_plane.upstream_dispatch import LATE_S, Running, UpstreamDispatch
 from mesh.event_log.log import EventLog
-from mesh.membership.instance_commands import Beat, read_beat
-from mesh.membership.instance_lifecycle import SILENT_BEATS, Publish
+from mesh.membership.instance_commands import Heartbeat, read_heartbeat
+from mesh.membership.instance_lifecycle import SILENT_HEARTBEATS, InstanceUpdate
 from mesh.membership.instance_lifecycle import Upstream as Life
 from rigs.mesh_peers import Upstream, move, play, soon, turns, until
 
@@ -26,13 +26,15 @@
 
 
 class Bench:
-    def __init__(self, upstream: Upstream, upstream_dispatch: UpstreamDispatch, told: list[Publish]) -> None:
+    def __init__(
+        self, upstream: Upstream, upstream_dispatch: UpstreamDispatch, told: list[InstanceUpdate]
+    ) -> None:
         self.upstream, self.upstream_dispatch, self.told = upstream, upstream_dispatch, told
 
     def beat(self, state: str = "settled") -> None:
-        beat = read_beat(self.upstream.instance, self.upstream.beat(state))
-        assert isinstance(beat, Beat)
-        self.upstream_dispatch.upstream.take(self.upstream_dispatch.now(), beat)
+        beat = read_heartbeat(self.upstream.instance, self.upstream.beat(state))
+        assert isinstance(beat, Heartbeat)
+        self.upstream_dispatch.upstream.on_heartbeat(self.upstream_dispatch.now(), beat)
 
     def take(self, attempt: str, **fields: object) -> tuple[Running | None, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()
@@ -70,7 +72,7 @@
     most: int = 50,
 ) -> None:
     async def run() -> None:
-        upstream, told = Upstream(way=way, capacity=capacity), list[Publish]()
+        upstream, told = Upstream(way=way, capacity=capacity), list[InstanceUpdate]()
         await upstream.start()
         event_log = EventLog("t", io.StringIO())
         life, tap = Life("n1", "z", 1000.0, DRAIN_MS), Tap(upstream.address, most, event_log)
@@ -163,7 +165,7 @@
         bench.upstream.close()
         assert await soon(bench.take("a1")[1]) == NotExecuted(Why.DOWN)
         assert not bench.told
-        move(SILENT_BEATS + 0.1)
+        move(SILENT_HEARTBEATS + 0.1)
         assert await soon(bench.take("a2")[1]) == NotExecuted(Why.DOWN)
         assert [(one.instance, one.value) for one in bench.told] == [("i-1", None)]
         assert bench.take("a3")[1].result() == NotExecuted(Why.DOWN)  # at once now
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -12,7 +12,7 @@
 from mesh.data_plane.program import Proxy
 from mesh.data_plane.shutdown import NOTICE_S
 from mesh.membership.instance_commands import DECAYING, SETTLED
-from mesh.membership.instance_lifecycle import GONE_VERSION, SILENT_BEATS
+from mesh.membership.instance_lifecycle import FINAL_VERSION, SILENT_HEARTBEATS
 from rigs.mesh_peers import Upstream, call, move, soon, turns, until
 from rigs.whole_sidecar import Beside, beside
 
@@ -50,7 +50,7 @@
         told(proxy, "i-elsewhere", 5000, value(node="n2"))
         proxy.registry.reconcile()
         assert state(proxy, "i-before") is None
-        assert proxy.roll.items[INSTANCE, "i-before"].version == GONE_VERSION
+        assert proxy.roll.items[INSTANCE, "i-before"].version == FINAL_VERSION
         assert (state(proxy, "i-elsewhere"), state(proxy, "i-1")) == (SETTLED, SETTLED)
 
     beside(tmp_path, test)
@@ -62,13 +62,13 @@
     async def test(there: Beside) -> None:
         proxy = there.proxy
         there.upstream.instance = "i-late"
-        proxy.upstream.beat = None  # as it is before the first beat
+        proxy.upstream.heartbeat = None  # as it is before the first beat
         told(proxy, "i-1", proxy.upstream.version + 1, value())
         told(proxy, "i-drains", 5000, value(state=DECAYING))
         proxy.registry.reconcile()
         assert (state(proxy, "i-1"), state(proxy, "i-drains")) == (SETTLED, DECAYING)
-        assert proxy.upstream.said_decaying == {"i-drains"}
-        move(SILENT_BEATS * proxy.upstream.beat_ms / 1000.0 + 0.01)
+        assert proxy.upstream.published_decaying == {"i-drains"}
+        move(SILENT_HEARTBEATS * proxy.upstream.heartbeat_ms / 1000.0 + 0.01)
         proxy.registry.reconcile()
         assert (state(proxy, "i-1"), state(proxy, "i-drains")) == (None, None)
 
@@ -78,10 +78,10 @@
 def test_one_that_the_others_gave_up_and_that_beats_is_said_again_above_their_word(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
         proxy = there.proxy
-        told(proxy, "i-1", GONE_VERSION, None)
+        told(proxy, "i-1", FINAL_VERSION, None)
         proxy.registry.reconcile()
         assert state(proxy, "i-1") == SETTLED
-        assert proxy.roll.items[INSTANCE, "i-1"].version > GONE_VERSION
+        assert proxy.roll.items[INSTANCE, "i-1"].version > FINAL_VERSION
 
     beside(tmp_path, test)
 
@@ -90,7 +90,7 @@
     async def test(there: Beside) -> None:
         proxy, upstream = there.proxy, Upstream("i-dead", "s")
         upstream.address = there.upstream.address
-        told(proxy, "i-dead", GONE_VERSION, None)
+        told(proxy, "i-dead", FINAL_VERSION, None)
         assert await upstream.tell(there.control) == 503
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
         assert await there.upstream.tell(there.control) == 200
@@ -101,7 +101,7 @@
 def test_what_was_said_of_the_dead_once_more_above_its_end_is_taken_back(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
         proxy = there.proxy
-        told(proxy, "i-dead", GONE_VERSION + 1, value())
+        told(proxy, "i-dead", FINAL_VERSION + 1, value())
         proxy.registry.reconcile()
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
 
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -446,7 +446,7 @@
         proxy = there.proxy
         value = {"plant": "s", "node": "n1", "zone": "z", "epoch": "", "capacity": 8, "state": "decaying"}
         item = proxy.roll.take("instance", "i-9", 5000, {**value, "cold_ms": 0.0})
-        proxy.upstream.beat = None  # as it is before the first beat
+        proxy.upstream.heartbeat = None  # as it is before the first beat
         proxy._changed("roll", [item])  # type: ignore[list-item]
         proxy.registry.reconcile()
         ended: list[End] = []
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -16,14 +16,14 @@
 from mesh.data_plane.membership import CONTROLLER, INSTANCE, NODE, PROXY, Membership
 from mesh.data_plane.peer_links import Passage
 from mesh.event_log.log import EventLog
-from mesh.membership.failure_detection import MOST_ASKED, spans
-from mesh.membership.lease import DUTY, REAPING, Standing, first
+from mesh.membership.failure_detection import MAX_QUERIED_NODES, silence_thresholds
+from mesh.membership.lease import DUTY, REAPING, LeaseRecord, first_live
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 
-SPANS = spans(3000.0, 1500.0)
+SPANS = silence_thresholds(3000.0, 1500.0)
 CORES = [f"c{n}" for n in (1, 2, 3)]
-ME = first(REAPING, CORES, CORES)
+ME = first_live(REAPING, CORES, CORES)
 OTHERS = [name for name in CORES if name != ME]
 
 
@@ -123,7 +123,7 @@
 
     def hear() -> None:
         for name in keep:
-            alone.duties.watch.heard(alone.now, name)
+            alone.duties.watch.note_contact(alone.now, name)
 
     alone.go_on(SPANS.gone_s + 1.0, hear)
     for name in OTHERS:
@@ -202,7 +202,7 @@
     def test() -> None:
         alone = Alone()
         alone.go_on(5.0)
-        alone.duties.turn.note(5.0, Standing(6, OTHERS[1]))
+        alone.duties.turn.note(5.0, LeaseRecord(6, OTHERS[1]))
         order = {"t": "heard", "n": 3, "duty": REAPING, "holder": OTHERS[0], "nodes": ["s0", "?"]}
         alone.hear(OTHERS[0], {**order, "epoch": 5})
         assert alone.sent[OTHERS[0]][-1] == {"t": "overtaken", "epoch": 6, "holder": OTHERS[1]}
@@ -214,11 +214,16 @@
             "silent": [4.5, 0.0],
             "linked": [None, None],
         }
-        assert alone.duties.turn.newest == Standing(7, OTHERS[0])
-        for bad in ({"epoch": 0}, {"duty": "other"}, {"nodes": ["x"] * (MOST_ASKED + 1)}, {"holder": ""}):
+        assert alone.duties.turn.latest == LeaseRecord(7, OTHERS[0])
+        for bad in (
+            {"epoch": 0},
+            {"duty": "other"},
+            {"nodes": ["x"] * (MAX_QUERIED_NODES + 1)},
+            {"holder": ""},
+        ):
             with pytest.raises(ValueError):
                 alone.hear(OTHERS[0], {**order, "epoch": 8, **bad})
-        assert alone.duties.turn.newest.epoch <= 8
+        assert alone.duties.turn.latest.epoch <= 8
 
     run(test)
 
@@ -276,7 +281,7 @@
     def test() -> None:
         alone = Alone()
         alone.duties.node = second = OTHERS[0]
-        alone.duties.turn._me = second
+        alone.duties.turn._node = second
         alone.channels.open = [alone.channel(ME, CONTROLLER)]
         if why == "not whole":
             alone.channels.open[0].whole = False
@@ -301,7 +306,7 @@
 
         def hear() -> None:
             for name in keep:
-                alone.duties.watch.heard(alone.now, name)
+                alone.duties.watch.note_contact(alone.now, name)
 
         alone.go_on(alone.now + 3.0, hear)
         for name in OTHERS:
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -16,13 +16,13 @@
 from mesh.data_plane.upstream_registration import Registry
 from mesh.event_log import events
 from mesh.membership import failure_detection
-from mesh.membership.failure_detection import RETURN_S, Watch, spans
-from mesh.membership.lease import REAPING, Standing, Turn, first
+from mesh.membership.failure_detection import RECONNECT_S, SilenceTracker, silence_thresholds
+from mesh.membership.lease import REAPING, DutyLease, LeaseRecord, first_live
 from mesh.rollout.report import REPORT
 from simulation.mesh.drops import Drops
 from simulation.mesh.world import Machine, Script
 
-SPANS = spans(3000.0, 1500.0)
+SPANS = silence_thresholds(3000.0, 1500.0)
 GONE_S = SPANS.gone_s
 LATE_S = 7.0  # looks, rounds that wait for the time between two, and the news of it
 Play = Callable[[Drops], Script]
@@ -32,7 +32,7 @@
 def order(cores: int = 3) -> list[str]:
     left, found = {f"c{n}" for n in range(1, cores + 1)}, []
     while left:
-        found.append(first(REAPING, left, left))
+        found.append(first_live(REAPING, left, left))
         left.discard(found[-1])
     return found
 
@@ -112,7 +112,7 @@
 def test_a_zone_that_is_cut_off_is_kept_and_after_much_longer_it_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(controller_program, "spans", lambda *_: replace(SPANS, zone_s=60.0))
+    monkeypatch.setattr(controller_program, "silence_thresholds", lambda *_: replace(SPANS, zone_gone_s=60.0))
 
     def cut(world: Drops) -> Script:
         cut_off(world, "s1", "s2", "s3")
@@ -127,7 +127,7 @@
         assert world.dropped == []
         world.heal()
         cut_off(world, "s3")
-        yield world.env.timeout(6.0 + RETURN_S)
+        yield world.env.timeout(6.0 + RECONNECT_S)
         assert drops(world) == ["s3"]
         world.heal()
         yield from world.settles()
@@ -190,7 +190,7 @@
                 for key in (("node", "s1"), ("instance", "i-s1")):
                     machine.program.roll.forget(key)
                 assert not any(key[1] == "s1" for key in machine.program.roll.items)
-        yield world.env.timeout(proxy_program.ASKS_ANEW_S)
+        yield world.env.timeout(proxy_program.RESYNC_AFTER_S)
 
     assert played(booted(away, proxies=2), {}) == []
 
@@ -198,14 +198,14 @@
 def test_who_stood_still_forgets_and_asks_anew_though_its_links_looked_open() -> None:
     def still(world: Drops) -> Script:
         life = world.machines["s1"].life
-        world.freeze(world.machines["s1"], proxy_program.ASKS_ANEW_S + 20.0)
+        world.freeze(world.machines["s1"], proxy_program.RESYNC_AFTER_S + 20.0)
         yield world.env.timeout(GONE_S + LATE_S)
         assert drops(world) == ["s1"]
         for machine in world.machines.values():
             if machine.name != "s1":
                 for key in (("node", "s1"), ("instance", "i-s1")):
                     machine.program.roll.forget(key)
-        yield world.env.timeout(proxy_program.ASKS_ANEW_S)
+        yield world.env.timeout(proxy_program.RESYNC_AFTER_S)
         assert world.machines["s1"].life is life
 
     assert played(booted(still, proxies=2), {}) == []
@@ -234,7 +234,7 @@
             return
         assert [by for _, by, _ in world.dropped] == [after.name]
         program = after.program
-        assert program.duties.turn.newest == Standing(2, after.name)
+        assert program.duties.turn.latest == LeaseRecord(2, after.name)
         if how == "killed":
             world.restart(holder, 0.0)
         world.heal()
@@ -267,7 +267,7 @@
         one, two = (world.machines[name] for name in order()[:2])
         world.cut([one], [two])
         yield world.env.timeout(60.0)
-        newest = max(program.duties.turn.newest.epoch for _, program in world.programs(core=True))
+        newest = max(program.duties.turn.latest.epoch for _, program in world.programs(core=True))
         assert 2 <= newest <= 1 + 60.0 / (4.0 * SPANS.suspect_s)
         assert world.dropped == []
 
@@ -278,11 +278,11 @@
     """The holder is overtaken and does not hear of it; with one node gone it goes on asking."""
     holder, after = (world.machines[name] for name in order()[:2])
     for machine in world.controllers():
-        machine.program.duties.turn.note(0.0, Standing(5, after.name))
+        machine.program.duties.turn.note(0.0, LeaseRecord(5, after.name))
     duties = holder.program.duties
-    turn = duties.turn = Turn(REAPING, holder.name, SPANS.suspect_s)
+    turn = duties.turn = DutyLease(REAPING, holder.name, SPANS.suspect_s)
     now = float(world.env.now)
-    turn.newest, turn._claimed, turn._first_since = Standing(1, holder.name), 1, now
+    turn.latest, turn._claimed, turn._first_since = LeaseRecord(1, holder.name), 1, now
     world.power_off(world.machines["s1"])
     yield world.env.timeout(GONE_S + 1.5)
     told = [values for _, name, values in world.events(events.EPOCH_OLD) if name != holder.name]
@@ -350,39 +350,41 @@
 
 
 def epoch_is_not_checked(patch: pytest.MonkeyPatch) -> None:
-    real = Turn.note
+    real = DutyLease.note
 
-    def note(self: Turn, now: float, standing: Standing) -> bool:
+    def note(self: DutyLease, now: float, standing: LeaseRecord) -> bool:
         real(self, now, standing)
         return True
 
-    patch.setattr(Turn, "note", note)
+    patch.setattr(DutyLease, "note", note)
 
 
 def drops_while_cut_from_most(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(failure_detection, "enough", lambda heard, members: True)
+    patch.setattr(failure_detection, "is_majority", lambda heard, members: True)
     patch.setattr(ContactProbes, "may_act", lambda self: True)
 
 
 def others_are_not_listened_to(patch: pytest.MonkeyPatch) -> None:
-    real = failure_detection.judge
-    patch.setattr(failure_detection, "judge", lambda nodes, silences, spans: real(nodes, silences[:1], spans))
+    real = failure_detection.assess_silence
+    patch.setattr(
+        failure_detection, "assess_silence", lambda nodes, silences, spans: real(nodes, silences[:1], spans)
+    )
 
 
 def zones_go_like_nodes(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(controller_program, "spans", lambda *_: replace(SPANS, zone_s=GONE_S))
+    patch.setattr(controller_program, "silence_thresholds", lambda *_: replace(SPANS, zone_gone_s=GONE_S))
 
 
 def standing_still_counts_as_silence(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Watch, "awake_s", lambda self, now: 1e9)
+    patch.setattr(SilenceTracker, "listening_s", lambda self, now: 1e9)
 
 
 def a_node_that_returns_is_not_said(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proxy_program, "dropped", lambda item: False)
+    patch.setattr(proxy_program, "was_dropped", lambda item: False)
 
 
 def a_return_does_not_outrank(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proxy_program, "above", lambda item, version: version - 1)
+    patch.setattr(proxy_program, "version_above", lambda item, version: version - 1)
 
 
 def its_upstream_is_not_said_again(patch: pytest.MonkeyPatch) -> None:
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -174,7 +174,7 @@
         ):
             channel.link.send(frame)
         yield world.env.timeout(1.0)
-        assert core.charter.items[R1].version == 3 and core.duties.turn.newest.epoch < 99
+        assert core.charter.items[R1].version == 3 and core.duties.turn.latest.epoch < 99
 
     assert played(sidecar) == []
 
--- a/tests/mesh/test_replacements_world.py
+++ b/tests/mesh/test_replacements_world.py
@@ -57,12 +57,12 @@
 
 
 def dead_nodes_count_for_their_zone(patch: Patch) -> None:
-    patch.setattr(member_silence, "judge", most_of_the_store_is_silent)
-    patch.setattr(failure_detection, "judge", most_of_the_store_is_silent)
+    patch.setattr(member_silence, "assess_silence", most_of_the_store_is_silent)
+    patch.setattr(failure_detection, "assess_silence", most_of_the_store_is_silent)
 
 
 def a_cut_zone_goes_like_machines(patch: Patch) -> None:
-    patch.setattr(failure_detection, "APART_SHARE", -1e6)
+    patch.setattr(failure_detection, "PARTITION_WINDOW_SHARE", -1e6)
 
 
 def a_successor_counts_beside_the_dead_one(patch: Patch) -> None:
--- a/tests/mesh/test_silence_model.py
+++ b/tests/mesh/test_silence_model.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mesh.membership import failure_detection
-from mesh.membership.failure_detection import Known, Report, Spans, Verdict
+from mesh.membership.failure_detection import NodeInfo, SilenceReport, SilenceThresholds, Verdict
 from rigs.silence_model import SIZES, Silence
 from simulation.mesh.seeds import Patch, most_of_the_store_is_silent
 from statecheck import explore
@@ -22,20 +22,22 @@
 
 
 def dead_nodes_count_for_their_zone(patch: Patch) -> None:
-    patch.setattr(failure_detection, "judge", most_of_the_store_is_silent)
+    patch.setattr(failure_detection, "assess_silence", most_of_the_store_is_silent)
 
 
 def no_zone_is_kept(patch: Patch) -> None:
-    judge = failure_detection.judge
+    judge = failure_detection.assess_silence
 
-    def everybody(nodes: Mapping[str, Known], reports: Sequence[Report], spans: Spans) -> Verdict:
-        return judge(nodes, reports, Spans(spans.suspect_s, spans.gone_s, spans.gone_s))
+    def everybody(
+        nodes: Mapping[str, NodeInfo], reports: Sequence[SilenceReport], spans: SilenceThresholds
+    ) -> Verdict:
+        return judge(nodes, reports, SilenceThresholds(spans.suspect_s, spans.gone_s, spans.gone_s))
 
-    patch.setattr(failure_detection, "judge", everybody)
+    patch.setattr(failure_detection, "assess_silence", everybody)
 
 
 def an_instant_apart_is_enough(patch: Patch) -> None:
-    patch.setattr(failure_detection, "APART_SHARE", 1 / 12)
+    patch.setattr(failure_detection, "PARTITION_WINDOW_SHARE", 1 / 12)
 
 
 def the_first_that_returns_condemns_the_rest(patch: Patch) -> None:
--- a/tests/mesh/test_simulated_mesh.py
+++ b/tests/mesh/test_simulated_mesh.py
@@ -10,7 +10,7 @@
 
 from anisestair.http import codec as http
 from mesh.control_plane.anti_entropy import EVERY_S
-from mesh.membership.tombstones import ASKS_ANEW_S
+from mesh.membership.tombstones import RESYNC_AFTER_S
 from mesh.replication.acceptor import Ballot
 from simulation.mesh import seeds, troubles
 from simulation.mesh.world import Script, World
@@ -287,7 +287,7 @@
         yield world.ask(life, life.program.registry.handle, bye)
         yield world.env.timeout(0.1)
         world.kill(ends)
-        yield world.env.timeout(ASKS_ANEW_S + 5.0)
+        yield world.env.timeout(RESYNC_AFTER_S + 5.0)
         world.heal()
         yield world.env.timeout(8.0)
         assert "i-s2" not in world.controllers()[0].program.membership.instances
@@ -430,8 +430,8 @@
     """What a writer sends is held up while one joins; then it reaches one that knows. The writer is not the
     one that proposes who counts: that one would be missed first."""
     cores = world.controllers()
-    yield from world.until(lambda: cores[0].program.minding.turn.newest.epoch, 3.0, "the duty is taken")
-    holder = cores[0].program.minding.turn.newest.holder
+    yield from world.until(lambda: cores[0].program.minding.turn.latest.epoch, 3.0, "the duty is taken")
+    holder = cores[0].program.minding.turn.latest.holder
     writer = next(machine for machine in cores if machine.name != holder)
     other = next(machine for machine in cores if machine is not writer)
     joiner = world.add("c4", "10.0.0.4")
