--- a/mesh/control_plane/accept_pages.py
+++ b/mesh/control_plane/accept_pages.py
@@ -1,4 +1,4 @@
-"""An accept's contents on the wire: rows in pages of bounded size."""
+"""Splits the contents of an accept into frames of bounded size."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from mesh.replication.acceptor import Number, Value
 
-PAGE_BYTES = 1 << 20  # of contents in one accept
+PAGE_BYTES = 1 << 20  # of contents in one accept frame
 
 
 def split_into_pages(writes: Mapping[Number, Value], tags: Mapping[Number, str]) -> list[list[Any]]:
-    """An accept's rows, each content encoded once, in pages of bounded size."""
+    """Returns the rows of an accept in pages; each content is encoded once. A page has at least one row."""
     pages: list[list[Any]] = [[]]
     room = PAGE_BYTES
-    for number, value in sorted(writes.items(), key=lambda one: one[0]):
+    for number, value in sorted(writes.items(), key=lambda entry: entry[0]):
         packed = msgspec.Raw(msgspec.json.encode(value))
         room -= len(packed)
         if room < 0 and pages[-1]:
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -1,5 +1,5 @@
-"""The acceptor's host: a vote is on disk before it is said, an epoch before anything is answered under it, a
-ceiling before a round that needs it is promised. What is decided goes into the charter here."""
+"""Runs the acceptor: a vote is on disk before it is sent, an epoch before anything is answered under it, a
+ceiling before a round that needs it is promised. Decided items are applied to the charter here."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 from mesh.storage.layout import pack_ceiling, pack_generations
 from mesh.transport.frames import Head
 
-MAX_PROMISE_BYTES = 8 << 20  # bytes of one promise
-ROW_OVERHEAD_BYTES = 200  # about, of a row beside its content
-DISK_FULL = "disk: no room for more; drop some and wait till they are forgotten"
-MAX_PAGED_ORDERS = 8  # orders that come in pages at once; the oldest makes room
+MAX_PROMISE_BYTES = 8 << 20  # of the states in one promise
+ROW_OVERHEAD_BYTES = 200  # estimated bytes of a row beside its content
+DISK_FULL = "disk: no room for more; drop some items and wait until they are forgotten"
+MAX_PAGED_ORDERS = 8  # partly received orders that are kept; the oldest is discarded
 
 
 class AcceptorHost:
-    """``level``: whether this member may vote for a view that stands alone; ``viewed`` is told of a new
-    view."""
+    """One member's acceptor on the network. ``caught_up``: whether this member may vote for a view that is
+    not joint; ``on_view_change`` is called when a new view is in force."""
 
     def __init__(
         self,
@@ -52,23 +52,23 @@
         disk_writer: DiskWriter,
         member_set: MemberSet,
         event_log: EventLog,
-        changed: Callable[[list[Item]], None],
+        on_change: Callable[[list[Item]], None],
     ) -> None:
-        """``changed`` is told of items of the charter that changed here, and tells `took`."""
+        """``on_change`` is called with charter items that changed here, and calls `items_changed`."""
         self._loop = asyncio.get_running_loop()
         self.acceptor, self._charter, self._disk_writer = acceptor, charter, disk_writer
-        self._member_set, self._event_log, self._on_change = member_set, event_log, changed
+        self._member_set, self._event_log, self._on_change = member_set, event_log, on_change
         self.caught_up: Callable[[], bool] = lambda: True
         self.on_view_change: Callable[[], None] = lambda: None
         self._durable_epoch = 0
-        self._ceiling = acceptor.ceiling  # that is on its way to the disk
+        self._ceiling = acceptor.ceiling  # the highest that was passed to the disk
         self._pages: dict[tuple[str, Ballot], list[Any]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # What is answered
+    # Answers to proposers
 
     async def check_epoch(self, epoch: int) -> Refusal | None:
-        """Why nothing can be said under that epoch; None where it can. Waits until the epoch is on disk."""
+        """Why nothing can be answered under that epoch; None if it can. Waits until the epoch is on disk."""
         while True:
             if not self._disk_writer.whole:
                 return Refusal(0, "its disk does not count")
@@ -81,6 +81,7 @@
                 self._durable_epoch = epoch
 
     async def promise(self, epoch: int, ballot: Ballot, numbers: Sequence[Number]) -> Promised | Refusal:
+        """Promises all numbers or none, with a ceiling on disk that covers the ballot's round."""
         while True:
             refusal = await self.check_epoch(epoch)
             if refusal is not None:
@@ -89,12 +90,13 @@
             if not ceiling:
                 break
             await self.raise_ceiling(ceiling)
-        ahead = self.acceptor.wants(ballot.round + BLOCK // 2)
-        if ahead > self._ceiling:
-            self.spawn(self.raise_ceiling(ahead))
+        next_ceiling = self.acceptor.wants(ballot.round + BLOCK // 2)
+        if next_ceiling > self._ceiling:
+            self.spawn(self.raise_ceiling(next_ceiling))
         return self.acceptor.promise(ballot, numbers)
 
     async def raise_ceiling(self, ceiling: int) -> None:
+        """Returns once that ceiling is on disk."""
         self._ceiling = max(self._ceiling, ceiling)
         self._disk_writer.put_row(pack_ceiling(self._ceiling))
         await self._disk_writer.flush()
@@ -108,13 +110,13 @@
         writes: Mapping[Number, Value],
         tags: Mapping[Number, str],
     ) -> Refusal | None:
-        """None once it is on disk."""
+        """Accepts the writes; returns None once they are on disk."""
         refusal = await self.check_epoch(epoch)
         if refusal is not None:
             return refusal
         for (kind, _, _), value in writes.items():
             if kind == VIEW and value is not None and "before" not in value and not self.caught_up():
-                return Refusal(0, "it is not level")
+                return Refusal(0, "it has not caught up with the joint view")
         if not self.has_room(writes):
             return Refusal(0, DISK_FULL)
         changed = self.acceptor.accept(ballot, by, writes, tags)
@@ -125,66 +127,67 @@
         return None
 
     def has_room(self, writes: Mapping[Number, Value]) -> bool:
-        """Whether the disk has room for what an order sets; what drops, and views, always find some."""
+        """Whether the disk has room for what an order sets; drops and views always fit."""
         sets = [value for (kind, _, _), value in writes.items() if value is not None and kind != VIEW]
         return not sets or self._disk_writer.has_room(
             ROW_OVERHEAD_BYTES * len(sets) + sum(map(_encoded_size, sets))
         )
 
     async def fence(self, round: int, member: str, generation: int) -> None:
-        """Refuses from now on, and returns once the disk says so, too."""
+        """Refuses lower ballots and older generations from now on; returns once that is on disk."""
         self.acceptor.fence(round, member, generation)
         self._disk_writer.put_row(pack_generations(self.acceptor.generations))
         await self.raise_ceiling(self.acceptor.ceiling)
 
-    # What is decided
+    # Decided items
 
     def apply(self, items: Sequence[Item], vector: Mapping[str, int], whole: bool = False) -> None:
-        """Decided items, whoever stamped them. ``whole``: with all of the order that they came with."""
+        """Merges decided items of any source. ``whole``: they are all the items of their order."""
         changed = self._charter.merge(items, vector)
         if isinstance(changed, StoreFull):
             self._event_log.tell(events.STATE_FULL, reason=changed.reason)
             return
-        self._settle([item for item in items if item.key in self._charter.items], whole)  # not the forgotten
+        # Forgotten items are not settled.
+        self._settle([item for item in items if item.key in self._charter.items], whole)
         if changed:
             self._on_change(changed)
 
     def stamp_items(self, decided: Iterable[tuple[Number, Value]]) -> tuple[list[Item], dict[str, int]]:
-        """Items of this store's own stamp, in the order of their numbers, and its vector with them."""
+        """Items stamped by this store, in the order of their numbers, and its vector that includes them."""
         source = self._charter.source
         first = self._charter.vector.get(source, 0) + 1
         items = [
-            Item(*number, value, source, first + place)
-            for place, (number, value) in enumerate(sorted(decided, key=lambda one: one[0]))
+            Item(*number, value, source, first + index)
+            for index, (number, value) in enumerate(sorted(decided, key=lambda pair: pair[0]))
         ]
         return items, {source: first - 1 + len(items)}
 
     def items_changed(self, items: Sequence[Item]) -> None:
-        """Items of the charter have changed, by whatever way: all that comes there is decided."""
+        """Charter items have changed, from any source; all items of the charter are decided."""
         self._settle(items, False)
         self._disk_writer.mark_items(items)
         if any(item.kind == VIEW for item in items):
             self.on_view_change()
 
     def record_outcome(self, number: Number, state: Settled | Forgotten) -> None:
-        """Another acceptor knows of it; nothing more is to be had."""
+        """Records an outcome that another acceptor reported without its content."""
         if self.acceptor.told(number, state):
             self._disk_writer.mark_settled([number])
 
     def _settle(self, items: Iterable[Item], whole: bool) -> None:
-        told = [((item.kind, item.name, item.version), item.value) for item in items]
+        numbered = [((item.kind, item.name, item.version), item.value) for item in items]
         self._disk_writer.mark_settled(
-            [number for number, value in told if self.acceptor.settle(number, value, whole)]
+            [number for number, value in numbered if self.acceptor.settle(number, value, whole)]
         )
 
     # Frames
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one for the acceptor. Raises KeyError, TypeError or ValueError for what cannot be
-        read."""
+        """Handles a frame for the acceptor; returns whether it was one. Raises KeyError, TypeError or
+        ValueError for a malformed frame."""
         kind = head["t"]
         if kind == "prepare":
-            numbers = [decode_number(told) for told in head["k"]]
+            numbers = [decode_number(number) for number in head["k"]]
             self.spawn(self._handle_prepare(channel, head, decode_ballot(head["b"]), numbers))
         elif kind == "accept":
             rows = self._collect_pages(channel, head)
@@ -201,31 +204,31 @@
         return True
 
     def _collect_pages(self, channel: Channel, head: Head) -> list[Any] | None:
-        """All rows of an order, once the last of its pages has come."""
-        place, of, where = int(head["p"]), int(head["of"]), (address_of(channel), decode_ballot(head["b"]))
-        if of == 1:
+        """All rows of an order once its last page has arrived; None before. Acknowledges each other page."""
+        index, count, key = int(head["p"]), int(head["of"]), (address_of(channel), decode_ballot(head["b"]))
+        if count == 1:
             return list(head["w"])
-        held = self._pages.pop(where, []) if place else []
-        if place != len(held):
+        pages = self._pages.pop(key, []) if index else []
+        if index != len(pages):
             return None
-        self._pages[where] = [*held, head["w"]]
+        self._pages[key] = [*pages, head["w"]]
         while len(self._pages) > MAX_PAGED_ORDERS:
             del self._pages[next(iter(self._pages))]
-        if place + 1 < of:
-            channel.link.send({"t": "accepted", "b": head["b"], "e": head["e"], "p": place})
+        if index + 1 < count:
+            channel.link.send({"t": "accepted", "b": head["b"], "e": head["e"], "p": index})
             return None
-        return [row for page in self._pages.pop(where) for row in page]
+        return [row for page in self._pages.pop(key) for row in page]
 
     def _handle_decided(self, head: Head) -> None:
         if "items" in head:
             self.apply([unpack(fields) for fields in head["items"]], {})
             return
         source, first = str(head["s"]), int(head["at"])
-        decided = sorted(self.acceptor.at(decode_ballot(head["b"])).items(), key=lambda one: one[0])
+        decided = sorted(self.acceptor.at(decode_ballot(head["b"])).items(), key=lambda pair: pair[0])
         if len(decided) == head["of"]:
             items = [Item(*number, value, source, first + at) for at, (number, value) in enumerate(decided)]
             self.apply(items, self._charter.following(source, first, len(items)), bool(head.get("whole")))
-        elif decided:  # some were decided otherwise meanwhile, or were so before
+        elif decided:  # the others were decided otherwise, before or meanwhile
             self.apply(*self.stamp_items(decided))
 
     async def _handle_prepare(
@@ -235,15 +238,15 @@
         if isinstance(answer, Refusal):
             self._send_refusal(channel, head, answer)
             return
-        places = {number: place for place, number in enumerate(numbers)}
+        indexes = {number: index for index, number in enumerate(numbers)}
         full = bool(head.get("full"))
-        rows = [[places[number], *encode_state(state, full)] for number, state in answer.states.items()]
+        rows = [[indexes[number], *encode_state(state, full)] for number, state in answer.states.items()]
         packed = msgspec.json.encode(rows)
         if len(packed) > MAX_PROMISE_BYTES:
-            self._send_refusal(channel, head, Refusal(0, "too much is open at once"))
+            self._send_refusal(channel, head, Refusal(0, "too many open votes for one promise"))
             return
-        told = {"t": "promise", "b": head["b"], "e": head["e"], "g": answer.generation}
-        channel.link.send({**told, "s": msgspec.Raw(packed)})
+        message = {"t": "promise", "b": head["b"], "e": head["e"], "g": answer.generation}
+        channel.link.send({**message, "s": msgspec.Raw(packed)})
 
     async def _handle_accept(
         self,
@@ -262,15 +265,15 @@
 
     def _send_refusal(self, channel: Channel, head: Head, refusal: Refusal) -> None:
         epoch = self._member_set.view().epoch
-        told = {"t": "refuse", "b": head["b"], "e": epoch, "r": refusal.round, "why": refusal.reason}
+        message = {"t": "refuse", "b": head["b"], "e": epoch, "r": refusal.round, "why": refusal.reason}
         if not refusal.contended:
-            told["now"] = True
+            message["now"] = True
         if epoch > int(head["e"]):
-            told["view"] = self._member_set.view_item()
-        channel.link.send(told)
+            message["view"] = self._member_set.view_item()
+        channel.link.send(message)
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self._loop.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -283,38 +286,38 @@
     return [ballot.round, ballot.proposer]
 
 
-def decode_ballot(told: Any) -> Ballot:
-    """Raises TypeError or ValueError for what is none."""
-    round, proposer = told
+def decode_ballot(data: Any) -> Ballot:
+    """Decodes a ballot; raises TypeError or ValueError if it is malformed."""
+    round, proposer = data
     if not isinstance(round, int) or not isinstance(proposer, str):
-        raise ValueError("a ballot is a round and its proposer's life")
+        raise ValueError("a ballot is a round and its proposer's incarnation")
     return Ballot(round, proposer)
 
 
-def decode_number(told: Any) -> Number:
-    """Of the first three fields. Raises TypeError or ValueError for what is none."""
-    kind, name, version = told[:3]
+def decode_number(data: Any) -> Number:
+    """Decodes the first three fields; raises TypeError or ValueError if they are no number."""
+    kind, name, version = data[:3]
     if not (isinstance(kind, str) and isinstance(name, str) and isinstance(version, int)):
         raise ValueError("a number is kind, name and version")
     return kind, name, version
 
 
 def encode_state(state: State, full: bool) -> list[Any]:
-    """``full``: with the content of what stands."""
+    """Encodes a state. ``full``: with the content of an item that is in force."""
     if isinstance(state, Vote):
         return ["v", *encode_ballot(state.ballot), state.value, state.tag]
     if isinstance(state, Settled):
-        told = ["d", state.digest, state.tag]
-        return [*told, state.value] if full and state.has else told
+        row = ["d", state.digest, state.tag]
+        return [*row, state.value] if full and state.has else row
     return ["f"]
 
 
-def decode_state(told: Sequence[Any]) -> State:
-    """Raises TypeError or ValueError for what is none."""
-    if told[0] == "v":
-        return Vote(decode_ballot(told[1:3]), told[3], str(told[4]))
-    if told[0] == "d":
-        return Settled(str(told[1]), len(told) > 3, told[3] if len(told) > 3 else None, str(told[2]))
-    if told[0] == "f":
+def decode_state(data: Sequence[Any]) -> State:
+    """Decodes a state; raises TypeError or ValueError if it is malformed."""
+    if data[0] == "v":
+        return Vote(decode_ballot(data[1:3]), data[3], str(data[4]))
+    if data[0] == "d":
+        return Settled(str(data[1]), len(data) > 3, data[3] if len(data) > 3 else None, str(data[2]))
+    if data[0] == "f":
         return Forgotten()
-    raise ValueError(f"a state {told[0]!r}")
+    raise ValueError(f"unknown state {data[0]!r}")
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -41,7 +41,7 @@
     """An order that was decided: what confirms it, and since when it is known here."""
 
     needs: Needs
-    known: float
+    known_at: float
 
 
 class Confirmations:
@@ -57,7 +57,7 @@
     ) -> None:
         """Nothing was decided yet."""
         self._loop = asyncio.get_running_loop()
-        self._began = self._loop.time()
+        self._started_at = self._loop.time()
         self.update_bounds(ack_ms, contact_ms)
         self._reports, self._channels, self._event_log = reports, channels, event_log
         self._orders: deque[DecidedOrder] = deque(maxlen=MAX_ORDERS_KEPT)
@@ -85,14 +85,18 @@
         for channel in self._channels.open:
             if channel.extra.get("role") != PROXY:
                 continue
-            known = self._incarnations.get(channel.node)
-            if known is None or known[0] != channel.peer_source:
+            incarnation = self._incarnations.get(channel.node)
+            if incarnation is None or incarnation[0] != channel.peer_source:
                 self._incarnations[channel.node] = (channel.peer_source, now)
 
     def _in_touch(self, now: float) -> set[str]:
         """Proxies for which the rules hold, as far as this process hears itself or is told."""
-        told = [names for at, names in self._peer_reports.values() if now - at <= PEER_REPORT_VALID_S]
-        return self._live_proxies(now).union(*told)
+        reported = [
+            names
+            for reported_at, names in self._peer_reports.values()
+            if now - reported_at <= PEER_REPORT_VALID_S
+        ]
+        return self._live_proxies(now).union(*reported)
 
     def _live_proxies(self, now: float) -> set[str]:
         return {
@@ -104,17 +108,17 @@
             and now - self._incarnations.get(channel.node, ("", now))[1] >= self._contact_s
         }
 
-    def _lacking(self, among: Collection[str], needs: Needs) -> set[str]:
+    def _lacking(self, nodes: Collection[str], needs: Needs) -> set[str]:
         return {
             node
-            for node in among
+            for node in nodes
             if (report := self._reports.get(node)) is None
             or any(report.vector.get(source, 0) < number for source, number in needs.items())
         }
 
-    def _waited_for(self, now: float, decided: float) -> set[str]:
+    def _waited_for(self, now: float, decided_at: float) -> set[str]:
         """Whose confirmation an order that was decided then waits for."""
-        if now - decided >= UNLINKED_WAIT_S:
+        if now - decided_at >= UNLINKED_WAIT_S:
             return self._in_touch(now)
         linked = {channel.node for channel in self._channels.open}
         return self._in_touch(now) | (self._reports.keys() - linked)
@@ -122,9 +126,11 @@
     def find_behind(self) -> list[str]:
         """Proxies that this process hears itself and that have not confirmed an order of some time ago."""
         now = self._loop.time()
-        heard = self._live_proxies(now)
-        late = [one for one in self._orders if OVERDUE_S < now - one.known < 2.0 * self._ack_s]
-        return sorted(set().union(*(self._lacking(heard, one.needs) for one in late)))[:MAX_BEHIND_NAMES]
+        live = self._live_proxies(now)
+        overdue = [order for order in self._orders if OVERDUE_S < now - order.known_at < 2.0 * self._ack_s]
+        return sorted(set().union(*(self._lacking(live, order.needs) for order in overdue)))[
+            :MAX_BEHIND_NAMES
+        ]
 
     def peer_reported_behind(self, address: str, names: object) -> None:
         """The control process there has answered, and says who is behind. Raises TypeError for what is no
@@ -139,37 +145,37 @@
     def has_overdue(self, now: float) -> bool:
         """Whether a proxy in touch has not confirmed an order of some time ago."""
         return any(
-            now - one.known > OVERDUE_S and self._lacking(self._in_touch(now), one.needs)
-            for one in self._orders
-            if now - one.known < 2.0 * self._ack_s
+            now - order.known_at > OVERDUE_S and self._lacking(self._in_touch(now), order.needs)
+            for order in self._orders
+            if now - order.known_at < 2.0 * self._ack_s
         )
 
-    def _decided(self, items: Sequence[Item]) -> float:
+    def _decided_at(self, items: Sequence[Item]) -> float:
         """Since when all of these are known here. An order may name what stood long before, and its parts may
         have come one after the other, so each is looked up by itself."""
-        return max((self._known(item) for item in items), default=self._began)
+        return max((self._known_at(item) for item in items), default=self._started_at)
 
-    def _known(self, item: Item) -> float:
+    def _known_at(self, item: Item) -> float:
         """Since when that one is known here; at the latest since the oldest that is kept."""
-        for one in self._orders:
-            if one.needs.get(item.source, 0) >= item.number:
-                return one.known
-        return self._orders[0].known if len(self._orders) == MAX_ORDERS_KEPT else self._began
+        for order in self._orders:
+            if order.needs.get(item.source, 0) >= item.number:
+                return order.known_at
+        return self._orders[0].known_at if len(self._orders) == MAX_ORDERS_KEPT else self._started_at
 
     async def wait_confirmed(self, items: Sequence[Item], within_s: float) -> bool:
         """Until the order of these items may be acknowledged; False where that takes longer."""
-        began = now = self._loop.time()
+        started_at = now = self._loop.time()
         if len(items) < LARGE_ORDER_ITEMS and not self.has_overdue(now):
             return True
-        needs, decided = needs_of(items), self._decided(items)
-        while lacking := self._lacking(self._waited_for(now, decided), needs):
-            if now - decided >= self.bound_s(len(items)):
-                waited_ms = round((now - decided) * 1000.0)
+        needs, decided_at = needs_of(items), self._decided_at(items)
+        while lacking := self._lacking(self._waited_for(now, decided_at), needs):
+            if now - decided_at >= self.bound_s(len(items)):
+                waited_ms = round((now - decided_at) * 1000.0)
                 self._event_log.tell(
                     events.ACKNOWLEDGED_EARLY, items=len(items), sidecars=len(lacking), waited_ms=waited_ms
                 )
                 return True
-            if now - began >= within_s:
+            if now - started_at >= within_s:
                 return False
             await asyncio.sleep(POLL_S)
             now = self._loop.time()
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -48,8 +48,8 @@
     if isinstance(outcome, Fresh):
         event_log.tell(events.DISK_FRESH, first=settings.cold_boot)
         return Held()
-    for note in outcome.notes:
-        event_log.tell(events.DISK_MOVED_ON, note=note)
+    for migration in outcome.notes:
+        event_log.tell(events.DISK_MOVED_ON, note=migration)
     kept = held(outcome.rows)
     charter.forgotten.merge(kept.forgotten)
     charter.restore(kept.items, kept.vector)
@@ -73,13 +73,13 @@
 
 def forgotten_to(charter: Store, key: Key) -> int:
     """Versions of that key up to this are older than a drop that is forgotten, or may be."""
-    known = charter.forgotten
-    return known.version(key) if key in charter.items else known.watermark(key)
+    forgotten = charter.forgotten
+    return forgotten.version(key) if key in charter.items else forgotten.watermark(key)
 
 
-def restore_acceptor(me: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
+def restore_acceptor(own_address: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
     """As its disk has it: all that its last life may have promised is refused."""
-    acceptor = Acceptor(me, kept.ceiling, forgotten)
+    acceptor = Acceptor(own_address, kept.ceiling, forgotten)
     acceptor.generations = dict(kept.generations)
     kept.fill(acceptor)
     for item in kept.items:
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -1,5 +1,5 @@
-"""How a disk that was lost comes to count again, and how a member becomes level with a new view: the others
-refuse what was under way (the fence), and what they hold is read as it stands then."""
+"""Restores a lost disk, and brings a member up to date with a new view: the others refuse earlier ballots
+(the fence), and their state as of the fence is read."""
 
 from __future__ import annotations
 
@@ -23,26 +23,30 @@
 from mesh.storage.layout import Past
 from mesh.transport.frames import Head
 
-PAGE_BYTES = 1 << 20
-Row = Item | tuple[Number, Vote | str] | Past
-MAX_PAGED_ANSWERS = 4  # answers that are given in pages at once; the oldest makes room
+PAGE_BYTES = 1 << 20  # of rows in one frame
+StateRow = Item | tuple[Number, Vote | str] | Past
+MAX_PAGED_ANSWERS = 4  # answers that are sent in pages at once; the oldest is discarded
 
 
 class _FenceRequest(Struct, eq=False):
-    """``round`` and ``generation``: of the fence; None where none is raised."""
+    """One pending request. ``fence``: its round and generation; None for a read without a fence."""
 
     view: View
     fence: tuple[int, int] | None
     done: asyncio.Future[None]
-    others: frozenset[str]
-    heard: set[str] = field(default_factory=set)
-    empty: set[str] = field(default_factory=set)  # those that refuse since their disks do not count
+    members: frozenset[str]
+    answered: set[str] = field(default_factory=set)
+    empty: set[str] = field(default_factory=set)  # members that refuse because their disks do not count
     asked: dict[str, Channel] = field(default_factory=dict)
-    told: dict[str, tuple[int, int]] = field(default_factory=dict)  # top and generation, by address
-    pages: dict[str, int] = field(default_factory=dict)  # that have come, by address
+    answers: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # highest round and generation, by address
+    pages: dict[str, int] = field(default_factory=dict)  # number of pages received, by address
 
 
 class Fencing:
+    """Raises fences and reads behind them, and answers the requests of others."""
+
     def __init__(
         self, charter: Store, disk_writer: DiskWriter, member_set: MemberSet, acceptor_host: AcceptorHost
     ) -> None:
@@ -52,15 +56,15 @@
         self._count = 0
         self._requests: dict[int, _FenceRequest] = {}
         self._paged_answers: dict[
-            tuple[str, int], tuple[list[Row], list[int]]
+            tuple[str, int], tuple[list[StateRow], list[int]]
         ] = {}  # and where its pages begin
 
     async def fence_and_read(self, within_s: float, fence: bool = True) -> bool:
         """Whether this process now holds, on disk, all that could have been chosen under the view in force.
 
-        With the fence: for a disk that came back empty. Those who answer are more than a quorum to read:
-        each set that promised or accepted anything meets them outside this machine. Without it: what an
-        overlapping set of the view, of the one before where it is joint, holds now.
+        With a fence, for a disk that came back empty, more members than a read quorum answer: each set that
+        promised or accepted anything shares a member with them other than this one. Without a fence, a set
+        answers that overlaps every quorum of the view, or of the previous one if the view is joint.
         """
         view = self._member_set.view()
         try:
@@ -68,9 +72,9 @@
                 if not fence:
                     await self._request(view, None)
                 else:
-                    told = await self._request(view, (0, 0))
-                    round = max((top for top, _ in told.values()), default=0)
-                    generation = 1 + max((known for _, known in told.values()), default=0)
+                    answers = await self._request(view, (0, 0))
+                    round = max((top for top, _ in answers.values()), default=0)
+                    generation = 1 + max((generation for _, generation in answers.values()), default=0)
                     await self._request(view, (round, generation))
                     await self._acceptor_host.fence(round, self._member_set.own_address, generation)
                 await self._disk_writer.flush()
@@ -82,137 +86,139 @@
         self._count += 1
         number = self._count
         others = view.names - {self._member_set.own_address}
-        asking = self._requests[number] = _FenceRequest(view, fence, self._loop.create_future(), others)
+        request = self._requests[number] = _FenceRequest(view, fence, self._loop.create_future(), others)
         if fence is None and self._disk_writer.whole:
-            asking.heard.add(self._member_set.own_address)
+            request.answered.add(self._member_set.own_address)
         try:
             for address, channel in self._member_set.peers().items():
-                self._send(number, asking, address, channel)
-            self._check(asking)
-            await asking.done
-            return asking.told
+                self._send(number, request, address, channel)
+            self._complete_if_enough(request)
+            await request.done
+            return request.answers
         finally:
             del self._requests[number]
 
-    def _send(self, number: int, asking: _FenceRequest, address: str, channel: Channel) -> None:
-        if address not in asking.others or address in asking.heard:
+    def _send(self, number: int, request: _FenceRequest, address: str, channel: Channel) -> None:
+        if address not in request.members or address in request.answered:
             return
-        asking.asked[address] = channel
-        asking.pages[address] = 0
-        told: Head = {"t": "fence", "n": number, "e": asking.view.epoch, "v": self._charter.vector}
-        if asking.fence is not None:
-            told.update(r=asking.fence[0], g=asking.fence[1], m=self._member_set.own_address)
-        channel.link.send(told)
+        request.asked[address] = channel
+        request.pages[address] = 0
+        message: Head = {"t": "fence", "n": number, "e": request.view.epoch, "v": self._charter.vector}
+        if request.fence is not None:
+            message.update(r=request.fence[0], g=request.fence[1], m=self._member_set.own_address)
+        channel.link.send(message)
 
-    def _has_enough(self, asking: _FenceRequest) -> bool:
-        view, tolerance, heard = asking.view, self._member_set.tolerance, asking.heard
-        if asking.fence is None:
+    def _has_enough(self, request: _FenceRequest) -> bool:
+        view, tolerance, answered = request.view, self._member_set.tolerance, request.answered
+        if request.fence is None:
             before = view if view.before is None else View(view.epoch, view.before)
-            return before.overlaps(heard, tolerance)
-        if view.epoch == 1 and heard | asking.empty >= asking.others:
-            # The first start: a founder whose disk never counted has said nothing that could be counted, and
-            # each tolerated loss since leaves a whole one, if ever anything was acknowledged.
+            return before.overlaps(answered, tolerance)
+        if view.epoch == 1 and answered | request.empty >= request.members:
+            # First start: a founder whose disk never counted has voted for nothing, and if anything was ever
+            # acknowledged, at least one whole disk remains after each tolerated loss.
             return True
-        return fenced_by(view, heard, self._member_set.own_address, tolerance)
+        return fenced_by(view, answered, self._member_set.own_address, tolerance)
 
-    def _check(self, asking: _FenceRequest) -> None:
-        if not asking.done.done() and self._has_enough(asking):
-            asking.done.set_result(None)
+    def _complete_if_enough(self, request: _FenceRequest) -> None:
+        if not request.done.done() and self._has_enough(request):
+            request.done.set_result(None)
 
-    def resend_pending(self, address: str, anew: bool = False) -> None:
-        """As `ProposerHost.reach`."""
-        peer = self._member_set.peers().get(address)
-        for number, asking in self._requests.items():
-            if peer is not None and (anew or asking.asked.get(address) is not peer):
-                self._send(number, asking, address, peer)
+    def resend_pending(self, address: str, force: bool = False) -> None:
+        """Sends pending requests on the present link to a member, as `ProposerHost.resend_pending` does."""
+        channel = self._member_set.peers().get(address)
+        for number, request in self._requests.items():
+            if channel is not None and (force or request.asked.get(address) is not channel):
+                self._send(number, request, address, channel)
 
     # Frames
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of fences. Raises KeyError, TypeError or ValueError for what cannot be read."""
+        """Whether it was a frame of fences. Raises KeyError, TypeError or ValueError if it is malformed."""
         if head["t"] == "fence":
             if "at" in head:
                 self._send_page(channel, int(head["n"]), int(head["e"]), int(head["at"]))
             else:
-                self._acceptor_host.spawn(self._answer(channel, head))
+                self._acceptor_host.spawn(self._handle_fence(channel, head))
         elif head["t"] == "fenced":
             self._handle_fenced(channel, head)
         else:
             return False
         return True
 
-    async def _answer(self, channel: Channel, head: Head) -> None:
+    async def _handle_fence(self, channel: Channel, head: Head) -> None:
         epoch, number = int(head["e"]), int(head["n"])
         if await self._acceptor_host.check_epoch(epoch) is not None:
-            mine = self._member_set.view()
-            told: Head = {"t": "fenced", "n": number, "e": mine.epoch, "no": True}
+            own_view = self._member_set.view()
+            message: Head = {"t": "fenced", "n": number, "e": own_view.epoch, "no": True}
             if not self._disk_writer.whole:
-                told["empty"] = True
+                message["empty"] = True
                 if "r" in head and head["g"]:
                     await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
-            channel.link.send({**told, "view": self._member_set.view_item()} if mine.epoch > epoch else told)
+            channel.link.send(
+                {**message, "view": self._member_set.view_item()} if own_view.epoch > epoch else message
+            )
             return
         acceptor = self._acceptor_host.acceptor
         if "r" in head and not head["g"]:
             generation = acceptor.generations.get(str(head["m"]), 0)
-            told = {"t": "fenced", "n": number, "e": epoch, "top": acceptor.top(), "g": generation}
-            channel.link.send({**told, "w": [], "more": False})
+            message = {"t": "fenced", "n": number, "e": epoch, "top": acceptor.top(), "g": generation}
+            channel.link.send({**message, "w": [], "more": False})
             return
         if "r" in head:
             await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
-        all_of_it = 2 * self._charter.most
-        rows: list[Row] = [*self._charter.lacking(head["v"], all_of_it, sys.maxsize).items]
-        rows += [(number_, vote) for number_, vote in acceptor.votes.items()]
+        unlimited = 2 * self._charter.most
+        rows: list[StateRow] = [*self._charter.lacking(head["v"], unlimited, sys.maxsize).items]
+        rows += [(vote_number, vote) for vote_number, vote in acceptor.votes.items()]
         rows += [
             Past(key, acceptor.unknown.get(key, -1), dict(acceptor.past.get(key, {})))
             for key in acceptor.past.keys() | acceptor.unknown.keys()
         ]
         rows += acceptor.tags.items()
-        where = (address_of(channel), number)
-        self._paged_answers[where] = (rows, [0])
+        key = (address_of(channel), number)
+        self._paged_answers[key] = (rows, [0])
         while len(self._paged_answers) > MAX_PAGED_ANSWERS:
             del self._paged_answers[next(iter(self._paged_answers))]
         self._send_page(channel, number, epoch, 0)
 
-    def _send_page(self, channel: Channel, number: int, epoch: int, at: int) -> None:
-        """A page of what stood at the fence, which later decisions do not touch."""
-        where = (address_of(channel), number)
-        rows, begins = self._paged_answers.get(where, ([], []))
-        if not 0 <= at < len(begins):
+    def _send_page(self, channel: Channel, number: int, epoch: int, page_number: int) -> None:
+        """Sends a page of the state as of the fence, which later decisions do not change."""
+        key = (address_of(channel), number)
+        rows, starts = self._paged_answers.get(key, ([], []))
+        if not 0 <= page_number < len(starts):
             return
-        page = _page(rows, begins[at])
-        if at + 1 == len(begins):
-            begins.append(begins[at] + len(page))
-        more = begins[at + 1] < len(rows)
-        told: Head = {"t": "fenced", "n": number, "e": epoch, "at": at, "w": page, "more": more}
-        channel.link.send({**told, "top": 0, "g": 0})
+        page = _page(rows, starts[page_number])
+        if page_number + 1 == len(starts):
+            starts.append(starts[page_number] + len(page))
+        more = starts[page_number + 1] < len(rows)
+        message: Head = {"t": "fenced", "n": number, "e": epoch, "at": page_number, "w": page, "more": more}
+        channel.link.send({**message, "top": 0, "g": 0})
         if not more:
-            del self._paged_answers[where]
+            del self._paged_answers[key]
 
     def _handle_fenced(self, channel: Channel, head: Head) -> None:
-        who, number = address_of(channel), int(head["n"])
+        member, number = address_of(channel), int(head["n"])
         if "view" in head:
             self._acceptor_host.apply([unpack(fields) for fields in head["view"]], {})
-        asking = self._requests.get(number)
-        if asking is None or head["e"] != asking.view.epoch or who not in asking.others:
+        request = self._requests.get(number)
+        if request is None or head["e"] != request.view.epoch or member not in request.members:
             return
         if head.get("no"):
             if head.get("empty"):
-                asking.empty.add(who)
-                self._check(asking)
+                request.empty.add(member)
+                self._complete_if_enough(request)
             return
-        asking.told[who] = (int(head["top"]), int(head["g"]))
-        if head.get("at", 0) != asking.pages[who]:
+        request.answers[member] = (int(head["top"]), int(head["g"]))
+        if head.get("at", 0) != request.pages[member]:
             return
-        # What was accepted there, and is decided, counts whatever becomes of the rest.
+        # Votes and decided items of a page are valid even if the remaining pages never arrive.
         self._merge_rows(head["w"])
-        asking.pages[who] += 1
+        request.pages[member] += 1
         if head["more"]:
-            told = {"t": "fence", "n": number, "e": asking.view.epoch, "at": asking.pages[who]}
-            channel.link.send(told)
+            message = {"t": "fence", "n": number, "e": request.view.epoch, "at": request.pages[member]}
+            channel.link.send(message)
             return
-        asking.heard.add(who)
-        self._check(asking)
+        request.answered.add(member)
+        self._complete_if_enough(request)
 
     def _merge_rows(self, rows: Collection[Any]) -> None:
         acceptor = self._acceptor_host.acceptor
@@ -236,11 +242,12 @@
         self._disk_writer.mark_votes(merged)
 
 
-def _page(rows: Sequence[Row], begin: int) -> list[msgspec.Raw]:
-    """Of PAGE_BYTES, one row at least. Packed as they go: what waits costs its references."""
+def _page(rows: Sequence[StateRow], start: int) -> list[msgspec.Raw]:
+    """Rows of up to PAGE_BYTES, at least one. They are packed when sent, so waiting rows cost little
+    memory."""
     page: list[msgspec.Raw] = []
     room = PAGE_BYTES
-    for row in rows[begin:]:
+    for row in rows[start:]:
         packed = msgspec.Raw(msgspec.json.encode(_pack(row)))
         room -= len(packed)
         if page and room < 0:
@@ -249,12 +256,12 @@
     return page
 
 
-def _pack(row: Row) -> list[Any]:
+def _pack(row: StateRow) -> list[Any]:
     if isinstance(row, Item):
         return ["i", *pack(row)]
     if isinstance(row, Past):
         return ["p", *row.key, row.unknown, row.digests]
-    number, told = row
-    if isinstance(told, str):
-        return ["t", *number, told]
-    return ["v", *number, *encode_ballot(told.ballot), told.value, told.tag]
+    number, state = row
+    if isinstance(state, str):
+        return ["t", *number, state]
+    return ["v", *number, *encode_ballot(state.ballot), state.value, state.tag]
--- a/mesh/control_plane/member_set.py
+++ b/mesh/control_plane/member_set.py
@@ -1,4 +1,4 @@
-"""Who counts, and how this process reaches them. There is no leader and no log."""
+"""The members whose disks count, and the links to them. There is no leader and no log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MemberSet:
-    """``contact``: whether what is held here, or is being told, can miss nothing that was acknowledged."""
+    """The view in force and its members. ``has_contact``: whether a quorum of them has answered recently."""
 
     def __init__(
         self,
@@ -31,41 +31,41 @@
         self.has_contact: Callable[[], bool] = lambda: False
 
     def view(self) -> View:
-        """The view in force here; its epoch is 0 where none is known yet."""
+        """The view in force here; its epoch is 0 if none is known yet."""
         item = self._charter.items.get((VIEW, MEMBERS))
         if item is not None and item.version != self._view.epoch:
             self._view = read_view(item.version, item.value)
         return self._view
 
     def view_item(self) -> list[list[object]]:
-        """The view as it is told to one that has an older one; empty where none is known."""
+        """The packed view, to be sent to a peer with an older one; empty if none is known."""
         item = self._charter.items.get((VIEW, MEMBERS))
         return [pack(item)] if item is not None else []
 
     def members(self) -> Mapping[str, Place]:
-        """Whose disks count, those of a view that is on its way out with them."""
+        """The members whose disks count, those of the previous view included while the view is joint."""
         view = self.view()
         return {**(view.before or {}), **view.now}
 
     def peers(self) -> dict[str, Channel]:
-        """One link to each other control process that is reached, by address."""
-        found: dict[str, Channel] = {}
+        """One open link to each other control process, by address."""
+        links: dict[str, Channel] = {}
         for channel in self._channels.open:
             address = address_of(channel)
             if channel.extra.get("role") == CONTROLLER and channel.link.up and address != self.own_address:
-                if address not in found or (channel.opened_here, channel.node) > (
-                    found[address].opened_here,
-                    found[address].node,
+                if address not in links or (channel.opened_here, channel.node) > (
+                    links[address].opened_here,
+                    links[address].node,
                 ):
-                    found[address] = channel
-        return found
+                    links[address] = channel
+        return links
 
     def announce_complete(self) -> None:
-        """Tell the others that this disk counts now."""
+        """Notifies the others that this disk counts now."""
         for channel in self.peers().values():
             channel.link.send({"t": "complete"})
 
 
 def address_of(channel: Channel) -> str:
-    """By which the peer is known as a member; "" before it has said so."""
+    """The address of the peer as a member; "" before its hello."""
     return str(channel.extra.get("ip", ""))
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -55,8 +55,8 @@
     return UnknownEndpoint(405)
 
 
-def error_body(line: str) -> bytes:
-    return msgspec.json.encode({"error": line})
+def error_body(message: str) -> bytes:
+    return msgspec.json.encode({"error": message})
 
 
 def unclear_answer(reason: str) -> Answer:
@@ -86,8 +86,8 @@
             return Answer(
                 command.status, error_body("path: this address takes GET and PATCH of /configuration")
             )
-        wanted = Proof.READS if isinstance(command, ReadConfiguration) else Proof.ORDERS
-        if self._contact_probes.proof() < wanted:
+        required = Proof.READS if isinstance(command, ReadConfiguration) else Proof.ORDERS
+        if self._contact_probes.proof() < required:
             return self._answer_without_contact()
         if isinstance(command, Invalid):
             return self._answer_refused(command)
@@ -100,9 +100,9 @@
     def _answer_without_contact(self) -> Answer:
         """At once: who is cut off knows neither what stands nor what is refused elsewhere, so neither 200 nor
         4xx is its to give."""
-        elsewhere = self._contact_probes.redirect_address()
-        if elsewhere:
-            return Answer(307, location=f"http://{elsewhere}{PATH.decode()}")
+        address = self._contact_probes.redirect_address()
+        if address:
+            return Answer(307, location=f"http://{address}{PATH.decode()}")
         return unclear_answer("no contact with most control processes here; another one may have it")
 
     async def _read(self) -> Answer:
@@ -143,15 +143,15 @@
             return await self._acknowledge(writes, until - self._loop.time())
         if isinstance(outcome, Rivalled):
             kind, name, version = outcome.number
-            line = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
+            message = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
             self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
-            return Answer(409, error_body(line))
+            return Answer(409, error_body(message))
         return self._answer_unclear(outcome.reason)
 
     async def _acknowledge(self, numbers: Collection[Number], within_s: float) -> Answer:
         """The acknowledgement of a decided order, once it is in force where it must be."""
-        found = [self._charter.items.get((kind, name)) for kind, name, _ in numbers]
-        if await self._confirmations.wait_confirmed([item for item in found if item is not None], within_s):
+        items = [self._charter.items.get((kind, name)) for kind, name, _ in numbers]
+        if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
             return Answer(200, b"{}")
         return self._answer_unclear("it is decided, and not in force at all sidecars yet")
 
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -57,9 +57,14 @@
         self.loop = asyncio.get_running_loop()
         self.own_address = settings.ip
         self.peer_address = (settings.ip, settings.port_range[0])
-        life = f"{settings.node}.{os.urandom(4).hex()}"
-        self.charter, self.roll = Store(life, MAX_CHARTER_ITEMS, decided=True), Store(life, MAX_ROLL_ITEMS)
-        self.reports = Store(life, 2 * MAX_ROLL_ITEMS)  # two a sidecar, which the roll has an item of as well
+        incarnation = f"{settings.node}.{os.urandom(4).hex()}"
+        self.charter, self.roll = (
+            Store(incarnation, MAX_CHARTER_ITEMS, decided=True),
+            Store(incarnation, MAX_ROLL_ITEMS),
+        )
+        self.reports = Store(
+            incarnation, 2 * MAX_ROLL_ITEMS
+        )  # two a sidecar, which the roll has an item of as well
         self.membership = Membership()
         self.tombs = Tombstones()
         self.disk_writer, self.acceptor = open_disk(settings, self.charter, event_log)
@@ -68,7 +73,7 @@
             {
                 "t": "hello",
                 "node": settings.node,
-                "source": life,
+                "source": incarnation,
                 "ip": self.own_address,
                 "role": CONTROLLER,
                 "complete": self.disk_writer.whole,
@@ -97,9 +102,9 @@
             event_log,
             lambda items: self._changed(CHARTER, items),
         )
-        seed = zlib.crc32(life.encode())
+        seed = zlib.crc32(incarnation.encode())
         self.proposer_host = ProposerHost(
-            life, seed, self.charter, self.member_set, self.acceptor_host, event_log
+            incarnation, seed, self.charter, self.member_set, self.acceptor_host, event_log
         )
         self.fencing = Fencing(self.charter, self.disk_writer, self.member_set, self.acceptor_host)
         self.forgetting = Forgetting(
@@ -274,7 +279,7 @@
 
     def _publish_node(self) -> None:
         settings = self.settings
-        told = self.roll.take(
+        item = self.roll.take(
             NODE,
             settings.node,
             version_above(self.roll.items.get((NODE, settings.node)), int(time.time() * 1000)),
@@ -285,8 +290,8 @@
                 "region": settings.region,
             },
         )
-        if isinstance(told, Item):
-            self._changed("roll", [told])
+        if isinstance(item, Item):
+            self._changed("roll", [item])
 
     def _tick(self) -> None:
         if self.stopping.is_set():
@@ -373,25 +378,25 @@
         for key in [(kind, node) for node in nodes for kind in (REPORT, KEY_REPORT)]:
             known = self.reports.items.get(key)
             if known is not None and known.value is not None:
-                gone = self.reports.take(*key, known.version + 1, None)
-                if isinstance(gone, Item):
-                    self._changed(REPORTS, [gone])
+                dropped_report = self.reports.take(*key, known.version + 1, None)
+                if isinstance(dropped_report, Item):
+                    self._changed(REPORTS, [dropped_report])
 
     def _handle_channel_frame(self, channel: Channel, head: Head) -> None:
         """Raises KeyError, TypeError or ValueError for what cannot be read."""
-        known = (
+        handlers = (
             self.key_assignment.handle_frame,
             self.contact_probes.handle_frame,
             self.duties.handle_frame,
             self.repairing.handle_frame,
         )
-        if any(takes(channel, head) for takes in known) or channel.extra.get("role") != CONTROLLER:
+        if any(handle(channel, head) for handle in handlers) or channel.extra.get("role") != CONTROLLER:
             return
         if head["t"] == "complete":
             self._resend_pending(address_of(channel), True)
         elif not any(
-            takes(channel, head)
-            for takes in (
+            handle(channel, head)
+            for handle in (
                 self.joining.handle_frame,
                 self.minding.handle_frame,
                 self.forgetting.handle_frame,
@@ -402,8 +407,8 @@
 
     def _reachable_members(self) -> dict[str, bool]:
         """Other control processes that answer, by address, and whether the disk of each counts."""
-        lately = self.contact_probes.contact.lately(self.loop.time())
-        return {who: who in lately and lately[who].whole for who in self.member_set.peers()}
+        recent = self.contact_probes.contact.lately(self.loop.time())
+        return {address: address in recent and recent[address].whole for address in self.member_set.peers()}
 
     def _channel_greeted(self, channel: Channel) -> None:
         if channel.extra.get("role") == CONTROLLER:
@@ -416,9 +421,9 @@
             self._resend_pending(address_of(channel))
             self.joining.link_opened(channel)
 
-    def _resend_pending(self, address: str, anew: bool = False) -> None:
-        self.proposer_host.resend_pending(address, anew)
-        self.fencing.resend_pending(address, anew)
+    def _resend_pending(self, address: str, force: bool = False) -> None:
+        self.proposer_host.resend_pending(address, force)
+        self.fencing.resend_pending(address, force)
 
     def _channel_closed(self, channel: Channel) -> None:
         """What a peer wrote here and may never tell as news is told from here on."""
@@ -453,10 +458,10 @@
         else:
             link.close("no hello")
 
-    def _link_lost(self, link: Link, why: str) -> None:
+    def _link_lost(self, link: Link, reason: str) -> None:
         self.questions.lost(link)
         if isinstance(link.peer, Channel):
-            self.channels.lost(link.peer, why)
+            self.channels.lost(link.peer, reason)
 
     def retune(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, other bounds for stages."""
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -1,4 +1,5 @@
-"""The proposer's host: orders are decided by ballots, and votes that nobody brings to an end are taken up."""
+"""Drives the ballots of orders, each a write of one or more items that are decided together, and recovers
+open votes whose proposer is gone."""
 
 from __future__ import annotations
 
@@ -31,28 +32,24 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-ORDER_TIMEOUT_S = 3.0  # an order is carried on for so long, whether or not its caller waits
-FIRST_BACKOFF_S, MAX_BACKOFF_S = (
-    0.01,
-    0.4,
-)  # drawn up to it between two ballots that rivals may have cut short
-MAX_IMMEDIATE_BALLOTS = 3  # ballots begun at once, one after the other
-OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = (
-    1.0,
-    0.3,
-)  # an open vote is left to its proposer for so long, and a rank longer
-READ_GRACE_S = 0.03  # a read leaves an open vote to its proposer for so long
-MAX_PENDING_ORDERS = 256  # orders under way at once; more are answered as busy
-MAX_RECOVERED_VOTES = 2000  # open votes, and
-MAX_RECOVERED_BYTES = 2 << 20  # bytes of them, brought to their decision at once
-MAX_RIVALLED = 16  # rivalled numbers that are remembered for operators
+ORDER_TIMEOUT_S = 3.0  # an order is pursued for this long, whether or not its caller still waits
+# Upper bound of the random delay between two ballots that rivals may have cut short.
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.4
+MAX_IMMEDIATE_BALLOTS = 3  # consecutive ballots without a backoff
+# An open vote is left to its proposer for the timeout, and to each member of a lower rank for the delay.
+OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = 1.0, 0.3
+READ_GRACE_S = 0.03  # a read leaves an open vote to its proposer for this long
+MAX_PENDING_ORDERS = 256  # concurrent orders; further ones are answered as busy
+MAX_RECOVERED_VOTES = 2000  # of one recovery
+MAX_RECOVERED_BYTES = 2 << 20  # of one recovery, as JSON
+MAX_RIVALLED = 16  # latest rivalled numbers, kept for operators
 
 Outcome = Decided | Rivalled | Unclear
 Step = Decided | Rivalled | Unclear | Again
 
 
 class _RunningBallot(Struct, eq=False):
-    """One ballot under way. ``asked``: by address, the link that bears the question."""
+    """One ballot in progress. ``asked``: by address, the link on which the request was sent."""
 
     proposer: Proposer
     prepare: Prepare
@@ -60,10 +57,10 @@
     accept: Accept | None = None
     pages: list[list[Any]] = field(default_factory=list)
     asked: dict[str, Channel] = field(default_factory=dict)
-    shown: set[str] = field(default_factory=set)  # those that were told of a newer view
+    sent_view: set[str] = field(default_factory=set)  # members that were sent the newer view
 
-    def over(self, step: Step) -> None:
-        """It ends so, unless it has ended."""
+    def finish(self, step: Step) -> None:
+        """Ends the ballot with ``step``, unless it has ended already."""
         if not self.done.done():
             self.done.set_result(step)
 
@@ -74,20 +71,20 @@
 
 
 class ProposerHost:
-    """The orders of this process, its reads, and the open votes that it takes up."""
+    """The orders and reads of this process, and the open votes that it recovers."""
 
     def __init__(
         self,
-        life: str,
+        incarnation: str,
         seed: int,
         charter: Store,
         member_set: MemberSet,
         acceptor_host: AcceptorHost,
         event_log: EventLog,
     ) -> None:
-        """``life``: of this process, as ballots bear it; ``seed``: of the drawn pauses."""
+        """``incarnation``: identifies this process in ballots; ``seed``: for the random backoff."""
         self._loop = asyncio.get_running_loop()
-        self._incarnation, self._random = life, random.Random(seed)
+        self._incarnation, self._random = incarnation, random.Random(seed)
         self._charter, self._member_set, self._event_log = charter, member_set, event_log
         self.acceptor_host, self._acceptor = acceptor_host, acceptor_host.acceptor
         acceptor_host.on_view_change = self._view_changed
@@ -95,10 +92,8 @@
         self._highest_round = 0
         self._ballots: dict[Ballot, _RunningBallot] = {}
         self._orders: dict[tuple[Any, ...], _Order] = {}
-        self._recovery_since: dict[
-            Number, float
-        ] = {}  # open votes, by when they were seen first, or taken up last
-        # As well, but never counted anew; of those on disk nobody knows how long they have been open.
+        self._recovery_since: dict[Number, float] = {}  # open votes: when first seen, or last recovered
+        # When first seen, never reset by a recovery; the age of votes read from disk is unknown.
         self._open_since = dict.fromkeys(self._acceptor.votes, float("-inf"))
         self._recovery_task: asyncio.Task[None] | None = None
         self.rivalled: deque[tuple[float, Number]] = deque(maxlen=MAX_RIVALLED)
@@ -109,25 +104,25 @@
         """Decides one order, or gives up waiting after ``within_s``. The order is pursued for ORDER_TIMEOUT_S
         even if the caller leaves; the same order sent here meanwhile shares its ballots."""
         proposer = Proposer(self._incarnation, writes, self._member_set.tolerance)
-        name = tuple(sorted((number, digest_of(value)) for number, value in writes.items()))
-        known = self._orders.get(name)
-        if known is None:
+        key = tuple(sorted((number, digest_of(value)) for number, value in writes.items()))
+        pending = self._orders.get(key)
+        if pending is None:
             refused = self._check_room(writes) if self.acceptor_host.has_room(writes) else DISK_FULL
             if refused:
                 return Unclear(refused)
             task = self._loop.create_task(self._run(proposer, ORDER_TIMEOUT_S))
-            known = self._orders[name] = _Order(proposer, task)
-            task.add_done_callback(lambda _: self._orders.pop(name, None))
-        await asyncio.wait([known.task], timeout=within_s)
-        if not known.task.done():
-            return known.proposer.gave_up()
-        outcome = known.task.result()
+            pending = self._orders[key] = _Order(proposer, task)
+            task.add_done_callback(lambda _: self._orders.pop(key, None))
+        await asyncio.wait([pending.task], timeout=within_s)
+        if not pending.task.done():
+            return pending.proposer.gave_up()
+        outcome = pending.task.result()
         if isinstance(outcome, Rivalled):
             self.rivalled.append((self._loop.time(), outcome.number))
         return outcome
 
     def _check_room(self, writes: Collection[Number]) -> str:
-        """Why no more is taken now; "" where there is room."""
+        """The reason why another order is rejected now; "" if there is room."""
         if len(self._orders) >= MAX_PENDING_ORDERS:
             return f"{MAX_PENDING_ORDERS} orders wait already"
         keys = {(kind, name) for kind, name, _ in [*writes, *self._acceptor.votes]}
@@ -137,115 +132,115 @@
         return ""
 
     async def _run(self, proposer: Proposer, within_s: float) -> Outcome:
-        """Ballots, one after the other, until one ends it or the time is over."""
-        until, pause, hasty = self._loop.time() + within_s, FIRST_BACKOFF_S, 0
+        """Runs ballots until one ends the order or ``within_s`` has passed."""
+        until, pause, immediate = self._loop.time() + within_s, FIRST_BACKOFF_S, 0
         while True:
             step = await self._run_ballot(proposer, until)
             if not isinstance(step, Again):
                 return step
             self._highest_round = max(self._highest_round, step.round)
-            hasty = hasty + 1 if step.at_once else 0
-            if not step.at_once or hasty > MAX_IMMEDIATE_BALLOTS:  # what lasts would spin without a pause
+            immediate = immediate + 1 if step.at_once else 0
+            if not step.at_once or immediate > MAX_IMMEDIATE_BALLOTS:  # a lasting cause would spin
                 await asyncio.sleep(self._random.uniform(0.0, pause))
                 pause = min(2.0 * pause, MAX_BACKOFF_S)
 
     async def _run_ballot(self, proposer: Proposer, until: float) -> Step:
         self._highest_round = max(self._highest_round, self._acceptor.floor) + 1
-        told = proposer.prepare(self._highest_round, self._member_set.view())
-        one = _RunningBallot(proposer, told, self._loop.create_future())
-        self._ballots[told.ballot] = one
+        prepare = proposer.prepare(self._highest_round, self._member_set.view())
+        running = _RunningBallot(proposer, prepare, self._loop.create_future())
+        self._ballots[prepare.ballot] = running
         try:
-            self._ask_all(one)
+            self._send_requests(running)
             async with asyncio.timeout_at(until):
-                return await one.done
+                return await running.done
         except TimeoutError:
             return proposer.gave_up()
         finally:
-            del self._ballots[told.ballot]
+            del self._ballots[prepare.ballot]
 
-    def _ask_all(self, one: _RunningBallot) -> None:
-        one.asked.clear()
+    def _send_requests(self, running: _RunningBallot) -> None:
+        running.asked.clear()
         for address, channel in self._member_set.peers().items():
-            self._ask(one, address, channel)
-        if self._member_set.own_address in one.proposer.view.names:
-            self.acceptor_host.spawn(self._ask_own_acceptor(one, one.accept))
+            self._send_request(running, address, channel)
+        if self._member_set.own_address in running.proposer.view.names:
+            self.acceptor_host.spawn(self._ask_own_acceptor(running, running.accept))
 
-    def _ask(self, one: _RunningBallot, address: str, channel: Channel) -> None:
-        if address not in one.proposer.view.names or one.done.done():
+    def _send_request(self, running: _RunningBallot, address: str, channel: Channel) -> None:
+        if address not in running.proposer.view.names or running.done.done():
             return
-        one.asked[address] = channel
-        if one.accept is not None:
-            self._send_page(one, channel, 0)
+        running.asked[address] = channel
+        if running.accept is not None:
+            self._send_accept_page(running, channel, 0)
             return
-        told = {
+        message = {
             "t": "prepare",
-            "b": encode_ballot(one.prepare.ballot),
-            "e": one.prepare.epoch,
-            "k": one.prepare.numbers,
+            "b": encode_ballot(running.prepare.ballot),
+            "e": running.prepare.epoch,
+            "k": running.prepare.numbers,
         }
-        channel.link.send({**told, "full": True} if one.proposer.adopts else told)
+        channel.link.send({**message, "full": True} if running.proposer.adopts else message)
 
-    def _send_page(self, one: _RunningBallot, channel: Channel, place: int) -> None:
-        assert one.accept is not None
+    def _send_accept_page(self, running: _RunningBallot, channel: Channel, page: int) -> None:
+        assert running.accept is not None
         channel.link.send(
             {
                 "t": "accept",
-                "b": encode_ballot(one.accept.ballot),
-                "e": one.accept.epoch,
-                "by": one.accept.by,
-                "w": one.pages[place],
-                "p": place,
-                "of": len(one.pages),
+                "b": encode_ballot(running.accept.ballot),
+                "e": running.accept.epoch,
+                "by": running.accept.by,
+                "w": running.pages[page],
+                "p": page,
+                "of": len(running.pages),
             }
         )
 
-    async def _ask_own_acceptor(self, one: _RunningBallot, accept: Accept | None) -> None:
-        told, me = one.prepare, self._member_set.own_address
+    async def _ask_own_acceptor(self, running: _RunningBallot, accept: Accept | None) -> None:
+        prepare, me = running.prepare, self._member_set.own_address
         if accept is None:
-            answer = await self.acceptor_host.promise(told.epoch, told.ballot, told.numbers)
+            answer = await self.acceptor_host.promise(prepare.epoch, prepare.ballot, prepare.numbers)
             if isinstance(answer, Promised):
-                self._promised(one, me, told.epoch, answer)
+                self._promised(running, me, prepare.epoch, answer)
                 return
         else:
             refusal = await self.acceptor_host.accept(
                 accept.epoch, accept.ballot, accept.by, accept.writes, accept.tags
             )
             if refusal is None:
-                self._accepted(one, me, accept.epoch)
+                self._accepted(running, me, accept.epoch)
                 return
             answer = refusal
-        self._refused(one, me, answer)
+        self._refused(running, me, answer)
 
-    # What comes of a ballot
+    # Results of a ballot
 
-    def _promised(self, one: _RunningBallot, who: str, epoch: int, promised: Promised) -> None:
-        if one.done.done():
+    def _promised(self, running: _RunningBallot, member: str, epoch: int, promised: Promised) -> None:
+        if running.done.done():
             return
-        step = one.proposer.promised(who, epoch, one.prepare.ballot, promised)
+        step = running.proposer.promised(member, epoch, running.prepare.ballot, promised)
         if isinstance(step, Accept):
-            one.accept, one.pages = step, split_into_pages(step.writes, step.tags)
-            self._ask_all(one)
+            running.accept, running.pages = step, split_into_pages(step.writes, step.tags)
+            self._send_requests(running)
         elif step is not None:
-            one.over(step)
+            running.finish(step)
 
-    def _accepted(self, one: _RunningBallot, who: str, epoch: int) -> None:
-        if one.done.done():
+    def _accepted(self, running: _RunningBallot, member: str, epoch: int) -> None:
+        if running.done.done():
             return
-        chosen = one.proposer.accepted(who, epoch, one.prepare.ballot)
+        chosen = running.proposer.accepted(member, epoch, running.prepare.ballot)
         if chosen is not None:
             self._announce(chosen)
-            one.over(one.proposer.outcome() or Again(0, "another order had a number of this one"))
+            running.finish(running.proposer.outcome() or Again(0, "another order had a number of this one"))
 
-    def _refused(self, one: _RunningBallot, who: str, refusal: Refusal) -> None:
-        step = one.proposer.refused(who, one.prepare.ballot, refusal)
+    def _refused(self, running: _RunningBallot, member: str, refusal: Refusal) -> None:
+        step = running.proposer.refused(member, running.prepare.ballot, refusal)
         if step is not None:
-            one.over(step)
+            running.finish(step)
 
     def _announce(self, chosen: Chosen) -> None:
-        """It is decided: into the charter here, and the others are told. They have the contents."""
+        """Applies a decided order here and notifies the other members, which hold its contents already."""
         items, vector = self.acceptor_host.stamp_items(chosen.writes.items())
         self.acceptor_host.apply(items, vector, chosen.whole)
-        told = {
+        message = {
             "t": "decided",
             "b": encode_ballot(chosen.ballot),
             "e": self._member_set.view().epoch,
@@ -255,32 +250,32 @@
             "whole": chosen.whole,
         }
         for channel in self._member_set.peers().values():
-            channel.link.send(told)
+            channel.link.send(message)
 
     def _view_changed(self) -> None:
-        """Another view is in force: what was asked under the one before counts for nothing."""
+        """A new view is in force: requests of the previous one are void."""
         epoch = self._member_set.view().epoch
-        for one in list(self._ballots.values()):
-            if one.prepare.epoch < epoch:
-                one.over(Again(0, "another view came"))
+        for running in list(self._ballots.values()):
+            if running.prepare.epoch < epoch:
+                running.finish(Again(0, "the view has changed"))
         self.reads.view_changed()
 
     # Reads
 
     async def read(self, within_s: float) -> bool:
-        """Until this store has all that was acknowledged before now; False where not enough answer."""
+        """Waits until this store has all that was acknowledged before the call; False if too few answer."""
         until = self._loop.time() + within_s
-        opened = await self.reads.collect_open_votes(until)
-        if opened is None:
+        open_votes = await self.reads.collect_open_votes(until)
+        if open_votes is None:
             return False
-        return await self._settle(opened | self._acceptor.votes.keys(), until)
+        return await self._settle(open_votes | self._acceptor.votes.keys(), until)
 
     def _unsettled(self, numbers: Collection[Number]) -> list[Number]:
-        known = (Settled, Forgotten)
-        return [number for number in numbers if not isinstance(self._acceptor.state(number), known)]
+        final = (Settled, Forgotten)
+        return [number for number in numbers if not isinstance(self._acceptor.state(number), final)]
 
     async def _settle(self, numbers: Collection[Number], until: float) -> bool:
-        """Brings these open votes to their decision; whether that is done."""
+        """Brings these open votes to their decision; returns whether that succeeded."""
         left = self._unsettled(numbers)
         if left:
             await asyncio.sleep(READ_GRACE_S)
@@ -289,18 +284,16 @@
             return True
         return await self._recover(left, max(until - self._loop.time(), 0.0))
 
-    async def _recover(self, numbers: Collection[Number], within_s: float) -> bool:
-        proposer = Proposer(
-            self._incarnation, dict.fromkeys(numbers), self._member_set.tolerance, adopts=True
-        )
+    async def _recover(self, votes: Collection[Number], within_s: float) -> bool:
+        proposer = Proposer(self._incarnation, dict.fromkeys(votes), self._member_set.tolerance, adopts=True)
         outcome = await self._run(proposer, within_s)
         found = []
         for number, digest in proposer.settled.items():
-            vote = self._acceptor.votes.get(number)
+            held = self._acceptor.votes.get(number)
             if number in proposer.contents:
                 found.append((number, proposer.contents[number]))
-            elif vote is not None and digest_of(vote.value) == digest:
-                found.append((number, vote.value))
+            elif held is not None and digest_of(held.value) == digest:
+                found.append((number, held.value))
             else:
                 self.acceptor_host.record_outcome(number, Settled(digest))
         for number in proposer.forgotten:
@@ -310,10 +303,10 @@
             self.acceptor_host.apply(*self.acceptor_host.stamp_items(lacking))
         return isinstance(outcome, Decided)
 
-    # Votes that nobody brings to an end
+    # Recovery of open votes
 
     def tick(self, now: float) -> None:
-        """Called several times a second."""
+        """Starts the recovery of open votes that are due; called several times a second."""
         votes = self._acceptor.votes
         if not votes:
             self._recovery_since.clear()
@@ -331,11 +324,11 @@
                 continue
             ballot = votes[number].ballot
             if ballot not in ranks:
-                wanted = rendezvous_order(f"{ballot.round}.{ballot.proposer}", names)
+                ranking = rendezvous_order(f"{ballot.round}.{ballot.proposer}", names)
                 ranks[ballot] = (
-                    wanted.index(self._member_set.own_address)
-                    if self._member_set.own_address in wanted
-                    else len(wanted)
+                    ranking.index(self._member_set.own_address)
+                    if self._member_set.own_address in ranking
+                    else len(ranking)
                 )
             if now - since >= OPEN_VOTE_TIMEOUT_S + RANK_DELAY_S * ranks[ballot]:
                 room -= len(msgspec.json.encode(votes[number].value))
@@ -346,7 +339,7 @@
             self._recovery_task = self._loop.create_task(self._recover_due(due))
 
     def oldest_open_vote_s(self) -> float:
-        """For how long the oldest of the open votes has been one, as last looked at."""
+        """The age of the oldest open vote, as of the last tick."""
         oldest = min(
             (self._open_since[n] for n in self._acceptor.votes if n in self._open_since), default=None
         )
@@ -363,47 +356,45 @@
 
     # Links and frames
 
-    def resend_pending(self, address: str, anew: bool = False) -> None:
-        """A link to another control process has come or gone, or (``anew``) its disk counts now: what waits
-        is asked there."""
+    def resend_pending(self, address: str, force: bool = False) -> None:
+        """Sends what is pending to this member on its present link; ``force``: also what was sent there."""
         peer = self._member_set.peers().get(address)
         if peer is None:
             return
-        for one in list(self._ballots.values()):
-            if anew or one.asked.get(address) is not peer:
-                self._ask(one, address, peer)
-        self.reads.resend_pending(address, peer, anew)
+        for running in list(self._ballots.values()):
+            if force or running.asked.get(address) is not peer:
+                self._send_request(running, address, peer)
+        self.reads.resend_pending(address, peer, force)
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of votes or reads. Raises KeyError, TypeError or ValueError for what cannot be
-        read."""
+        """Whether it was a frame of votes or reads. Raises KeyError, TypeError or ValueError if malformed."""
         kind = head["t"]
         if kind in ("promise", "accepted", "refuse"):
-            one = self._ballots.get(decode_ballot(head["b"]))
-            if one is not None:
-                self._answered(one, channel, kind, head)
+            running = self._ballots.get(decode_ballot(head["b"]))
+            if running is not None:
+                self._handle_answer(running, channel, kind, head)
             elif kind == "refuse" and "view" in head:
                 self.acceptor_host.apply([unpack(fields) for fields in head["view"]], {})
         else:
             return self.reads.handle_frame(channel, head) or self.acceptor_host.handle_frame(channel, head)
         return True
 
-    def _answered(self, one: _RunningBallot, channel: Channel, kind: str, head: Head) -> None:
-        who, epoch = address_of(channel), int(head["e"])
+    def _handle_answer(self, running: _RunningBallot, channel: Channel, kind: str, head: Head) -> None:
+        member, epoch = address_of(channel), int(head["e"])
         if kind == "promise":
-            numbers = one.prepare.numbers
-            states = {numbers[int(told[0])]: decode_state(told[1:]) for told in head["s"]}
-            self._promised(one, who, epoch, Promised(states, int(head["g"])))
+            numbers = running.prepare.numbers
+            states = {numbers[int(row[0])]: decode_state(row[1:]) for row in head["s"]}
+            self._promised(running, member, epoch, Promised(states, int(head["g"])))
         elif kind == "accepted":
-            if one.accept is not None and int(head["p"]) + 1 < len(one.pages):
-                self._send_page(one, channel, int(head["p"]) + 1)
+            if running.accept is not None and int(head["p"]) + 1 < len(running.pages):
+                self._send_accept_page(running, channel, int(head["p"]) + 1)
             else:
-                self._accepted(one, who, epoch)
+                self._accepted(running, member, epoch)
         elif "view" in head:
             self.acceptor_host.apply([unpack(fields) for fields in head["view"]], {})
-        elif epoch < one.prepare.epoch and who not in one.shown:
-            one.shown.add(who)
+        elif epoch < running.prepare.epoch and member not in running.sent_view:
+            running.sent_view.add(member)
             send_view(self._member_set, channel)
-            self._ask(one, who, channel)
+            self._send_request(running, member, channel)
         else:
-            self._refused(one, who, Refusal(int(head["r"]), str(head["why"]), not head.get("now")))
+            self._refused(running, member, Refusal(int(head["r"]), str(head["why"]), not head.get("now")))
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -1,8 +1,8 @@
-"""What was voted and decided, on its way to the disk: one batch at a time on a thread of its own, so that a
-disk that hangs holds up nothing but what waits for it.
+"""Writes votes and decided items to the disk, one batch at a time on a separate thread, so that a hanging
+disk delays only those who wait for it.
 
-What is decided stands on disk as votes already, at so many that it is durable. So it goes into the rows of
-items with the next batch that is waited for, or after LAZY_WRITE_S: an order costs one sync, not two.
+A decided item is already durable as votes on enough disks. Its row is therefore written with the next batch
+that somebody waits for, or after LAZY_WRITE_S: an order costs one sync, not two.
 """
 
 from __future__ import annotations
@@ -34,18 +34,19 @@
 )
 from mesh.storage.lmdb_store import Keeper, Kept, Refused
 
-RETRY_S = 0.3  # after a disk has refused a batch
+RETRY_S = 0.3  # delay after the disk refused a batch
 LAZY_WRITE_S = (
     0.25  # what is decided goes to disk so much later, where nothing that is waited for takes it along
 )
-SLOW_BATCH_S = 0.5  # a batch that took longer is told of
+SLOW_BATCH_S = 0.5  # a batch that takes longer is logged
 
 Rows = list[tuple[bytes, bytes]]
 T = TypeVar("T")
 
 
 class DiskWriter:
-    """The charter's disk. ``whole``: this disk holds all that this machine ever said it holds."""
+    """Writes the charter to disk. ``whole``: the disk holds all that this machine ever acknowledged to
+    hold."""
 
     def __init__(
         self, store: Store, acceptor: Acceptor, keeper: Keeper, event_log: EventLog, whole: bool
@@ -54,27 +55,26 @@
         self._store, self._acceptor, self._keeper, self._event_log = store, acceptor, keeper, event_log
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._dirty_keys: set[Key] = set()
-        self._dirty_votes: set[Number] = set()  # votes that came or went
+        self._dirty_votes: set[Number] = set()  # numbers of votes that were added or removed
         self._extra_rows: dict[bytes, bytes] = {}
-        self._marked_batch = self._written_batch = 0  # batches are numbered by what was marked before them
+        self._marked_batch = self._written_batch = 0  # a batch has the number of the last mark in it
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._write_task: asyncio.Task[None] | None = None
-        self._urgent = False  # something was marked that is waited for
+        self._urgent = False  # marked changes are not to wait for the timer
         self._lazy_timer: asyncio.TimerHandle | None = None
         self.whole = whole
         self.incarnations: dict[
             str, tuple[int, str]
         ] = {}  # how often each machine has started, and its last life
-        self.last_refusal = ""  # the disk's last word, where that was no
+        self.last_refusal = ""  # why the disk refused the last batch; "" if it did not
 
     def mark_items(self, items: Iterable[Item]) -> None:
-        """These are decided and have changed; they go to disk with the next batch, and the vector as it is
-        then."""
+        """Marks decided items that have changed for the next batch, together with the vector."""
         self._mark_lazily({item.key for item in items}, ())
 
     def mark_settled(self, numbers: Iterable[Number]) -> None:
-        """These are known to be decided: their votes leave the disk with the batch that has their items, or
-        their places in the past."""
+        """Marks numbers that are decided: their votes leave the disk with the batch that holds their items,
+        or their digests among overtaken versions."""
         settled = set(numbers)
         self._mark_lazily({(kind, name) for kind, name, _ in settled}, settled)
 
@@ -88,13 +88,13 @@
             self._lazy_timer = self._loop.call_later(LAZY_WRITE_S, self._start_writing)
 
     def mark_votes(self, numbers: Iterable[Number]) -> None:
-        """Votes that are to be on disk before they are said."""
+        """Marks votes that must be on disk before they are sent, and starts writing."""
         self._dirty_votes.update(numbers)
         self._marked_batch += 1
         self._start_writing()
 
     def remove_keys(self, keys: Iterable[Key], buckets: Iterable[str]) -> None:
-        """These keys' rows leave the disk, and with the same batch come those of what is left of them."""
+        """Removes the rows of these keys, and writes those of their forgotten versions in the same batch."""
         self._dirty_keys.update(keys)
         for bucket in buckets:
             self._extra_rows.update([pack_forgotten(bucket, self._store.forgotten.row(bucket))])
@@ -102,13 +102,13 @@
         self._start_writing()
 
     def put_row(self, row: tuple[bytes, bytes]) -> None:
-        """A row of its own, with the next batch."""
+        """Adds a single row to the next batch."""
         self._extra_rows[row[0]] = row[1]
         self._marked_batch += 1
         self._start_writing()
 
     async def flush(self) -> None:
-        """Returns once all that was marked until now is synced; may take as long as the disk hangs."""
+        """Returns once all that is marked now is synced; waits for as long as the disk hangs."""
         if self._written_batch >= self._marked_batch:
             return
         self._start_writing()
@@ -117,16 +117,16 @@
         await future
 
     def has_room(self, more_bytes: int) -> bool:
-        """Whether the disk takes so much more of what orders set."""
+        """Whether the disk has room for so many more bytes of orders."""
         return self._keeper.fits(more_bytes)
 
     def mark_founded(self) -> None:
-        """An empty disk of the very first start lacks nothing, and says so with its first batch."""
+        """Marks an empty disk of the very first start as whole: nothing was acknowledged before it."""
         self.whole = True
         self.put_row(pack_whole(True))
 
     async def mark_whole(self) -> None:
-        """This machine now holds all that was acknowledged; said on disk before it counts."""
+        """Records that this disk holds all that was acknowledged; it counts once that is on disk."""
         self.put_row(pack_whole(True))
         await self.flush()
         self.whole = True
@@ -143,18 +143,18 @@
         try:
             while self._urgent:
                 self._urgent = False
-                number, keys, votes, extra = (
+                batch, keys, votes, extra = (
                     self._marked_batch,
                     self._dirty_keys,
                     self._dirty_votes,
                     self._extra_rows,
                 )
                 self._dirty_keys, self._dirty_votes, self._extra_rows = set(), set(), {}
-                rows, gone = self._rows(keys, votes)
+                rows, deleted = self._rows(keys, votes)
                 rows += extra.items()
-                began = self._loop.time()
-                outcome = await self._loop.run_in_executor(self._thread, self._keeper.keep, rows, gone)
-                took = self._loop.time() - began
+                started_at = self._loop.time()
+                outcome = await self._loop.run_in_executor(self._thread, self._keeper.keep, rows, deleted)
+                took_s = self._loop.time() - started_at
                 if not isinstance(outcome, Kept):
                     if self.last_refusal != outcome.reason:
                         self._event_log.tell(events.DISK_REFUSED, reason=outcome.reason)
@@ -166,56 +166,56 @@
                     await asyncio.sleep(RETRY_S)
                     continue
                 self.last_refusal = ""
-                if took > SLOW_BATCH_S:
-                    self._event_log.tell(events.DISK_SLOW, took_ms=int(took * 1000), rows=len(rows))
-                self._written_batch = number
-                waiting, self._waiters = self._waiters, []
-                for wanted, future in waiting:
-                    if wanted > self._written_batch:
-                        self._waiters.append((wanted, future))
+                if took_s > SLOW_BATCH_S:
+                    self._event_log.tell(events.DISK_SLOW, took_ms=int(took_s * 1000), rows=len(rows))
+                self._written_batch = batch
+                waiters, self._waiters = self._waiters, []
+                for wanted_batch, future in waiters:
+                    if wanted_batch > self._written_batch:
+                        self._waiters.append((wanted_batch, future))
                     elif not future.done():
                         future.set_result(None)
         finally:
             self._write_task = None
 
     def _rows(self, keys: Iterable[Key], votes: Iterable[Number]) -> tuple[Rows, list[bytes]]:
-        """What is on disk of these hereafter, and which rows leave it."""
+        """The rows to write for these keys and votes, and the keys of the rows to delete."""
         rows: Rows = [pack_vector(self._store.vector)]
-        gone = []
+        deleted = []
         for key in keys:
             item = self._store.items.get(key)
             if item is not None:
                 rows.append(pack_item(item))
             else:
-                gone.append(item_key(key))
+                deleted.append(item_key(key))
             digests, unknown = self._acceptor.past.get(key, {}), self._acceptor.unknown.get(key, -1)
             if item is not None and (tag := self._acceptor.tags.get((*key, item.version))):
                 digests = {**digests, item.version: f"/{tag}"}
             if digests or unknown >= 0:
                 rows.append(pack_past(Past(key, unknown, digests)))
             else:
-                gone.append(past_key(key))
+                deleted.append(past_key(key))
         for number in votes:
             vote = self._acceptor.votes.get(number)
             if vote is not None:
                 rows.append(pack_vote(number, vote))
             else:
-                gone.append(vote_key(number))
-        return rows, gone
+                deleted.append(vote_key(number))
+        return rows, deleted
 
     async def run_between_batches(self, work: Callable[[Keeper], T]) -> T:
-        """Runs ``work`` on the disk's thread between two batches, which wait meanwhile."""
+        """Runs ``work`` on the disk's thread between two batches, which wait for it."""
         return await self._loop.run_in_executor(self._thread, work, self._keeper)
 
     async def rewrite(self) -> Kept | Refused:
-        """Puts all that the store holds in place of what is on disk. The store held what the disk had when it
-        was opened, and all that came since; batches that are under way are on disk before, or come after."""
+        """Replaces the content of the disk by that of the store, which includes all that was on disk when it
+        was opened. Batches in progress are written before or after."""
         acceptor = self._acceptor
-        told, _ = self._rows(self._store.items.keys() | acceptor.past.keys(), acceptor.votes)
-        rows = dict(told)
+        known_rows, _ = self._rows(self._store.items.keys() | acceptor.past.keys(), acceptor.votes)
+        rows = dict(known_rows)
         rows.update([pack_whole(self.whole), pack_generations(acceptor.generations)])
         rows.update([pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_lives(self.incarnations)])
-        rows.update(pack_forgotten(*told) for told in self._store.forgotten.rows().items())
+        rows.update(pack_forgotten(*row) for row in self._store.forgotten.rows().items())
         return await self.run_between_batches(lambda keeper: keeper.rewrite(rows))
 
     def close(self) -> None:
