--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -1,4 +1,4 @@
-"""A control process begins with what its disk holds: the configuration, its votes, and whether they count."""
+"""Loads the state of a control process from its disk: configuration, votes, and whether the disk counts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def open_disk(settings: Settings, charter: Store, event_log: EventLog) -> tuple[DiskWriter, Acceptor]:
-    """Fills the store ``charter``. Raises OSError where the disk cannot be used at all."""
+    """Opens the disk and fills the store ``charter``. Raises OSError if the disk cannot be used at all."""
     folder = Path(settings.state_dir) / "charter"
     outcome = Keeper.open(folder, room(settings.limits.disk_mb))
     if isinstance(outcome, Failed):
@@ -41,7 +41,7 @@
 def _restore(
     settings: Settings, charter: Store, event_log: EventLog, outcome: Opened | Fresh | SetAside
 ) -> Held:
-    """What the disk held; its items are in the store."""
+    """What the disk held; its items are put into the store."""
     if isinstance(outcome, SetAside):
         event_log.tell(events.DISK_SET_ASIDE, moved_to=str(outcome.moved_to), reason=outcome.reason)
         return Held()
@@ -60,8 +60,8 @@
 def _install_first_view(
     settings: Settings, charter: Store, acceptor: Acceptor, disk_writer: DiskWriter
 ) -> None:
-    """The machines that every process is told of at the very first start are the first view: the same item
-    in all of them, decided from the start."""
+    """Makes the seed machines of the settings the first view: the same item in all of them, decided from the
+    start."""
     founders = {host: Place("", "") for host, _ in settings.seeds}
     first = charter.take(VIEW, MEMBERS, 1, write_view(View(1, founders)))
     assert isinstance(first, Item)
@@ -72,13 +72,14 @@
 
 
 def forgotten_to(charter: Store, key: Key) -> int:
-    """Versions of that key up to this are older than a drop that is forgotten, or may be."""
+    """The highest version of that key that is, or may be, older than a forgotten drop."""
     forgotten = charter.forgotten
     return forgotten.version(key) if key in charter.items else forgotten.watermark(key)
 
 
 def restore_acceptor(own_address: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
-    """As its disk has it: all that its last life may have promised is refused."""
+    """The acceptor as its disk holds it; it refuses all rounds that its last incarnation may have
+    promised."""
     acceptor = Acceptor(own_address, kept.ceiling, forgotten)
     acceptor.generations = dict(kept.generations)
     kept.fill(acceptor)
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -38,9 +38,7 @@
     answered: set[str] = field(default_factory=set)
     empty: set[str] = field(default_factory=set)  # members that refuse because their disks do not count
     asked: dict[str, Channel] = field(default_factory=dict)
-    answers: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # highest round and generation, by address
+    answers: dict[str, tuple[int, int]] = field(default_factory=dict)  # by address: top round, generation
     pages: dict[str, int] = field(default_factory=dict)  # number of pages received, by address
 
 
@@ -55,9 +53,8 @@
         self._acceptor_host = acceptor_host
         self._count = 0
         self._requests: dict[int, _FenceRequest] = {}
-        self._paged_answers: dict[
-            tuple[str, int], tuple[list[StateRow], list[int]]
-        ] = {}  # and where its pages begin
+        # Rows of each answer, and the row at which each of its pages starts.
+        self._paged_answers: dict[tuple[str, int], tuple[list[StateRow], list[int]]] = {}
 
     async def fence_and_read(self, within_s: float, fence: bool = True) -> bool:
         """Whether this process now holds, on disk, all that could have been chosen under the view in force.
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls: decoded into commands here, and run here; the vote decides, and says what stands."""
+"""Decodes and runs the calls of operators: reads of the configuration, and changes, which are voted on."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from mesh.replication.store import Store
 from mesh.transport.http_calls import Answer
 
-RESPONSE_TIMEOUT_S = 0.85  # a caller goes elsewhere after a second of silence
-RESPONSE_TIMEOUT_PER_BYTE_S = 2e-6  # and waits longer for a large body
+RESPONSE_TIMEOUT_S = 0.85  # below 1 s: a caller without an answer tries another process by then
+RESPONSE_TIMEOUT_PER_BYTE_S = 2e-6  # added for each byte of the request body
 READ_TIMEOUT_S = 0.4
-RETRY_AFTER_S = 0.2  # after which a caller may come back
+RETRY_AFTER_S = 0.2
 PATH = b"/configuration"
 
 
 class ReadConfiguration(Struct, frozen=True):
-    """The newest configuration, whole."""
+    """A read of the whole, newest configuration."""
 
 
 class UnknownEndpoint(Struct, frozen=True):
-    """No call of ours."""
+    """A call with a path or method that is not served here."""
 
     status: int
 
@@ -46,6 +46,7 @@
 
 
 def decode_command(message: http.Message) -> Command:
+    """Decodes a request; anything that is not valid gives `Invalid` or `UnknownEndpoint`."""
     if message.target.partition(b"?")[0] != PATH:
         return UnknownEndpoint(404)
     if message.method == b"GET":
@@ -56,15 +57,18 @@
 
 
 def error_body(message: str) -> bytes:
+    """The body of an answer that reports an error."""
     return msgspec.json.encode({"error": message})
 
 
 def unclear_answer(reason: str) -> Answer:
-    """It may be in force or come into it; the caller is to ask again."""
+    """Answers that the change may be in force now or later; the caller is to send it again."""
     return Answer(503, error_body(reason), retry_after_s=RETRY_AFTER_S)
 
 
 class OperatorApi:
+    """The HTTP endpoint for the configuration: GET and PATCH of /configuration."""
+
     def __init__(
         self,
         charter: Store,
@@ -81,6 +85,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def handle(self, message: http.Message) -> Answer:
+        """Answers one request; without contact to a quorum it redirects the caller or answers 503."""
         command = decode_command(message)
         if isinstance(command, UnknownEndpoint):
             return Answer(
@@ -98,8 +103,8 @@
         )
 
     def _answer_without_contact(self) -> Answer:
-        """At once: who is cut off knows neither what stands nor what is refused elsewhere, so neither 200 nor
-        4xx is its to give."""
+        """A process without contact knows neither what is in force nor what other processes refuse, so it
+        must answer neither 200 nor 4xx. It answers at once."""
         address = self._contact_probes.redirect_address()
         if address:
             return Answer(307, location=f"http://{address}{PATH.decode()}")
@@ -122,7 +127,7 @@
         writes = {(w.kind, w.name, w.version): w.value for w in change.writes}
         invalid = check(change, self._current)
         if invalid is not None:
-            # What this copy does not know another may: nothing proper is refused for that.
+            # This copy may be out of date, so a valid change must not be refused because of it: read first.
             if not await self._proposer_host.read(READ_TIMEOUT_S):
                 return self._answer_unclear("too few control processes answer")
             invalid = check(change, self._current)
@@ -149,11 +154,11 @@
         return self._answer_unclear(outcome.reason)
 
     async def _acknowledge(self, numbers: Collection[Number], within_s: float) -> Answer:
-        """The acknowledgement of a decided order, once it is in force where it must be."""
+        """Acknowledges a decided order once it is in force at all proxies that are waited for."""
         items = [self._charter.items.get((kind, name)) for kind, name, _ in numbers]
         if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
             return Answer(200, b"{}")
-        return self._answer_unclear("it is decided, and not in force at all sidecars yet")
+        return self._answer_unclear("it is decided, but not yet in force at all sidecars")
 
     def _answer_unclear(self, reason: str) -> Answer:
         self._event_log.tell(events.NOT_ACKNOWLEDGED, reason=reason)
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -1,4 +1,5 @@
-"""The control plane: holds the operator's configuration and the membership, and hands both on."""
+"""A control process: holds the configuration (the charter) and the membership (the roll), and distributes
+both."""
 
 from __future__ import annotations
 
@@ -44,14 +45,16 @@
 from mesh.transport.http_calls import HttpServer
 from mesh.transport.link import Link, listen
 
-MAX_CHARTER_ITEMS = 20_000  # items, dropped ones included
+MAX_CHARTER_ITEMS = 20_000  # dropped ones included
 MAX_ROLL_ITEMS = 20_000
 TICK_S = 0.1
-SHUTDOWN_POLL_S = 0.02  # between two looks at what is in hand, at an end
-MAX_PEERS = 64  # control processes that each other one asks; beyond that, the first in its order
+SHUTDOWN_POLL_S = 0.02  # between two checks for pending answers while shutting down
+MAX_PEERS = 64  # control processes that each one pulls from; of more, the first in its order
 
 
 class Controller:
+    """Wires up the parts of one control process, and passes events between them."""
+
     def __init__(self, settings: Settings, event_log: EventLog) -> None:
         self.settings, self.event_log = settings, event_log
         self.loop = asyncio.get_running_loop()
@@ -62,9 +65,7 @@
             Store(incarnation, MAX_CHARTER_ITEMS, decided=True),
             Store(incarnation, MAX_ROLL_ITEMS),
         )
-        self.reports = Store(
-            incarnation, 2 * MAX_ROLL_ITEMS
-        )  # two a sidecar, which the roll has an item of as well
+        self.reports = Store(incarnation, 2 * MAX_ROLL_ITEMS)  # up to two of each sidecar in the roll
         self.membership = Membership()
         self.tombs = Tombstones()
         self.disk_writer, self.acceptor = open_disk(settings, self.charter, event_log)
@@ -225,7 +226,7 @@
         answers = {**answers_of(self.shown, time.time), **safekeeping.answers()}
         self.questions = Questions({**answers, **restoring.answers()})
         self._server: asyncio.Server | None = None
-        self._last_linked_at = self.loop.time()  # when there was last a link with news
+        self._last_linked_at = self.loop.time()  # when a peer link was last open
 
     def _make_operator_api(self) -> OperatorApi:
         bounds = self.settings.bounds
@@ -259,9 +260,10 @@
         assignment.restored()
         return assignment
 
-    # Start and end
+    # Start and shutdown
 
     async def start(self) -> None:
+        """Starts to listen, to join and to tick."""
         settings = self.settings
         await self.catching_up.begin()
         self._server = await listen(
@@ -270,7 +272,7 @@
         assert settings.ports.control is not None
         await self.http_server.listen(settings.ports.control)
         first = self.acceptor.wants(self.acceptor.floor + 1)
-        self.acceptor_host.spawn(self.acceptor_host.raise_ceiling(first))  # ahead of the first order
+        self.acceptor_host.spawn(self.acceptor_host.raise_ceiling(first))  # before the first order needs it
         self._publish_node()
         self._update_known_peers()
         self.joining.start()
@@ -296,9 +298,9 @@
     def _tick(self) -> None:
         if self.stopping.is_set():
             return
-        self.loop.call_later(TICK_S, self._tick)  # first: signs of life go on whatever is raised below
+        self.loop.call_later(TICK_S, self._tick)  # first: the ticks go on if a call below raises
         now = self.loop.time()
-        self.contact_probes.tick(now, time.time())  # before what goes by it
+        self.contact_probes.tick(now, time.time())  # before the calls that depend on contact
         self.channels.tick(now)
         self.rollouts.tick(now)
         self.confirmations.tick(now)
@@ -312,9 +314,8 @@
         for key in self.tombs.pop_expired(now):
             self.roll.forget(key)
             self.reports.forget(key)
-        if (
-            now - self._last_linked_at > RESYNC_AFTER_S
-        ):  # looked at before the links: they outlast standing still
+        # Checked before the open links, which survive a freeze of this process.
+        if now - self._last_linked_at > RESYNC_AFTER_S:
             self._last_linked_at = now
             self._changed("roll", self.roll.clear())
             self._publish_node()
@@ -324,11 +325,11 @@
             self._publish_node()
 
     def open_calls(self) -> int:
-        """Of operators, not answered yet."""
+        """The number of operator calls that are not answered yet."""
         return self.http_server.busy
 
     async def stop(self) -> None:
-        """An orderly end: what operators have sent is answered, at the last as unclear."""
+        """Shuts down in order: answers pending operator calls, as unclear if they take too long."""
         until = self.loop.time() + exit_after_s(self.settings.bounds.grace_s)
         await self.joining.leave()
         self.stopping.set()
@@ -336,8 +337,8 @@
         while self.http_server.busy and self.loop.time() < until:
             await asyncio.sleep(SHUTDOWN_POLL_S)
         if self.http_server.busy:
-            self.http_server.give_up(unclear_answer("this control process ends"))
-            await asyncio.sleep(SHUTDOWN_POLL_S)  # the answers leave
+            self.http_server.give_up(unclear_answer("this control process is shutting down"))
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # until the answers are sent
         if self._server is not None:
             self._server.close()
         self.event_log.tell(events.ENDED)
@@ -347,7 +348,7 @@
         self.member_set.announce_complete()
         self.channels.hello["complete"] = True
 
-    # News
+    # Updates and links
 
     def _changed(self, name: str, items: list[Item]) -> None:
         if name == "charter":
@@ -374,7 +375,7 @@
         self.channels.poke()
 
     def _drop_reports(self, nodes: list[str]) -> None:
-        """Sidecars that the membership has no more say nothing more."""
+        """Drops the reports of sidecars that left the membership."""
         for key in [(kind, node) for node in nodes for kind in (REPORT, KEY_REPORT)]:
             known = self.reports.items.get(key)
             if known is not None and known.value is not None:
@@ -383,7 +384,7 @@
                     self._changed(REPORTS, [dropped_report])
 
     def _handle_channel_frame(self, channel: Channel, head: Head) -> None:
-        """Raises KeyError, TypeError or ValueError for what cannot be read."""
+        """Dispatches a frame of a peer. Raises KeyError, TypeError or ValueError if it is malformed."""
         handlers = (
             self.key_assignment.handle_frame,
             self.contact_probes.handle_frame,
@@ -406,7 +407,7 @@
             self.fencing.handle_frame(channel, head)
 
     def _reachable_members(self) -> dict[str, bool]:
-        """Other control processes that answer, by address, and whether the disk of each counts."""
+        """Reachable control processes by address, and whether the disk of each counts."""
         recent = self.contact_probes.contact.lately(self.loop.time())
         return {address: address in recent and recent[address].whole for address in self.member_set.peers()}
 
@@ -426,7 +427,7 @@
         self.fencing.resend_pending(address, force)
 
     def _channel_closed(self, channel: Channel) -> None:
-        """What a peer wrote here and may never tell as news is told from here on."""
+        """Takes over the items stamped by that peer, since it may never send them to others."""
         self.contact_probes.link_closed(channel)
         self.duties.link_closed(channel)
         self.repairing.link_closed(channel)
@@ -439,7 +440,7 @@
             self.channels.poke()
 
     def _update_known_peers(self) -> None:
-        """Other control processes: those of the settings, and those that have said that they are."""
+        """The other control processes: the seeds of the settings, and those known from the membership."""
         port = self.settings.port_range[0]
         known = {host: (host, port) for host, _ in self.settings.seeds}
         known.update(self.membership.controllers())
@@ -464,7 +465,7 @@
             self.channels.lost(link.peer, reason)
 
     def retune(self, settings: Settings) -> None:
-        """The settings file has changed: other seeds, other bounds for stages."""
+        """Applies a changed settings file: seeds, and the bounds of rollouts and contact."""
         self.settings = self.joining.settings = self.shown.settings = settings
         self.rollouts.update_bounds(settings.bounds.settle_ms, settings.bounds.ack_ms)
         self.confirmations.update_bounds(settings.bounds.ack_ms, settings.bounds.contact_ms)
@@ -473,6 +474,6 @@
 
 
 def control_address(settings: Settings) -> str:
-    """Where operators call this process: others name it to a caller whom they can't serve."""
+    """The address for operator calls; other control processes redirect callers to it."""
     control = settings.ports.control
     return f"{control[0]}:{control[1]}" if control is not None else ""
