--- a/mesh/data_plane/body_transfer.py
+++ b/mesh/data_plane/body_transfer.py
@@ -9,7 +9,7 @@
 from mesh.transport.body_pieces import IncomingBody, OutgoingBodies
 from mesh.transport.link import Link
 
-Whole = Callable[[BodyBytes, Reservation], None]
+OnComplete = Callable[[BodyBytes, Reservation], None]
 
 
 class BodyTransfer:
@@ -21,14 +21,14 @@
         self._link = link
         self.takes_pieces = window > 0
         self._outgoing = OutgoingBodies(window)
-        self._written: dict[int, Callable[[], None]] = {}  # called when a body's last piece is written
-        self._incoming: dict[int, tuple[IncomingBody, Reservation, Whole]] = {}
+        self._on_sent: dict[int, Callable[[], None]] = {}  # called when a body's last piece is written
+        self._incoming: dict[int, tuple[IncomingBody, Reservation, OnComplete]] = {}
         link.on_writable = self._write
 
     def send(self, number: int, body: BodyBytes, written: Callable[[], None]) -> None:
         """``written`` is called once, perhaps before this returns, unless the body is cancelled."""
-        self._count(1)
-        self._written[number] = written
+        self._add_open(1)
+        self._on_sent[number] = written
         self._outgoing.add(number, body)
         self._write()
 
@@ -37,24 +37,24 @@
         while self._link.up and not self._link.choked and (part := self._outgoing.next()) is not None:
             self._link.send(BodyPiece(number=part.number), part.data)
             if part.last:
-                self._written.pop(part.number)()
+                self._on_sent.pop(part.number)()
 
-    def _count(self, bodies: int) -> None:
+    def _add_open(self, bodies: int) -> None:
         self._link.owes += bodies
         self._link.expects += bodies
 
-    def expect(self, number: int, size: int, hold: Reservation, whole: Whole) -> None:
+    def expect(self, number: int, size: int, hold: Reservation, whole: OnComplete) -> None:
         """A body of so many bytes follows; ``hold`` is its memory, ``whole`` called once when all is here."""
-        self._count(1)
+        self._add_open(1)
         self._incoming[number] = IncomingBody(size), hold, whole
 
-    def arrived(self, message: BodyAck) -> None:
+    def on_ack(self, message: BodyAck) -> None:
         """Raises PieceError."""
         if self._outgoing.confirm(message.number, message.count):
-            self._count(-1)
+            self._add_open(-1)
         self._write()
 
-    def piece(self, number: int, part: bytes) -> None:
+    def on_piece(self, number: int, part: bytes) -> None:
         """Of a body that nobody waits for any more it is passed over. Raises PieceError."""
         found = self._incoming.get(number)
         if found is None:
@@ -64,14 +64,14 @@
         self._link.send(BodyAck(number=number, count=body.confirm()))
         if body.whole:
             del self._incoming[number]
-            self._count(-1)
+            self._add_open(-1)
             whole(body.data, hold)
 
     def cancel_sending(self, number: int) -> bool:
         """False where that body is not being sent, or all of it is written."""
         if self._outgoing.cancel(number):
-            self._count(-1)
-        sending = self._written.pop(number, None) is not None
+            self._add_open(-1)
+        sending = self._on_sent.pop(number, None) is not None
         self._write()  # others may have its part of the window
         return sending
 
@@ -80,13 +80,13 @@
         found = self._incoming.pop(number, None)
         if found is None:
             return False
-        self._count(-1)
+        self._add_open(-1)
         found[1].release()
         return True
 
     def close(self) -> None:
         """The link is lost: nothing that is not whole will ever be."""
-        self._written.clear()
+        self._on_sent.clear()
         self._outgoing = OutgoingBodies(0)
         for number in list(self._incoming):
             self.cancel_receiving(number)
--- a/mesh/data_plane/call_state.py
+++ b/mesh/data_plane/call_state.py
@@ -104,10 +104,10 @@
     "data_plane/upstream_dispatch.py:",
     "data_plane/upstream_connections.py:",
 )
-PEER_LINK = PEER_CALLS + "Outgoing."
+PEER_LINK = PEER_CALLS + "PeerLink."
 DISPATCH = UPSTREAM_DISPATCH + "UpstreamDispatch."
-CONNECTION = UPSTREAM_CONNECTIONS + "TapConnection."
-INCOMING = "data_plane/incoming_calls.py:Incoming."
+CONNECTION = UPSTREAM_CONNECTIONS + "UpstreamConnection."
+INCOMING = "data_plane/incoming_calls.py:IncomingCalls."
 
 EDGES: tuple[Edge, ...] = tuple(
     Edge(hop, *row)
@@ -116,39 +116,39 @@
             Hop.FIRST,
             (
                 (S.CHOSEN, E.LINK_UP, S.SENT, C.MAY, PENDING, PEER_LINK + "_write"),
-                (S.CHOSEN, E.LINK_DOWN, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_turn_away"),
+                (S.CHOSEN, E.LINK_DOWN, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_reject"),
                 (S.CHOSEN, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, PEER_LINK + "drop"),
                 (S.CHOSEN, E.PARTLY_SENT, S.SENDING, C.NOT_YET, PENDING, PEER_LINK + "_write"),
-                (S.SENDING, E.WHOLE_SENT, S.SENT, C.MAY, PENDING, PEER_LINK + "_sent_whole"),
-                (S.SENDING, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_ended"),
-                (S.SENDING, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_ended"),
-                (S.SENDING, E.LINK_LOST, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_cut"),
+                (S.SENDING, E.WHOLE_SENT, S.SENT, C.MAY, PENDING, PEER_LINK + "_on_body_sent"),
+                (S.SENDING, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_finish"),
+                (S.SENDING, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_finish"),
+                (S.SENDING, E.LINK_LOST, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_lose_call"),
                 (S.SENDING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, PEER_LINK + "drop"),
-                (S.SENT, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_ended"),
-                (S.SENT, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_ended"),
-                (S.SENT, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_ended"),
-                (S.SENT, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_cut"),
+                (S.SENT, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_finish"),
+                (S.SENT, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_finish"),
+                (S.SENT, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_finish"),
+                (S.SENT, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_lose_call"),
                 (S.SENT, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, PEER_LINK + "drop"),
-                (S.UNCLEAR, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_cut"),
-                (S.UNCLEAR, E.PASSED, S.SENT, C.MAY, PENDING, PEER_LINK + "_frame"),
-                (S.UNCLEAR, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_ended"),
-                (S.UNCLEAR, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_ended"),
-                (S.UNCLEAR, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_ended"),
-                (S.UNCLEAR, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_unclear"),
+                (S.UNCLEAR, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_lose_call"),
+                (S.UNCLEAR, E.PASSED, S.SENT, C.MAY, PENDING, PEER_LINK + "_on_frame"),
+                (S.UNCLEAR, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_finish"),
+                (S.UNCLEAR, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_finish"),
+                (S.UNCLEAR, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_finish"),
+                (S.UNCLEAR, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_end_unclear"),
                 (S.UNCLEAR, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, PEER_LINK + "drop"),
             ),
         ),
         (
             Hop.SECOND,
             (
-                (S.RECEIVING, E.WHOLE, S.READ, C.NOT_YET, PENDING, INCOMING + "_whole"),
+                (S.RECEIVING, E.WHOLE, S.READ, C.NOT_YET, PENDING, INCOMING + "_on_body_complete"),
                 (S.RECEIVING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "_withdraw"),
-                (S.RECEIVING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "lost"),
+                (S.RECEIVING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "link_lost"),
                 (S.RECEIVING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, INCOMING + "_withdraw"),
                 (S.READ, E.PLACE, S.PASSED_ON, C.MAY, PENDING, DISPATCH + "_start"),
-                (S.READ, E.NO_PLACE, S.WAITING, C.NOT_YET, PENDING, DISPATCH + "take"),
+                (S.READ, E.NO_PLACE, S.WAITING, C.NOT_YET, PENDING, DISPATCH + "accept"),
                 (S.WAITING, E.PLACE, S.PASSED_ON, C.MAY, PENDING, DISPATCH + "_start"),
-                (S.WAITING, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_turn_away"),
+                (S.WAITING, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_reject"),
                 (S.WAITING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
                 (S.WAITING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
                 (S.WAITING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
@@ -158,7 +158,7 @@
                     S.PASSED_ON,
                     C.MAY,
                     PENDING,
-                    INCOMING + "lost",
+                    INCOMING + "link_lost",
                 ),
                 (
                     S.PASSED_ON,
@@ -166,11 +166,11 @@
                     S.PASSED_ON,
                     C.MAY,
                     PENDING,
-                    INCOMING + "_asked",
+                    INCOMING + "_on_query",
                 ),
-                (S.PASSED_ON, E.ANSWER, S.ANSWERED, C.RAN, UPSTREAM_RESPONSE, DISPATCH + "_tell"),
-                (S.PASSED_ON, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_tell"),
-                (S.PASSED_ON, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_tell"),
+                (S.PASSED_ON, E.ANSWER, S.ANSWERED, C.RAN, UPSTREAM_RESPONSE, DISPATCH + "_finish"),
+                (S.PASSED_ON, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_finish"),
+                (S.PASSED_ON, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_finish"),
                 (S.PASSED_ON, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_expire"),
                 (S.PASSED_ON, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, DISPATCH + "drop"),
                 (
@@ -202,12 +202,19 @@
         (
             Hop.TAP,
             (
-                (S.IDLE, E.ASK, S.SENT, C.MAY, PENDING, CONNECTION + "ask"),
+                (S.IDLE, E.ASK, S.SENT, C.MAY, PENDING, CONNECTION + "send"),
                 (S.IDLE, E.STRAY, S.CLOSED, C.SAME, "nobody", CONNECTION + "data_received"),
-                (S.IDLE, E.TIME_OVER, S.CLOSED, C.SAME, "nobody", UPSTREAM_CONNECTIONS + "Tap.sweep"),
-                (S.SENT, E.STRAY, S.SENT, C.MAY, PENDING, CONNECTION + "_settle"),
-                (S.SENT, E.ANSWER, S.IDLE, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_settle"),
-                (S.SENT, E.CROWDED, S.CLOSED, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_settle"),
+                (
+                    S.IDLE,
+                    E.TIME_OVER,
+                    S.CLOSED,
+                    C.SAME,
+                    "nobody",
+                    UPSTREAM_CONNECTIONS + "UpstreamConnectionPool.close_expired",
+                ),
+                (S.SENT, E.STRAY, S.SENT, C.MAY, PENDING, CONNECTION + "_process_responses"),
+                (S.SENT, E.ANSWER, S.IDLE, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_process_responses"),
+                (S.SENT, E.CROWDED, S.CLOSED, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_process_responses"),
                 (S.SENT, E.NO_ANSWER, S.CLOSED, C.MAY, NO_RESPONSE, CONNECTION + "connection_lost"),
                 (S.SENT, E.GIVEN_UP, S.CLOSED, C.MAY, NO_RESPONSE, CONNECTION + "drop"),
             ),
--- a/mesh/data_plane/call_trace.py
+++ b/mesh/data_plane/call_trace.py
@@ -14,9 +14,9 @@
 from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.client_connection import ClientListener
 from mesh.data_plane.membership import Membership
-from mesh.data_plane.peer_links import Passage
-from mesh.data_plane.service_tables import Tables
-from mesh.data_plane.traces import words
+from mesh.data_plane.peer_links import PeerLinks
+from mesh.data_plane.service_tables import ServiceBalancers
+from mesh.data_plane.traces import describe_end
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.dissemination.peers import Channels
 from mesh.event_log import events
@@ -24,20 +24,20 @@
 from mesh.runtime.settings import Settings
 from mesh.transport.link import Link
 
-MOST_TRIES, MOST_END = 4, 24  # tries of one line, and characters of how each ended
+MAX_TRIES, MAX_END_CHARS = 4, 24  # tries of one line, and characters of how each ended
 BYTES_EVERY_S = 1.0
-LEAST_WAIT_S = 0.001  # of an answer that is told to have waited
+MIN_WAIT_S = 0.001  # of an answer that is told to have waited
 
 
-class Traced(Protocol):
+class TracedProxy(Protocol):
     """What of a proxy is traced."""
 
     settings: Settings
     event_log: EventLog
     loop: asyncio.AbstractEventLoop
-    tables: Tables
+    service_balancers: ServiceBalancers
     upstream_dispatch: UpstreamDispatch
-    passage: Passage
+    peer_links: PeerLinks
     incoming_links: set[Link]
     channels: Channels
     client_listener: ClientListener
@@ -47,18 +47,18 @@
 class CallTrace:
     """Of one proxy."""
 
-    def __init__(self, proxy: Traced) -> None:
+    def __init__(self, proxy: TracedProxy) -> None:
         """``proxy`` must have started: its log is written to, its links are looked at."""
         self._proxy, self._event_log = proxy, proxy.event_log
         self._counted: dict[Link, int] = {}  # bytes of each link that have been added up
-        self._sums = {"calls": 0, "answers": 0, "updates": 0}
+        self._totals = {"calls": 0, "answers": 0, "updates": 0}
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """From now on each call that ends is told, and every second what the links have sent."""
         proxy = self._proxy
-        proxy.tables.traces.trace = self.first_hop
+        proxy.service_balancers.traces.trace = self.first_hop
         proxy.upstream_dispatch.traces.trace = self.second_hop
-        proxy.client_listener.trace = self.answer_left
+        proxy.client_listener.trace = self.response_sent
         self._count_bytes()
 
     def first_hop(self, now: float, ask: ClientRequest, told: int | Refused | Failed | None) -> None:
@@ -78,10 +78,10 @@
     def _tries(self, now: float, ask: ClientRequest) -> Iterable[str]:
         """Each try as upstream, when it was sent (ms), how long it took, and its end; one that is still out
         has taken until now."""
-        for number, (instance, end, took) in enumerate(ask.tries[:MOST_TRIES]):
+        for number, (instance, end, took) in enumerate(ask.tries[:MAX_TRIES]):
             sent = ask.sent_ms[number]
             took_ms = now - sent if end == "out" else took
-            yield f"{instance}/{sent - ask.received_ms:.1f}/{took_ms:.1f}/{end[:MOST_END]}"
+            yield f"{instance}/{sent - ask.received_ms:.1f}/{took_ms:.1f}/{end[:MAX_END_CHARS]}"
 
     def second_hop(self, now: float, call: Call, came: float, began: float, end: End) -> None:
         """A call for the upstream beside this proxy has its end; ``began`` is 0 where it was never passed
@@ -93,12 +93,12 @@
             caller=call.caller,
             waited_ms=round((began or now) - came, 1),
             ran_ms=round(now - began, 1) if began else None,
-            end=words(end),
+            end=describe_end(end),
         )
 
-    def answer_left(self, attempt: str, waited_s: float) -> None:
+    def response_sent(self, attempt: str, waited_s: float) -> None:
         """An answer has left that stood ready for so long: those before it on its connection went first."""
-        if waited_s >= LEAST_WAIT_S:
+        if waited_s >= MIN_WAIT_S:
             self._event_log.tell(events.ANSWER_WAITED, attempt=attempt, waited_ms=round(waited_s * 1000.0, 1))
 
     def _count_bytes(self) -> None:
@@ -108,9 +108,9 @@
             value = proxy.membership.nodes.get(node)
             counted[link] = link.sent_bytes
             if value is not None and value.get("zone") != proxy.settings.zone:
-                self._sums[kind] += link.sent_bytes - self._counted.get(link, 0)
+                self._totals[kind] += link.sent_bytes - self._counted.get(link, 0)
         self._counted = counted
-        sums = self._sums
+        sums = self._totals
         self._event_log.tell(
             events.BYTES_SENT, calls=sums["calls"], answers=sums["answers"], updates=sums["updates"]
         )
@@ -118,7 +118,7 @@
 
     def _links(self) -> Iterable[tuple[str, str, Link]]:
         """What each link carries from here, the node at its other end, and the link."""
-        for outgoing in self._proxy.passage.links():
+        for outgoing in self._proxy.peer_links.links():
             if outgoing.link is not None:
                 yield "calls", outgoing.node, outgoing.link
         for link in self._proxy.incoming_links:
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -12,8 +12,8 @@
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_state import Failed, Refused
 from mesh.data_plane.membership import PROXY
-from mesh.data_plane.service_balancers import Table
-from mesh.data_plane.traces import First, Second
+from mesh.data_plane.service_balancers import ServiceBalancer
+from mesh.data_plane.traces import FirstHopEntry, SecondHopEntry
 from mesh.rollout.staged_activation import RolloutCommand
 from mesh.runtime.introspection_calls import Handler, Refusal, Told, common, items
 
@@ -42,7 +42,7 @@
     """How it stands. Times in milliseconds; ``whole_ms``: since one that holds all that was acknowledged was
     last heard, null where none has been; ``control``: as `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
-    tables = list(proxy.tables.by_service.items())[:MOST_SHOWN]
+    tables = list(proxy.service_balancers.by_service.items())[:MOST_SHOWN]
     proxy.channels.fresh(0.0)  # brings whole_at up to now
     whole_at = proxy.channels.whole_at
     return {
@@ -59,7 +59,11 @@
         "beat_ms": settings.beat_period_ms,
         "upstream": _upstream(proxy),
         "services": {
-            service: {"open": len(table.asks), "further": table.budget.spent, "denied": table.budget.denied}
+            service: {
+                "open": len(table.requests),
+                "further": table.budget.spent,
+                "denied": table.budget.denied,
+            }
             for service, table in tables
         },
     }
@@ -76,9 +80,9 @@
         "state": beat.state,
         "capacity": beat.capacity,
         "gone": upstream.gone,
-        "silent_ms": round(proxy.tables.now() - upstream.heartbeat_at),
+        "silent_ms": round(proxy.service_balancers.now() - upstream.heartbeat_at),
         "running": len(proxy.upstream_dispatch.running),
-        "waiting": len(proxy.upstream_dispatch.line),
+        "waiting": len(proxy.upstream_dispatch.queue),
     }
 
 
@@ -87,14 +91,14 @@
 
 def upstreams(proxy: Proxy, service: str) -> Told | Refusal:
     """All of one service that it knows, and how each stands in its own picks."""
-    table = proxy.tables.by_service.get(service)
+    table = proxy.service_balancers.by_service.get(service)
     known = dict(proxy.membership.of(service)[:MOST_SHOWN])
     if table is None and not known:
         return Refusal(f"service {service[:80]!r}: no upstream of it is known, and none was asked for here")
     return {"service": service, "used": table is not None, "upstreams": _standings(proxy, table, known)}
 
 
-def _standings(proxy: Proxy, table: Table | None, known: dict[str, Any]) -> list[Told]:
+def _standings(proxy: Proxy, table: ServiceBalancer | None, known: dict[str, Any]) -> list[Told]:
     balancer = table.balancer if table is not None else None
     servers = balancer.servers if isinstance(balancer, Balancer) else {}
     told = []
@@ -109,7 +113,7 @@
         if table is not None and server is not None:
             assert isinstance(balancer, Balancer)
             one |= _standing(proxy, balancer, server)
-            if value and not proxy.passage.reaches(str(value.get("node"))):
+            if value and not proxy.peer_links.reaches(str(value.get("node"))):
                 one["why"] = "its node cannot be reached from here"
         else:
             one["why"] = "nothing was sent to this service from here yet"
@@ -124,7 +128,7 @@
         "active": server.active,
         "held": server.held,
         "samples": server.samples,
-        "why": why(proxy.tables.now(), server, server in balancer.working.set),
+        "why": why(proxy.service_balancers.now(), server, server in balancer.working.set),
     }
 
 
@@ -181,14 +185,16 @@
 
 def trace(proxy: Proxy, attempt: str) -> Told:
     """What is kept of calls with that id, on either hop; ``ago_ms`` tells when each began, from now."""
-    now = proxy.tables.now()
-    first, second = proxy.tables.traces, proxy.upstream_dispatch.traces
-    told = [_first(now, one) for ring in (first.plain, first.odd) for one in ring if one[0] == attempt]
-    told += [_second(now, one) for ring in (second.plain, second.odd) for one in ring if one[0] == attempt]
+    now = proxy.service_balancers.now()
+    first, second = proxy.service_balancers.traces, proxy.upstream_dispatch.traces
+    told = [_first(now, one) for ring in (first.ordinary, first.notable) for one in ring if one[0] == attempt]
+    told += [
+        _second(now, one) for ring in (second.ordinary, second.notable) for one in ring if one[0] == attempt
+    ]
     return {"node": proxy.settings.node, "entries": told}
 
 
-def _first(now: float, entry: First) -> Told:
+def _first(now: float, entry: FirstHopEntry) -> Told:
     attempt, taken, over, name, version, aim, service, tried, count, told = entry
     if isinstance(told, int):
         end = f"{told}, the upstream's own answer"
@@ -214,7 +220,7 @@
     }
 
 
-def _second(now: float, entry: Second) -> Told:
+def _second(now: float, entry: SecondHopEntry) -> Told:
     attempt, came, began, over, instance, caller, end = entry
     return {
         "hop": 2,
@@ -277,8 +283,10 @@
 def answers(proxy: Proxy) -> Told:
     """How long upstreams' own answers below 500 took of late, in milliseconds from the request's arrival, by
     route and by service: how many are kept, the least and the median."""
-    rings = proxy.tables.traces
-    kept = [e for ring in (rings.plain, rings.odd) for e in ring if isinstance(e[9], int) and e[9] < 500]
+    rings = proxy.service_balancers.traces
+    kept = [
+        e for ring in (rings.ordinary, rings.notable) for e in ring if isinstance(e[9], int) and e[9] < 500
+    ]
     return {
         "by_route": _times((e[3], e[2] - e[1]) for e in kept),
         "by_service": _times((e[6], e[2] - e[1]) for e in kept),
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -9,13 +9,13 @@
 from mesh.data_plane.call_messages import Call, End, NotExecuted
 from mesh.data_plane.call_state import OutgoingCall
 from mesh.data_plane.paced_turns import PacedTurns
-from mesh.data_plane.peer_calls import Outgoing
+from mesh.data_plane.peer_calls import PeerLink
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.transport.link import Address
 
 
-class Passage:
+class PeerLinks:
     """``local`` is the second hop of this process, ``node`` this one's name. ``reached`` is told
     when a node can no longer be reached, and when it can again. ``life`` is this process's own, unlike any
     other's: the calls of a life are numbered upwards, and no number is ever used again."""
@@ -29,12 +29,18 @@
         life: str = "",
     ) -> None:
         """No link is open yet."""
-        self.node, self.local, self.event_log, self.reached, self.life = node, local, event_log, reached, life
+        self.node, self.local, self.event_log, self.on_reachable, self.incarnation = (
+            node,
+            local,
+            event_log,
+            reached,
+            life,
+        )
         self.loop = asyncio.get_running_loop()
-        self.count = 0
+        self.last_number = 0
         self.core: Callable[[], Mapping[str, Address]] = dict  # control processes as they are known here
-        self._links: dict[str, Outgoing] = {}
-        self._leaving: set[str] = set()  # known no more, with calls still out
+        self._links: dict[str, PeerLink] = {}
+        self._retiring: set[str] = set()  # known no more, with calls still out
         self.turns = PacedTurns(self.loop)  # of calls of lost links, over all links
 
     def send(
@@ -43,20 +49,20 @@
         """``ended`` is called once, perhaps before this returns, unless the call is dropped."""
         out = OutgoingCall(call, ended)
         if node == self.node:
-            out.dispatched = self.local.take(call, ended)
+            out.dispatched = self.local.accept(call, ended)
             return out
         link = self._links.get(node)
         if address is None:
             ended(NotExecuted(Why.DOWN))
             return out
-        self._leaving.discard(node)
+        self._retiring.discard(node)
         if link is None or link.address != address:
             if link is not None:
-                link.leave()
+                link.retire()
             known_down = link is not None and link.down
-            link = self._links[node] = Outgoing(self, node, address)
+            link = self._links[node] = PeerLink(self, node, address)
             if known_down:
-                self.reached(node, True)
+                self.on_reachable(node, True)
         out.link = link
         link.send(out)
         return out
@@ -68,14 +74,14 @@
         elif out.link is not None:
             out.link.drop(out)
 
-    def warm(self, node: str, address: Address) -> None:
+    def open_early(self, node: str, address: Address) -> None:
         """Opens a link that a call will soon want; nothing where there is one, or one is tried already."""
         if node != self.node and node not in self._links:
-            link = self._links[node] = Outgoing(self, node, address)
-            link.used = self.loop.time()
+            link = self._links[node] = PeerLink(self, node, address)
+            link.used_at = self.loop.time()
             link.open()
 
-    def links(self) -> Iterable[Outgoing]:
+    def links(self) -> Iterable[PeerLink]:
         """Those to all nodes that were called or will be soon."""
         return self._links.values()
 
@@ -88,17 +94,17 @@
         """A node that is known no more, perhaps because others cannot hear it: what is out on its link may
         still be answered, and the link is left after that."""
         if node in self._links:
-            self._leaving.add(node)
-            self._leave()
+            self._retiring.add(node)
+            self._retire_finished()
 
-    def _leave(self) -> None:
-        for node in sorted(self._leaving):
-            if not self._links[node].out and not self._links[node].asking:
-                self._leaving.discard(node)
-                self._links.pop(node).leave()
+    def _retire_finished(self) -> None:
+        for node in sorted(self._retiring):
+            if not self._links[node].open_calls and not self._links[node].to_query:
+                self._retiring.discard(node)
+                self._links.pop(node).retire()
 
     def tick(self, now: float) -> None:
         """Called every so often."""
-        self._leave()
+        self._retire_finished()
         for link in list(self._links.values()):
             link.tick(now)
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -17,18 +17,18 @@
 from mesh.data_plane.call_messages import End, GreetingReply
 from mesh.data_plane.client_connection import ClientListener
 from mesh.data_plane.control_contact import ControlContact
-from mesh.data_plane.incoming_calls import Incoming
+from mesh.data_plane.incoming_calls import IncomingCalls
 from mesh.data_plane.introspection import answers_of
 from mesh.data_plane.key_holds import KeyHolds
 from mesh.data_plane.membership import NODE, PROXY, ROLE_NAMES, Membership
-from mesh.data_plane.peer_calls import MOST_TOLD
-from mesh.data_plane.peer_links import Passage
+from mesh.data_plane.peer_calls import MAX_CORE_ADDRESSES
+from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.request_dispatch import RequestDispatcher
 from mesh.data_plane.route_preparation import prepare
-from mesh.data_plane.service_tables import Tables
+from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.data_plane.shutdown import Shutdown, rest_s
 from mesh.data_plane.staged_routes import Stages
-from mesh.data_plane.upstream_connections import Tap
+from mesh.data_plane.upstream_connections import UpstreamConnectionPool
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.data_plane.upstream_registration import Registry
 from mesh.dissemination.peers import Channel, Channels
@@ -72,29 +72,38 @@
         self.settings, self.event_log = settings, event_log
         self.loop = asyncio.get_running_loop()
         self.peer_address = (settings.ip, settings.port_range[0])
-        self.life = f"{settings.node}.{os.urandom(4).hex()}"
-        self.charter, self.roll = Store(self.life, MOST_CHARTER, decided=True), Store(self.life, MOST_ROLL)
-        self.reports = Store(self.life, 2)  # what this sidecar says of itself; nobody else's comes here
+        self.incarnation = f"{settings.node}.{os.urandom(4).hex()}"
+        self.charter, self.roll = (
+            Store(self.incarnation, MOST_CHARTER, decided=True),
+            Store(self.incarnation, MOST_ROLL),
+        )
+        self.reports = Store(
+            self.incarnation, 2
+        )  # what this sidecar says of itself; nobody else's comes here
         self.membership, self.routes, self.tombs = Membership(), Routes(), Tombstones()
         self._dropped = Tombstones()  # of the charter
         bounds = settings.bounds
         self.upstream = Upstream(settings.node, settings.zone, settings.beat_period_ms, bounds.drain_ms)
         assert settings.upstream is not None
-        self.tap = Tap(settings.upstream, TAP_MOST, event_log, bounds.drain_ms)
+        self.upstream_connections = UpstreamConnectionPool(
+            settings.upstream, TAP_MOST, event_log, bounds.drain_ms
+        )
         self.upstream_dispatch = UpstreamDispatch(
-            self.upstream, self.tap, event_log, lambda told: self.registry.publish(told)
+            self.upstream, self.upstream_connections, event_log, lambda told: self.registry.publish(told)
         )
-        self.passage = Passage(settings.node, self.upstream_dispatch, event_log, self._reached, self.life)
-        self.passage.core = lambda: self.membership.controllers()
+        self.peer_links = PeerLinks(
+            settings.node, self.upstream_dispatch, event_log, self._reached, self.incarnation
+        )
+        self.peer_links.core = lambda: self.membership.controllers()
         self._heard_of: dict[str, Address] = {}  # control processes that other proxies told of
         self.sessions: Sessions[End] = Sessions(int(HELD_SHARE * settings.limits.memory_mb * 1e6))
-        self.tables = Tables(
-            self.passage,
+        self.service_balancers = ServiceBalancers(
+            self.peer_links,
             self.membership,
             self.membership.node_of,
             settings.zone,
             budget_of(bounds),
-            zlib.crc32(self.life.encode()),
+            zlib.crc32(self.incarnation.encode()),
             event_log,
         )
         self.stages = Stages(
@@ -103,21 +112,28 @@
             self.reports,
             self.routes,
             self.membership,
-            lambda route: prepare(route, settings.node, self.tables, self.membership, self.passage),
+            lambda route: prepare(
+                route, settings.node, self.service_balancers, self.membership, self.peer_links
+            ),
             lambda: self.channels,
             int(time.time() * 1000),
             event_log,
         )
         self.key_holds = self._make_key_holds()
-        self.tables.watch, self.tables.renew = self.stages.ended, self._renew
-        self.upstream_dispatch.newer = self.stages.newer
+        self.service_balancers.on_request_end, self.service_balancers.on_newer_item = (
+            self.stages.ended,
+            self._renew,
+        )
+        self.upstream_dispatch.find_newer_item = self.stages.newer
         self.request_dispatcher = RequestDispatcher(
-            self.tables,
+            self.service_balancers,
             settings.plant,
             settings.limits.memory_mb,
             self.routes.find,
             self.configured,
-            lambda service: self.tables.by_service[service].tell(self.membership.of(service), whole=True),
+            lambda service: self.service_balancers.by_service[service].update_instances(
+                self.membership.of(service), whole=True
+            ),
         )
         self._join_hops()
         self.registry = Registry(
@@ -125,7 +141,7 @@
             self.roll,
             self.membership,
             event_log,
-            self.tables.now,
+            self.service_balancers.now,
             lambda items: self._changed("roll", items),
             self.key_holds.answer,
         )
@@ -136,7 +152,13 @@
         self.readiness = HttpServer(self._ready)
         self.channels = Channels(
             settings.node,
-            {"t": "hello", "node": settings.node, "source": self.life, "ip": settings.ip, "role": PROXY},
+            {
+                "t": "hello",
+                "node": settings.node,
+                "source": self.incarnation,
+                "ip": settings.ip,
+                "role": PROXY,
+            },
             {"charter": self.charter, "roll": self.roll, REPORTS: self.reports},
             settings.tolerance.machines + ASKED_BEYOND,
             event_log,
@@ -157,7 +179,7 @@
 
     def _join_hops(self) -> None:
         """What the clients' side and the upstream's have together: memory, and which runs are repeats."""
-        self.upstream_dispatch.share(self.request_dispatcher.buffers)
+        self.upstream_dispatch.use_buffers(self.request_dispatcher.buffers)
         self.request_dispatcher.repeats = self.upstream_dispatch.repeats
 
     def _make_key_holds(self) -> KeyHolds:
@@ -167,13 +189,13 @@
             settings.plant,
             settings.bounds.hold_max_ms,
             settings.beat_period_ms,
-            self.tables.keys,
+            self.service_balancers.keys,
             self.reports,
             int(time.time() * 1000),
             lambda: self.channels,
             lambda: self.membership.at(settings.node),
         )
-        self.upstream_dispatch.holds = holds.may_run
+        self.upstream_dispatch.holds_key = holds.may_run
         return holds
 
     # Start and end
@@ -192,7 +214,7 @@
         if self.event_log.writes(events.CALL_AT_FIRST_HOP):
             from mesh.data_plane.call_trace import CallTrace
 
-            CallTrace(self).begin()
+            CallTrace(self).start()
 
     def _new_link(self) -> Link:
         return Link(lambda _: None, self._met, self._unmet, self.request_dispatcher.buffers.frames)
@@ -228,8 +250,8 @@
         self.control_contact.tick(now)
         self.stages.tick(now)
         self.key_holds.tick(now)
-        self.passage.tick(now)
-        self.tap.sweep()
+        self.peer_links.tick(now)
+        self.upstream_connections.close_expired()
         self.sessions.sweep(now)
         for link in list(self.incoming_links):
             link.tick(now)
@@ -285,7 +307,7 @@
         return (
             self.request_dispatcher.in_hand
             + len(self.upstream_dispatch.running)
-            + len(self.upstream_dispatch.line)
+            + len(self.upstream_dispatch.queue)
         )
 
     # News
@@ -301,15 +323,15 @@
         else:
             self.tombs.note(self.loop.time(), items)
             for service, entries in self.membership.take(items).items():
-                table = self.tables.by_service.get(service)
+                table = self.service_balancers.by_service.get(service)
                 if table is not None:
-                    table.tell(entries)
+                    table.update_instances(entries)
             if any(item.kind == NODE for item in items):
                 self._know()
                 for item in items:
                     if item.kind == NODE and item.value is None:
-                        self.passage.forget(item.name)
-            self.tables.people(self.membership.proxies(), self.membership.zones())
+                        self.peer_links.forget(item.name)
+            self.service_balancers.set_fleet_size(self.membership.proxies(), self.membership.zones())
         self.channels.poke()
 
     def _told(self, channel: Channel, head: Any) -> None:
@@ -322,23 +344,23 @@
         self.event_log.tell(events.REACHED if up else events.UNREACHED, peer=node)
         for instance in self.membership.at(node):
             value = self.membership.instances[instance]
-            table = self.tables.by_service.get(str(value["plant"]))
+            table = self.service_balancers.by_service.get(str(value["plant"]))
             if table is not None:
-                table.tell([(instance, value)])
+                table.update_instances([(instance, value)])
 
     def _configure(self, item: Item) -> None:
         if item.kind in (PLANT, OWNERSHIP):
             self.key_holds.take(item)
-            table = self.tables.by_service.get(item.name)
+            table = self.service_balancers.by_service.get(item.name)
             if item.kind == PLANT and table is not None:
-                table.divide()
+                table.update_sharding()
         if item.kind == ROUTE:
             self.stages.route(item)
         elif item.kind == INPUT_LIMITS:
             self.client_listener.keep_to(read_limits(item.value))
         elif item.kind == PLANT and item.name == self.settings.plant and item.value is not None:
             most = item.value.get("conn_saturation")
-            self.tap.most = max(int(TAP_SHARE * most), 1) if most else TAP_MOST
+            self.upstream_connections.max_connections = max(int(TAP_SHARE * most), 1) if most else TAP_MOST
 
     def _renew(self, packed: list[Any] | None) -> None:
         """A second hop goes by a newer version of a route, which it sent along."""
@@ -364,7 +386,7 @@
         cannot have its seeds. What a controller says of them takes its place."""
         if self.membership.controllers() or not isinstance(told, list):
             return
-        for address in map(read_address, told[:MOST_TOLD]):
+        for address in map(read_address, told[:MAX_CORE_ADDRESSES]):
             if address is not None and len(self._heard_of) < MOST_HEARD:
                 self._heard_of.setdefault(address[0], address)
         self._know()
@@ -372,7 +394,7 @@
     def retune(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, other bounds."""
         self.settings = settings
-        self.tables.tune(budget_of(settings.bounds))
+        self.service_balancers.set_retry_budget(budget_of(settings.bounds))
         self.upstream.drain_ms = settings.bounds.drain_ms
         self.client_listener.rest(rest_s(settings.bounds.grace_s))
         self.stages.tune(settings)
@@ -382,9 +404,9 @@
     # Links that others open
 
     def _met(self, link: Link, head: Any, body: bytes) -> None:
-        if isinstance(link.peer, Incoming):
+        if isinstance(link.peer, IncomingCalls):
             try:
-                link.peer.frame(head, body)
+                link.peer.handle_frame(head, body)
             except (KeyError, TypeError, ValueError, AttributeError) as fault:
                 link.close(f"unreadable {type(head).__name__}: {fault!r}")
         elif isinstance(link.peer, Channel):
@@ -397,11 +419,11 @@
             life = head.get("life")  # none from a program that cannot ask back
             session = self.sessions.open(str(life)) if life else None
             window = int(head.get("window") or 0)  # none from a program that takes no pieces
-            link.peer = Incoming(link, self.upstream_dispatch, self.sessions, session, window)
+            link.peer = IncomingCalls(link, self.upstream_dispatch, self.sessions, session, window)
             link.node = str(head.get("node", ""))
             self.incoming_links.add(link)
             if session is not None:
-                link.send(GreetingReply(life=self.life, window=WINDOW_BYTES))
+                link.send(GreetingReply(life=self.incarnation, window=WINDOW_BYTES))
             self._hear_of(head.get("core"))
         elif head.get("t") == "hello" and head.get("for") == "news" and "source" in head and "node" in head:
             self.channels.adopt(link, head)
@@ -413,5 +435,5 @@
         self.questions.lost(link)
         if isinstance(link.peer, Channel):
             self.channels.lost(link.peer, why)
-        elif isinstance(link.peer, Incoming):
-            link.peer.lost()
+        elif isinstance(link.peer, IncomingCalls):
+            link.peer.link_lost()
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -16,8 +16,8 @@
 from mesh.data_plane.call_messages import BodyBytes, UpstreamResponse
 from mesh.data_plane.call_state import ClientRequest, ClientResult, Failed, Refused, RouteChanged, Served
 from mesh.data_plane.key_maps import KEY
-from mesh.data_plane.service_tables import Tables
-from mesh.data_plane.upstream_dispatch import OURS
+from mesh.data_plane.service_tables import ServiceBalancers
+from mesh.data_plane.upstream_dispatch import REWRITTEN_HEADERS
 from mesh.ownership.key_map import read_key
 
 UNREADY_S = 0.3  # after which a client may come back while no configuration is here
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        tables: Tables,
+        tables: ServiceBalancers,
         caller: str,
         memory_mb: float,
         find: Callable[[str, str], Route | None],
@@ -53,7 +53,13 @@
         fill: Callable[[str], None],
     ) -> None:
         """``known``: whether a configuration is here at all. ``fill`` tells a new table its instances."""
-        self.tables, self.caller, self._find, self._known, self._fill = tables, caller, find, known, fill
+        self.service_balancers, self.caller, self._find, self._known, self._fill = (
+            tables,
+            caller,
+            find,
+            known,
+            fill,
+        )
         self.budget = Budget(memory_mb)
         self.buffers = BufferBudget(self.budget.total)
         self.bodies = self.buffers.bodies
@@ -64,7 +70,7 @@
         self._asks: dict[str, ClientRequest] = {}
 
     def now(self) -> float:
-        return self.tables.now()
+        return self.service_balancers.now()
 
     @property
     def in_hand(self) -> int:
@@ -73,13 +79,13 @@
     def client_gone(self, request: str) -> None:
         ask = self._asks.pop(request, None)
         if ask is not None:
-            self.tables.by_service[ask.service].gone(ask)
+            self.service_balancers.by_service[ask.service].client_gone(ask)
 
     def give_up(self) -> int:
         """The end of the process is here. What no upstream has, and none ever will, is refused, so that its
         client learns that; the rest has no answer. Gives how many those are."""
         for ask in list(self._asks.values()):
-            self.tables.by_service[ask.service].give_up(ask)
+            self.service_balancers.by_service[ask.service].abandon(ask)
         return len(self._asks)
 
     def route_of(self, message: http.Message) -> Route | None:
@@ -121,16 +127,16 @@
     ) -> str | None:
         left = message.get(b"time-remaining")
         waits = min(float(left), route.horizon_ms) if left is not None else route.horizon_ms
-        service = pick(route, self.tables.draw())
-        key = read_key(message.get(KEY)) if self.tables.keys.divided(service) else None
+        service = pick(route, self.service_balancers.random_fraction())
+        key = read_key(message.get(KEY)) if self.service_balancers.keys.divided(service) else None
         if key is not None:
-            self.tables.keys.count(service, key)
+            self.service_balancers.keys.count(service, key)
         ask = ClientRequest(
             id=number,
             route=route,
             service=service,
             message=message,
-            headers=[item for item in message.end_to_end() if item[0] not in OURS],
+            headers=[item for item in message.end_to_end() if item[0] not in REWRITTEN_HEADERS],
             attempt=message.get(b"attempt-id") or "",
             caller=self.caller,
             received_ms=taken,
@@ -141,10 +147,10 @@
             key=key,
         )
         self._asks[ask.id] = ask
-        table, new = self.tables.of(service, route)
+        table, new = self.service_balancers.get_or_create(service, route)
         if new:
             self._fill(service)
-        table.take(ask)
+        table.submit(ask)
         return ask.id if ask.id in self._asks else None
 
     def _answer(self, reply: Reply, ask: ClientRequest, final: ClientResult) -> None:
--- a/mesh/data_plane/route_preparation.py
+++ b/mesh/data_plane/route_preparation.py
@@ -4,26 +4,28 @@
 
 from mesh.configuration.routes import Route
 from mesh.data_plane.membership import Membership
-from mesh.data_plane.peer_links import Passage
-from mesh.data_plane.service_tables import Tables
+from mesh.data_plane.peer_links import PeerLinks
+from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.membership.instance_commands import SETTLED
 from mesh.membership.rendezvous import select_top
 
 
-def prepare(route: Route, node: str, tables: Tables, membership: Membership, passage: Passage) -> list[str]:
+def prepare(
+    route: Route, node: str, tables: ServiceBalancers, membership: Membership, passage: PeerLinks
+) -> list[str]:
     """Makes ready for the services of a route at this ``node``; gives those without a live upstream. Of each
     new one a link to one upstream's sidecar is opened where there is none."""
     dry = []
     for service, _ in route.split:
-        table, new = tables.of(service, route)
+        table, new = tables.get_or_create(service, route)
         known = membership.of(service)
         live = [value for _, value in known if value is not None and value["state"] == SETTLED]
         if new:
-            table.tell(known, whole=True)
+            table.update_instances(known, whole=True)
             for other in select_top(node, {str(value["node"]) for value in live}, 1):
                 address = membership.address(other)
                 if address is not None:
-                    passage.warm(other, address)
+                    passage.open_early(other, address)
         if not live:
             dry.append(service)
     return dry
--- a/mesh/data_plane/service_parts.py
+++ b/mesh/data_plane/service_parts.py
@@ -8,30 +8,30 @@
 
 from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.key_maps import KeyMaps
-from mesh.data_plane.peer_links import Passage
-from mesh.data_plane.traces import FirstHop
+from mesh.data_plane.peer_links import PeerLinks
+from mesh.data_plane.traces import FirstHopTraces
 from mesh.event_log.log import EventLog
 from mesh.transport.link import Address
 
 
-class ServiceParts(Protocol):
+class ServiceContext(Protocol):
     """``ratio``, ``window_ms`` and ``slack`` bound further tries; ``watch`` is told of each call's end,
     ``renew`` of an item that a second hop knows to be newer."""
 
     loop: asyncio.AbstractEventLoop
-    passage: Passage
+    peer_links: PeerLinks
     node_of: Callable[[str], str]
     zone: str
     event_log: EventLog
-    ratio: float
-    window_ms: float
-    slack: float
+    retry_ratio: float
+    retry_window_ms: float
+    retry_slack: float
     sidecars: int
-    many_zones: bool
+    multiple_zones: bool
     keys: KeyMaps
-    traces: FirstHop
-    watch: Callable[[ClientRequest, int | Refused | Failed], None]
-    renew: Callable[[list[Any] | None], None]
+    traces: FirstHopTraces
+    on_request_end: Callable[[ClientRequest, int | Refused | Failed], None]
+    on_newer_item: Callable[[list[Any] | None], None]
 
     def now(self) -> float:
         """Milliseconds of the loop's clock."""
--- a/mesh/data_plane/service_tables.py
+++ b/mesh/data_plane/service_tables.py
@@ -10,31 +10,31 @@
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.key_maps import KeyMaps
-from mesh.data_plane.peer_links import Passage
-from mesh.data_plane.service_balancers import Table
-from mesh.data_plane.traces import FirstHop
+from mesh.data_plane.peer_links import PeerLinks
+from mesh.data_plane.service_balancers import ServiceBalancer
+from mesh.data_plane.traces import FirstHopTraces
 from mesh.event_log.log import EventLog
 from mesh.transport.link import Address
 
 
-def _pass_over(*_: Any) -> None:
+def _ignore(*_: Any) -> None:
     return
 
 
-class Place(Protocol):
+class NodeAddresses(Protocol):
     """Where an instance is, as the membership has it."""
 
     def address(self, node: str) -> Address | None:
         """Of a node; None where it is not known."""
 
 
-class Tables:
+class ServiceBalancers:
     """All services' tables of this sidecar, and what they share."""
 
     def __init__(
         self,
-        passage: Passage,
-        place: Place,
+        passage: PeerLinks,
+        place: NodeAddresses,
         node_of: Callable[[str], str],
         zone: str,
         bounds: tuple[float, float, float],
@@ -43,16 +43,18 @@
     ) -> None:
         """``bounds``: ratio, window in milliseconds and slack of the budget of further tries."""
         self.loop = asyncio.get_running_loop()
-        self.passage, self.node_of, self._place = passage, node_of, place
+        self.peer_links, self.node_of, self._addresses = passage, node_of, place
         self.zone, self.event_log = zone, event_log
-        self.ratio, self.window_ms, self.slack = bounds
+        self.retry_ratio, self.retry_window_ms, self.retry_slack = bounds
         self._random = random.Random(seed)
-        self.sidecars, self.many_zones = 3, False
-        self.by_service: dict[str, Table] = {}
+        self.sidecars, self.multiple_zones = 3, False
+        self.by_service: dict[str, ServiceBalancer] = {}
         self.keys = KeyMaps()
-        self.traces = FirstHop()
-        self.watch: Callable[[ClientRequest, int | Refused | Failed], None] = _pass_over  # each call's end
-        self.renew: Callable[[list[Any] | None], None] = _pass_over  # a second hop knows a newer item
+        self.traces = FirstHopTraces()
+        self.on_request_end: Callable[[ClientRequest, int | Refused | Failed], None] = (
+            _ignore  # each call's end
+        )
+        self.on_newer_item: Callable[[list[Any] | None], None] = _ignore  # a second hop knows a newer item
 
     def now(self) -> float:
         """Milliseconds of the loop's clock."""
@@ -60,34 +62,34 @@
 
     def address_of(self, node: str) -> Address | None:
         """Where a node is, as the membership has it."""
-        return self._place.address(node)
+        return self._addresses.address(node)
 
     def seed(self) -> int:
         """For the decisions of one service."""
         return self._random.getrandbits(32)
 
-    def draw(self) -> float:
+    def random_fraction(self) -> float:
         """From 0 to 1, for the share of a service."""
         return self._random.random()
 
-    def of(self, service: str, route: Route) -> tuple[Table, bool]:
+    def get_or_create(self, service: str, route: Route) -> tuple[ServiceBalancer, bool]:
         """The table of a service, and whether it has just been made and knows no instance yet."""
         table = self.by_service.get(service)
         if table is not None:
             return table, False
-        table = self.by_service[service] = Table(self, service, route)
+        table = self.by_service[service] = ServiceBalancer(self, service, route)
         return table, True
 
-    def tune(self, bounds: tuple[float, float, float]) -> None:
+    def set_retry_budget(self, bounds: tuple[float, float, float]) -> None:
         """The budget of further tries is another: ratio, window in milliseconds and slack."""
-        if bounds != (self.ratio, self.window_ms, self.slack):
-            self.ratio, self.window_ms, self.slack = bounds
+        if bounds != (self.retry_ratio, self.retry_window_ms, self.retry_slack):
+            self.retry_ratio, self.retry_window_ms, self.retry_slack = bounds
             for table in self.by_service.values():
                 table.budget.tune(self.now(), *bounds)
 
-    def people(self, sidecars: int, zones: int) -> None:
+    def set_fleet_size(self, sidecars: int, zones: int) -> None:
         """How many sidecars there are, and in how many zones."""
-        if (sidecars, zones > 1) != (self.sidecars, self.many_zones):
-            self.sidecars, self.many_zones = max(sidecars, 1), zones > 1
+        if (sidecars, zones > 1) != (self.sidecars, self.multiple_zones):
+            self.sidecars, self.multiple_zones = max(sidecars, 1), zones > 1
             for table in self.by_service.values():
                 table.retune()
--- a/mesh/data_plane/shutdown.py
+++ b/mesh/data_plane/shutdown.py
@@ -18,9 +18,9 @@
 from msgspec import Struct
 
 from mesh.data_plane.client_connection import FIRST_REQUEST_S, ClientListener
-from mesh.data_plane.incoming_calls import Incoming
+from mesh.data_plane.incoming_calls import IncomingCalls
 from mesh.data_plane.request_dispatch import RequestDispatcher
-from mesh.data_plane.service_tables import Tables
+from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.data_plane.upstream_registration import Registry
 from mesh.event_log import events
@@ -71,7 +71,7 @@
     event_log: EventLog
     upstream: Upstream
     registry: Registry
-    tables: Tables
+    service_balancers: ServiceBalancers
     client_listener: ClientListener
     request_dispatcher: RequestDispatcher
     upstream_dispatch: UpstreamDispatch
@@ -96,7 +96,7 @@
     async def run(self) -> None:
         """Returns when the process may exit."""
         proxy, times, began = self._proxy, self._times, self._loop.time()
-        proxy.registry.publish(proxy.upstream.shut_down(proxy.tables.now()))
+        proxy.registry.publish(proxy.upstream.shut_down(proxy.service_balancers.now()))
         late = self._loop.call_later(times.last_request_s, self._refuse_requests)
         clients = self._loop.create_task(
             proxy.client_listener.stop(accept_s=times.notice_s, exit_s=times.exit_s)
@@ -116,13 +116,13 @@
     def _all_answered(self) -> bool:
         """Nothing is in hand here for other sidecars, and what they were answered has left."""
         proxy = self._proxy
-        if proxy.upstream_dispatch.running or len(proxy.upstream_dispatch.line):
+        if proxy.upstream_dispatch.running or len(proxy.upstream_dispatch.queue):
             return False
         return not any(self._owes(link.peer) or link.unsent for link in proxy.incoming_links)
 
     @staticmethod
     def _owes(peer: object) -> bool:
-        return isinstance(peer, Incoming) and peer.receiving
+        return isinstance(peer, IncomingCalls) and peer.receiving
 
     def _tell_given_up(self) -> None:
         proxy = self._proxy
@@ -136,9 +136,9 @@
         proxy, left_s = self._proxy, self._grace_s - self._times.exit_s
         until = self._loop.time() + min(LEAVE_S, LEAVE_SHARE * left_s)
         proxy.stop_listening()
-        proxy.upstream_dispatch.leave()
+        proxy.upstream_dispatch.reject_queued()
         for link in list(proxy.incoming_links):
-            if isinstance(link.peer, Incoming):
+            if isinstance(link.peer, IncomingCalls):
                 link.peer.leave()
         while proxy.incoming_links and self._loop.time() < until:
             await asyncio.sleep(LOOK_S)
--- a/mesh/data_plane/traces.py
+++ b/mesh/data_plane/traces.py
@@ -13,15 +13,17 @@
 from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 from mesh.data_plane.call_state import ClientRequest, Failed, Refused, Try
 
-KEPT = 400  # calls of each ring
-MOST_TRIES = 8  # of one call, the first; the others are only counted
-MOST_NAME, MOST_WORDS = 128, 80  # characters
+RING_SIZE = 400  # calls of each ring
+MAX_TRIES = 8  # of one call, the first; the others are only counted
+MAX_NAME_CHARS, MAX_REASON_CHARS = 128, 80  # characters
 
 # attempt id, taken and over (ms of the loop's clock), route, its version and aim (ms), service, tries, how
 # many, and the end: the status of the upstream's answer, the sidecar's word, or None: the client left
-First = tuple[str, float, float, str, int, float, str, tuple[Try, ...], int, "int | Refused | Failed | None"]
+FirstHopEntry = tuple[
+    str, float, float, str, int, float, str, tuple[Try, ...], int, "int | Refused | Failed | None"
+]
 # attempt id, came, passed on (0: never) and over (ms of the loop's clock), upstream, calling service, the end
-Second = tuple[str, float, float, float, str, str, str]
+SecondHopEntry = tuple[str, float, float, float, str, str, str]
 E = TypeVar("E")
 
 
@@ -31,13 +33,13 @@
     __slots__ = ("_at", "_entries")
 
     def __init__(self) -> None:
-        self._entries: list[E | None] = [None] * KEPT
+        self._entries: list[E | None] = [None] * RING_SIZE
         self._at = 0
 
     def add(self, entry: E) -> None:
         at = self._at
         self._entries[at] = entry
-        self._at = at + 1 if at + 1 < KEPT else 0
+        self._at = at + 1 if at + 1 < RING_SIZE else 0
 
     def __iter__(self) -> Iterator[E]:
         """The oldest first."""
@@ -46,7 +48,7 @@
                 yield entry
 
 
-def words(end: End) -> str:
+def describe_end(end: End) -> str:
     """An end in few characters."""
     if isinstance(end, UpstreamResponse):
         return str(end.status)
@@ -56,14 +58,14 @@
             if end.reached_upstream
             else f"turned away: {end.reason.value}"
         )
-    return f"unclear: {end.reason[:MOST_WORDS]}"
+    return f"unclear: {end.reason[:MAX_REASON_CHARS]}"
 
 
-class FirstHop:
+class FirstHopTraces:
     """Calls that clients brought here."""
 
     def __init__(self) -> None:
-        self.plain, self.odd = Ring[First](), Ring[First]()
+        self.ordinary, self.notable = Ring[FirstHopEntry](), Ring[FirstHopEntry]()
         self.trace: Callable[[float, ClientRequest, int | Refused | Failed | None], None] | None = None
 
     def ended(self, now: float, ask: ClientRequest, told: int | Refused | Failed | None) -> None:
@@ -71,30 +73,30 @@
         tried, route = ask.tries, ask.route
         count = len(tried)
         plain = count == 1 and isinstance(told, int) and told < 500 and now - ask.received_ms <= route.aim_ms
-        (self.plain if plain else self.odd).add(
+        (self.ordinary if plain else self.notable).add(
             (
                 *(ask.attempt, ask.received_ms, now, route.name, route.version, route.aim_ms, ask.service),
-                *(tuple(tried[:MOST_TRIES]), count, told),
+                *(tuple(tried[:MAX_TRIES]), count, told),
             )
         )
         if self.trace is not None:
             self.trace(now, ask, told)
 
 
-class SecondHop:
+class SecondHopTraces:
     """Calls that came for the upstream beside this sidecar."""
 
     def __init__(self) -> None:
-        self.plain, self.odd = Ring[Second](), Ring[Second]()
+        self.ordinary, self.notable = Ring[SecondHopEntry](), Ring[SecondHopEntry]()
         self.trace: Callable[[float, Call, float, float, End], None] | None = None
 
     def ended(self, now: float, call: Call, came: float, began: float, end: End) -> None:
         """``came`` and ``began``: when it came here, and was passed on (0: never)."""
         plain = isinstance(end, UpstreamResponse) and end.status < 500
-        (self.plain if plain else self.odd).add(
+        (self.ordinary if plain else self.notable).add(
             (
-                *(call.attempt[:MOST_NAME], came, began, now),
-                *(call.instance[:MOST_NAME], call.caller[:MOST_NAME], words(end)),
+                *(call.attempt[:MAX_NAME_CHARS], came, began, now),
+                *(call.instance[:MAX_NAME_CHARS], call.caller[:MAX_NAME_CHARS], describe_end(end)),
             )
         )
         if self.trace is not None:
--- a/rigs/answer_world.py
+++ b/rigs/answer_world.py
@@ -14,7 +14,7 @@
 from anisestair.http import codec as http
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import BodyBytes
-from mesh.data_plane.upstream_connections import Answered, Outcome
+from mesh.data_plane.upstream_connections import ExchangeOutcome, ResponseReceived
 from rigs.call_world import READ, TROUBLES, WRITE, Asked, CallWorld, Tap, Work, token_of
 from simulation.mesh.wire import End
 from simulation.mesh.world import Life, Machine
@@ -38,8 +38,8 @@
 class AnsweringTap(Tap):
     """Stands in for the connections to an upstream that gives the world's answers in turn."""
 
-    async def ask(
-        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: BodyBytes = b""
+    async def send(
+        self, attempt: bytes, payload: bytes, ended: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> Work | None:
         """Begins the request unless the answer says that it did not, and ends it with that answer."""
         world = self.world
@@ -56,7 +56,7 @@
         if given.silent:
             return work
         message = http.Message(status=given.status, headers=headers, body=body_of(seal))
-        world.loop.call_later(world.draw.choice(world.works_s), work.end, Answered(message))
+        world.loop.call_later(world.draw.choice(world.works_s), work.end, ResponseReceived(message))
         return work
 
 
--- a/rigs/call_hosts.py
+++ b/rigs/call_hosts.py
@@ -187,7 +187,7 @@
         return None
 
     def ended(self, call: int, at: int, end: call_messages.End) -> None:
-        """As `proxy.tables.Table._ended`."""
+        """As `ServiceBalancer._on_call_end`."""
         if not self.on(call, at, event_of(end) if end is not UNCLEAR else Event.NO_ANSWER):
             return
         outcome = outcome_of(end)
@@ -262,7 +262,7 @@
                         self.unclear(call, turn)
 
     def same(self, life: int, told: int) -> bool:
-        """Whether the second hop that had a call is the one that is there now; as `Outgoing._ask`."""
+        """Whether the second hop that had a call is the one that is there now; as `PeerLink._query`."""
         return life == told
 
     def unclear(self, call: int, at: int) -> None:
@@ -392,7 +392,7 @@
     def asked(
         self, link: Link, book: Any, session: Session[call_messages.End], number: int, attempt: str
     ) -> None:
-        """As `proxy.incoming.Incoming._asked`."""
+        """As `IncomingCalls._on_query`."""
         verdict, kept = session.ask(number, attempt)
         turn = self.run_at(link.second, session.life, number)
         if verdict is Verdict.PASSED:
@@ -414,7 +414,7 @@
             self.end_run(second, at)
 
     def unmet(self, link: Link) -> None:
-        """The second hop's end of it is gone. As `proxy.incoming.Incoming.lost`."""
+        """The second hop's end of it is gone. As `IncomingCalls.link_lost`."""
         at = self.at(link.id)
         self.links[at] = link._replace(far=False, there=())
         book, calls = self.book(link.second), self.owners(link.second)
@@ -467,7 +467,7 @@
         self.begun[run.call] += 1
 
     def may_use(self, there: Second, attempt: str) -> bool:
-        """An idle connection, for a call of that id; as `proxy.tap.Tap.ask`."""
+        """An idle connection, for a call of that id; as `UpstreamConnectionPool.send`."""
         return attempt not in there.ids
 
     def answered(self, second: int, at: int, twice: bool, together: bool) -> None:
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -22,8 +22,8 @@
 from anisestair.http import codec as http
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import BodyBytes
-from mesh.data_plane.peer_calls import Outgoing
-from mesh.data_plane.upstream_connections import Answered, Broken, NotSent, Outcome
+from mesh.data_plane.peer_calls import PeerLink
+from mesh.data_plane.upstream_connections import ExchangeFailed, ExchangeOutcome, NotSent, ResponseReceived
 from mesh.transport.body_pieces import PIECE_BYTES
 from mesh.transport.link import Link
 from simulation.mesh.wire import DELAY_S, End
@@ -74,13 +74,13 @@
 class Work:
     """A request at an upstream, as `UpstreamDispatch` sees its connection."""
 
-    def __init__(self, ended: Callable[[Outcome], None]) -> None:
-        self.ended: Callable[[Outcome], None] | None = ended
+    def __init__(self, ended: Callable[[ExchangeOutcome], None]) -> None:
+        self.ended: Callable[[ExchangeOutcome], None] | None = ended
 
     def drop(self) -> None:
         self.ended = None
 
-    def end(self, outcome: Outcome) -> None:
+    def end(self, outcome: ExchangeOutcome) -> None:
         ended, self.ended = self.ended, None
         if ended is not None:
             ended(outcome)
@@ -90,10 +90,10 @@
     """Stands in for the connections to the upstream beside one sidecar."""
 
     def __init__(self, world: CallWorld, machine: Machine) -> None:
-        self.world, self.machine, self.most = world, machine, 100
+        self.world, self.machine, self.max_connections = world, machine, 100
 
-    async def ask(
-        self, attempt: bytes, payload: bytes, ended: Callable[[Outcome], None], body: BodyBytes = b""
+    async def send(
+        self, attempt: bytes, payload: bytes, ended: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> Work | None:
         world, draw = self.world, self.world.draw
         chance = draw.random() if world.fails else 1.0
@@ -104,14 +104,14 @@
         world.begin(token_of(asked), self.machine.name)
         work = Work(ended)
         if chance < 0.05:
-            outcome: Outcome = Broken("the connection ended")
+            outcome: ExchangeOutcome = ExchangeFailed("the connection ended")
         else:
             headers = [(b"attempt-id", attempt), (b"response-seal", b"s")]
-            outcome = Answered(http.Message(status=200, headers=headers, body=b"of " + asked))
+            outcome = ResponseReceived(http.Message(status=200, headers=headers, body=b"of " + asked))
         world.loop.call_later(draw.choice(world.works_s), work.end, outcome)
         return work
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         pass
 
     def close(self) -> None:
@@ -127,7 +127,9 @@
         self, seed: int, asks_back: bool = True, kinds: Sequence[str] = TROUBLES, fails: bool = True
     ) -> None:
         super().__init__()
-        self._patches.append(mock.patch.object(Outgoing, "_lost", self._losing(Outgoing._lost)))
+        self._patches.append(
+            mock.patch.object(PeerLink, "_on_link_lost", self._losing(PeerLink._on_link_lost))
+        )
         self.kinds, self.fails = kinds, fails
         self.draw = random.Random(seed)
         self.asks_back = asks_back
@@ -152,9 +154,9 @@
 
     def dress(self, life: Life) -> None:
         program = life.program
-        program.tap = program.upstream_dispatch.tap = self.tap(life.machine)
+        program.upstream_connections = program.upstream_dispatch.connections = self.tap(life.machine)
         if not self.asks_back:
-            program.passage.life = ""
+            program.peer_links.incarnation = ""
         for route in self.routes:
             program.routes.put(route)
 
@@ -210,9 +212,9 @@
     def _losing(self, real: Any) -> Any:
         """Notes the effectful requests that are out on a link as its first hop loses it."""
 
-        def lost(outgoing: Outgoing, link: Link, why: str) -> None:
+        def lost(outgoing: PeerLink, link: Link, why: str) -> None:
             if outgoing.link is link:
-                tokens = {token_of(out.call.body) for out in outgoing.out.values()}
+                tokens = {token_of(out.call.body) for out in outgoing.open_calls.values()}
                 for one in self.asked:
                     if one.token in tokens and one.effectful and one.cut_at is None:
                         one.cut_at, one.ran_by_then = self.loop.time(), self.begun[one.token] > 0
@@ -253,7 +255,7 @@
             one.headers, one.body, one.answered_at = headers, bytes(body), self.loop.time()
 
         def begin() -> None:
-            program.request_dispatcher.begin(program.tables.now(), message, reply)
+            program.request_dispatcher.begin(program.service_balancers.now(), message, reply)
 
         machine.life.context.run(self.loop.call_soon, begin)  # type: ignore[union-attr]
 
@@ -323,14 +325,16 @@
 def left_over(name: str, program: Any) -> list[str]:
     """What a sidecar still has in hand when all is quiet."""
     found = []
-    if program.upstream_dispatch.running or len(program.upstream_dispatch.line):
+    if program.upstream_dispatch.running or len(program.upstream_dispatch.queue):
         found.append(f"{name}: calls at the upstream or in the line")
-    if program.request_dispatcher.in_hand or len(program.passage.turns):
+    if program.request_dispatcher.in_hand or len(program.peer_links.turns):
         found.append(f"{name}: requests in hand")
-    for node, one in program.passage._links.items():
+    for node, one in program.peer_links._links.items():
         expects = one.link.expects if one.link is not None else 0
-        if one.out or one.asking or one.waiting or expects > (not one.proved):
-            found.append(f"{name} to {node}: {len(one.out)} out, {len(one.asking)} asked, expects {expects}")
+        if one.open_calls or one.to_query or one.waiting or expects > (not one.verified):
+            found.append(
+                f"{name} to {node}: {len(one.open_calls)} out, {len(one.to_query)} asked, expects {expects}"
+            )
     for link in program.incoming_links:
         if link.owes or link.expects:
             found.append(f"{name}: owes {link.owes}, expects {link.expects} on a link")
--- a/rigs/lost_links/hop.py
+++ b/rigs/lost_links/hop.py
@@ -30,15 +30,15 @@
 
 def tell_lost(folder: Path) -> None:
     """Writes the key, the other hop, the time, whether it is asked after, and why the link was lost."""
-    ask_back = peer_calls.Outgoing._ask_back
+    ask_back = peer_calls.PeerLink._schedule_query
     file = (folder / f"lost-{os.getpid()}.txt").open("w", buffering=1)
 
-    def told(self: peer_calls.Outgoing, out: Any, why: str) -> None:
+    def told(self: peer_calls.PeerLink, out: Any, why: str) -> None:
         ask_back(self, out, why)
         key = out.call.target.rpartition(b"/")[2].decode()
-        file.write(f"{key} {self.node} {time.monotonic()} {int(out.number in self.asking)} {why}\n")
+        file.write(f"{key} {self.node} {time.monotonic()} {int(out.number in self.to_query)} {why}\n")
 
-    replace(peer_calls.Outgoing, "_ask_back", told)
+    replace(peer_calls.PeerLink, "_schedule_query", told)
 
 
 def _without_bar() -> Replaced:
@@ -52,7 +52,7 @@
 
 
 def _without_seal() -> Replaced:
-    return [(upstream_dispatch.UpstreamDispatch, "_sealed", lambda self, running, message: True)]
+    return [(upstream_dispatch.UpstreamDispatch, "_has_seal", lambda self, running, message: True)]
 
 
 def _without_unclear() -> Replaced:
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -72,7 +72,7 @@
         settings = read(file.read_text())
         assert isinstance(settings, Settings), settings
         self.proxy = Proxy(settings, EventLog(self.node, io.StringIO()))
-        self.proxy.tables._random.seed(self.node)  # the same draws in each play of a plan
+        self.proxy.service_balancers._random.seed(self.node)  # the same draws in each play of a plan
         await self.proxy.start()
         self._watch()
         assert await self.upstream.tell((self.ip, ports[1])) == 200
@@ -96,10 +96,10 @@
     def close(self) -> None:
         """Lets go of all that it holds of the system."""
         self.upstream.close()
-        self.proxy.tap.close()
+        self.proxy.upstream_connections.close()
         assert self.proxy._server is not None
         self.proxy._server.close()
-        for link in [*self.proxy.incoming_links, *(one.link for one in self.proxy.passage.links())]:
+        for link in [*self.proxy.incoming_links, *(one.link for one in self.proxy.peer_links.links())]:
             if link is not None:
                 link.close("the play is over")
 
@@ -210,7 +210,7 @@
         proxy.retune(replace(proxy.settings, seeds=(("127.0.0.8", 1 + self._version),)))
 
     def _reset(self) -> None:
-        for link in self.first.proxy.passage.links():
+        for link in self.first.proxy.peer_links.links():
             if link.link is not None:
                 link.link.close("reset by the play")
 
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -63,7 +63,7 @@
             await test(there)
         finally:
             upstream.release.set()
-            proxy.tap.close()
+            proxy.upstream_connections.close()
             for connection in list(proxy.client_listener._connections):
                 connection.close()
             await proxy.client_listener.stop(accept_s=0.0)
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -9,7 +9,7 @@
 from mesh.configuration.routes import read_route
 from mesh.data_plane.call_messages import Call, End, NotExecuted
 from mesh.data_plane.staged_routes import Stages
-from mesh.data_plane.upstream_dispatch import Running, UpstreamDispatch
+from mesh.data_plane.upstream_dispatch import DispatchedCall, UpstreamDispatch
 from mesh.rollout import bounds as rollout_bounds
 from mesh.rollout.canary_selection import CanarySelection
 from mesh.rollout.change_kinds import ChangeKind
@@ -91,14 +91,14 @@
 
 
 def turned_away_after_it_ran(patch: Patch) -> None:
-    real = UpstreamDispatch.take
+    real = UpstreamDispatch.accept
 
-    def take(self: UpstreamDispatch, call: Call, ended: Callable[[End], None]) -> Running | None:
+    def accept(self: UpstreamDispatch, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
         if call.accept_stale_route:
             return real(self, call, ended)
         return real(self, call, lambda end: ended(NotExecuted(Why.OLD)))
 
-    patch.setattr(UpstreamDispatch, "take", take)
+    patch.setattr(UpstreamDispatch, "accept", accept)
 
 
 def drops_are_held_back(patch: Patch) -> None:
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -17,7 +17,7 @@
 
 from anisestair.http import codec as http
 from mesh.configuration.routes import Route
-from mesh.data_plane.upstream_connections import Answered
+from mesh.data_plane.upstream_connections import ResponseReceived
 from mesh.rollout.report import REPORT, read
 from rigs.mesh_peers import change, route
 from simulation.mesh.world import Life, Machine, Script, World
@@ -52,12 +52,12 @@
     """Stands for the connections to the upstream beside a sidecar."""
 
     def __init__(self, world: Staged, life: Life) -> None:
-        self.world, self.life, self.most = world, life, 100
+        self.world, self.life, self.max_connections = world, life, 100
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         pass
 
-    async def ask(self, attempt: bytes, payload: bytes, ended: Callable[[Any], None]) -> FakeConnection:
+    async def send(self, attempt: bytes, payload: bytes, ended: Callable[[Any], None]) -> FakeConnection:
         world, service = self.world, self.world.service(self.life.machine)
         called = world.calls.get(attempt.decode())
         if called is not None:
@@ -65,7 +65,7 @@
         status = 500 if service in world.failing else 200
         headers = [(b"attempt-id", attempt), (b"response-seal", b"s")]
         message = http.Message(status=status, headers=headers, body=service.encode())
-        world.loop.call_later(TAKES_S, ended, Answered(message))
+        world.loop.call_later(TAKES_S, ended, ResponseReceived(message))
         return FakeConnection()
 
 
@@ -90,7 +90,7 @@
         if life.machine.core:
             return
         program = life.program
-        program.tap = program.upstream_dispatch.tap = FakeTap(self, life)
+        program.upstream_connections = program.upstream_dispatch.connections = FakeTap(self, life)
         put, drop, routes = program.routes.put, program.routes.drop, program.routes
 
         def puts(route: Route) -> None:
@@ -176,7 +176,7 @@
             called.status, called.over = status, float(self.env.now)
 
         def begin() -> None:
-            life.program.request_dispatcher.begin(life.program.tables.now(), message, reply)
+            life.program.request_dispatcher.begin(life.program.service_balancers.now(), message, reply)
 
         self.loop.call_soon(begin, context=life.context)
 
--- a/tests/mesh/test_answer_world.py
+++ b/tests/mesh/test_answer_world.py
@@ -71,7 +71,7 @@
 
 
 def takes_a_success_without_a_seal(patch: Patch) -> None:
-    patch.setattr(UpstreamDispatch, "_sealed", lambda *_: True)
+    patch.setattr(UpstreamDispatch, "_has_seal", lambda *_: True)
 
 
 def gives_the_second_answer_the_status_of_the_first(patch: Patch) -> None:
@@ -88,7 +88,7 @@
         ask.reached -= isinstance(end, Unclear)
         ENDED(self, ask, number, end)
 
-    patch.setattr(service_balancers.Table, "_ended", ended)
+    patch.setattr(service_balancers.ServiceBalancer, "_on_call_end", ended)
 
 
 def counts_no_run_that_failed(patch: Patch) -> None:
@@ -96,7 +96,7 @@
         ask.reached -= not isinstance(end, NotExecuted) and not ask.finished
         ENDED(self, ask, number, end)
 
-    patch.setattr(service_balancers.Table, "_ended", ended)
+    patch.setattr(service_balancers.ServiceBalancer, "_on_call_end", ended)
 
 
 def holds_a_request_for_as_long_as_its_client_waits(patch: Patch) -> None:
@@ -104,13 +104,13 @@
         ask.deadline = ask.received_ms + float(ask.message.get(b"time-remaining") or 0.0)
         TAKE(self, ask)
 
-    patch.setattr(service_balancers.Table, "take", take)
+    patch.setattr(service_balancers.ServiceBalancer, "submit", take)
 
 
 CLIENT_RESULT, ENDED, TAKE = (
     ClientRequest.client_result,
-    service_balancers.Table._ended,
-    service_balancers.Table.take,
+    service_balancers.ServiceBalancer._on_call_end,
+    service_balancers.ServiceBalancer.submit,
 )
 SEEDED: list[tuple[Callable[[Patch], None], str]] = [
     (passes_headers_on_with_a_status_of_its_own, "seal"),
--- a/tests/mesh/test_call_world.py
+++ b/tests/mesh/test_call_world.py
@@ -13,7 +13,7 @@
 from mesh.data_plane import service_balancers
 from mesh.data_plane.call_messages import NotExecuted, Unclear
 from mesh.data_plane.call_state import ClientRequest, outcome_of
-from mesh.data_plane.peer_calls import Outgoing
+from mesh.data_plane.peer_calls import PeerLink
 from rigs.call_world import QUIET_S, TROUBLES, CallWorld
 from simulation.mesh.seeds import Patch
 from simulation.mesh.world import RESTART_S, Script, World
@@ -154,24 +154,24 @@
 
 
 def a_lost_link_has_sent_nothing(patch: Patch) -> None:
-    def lost(self: Outgoing, link: Any, why: str) -> None:
-        out, self.out = self.out, {}
+    def lost(self: PeerLink, link: Any, why: str) -> None:
+        out, self.open_calls = self.open_calls, {}
         for one in out.values():
             one.on_end(NotExecuted(Why.DOWN))
-        self.link, self.proved = None, False
-        self._again()
+        self.link, self.verified = None, False
+        self._schedule_reconnect()
 
-    patch.setattr(Outgoing, "_lost", lost)
+    patch.setattr(PeerLink, "_on_link_lost", lost)
 
 
 def numbers_begin_anew_with_each_link(patch: Patch) -> None:
-    real = Outgoing._come_up
+    real = PeerLink._connect
 
-    async def come_up(self: Outgoing) -> None:
-        self.passage.count = 0
+    async def come_up(self: PeerLink) -> None:
+        self.context.last_number = 0
         await real(self)
 
-    patch.setattr(Outgoing, "_come_up", come_up)
+    patch.setattr(PeerLink, "_connect", come_up)
 
 
 SEEDED: list[tuple[Callable[[Patch], None], str]] = [
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -14,14 +14,14 @@
 from mesh.data_plane.call_messages import Call, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.call_state import Failed, Refused
 from mesh.data_plane.introspection import why
-from mesh.data_plane.traces import KEPT, MOST_TRIES, FirstHop, Ring, SecondHop, words
+from mesh.data_plane.traces import MAX_TRIES, RING_SIZE, FirstHopTraces, Ring, SecondHopTraces, describe_end
 
 MOST_BYTES = 6000  # of the largest entry, with all that it alone holds
 
 
 def asked(attempt: str, tries: int = 1, taken: float = 0.0, **fields: Any) -> Any:
     route = SimpleNamespace(name="r" * 256, version=1, aim_ms=100.0)
-    tried = [("i" * 128, words(Unclear("w" * 9000)), 1.0) for _ in range(tries)]
+    tried = [("i" * 128, describe_end(Unclear("w" * 9000)), 1.0) for _ in range(tries)]
     return SimpleNamespace(
         **{"attempt": attempt, "taken": taken, "route": route, "service": "s" * 256, "tried": tried, **fields}
     )
@@ -46,35 +46,35 @@
 def test_a_ring_keeps_the_last_and_gives_the_oldest_first() -> None:
     ring = Ring[int]()
     assert list(ring) == []
-    for number in range(KEPT + 3):
+    for number in range(RING_SIZE + 3):
         ring.add(number)
-    assert list(ring) == list(range(3, KEPT + 3))
+    assert list(ring) == list(range(3, RING_SIZE + 3))
 
 
 def test_entries_are_bounded_whatever_was_in_the_call() -> None:
-    first, second = FirstHop(), SecondHop()
+    first, second = FirstHopTraces(), SecondHopTraces()
     first.ended(1.0, asked("a" * 128, tries=500), Failed(True))
-    (entry,) = first.odd
-    assert entry[8] == 500 and len(entry[7]) == MOST_TRIES and weight(entry) < MOST_BYTES
+    (entry,) = first.notable
+    assert entry[8] == 500 and len(entry[7]) == MAX_TRIES and weight(entry) < MOST_BYTES
     second.ended(1.0, call("a" * 100_000, "i" * 100_000, "c" * 100_000), 0.0, 0.5, Unclear("w" * 100_000))
-    (other,) = second.odd
+    (other,) = second.notable
     assert weight(other) < MOST_BYTES
 
 
 def test_a_flood_of_fine_calls_does_not_push_out_the_others() -> None:
-    first, second = FirstHop(), SecondHop()
+    first, second = FirstHopTraces(), SecondHopTraces()
     ok = UpstreamResponse(200, [], b"", True)
     for at, told in enumerate((500, Refused(1.0), Failed(False), None)):
         first.ended(1.0, asked(f"odd-{at}"), told)
     first.ended(1.0, asked("twice", tries=2), 200)
     first.ended(101.0, asked("late"), 200)
     second.ended(1.0, call("full"), 0.0, 0.0, NotExecuted(Why.FULL))
-    for at in range(3 * KEPT):
+    for at in range(3 * RING_SIZE):
         first.ended(1.0, asked(f"{at}"), 200)
         second.ended(1.0, call(f"{at}"), 0.0, 0.5, ok)
-    assert [one[0] for one in first.odd] == ["odd-0", "odd-1", "odd-2", "odd-3", "twice", "late"]
-    assert [one[0] for one in second.odd] == ["full"]
-    assert [one[0] for one in second.plain][-1] == f"{3 * KEPT - 1}"
+    assert [one[0] for one in first.notable] == ["odd-0", "odd-1", "odd-2", "odd-3", "twice", "late"]
+    assert [one[0] for one in second.notable] == ["full"]
+    assert [one[0] for one in second.ordinary][-1] == f"{3 * RING_SIZE - 1}"
 
 
 def test_why_a_server_is_sent_to_or_not_is_told_by_what_holds_first() -> None:
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -17,8 +17,8 @@
 from mesh.admission.final_check import Why
 from mesh.data_plane.call_messages import BodyPiece, End, NotExecuted, StatusQuery, Unclear
 from mesh.data_plane.call_state import OutgoingCall, State
-from mesh.data_plane.incoming_calls import Incoming
-from mesh.data_plane.peer_calls import LIFE_S
+from mesh.data_plane.incoming_calls import IncomingCalls
+from mesh.data_plane.peer_calls import INCARNATION_WAIT_S
 from mesh.transport.body_pieces import PIECE_BYTES, WINDOW_BYTES
 from mesh.transport.frames import MOST
 from mesh.transport.link import Link
@@ -30,7 +30,7 @@
 
 
 def give_room(bench: Bench, far: Far) -> None:
-    for hop in bench.passage.local, far.second:
+    for hop in bench.peer_links.local, far.second:
         hop.bodies, hop.answers, hop.frames = (Holding(ROOM, ROOM) for _ in range(3))
 
 
@@ -42,27 +42,27 @@
         give_room(bench, far)
         await bench.known(far)
         await test(bench, far)
-        answers = bench.passage.local.answers
+        answers = bench.peer_links.local.answers
         await until(lambda: answers.held == 0)
 
     over_earlier(run)
 
 
 def long_call(attempt: str, effectful: bool = True, body: bytes = LONG) -> Any:
-    return replace(call(attempt, effectful), body=body, left_ms=60_000.0)
+    return replace(call(attempt, effectful), body=body, remaining_ms=60_000.0)
 
 
-async def midway(far: Far) -> Incoming:
+async def midway(far: Far) -> IncomingCalls:
     """The second hop has some of a call's body, and not all; it reads no more for now."""
     await until(lambda: any(isinstance(head, BodyPiece) for head in far.heads))
     far.deaf = True
     incoming = far.links[-1].peer
-    assert isinstance(incoming, Incoming) and incoming._receiving
+    assert isinstance(incoming, IncomingCalls) and incoming._receiving
     return incoming
 
 
 def link_of(bench: Bench) -> Link:
-    link = bench.passage._links["there"].link
+    link = bench.peer_links._links["there"].link
     assert link is not None
     return link
 
@@ -107,7 +107,7 @@
         await until(lambda: len(far.second.taken) == 2)
         assert far.second.taken[1].call.attempt == "short"
         incoming = far.links[0].peer
-        assert isinstance(incoming, Incoming) and incoming._receiving
+        assert isinstance(incoming, IncomingCalls) and incoming._receiving
         far.second.end(1, SERVED)
         assert await soon(end) == SERVED
         await until(lambda: len(far.second.taken) == 3)
@@ -143,7 +143,7 @@
         far.deaf = False
         assert await soon(end) == NOT_RUN
         for _, head, data in late:
-            incoming.frame(head, data)
+            incoming.handle_frame(head, data)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
         assert far.second.bodies.held == 0 and out.state is State.ENDED
 
@@ -157,11 +157,11 @@
         await turns()
         late, far.unread = far.unread, []
         (number,), session = incoming._receiving, far.sessions.by_life["f1"]
-        other = Incoming(Link(lambda _: None, far._frame, far._lost), far.second, far.sessions, session)
-        other.frame(StatusQuery(number=number, attempt="a1"), b"")
+        other = IncomingCalls(Link(lambda _: None, far._frame, far._lost), far.second, far.sessions, session)
+        other.handle_frame(StatusQuery(number=number, attempt="a1"), b"")
         assert not incoming._receiving and far.second.bodies.held == 0 and number not in session.calls
         for _, head, data in late:
-            incoming.frame(head, data)
+            incoming.handle_frame(head, data)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
 
     over(test)
@@ -182,7 +182,7 @@
     async def test(bench: Bench, far: Far) -> None:
         out, end = bench.send(far, long_call("a1"))
         await midway(far)
-        bench.passage.drop(out)
+        bench.peer_links.drop(out)
         assert out.state is State.WITHDRAWN
         far.hear()
         await until(lambda: far.links[0].owes == 0 and far.second.bodies.held == 0)
@@ -199,7 +199,7 @@
         _, end = bench.send(far, long_call("a1", effectful, b"x"))
         await until(lambda: len(far.second.taken) == 2)
         far.second.end(1, dataclasses.replace(SERVED, body=LONG))
-        outgoing = bench.passage._links["there"]
+        outgoing = bench.peer_links._links["there"]
         await until(lambda: outgoing.transfer is not None and bool(outgoing.transfer._incoming))
         assert not end.done()
         link_of(bench).close("reset")
@@ -215,11 +215,11 @@
         out, end = bench.send(far, long_call("a1", body=b"x"))
         await until(lambda: len(far.second.taken) == 2)
         far.second.end(1, dataclasses.replace(SERVED, body=LONG * 4))
-        outgoing = bench.passage._links["there"]
+        outgoing = bench.peer_links._links["there"]
         await until(lambda: outgoing.transfer is not None and bool(outgoing.transfer._incoming))
-        bench.passage.drop(out)
+        bench.peer_links.drop(out)
         incoming = far.links[0].peer
-        assert isinstance(incoming, Incoming)
+        assert isinstance(incoming, IncomingCalls)
         await until(lambda: not incoming._sending and far.links[0].owes == far.links[0].expects == 0)
         assert not end.done() and (link_of(bench).owes, link_of(bench).expects) == (0, 0)
 
@@ -228,7 +228,7 @@
 
 def test_an_answer_that_the_first_hops_memory_does_not_bear_may_have_run_and_is_stopped() -> None:
     async def test(bench: Bench, far: Far) -> None:
-        bench.passage.local.answers = Holding(2 * PIECE_BYTES, PIECE_BYTES)
+        bench.peer_links.local.answers = Holding(2 * PIECE_BYTES, PIECE_BYTES)
         for size in (2 * PIECE_BYTES, PIECE_BYTES):  # in pieces, and in one frame
             _, end = bench.send(far, long_call(f"a{size}", body=b"x"))
             before = len(far.second.taken)
@@ -237,7 +237,7 @@
             told = await soon(end)
             assert isinstance(told, Unclear) == (size > PIECE_BYTES)
         incoming = far.links[0].peer
-        assert isinstance(incoming, Incoming)
+        assert isinstance(incoming, IncomingCalls)
         await until(lambda: not incoming._sending and far.links[0].owes == 0)
 
     over(test)
@@ -330,9 +330,9 @@
         give_room(bench, far)
         _, end = bench.send(far, call("a1", effectful=False))
         await until(lambda: len(far.unread) == 2)
-        move(LIFE_S + 0.01)
+        move(INCARNATION_WAIT_S + 0.01)
         await turns()
-        outgoing = bench.passage._links["there"]
+        outgoing = bench.peer_links._links["there"]
         assert outgoing.known and outgoing.life is None
         far.hear()
         await until(lambda: outgoing.life == far.life)
@@ -350,7 +350,7 @@
         incoming = await midway(far)
         (number,) = incoming._receiving
         with pytest.raises(ValueError):
-            incoming.frame(BodyPiece(number=number), bytes(WINDOW_BYTES + 1))
+            incoming.handle_frame(BodyPiece(number=number), bytes(WINDOW_BYTES + 1))
         link_of(bench).close("over")
         await until(lambda: far.second.bodies.held == 0)
 
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -14,11 +14,11 @@
 from mesh.configuration.limits import InputLimits
 from mesh.configuration.routes import Routes, read_route
 from mesh.data_plane.client_connection import AT_ONCE, ClientListener, PipelinedConnection
-from mesh.data_plane.peer_links import Passage
+from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.request_dispatch import OTHERS_S, RequestDispatcher
-from mesh.data_plane.service_balancers import GUARD_MS
-from mesh.data_plane.service_tables import Tables
-from mesh.data_plane.upstream_connections import Tap
+from mesh.data_plane.service_balancers import DEADLINE_SLACK_MS
+from mesh.data_plane.service_tables import ServiceBalancers
+from mesh.data_plane.upstream_connections import UpstreamConnectionPool
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
@@ -31,7 +31,7 @@
 PAY = route("pay", "/pay/", "s", effectful=True)
 
 
-class Place:
+class NoAddresses:
     def address(self, node: str) -> Address | None:
         return None
 
@@ -46,18 +46,25 @@
         assert isinstance(beat, Heartbeat)
         life.on_heartbeat(0.0, beat)
         self.upstream, self.routes, self.known = upstream, Routes(), True
-        self.tap = Tap(upstream.address, 40, event_log)
-        self.upstream_dispatch = UpstreamDispatch(life, self.tap, event_log, lambda _: None)
-        passage = Passage("n1", self.upstream_dispatch, event_log, lambda node, up: None)
-        self.tables = Tables(passage, Place(), lambda _: "n1", "z", (0.2, 10_000.0, 100.0), 7, event_log)
+        self.connections = UpstreamConnectionPool(upstream.address, 40, event_log)
+        self.upstream_dispatch = UpstreamDispatch(life, self.connections, event_log, lambda _: None)
+        peer_links = PeerLinks("n1", self.upstream_dispatch, event_log, lambda node, up: None)
+        self.balancers = ServiceBalancers(
+            peer_links, NoAddresses(), lambda _: "n1", "z", (0.2, 10_000.0, 100.0), 7, event_log
+        )
         self.request_dispatcher = RequestDispatcher(
-            self.tables, "me", 200.0, self.routes.find, lambda: self.known, lambda service: self.fill(service)
+            self.balancers,
+            "me",
+            200.0,
+            self.routes.find,
+            lambda: self.known,
+            lambda service: self.fill(service),
         )
         for rule in rules:
             self.routes.put(read_route(rule["name"], 1, {**rule, "host": "h.example"}))
 
     def fill(self, service: str) -> None:
-        self.tables.by_service[service].tell([(self.upstream.instance, INSTANCE)], whole=True)
+        self.balancers.by_service[service].update_instances([(self.upstream.instance, INSTANCE)], whole=True)
 
     def start(self) -> None:
         self.client_listener = ClientListener(self.request_dispatcher, 50)
@@ -86,7 +93,7 @@
         finally:
             upstream.release.set()
             upstream.close()
-            sidecar.tap.close()
+            sidecar.connections.close()
             sidecar.client_listener.closing = True
             for connection in list(sidecar.client_listener._connections):
                 connection.close()
@@ -201,7 +208,7 @@
         client = await sidecar.client()
         client.send("a1", "/pay/hold", left_ms=800)
         await sidecar.came()
-        move(0.8 + GUARD_MS / 1000.0)
+        move(0.8 + DEADLINE_SLACK_MS / 1000.0)
         answer = await client.read()
         assert answer and answer.status == 504
         await until(lambda: not sidecar.upstream.open)
--- a/tests/mesh/test_data_plane_keyed_balancer.py
+++ b/tests/mesh/test_data_plane_keyed_balancer.py
@@ -8,7 +8,7 @@
 
 from hareloom import interface as api
 from hareloom.interface import Effect, Outcome
-from mesh.data_plane.keyed_balancer import LOOK_MS, PATIENCE, TRIES_MOST, KeyedBalancer
+from mesh.data_plane.keyed_balancer import HOLDER_POLL_MS, MAX_SENDS, MAX_WAIT_SHARE, KeyedBalancer
 
 AIM_MS = 500.0
 SAFE = api.RequestClass("safe", AIM_MS, 2000.0, effect=Effect.SAFE)
@@ -34,7 +34,7 @@
     def looks(self) -> list[Any]:
         """One look after the other until something but a look is to be done."""
         while True:
-            self.now += LOOK_MS
+            self.now += HOLDER_POLL_MS
             actions = [one for one in self.tell(api.Timer(0)) if not isinstance(one, api.SetTimer)]
             if actions or self.now > 10 * AIM_MS:
                 return actions
@@ -50,10 +50,10 @@
 
 def test_a_key_in_motion_is_waited_for_and_then_refused_with_a_time_to_come_back() -> None:
     bench = Bench(holder="")
-    assert bench.ask() == [api.SetTimer(LOOK_MS, 0)]
+    assert bench.ask() == [api.SetTimer(HOLDER_POLL_MS, 0)]
     (refused,) = bench.looks()
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms > 0.0
-    assert bench.now <= PATIENCE * AIM_MS + LOOK_MS
+    assert bench.now <= MAX_WAIT_SHARE * AIM_MS + HOLDER_POLL_MS
 
 
 def test_it_goes_to_the_next_holder_as_soon_as_there_is_one() -> None:
@@ -78,7 +78,7 @@
         if isinstance(actions[0], api.Refuse):
             break
         sends += 1
-    assert sends == TRIES_MOST
+    assert sends == MAX_SENDS
 
 
 @pytest.mark.parametrize(
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -27,12 +27,12 @@
     end_head,
 )
 from mesh.data_plane.call_state import MIN_QUERY_SHARE, Event, OutgoingCall, State
-from mesh.data_plane.incoming_calls import Incoming
+from mesh.data_plane.incoming_calls import IncomingCalls
 from mesh.data_plane.paced_turns import AT_ONCE, PACE_S
-from mesh.data_plane.peer_calls import LIFE_S, UNPROVED_MOST
-from mesh.data_plane.peer_links import Passage
+from mesh.data_plane.peer_calls import INCARNATION_WAIT_S, MAX_SILENT_LINKS
+from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.program import TICK_S
-from mesh.data_plane.upstream_dispatch import Running, UpstreamDispatch
+from mesh.data_plane.upstream_dispatch import DispatchedCall, UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.transport.frames import Head
 from mesh.transport.link import SILENT_S, Address, Link, listen
@@ -57,26 +57,26 @@
     """A second hop that passes on and answers when the test says so."""
 
     def __init__(self) -> None:
-        self.taken: list[Running] = []
+        self.taken: list[DispatchedCall] = []
         self.dropped: list[str] = []
         self.lines = False  # calls wait
         self.bodies = Holding(4096, 1024)
         self.answers = self.frames = Holding(1 << 20, 1 << 20)
 
-    def take(self, call: Call, ended: Callable[[End], None]) -> Running | None:
-        running = Running(call, ended, 0.0)
-        running.on(Event.NO_PLACE if self.lines else Event.PLACE)
+    def accept(self, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
+        running = DispatchedCall(call, ended, 0.0)
+        running.apply(Event.NO_PLACE if self.lines else Event.PLACE)
         self.taken.append(running)
         return running
 
-    def drop(self, running: Running, event: Event = Event.GIVEN_UP) -> None:
-        assert running.on(event)
+    def drop(self, running: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
+        assert running.apply(event)
         self.dropped.append(running.call.attempt)
 
     def end(self, at: int, end: End) -> None:
         running = self.taken[at]
-        assert running.on(Event.ANSWER)
-        running.ended(end)
+        assert running.apply(Event.ANSWER)
+        running.on_end(end)
 
 
 class Far:
@@ -104,19 +104,19 @@
             return
         self.heads.append(head)
         if not (isinstance(head, dict) and head["t"] == "hello"):
-            assert isinstance(link.peer, Incoming)
-            link.peer.frame(head, body)
+            assert isinstance(link.peer, IncomingCalls)
+            link.peer.handle_frame(head, body)
         elif self.old:
-            link.peer = Incoming(link, self.second)
+            link.peer = IncomingCalls(link, self.second)
         else:
             session = self.sessions.open(str(head["life"]))
             theirs = head["window"] if self.window else 0
-            link.peer = Incoming(link, self.second, self.sessions, session, theirs)
+            link.peer = IncomingCalls(link, self.second, self.sessions, session, theirs)
             link.send(GreetingReply(life=self.life, window=self.window))
 
     def _lost(self, link: Link, why: str) -> None:
-        if isinstance(link.peer, Incoming):
-            link.peer.lost()
+        if isinstance(link.peer, IncomingCalls):
+            link.peer.link_lost()
 
     def hear(self) -> None:
         """What has stood unread is read."""
@@ -134,11 +134,11 @@
 class Bench:
     def __init__(self) -> None:
         self.log = io.StringIO()
-        self.passage = Passage("here", Second(), EventLog("t", self.log), lambda node, up: None, "f1")
+        self.peer_links = PeerLinks("here", Second(), EventLog("t", self.log), lambda node, up: None, "f1")
 
     def send(self, far: Far, call: Call) -> tuple[OutgoingCall, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # one end, or it raises
-        return self.passage.send(call, "there", far.address, end.set_result), end
+        return self.peer_links.send(call, "there", far.address, end.set_result), end
 
     async def known(self, far: Far) -> None:
         """There is a link, and the far end has told its life."""
@@ -153,9 +153,9 @@
         for _ in range(int(seconds / TICK_S) + 1):
             move(TICK_S)
             for link in far.links if far is not None else []:
-                link.tick(self.passage.loop.time())
+                link.tick(self.peer_links.loop.time())
             await turns()
-            self.passage.tick(self.passage.loop.time())
+            self.peer_links.tick(self.peer_links.loop.time())
             await turns()
 
 
@@ -179,7 +179,7 @@
         far.deaf = True
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.unread) == 1)
-        bench.passage._links["there"].link.close("reset")  # type: ignore[union-attr]
+        bench.peer_links._links["there"].link.close("reset")  # type: ignore[union-attr]
         await until(lambda: len(far.links) == 2 and len(far.unread) == 2)
         late = far.unread.pop(0)
         far.hear()
@@ -222,7 +222,7 @@
         far.hear()
         assert await soon(end) == SERVED
         assert not far.second.dropped and far.links[-1].owes == 0
-        link = bench.passage._links["there"].link
+        link = bench.peer_links._links["there"].link
         assert link is not None and link.expects == 0
 
     over(test)
@@ -233,7 +233,7 @@
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
-        bench.passage._links["there"].link.close("reset")  # type: ignore[union-attr]
+        bench.peer_links._links["there"].link.close("reset")  # type: ignore[union-attr]
         far.second.end(1, SERVED)  # to a link that nobody reads
         assert await soon(end) == SERVED and out.state is State.ENDED
 
@@ -275,13 +275,13 @@
         far.deaf = True
         far.links[0].close("reset")
         await until(lambda: len(far.links) == 2)
-        began = bench.passage.loop.time()
+        began = bench.peer_links.loop.time()
         while not end.done():
             move(0.01)
             await turns()
         assert isinstance(end.result(), Unclear)
-        assert least - 0.05 <= bench.passage.loop.time() - began <= most
-        assert not bench.passage._links["there"].asking
+        assert least - 0.05 <= bench.peer_links.loop.time() - began <= most
+        assert not bench.peer_links._links["there"].to_query
         far.hear()
         await turns()
 
@@ -297,7 +297,7 @@
         far.links[0].close("reset")
         assert isinstance(await soon(end), Unclear) and far.second.dropped == ["a1"]
         await bench.runs(0.2)
-        await until(lambda: bench.passage.reaches("there"))
+        await until(lambda: bench.peer_links.reaches("there"))
 
     over(test)
 
@@ -307,14 +307,14 @@
         await bench.known(far)
         far.old = True
         far.links[0].close("replaced")
-        await until(lambda: not bench.passage.reaches("there"))
+        await until(lambda: not bench.peer_links.reaches("there"))
         await bench.runs(SILENT_S)
-        assert not bench.passage.reaches("there")
+        assert not bench.peer_links.reaches("there")
         for _ in range(200):
-            if bench.passage.reaches("there"):
+            if bench.peer_links.reaches("there"):
                 break
             await bench.runs(TICK_S)
-        assert bench.passage.reaches("there") and len(far.links) == UNPROVED_MOST + 2
+        assert bench.peer_links.reaches("there") and len(far.links) == MAX_SILENT_LINKS + 2
 
     over(test)
 
@@ -339,10 +339,10 @@
     async def test(bench: Bench, far: Far) -> None:
         far.old = True
         _, end = bench.send(far, call("write"))
-        await until(lambda: bench.passage._links["there"].proved)
+        await until(lambda: bench.peer_links._links["there"].verified)
         await turns()
         assert not far.second.taken
-        move(LIFE_S)
+        move(INCARNATION_WAIT_S)
         await until(lambda: len(far.second.taken) == 1)
         far.second.end(0, SERVED)
         assert await soon(end) == SERVED
@@ -354,10 +354,12 @@
     async def test(bench: Bench, far: Far) -> None:
         far.old = True
         _, end = bench.send(far, call("write"))
-        await until(lambda: bench.passage._links["there"].proved)
-        bench.passage._links["there"]._release()  # the time for a link is over, that for its life is not
-        assert not end.done() and bench.passage.reaches("there")
-        move(LIFE_S)
+        await until(lambda: bench.peer_links._links["there"].verified)
+        bench.peer_links._links[
+            "there"
+        ]._reject_waiting()  # the time for a link is over, that for its life is not
+        assert not end.done() and bench.peer_links.reaches("there")
+        move(INCARNATION_WAIT_S)
         await until(lambda: len(far.second.taken) == 1)
 
     over(test)
@@ -367,7 +369,7 @@
     async def test(bench: Bench, far: Far) -> None:
         far.deaf = True
         _, end = bench.send(far, call("write"))
-        await until(lambda: bench.passage._links["there"].proved)
+        await until(lambda: bench.peer_links._links["there"].verified)
         far.links[0].close("reset")
         assert await soon(end) == NotExecuted(Why.DOWN)
 
@@ -379,10 +381,10 @@
         await bench.known(far)
         _, end = bench.send(far, call("a1", aim_ms=800.0))
         await until(lambda: len(far.second.taken) == 2)
-        began = bench.passage.loop.time()
+        began = bench.peer_links.loop.time()
         far.close()
         assert await soon(end) == Unclear("nobody is there")
-        assert bench.passage.loop.time() - began < 0.2
+        assert bench.peer_links.loop.time() - began < 0.2
 
     over(test)
 
@@ -410,9 +412,9 @@
         await until(lambda: len(far.second.taken) == 2)
         far.links[0].close("reset")
         await until(lambda: out.state is State.UNCLEAR)
-        bench.passage.drop(out)
+        bench.peer_links.drop(out)
         await bench.runs(1.0)
-        assert not end.done() and not bench.passage._links["there"].asking
+        assert not end.done() and not bench.peer_links._links["there"].to_query
         assert out.state is State.WITHDRAWN
 
     over(test)
@@ -432,7 +434,7 @@
             seen.append(sum(end.done() for end in ends))
         steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
         assert max(steps) <= AT_ONCE, seen
-        assert not bench.passage.turns
+        assert not bench.peer_links.turns
 
     over(test)
 
@@ -443,8 +445,8 @@
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
         incoming = far.links[0].peer
-        assert isinstance(incoming, Incoming)
-        incoming.frame(call("a1").head(2), b"")
+        assert isinstance(incoming, IncomingCalls)
+        incoming.handle_frame(call("a1").head(2), b"")
         assert len(far.second.taken) == 2
         far.second.end(1, SERVED)
         assert await soon(end) == SERVED
@@ -494,12 +496,12 @@
         move(SILENT_S)  # its aim is over: a quarter of it is left to ask in
         far.unread.clear()  # the calls never came to be read
         far.deaf = False
-        bench.passage._links["there"].link.close("silent")
+        bench.peer_links._links["there"].link.close("silent")
         for _ in range(200):
             await turns()
             if any(kind_of(head) == "ask" for head in far.heads) or end.done():
                 break
-            bench.passage.tick(bench.passage.loop.time())
+            bench.peer_links.tick(bench.peer_links.loop.time())
             move(0.002)
         for _ in range(50):
             await turns()
@@ -524,7 +526,7 @@
         (link,) = far.links
         link.peer.leave()
         assert await soon(unread) == NotExecuted(Why.LEAVING)
-        assert not bench.passage.reaches("there")
+        assert not bench.peer_links.reaches("there")
         far.hear()  # the late copy
         assert [running.call.attempt for running in far.second.taken] == ["warm", "a1"]
         await until(lambda: not link.up)  # the first hop has read the word, and closes
@@ -545,9 +547,9 @@
         again: asyncio.Future[End] = asyncio.get_running_loop().create_future()
 
         def ended(_: End) -> None:
-            bench.passage.send(call("a1"), "there", far.address, again.set_result)
+            bench.peer_links.send(call("a1"), "there", far.address, again.set_result)
 
-        bench.passage.send(call("a1"), "there", far.address, ended)
+        bench.peer_links.send(call("a1"), "there", far.address, ended)
         await until(lambda: len(far.unread) == 1)
         far.links[0].peer.leave()
         assert await soon(again) == NotExecuted(Why.DOWN)
@@ -568,7 +570,7 @@
         far.links[0].close("reset")
         await until(lambda: len(far.unread) == 1)  # the greeting
         far.links[-1].send(GreetingReply(life="s1"))
-        await until(lambda: out.number in bench.passage._links["there"].out)  # it is asked after
+        await until(lambda: out.number in bench.peer_links._links["there"].open_calls)  # it is asked after
         far.links[-1].send(GoAway(last=0))
         await until(lambda: not far.links[-1].up)
         assert not end.done()
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -15,11 +15,11 @@
 from mesh.admission.final_check import Why
 from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse, end_head
 from mesh.data_plane.call_state import Event, OutgoingCall
-from mesh.data_plane.incoming_calls import Incoming
-from mesh.data_plane.peer_calls import AGAIN_S, HOLD_S, IDLE_S
-from mesh.data_plane.peer_links import Passage
+from mesh.data_plane.incoming_calls import IncomingCalls
+from mesh.data_plane.peer_calls import CONNECT_WAIT_S, IDLE_S, RECONNECT_S
+from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.program import TICK_S, Proxy
-from mesh.data_plane.upstream_dispatch import Running, UpstreamDispatch
+from mesh.data_plane.upstream_dispatch import DispatchedCall, UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.runtime.settings import Settings, read
@@ -38,21 +38,21 @@
     """A second hop that answers when the test says so."""
 
     def __init__(self) -> None:
-        self.taken: asyncio.Queue[Running] = asyncio.Queue()
+        self.taken: asyncio.Queue[DispatchedCall] = asyncio.Queue()
         self.dropped: list[str] = []
         self.full = False
         self.bodies = Holding(4096, 1024)
         self.answers = self.frames = Holding(1 << 20, 1 << 20)
 
-    def take(self, call: Call, ended: Callable[[End], None]) -> Running | None:
+    def accept(self, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
         if self.full:
             ended(NotExecuted(Why.FULL))
             return None
-        running = Running(call, ended, 0.0)
+        running = DispatchedCall(call, ended, 0.0)
         self.taken.put_nowait(running)
         return running
 
-    def drop(self, running: Running, event: Event = Event.GIVEN_UP) -> None:
+    def drop(self, running: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
         self.dropped.append(running.call.attempt)
 
 
@@ -72,10 +72,10 @@
         self.address: Address = self._server.sockets[0].getsockname()[:2]
 
     def _frame(self, link: Link, head: Head, body: bytes) -> None:
-        if isinstance(link.peer, Incoming):
-            link.peer.frame(head, body)
+        if isinstance(link.peer, IncomingCalls):
+            link.peer.handle_frame(head, body)
         elif self.second is not None and head["t"] == "hello":
-            link.peer = Incoming(link, self.second)
+            link.peer = IncomingCalls(link, self.second)
         else:
             self.frames.put_nowait((link, head, body))
 
@@ -97,28 +97,28 @@
     def __init__(self) -> None:
         self.local = Second()
         self.reached: list[tuple[str, bool]] = []  # as it was told
-        self.passage = Passage(
+        self.peer_links = PeerLinks(
             "here", self.local, EventLog("t", io.StringIO()), lambda node, up: self.reached.append((node, up))
         )
 
     def tick(self) -> None:
-        self.passage.tick(self.passage.loop.time())
+        self.peer_links.tick(self.peer_links.loop.time())
 
     async def comes_back(self) -> None:
         """A link that is down is tried again by itself."""
-        move(AGAIN_S + 0.01)
+        move(RECONNECT_S + 0.01)
         self.tick()
-        await until(lambda: self.passage.reaches("there"))
+        await until(lambda: self.peer_links.reaches("there"))
 
     def send(
         self, attempt: str, address: Address | None, node: str = "there", body: bytes = b""
     ) -> tuple[OutgoingCall, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # one end, or it raises
-        return self.passage.send(call(attempt, body), node, address, end.set_result), end
+        return self.peer_links.send(call(attempt, body), node, address, end.set_result), end
 
 
 def over(test: Callable[[Bench, Far], Awaitable[None]], real: bool = False) -> None:
-    """``real``: the far end is an Incoming."""
+    """``real``: the far end is an `IncomingCalls`."""
 
     async def run() -> None:
         far, bench = Far(Second() if real else None), Bench()
@@ -134,20 +134,20 @@
 def test_a_call_and_its_end_cross_the_link_unchanged() -> None:
     async def test(bench: Bench, far: Far) -> None:
         assert far.second is not None
-        bench.passage.warm("there", far.address)  # what waits for the link is charged for that
-        await until(lambda: bench.passage._links["there"].proved)
+        bench.peer_links.open_early("there", far.address)  # what waits for the link is charged for that
+        await until(lambda: bench.peer_links._links["there"].verified)
         _, end = bench.send("a1", far.address, body=b"\x00,:")
         running = await soon(far.second.taken.get())
         assert running.call == call("a1", b"\x00,:")
         assert far.links[0].owes == 1
-        running.ended(SERVED)
+        running.on_end(SERVED)
         assert await soon(end) == SERVED
         for told in (NotExecuted(Why.LEAVING), NotExecuted(Why.OTHER, reached_upstream=True), Unclear("why")):
             _, end = bench.send("a2", far.address)
-            (await soon(far.second.taken.get())).ended(told)
+            (await soon(far.second.taken.get())).on_end(told)
             assert await soon(end) == told
         assert len(far.links) == 1 and far.links[0].owes == 0
-        link = bench.passage._links["there"].link
+        link = bench.peer_links._links["there"].link
         assert link is not None and link.expects == 0
 
     over(test, real=True)
@@ -163,7 +163,7 @@
         link.close("cut")
         for end in ends[0], ends[2]:
             assert isinstance(await soon(end), Unclear)
-        assert not bench.passage.reaches("there") and bench.reached == [("there", False)]
+        assert not bench.peer_links.reaches("there") and bench.reached == [("there", False)]
         assert bench.send("b", far.address)[1].result() == NotExecuted(Why.DOWN)
         bench.tick()  # not at once
         await turns()
@@ -204,13 +204,13 @@
         running = await soon(far.second.taken.get())
         for _ in range(4):
             move(0.8 * SILENT_S)
-            link = bench.passage._links["there"].link
+            link = bench.peer_links._links["there"].link
             assert link is not None
             heard = link.heard_at
-            far.links[0].tick(bench.passage.loop.time())
+            far.links[0].tick(bench.peer_links.loop.time())
             await until(lambda link=link, heard=heard: link.heard_at > heard)  # type: ignore[misc]
             bench.tick()
-        running.ended(SERVED)
+        running.on_end(SERVED)
         assert await soon(end) == SERVED
 
     over(test, real=True)
@@ -241,18 +241,18 @@
         async def hang(*_: object) -> None:
             await asyncio.get_running_loop().create_future()
 
-        loop = bench.passage.loop
+        loop = bench.peer_links.loop
         connects, loop.create_connection = loop.create_connection, hang  # type: ignore[method-assign,assignment]
         _, end = bench.send("a1", far.address)
         await turns()
         assert not end.done()
-        move(HOLD_S + 0.01)
+        move(CONNECT_WAIT_S + 0.01)
         await turns()
         assert end.result() == NotExecuted(Why.DOWN)
         assert bench.reached == [("there", False)]
         loop.create_connection = connects  # type: ignore[method-assign]
         move(1.0)  # the try itself is given up
-        await until(lambda: bench.passage._links["there"].coming is None)
+        await until(lambda: bench.peer_links._links["there"].connecting is None)
         await bench.comes_back()
         assert not far.frames.qsize() or (await soon(far.frames.get()))[1]["t"] == "hello"
 
@@ -262,7 +262,7 @@
 def test_calls_that_wait_for_a_link_go_over_it_when_it_is_up() -> None:
     async def test(bench: Bench, far: Far) -> None:
         sent = [bench.send(f"a{at}", far.address) for at in range(3)]
-        bench.passage.drop(sent[1][0])
+        bench.peer_links.drop(sent[1][0])
         found = [(await far.next())[1]["a"] for _ in range(2)]
         assert found == ["a0", "a2"] and len(far.links) == 1
         assert not sent[1][1].done()
@@ -272,7 +272,7 @@
 
 def test_what_a_call_waited_for_its_link_is_taken_off_what_the_second_hop_is_told_is_left() -> None:
     async def test(bench: Bench, far: Far) -> None:
-        loop, goes_on = bench.passage.loop, asyncio.Event()
+        loop, goes_on = bench.peer_links.loop, asyncio.Event()
         connects = loop.create_connection
 
         async def late(*arguments: Any) -> Any:
@@ -282,12 +282,12 @@
         loop.create_connection = late  # type: ignore[method-assign,assignment]
         _, end = bench.send("a1", far.address)
         await turns()
-        move(0.5 * HOLD_S)
+        move(0.5 * CONNECT_WAIT_S)
         goes_on.set()
         assert far.second is not None
         told, began = (await soon(far.second.taken.get())).call, call("a1")
-        least = 500.0 * HOLD_S - 1.0  # ages cross the link as whole milliseconds
-        most = 1000.0 * HOLD_S
+        least = 500.0 * CONNECT_WAIT_S - 1.0  # ages cross the link as whole milliseconds
+        most = 1000.0 * CONNECT_WAIT_S
         waited = (
             began.remaining_ms - told.remaining_ms,
             began.max_wait_ms - told.max_wait_ms,
@@ -305,13 +305,13 @@
         assert far.second is not None
         out, end = bench.send("a1", far.address)
         running = await soon(far.second.taken.get())
-        bench.passage.drop(out)
+        bench.peer_links.drop(out)
         await until(lambda: far.second is not None and far.second.dropped == ["a1"])
-        link = bench.passage._links["there"].link
+        link = bench.peer_links._links["there"].link
         assert link is not None and (link.expects, far.links[0].owes) == (0, 0)
-        bench.passage.drop(out)  # of no effect
+        bench.peer_links.drop(out)  # of no effect
         _, other = bench.send("a2", far.address)
-        (await soon(far.second.taken.get())).ended(SERVED)
+        (await soon(far.second.taken.get())).on_end(SERVED)
         assert await soon(other) == SERVED
         assert not end.done() and far.second.dropped == ["a1"]
         assert running.call.attempt == "a1"
@@ -323,7 +323,7 @@
     async def test(bench: Bench, far: Far) -> None:
         out, end = bench.send("a1", far.address)
         link, head, _ = await far.next()
-        bench.passage.drop(out)
+        bench.peer_links.drop(out)
         link.send(*end_head(head["n"], SERVED))
         _, other = bench.send("a2", far.address)
         while (found := await far.next())[1]["t"] != "call":
@@ -336,7 +336,7 @@
 
 
 def test_calls_in_hand_over_one_link_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Incoming, "MOST", 3)
+    monkeypatch.setattr(IncomingCalls, "MAX_OPEN_CALLS", 3)
 
     async def test(bench: Bench, far: Far) -> None:
         assert far.second is not None
@@ -344,7 +344,7 @@
         assert await soon(ends[3]) == NotExecuted(Why.FULL)
         runnings = [await soon(far.second.taken.get()) for _ in range(3)]
         assert far.second.taken.empty() and far.links[0].owes == 3
-        runnings[0].ended(SERVED)
+        runnings[0].on_end(SERVED)
         assert await soon(ends[0]) == SERVED
         bench.send("b", far.address)
         assert (await soon(far.second.taken.get())).call.attempt == "b"
@@ -362,18 +362,18 @@
         first = [bench.send(f"a{at}", far.address, body=b"x" * 900) for at in range(3)]
         assert await soon(first[2][1]) == NotExecuted(Why.FULL) and bodies.held == 1800
         assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(Why.FULL)
-        (await soon(far.second.taken.get())).ended(SERVED)
+        (await soon(far.second.taken.get())).on_end(SERVED)
         assert await soon(first[0][1]) == SERVED
-        bench.passage.drop(first[1][0])
+        bench.peer_links.drop(first[1][0])
         await until(lambda: bodies.held == 0)
         bench.send("c", far.address, body=b"x" * 900)
         await until(lambda: bodies.held == 900)
         far.second.full = True
         assert await soon(bench.send("d", far.address, body=b"x" * 900)[1]) == NotExecuted(Why.FULL)
         assert bodies.held == 900
-        link = bench.passage._links["there"].link
-        assert link is not None and isinstance(far.links[0].peer, Incoming)
-        far.links[0].peer.lost()
+        link = bench.peer_links._links["there"].link
+        assert link is not None and isinstance(far.links[0].peer, IncomingCalls)
+        far.links[0].peer.link_lost()
         assert bodies.held == 0
 
     over(test, real=True)
@@ -392,7 +392,7 @@
         link.send(*end_head(head["n"], SERVED))
         assert await soon(new) == SERVED
         await until(lambda: far.lost == 1)
-        bench.passage.forget("there")
+        bench.peer_links.forget("there")
         await until(lambda: moved.lost == 1)
         moved.close()
 
@@ -403,8 +403,8 @@
     async def test(bench: Bench, far: Far) -> None:
         _, end = bench.send("a1", far.address)
         link, head, _ = await far.next()
-        heard = bench.passage.loop.time() + IDLE_S + 1.0
-        outgoing = bench.passage._links["there"].link
+        heard = bench.peer_links.loop.time() + IDLE_S + 1.0
+        outgoing = bench.peer_links._links["there"].link
         assert outgoing is not None
         move(IDLE_S + 1.0)
         outgoing.heard_at = heard  # it has beaten meanwhile
@@ -415,7 +415,7 @@
         bench.tick()
         await until(lambda: far.lost == 1 and not outgoing.up)
         await turns()
-        assert bench.passage.reaches("there") and not bench.reached
+        assert bench.peer_links.reaches("there") and not bench.reached
 
     over(test)
 
@@ -424,7 +424,7 @@
     async def test(bench: Bench, far: Far) -> None:
         out, end = bench.send("a1", None, node="here")
         assert (await soon(bench.local.taken.get())).call == call("a1")
-        bench.passage.drop(out)
+        bench.peer_links.drop(out)
         assert bench.local.dropped == ["a1"] and not end.done()
         bench.local.full = True
         assert bench.send("a2", None, node="here")[1].result() == NotExecuted(Why.FULL)
@@ -476,19 +476,19 @@
         proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is taken
         beat = read_heartbeat(upstream.instance, upstream.beat())
         assert isinstance(beat, Heartbeat)
-        proxy.upstream.on_heartbeat(proxy.tables.now(), beat)
+        proxy.upstream.on_heartbeat(proxy.service_balancers.now(), beat)
         link = Link(lambda _: None, proxy._met, proxy._unmet)
         proxy._met(link, {"t": "hello", "node": "n2", "for": "calls"}, b"")
         for number in range(3):
-            head = replace(call(f"a{number}"), target=b"/x", patience_ms=500.0).head(number)
+            head = replace(call(f"a{number}"), target=b"/x", max_wait_ms=500.0).head(number)
             proxy._met(link, head, b"")
         await until(lambda: len(upstream.seen) == 2)
         proxy._unmet(link, "cut")
         try:
-            assert not proxy.upstream_dispatch.running and not len(proxy.upstream_dispatch.line)
+            assert not proxy.upstream_dispatch.running and not len(proxy.upstream_dispatch.queue)
         finally:
             upstream.close()
-            proxy.tap.close()
+            proxy.upstream_connections.close()
             await turns()
 
     over(test)
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -10,7 +10,7 @@
 from mesh.admission.repeat_runs import NEAR_MS, RepeatRuns
 from mesh.admission.retry_budget import KEPT, Budget
 from mesh.data_plane.call_messages import Call, CallHead, read_call
-from mesh.data_plane.service_tables import Tables
+from mesh.data_plane.service_tables import ServiceBalancers
 from rigs.mesh_peers import soon, turns, until
 from rigs.whole_sidecar import Beside, beside, passing
 
@@ -49,10 +49,10 @@
 class Sent:
     """Notes the calls that a sidecar sends."""
 
-    def __init__(self, tables: Tables) -> None:
+    def __init__(self, tables: ServiceBalancers) -> None:
         self.calls: list[Call] = []
-        self._send = tables.passage.send
-        tables.passage.send = self.send  # type: ignore[method-assign]
+        self._send = tables.peer_links.send
+        tables.peer_links.send = self.send  # type: ignore[method-assign]
 
     def send(self, call: Call, *way: object) -> object:
         self.calls.append(call)
@@ -61,17 +61,17 @@
 
 def test_the_calls_of_a_repeats_run_are_told_on_as_repeats_and_charged(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
-        proxy, sent = there.proxy, Sent(there.proxy.tables)
+        proxy, sent = there.proxy, Sent(there.proxy.service_balancers)
         ended: list[object] = []
-        repeat = replace(passing("b1", "/read/hold"), left_ms=2000.0, repeat=True)
-        proxy.upstream_dispatch.take(repeat, ended.append)
+        repeat = replace(passing("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
+        proxy.upstream_dispatch.accept(repeat, ended.append)
         assert (await soon(there.upstream.comes.get())).get(b"attempt-id") == "b1"
 
         client = await there.client()
         assert (await client.ask("own", "/read/ok", left_ms=2000)).status == 200  # the upstream's own call
         assert (await client.ask("other", "/read/ok", left_ms=900)).status == 200
         assert [(call.attempt, call.repeat) for call in sent.calls] == [("own", True), ("other", False)]
-        budget = proxy.tables.by_service["s"].budget
+        budget = proxy.service_balancers.by_service["s"].budget
         assert (budget.charged, budget.spent) == (1, 0)
 
         there.upstream.release.set()
--- a/tests/mesh/test_data_plane_request_dispatch.py
+++ b/tests/mesh/test_data_plane_request_dispatch.py
@@ -10,7 +10,7 @@
 from mesh.data_plane.call_messages import Call
 from mesh.data_plane.key_maps import KeyMaps
 from mesh.data_plane.request_dispatch import RequestDispatcher
-from mesh.data_plane.upstream_dispatch import OURS
+from mesh.data_plane.upstream_dispatch import REWRITTEN_HEADERS
 from mesh.transport.frames import frame
 
 ROUTE = Route("r", 1, "h", "/r/", False, 1000.0, 400.0, 2, 1, (("s", 1.0),))
@@ -43,4 +43,4 @@
     assert ask.headers == [(b"host", b"ficu95.example"), (b"x-own", b"kept")]
     assert ask.attempt == "9c41d07be2a35f68" and ask.deadline == 800.0
     now, before = (len(frame(call_with(headers).head(1))) for headers in (ask.headers, SENT))
-    assert OURS.isdisjoint(name for name, _ in ask.headers) and now < 0.8 * before
+    assert REWRITTEN_HEADERS.isdisjoint(name for name, _ in ask.headers) and now < 0.8 * before
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -26,8 +26,8 @@
     Served,
     State,
 )
-from mesh.data_plane.service_balancers import GUARD_MS, Table
-from mesh.data_plane.service_tables import Tables
+from mesh.data_plane.service_balancers import DEADLINE_SLACK_MS, ServiceBalancer
+from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.event_log.log import EventLog
 from rigs.mesh_peers import move, play, soon, turns
 
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Passage:
+class FakePeerLinks:
     """Keeps what is sent; ends it at once with what ``at_once`` has next, where it has something."""
 
     sent: list[Sent] = field(default_factory=list)
@@ -71,32 +71,32 @@
         self.dropped.append(out)
 
 
-class Place:
+class FakeAddresses:
     def address(self, node: str) -> tuple[str, int]:
         return "127.0.0.1", 1
 
 
 class Bench:
     def __init__(self, upstreams: int, slack: float, ratio: float) -> None:
-        self.passage, self.log = Passage(), io.StringIO()
-        self.tables = Tables(
-            self.passage,  # type: ignore[arg-type]
-            Place(),
+        self.peer_links, self.log = FakePeerLinks(), io.StringIO()
+        self.balancers = ServiceBalancers(
+            self.peer_links,  # type: ignore[arg-type]
+            FakeAddresses(),
             lambda instance: "n-" + instance,
             "z",
             (ratio, 10_000.0, slack),
             7,
             EventLog("t", self.log),
         )
-        self.tables.people(1, 1)
+        self.balancers.set_fleet_size(1, 1)
         self.upstreams = upstreams
         self.asked = 0
 
-    def table(self, route: Route) -> Table:
-        table, new = self.tables.of("s", route)
+    def table(self, route: Route) -> ServiceBalancer:
+        table, new = self.balancers.get_or_create("s", route)
         if new:
             value = {"plant": "s", "zone": "z", "capacity": 8, "state": "settled", "cold_ms": 0.0}
-            table.tell([(f"i{at}", value) for at in range(self.upstreams)], whole=True)
+            table.update_instances([(f"i{at}", value) for at in range(self.upstreams)], whole=True)
         return table
 
     def ask(
@@ -106,7 +106,7 @@
         final: asyncio.Future[ClientResult] = (
             asyncio.get_running_loop().create_future()
         )  # one answer, or it raises
-        now = self.tables.now()
+        now = self.balancers.now()
         message = http.Message(method=b"POST", target=b"/x", body=b"b")
         attempt = f"a{self.asked}"
         ask = ClientRequest(
@@ -121,12 +121,12 @@
             now + left_ms,
             final.set_result,
         )
-        self.table(route).take(ask)
+        self.table(route).submit(ask)
         return ask, final
 
     def end(self, end: End) -> None:
         """Of the call that was sent last."""
-        self.passage.sent[-1].ended(end)
+        self.peer_links.sent[-1].ended(end)
 
     def serve(self, count: int) -> None:
         """So many requests, answered at once: the decisions see upstreams that are well."""
@@ -136,7 +136,7 @@
             assert final.result() == Served(OK)
 
     def sends(self, ask: ClientRequest) -> list[str]:
-        return [sent.call.instance for sent in self.passage.sent if sent.call.attempt == ask.attempt]
+        return [sent.call.instance for sent in self.peer_links.sent if sent.call.attempt == ask.attempt]
 
 
 def at_table(
@@ -151,16 +151,16 @@
 def test_a_call_goes_to_an_instance_of_its_service_and_its_answer_to_the_client() -> None:
     async def test(bench: Bench) -> None:
         ask, final = bench.ask(READ, left_ms=700.0)
-        (sent,) = bench.passage.sent
+        (sent,) = bench.peer_links.sent
         assert sent.node == "n-" + sent.call.instance
         assert (sent.call.attempt, sent.call.body, sent.call.caller) == ("a1", b"b", "me")
         assert 690.0 < sent.call.remaining_ms <= 700.0
         bench.end(OK)
         assert final.result() == Served(OK)
-        assert ask.finished and not bench.table(READ).asks
+        assert ask.finished and not bench.table(READ).requests
         move(2.0)
         await turns()
-        assert not bench.passage.dropped
+        assert not bench.peer_links.dropped
 
     at_table(test)
 
@@ -193,9 +193,9 @@
 def test_an_effectful_call_that_is_still_out_at_its_deadline_is_not_promised() -> None:
     async def test(bench: Bench) -> None:
         ask, final = bench.ask(PAY)
-        move(1.0 + GUARD_MS / 1000.0 + 0.01)
+        move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
         assert await soon(final) == Failed(True)
-        assert [sent.call.attempt for sent in bench.passage.dropped] == [ask.attempt]
+        assert [sent.call.attempt for sent in bench.peer_links.dropped] == [ask.attempt]
         bench.end(OK)  # too late for anybody
 
     at_table(test)
@@ -211,15 +211,15 @@
             [] if silent and isinstance(told, api.Timer) else handle(now, told)
         )
         ask, final = bench.ask(PAY)
-        bench.passage.sent[-1].state = State.SENDING
+        bench.peer_links.sent[-1].state = State.SENDING
         answer, dropped_by_then = ask.reply, []
 
         def answered(told: ClientResult) -> None:
-            dropped_by_then.extend(bench.passage.dropped)
+            dropped_by_then.extend(bench.peer_links.dropped)
             answer(told)
 
         ask.reply = answered
-        move(1.0 + GUARD_MS / 1000.0 + 0.01)
+        move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
         assert isinstance(await soon(final), Refused)
         assert [sent.call.attempt for sent in dropped_by_then] == [ask.attempt]
 
@@ -240,9 +240,9 @@
         move(1.0)
         await turns()
         assert not final.done()
-        move(GUARD_MS / 1000.0)
+        move(DEADLINE_SLACK_MS / 1000.0)
         assert await soon(final) == (Failed(True) if out else Refused(0.0))
-        assert bench.passage.dropped == bench.passage.sent and not table.asks
+        assert bench.peer_links.dropped == bench.peer_links.sent and not table.requests
 
     at_table(test)
 
@@ -267,7 +267,7 @@
         bench.end(OK)
         assert final.result() == Served(OK)
         assert bench.table(READ).budget.spent == 1
-        assert [sent.call.repeat for sent in bench.passage.sent] == [False, True]
+        assert [sent.call.repeat for sent in bench.peer_links.sent] == [False, True]
 
     at_table(test)
 
@@ -293,7 +293,7 @@
         ask, final = bench.ask(route)
         bench.end(FULL)
         assert len(bench.sends(ask)) == 2 and bench.table(READ).budget.spent == 0
-        assert not any(sent.call.repeat for sent in bench.passage.sent)
+        assert not any(sent.call.repeat for sent in bench.peer_links.sent)
         bench.end(FULL_THERE)
         assert len(bench.sends(ask)) == 2
         assert isinstance(final.result(), Refused)
@@ -340,14 +340,16 @@
         return bench.table(READ).budget.spent
 
     async def test(bench: Bench) -> None:
-        bench.tables.sidecars = 3  # as it is made
+        bench.balancers.sidecars = 3  # as it is made
         assert further(bench) == 2  # half of 12, a third of it
-        bench.tables.people(0, 1)  # none is counted as one
+        bench.balancers.set_fleet_size(0, 1)  # none is counted as one
         assert further(bench) > 2
 
     async def new(bench: Bench) -> None:
-        made = bench.tables
-        again = Tables(made.passage, Place(), made.node_of, "z", (0.0, 1.0, 12.0), 7, made.event_log)
+        made = bench.balancers
+        again = ServiceBalancers(
+            made.peer_links, FakeAddresses(), made.node_of, "z", (0.0, 1.0, 12.0), 7, made.event_log
+        )
         assert again.sidecars == 3
 
     at_table(test, slack=12.0, ratio=0.0)
@@ -361,7 +363,7 @@
             move(1.2)
             told = await soon(final)
             assert isinstance(told, Refused) and told.retry_after_ms >= 0.0
-            assert not bench.sends(ask) and not bench.passage.dropped
+            assert not bench.sends(ask) and not bench.peer_links.dropped
 
     at_table(test, upstreams=0)
 
@@ -380,7 +382,7 @@
 
 def test_what_was_turned_away_at_once_everywhere_is_refused() -> None:
     async def test(bench: Bench) -> None:
-        bench.passage.at_once = [NotExecuted(Why.DOWN)] * 20
+        bench.peer_links.at_once = [NotExecuted(Why.DOWN)] * 20
         for route in (READ, PAY):
             _, final = bench.ask(route)
             move(1.2)
@@ -392,14 +394,14 @@
 def test_the_clients_leaving_ends_what_is_out() -> None:
     async def test(bench: Bench) -> None:
         ask, final = bench.ask(READ)
-        bench.table(READ).gone(ask)
-        assert bench.passage.dropped == bench.passage.sent
-        bench.table(READ).gone(ask)
+        bench.table(READ).client_gone(ask)
+        assert bench.peer_links.dropped == bench.peer_links.sent
+        bench.table(READ).client_gone(ask)
         bench.end(UNCLEAR)  # it had ended as the drop went out
         move(2.0)
         await turns()
-        assert not final.done() and len(bench.sends(ask)) == 1 and len(bench.passage.dropped) == 1
-        assert not bench.table(READ).asks
+        assert not final.done() and len(bench.sends(ask)) == 1 and len(bench.peer_links.dropped) == 1
+        assert not bench.table(READ).requests
 
     at_table(test)
 
@@ -411,15 +413,15 @@
         balancer = bench.table(READ).balancer
         assert balancer.limits.out == 1 and any(server.trial for server in balancer.servers.values())
         if left:
-            bench.table(READ).gone(ask)
+            bench.table(READ).client_gone(ask)
         else:
-            move(1.0 + GUARD_MS / 1000.0 + 0.01)
+            move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
             await turns()
         assert balancer.limits.out == 0 and not balancer.requests
         assert [(server.held, server.trial) for server in balancer.servers.values()] == [(0, False)]
         move(10.0)
         bench.serve(3)
-        assert len(bench.passage.sent) == 4
+        assert len(bench.peer_links.sent) == 4
 
     at_table(test, upstreams=1)
 
@@ -437,7 +439,7 @@
 
         table.balancer.handle = faulty  # type: ignore[method-assign]
         first, second, third = (bench.ask(READ) for _ in range(3))
-        for sent in list(bench.passage.sent):
+        for sent in list(bench.peer_links.sent):
             sent.ended(UNCLEAR if sent.call.attempt == "a2" else OK)
         assert second[1].result() == Failed(False) or event is api.Request and second[1].done()
         assert first[1].result() == third[1].result() == Served(OK)
@@ -454,12 +456,12 @@
     async def test(bench: Bench) -> None:
         table = bench.table(READ)
         value: dict[str, Any] = {"plant": "s", "zone": "z", "capacity": 8, "state": "settled"}
-        table.tell([("i0", {**value, "state": "decaying"}), ("i1", None)])
+        table.update_instances([("i0", {**value, "state": "decaying"}), ("i1", None)])
         for _ in range(30):
             _, final = bench.ask(READ)
             bench.end(OK)
             assert final.result() == Served(OK)
-        assert {sent.call.instance for sent in bench.passage.sent} == {"i2"}
+        assert {sent.call.instance for sent in bench.peer_links.sent} == {"i2"}
 
     at_table(test, upstreams=3)
 
@@ -468,14 +470,14 @@
     async def test(bench: Bench) -> None:
         table = bench.table(READ)
         value = {"plant": "s", "zone": "z", "capacity": 8, "state": "settled", "node": "n-i0"}
-        bench.passage.unreached = {"n-i0"}
-        table.tell([("i0", value)])
+        bench.peer_links.unreached = {"n-i0"}
+        table.update_instances([("i0", value)])
         bench.serve(30)
-        assert {sent.call.instance for sent in bench.passage.sent} == {"i1", "i2"}
-        bench.passage.unreached = set()
-        table.tell([("i0", value)])
+        assert {sent.call.instance for sent in bench.peer_links.sent} == {"i1", "i2"}
+        bench.peer_links.unreached = set()
+        table.update_instances([("i0", value)])
         bench.serve(30)
-        assert {sent.call.instance for sent in bench.passage.sent} == {"i0", "i1", "i2"}
+        assert {sent.call.instance for sent in bench.peer_links.sent} == {"i0", "i1", "i2"}
 
     at_table(test, upstreams=3)
 
@@ -483,7 +485,7 @@
 def test_classes_are_bounded_and_what_a_route_may_do_is_kept_beyond_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(route_classes, "OWN_MOST", 3)
+    monkeypatch.setattr(route_classes, "MAX_OWN_CLASSES", 3)
 
     async def test(bench: Bench) -> None:
         for at in range(8):
@@ -517,7 +519,7 @@
 
 def test_a_route_that_came_late_has_its_trials_as_the_first_have() -> None:
     async def test(bench: Bench) -> None:
-        for at in range(route_classes.OWN_MOST + 1):
+        for at in range(route_classes.MAX_OWN_CLASSES + 1):
             bench.ask(replace(READ, name=f"r{at}", trials=1))
             bench.end(OK)
         ask, final = bench.ask(replace(READ, name="late", trials=6))
@@ -542,6 +544,6 @@
             _, final = bench.ask(shape, left_ms=900.0)
             bench.end(OK)
             assert final.result() == Served(OK), at
-        assert len(retunes) < 2 * route_classes.OWN_MOST + route_classes.SHARED_MOST
+        assert len(retunes) < 2 * route_classes.MAX_OWN_CLASSES + route_classes.MAX_SHARED_CLASSES
 
     at_table(test)
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -19,7 +19,7 @@
     decode_from_second_hop,
 )
 from mesh.data_plane.client_connection import CROSSING_S, FIRST_REQUEST_S, REST_SHARE
-from mesh.data_plane.incoming_calls import Incoming
+from mesh.data_plane.incoming_calls import IncomingCalls
 from mesh.data_plane.request_dispatch import OTHERS_S
 from mesh.data_plane.shutdown import NOTICE_S, Shutdown, rest_s, shutdown_times
 from mesh.event_log import events
@@ -276,9 +276,9 @@
         clients = [await there.client() for _ in range(10)]
         for at, client in enumerate(clients):  # of nine places at an upstream of eight
             client.send(f"a{at}", "/read/hold", left_ms=30_000)
-        await until(lambda: len(proxy.upstream_dispatch.line) == 1)
-        (waiting,) = (call for _, _, call in proxy.upstream_dispatch.line._waiting)
-        proxy.upstream_dispatch.line._ends.clear()  # its patience lasts
+        await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
+        (waiting,) = (call for _, _, call in proxy.upstream_dispatch.queue._waiting)
+        proxy.upstream_dispatch.queue._ends.clear()  # its patience lasts
         shutdown = Shutdown(proxy)
         shutdown._times = replace(shutdown._times, notice_s=0.1, exit_s=0.3)
         ends = asyncio.get_running_loop().create_task(shutdown.run())
@@ -343,8 +343,8 @@
         proxy, other = there.proxy, await Other.to(there)
         for number in range(1, 11):
             other.send(number, "/read/hold")
-        await until(lambda: len(proxy.upstream_dispatch.line) == 1)
-        proxy.upstream_dispatch.leave()
+        await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
+        proxy.upstream_dispatch.reject_queued()
         found = await other.end()
         assert found == NotExecuted(Why.LEAVING)
         assert len(proxy.upstream_dispatch.running) == 9
@@ -360,8 +360,8 @@
         other.writer.write(frame(head) + frame(BodyPiece(number=1), b"x" * 1000))
         await until(lambda: bool(there.proxy.incoming_links))
         (link,) = there.proxy.incoming_links
-        await until(lambda: isinstance(link.peer, Incoming) and link.peer.receiving)
-        assert isinstance(link.peer, Incoming)
+        await until(lambda: isinstance(link.peer, IncomingCalls) and link.peer.receiving)
+        assert isinstance(link.peer, IncomingCalls)
         link.peer.leave()
         assert await other.end() == NotExecuted(Why.LEAVING)
         other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest, too late
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -12,14 +12,14 @@
 from mesh.data_plane import upstream_connections as module
 from mesh.data_plane.upstream_connections import (
     CONNECT_S,
-    IDLE_S,
-    MARGIN_S,
-    Answered,
-    Broken,
+    DEFAULT_IDLE_S,
+    IDLE_MARGIN_S,
+    ExchangeFailed,
+    ExchangeOutcome,
     NotSent,
-    Outcome,
-    Tap,
-    TapConnection,
+    ResponseReceived,
+    UpstreamConnection,
+    UpstreamConnectionPool,
 )
 from mesh.event_log.log import EventLog
 from rigs.mesh_peers import Upstream, move, play, soon, turns, until
@@ -29,27 +29,27 @@
     """One call through a tap, and its one outcome."""
 
     def __init__(self) -> None:
-        self.outcome: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self.connection: TapConnection | None = None
+        self.outcome: asyncio.Future[ExchangeOutcome] = asyncio.get_running_loop().create_future()
+        self.connection: UpstreamConnection | None = None
 
 
 class Bench:
-    def __init__(self, upstream: Upstream, tap: Tap) -> None:
-        self.upstream, self.tap = upstream, tap
+    def __init__(self, upstream: Upstream, tap: UpstreamConnectionPool) -> None:
+        self.upstream, self.connections = upstream, tap
 
     async def begin(self, attempt: str) -> Asked:
         asked = Asked()
         payload = http.write_request(b"GET", b"/x", [(b"attempt-id", attempt.encode())])
         # A second outcome would raise InvalidStateError.
-        asked.connection = await self.tap.ask(attempt.encode(), payload, asked.outcome.set_result)
+        asked.connection = await self.connections.send(attempt.encode(), payload, asked.outcome.set_result)
         return asked
 
-    async def ask(self, attempt: str) -> Outcome:
+    async def ask(self, attempt: str) -> ExchangeOutcome:
         return await soon((await self.begin(attempt)).outcome)
 
     async def good(self, attempt: str) -> None:
         outcome = await self.ask(attempt)
-        assert isinstance(outcome, Answered), outcome
+        assert isinstance(outcome, ResponseReceived), outcome
         assert outcome.message.get(b"attempt-id") == attempt
 
 
@@ -65,7 +65,7 @@
     async def run() -> None:
         upstream = Upstream(way=lambda _: left.pop(0) if left else "ok", keep_alive=keep_alive)
         await upstream.start()
-        tap = Tap(upstream.address, most, EventLog("t", io.StringIO()))
+        tap = UpstreamConnectionPool(upstream.address, most, EventLog("t", io.StringIO()))
         try:
             await test(Bench(upstream, tap))
         finally:
@@ -95,7 +95,7 @@
 
 def test_a_connection_with_answers_to_others_alone_is_given_up() -> None:
     async def test(bench: Bench) -> None:
-        assert isinstance(await bench.ask("a1"), Broken)
+        assert isinstance(await bench.ask("a1"), ExchangeFailed)
         await until(lambda: not bench.upstream.open)
 
     tapped(test, ["strays"])
@@ -116,7 +116,7 @@
         await bench.good("a1")
         bench.upstream.say(bench.upstream.answer(bench.upstream.seen[0]))
         await until(lambda: not bench.upstream.open)
-        assert not bench.tap._idle and not bench.tap._open
+        assert not bench.connections._idle and not bench.connections._open
         await bench.good("a2")
 
     tapped(test)
@@ -141,23 +141,28 @@
 
 @pytest.mark.parametrize(
     ("told", "kept_s"),
-    [("", IDLE_S), ("timeout=2", 2.0 - MARGIN_S), ("max=5, Timeout=8", 8.0 - MARGIN_S), ("timeout=0", 0.0)],
+    [
+        ("", DEFAULT_IDLE_S),
+        ("timeout=2", 2.0 - IDLE_MARGIN_S),
+        ("max=5, Timeout=8", 8.0 - IDLE_MARGIN_S),
+        ("timeout=0", 0.0),
+    ],
 )
 def test_a_connection_is_given_back_before_the_upstream_would_close_it(told: str, kept_s: float) -> None:
     async def test(bench: Bench) -> None:
         await bench.good("a1")
         if kept_s:
             move(kept_s - 0.3)
-            bench.tap.sweep()
+            bench.connections.close_expired()
             await bench.good("a2")  # from here on, as long again
             assert bench.upstream.opened == 1
         move(kept_s)
         await bench.good("a3")
         assert bench.upstream.opened == 2
         move(kept_s)
-        bench.tap.sweep()
+        bench.connections.close_expired()
         await until(lambda: not bench.upstream.open)
-        assert not bench.tap._open
+        assert not bench.connections._open
 
     tapped(test, keep_alive=told)
 
@@ -175,12 +180,12 @@
         async def never(*_: object) -> None:
             await asyncio.get_running_loop().create_future()
 
-        bench.tap._loop.create_connection = never  # type: ignore[method-assign,assignment]
+        bench.connections._loop.create_connection = never  # type: ignore[method-assign,assignment]
         task = asyncio.get_running_loop().create_task(bench.ask("a1"))
-        await until(lambda: bench.tap._coming == 1)
+        await until(lambda: bench.connections._connecting == 1)
         move(1.0)
         assert await soon(task) == NotSent(refused=False)
-        assert bench.tap._coming == 0
+        assert bench.connections._connecting == 0
 
     tapped(test)
 
@@ -188,7 +193,7 @@
 @pytest.mark.parametrize("way", ["cut", "reset", "garbage"])
 def test_what_breaks_before_its_answer_is_whole_may_have_run(way: str) -> None:
     async def test(bench: Bench) -> None:
-        assert isinstance(await bench.ask("a1"), Broken)
+        assert isinstance(await bench.ask("a1"), ExchangeFailed)
         assert bench.upstream.runs["a1"] == 1
         await bench.good("a2")
         assert bench.upstream.opened == 2
@@ -200,7 +205,7 @@
     async def test(bench: Bench) -> None:
         held = [await bench.begin(f"a{at}") for at in range(2)]
         coming = asyncio.get_running_loop().create_task(bench.begin("a2"))
-        await until(lambda: bench.tap._coming == 1)
+        await until(lambda: bench.connections._connecting == 1)
         assert await bench.ask("b") == NotSent(refused=False)  # one that is coming up counts
         held.append(await coming)
         assert await bench.ask("b") == NotSent(refused=False)
@@ -208,7 +213,7 @@
         assert bench.upstream.opened == 3 and bench.upstream.runs["b"] == 0
         bench.upstream.release.set()
         for asked in held:
-            assert isinstance(await soon(asked.outcome), Answered)
+            assert isinstance(await soon(asked.outcome), ResponseReceived)
         await bench.good("b")
         assert bench.upstream.opened == 3
 
@@ -220,10 +225,10 @@
 
     async def test(bench: Bench) -> None:
         await bench.good("a1")
-        first = bench.tap._idle[-1]
+        first = bench.connections._idle[-1]
         await bench.good("b")
         await bench.good("a1")
-        assert bench.upstream.opened == 2 and bench.tap._idle[-1] is not first
+        assert bench.upstream.opened == 2 and bench.connections._idle[-1] is not first
 
     tapped(test)
 
@@ -232,19 +237,19 @@
     async def test(bench: Bench) -> None:
         await bench.good("a1")
         await bench.good("a1")
-        assert bench.upstream.opened == 2 and len(bench.tap._open) == 1
+        assert bench.upstream.opened == 2 and len(bench.connections._open) == 1
 
     tapped(test, most=1)
 
 
 def test_the_ids_that_are_kept_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "RECENT", 3)
+    monkeypatch.setattr(module, "MAX_RECENT_IDS", 3)
 
     async def test(bench: Bench) -> None:
         for at in range(5):
             await bench.good(f"a{at}")
-        assert bench.tap._recent == {b"a2", b"a3", b"a4"}
-        assert len(bench.tap._order) == 3 and bench.upstream.opened == 1
+        assert bench.connections._recent == {b"a2", b"a3", b"a4"}
+        assert len(bench.connections._recent_order) == 3 and bench.upstream.opened == 1
 
     tapped(test)
 
@@ -255,7 +260,7 @@
         await soon(bench.upstream.comes.get())
         assert asked.connection is not None
         asked.connection.drop()
-        await until(lambda: not bench.tap._open)
+        await until(lambda: not bench.connections._open)
         assert not asked.outcome.done()
         bench.upstream.release.set()
         await bench.good("a2")
@@ -275,11 +280,11 @@
 
         loop = asyncio.get_running_loop()
         for drain_ms, most_s in (400.0, 0.12), (2000.0, CONNECT_S):
-            tap = Tap(bench.upstream.address, 1, EventLog("t", io.StringIO()), drain_ms)
+            tap = UpstreamConnectionPool(bench.upstream.address, 1, EventLog("t", io.StringIO()), drain_ms)
             with monkeypatch.context() as patch:
                 patch.setattr(loop, "create_connection", hangs)
-                outcome: asyncio.Future[Outcome] = loop.create_future()
-                task = loop.create_task(tap.ask(b"a1", b"", outcome.set_result))
+                outcome: asyncio.Future[ExchangeOutcome] = loop.create_future()
+                task = loop.create_task(tap.send(b"a1", b"", outcome.set_result))
                 await turns()
                 move(0.9 * most_s)
                 await turns()
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -14,8 +14,8 @@
 from mesh.admission.final_check import DRAIN_SHARE, Why, places
 from mesh.admission.wait_queue import Line
 from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
-from mesh.data_plane.upstream_connections import Tap
-from mesh.data_plane.upstream_dispatch import LATE_S, Running, UpstreamDispatch
+from mesh.data_plane.upstream_connections import UpstreamConnectionPool
+from mesh.data_plane.upstream_dispatch import RESPONSE_GRACE_S, DispatchedCall, UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.membership.instance_lifecycle import SILENT_HEARTBEATS, InstanceUpdate
@@ -36,7 +36,7 @@
         assert isinstance(beat, Heartbeat)
         self.upstream_dispatch.upstream.on_heartbeat(self.upstream_dispatch.now(), beat)
 
-    def take(self, attempt: str, **fields: object) -> tuple[Running | None, asyncio.Future[End]]:
+    def take(self, attempt: str, **fields: object) -> tuple[DispatchedCall | None, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()
         values: dict[str, object] = {
             "attempt": attempt,
@@ -46,14 +46,14 @@
             "body": b"",
             "instance": self.upstream.instance,
             "caller": "s",
-            "left_ms": 4000.0,
-            "patience_ms": 1000.0,
+            "remaining_ms": 4000.0,
+            "max_wait_ms": 1000.0,
             **fields,
         }
-        values.setdefault("longer_ms", values["patience_ms"])
-        return self.upstream_dispatch.take(Call(**values), end.set_result), end  # type: ignore[arg-type]
+        values.setdefault("extended_wait_ms", values["max_wait_ms"])
+        return self.upstream_dispatch.accept(Call(**values), end.set_result), end  # type: ignore[arg-type]
 
-    async def fill(self) -> list[tuple[Running | None, asyncio.Future[End]]]:
+    async def fill(self) -> list[tuple[DispatchedCall | None, asyncio.Future[End]]]:
         """Every place at the upstream is taken, by calls that it holds."""
         at_once, _ = places(self.upstream_dispatch.upstream)
         held = [self.take(f"held-{at}") for at in range(at_once)]
@@ -75,7 +75,10 @@
         upstream, told = Upstream(way=way, capacity=capacity), list[InstanceUpdate]()
         await upstream.start()
         event_log = EventLog("t", io.StringIO())
-        life, tap = Life("n1", "z", 1000.0, DRAIN_MS), Tap(upstream.address, most, event_log)
+        life, tap = (
+            Life("n1", "z", 1000.0, DRAIN_MS),
+            UpstreamConnectionPool(upstream.address, most, event_log),
+        )
         bench = Bench(upstream, UpstreamDispatch(life, tap, event_log, told.extend), told)
         bench.beat()
         try:
@@ -105,7 +108,7 @@
             (b"x-own", b"1"),
         ]
         _, end = bench.take(
-            "a1", headers=sent, method=b"POST", target=b"/x?q=1", body=b"\x00\r\n", left_ms=700.9
+            "a1", headers=sent, method=b"POST", target=b"/x?q=1", body=b"\x00\r\n", remaining_ms=700.9
         )
         answer = await soon(end)
         assert isinstance(answer, UpstreamResponse) and answer.status == 200
@@ -187,7 +190,7 @@
         running, end = bench.take("a", instance="i-0")
         assert running is None
         assert end.result() == NotExecuted(Why.OTHER)
-        assert bench.take("a", left_ms=0.0)[1].result() == NotExecuted(Why.LATE)
+        assert bench.take("a", remaining_ms=0.0)[1].result() == NotExecuted(Why.LATE)
         bench.beat("decaying")
         assert isinstance(await soon(bench.take("a")[1]), UpstreamResponse)
         move(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
@@ -199,12 +202,12 @@
 
 def test_an_upstream_that_says_nothing_is_left_soon_after_the_deadline() -> None:
     async def test(bench: Bench) -> None:
-        _, end = bench.take("held-1", left_ms=500.0)
+        _, end = bench.take("held-1", remaining_ms=500.0)
         await bench.runs()
         move(0.5)
         await turns()
         assert not end.done()
-        move(LATE_S)
+        move(RESPONSE_GRACE_S)
         assert isinstance(await soon(end), Unclear)
         await until(lambda: not bench.upstream.open)
         assert not bench.upstream_dispatch.running
@@ -220,19 +223,19 @@
         at_once, waiting = places(bench.upstream_dispatch.upstream)
         taken = await bench.fill()
         line = [bench.take(f"w{at}") for at in range(waiting)]
-        assert len(bench.upstream_dispatch.line) == waiting
+        assert len(bench.upstream_dispatch.queue) == waiting
         assert not any(end.done() for _, end in line)
         _, more = bench.take("more")
         assert line[0][1].result() == NotExecuted(Why.FULL)  # the longest there, and none is lower in rank
         assert bench.take("least", rank=-1.0)[1].result() == NotExecuted(Why.FULL)
-        assert bench.take("hasty", patience_ms=0.0)[1].result() == NotExecuted(Why.FULL)
+        assert bench.take("hasty", max_wait_ms=0.0)[1].result() == NotExecuted(Why.FULL)
         assert len(bench.upstream.seen) == at_once
         bench.upstream.release.set()
         for _, end in [*taken, *line[1:]]:
             assert isinstance(await soon(end), UpstreamResponse)
         assert isinstance(await soon(more), UpstreamResponse)
         assert len(bench.upstream.seen) == at_once + waiting
-        assert not bench.upstream_dispatch.running and not len(bench.upstream_dispatch.line)
+        assert not bench.upstream_dispatch.running and not len(bench.upstream_dispatch.queue)
 
     behind(test, held, capacity=2)
 
@@ -274,14 +277,14 @@
 def test_patience_ends_with_a_word_that_it_has_not_run() -> None:
     async def test(bench: Bench) -> None:
         await bench.fill()
-        _, short = bench.take("short", patience_ms=500.0)
-        _, long = bench.take("long", patience_ms=3000.0)
+        _, short = bench.take("short", max_wait_ms=500.0)
+        _, long = bench.take("long", max_wait_ms=3000.0)
         move(0.4)
         await turns()
         assert not short.done()
         move(0.15)
         assert await soon(short) == NotExecuted(Why.FULL)
-        assert not long.done() and len(bench.upstream_dispatch.line) == 1
+        assert not long.done() and len(bench.upstream_dispatch.queue) == 1
         move(2.5)
         assert await soon(long) == NotExecuted(Why.FULL)
         assert not bench.upstream.runs.keys() & {"short", "long"}
@@ -292,8 +295,8 @@
 def test_who_is_worth_more_than_others_there_are_waits_longer() -> None:
     async def test(bench: Bench) -> None:
         await bench.fill()
-        _, low = bench.take("low", rank=0.0, patience_ms=300.0, longer_ms=900.0)
-        _, high = bench.take("high", rank=2.0, patience_ms=300.0, longer_ms=900.0)
+        _, low = bench.take("low", rank=0.0, max_wait_ms=300.0, extended_wait_ms=900.0)
+        _, high = bench.take("high", rank=2.0, max_wait_ms=300.0, extended_wait_ms=900.0)
         move(0.35)
         assert await soon(low) == NotExecuted(Why.FULL)
         assert not high.done()
@@ -306,8 +309,8 @@
 def test_patience_that_came_later_and_ends_first_is_kept() -> None:
     async def test(bench: Bench) -> None:
         await bench.fill()
-        bench.take("long", patience_ms=3000.0)
-        _, short = bench.take("short", patience_ms=500.0)
+        bench.take("long", max_wait_ms=3000.0)
+        _, short = bench.take("short", max_wait_ms=500.0)
         move(1.0)
         await turns()
         assert short.done()
@@ -318,7 +321,7 @@
 def test_a_call_whose_time_ends_in_the_line_is_not_passed_on() -> None:
     async def test(bench: Bench) -> None:
         await bench.fill()
-        _, end = bench.take("late", left_ms=300.0, patience_ms=3000.0)
+        _, end = bench.take("late", remaining_ms=300.0, max_wait_ms=3000.0)
         move(0.4)
         bench.upstream.release.set()
         assert await soon(end) == NotExecuted(Why.LATE)
@@ -330,7 +333,7 @@
 def test_a_call_that_waited_tells_the_upstream_what_is_left_of_its_time() -> None:
     async def test(bench: Bench) -> None:
         await bench.fill()
-        _, end = bench.take("w", left_ms=1000.0, patience_ms=900.0)
+        _, end = bench.take("w", remaining_ms=1000.0, max_wait_ms=900.0)
         move(0.6)
         bench.upstream.release.set()
         assert isinstance(await soon(end), UpstreamResponse)
@@ -345,7 +348,7 @@
         running, end = bench.take("w")
         assert running is not None
         bench.upstream_dispatch.drop(running)
-        assert not len(bench.upstream_dispatch.line)
+        assert not len(bench.upstream_dispatch.queue)
         bench.upstream.release.set()
         await until(lambda: not bench.upstream_dispatch.running)
         move(2.0)
@@ -374,11 +377,11 @@
     async def test(bench: Bench) -> None:
         running, _ = bench.take("held-1")
         assert running is not None
-        await until(lambda: bench.upstream_dispatch.tap._coming == 1)
+        await until(lambda: bench.upstream_dispatch.connections._connecting == 1)
         bench.upstream_dispatch.drop(running)
-        await until(lambda: bench.upstream_dispatch.tap._coming == 0)
+        await until(lambda: bench.upstream_dispatch.connections._connecting == 0)
         await turns()
-        assert not bench.upstream_dispatch.tap._open
+        assert not bench.upstream_dispatch.connections._open
 
     behind(test, held)
 
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -422,7 +422,7 @@
 
         async def passes(attempt: str) -> End:
             ended: asyncio.Future[End] = asyncio.get_running_loop().create_future()
-            proxy.upstream_dispatch.take(passing(attempt, "/read/ok"), ended.set_result)
+            proxy.upstream_dispatch.accept(passing(attempt, "/read/ok"), ended.set_result)
             return await soon(ended)
 
         assert await told(b"PUT", b"no beat") == 400  # and nothing of it is taken
@@ -450,7 +450,7 @@
         proxy._changed("roll", [item])  # type: ignore[list-item]
         proxy.registry.reconcile()
         ended: list[End] = []
-        proxy.upstream_dispatch.take(replace(passing("b1", "/read/ok"), instance="i-9"), ended.append)
+        proxy.upstream_dispatch.accept(replace(passing("b1", "/read/ok"), instance="i-9"), ended.append)
         assert ended == [NotExecuted(Why.LEAVING)]
 
     beside(tmp_path, test)
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -14,7 +14,7 @@
 from mesh.cli.mesh_snapshot import MeshSnapshot, Process
 from mesh.control_plane.leases import LIVELY_S, MOST_DROPPED, ROUND_S, Duties
 from mesh.data_plane.membership import CONTROLLER, INSTANCE, NODE, PROXY, Membership
-from mesh.data_plane.peer_links import Passage
+from mesh.data_plane.peer_links import PeerLinks
 from mesh.event_log.log import EventLog
 from mesh.membership.failure_detection import MAX_QUERIED_NODES, silence_thresholds
 from mesh.membership.lease import DUTY, REAPING, LeaseRecord, first_live
@@ -319,29 +319,29 @@
 def test_a_node_that_is_forgotten_keeps_its_link_till_its_calls_are_answered() -> None:
     def test() -> None:
         none: Any = None
-        passage = Passage("me", none, none, none)
+        peer_links = PeerLinks("me", none, none, none)
         left: list[str] = []
         link: Any = SimpleNamespace(
-            out={1: "call"},
-            asking={2: "call"},  # to be asked after over its next link
+            open_calls={1: "call"},
+            to_query={2: "call"},  # to be asked after over its next link
             address=("h", 1),
-            leave=lambda: left.append("n"),
+            retire=lambda: left.append("n"),
             tick=lambda now: None,
         )
-        passage._links["n"] = link
-        passage.forget("n")
-        passage.forget("unknown")
-        passage.tick(0.0)
-        assert left == [] and "n" in passage._links
-        link.out.clear()
-        passage.tick(0.05)
-        assert left == [] and "n" in passage._links
-        link.asking.clear()
-        passage.tick(0.1)
-        assert left == ["n"] and not passage._links and not passage._leaving
-        passage._links["n"] = link
-        passage.forget("n")
-        assert left == ["n", "n"] and not passage._links
+        peer_links._links["n"] = link
+        peer_links.forget("n")
+        peer_links.forget("unknown")
+        peer_links.tick(0.0)
+        assert left == [] and "n" in peer_links._links
+        link.open_calls.clear()
+        peer_links.tick(0.05)
+        assert left == [] and "n" in peer_links._links
+        link.to_query.clear()
+        peer_links.tick(0.1)
+        assert left == ["n"] and not peer_links._links and not peer_links._retiring
+        peer_links._links["n"] = link
+        peer_links.forget("n")
+        assert left == ["n", "n"] and not peer_links._links
 
     run(test)
 
--- a/tests/mesh/test_map.py
+++ b/tests/mesh/test_map.py
@@ -101,6 +101,10 @@
 
 def test_what_is_not_there_is_seen() -> None:
     balancers = "data_plane/service_balancers.py"
-    gone = f"`{balancers}:Table.x` `data_plane/none.py:x` `test_cli_judge.py:test_x` `tables.py:Table`"
+    gone = (
+        f"`{balancers}:ServiceBalancer.x` `data_plane/none.py:x` `test_cli_judge.py:test_x` `tables.py:Table`"
+    )
     assert len(missing(gone)) == 4
-    assert missing(f"`{balancers}:Table.take` `{CONNECTIONS}:test_nobody_there_is_not_sent`") == []
+    assert (
+        missing(f"`{balancers}:ServiceBalancer.submit` `{CONNECTIONS}:test_nobody_there_is_not_sent`") == []
+    )
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -118,8 +118,8 @@
         world.restart(one)
         yield world.env.timeout(2.0)
         assert not one.program.channels.open
-        passage = two.program.passage
-        two.life.context.run(passage.warm, "s1", passage_address(two))  # as its calls would
+        peer_links = two.program.peer_links
+        two.life.context.run(peer_links.open_early, "s1", passage_address(two))  # as its calls would
         yield from world.until(lambda: in_force(world, 1), 3.0, "the route is in force")
 
     with Reseeded() as world:
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -71,8 +71,8 @@
     def dies(world: Drops) -> Script:
         sides = [world.machines[name] for name in ("s2", "s3", "s4", "s5")]
         for one in sides:
-            one.program.passage.warm("s1", ("10.0.1.1", 7660))
-            assert one.program.tables.sidecars == 5
+            one.program.peer_links.open_early("s1", ("10.0.1.1", 7660))
+            assert one.program.service_balancers.sidecars == 5
         yield world.env.timeout(1.0)
         world.power_off(world.machines["s1"])
         yield world.env.timeout(GONE_S - 1.0)
@@ -81,9 +81,9 @@
         assert world.know("s1") == set() and drops(world) == ["s1"]
         for one in sides:
             program = one.program
-            assert program.tables.sidecars == 4 and "s1" not in program.passage._links
+            assert program.service_balancers.sidecars == 4 and "s1" not in program.peer_links._links
             assert program.membership.at("s1") == [] and program.membership.address("s1") is None
-            assert not program.passage._leaving
+            assert not program.peer_links._retiring
         for core in world.controllers():
             assert core.program.reports.items[REPORT, "s1"].value is None
         ((_, _, told),) = world.events(events.NODE_DROPPED)
@@ -150,11 +150,11 @@
         life = one.life
         cut_off(world, "s1")
         yield world.env.timeout(GONE_S + LATE_S)
-        assert drops(world) == ["s1"] and other.program.tables.sidecars == 4
+        assert drops(world) == ["s1"] and other.program.service_balancers.sidecars == 4
         world.heal()
         yield world.env.timeout(3.0)
         assert one.life is life and world.know("s1") == world.running()
-        assert other.program.tables.sidecars == 5
+        assert other.program.service_balancers.sidecars == 5
         assert world.machines["c1"].program.reports.items[REPORT, "s1"].value is not None
         served = yield from serves(world, other, one)
         assert served
@@ -175,7 +175,7 @@
     call = Call("a-1", b"GET", b"/x", [], b"", instance, "s", 900.0)
     membership = caller.program.membership
     node = membership.node_of(instance)
-    caller.life.context.run(caller.program.passage.send, call, node, membership.address(node), ends.append)
+    caller.life.context.run(caller.program.peer_links.send, call, node, membership.address(node), ends.append)
     yield world.env.timeout(0.5)
     return ends == [UpstreamResponse(200, [], instance.encode(), True)]
 
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -400,7 +400,7 @@
     yield from moves(world, 2)
     yield world.env.timeout(1.0)
     for machine in sides(world):
-        odd = machine.program.upstream_dispatch.traces.odd
+        odd = machine.program.upstream_dispatch.traces.notable
         assert not any("old" in entry[-1] for entry in odd)
 
 
