--- a/benchmarks/mesh_stages.py
+++ b/benchmarks/mesh_stages.py
@@ -26,8 +26,8 @@
 
 from benchmarks.mesh_news import Meter
 from mesh.rollout import bounds
-from mesh.rollout.bounds import derive
-from mesh.rollout.canary_verdict import Tally, worse
+from mesh.rollout.bounds import derive_rollout_times
+from mesh.rollout.canary_verdict import Tally, is_worse
 from rigs.stage_model import LARGE, SIZES, Stages
 from simulation.mesh.staged import Staged, rule
 from simulation.mesh.world import Machine, Script
@@ -37,7 +37,7 @@
 GROUP, PAUSE_S = 100, 0.5
 SETTLE_S = 4.0
 CALLS_S = 0.04  # between two calls of one sidecar
-HOLD_S = derive(2000.0, 4000.0).hold_s
+HOLD_S = derive_rollout_times(2000.0, 4000.0).hold_s
 
 
 def rank(values: Sequence[float], share: float) -> float:
@@ -156,8 +156,8 @@
         old = Tally(200, sum(chance.random() < failing for _ in range(200)))
         new, wrong = Tally(), False
         for n in range(1, 65):
-            new.n, new.bad = n, new.bad + (chance.random() < failing)
-            wrong = wrong or n in (8, 16, 32, 64) and worse(new, old)
+            new.calls, new.failures = n, new.failures + (chance.random() < failing)
+            wrong = wrong or n in (8, 16, 32, 64) and is_worse(new, old)
         found += wrong
     return found
 
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -21,7 +21,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item
-from mesh.rollout.report import RolloutReport, needs_of
+from mesh.rollout.report import RolloutReport, required_vector
 
 LARGE_ORDER_ITEMS = 64  # an order of at least so many items waits
 OVERDUE_S = 0.5  # an order that is unconfirmed for longer delays the next ones
@@ -77,7 +77,7 @@
 
     def items_changed(self, items: Sequence[Item]) -> None:
         """Tracks an order: items of the configuration that have changed together."""
-        self._orders.append(DecidedOrder(needs_of(items), self._loop.time()))
+        self._orders.append(DecidedOrder(required_vector(items), self._loop.time()))
 
     def tick(self, now: float) -> None:
         """Notes new incarnations of linked proxies; called several times a second."""
@@ -165,7 +165,7 @@
         started_at = now = self._loop.time()
         if len(items) < LARGE_ORDER_ITEMS and not self.has_overdue(now):
             return True
-        needs, decided_at = needs_of(items), self._decided_at(items)
+        needs, decided_at = required_vector(items), self._decided_at(items)
         while lacking := self._lacking(self._waited_for(now, decided_at), needs):
             if now - decided_at >= self.bound_s(len(items)):
                 waited_ms = round((now - decided_at) * 1000.0)
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -110,8 +110,8 @@
         "lack": [
             [node, round((now - heard[node]) * 1000.0) if node in heard else None] for node in lack[:NAMED]
         ],
-        "first": sorted(draw.first(kind, name, item.version))[:MOST_SHOWN],
-        "word": [new.n, new.bad, old.n, old.bad],
+        "first": sorted(draw.canaries(kind, name, item.version))[:MOST_SHOWN],
+        "word": [new.calls, new.failures, old.calls, old.failures],
     }
 
 
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -20,10 +20,10 @@
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item, Key
 from mesh.replication.store import Store
-from mesh.rollout.bounds import derive
-from mesh.rollout.canary_verdict import Tally, sound, worse
+from mesh.rollout.bounds import derive_rollout_times
+from mesh.rollout.canary_verdict import Tally, is_sound, is_worse
 from mesh.rollout.change_kinds import STAGED, kind_of
-from mesh.rollout.report import CanaryCounts, RolloutReport, needs_of, read
+from mesh.rollout.report import CanaryCounts, RolloutReport, read, required_vector
 
 KEPT = 64  # changes, each the items that came at once
 OPEN_S = 60.0  # a change that nobody confirms is looked after for so long
@@ -66,7 +66,7 @@
         self._contact = contact
         self._loop = asyncio.get_running_loop()
         self._settle_s = settle_ms / 1000.0
-        self.wait_s = derive(settle_ms, ack_ms).ack_wait_s
+        self.wait_s = derive_rollout_times(settle_ms, ack_ms).ack_wait_s
         self._charter, self._membership, self._channels, self._event_log = (
             charter,
             membership,
@@ -81,7 +81,7 @@
 
     def update_bounds(self, settle_ms: float, ack_ms: float) -> None:
         """Other bounds, for what comes from now on."""
-        self._settle_s, self.wait_s = settle_ms / 1000.0, derive(settle_ms, ack_ms).ack_wait_s
+        self._settle_s, self.wait_s = settle_ms / 1000.0, derive_rollout_times(settle_ms, ack_ms).ack_wait_s
 
     # News
 
@@ -93,14 +93,14 @@
                 self._counts.pop(item.key, None)
             versions = {item.key: item.version for item in told}
             nodes = set(self._membership.draw().nodes)
-            self.rollouts.append(Rollout(self._loop.time(), versions, needs_of(told), nodes))
+            self.rollouts.append(Rollout(self._loop.time(), versions, required_vector(told), nodes))
 
     def restamped(self, items: Iterable[Item]) -> None:
         """Items bear another stamp, their content being the same."""
         keys = {item.key for item in items}
         for one in self.rollouts:
             if one.done is None and keys & one.versions.keys():
-                one.needs = needs_of(self._charter.items[key] for key in one.versions)
+                one.needs = required_vector(self._charter.items[key] for key in one.versions)
 
     def reported(self, items: Iterable[Item]) -> None:
         """Reports have come, or (without a value) those of sidecars that are gone."""
@@ -138,19 +138,19 @@
         same = [one for one in counts.values() if one.version == count.version]
         new = Tally(sum(one.new[0] for one in same), sum(one.new[1] for one in same))
         old = Tally(sum(one.old[0] for one in same), sum(one.old[1] for one in same))
-        if worse(new, old):
+        if is_worse(new, old):
             if count.key not in rollout.worse:
                 rollout.worse.add(count.key)
                 self._event_log.tell(
                     events.ROUTE_WORSE,
                     route=count.key[1],
                     version=count.version,
-                    failed=f"{new.bad}/{new.n}",
-                    before=f"{old.bad}/{old.n}",
+                    failed=f"{new.failures}/{new.calls}",
+                    before=f"{old.failures}/{old.calls}",
                 )
         elif not self._contact():
             return  # a newer version may be known elsewhere; the next count is looked at again
-        elif sound(new, old) and count.key not in rollout.sound and count.key not in rollout.worse:
+        elif is_sound(new, old) and count.key not in rollout.sound and count.key not in rollout.worse:
             rollout.sound.add(count.key)
             for channel in list(self._channels.open):
                 if channel.extra.get("role") == PROXY:
@@ -201,9 +201,9 @@
     def _first_have(self, items: Sequence[Item]) -> bool:
         draw = self._membership.draw()
         for item in items:
-            for node in draw.first(item.kind, item.name, item.version):
+            for node in draw.canaries(item.kind, item.name, item.version):
                 report = self.reports.get(node)
-                if report is None or not report.has(item):
+                if report is None or not report.confirms(item):
                     return False
         return True
 
@@ -215,7 +215,7 @@
         return sorted(
             node
             for node in self._membership.draw().nodes
-            if (report := self.reports.get(node)) is None or not report.has(item)
+            if (report := self.reports.get(node)) is None or not report.confirms(item)
         )
 
     def counted(self, key: Key) -> tuple[Tally, Tally]:
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -244,26 +244,26 @@
     now, stages = proxy.loop.time(), proxy.stages
     standing, watched = proxy.routes.named(name), stages.watch.watched.get(name)
     told = []
-    for one in stages.chamber.passes:
+    for one in stages.chamber.history:
         if one.key != (ROUTE, name):
             continue
         entry: Told = {
             "version": one.version,
             "kind": one.kind.value,
-            "first": one.first,
+            "first": one.canary,
             "state": one.state.value,
-            "ago_ms": round((now - one.known) * 1000.0),
-            "after_ms": round((one.taken - one.known) * 1000.0, 1) if one.taken else None,
-            "latest_ms": round((one.latest - one.known) * 1000.0),
-            "why": one.why,
+            "ago_ms": round((now - one.known_at) * 1000.0),
+            "after_ms": round((one.finished_at - one.known_at) * 1000.0, 1) if one.finished_at else None,
+            "latest_ms": round((one.deadline - one.known_at) * 1000.0),
+            "why": one.reason,
         }
         if watched is not None and watched.version == one.version:
-            entry["word"] = [watched.new.n, watched.new.bad, watched.old.n, watched.old.bad]
+            entry["word"] = [watched.new.calls, watched.new.failures, watched.old.calls, watched.old.failures]
         told.append(entry)
     return {
         "node": proxy.settings.node,
         "in_force": standing.version if standing is not None else None,
-        "behind": stages.contact.behind(now),
+        "behind": stages.contact.is_behind(now),
         "dry": stages.dry.get(name, ""),
         "passes": told,
     }
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -18,11 +18,11 @@
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item, Key
 from mesh.replication.store import Store, paging
-from mesh.rollout.bounds import derive
-from mesh.rollout.canary_verdict import CanaryMonitor, worse
+from mesh.rollout.bounds import derive_rollout_times
+from mesh.rollout.canary_verdict import CanaryMonitor, is_worse
 from mesh.rollout.change_kinds import STAGED, ChangeKind, kind_of
-from mesh.rollout.contact import GAP_S, UpdateContact
-from mesh.rollout.report import MOST_NAMED, REPORT, REPORTS, CanaryCounts, RolloutReport, pack
+from mesh.rollout.contact import MAX_POLL_GAP_S, UpdateContact
+from mesh.rollout.report import MAX_NAMED_ITEMS, REPORT, REPORTS, CanaryCounts, RolloutReport, pack
 from mesh.rollout.staged_activation import ItemActivation, RolloutCommand, StagedActivation, State
 from mesh.rollout.version_check import VersionCheck
 from mesh.runtime.settings import Settings
@@ -50,9 +50,9 @@
         self._node, self._charter, self._reports = settings.node, charter, reports
         self._routes, self._membership, self._prepare = routes, membership, prepare
         self._channels, self._version, self._event_log = channels, version, event_log
-        times = derive(settings.bounds.settle_ms, settings.bounds.ack_ms)
-        self.chamber, self.contact = StagedActivation(times.hold_s), UpdateContact(times.news_s)
-        self._newer, self.watch = VersionCheck(times.newer_s), CanaryMonitor()
+        times = derive_rollout_times(settings.bounds.settle_ms, settings.bounds.ack_ms)
+        self.chamber, self.contact = StagedActivation(times.hold_s), UpdateContact(times.propagation_s)
+        self._newer, self.watch = VersionCheck(times.adoption_s), CanaryMonitor()
         self.dry: dict[
             str, str
         ] = {}  # services without a live upstream when a route was to use them, by route
@@ -65,9 +65,9 @@
 
     def tune(self, settings: Settings) -> None:
         """The settings file has changed: other bounds hold for what comes from now on."""
-        times = derive(settings.bounds.settle_ms, settings.bounds.ack_ms)
-        self.chamber.hold_s, self.contact.news_s = times.hold_s, times.news_s
-        self._newer.bound_s = times.newer_s
+        times = derive_rollout_times(settings.bounds.settle_ms, settings.bounds.ack_ms)
+        self.chamber.hold_s, self.contact.propagation_s = times.hold_s, times.propagation_s
+        self._newer.grace_s = times.adoption_s
 
     # Items
 
@@ -77,12 +77,16 @@
         new = _read(item)
         self._newer.note(now, item.name, item.version)
         kind = kind_of(self._routes.named(item.name), new)
-        first = kind in STAGED and self._node in self._membership.draw().first(ROUTE, item.name, item.version)
-        one = self.chamber.know(now, item.key, item.version, kind, first, late or self.contact.behind(now))
+        first = kind in STAGED and self._node in self._membership.draw().canaries(
+            ROUTE, item.name, item.version
+        )
+        one = self.chamber.receive(
+            now, item.key, item.version, kind, first, late or self.contact.is_behind(now)
+        )
         self.dry.pop(item.name, None)
         if kind is ChangeKind.MOVED and new is not None:
             dry = self._prepare(new)
-            self.chamber.prepared(one)
+            self.chamber.mark_prepared(one)
             for service in dry:
                 self.dry[item.name] = service
                 self._event_log.tell(events.ROUTE_DRY, route=item.name, version=item.version, service=service)
@@ -97,9 +101,9 @@
             self._routes.drop(one.key[1])
             return
         self._routes.put(new)
-        if one.first and one.kind in STAGED:
+        if one.canary and one.kind in STAGED:
             aim = max(new.aim_ms, old.aim_ms) if old is not None else new.aim_ms
-            self.watch.begin(now, item.name, item.version, aim)
+            self.watch.start(now, item.name, item.version, aim)
 
     def _arm(self) -> None:
         due = self.chamber.next_due()
@@ -110,7 +114,7 @@
     def _take_due(self) -> None:
         self._due = None
         now = self._loop.time()
-        for one in self.chamber.due(now):
+        for one in self.chamber.activate_due(now):
             self._use(now, one)
         self._arm()
         self.changed()
@@ -123,7 +127,7 @@
             return
         now = self._loop.time()
         for kind, name, version in head["items"]:
-            one = self.chamber.good(now, (str(kind), str(name)), int(version))
+            one = self.chamber.approve(now, (str(kind), str(name)), int(version))
             if one is not None:
                 self._use(now, one)
                 self.changed()
@@ -134,9 +138,9 @@
         where nothing is held back."""
         now, key = self._loop.time(), (ROUTE, name)
         if at_next:
-            self.chamber.order_next(now, key, order)
+            self.chamber.apply_command_to_next(now, key, order)
             return None
-        one = self.chamber.order(now, key, order)
+        one = self.chamber.apply_command(now, key, order)
         if one is not None:
             self._event_log.tell(events.ROLLOUT_ORDERED, order=order.value, route=name, version=one.version)
             if one.state is State.IN_FORCE:
@@ -152,18 +156,18 @@
         now, route = self._loop.time(), ask.route
         failed = not isinstance(told, int) or told >= 500
         took = now * 1000.0 - ask.received_ms
-        watched = self.watch.ended(now, route.name, route.version, failed, took, route.aim_ms)
+        watched = self.watch.record(now, route.name, route.version, failed, took, route.aim_ms)
         if watched is None:
             return
         new, old = watched.new, watched.old
-        if not watched.told_worse and worse(new, old):
-            watched.told_worse = True
+        if not watched.reported_worse and is_worse(new, old):
+            watched.reported_worse = True
             self._event_log.tell(
                 events.ROUTE_WORSE,
                 route=route.name,
                 version=route.version,
-                failed=f"{new.bad}/{new.n}",
-                before=f"{old.bad}/{old.n}",
+                failed=f"{new.failures}/{new.calls}",
+                before=f"{old.failures}/{old.calls}",
             )
         self._say_within(SAY_SOON_S)
 
@@ -180,7 +184,8 @@
     def changed(self) -> None:
         """Something was taken in, or is in force now."""
         first = any(
-            one.first and one.state is State.IN_FORCE for one in list(self.chamber.passes)[-MOST_NAMED:]
+            one.canary and one.state is State.IN_FORCE
+            for one in list(self.chamber.history)[-MAX_NAMED_ITEMS:]
         )
         self._say_within(SAY_SOON_S if first else SAY_S)
 
@@ -193,9 +198,9 @@
     def tick(self, now: float) -> None:
         """Called several times a second."""
         channels = self._channels()
-        self.contact.look(
+        self.contact.poll(
             now,
-            any(one.complete and now - one.link.heard_at <= GAP_S for one in channels.open),
+            any(one.complete and now - one.link.heard_at <= MAX_POLL_GAP_S for one in channels.open),
         )
         if self._vector() != self._floor and not self.chamber.held and self._said is not None:
             self.changed()  # a vector may rise without an item
@@ -214,15 +219,17 @@
     def _say(self) -> None:
         self._saying = None
         held = self.chamber.held
-        if len(held) <= MOST_NAMED:
+        if len(held) <= MAX_NAMED_ITEMS:
             self._floor, self._floor_held = self._vector(), tuple(held)
         # Those that were named with the vector come first: they are within it.
         keys = dict.fromkeys([key for key in self._floor_held if key in held] + list(held))
-        named = {key: held[key].version for key in list(keys)[:MOST_NAMED]}
+        named = {key: held[key].version for key in list(keys)[:MAX_NAMED_ITEMS]}
         counts = [
-            CanaryCounts((ROUTE, w.name), w.version, (w.new.n, w.new.bad), (w.old.n, w.old.bad))
-            for w in list(self.watch.watched.values())[-MOST_NAMED:]
-            if w.new.n and w.until >= self._loop.time()
+            CanaryCounts(
+                (ROUTE, w.name), w.version, (w.new.calls, w.new.failures), (w.old.calls, w.old.failures)
+            )
+            for w in list(self.watch.watched.values())[-MAX_NAMED_ITEMS:]
+            if w.new.calls and w.until >= self._loop.time()
         ]
         told = pack(RolloutReport(self._floor, named, len(held) - len(named), tuple(counts)))
         if told == self._said:
--- a/mesh/rollout/canary_selection.py
+++ b/mesh/rollout/canary_selection.py
@@ -13,7 +13,7 @@
 
 from mesh.membership.rendezvous import rendezvous_order, weight
 
-FIRST_SHARE = (
+CANARY_SHARE = (
     0.1  # of the sidecars, rounded down, one at least: what a broken change may reach before the rest
 )
 
@@ -28,9 +28,9 @@
             self._circles.setdefault(zone, []).append((weight("", node), node))
         for circle in self._circles.values():
             circle.sort()
-        self.size = max(int(FIRST_SHARE * len(zones)), 1) if zones else 0
+        self.size = max(int(CANARY_SHARE * len(zones)), 1) if zones else 0
 
-    def first(self, kind: str, name: str, version: int) -> frozenset[str]:
+    def canaries(self, kind: str, name: str, version: int) -> frozenset[str]:
         """The first part for that version of that item; empty without sidecars."""
         label = f"{kind}/{name}/{version}"
         circles = [self._circles[zone] for zone in rendezvous_order(label, self._circles)]
--- a/mesh/rollout/canary_verdict.py
+++ b/mesh/rollout/canary_verdict.py
@@ -14,40 +14,41 @@
 
 from msgspec import Struct
 
-LOOKS = (8, 16, 32, 64)
-GOOD_LEAST, GOOD_MARGIN = 16, 0.05
+CHECKPOINTS = (8, 16, 32, 64)
+MIN_SOUND_CALLS, SOUND_MARGIN = 16, 0.05
 ALPHA = 1e-4
-MOST_COUNTED = 256  # of a running tally; then it is halved, so that it is of late
-MOST_ROUTES = 1024  # with a tally of their own; more are counted among all calls alone
-MOST_WATCHED, WATCH_S = 64, 10.0  # new ways under watch, and for how long
+MAX_TALLY_CALLS = 256  # of a running tally; then it is halved, so that it is of late
+MAX_ROUTES = 1024  # with a tally of their own; more are counted among all calls alone
+MAX_WATCHED, WATCH_S = 64, 10.0  # new ways under watch, and for how long
 
 
 class Tally(Struct):
-    n: int = 0
-    bad: int = 0
+    calls: int = 0
+    failures: int = 0
 
     def add(self, bad: bool) -> None:
-        self.n += 1
-        self.bad += bad
-        if self.n >= MOST_COUNTED:
-            self.n, self.bad = self.n // 2, self.bad // 2
+        self.calls += 1
+        self.failures += bad
+        if self.calls >= MAX_TALLY_CALLS:
+            self.calls, self.failures = self.calls // 2, self.failures // 2
 
 
-def worse(new: Tally, old: Tally) -> bool:
+def is_worse(new: Tally, old: Tally) -> bool:
     """Whether the new way is worse, by the rule above. False where either has fewer than LOOKS[0] calls."""
-    if min(new.n, old.n) < LOOKS[0] or new.bad * old.n <= old.bad * new.n:
+    if min(new.calls, old.calls) < CHECKPOINTS[0] or new.failures * old.calls <= old.failures * new.calls:
         return False
-    both, failed = new.n + old.n, new.bad + old.bad
+    both, failed = new.calls + old.calls, new.failures + old.failures
     ways = sum(
-        comb(failed, b) * comb(both - failed, new.n - b) for b in range(new.bad, min(failed, new.n) + 1)
+        comb(failed, b) * comb(both - failed, new.calls - b)
+        for b in range(new.failures, min(failed, new.calls) + 1)
     )
-    return ways / comb(both, new.n) < ALPHA
+    return ways / comb(both, new.calls) < ALPHA
 
 
-def sound(new: Tally, old: Tally) -> bool:
-    if new.n < GOOD_LEAST or old.n < LOOKS[0]:
+def is_sound(new: Tally, old: Tally) -> bool:
+    if new.calls < MIN_SOUND_CALLS or old.calls < CHECKPOINTS[0]:
         return False
-    return new.bad / new.n <= old.bad / old.n + GOOD_MARGIN
+    return new.failures / new.calls <= old.failures / old.calls + SOUND_MARGIN
 
 
 class CanaryRoute(Struct):
@@ -59,7 +60,7 @@
     old: Tally
     new: Tally
     until: float
-    told_worse: bool = False
+    reported_worse: bool = False
 
 
 class CanaryMonitor:
@@ -70,19 +71,19 @@
         self._all = Tally()
         self.watched: dict[str, CanaryRoute] = {}
 
-    def begin(self, now: float, name: str, version: int, aim_ms: float) -> None:
+    def start(self, now: float, name: str, version: int, aim_ms: float) -> None:
         """That version of that route is in force from now on; its calls are watched. Past MOST_WATCHED the
         oldest watch ends."""
         _, old = self._routes.get(name, (0, Tally()))
-        base = old if old.n >= LOOKS[0] else self._all
+        base = old if old.calls >= CHECKPOINTS[0] else self._all
         self.watched.pop(name, None)
         self.watched[name] = CanaryRoute(
-            name, version, aim_ms, Tally(base.n, base.bad), Tally(), now + WATCH_S
+            name, version, aim_ms, Tally(base.calls, base.failures), Tally(), now + WATCH_S
         )
-        if len(self.watched) > MOST_WATCHED:
+        if len(self.watched) > MAX_WATCHED:
             del self.watched[next(iter(self.watched))]
 
-    def ended(
+    def record(
         self, now: float, name: str, version: int, failed: bool, took_ms: float, aim_ms: float
     ) -> CanaryRoute | None:
         """A call by that version of that route is over. Gives the watch where it is time to look."""
@@ -93,7 +94,7 @@
         self._all.add(bad)
         known = self._routes.get(name)
         if known is None or known[0] < version:
-            if known is None and len(self._routes) >= MOST_ROUTES:
+            if known is None and len(self._routes) >= MAX_ROUTES:
                 return None
             known = self._routes[name] = (version, Tally())
         if known[0] == version:
@@ -103,6 +104,6 @@
         if now > watched.until:
             del self.watched[name]
             return None
-        watched.new.n += 1
-        watched.new.bad += bad
-        return watched if watched.new.n in LOOKS else None
+        watched.new.calls += 1
+        watched.new.failures += bad
+        return watched if watched.new.calls in CHECKPOINTS else None
--- a/mesh/rollout/report.py
+++ b/mesh/rollout/report.py
@@ -15,8 +15,8 @@
 from mesh.replication.items import Item, Key
 
 REPORTS, REPORT = "reports", "report"  # the store, and the kind of its items
-MOST_NAMED = 8  # items held back, and items under watch, that a report names
-MOST_SOURCES = 256
+MAX_NAMED_ITEMS = 8  # items held back, and items under watch, that a report names
+MAX_SOURCES = 256
 
 
 class CanaryCounts(Struct, frozen=True):
@@ -31,15 +31,15 @@
 class RolloutReport(Struct, frozen=True):
     vector: Mapping[str, int]
     held: Mapping[Key, int]  # known here and not in force: the version that is known
-    more: int  # items held back beyond those; the vector is older than them then
+    unnamed: int  # items held back beyond those; the vector is older than them then
     counts: tuple[CanaryCounts, ...]
 
-    def has(self, item: Item) -> bool:
+    def confirms(self, item: Item) -> bool:
         """Whether that item, at its rank or a higher one, is in force there."""
         return self.vector.get(item.source, 0) >= item.number and item.key not in self.held
 
 
-def needs_of(items: Iterable[Item]) -> dict[str, int]:
+def required_vector(items: Iterable[Item]) -> dict[str, int]:
     """What confirms these items: by source, the number to which a vector that holds all of them has risen."""
     needs: dict[str, int] = {}
     for item in items:
@@ -51,8 +51,8 @@
     told: dict[str, Any] = {"v": dict(report.vector)}
     if report.held:
         told["held"] = [[*key, version] for key, version in report.held.items()]
-    if report.more:
-        told["more"] = report.more
+    if report.unnamed:
+        told["more"] = report.unnamed
     if report.counts:
         told["counts"] = [[*c.key, c.version, *c.new, *c.old] for c in report.counts]
     return told
@@ -61,12 +61,14 @@
 def read(told: Mapping[str, Any]) -> RolloutReport:
     """Raises KeyError, TypeError or ValueError for what is no report; fields unknown here are passed over."""
     vector = told["v"]
-    if not isinstance(vector, dict) or len(vector) > MOST_SOURCES:
-        raise ValueError(f"v: give at most {MOST_SOURCES} entries by source")
-    held = {(str(kind), str(name)): int(version) for kind, name, version in told.get("held", [])[:MOST_NAMED]}
+    if not isinstance(vector, dict) or len(vector) > MAX_SOURCES:
+        raise ValueError(f"v: give at most {MAX_SOURCES} entries by source")
+    held = {
+        (str(kind), str(name)): int(version) for kind, name, version in told.get("held", [])[:MAX_NAMED_ITEMS]
+    }
     counts = [
         CanaryCounts((str(kind), str(name)), int(version), (int(n), int(bad)), (int(old_n), int(old_bad)))
-        for kind, name, version, n, bad, old_n, old_bad in told.get("counts", [])[:MOST_NAMED]
+        for kind, name, version, n, bad, old_n, old_bad in told.get("counts", [])[:MAX_NAMED_ITEMS]
     ]
     return RolloutReport(
         {str(source): int(number) for source, number in vector.items()},
--- a/mesh/rollout/staged_activation.py
+++ b/mesh/rollout/staged_activation.py
@@ -18,9 +18,12 @@
 from mesh.replication.items import Key
 from mesh.rollout.change_kinds import STAGED, ChangeKind
 
-MOST_HELD = 1024  # items held back at once; one more is taken at once
-KEPT = 256  # passes kept to be explained
-MOST_ORDERS, ORDER_S = 64, 60.0  # operators' words for the next version of an item, and how long they stand
+MAX_HELD = 1024  # items held back at once; one more is taken at once
+MAX_HISTORY = 256  # passes kept to be explained
+MAX_PENDING_COMMANDS, PENDING_COMMAND_S = (
+    64,
+    60.0,
+)  # operators' words for the next version of an item, and how long they stand
 
 
 class State(str, Enum):
@@ -45,29 +48,29 @@
     key: Key
     version: int
     kind: ChangeKind
-    first: bool
-    known: float
-    latest: float
-    why: str
+    canary: bool
+    known_at: float
+    deadline: float
+    reason: str
     state: State = State.KNOWN
-    taken: float = 0.0
-    ordered: RolloutCommand | None = None
+    finished_at: float = 0.0
+    command: RolloutCommand | None = None
 
 
 class StagedActivation:
     def __init__(self, hold_s: float) -> None:
         self.hold_s = hold_s
         self.held: dict[Key, ItemActivation] = {}
-        self.passes: deque[ItemActivation] = deque(maxlen=KEPT)  # the oldest first
-        self._orders: dict[Key, tuple[RolloutCommand, float]] = {}
+        self.history: deque[ItemActivation] = deque(maxlen=MAX_HISTORY)  # the oldest first
+        self._pending_commands: dict[Key, tuple[RolloutCommand, float]] = {}
 
-    def know(
+    def receive(
         self, now: float, key: Key, version: int, kind: ChangeKind, first: bool, behind: bool
     ) -> ItemActivation:
         """A version has come that is higher than all before. ``first``: this sidecar is of its first part;
         ``behind``: it may have been known elsewhere for long. The pass is IN_FORCE where it is to be taken
         now, else KNOWN."""
-        ordered = self._order(now, key)
+        ordered = self._pending_command(now, key)
         if kind not in STAGED:
             wait, why = 0.0, f"{kind.value}: taken at once"
         elif behind:
@@ -76,72 +79,72 @@
             wait, why = 0.0, "first part: taken at once"
         elif ordered is RolloutCommand.GO:
             wait, why = 0.0, "an operator's go: taken at once"
-        elif len(self.held) >= MOST_HELD:
-            wait, why = 0.0, f"{MOST_HELD} items are held already: taken at once"
+        elif len(self.held) >= MAX_HELD:
+            wait, why = 0.0, f"{MAX_HELD} items are held already: taken at once"
         else:
             wait, why = self.hold_s, "waits for the first part"
-        one = ItemActivation(key, version, kind, first, now, now + wait, why, ordered=ordered)
+        one = ItemActivation(key, version, kind, first, now, now + wait, why, command=ordered)
         before = self.held.pop(key, None)
         if before is not None:
-            before.state, before.taken, before.why = State.OVERTAKEN, now, f"overtaken by r{version}"
-            one.latest = min(one.latest, before.latest)
-            one.ordered = ordered or before.ordered
-        self.passes.append(one)
-        if one.latest <= now:
-            self._take(now, one, one.why)
+            before.state, before.finished_at, before.reason = State.OVERTAKEN, now, f"overtaken by r{version}"
+            one.deadline = min(one.deadline, before.deadline)
+            one.command = ordered or before.command
+        self.history.append(one)
+        if one.deadline <= now:
+            self._activate(now, one, one.reason)
         else:
             self.held[key] = one
         return one
 
-    def prepared(self, one: ItemActivation) -> None:
+    def mark_prepared(self, one: ItemActivation) -> None:
         if one.state is State.KNOWN:
             one.state = State.PREPARED
 
-    def due(self, now: float) -> list[ItemActivation]:
+    def activate_due(self, now: float) -> list[ItemActivation]:
         """Those whose latest instant has come; they are to be taken now."""
-        found = [one for one in self.held.values() if one.latest <= now]
+        found = [one for one in self.held.values() if one.deadline <= now]
         for one in found:
-            self._take(now, one, "its latest instant")
+            self._activate(now, one, "its latest instant")
         return found
 
     def next_due(self) -> float | None:
-        return min((one.latest for one in self.held.values()), default=None)
+        return min((one.deadline for one in self.held.values()), default=None)
 
-    def good(self, now: float, key: Key, version: int) -> ItemActivation | None:
+    def approve(self, now: float, key: Key, version: int) -> ItemActivation | None:
         """The first part's word is good. Gives what is to be taken now; None where there is nothing, or an
         operator holds it."""
         one = self.held.get(key)
-        if one is None or one.version != version or one.ordered is RolloutCommand.HOLD:
+        if one is None or one.version != version or one.command is RolloutCommand.HOLD:
             return None
-        return self._take(now, one, "the first part's word is good")
+        return self._activate(now, one, "the first part's word is good")
 
-    def order(self, now: float, key: Key, order: RolloutCommand) -> ItemActivation | None:
+    def apply_command(self, now: float, key: Key, order: RolloutCommand) -> ItemActivation | None:
         """An operator's word for what is held back; gives it, IN_FORCE where it is to be taken now. None
         where nothing is held: it is in force already, and only a higher version changes that."""
         one = self.held.get(key)
         if one is None:
             return None
-        one.ordered = order
-        return self._take(now, one, "an operator's go") if order is RolloutCommand.GO else one
+        one.command = order
+        return self._activate(now, one, "an operator's go") if order is RolloutCommand.GO else one
 
-    def order_next(self, now: float, key: Key, order: RolloutCommand) -> None:
+    def apply_command_to_next(self, now: float, key: Key, order: RolloutCommand) -> None:
         """For the next version of that item, within ORDER_S."""
-        self._orders.pop(key, None)
-        self._orders[key] = (order, now + ORDER_S)
-        if len(self._orders) > MOST_ORDERS:
-            del self._orders[next(iter(self._orders))]
+        self._pending_commands.pop(key, None)
+        self._pending_commands[key] = (order, now + PENDING_COMMAND_S)
+        if len(self._pending_commands) > MAX_PENDING_COMMANDS:
+            del self._pending_commands[next(iter(self._pending_commands))]
 
     def confirm(self, before: float) -> None:
         """All that came into force before that instant has been told to a control process."""
-        for one in self.passes:
-            if one.state is State.IN_FORCE and one.taken <= before:
+        for one in self.history:
+            if one.state is State.IN_FORCE and one.finished_at <= before:
                 one.state = State.CONFIRMED
 
-    def _order(self, now: float, key: Key) -> RolloutCommand | None:
-        order, until = self._orders.pop(key, (None, 0.0))
+    def _pending_command(self, now: float, key: Key) -> RolloutCommand | None:
+        order, until = self._pending_commands.pop(key, (None, 0.0))
         return order if now < until else None
 
-    def _take(self, now: float, one: ItemActivation, why: str) -> ItemActivation:
+    def _activate(self, now: float, one: ItemActivation, why: str) -> ItemActivation:
         self.held.pop(one.key, None)
-        one.state, one.taken, one.why = State.IN_FORCE, now, why
+        one.state, one.finished_at, one.reason = State.IN_FORCE, now, why
         return one
--- a/rigs/stage_model.py
+++ b/rigs/stage_model.py
@@ -194,12 +194,12 @@
             return side
         if what == "due":
             chamber = _chamber(side)
-            for one in chamber.due(float(now)):
+            for one in chamber.activate_due(float(now)):
                 side = self._use(side, one)
             return side._replace(held=_held(chamber))
         if what == "go":
             chamber = _chamber(side)
-            gone = chamber.good(float(now), _key(event[2]), event[3])
+            gone = chamber.approve(float(now), _key(event[2]), event[3])
             if gone is not None:
                 side = self._use(side, gone)
                 if gone.version != event[3]:
@@ -221,16 +221,16 @@
         """As `proxy.stages.Stages.route` does it."""
         kind = next(c.kind for c in self.size.changes if (c.item, c.version) == (item, version))
         chamber, first = _chamber(side), at == self._first(item, version)
-        behind = _contact(side).behind(float(now))
+        behind = _contact(side).is_behind(float(now))
         before = chamber.held.get(_key(item))
-        one = chamber.know(float(now), _key(item), version, kind, first, behind)
+        one = chamber.receive(float(now), _key(item), version, kind, first, behind)
         side = side._replace(
             known=_put(side.known, item, version),
             since=_put(side.since, item, now),
             waits=_put(side.waits, item, min(side.waits[item], now)),
             held=_held(chamber),
         )
-        at_once = one.latest <= now
+        at_once = one.deadline <= now
         if at_once:
             side = self._use(side, one)
         since, looked = side.contact
@@ -259,9 +259,9 @@
         if side.status == "stands":
             return side._replace(touched=now)
         contact = _contact(side)
-        contact.look(float(now), side.status == "runs")
+        contact.poll(float(now), side.status == "runs")
         touched = now if side.status == "cut" else side.touched
-        return side._replace(contact=(contact._since, contact._looked), touched=touched)
+        return side._replace(contact=(contact._since, contact._polled_at), touched=touched)
 
     def _first(self, item: int, version: int) -> int:
         return (item + version) % self.size.sides
@@ -282,7 +282,7 @@
         report = RolloutReport(
             {f"i{at}": number for at, number in enumerate(known)}, {_key(at): v for at, v in held}, 0, ()
         )
-        return report.has(Item("route", str(item), version, {}, f"i{item}", version))
+        return report.confirms(Item("route", str(item), version, {}, f"i{item}", version))
 
     # What must hold
 
@@ -340,13 +340,13 @@
 
 def _held(chamber: StagedActivation) -> tuple[tuple[int, int, int, int], ...]:
     return tuple(
-        (int(one.key[1]), one.version, int(one.latest), int(one.known)) for one in chamber.held.values()
+        (int(one.key[1]), one.version, int(one.deadline), int(one.known_at)) for one in chamber.held.values()
     )
 
 
 def _contact(side: Side) -> UpdateContact:
     contact = UpdateContact(float(NEWS), GAP)
-    contact._since, contact._looked = side.contact
+    contact._since, contact._polled_at = side.contact
     return contact
 
 
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -26,24 +26,24 @@
     patch.setattr(
         StagedActivation,
         "next_due",
-        lambda self: min((p.latest + 1.6 for p in self.held.values()), default=None),
+        lambda self: min((p.deadline + 1.6 for p in self.held.values()), default=None),
     )
 
 
 def hold_begun_anew_by_each_version(patch: Patch) -> None:
-    real = StagedActivation.know
+    real = StagedActivation.receive
 
-    def know(self: StagedActivation, *args: Any) -> ItemActivation:
+    def receive(self: StagedActivation, *args: Any) -> ItemActivation:
         self.held.pop(args[1], None)
         return real(self, *args)
 
-    patch.setattr(StagedActivation, "know", know)
+    patch.setattr(StagedActivation, "receive", receive)
 
 
 def goes_back_when_overtaken(patch: Patch) -> None:
-    real = StagedActivation.know
+    real = StagedActivation.receive
 
-    def know(self: StagedActivation, *args: Any) -> ItemActivation:
+    def receive(self: StagedActivation, *args: Any) -> ItemActivation:
         before = self.held.get(args[1])
         one = real(self, *args)
         if before is not None:
@@ -55,20 +55,22 @@
         assert item.value is not None
         self._routes.put(read_route(item.name, one.version, dict(item.value)))
 
-    patch.setattr(StagedActivation, "know", know)
+    patch.setattr(StagedActivation, "receive", receive)
     patch.setattr(Stages, "_use", use)
 
 
 def first_part_is_empty(patch: Patch) -> None:
-    patch.setattr(CanarySelection, "first", lambda self, kind, name, version: frozenset())
+    patch.setattr(CanarySelection, "canaries", lambda self, kind, name, version: frozenset())
 
 
 def first_part_is_all(patch: Patch) -> None:
-    patch.setattr(CanarySelection, "first", lambda self, kind, name, version: self.nodes)
+    patch.setattr(CanarySelection, "canaries", lambda self, kind, name, version: self.nodes)
 
 
 def confirms_what_is_held_back(patch: Patch) -> None:
-    patch.setattr(RolloutReport, "has", lambda self, item: self.vector.get(item.source, 0) >= item.number)
+    patch.setattr(
+        RolloutReport, "confirms", lambda self, item: self.vector.get(item.source, 0) >= item.number
+    )
 
 
 def names_any_eight_with_a_new_vector(patch: Patch) -> None:
@@ -86,7 +88,7 @@
     patch.setattr(
         VersionCheck,
         "outdated",
-        lambda self, now, name, version, age_s: self._known.get(name, (0, 0.0))[0] > version,
+        lambda self, now, name, version, age_s: self._versions.get(name, (0, 0.0))[0] > version,
     )
 
 
@@ -102,15 +104,15 @@
 
 
 def drops_are_held_back(patch: Patch) -> None:
-    real = StagedActivation.know
+    real = StagedActivation.receive
 
-    def know(
+    def receive(
         self: StagedActivation, now: float, key: Any, version: int, kind: Any, first: bool, behind: bool
     ) -> ItemActivation:
         return real(self, now, key, version, ChangeKind.MOVED, first, behind)
 
-    patch.setattr(StagedActivation, "know", know)
+    patch.setattr(StagedActivation, "receive", receive)
 
 
 def behind_is_not_noticed(patch: Patch) -> None:
-    patch.setattr(UpdateContact, "behind", lambda self, now: False)
+    patch.setattr(UpdateContact, "is_behind", lambda self, now: False)
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -225,7 +225,7 @@
         report = read(item.value)
         for _, controller in self.programs(core=True):
             for one in controller.charter.items.values():
-                if one.kind == "route" and one.value is not None and report.has(one):
+                if one.kind == "route" and one.value is not None and report.confirms(one):
                     standing = program.routes.named(one.name)
                     if standing is None or standing.version < one.version:
                         self.witness._say(f"{life.machine.name} confirms {one.name} r{one.version} too early")
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -10,7 +10,7 @@
 from test_cli_mesh import Mesh, narrow, run, told, write
 
 from mesh.cli.rollout import explained, shown
-from mesh.rollout.staged_activation import ORDER_S
+from mesh.rollout.staged_activation import PENDING_COMMAND_S
 from rigs.mesh_peers import change, route
 
 
@@ -63,7 +63,7 @@
     refused = run(mesh, "rollout", "hold", "read")
     assert refused.exit_code == 4 and "is in force, nothing is held back" in refused.output
     assert run(mesh, "rollout", "explain", "nowhere").exit_code == 4
-    assert f"{ORDER_S:.0f} s" in run(mesh, "rollout", "go", "read", "--next").output
+    assert f"{PENDING_COMMAND_S:.0f} s" in run(mesh, "rollout", "go", "read", "--next").output
     version = move(mesh)
     mesh.wait(lambda: all(side.routes.named("read").version == version for side in mesh.sides))
     confirmed(mesh)
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -204,7 +204,7 @@
     def script(world: Cuts) -> Script:
         stages: Any = world.machines["s1"].program.stages
         taken: list[Any] = []
-        stages.chamber.good = lambda *args: taken.append(args)
+        stages.chamber.approve = lambda *args: taken.append(args)
         stages.told({"t": "go", "items": [["route", "last", 2]]}, contact)
         assert bool(taken) is contact
         yield world.env.timeout(0.0)
--- a/tests/mesh/test_stage_model.py
+++ b/tests/mesh/test_stage_model.py
@@ -18,7 +18,7 @@
 from simulation.mesh.seeds import Patch
 from statecheck import explore
 
-KNOW = StagedActivation.know
+RECEIVE = StagedActivation.receive
 
 
 def test_every_order_of_events_is_sound_where_a_sidecar_is_cut_off() -> None:
@@ -39,55 +39,57 @@
 
 
 def begins_anew_when_overtaken(patch: Patch) -> None:
-    def know(self: StagedActivation, now: float, key: Any, *args: Any) -> ItemActivation:
+    def receive(self: StagedActivation, now: float, key: Any, *args: Any) -> ItemActivation:
         self.held.pop(key, None)
-        return KNOW(self, now, key, *args)
+        return RECEIVE(self, now, key, *args)
 
-    patch.setattr(StagedActivation, "know", know)
+    patch.setattr(StagedActivation, "receive", receive)
 
 
 def keeps_what_was_overtaken(patch: Patch) -> None:
-    def know(self: StagedActivation, now: float, key: Any, *args: Any) -> ItemActivation:
+    def receive(self: StagedActivation, now: float, key: Any, *args: Any) -> ItemActivation:
         before = self.held.get(key)
-        one = KNOW(self, now, key, *args)
+        one = RECEIVE(self, now, key, *args)
         if before is not None:
             self.held[key] = before
         return one
 
-    patch.setattr(StagedActivation, "know", know)
+    patch.setattr(StagedActivation, "receive", receive)
 
 
 def takes_what_is_held_twice(patch: Patch) -> None:
-    real = StagedActivation._take
+    real = StagedActivation._activate
 
-    def take(self: StagedActivation, now: float, one: ItemActivation, why: str) -> ItemActivation:
+    def activate(self: StagedActivation, now: float, one: ItemActivation, why: str) -> ItemActivation:
         held = dict(self.held)
         real(self, now, one, why)
         self.held = held
         return one
 
-    patch.setattr(StagedActivation, "_take", take)
+    patch.setattr(StagedActivation, "_activate", activate)
 
 
 def any_versions_word_will_do(patch: Patch) -> None:
-    real = StagedActivation.good
+    real = StagedActivation.approve
 
-    def good(self: StagedActivation, now: float, key: Any, version: int) -> ItemActivation | None:
+    def approve(self: StagedActivation, now: float, key: Any, version: int) -> ItemActivation | None:
         return real(self, now, key, self.held[key].version)
 
-    patch.setattr(StagedActivation, "good", good)
+    patch.setattr(StagedActivation, "approve", approve)
 
 
 def never_behind(patch: Patch) -> None:
-    patch.setattr(UpdateContact, "behind", lambda self, now: False)
+    patch.setattr(UpdateContact, "is_behind", lambda self, now: False)
 
 
 def always_behind(patch: Patch) -> None:
-    patch.setattr(UpdateContact, "behind", lambda self, now: True)
+    patch.setattr(UpdateContact, "is_behind", lambda self, now: True)
 
 
 def confirms_what_is_held(patch: Patch) -> None:
-    patch.setattr(RolloutReport, "has", lambda self, item: self.vector.get(item.source, 0) >= item.number)
+    patch.setattr(
+        RolloutReport, "confirms", lambda self, item: self.vector.get(item.source, 0) >= item.number
+    )
 
 
 def reports_leave_out_what_is_held(patch: Patch) -> None:
@@ -113,7 +115,7 @@
 
 
 def timers_do_not_fire(patch: Patch) -> None:
-    patch.setattr(StagedActivation, "due", lambda self, now: [])
+    patch.setattr(StagedActivation, "activate_due", lambda self, now: [])
     patch.setattr(Stages, "_may_tick", lambda self, state: state[0] <= HOLD + 1)
 
 
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -10,14 +10,14 @@
 import pytest
 
 from mesh.rollout import staged_activation as activation_module
-from mesh.rollout.bounds import derive
+from mesh.rollout.bounds import derive_rollout_times
 from simulation.mesh import stage_seeds
 from simulation.mesh.seeds import Patch
 from simulation.mesh.staged import CONTACT_S, SETTLE_S, Staged, rule, split
 from simulation.mesh.world import Machine, Script
 
 Play = Callable[[Staged], Script]
-HOLD_S = derive(2000.0, 4000.0).hold_s
+HOLD_S = derive_rollout_times(2000.0, 4000.0).hold_s
 RULES = {"a": False, "b": True}  # routes, and whether they are effectful
 SIDES = 10
 
@@ -85,7 +85,7 @@
         yield world.env.timeout(max(began + 0.25 - world.env.now, 0.0))
         assert versions(world).count(2) == 1, versions(world)  # the first part: a tenth, one at least
         first = [m.name for m, v in zip(sides(world), versions(world), strict=True) if v == 2]
-        assert first == list(world.controllers()[0].program.membership.draw().first("route", "a", 2))
+        assert first == list(world.controllers()[0].program.membership.draw().canaries("route", "a", 2))
         yield world.env.timeout(began + HOLD_S + 0.1 - world.env.now)
         assert set(versions(world)) == {2}
         yield world.env.timeout(0.5)
@@ -96,7 +96,7 @@
             assert rollout.done is not None and not rollout.missing
             assert machine.program.rollouts.lacking(("route", "a")) == []
         told = [
-            p.state.value for m in sides(world) for p in m.program.stages.chamber.passes if p.version == 2
+            p.state.value for m in sides(world) for p in m.program.stages.chamber.history if p.version == 2
         ]
         assert set(told) == {"confirmed"}
 
@@ -125,7 +125,7 @@
         yield from moves(world, 2)
         yield world.env.timeout(began + 0.8 * HOLD_S - world.env.now)
         assert set(versions(world)) == {2}
-        whys = {p.why for m in sides(world) for p in m.program.stages.chamber.passes if p.version == 2}
+        whys = {p.reason for m in sides(world) for p in m.program.stages.chamber.history if p.version == 2}
         assert "the first part's word is good" in whys
 
     assert played(staged(then, traffic_s=0.008, count=4)) == []
@@ -281,7 +281,7 @@
 
     def then(world: Staged) -> Script:
         draw = sides(world)[0].program.membership.draw()
-        (name,) = draw.first("route", "a", 2)
+        (name,) = draw.canaries("route", "a", 2)
         first = world.machines[name]
         rest = next(m for m in sides(world) if m is not first)
         world.env.process(moves(world, 2))
@@ -338,7 +338,7 @@
 
 def many(world: Staged) -> Script:
     """More at once than may be held back."""
-    count, most = activation_module.MOST_HELD * 3, [0]
+    count, most = activation_module.MAX_HELD * 3, [0]
 
     def look() -> Script:
         """Also before the order is acknowledged: so large a one is only once it is in force."""
@@ -350,7 +350,7 @@
     for version, service in ((1, "p"), (2, "q")):
         yield from world.commits(version, *(rule(f"m{n}", service, version) for n in range(count)))
         yield world.env.timeout(1.1)
-    assert most[0] == activation_module.MOST_HELD
+    assert most[0] == activation_module.MAX_HELD
     assert all(m.program.routes.named(f"m{n}").version == 2 for m in sides(world) for n in range(count))
 
 
@@ -367,7 +367,7 @@
 
 
 def test_more_changes_than_may_be_held_back_are_taken_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(activation_module, "MOST_HELD", 60)
+    monkeypatch.setattr(activation_module, "MAX_HELD", 60)
     assert played(staged(many, traffic_s=0.0, count=2)) == []
 
 
@@ -391,7 +391,7 @@
     world.heal()
     yield world.env.timeout(1.5)
     at = [when for when, life, name, v in world.changes if life is lone.life and (name, v) == ("a", 2)]
-    known = [p.known for p in lone.program.stages.chamber.passes if p.version == 2 and p.key[1] == "a"]
+    known = [p.known_at for p in lone.program.stages.chamber.history if p.version == 2 and p.key[1] == "a"]
     assert at == known, (at, known)
 
 
