--- a/benchmarks/contact_cost.py
+++ b/benchmarks/contact_cost.py
@@ -17,7 +17,7 @@
 from mesh.data_plane.membership import CONTROLLER
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place, Tolerance
-from mesh.replication.quorum_contact import EVERY_SHARE
+from mesh.replication.quorum_contact import PROBE_INTERVAL_SHARE
 from mesh.transport.frames import Frames, frame
 
 CONTACT_MS = 3000.0
@@ -53,7 +53,7 @@
     for one in channels:
         contact_probes.link_opened(one)
     size = frames = 0
-    every_s = EVERY_SHARE * CONTACT_MS / 1000.0
+    every_s = PROBE_INTERVAL_SHARE * CONTACT_MS / 1000.0
     began = time.process_time()
     for number in range(1, rounds + 1):
         at = now[0] = number * every_s
--- a/mesh/control_plane/accept_pages.py
+++ b/mesh/control_plane/accept_pages.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from mesh.replication.acceptor import Number, Value
+from mesh.replication.acceptor import Slot, Value
 
 PAGE_BYTES = 1 << 20  # of contents in one accept frame
 
 
-def split_into_pages(writes: Mapping[Number, Value], tags: Mapping[Number, str]) -> list[list[Any]]:
+def split_into_pages(writes: Mapping[Slot, Value], tags: Mapping[Slot, str]) -> list[list[Any]]:
     """Returns the rows of an accept in pages; each content is encoded once. A page has at least one row."""
     pages: list[list[Any]] = [[]]
     room = PAGE_BYTES
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -16,15 +16,15 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.acceptor import (
-    BLOCK,
+    ROUND_BLOCK,
     Acceptor,
     Ballot,
+    Decision,
     Forgotten,
-    Number,
     Promised,
     Refusal,
-    Settled,
-    State,
+    Slot,
+    SlotState,
     Value,
     Vote,
 )
@@ -80,17 +80,17 @@
             if self._member_set.view().epoch == epoch:
                 self._durable_epoch = epoch
 
-    async def promise(self, epoch: int, ballot: Ballot, numbers: Sequence[Number]) -> Promised | Refusal:
+    async def promise(self, epoch: int, ballot: Ballot, numbers: Sequence[Slot]) -> Promised | Refusal:
         """Promises all numbers or none, with a ceiling on disk that covers the ballot's round."""
         while True:
             refusal = await self.check_epoch(epoch)
             if refusal is not None:
                 return refusal
-            ceiling = self.acceptor.wants(ballot.round)
+            ceiling = self.acceptor.required_ceiling(ballot.round)
             if not ceiling:
                 break
             await self.raise_ceiling(ceiling)
-        next_ceiling = self.acceptor.wants(ballot.round + BLOCK // 2)
+        next_ceiling = self.acceptor.required_ceiling(ballot.round + ROUND_BLOCK // 2)
         if next_ceiling > self._ceiling:
             self.spawn(self.raise_ceiling(next_ceiling))
         return self.acceptor.promise(ballot, numbers)
@@ -100,15 +100,15 @@
         self._ceiling = max(self._ceiling, ceiling)
         self._disk_writer.put_row(pack_ceiling(self._ceiling))
         await self._disk_writer.flush()
-        self.acceptor.raised(ceiling)
+        self.acceptor.set_ceiling(ceiling)
 
     async def accept(
         self,
         epoch: int,
         ballot: Ballot,
         by: Mapping[str, int],
-        writes: Mapping[Number, Value],
-        tags: Mapping[Number, str],
+        writes: Mapping[Slot, Value],
+        tags: Mapping[Slot, str],
     ) -> Refusal | None:
         """Accepts the writes; returns None once they are on disk."""
         refusal = await self.check_epoch(epoch)
@@ -126,7 +126,7 @@
         await self._disk_writer.flush()
         return None
 
-    def has_room(self, writes: Mapping[Number, Value]) -> bool:
+    def has_room(self, writes: Mapping[Slot, Value]) -> bool:
         """Whether the disk has room for what an order sets; drops and views always fit."""
         sets = [value for (kind, _, _), value in writes.items() if value is not None and kind != VIEW]
         return not sets or self._disk_writer.has_room(
@@ -152,7 +152,7 @@
         if changed:
             self._on_change(changed)
 
-    def stamp_items(self, decided: Iterable[tuple[Number, Value]]) -> tuple[list[Item], dict[str, int]]:
+    def stamp_items(self, decided: Iterable[tuple[Slot, Value]]) -> tuple[list[Item], dict[str, int]]:
         """Items stamped by this store, in the order of their numbers, and its vector that includes them."""
         source = self._charter.source
         first = self._charter.vector.get(source, 0) + 1
@@ -169,15 +169,15 @@
         if any(item.kind == VIEW for item in items):
             self.on_view_change()
 
-    def record_outcome(self, number: Number, state: Settled | Forgotten) -> None:
+    def record_outcome(self, number: Slot, state: Decision | Forgotten) -> None:
         """Records an outcome that another acceptor reported without its content."""
-        if self.acceptor.told(number, state):
+        if self.acceptor.learn_state(number, state):
             self._disk_writer.mark_settled([number])
 
     def _settle(self, items: Iterable[Item], whole: bool) -> None:
         numbered = [((item.kind, item.name, item.version), item.value) for item in items]
         self._disk_writer.mark_settled(
-            [number for number, value in numbered if self.acceptor.settle(number, value, whole)]
+            [number for number, value in numbered if self.acceptor.learn(number, value, whole)]
         )
 
     # Frames
@@ -224,15 +224,19 @@
             self.apply([unpack(fields) for fields in head["items"]], {})
             return
         source, first = str(head["s"]), int(head["at"])
-        decided = sorted(self.acceptor.at(decode_ballot(head["b"])).items(), key=lambda pair: pair[0])
+        decided = sorted(
+            self.acceptor.votes_under(decode_ballot(head["b"])).items(), key=lambda pair: pair[0]
+        )
         if len(decided) == head["of"]:
             items = [Item(*number, value, source, first + at) for at, (number, value) in enumerate(decided)]
-            self.apply(items, self._charter.following(source, first, len(items)), bool(head.get("whole")))
+            self.apply(
+                items, self._charter.contiguous_vector(source, first, len(items)), bool(head.get("whole"))
+            )
         elif decided:  # the others were decided otherwise, before or meanwhile
             self.apply(*self.stamp_items(decided))
 
     async def _handle_prepare(
-        self, channel: Channel, head: Head, ballot: Ballot, numbers: list[Number]
+        self, channel: Channel, head: Head, ballot: Ballot, numbers: list[Slot]
     ) -> None:
         answer = await self.promise(int(head["e"]), ballot, numbers)
         if isinstance(answer, Refusal):
@@ -253,8 +257,8 @@
         channel: Channel,
         head: Head,
         ballot: Ballot,
-        writes: Mapping[Number, Value],
-        tags: Mapping[Number, str],
+        writes: Mapping[Slot, Value],
+        tags: Mapping[Slot, str],
     ) -> None:
         by = {str(name): int(generation) for name, generation in head["by"].items()}
         refusal = await self.accept(int(head["e"]), ballot, by, writes, tags)
@@ -294,7 +298,7 @@
     return Ballot(round, proposer)
 
 
-def decode_number(data: Any) -> Number:
+def decode_number(data: Any) -> Slot:
     """Decodes the first three fields; raises TypeError or ValueError if they are no number."""
     kind, name, version = data[:3]
     if not (isinstance(kind, str) and isinstance(name, str) and isinstance(version, int)):
@@ -302,22 +306,22 @@
     return kind, name, version
 
 
-def encode_state(state: State, full: bool) -> list[Any]:
+def encode_state(state: SlotState, full: bool) -> list[Any]:
     """Encodes a state. ``full``: with the content of an item that is in force."""
     if isinstance(state, Vote):
         return ["v", *encode_ballot(state.ballot), state.value, state.tag]
-    if isinstance(state, Settled):
+    if isinstance(state, Decision):
         row = ["d", state.digest, state.tag]
-        return [*row, state.value] if full and state.has else row
+        return [*row, state.value] if full and state.has_value else row
     return ["f"]
 
 
-def decode_state(data: Sequence[Any]) -> State:
+def decode_state(data: Sequence[Any]) -> SlotState:
     """Decodes a state; raises TypeError or ValueError if it is malformed."""
     if data[0] == "v":
         return Vote(decode_ballot(data[1:3]), data[3], str(data[4]))
     if data[0] == "d":
-        return Settled(str(data[1]), len(data) > 3, data[3] if len(data) > 3 else None, str(data[2]))
+        return Decision(str(data[1]), len(data) > 3, data[3] if len(data) > 3 else None, str(data[2]))
     if data[0] == "f":
         return Forgotten()
     raise ValueError(f"unknown state {data[0]!r}")
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -17,13 +17,13 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.anti_entropy import (
-    MOST_ITEMS,
-    Deeper,
+    MAX_REPAIR_ITEMS,
+    DifferingRanges,
     compare,
-    mend,
+    items_under,
+    plan_repair,
     read_leaves,
     read_ranges,
-    under,
 )
 from mesh.replication.items import Item
 from mesh.replication.store import Store
@@ -139,38 +139,42 @@
             left.since += 1
             return
         self._told[where] = theirs
-        channel.link.send({"t": "range", "s": name, "at": {"": self._stores[name].digests.at("")}})
+        channel.link.send({"t": "range", "s": name, "at": {"": self._stores[name].digests.children("")}})
 
     def _go_into(self, channel: Channel, name: str, told: dict[str, dict[str, str]]) -> None:
         store = self._stores[name]
         found = compare(store.digests, told, self._count)
-        if isinstance(found, Deeper):
+        if isinstance(found, DifferingRanges):
             channel.link.send({"t": "range", "s": name, "at": found.ranges})
         elif found is not None:
             self._event_log.tell(events.REPAIR_BEGUN, peer=channel.node, buckets=len(found.digests))
-            items = [pack(item) for item in under(store, found.digests)]
-            channel.link.send({"t": "mend", "s": name, "leaves": found.digests, "items": items[:MOST_ITEMS]})
+            items = [pack(item) for item in items_under(store, found.digests)]
+            channel.link.send(
+                {"t": "mend", "s": name, "leaves": found.digests, "items": items[:MAX_REPAIR_ITEMS]}
+            )
 
     def _mend(self, channel: Channel, name: str, leaves: dict[str, str], items: list[Item]) -> None:
-        found = mend(self._stores[name], leaves, items, name == ROLL)
-        for item in found.split:
+        found = plan_repair(self._stores[name], leaves, items, name == ROLL)
+        for item in found.conflicting:
             self._event_log.tell(
                 events.COPIES_SPLIT, peer=channel.node, kind=item.kind, name=item.name, version=item.version
             )
-        if found.take:
-            self._take(channel, name, found.take)
-        if found.give:
+        if found.fetch:
+            self._take(channel, name, found.fetch)
+        if found.send:
             channel.link.send(
-                {"t": "mended", "s": name, "items": [pack(item) for item in found.give[:MOST_ITEMS]]}
+                {"t": "mended", "s": name, "items": [pack(item) for item in found.send[:MAX_REPAIR_ITEMS]]}
+            )
+        if found.inconsistent_leaves:
+            self._event_log.tell(
+                events.REPAIR_DIFFERS, peer=channel.node, buckets=len(found.inconsistent_leaves)
             )
-        if found.odd:
-            self._event_log.tell(events.REPAIR_DIFFERS, peer=channel.node, buckets=len(found.odd))
-        if not (found.take or found.give):
+        if not (found.fetch or found.send):
             where = (channel.node, name)
             self._left[where] = Left((self._stores[name].digests.root(), self._told.get(where, "")))
 
     def _take(self, channel: Channel, name: str, items: list[Item]) -> None:
-        taken = self._stores[name].mend(items)
+        taken = self._stores[name].repair(items)
         if isinstance(taken, StoreFull):
             self._event_log.tell(events.STATE_FULL, reason=taken.reason)
         elif taken:
@@ -212,6 +216,6 @@
 
 def _read(told: object) -> list[Item]:
     """Items of a frame. Raises ValueError or TypeError for what are none, or too many."""
-    if not isinstance(told, list) or len(told) > MOST_ITEMS:
-        raise ValueError(f"at most {MOST_ITEMS} items")
+    if not isinstance(told, list) or len(told) > MAX_REPAIR_ITEMS:
+        raise ValueError(f"at most {MAX_REPAIR_ITEMS} items")
     return [unpack(fields) for fields in told]
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -155,9 +155,9 @@
         self._disk_writer.whole, self._settled, self._read = False, False, False
         # As a new life of this process: what the one before stamped, others hold and this one lacks.
         self._lives_here += 1
-        self._charter.start_over(f"{self._life}/{self._lives_here}")
+        self._charter.reset(f"{self._life}/{self._lives_here}")
         self._channels.hello["source"] = self._charter.source
-        self._acceptor.start_over()
+        self._acceptor.reset()
         self._lived(self._member_set.own_address, self._starts() + 1, self._charter.source)
         if view is not None:
             self._charter.merge([view], {})
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -20,7 +20,13 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item
-from mesh.replication.quorum_contact import BOUND_SHARE, EVERY_SHARE, OPEN_SHARE, Contact, Proof
+from mesh.replication.quorum_contact import (
+    OPEN_VOTE_SHARE,
+    PROBE_INTERVAL_SHARE,
+    REPLY_VALID_SHARE,
+    Proof,
+    QuorumContact,
+)
 from mesh.transport.frames import Head
 
 PROBE_DELAY_S = 0.005  # links that open within it are probed together
@@ -50,8 +56,8 @@
         self._channels, self._member_set, self._disk_writer = channels, member_set, disk_writer
         self._apply, self._oldest_open_vote_s, self._event_log = apply, oldest_open_vote_s, event_log
         self._loop = channels.loop
-        self._interval_s = EVERY_SHARE * contact_ms / 1000.0
-        self.contact = Contact(BOUND_SHARE * contact_ms / 1000.0)
+        self._interval_s = PROBE_INTERVAL_SHARE * contact_ms / 1000.0
+        self.contact = QuorumContact(REPLY_VALID_SHARE * contact_ms / 1000.0)
         self._next_probe_at = self._contact_changed_at = self._loop.time()
         self._had_contact = False  # as last logged
         self.find_behind: Callable[[], list[str]] = list  # live proxies that lack an order
@@ -62,8 +68,8 @@
 
     def update_bounds(self, contact_ms: float) -> None:
         """Applies a changed settings file."""
-        self._interval_s = EVERY_SHARE * contact_ms / 1000.0
-        self.contact.bound_s = BOUND_SHARE * contact_ms / 1000.0
+        self._interval_s = PROBE_INTERVAL_SHARE * contact_ms / 1000.0
+        self.contact.reply_valid_s = REPLY_VALID_SHARE * contact_ms / 1000.0
 
     # Proofs
 
@@ -80,7 +86,7 @@
 
     def _has_stale_vote(self) -> bool:
         """Whether a vote has been open here for so long that others may know its decision."""
-        return self._oldest_open_vote_s() > OPEN_SHARE * self.contact.bound_s
+        return self._oldest_open_vote_s() > OPEN_VOTE_SHARE * self.contact.reply_valid_s
 
     def has_contact(self) -> bool:
         """Whether the members that answered hold, together, all that was acknowledged."""
@@ -98,7 +104,7 @@
         """The control address of a member that reported contact within the bound, for redirects; "" if there
         is none."""
         addresses = {address_of(channel): str(channel.extra.get("control", "")) for channel in self._links}
-        for member in self.contact.with_contact(self._loop.time()):
+        for member in self.contact.members_with_contact(self._loop.time()):
             if ADDRESS_PATTERN.fullmatch(addresses.get(member, "")):
                 return addresses[member]
         return ""
@@ -106,14 +112,14 @@
     def status(self) -> dict[str, Any]:
         """For operators: the proof, for how long it has held, and who has answered recently."""
         now, proof = self._loop.time(), self.proof()
-        recent = self.contact.lately(now)
+        recent = self.contact.valid_replies(now)
         return {
             "proof": proof.name.lower(),
             "for_ms": round((now - self._contact_changed_at) * 1000.0),
             "heard": {
                 member: {
-                    "ago_ms": round((now - answer.asked_at) * 1000.0),
-                    "whole": answer.whole,
+                    "ago_ms": round((now - answer.sent_at) * 1000.0),
+                    "whole": answer.disk_complete,
                     "epoch": answer.epoch,
                 }
                 for member, answer in sorted(recent.items())
@@ -134,7 +140,7 @@
     def tick(self, now: float, wall_clock: float) -> None:
         """Sends probes that are due; called several times a second. ``wall_clock``: the time of day in
         seconds."""
-        if self.contact.look(now, wall_clock) or now >= self._next_probe_at:
+        if self.contact.check_clocks(now, wall_clock) or now >= self._next_probe_at:
             self._send_probes()
         if self.has_contact() is not self._had_contact:
             self._had_contact = not self._had_contact
@@ -142,13 +148,13 @@
             if self._had_contact:
                 self._event_log.tell(events.CONTACT_PROVEN, without_ms=for_ms)
             else:
-                heard = len(self.contact.lately(now))
+                heard = len(self.contact.valid_replies(now))
                 self._event_log.tell(events.CONTACT_LOST, heard=heard, of=len(self._member_set.view().names))
 
     def _send_probes(self) -> None:
         now = self._loop.time()
         self._next_probe_at = now + self._interval_s
-        probe = {"t": "probe", "n": self.contact.ask(now), "e": self._member_set.view().epoch}
+        probe = {"t": "probe", "n": self.contact.start_probe(now), "e": self._member_set.view().epoch}
         for channel in self._best_links():
             channel.link.send(probe)
 
@@ -212,7 +218,7 @@
         address = address_of(channel)
         if self._incarnations.get(address) == channel.peer_source:
             self.on_behind(address, head.get("b", ()))
-            self.contact.answered(
+            self.contact.record_reply(
                 address,
                 int(head["n"]),
                 head["w"] is True,
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -32,7 +32,7 @@
     if isinstance(outcome, Fresh) and settings.cold_boot:
         _install_first_view(settings, charter, acceptor, disk_writer)
     else:
-        claimed = charter.claim()
+        claimed = charter.restamp_above_vector()
         if claimed:
             disk_writer.mark_items(claimed)
     return disk_writer, acceptor
@@ -51,7 +51,7 @@
     for migration in outcome.notes:
         event_log.tell(events.DISK_MOVED_ON, note=migration)
     kept = held(outcome.rows)
-    charter.forgotten.merge(kept.forgotten)
+    charter.collected_tombstones.merge(kept.forgotten)
     charter.restore(kept.items, kept.vector)
     event_log.tell(events.DISK_OPENED, items=len(kept.items), whole=kept.whole)
     return kept
@@ -63,9 +63,9 @@
     """Makes the seed machines of the settings the first view: the same item in all of them, decided from the
     start."""
     founders = {host: Place("", "") for host, _ in settings.seeds}
-    first = charter.take(VIEW, MEMBERS, 1, write_view(View(1, founders)))
+    first = charter.write(VIEW, MEMBERS, 1, write_view(View(1, founders)))
     assert isinstance(first, Item)
-    acceptor.settle((VIEW, MEMBERS, 1), first.value)
+    acceptor.learn((VIEW, MEMBERS, 1), first.value)
     if settings.ip in founders:
         disk_writer.mark_founded()
     disk_writer.mark_items([first])
@@ -73,7 +73,7 @@
 
 def forgotten_to(charter: Store, key: Key) -> int:
     """The highest version of that key that is, or may be, older than a forgotten drop."""
-    forgotten = charter.forgotten
+    forgotten = charter.collected_tombstones
     return forgotten.version(key) if key in charter.items else forgotten.watermark(key)
 
 
@@ -84,5 +84,5 @@
     acceptor.generations = dict(kept.generations)
     kept.fill(acceptor)
     for item in kept.items:
-        acceptor.settle((item.kind, item.name, item.version), item.value)
+        acceptor.learn((item.kind, item.name, item.version), item.value)
     return acceptor
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -16,7 +16,7 @@
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import pack, unpack
-from mesh.replication.acceptor import Forgotten, Number, Settled, Vote, fenced_by
+from mesh.replication.acceptor import Decision, Forgotten, Slot, Vote, can_fence
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import View
 from mesh.replication.store import Store
@@ -24,7 +24,7 @@
 from mesh.transport.frames import Head
 
 PAGE_BYTES = 1 << 20  # of rows in one frame
-StateRow = Item | tuple[Number, Vote | str] | Past
+StateRow = Item | tuple[Slot, Vote | str] | Past
 MAX_PAGED_ANSWERS = 4  # answers that are sent in pages at once; the oldest is discarded
 
 
@@ -108,13 +108,13 @@
     def _has_enough(self, request: _FenceRequest) -> bool:
         view, tolerance, answered = request.view, self._member_set.tolerance, request.answered
         if request.fence is None:
-            before = view if view.before is None else View(view.epoch, view.before)
+            before = view if view.previous_members is None else View(view.epoch, view.previous_members)
             return before.overlaps(answered, tolerance)
         if view.epoch == 1 and answered | request.empty >= request.members:
             # First start: a founder whose disk never counted has voted for nothing, and if anything was ever
             # acknowledged, at least one whole disk remains after each tolerated loss.
             return True
-        return fenced_by(view, answered, self._member_set.own_address, tolerance)
+        return can_fence(view, answered, self._member_set.own_address, tolerance)
 
     def _complete_if_enough(self, request: _FenceRequest) -> None:
         if not request.done.done() and self._has_enough(request):
@@ -158,17 +158,23 @@
         acceptor = self._acceptor_host.acceptor
         if "r" in head and not head["g"]:
             generation = acceptor.generations.get(str(head["m"]), 0)
-            message = {"t": "fenced", "n": number, "e": epoch, "top": acceptor.top(), "g": generation}
+            message = {
+                "t": "fenced",
+                "n": number,
+                "e": epoch,
+                "top": acceptor.highest_round(),
+                "g": generation,
+            }
             channel.link.send({**message, "w": [], "more": False})
             return
         if "r" in head:
             await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
-        unlimited = 2 * self._charter.most
-        rows: list[StateRow] = [*self._charter.lacking(head["v"], unlimited, sys.maxsize).items]
+        unlimited = 2 * self._charter.max_items
+        rows: list[StateRow] = [*self._charter.delta_for(head["v"], unlimited, sys.maxsize).items]
         rows += [(vote_number, vote) for vote_number, vote in acceptor.votes.items()]
         rows += [
-            Past(key, acceptor.unknown.get(key, -1), dict(acceptor.past.get(key, {})))
-            for key in acceptor.past.keys() | acceptor.unknown.keys()
+            Past(key, acceptor.unknown_up_to.get(key, -1), dict(acceptor.past_digests.get(key, {})))
+            for key in acceptor.past_digests.keys() | acceptor.unknown_up_to.keys()
         ]
         rows += acceptor.tags.items()
         key = (address_of(channel), number)
@@ -225,7 +231,7 @@
                 _, kind, name, unknown, digests = row
                 for version, digest in digests.items():
                     digest, _, tag = str(digest).partition("/")
-                    self._acceptor_host.record_outcome((kind, name, int(version)), Settled(digest, tag=tag))
+                    self._acceptor_host.record_outcome((kind, name, int(version)), Decision(digest, tag=tag))
                 self._acceptor_host.record_outcome((kind, name, int(unknown)), Forgotten())
         acceptor.tags.update((decode_number(row[1:4]), str(row[4])) for row in rows if row[0] == "t")
         merged = []
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -19,7 +19,7 @@
 from mesh.event_log.log import EventLog
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
 from mesh.replication.quorum import Place
-from mesh.replication.reconfiguration import PRESENT, Absence, Known, plan
+from mesh.replication.reconfiguration import PRESENT, Absence, MemberStatus, plan_change
 from mesh.runtime.settings import Settings
 from mesh.transport.frames import Head
 
@@ -102,7 +102,7 @@
         view = self._member_set.view()
         if view.joint or not view.epoch:
             return False
-        me = view.now.get(self._member_set.own_address)
+        me = view.members.get(self._member_set.own_address)
         if not self.settings.counted:
             return me is None
         return me == self.place and self._disk_writer.whole
@@ -113,7 +113,7 @@
 
     def _is_level(self) -> bool:
         view = self._member_set.view()
-        return not view.joint or self._member_set.own_address not in view.now or self.level >= view.epoch
+        return not view.joint or self._member_set.own_address not in view.members or self.level >= view.epoch
 
     def state(self) -> Said:
         view, counted = self._member_set.view(), self.settings.counted
@@ -144,7 +144,7 @@
                 await self._become_whole()
         elif me in view.names:
             self._caught_up = True
-            if view.joint and me in view.now and self.level < view.epoch:
+            if view.joint and me in view.members and self.level < view.epoch:
                 if await self._fencing.fence_and_read(STEP_S, fence=False):
                     self.level = view.epoch
         elif self.settings.counted and not self._caught_up:
@@ -206,7 +206,7 @@
             if now - channel.link.heard_at <= LIVELY_S
         }
 
-    def known(self, absences: Mapping[str, Absence], removed: str = "") -> dict[str, Known]:
+    def known(self, absences: Mapping[str, Absence], removed: str = "") -> dict[str, MemberStatus]:
         """What a proposer knows of each machine. ``absences``: by the word of more than half, by address;
         ``removed``: by an operator's word."""
         view, heard = self._member_set.view(), self.heard()
@@ -214,8 +214,8 @@
         for address in view.names | self.others.keys() | {self._member_set.own_address}:
             said = self.state() if address == self._member_set.own_address else self.others.get(address)
             absence = absences.get(address, PRESENT)
-            place = view.now.get(address) or (view.before or {}).get(address) or Place("", "")
-            found[address] = Known(
+            place = view.members.get(address) or (view.previous_members or {}).get(address) or Place("", "")
+            found[address] = MemberStatus(
                 said.place if said is not None else place,
                 address == self._member_set.own_address or address in heard,
                 said is not None and said.whole,
@@ -258,23 +258,27 @@
         if not self._member_set.has_contact():
             return False
         coming = any(
-            one.heard and name not in view.now and not one.leaves for name, one in known.items() if name != me
+            one.responding and name not in view.members and not one.leaving
+            for name, one in known.items()
+            if name != me
         )
         return coming or me not in self._after(view, known)
 
     def _untold(self, view: View) -> bool:
         """Whether one that counts by that view has not said that it knows it: it may have voted for it, and
         whoever was to tell it the decision may be lost."""
-        return any(address in view.now and one.epoch < view.epoch for address, one in self.others.items())
+        return any(address in view.members and one.epoch < view.epoch for address, one in self.others.items())
 
-    def _lacks(self, view: View, known: Mapping[str, Known]) -> bool:
+    def _lacks(self, view: View, known: Mapping[str, MemberStatus]) -> bool:
         """Whether another member is away, or its disk is not whole: it may need what is held here, and
         without it this one cannot be taken out."""
         others = [
-            one for name, one in known.items() if name in view.now and name != self._member_set.own_address
+            one
+            for name, one in known.items()
+            if name in view.members and name != self._member_set.own_address
         ]
-        return not all(one.heard and one.whole for one in others)
+        return not all(one.responding and one.disk_complete for one in others)
 
-    def _after(self, view: View, known: Mapping[str, Known]) -> Mapping[str, Any]:
-        planned = plan(view, known, self._member_set.tolerance).view
-        return planned.now if planned is not None else view.now
+    def _after(self, view: View, known: Mapping[str, MemberStatus]) -> Mapping[str, Any]:
+        planned = plan_change(view, known, self._member_set.tolerance).view
+        return planned.members if planned is not None else view.members
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -121,7 +121,7 @@
         names = {name for name, told in self._membership.nodes.items() if told.get("role") == CONTROLLER}
         decided = self.turn.decide(now, names | {self.node}, self.live(now, self.spans.suspect_s))
         if isinstance(decided, Claim):
-            item = self._roll.take(DUTY, REAPING, decided.epoch, lease_value(self.node))
+            item = self._roll.write(DUTY, REAPING, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
                 self.turn.note_claimed(now, decided.epoch)
                 self._changed([item])
@@ -231,7 +231,7 @@
         instances = self._membership.at(name)
         keys = [(NODE, name), *((INSTANCE, instance) for instance in instances)]
         held = [self._roll.items[key] for key in keys if key in self._roll.items]
-        taken = self._roll.take_all(failure_detection.drop_writes(held))
+        taken = self._roll.write_all(failure_detection.drop_writes(held))
         if isinstance(taken, StoreFull):
             self._event_log.tell(events.STATE_FULL, reason=taken.reason)
             return
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -25,7 +25,13 @@
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
 from mesh.replication.proposer import Decided
-from mesh.replication.reconfiguration import Borne, Known, borne, heard_whole, plan
+from mesh.replication.reconfiguration import (
+    LossMargin,
+    MemberStatus,
+    loss_margin,
+    plan_change,
+    responding_complete,
+)
 from mesh.replication.store import Store
 from mesh.runtime.introspection_calls import Refusal, Told
 from mesh.transport.frames import Head
@@ -67,7 +73,7 @@
         self._stays: Mapping[str, str] = {}
         self._below: tuple[str, ...] = ()  # kinds of which fewer losses are borne than are asked, as told
         self._below_since: float | None = None
-        self._borne: tuple[View, frozenset[str], Borne] | None = None  # the last one, of what
+        self._borne: tuple[View, frozenset[str], LossMargin] | None = None  # the last one, of what
 
     # Whose turn
 
@@ -86,7 +92,7 @@
         self.joining.forget(view)
         if view.epoch != self._epoch:
             self._epoch = view.epoch
-            counts, before = ", ".join(sorted(view.now)), ", ".join(sorted(view.before or ()))
+            counts, before = ", ".join(sorted(view.members)), ", ".join(sorted(view.previous_members or ()))
             self._event_log.tell(
                 events.MEMBERS_CHANGED, epoch=view.epoch, count=counts, before=before or None
             )
@@ -94,7 +100,7 @@
         live = self._duties.live(now, self.spans.suspect_s * STEADY_SHARE)
         decided = self.turn.decide(now, self._candidates(view), live)
         if isinstance(decided, Claim):
-            item = self._roll.take(DUTY, MINDING, decided.epoch, lease_value(self.node))
+            item = self._roll.write(DUTY, MINDING, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
                 self.turn.note_claimed(now, decided.epoch)
                 self._changed([item])
@@ -117,7 +123,7 @@
 
     def _candidates(self, view: View) -> set[str]:
         """Members alone: one that joins has no part in what is decided yet."""
-        return {node for address, node in self._nodes().items() if address in view.now}
+        return {node for address, node in self._nodes().items() if address in view.members}
 
     def _leave(self, why: str) -> None:
         self._event_log.tell(events.DUTY_LEFT, duty=MINDING, epoch=self._held, why=why)
@@ -128,12 +134,14 @@
         self.silence.ask(now, view, self._held)
         if self._proposing is not None or now < self._again_at or not self._member_set.has_contact():
             return
-        planned = plan(view, self.joining.known(self.silence.absences(now)), self._member_set.tolerance)
-        for address, why in planned.stays.items():
+        planned = plan_change(
+            view, self.joining.known(self.silence.absences(now)), self._member_set.tolerance
+        )
+        for address, why in planned.retained.items():
             said = self.joining.others.get(address)
             if self._stays.get(address) != why and said is not None and said.leaves:
                 self._event_log.tell(events.MEMBER_STAYS, member=address, why=why)
-        self._stays = planned.stays
+        self._stays = planned.retained
         if planned.view is not None:
             self._proposing = self._loop.create_task(self._propose(planned.view))
             self._proposing.add_done_callback(self._proposed)
@@ -154,11 +162,11 @@
 
     # What can be lost
 
-    def borne(self) -> Borne:
+    def borne(self) -> LossMargin:
         view = self._member_set.view()
-        there = heard_whole(self.joining.known({}), view.names)
+        there = responding_complete(self.joining.known({}), view.names)
         if self._borne is None or self._borne[:2] != (view, there):  # asked for at every tick
-            self._borne = view, there, borne(view, there, self._member_set.tolerance)
+            self._borne = view, there, loss_margin(view, there, self._member_set.tolerance)
         return self._borne[2]
 
     def losses(self) -> Told:
@@ -185,26 +193,26 @@
         """``members``: all that count, or want to, by address."""
         now, view = self._loop.time(), self._member_set.view()
         known = self.joining.known(self.silence.absences(now))
-        planned = plan(view, known, self._member_set.tolerance)
+        planned = plan_change(view, known, self._member_set.tolerance)
         nodes = self._nodes()
         rows: list[dict[str, Any]] = []
         for address, one in sorted(known.items()):
-            if address in view.names or one.heard:
+            if address in view.names or one.responding:
                 rows.append(
                     {
                         "address": address,
                         "node": nodes.get(address, ""),
                         "zone": one.place.zone,
                         "region": one.place.region,
-                        "counts": address in view.now,
-                        "before": address in (view.before or {}),
-                        "whole": one.whole,
-                        "level": one.level,
-                        "heard": one.heard,
-                        "joins": one.counts and address not in view.now,
-                        "leaves": one.leaves,
+                        "counts": address in view.members,
+                        "before": address in (view.previous_members or {}),
+                        "whole": one.disk_complete,
+                        "level": one.synced_epoch,
+                        "heard": one.responding,
+                        "joins": one.eligible and address not in view.members,
+                        "leaves": one.leaving,
                         "silent_s": round(self.silence.watch.silent_s(now, address), 1),
-                        "stays": planned.stays.get(address)
+                        "stays": planned.retained.get(address)
                         or self._why_silent_stays(now, view, one, address),
                     }
                 )
@@ -213,13 +221,13 @@
             "joint": view.joint,
             "members": rows,
             "borne": self.losses(),
-            "waits": planned.waits,
+            "waits": planned.blocked_by,
             "holder": self.turn.latest.holder,
         }
 
-    def _why_silent_stays(self, now: float, view: View, one: Known, address: str) -> str:
+    def _why_silent_stays(self, now: float, view: View, one: MemberStatus, address: str) -> str:
         """Of a member that is not heard, where no plan says why it does not leave."""
-        if one.heard or address not in view.now:
+        if one.responding or address not in view.members:
             return ""
         if not self._held:
             holder = self.turn.latest.holder or "nobody yet"
@@ -254,15 +262,15 @@
             return Refusal(f"{self.node} has no contact with most members; ask another with --at")
         if view.joint:
             return Refusal(f"a change is under way (epoch {view.epoch}); try again once it is over")
-        planned = plan(
+        planned = plan_change(
             view,
             self.joining.known(self.silence.absences(self._loop.time()), address),
             self._member_set.tolerance,
         )
-        if address in planned.stays:
-            return Refusal(f"{name}: not safe now: {planned.stays[address]}")
+        if address in planned.retained:
+            return Refusal(f"{name}: not safe now: {planned.retained[address]}")
         if planned.view is None:
-            return Refusal(f"{name}: not safe now: {planned.waits}")
+            return Refusal(f"{name}: not safe now: {planned.blocked_by}")
         until = self._loop.time() + REMOVE_S
         if not await self._propose(planned.view):
             return Refusal(
@@ -272,4 +280,4 @@
             await asyncio.sleep(0.02)
         if address in after.names:
             return Refusal(f"{name}: the change is under way (epoch {after.epoch}); look with members show")
-        return {"removed": address, "epoch": after.epoch, "members": sorted(after.now)}
+        return {"removed": address, "epoch": after.epoch, "members": sorted(after.members)}
--- a/mesh/control_plane/member_set.py
+++ b/mesh/control_plane/member_set.py
@@ -8,7 +8,7 @@
 from mesh.data_plane.membership import CONTROLLER
 from mesh.dissemination.peers import Channel, Channels
 from mesh.dissemination.pull_exchange import pack
-from mesh.replication.membership_epochs import MEMBERS, NOBODY, VIEW, View, read_view
+from mesh.replication.membership_epochs import EMPTY_VIEW, MEMBERS, VIEW, View, read_view
 from mesh.replication.quorum import Place, Tolerance
 from mesh.replication.store import Store
 
@@ -27,7 +27,7 @@
         """``own_address``: the address by which this machine is known as a member."""
         self.own_address, self.tolerance = own_address, tolerance
         self._charter, self._disk_writer, self._channels = charter, disk_writer, channels
-        self._view = NOBODY
+        self._view = EMPTY_VIEW
         self.has_contact: Callable[[], bool] = lambda: False
 
     def view(self) -> View:
@@ -45,7 +45,7 @@
     def members(self) -> Mapping[str, Place]:
         """The members whose disks count, those of the previous view included while the view is joint."""
         view = self.view()
-        return {**(view.before or {}), **view.now}
+        return {**(view.previous_members or {}), **view.members}
 
     def peers(self) -> dict[str, Channel]:
         """One open link to each other control process, by address."""
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -240,4 +240,4 @@
 
 
 def _place(view: View, address: str) -> Place:
-    return view.now.get(address) or (view.before or {}).get(address) or Place("", "")
+    return view.members.get(address) or (view.previous_members or {}).get(address) or Place("", "")
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -18,9 +18,9 @@
 from mesh.control_plane.rollouts import Rollouts
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.replication.acceptor import Acceptor, Number, Vote
+from mesh.replication.acceptor import Acceptor, Slot, Vote
 from mesh.replication.membership_epochs import VIEW
-from mesh.replication.proposer import Decided, Rivalled
+from mesh.replication.proposer import Conflict, Decided
 from mesh.replication.quorum_contact import Proof
 from mesh.replication.store import Store
 from mesh.transport.http_calls import Answer
@@ -146,14 +146,14 @@
             if hurting:
                 await self._rollouts.first_part(hurting, until - self._loop.time())
             return await self._acknowledge(writes, until - self._loop.time())
-        if isinstance(outcome, Rivalled):
-            kind, name, version = outcome.number
+        if isinstance(outcome, Conflict):
+            kind, name, version = outcome.slot
             message = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
             self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
             return Answer(409, error_body(message))
         return self._answer_unclear(outcome.reason)
 
-    async def _acknowledge(self, numbers: Collection[Number], within_s: float) -> Answer:
+    async def _acknowledge(self, numbers: Collection[Slot], within_s: float) -> Answer:
         """Acknowledges a decided order once it is in force at all proxies that are waited for."""
         items = [self._charter.items.get((kind, name)) for kind, name, _ in numbers]
         if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -271,7 +271,7 @@
         )
         assert settings.ports.control is not None
         await self.http_server.listen(settings.ports.control)
-        first = self.acceptor.wants(self.acceptor.floor + 1)
+        first = self.acceptor.required_ceiling(self.acceptor.floor + 1)
         self.acceptor_host.spawn(self.acceptor_host.raise_ceiling(first))  # before the first order needs it
         self._publish_node()
         self._update_known_peers()
@@ -281,7 +281,7 @@
 
     def _publish_node(self) -> None:
         settings = self.settings
-        item = self.roll.take(
+        item = self.roll.write(
             NODE,
             settings.node,
             version_above(self.roll.items.get((NODE, settings.node)), int(time.time() * 1000)),
@@ -312,12 +312,12 @@
         self.forgetting.tick(now)
         self.catching_up.tick(now)
         for key in self.tombs.pop_expired(now):
-            self.roll.forget(key)
-            self.reports.forget(key)
+            self.roll.remove_tombstone(key)
+            self.reports.remove_tombstone(key)
         # Checked before the open links, which survive a freeze of this process.
         if now - self._last_linked_at > RESYNC_AFTER_S:
             self._last_linked_at = now
-            self._changed("roll", self.roll.clear())
+            self._changed("roll", self.roll.clear_remote_items())
             self._publish_node()
         elif self.channels.open:
             self._last_linked_at = now
@@ -379,7 +379,7 @@
         for key in [(kind, node) for node in nodes for kind in (REPORT, KEY_REPORT)]:
             known = self.reports.items.get(key)
             if known is not None and known.value is not None:
-                dropped_report = self.reports.take(*key, known.version + 1, None)
+                dropped_report = self.reports.write(*key, known.version + 1, None)
                 if isinstance(dropped_report, Item):
                     self._changed(REPORTS, [dropped_report])
 
@@ -408,8 +408,11 @@
 
     def _reachable_members(self) -> dict[str, bool]:
         """Reachable control processes by address, and whether the disk of each counts."""
-        recent = self.contact_probes.contact.lately(self.loop.time())
-        return {address: address in recent and recent[address].whole for address in self.member_set.peers()}
+        recent = self.contact_probes.contact.valid_replies(self.loop.time())
+        return {
+            address: address in recent and recent[address].disk_complete
+            for address in self.member_set.peers()
+        }
 
     def _channel_greeted(self, channel: Channel) -> None:
         if channel.extra.get("role") == CONTROLLER:
@@ -433,7 +436,7 @@
         self.repairing.link_closed(channel)
         if channel.extra.get("role") == CONTROLLER:
             self._resend_pending(address_of(channel))
-        claimed = self.charter.claim(channel.peer_source) if channel.peer_source else []
+        claimed = self.charter.restamp_above_vector(channel.peer_source) if channel.peer_source else []
         if claimed:
             self.disk_writer.mark_items(claimed)
             self.rollouts.restamped(claimed)
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -27,8 +27,8 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership.rendezvous import rendezvous_order
-from mesh.replication.acceptor import Ballot, Forgotten, Number, Promised, Refusal, Settled, Value, digest_of
-from mesh.replication.proposer import Accept, Again, Chosen, Decided, Prepare, Proposer, Rivalled, Unclear
+from mesh.replication.acceptor import Ballot, Decision, Forgotten, Promised, Refusal, Slot, Value, digest_of
+from mesh.replication.proposer import Accept, Chosen, Conflict, Decided, Prepare, Proposer, Retry, Unresolved
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
@@ -44,8 +44,8 @@
 MAX_RECOVERED_BYTES = 2 << 20  # of one recovery, as JSON
 MAX_RIVALLED = 16  # latest rivalled numbers, kept for operators
 
-Outcome = Decided | Rivalled | Unclear
-Step = Decided | Rivalled | Unclear | Again
+Outcome = Decided | Conflict | Unresolved
+Step = Decided | Conflict | Unresolved | Retry
 
 
 class _RunningBallot(Struct, eq=False):
@@ -92,15 +92,15 @@
         self._highest_round = 0
         self._ballots: dict[Ballot, _RunningBallot] = {}
         self._orders: dict[tuple[Any, ...], _Order] = {}
-        self._recovery_since: dict[Number, float] = {}  # open votes: when first seen, or last recovered
+        self._recovery_since: dict[Slot, float] = {}  # open votes: when first seen, or last recovered
         # When first seen, never reset by a recovery; the age of votes read from disk is unknown.
         self._open_since = dict.fromkeys(self._acceptor.votes, float("-inf"))
         self._recovery_task: asyncio.Task[None] | None = None
-        self.rivalled: deque[tuple[float, Number]] = deque(maxlen=MAX_RIVALLED)
+        self.rivalled: deque[tuple[float, Slot]] = deque(maxlen=MAX_RIVALLED)
 
     # Orders
 
-    async def decide(self, writes: Mapping[Number, Value], within_s: float) -> Outcome:
+    async def decide(self, writes: Mapping[Slot, Value], within_s: float) -> Outcome:
         """Decides one order, or gives up waiting after ``within_s``. The order is pursued for ORDER_TIMEOUT_S
         even if the caller leaves; the same order sent here meanwhile shares its ballots."""
         proposer = Proposer(self._incarnation, writes, self._member_set.tolerance)
@@ -109,26 +109,26 @@
         if pending is None:
             refused = self._check_room(writes) if self.acceptor_host.has_room(writes) else DISK_FULL
             if refused:
-                return Unclear(refused)
+                return Unresolved(refused)
             task = self._loop.create_task(self._run(proposer, ORDER_TIMEOUT_S))
             pending = self._orders[key] = _Order(proposer, task)
             task.add_done_callback(lambda _: self._orders.pop(key, None))
         await asyncio.wait([pending.task], timeout=within_s)
         if not pending.task.done():
-            return pending.proposer.gave_up()
+            return pending.proposer.timed_out()
         outcome = pending.task.result()
-        if isinstance(outcome, Rivalled):
-            self.rivalled.append((self._loop.time(), outcome.number))
+        if isinstance(outcome, Conflict):
+            self.rivalled.append((self._loop.time(), outcome.slot))
         return outcome
 
-    def _check_room(self, writes: Collection[Number]) -> str:
+    def _check_room(self, writes: Collection[Slot]) -> str:
         """The reason why another order is rejected now; "" if there is room."""
         if len(self._orders) >= MAX_PENDING_ORDERS:
             return f"{MAX_PENDING_ORDERS} orders wait already"
         keys = {(kind, name) for kind, name, _ in [*writes, *self._acceptor.votes]}
         count = len(self._charter.items) + sum(key not in self._charter.items for key in keys)
-        if count > self._charter.most and count > len(self._charter.items):
-            return f"state: {count} items with these, at most {self._charter.most}: drop some and wait"
+        if count > self._charter.max_items and count > len(self._charter.items):
+            return f"state: {count} items with these, at most {self._charter.max_items}: drop some and wait"
         return ""
 
     async def _run(self, proposer: Proposer, within_s: float) -> Outcome:
@@ -136,7 +136,7 @@
         until, pause, immediate = self._loop.time() + within_s, FIRST_BACKOFF_S, 0
         while True:
             step = await self._run_ballot(proposer, until)
-            if not isinstance(step, Again):
+            if not isinstance(step, Retry):
                 return step
             self._highest_round = max(self._highest_round, step.round)
             immediate = immediate + 1 if step.at_once else 0
@@ -154,7 +154,7 @@
             async with asyncio.timeout_at(until):
                 return await running.done
         except TimeoutError:
-            return proposer.gave_up()
+            return proposer.timed_out()
         finally:
             del self._ballots[prepare.ballot]
 
@@ -176,7 +176,7 @@
             "t": "prepare",
             "b": encode_ballot(running.prepare.ballot),
             "e": running.prepare.epoch,
-            "k": running.prepare.numbers,
+            "k": running.prepare.slots,
         }
         channel.link.send({**message, "full": True} if running.proposer.adopts else message)
 
@@ -187,7 +187,7 @@
                 "t": "accept",
                 "b": encode_ballot(running.accept.ballot),
                 "e": running.accept.epoch,
-                "by": running.accept.by,
+                "by": running.accept.generations,
                 "w": running.pages[page],
                 "p": page,
                 "of": len(running.pages),
@@ -197,13 +197,13 @@
     async def _ask_own_acceptor(self, running: _RunningBallot, accept: Accept | None) -> None:
         prepare, me = running.prepare, self._member_set.own_address
         if accept is None:
-            answer = await self.acceptor_host.promise(prepare.epoch, prepare.ballot, prepare.numbers)
+            answer = await self.acceptor_host.promise(prepare.epoch, prepare.ballot, prepare.slots)
             if isinstance(answer, Promised):
                 self._promised(running, me, prepare.epoch, answer)
                 return
         else:
             refusal = await self.acceptor_host.accept(
-                accept.epoch, accept.ballot, accept.by, accept.writes, accept.tags
+                accept.epoch, accept.ballot, accept.generations, accept.writes, accept.tags
             )
             if refusal is None:
                 self._accepted(running, me, accept.epoch)
@@ -229,7 +229,7 @@
         chosen = running.proposer.accepted(member, epoch, running.prepare.ballot)
         if chosen is not None:
             self._announce(chosen)
-            running.finish(running.proposer.outcome() or Again(0, "another order had a number of this one"))
+            running.finish(running.proposer.outcome() or Retry(0, "another order had a number of this one"))
 
     def _refused(self, running: _RunningBallot, member: str, refusal: Refusal) -> None:
         step = running.proposer.refused(member, running.prepare.ballot, refusal)
@@ -239,7 +239,7 @@
     def _announce(self, chosen: Chosen) -> None:
         """Applies a decided order here and notifies the other members, which hold its contents already."""
         items, vector = self.acceptor_host.stamp_items(chosen.writes.items())
-        self.acceptor_host.apply(items, vector, chosen.whole)
+        self.acceptor_host.apply(items, vector, chosen.complete)
         message = {
             "t": "decided",
             "b": encode_ballot(chosen.ballot),
@@ -247,7 +247,7 @@
             "s": self._charter.source,
             "at": items[0].number,
             "of": len(items),
-            "whole": chosen.whole,
+            "whole": chosen.complete,
         }
         for channel in self._member_set.peers().values():
             channel.link.send(message)
@@ -257,7 +257,7 @@
         epoch = self._member_set.view().epoch
         for running in list(self._ballots.values()):
             if running.prepare.epoch < epoch:
-                running.finish(Again(0, "the view has changed"))
+                running.finish(Retry(0, "the view has changed"))
         self.reads.view_changed()
 
     # Reads
@@ -270,11 +270,11 @@
             return False
         return await self._settle(open_votes | self._acceptor.votes.keys(), until)
 
-    def _unsettled(self, numbers: Collection[Number]) -> list[Number]:
-        final = (Settled, Forgotten)
+    def _unsettled(self, numbers: Collection[Slot]) -> list[Slot]:
+        final = (Decision, Forgotten)
         return [number for number in numbers if not isinstance(self._acceptor.state(number), final)]
 
-    async def _settle(self, numbers: Collection[Number], until: float) -> bool:
+    async def _settle(self, numbers: Collection[Slot], until: float) -> bool:
         """Brings these open votes to their decision; returns whether that succeeded."""
         left = self._unsettled(numbers)
         if left:
@@ -284,21 +284,21 @@
             return True
         return await self._recover(left, max(until - self._loop.time(), 0.0))
 
-    async def _recover(self, votes: Collection[Number], within_s: float) -> bool:
+    async def _recover(self, votes: Collection[Slot], within_s: float) -> bool:
         proposer = Proposer(self._incarnation, dict.fromkeys(votes), self._member_set.tolerance, adopts=True)
         outcome = await self._run(proposer, within_s)
         found = []
-        for number, digest in proposer.settled.items():
+        for number, digest in proposer.decided_digests.items():
             held = self._acceptor.votes.get(number)
-            if number in proposer.contents:
-                found.append((number, proposer.contents[number]))
+            if number in proposer.decided_values:
+                found.append((number, proposer.decided_values[number]))
             elif held is not None and digest_of(held.value) == digest:
                 found.append((number, held.value))
             else:
-                self.acceptor_host.record_outcome(number, Settled(digest))
+                self.acceptor_host.record_outcome(number, Decision(digest))
         for number in proposer.forgotten:
             self.acceptor_host.record_outcome(number, Forgotten())
-        lacking = [one for one in found if not isinstance(self._acceptor.state(one[0]), Settled)]
+        lacking = [one for one in found if not isinstance(self._acceptor.state(one[0]), Decision)]
         if lacking:
             self.acceptor_host.apply(*self.acceptor_host.stamp_items(lacking))
         return isinstance(outcome, Decided)
@@ -317,7 +317,7 @@
         if self._recovery_task is not None or not self._member_set.has_contact():
             return
         names, ranks = self._member_set.view().names, dict[Ballot, int]()
-        due: list[Number] = []
+        due: list[Slot] = []
         room = MAX_RECOVERED_BYTES
         for number, since in self._recovery_since.items():
             if now - since < OPEN_VOTE_TIMEOUT_S:
@@ -345,7 +345,7 @@
         )
         return self._loop.time() - oldest if oldest is not None else 0.0
 
-    async def _recover_due(self, due: list[Number]) -> None:
+    async def _recover_due(self, due: list[Slot]) -> None:
         try:
             self._event_log.tell(events.VOTES_TAKEN_UP, items=len(due))
             await self._recover(due, ORDER_TIMEOUT_S)
@@ -382,7 +382,7 @@
     def _handle_answer(self, running: _RunningBallot, channel: Channel, kind: str, head: Head) -> None:
         member, epoch = address_of(channel), int(head["e"])
         if kind == "promise":
-            numbers = running.prepare.numbers
+            numbers = running.prepare.slots
             states = {numbers[int(row[0])]: decode_state(row[1:]) for row in head["s"]}
             self._promised(running, member, epoch, Promised(states, int(head["g"])))
         elif kind == "accepted":
--- a/mesh/control_plane/quorum_reads.py
+++ b/mesh/control_plane/quorum_reads.py
@@ -13,7 +13,7 @@
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import pack, unpack
-from mesh.replication.acceptor import Forgotten, Number, Settled
+from mesh.replication.acceptor import Decision, Forgotten, Slot
 from mesh.replication.membership_epochs import View
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
@@ -32,7 +32,7 @@
     kind: str = ""  # of the open votes to ask for; "": all kinds
     answered: set[str] = field(default_factory=set)
     asked: dict[str, Channel] = field(default_factory=dict)
-    open: set[Number] = field(default_factory=set)
+    open: set[Slot] = field(default_factory=set)
 
 
 class QuorumReads:
@@ -50,7 +50,7 @@
         """The number of reads that wait for answers."""
         return len(self._pending)
 
-    async def collect_open_votes(self, until: float, kind: str = "") -> set[Number] | None:
+    async def collect_open_votes(self, until: float, kind: str = "") -> set[Slot] | None:
         """Merges what a quorum holds into the store, then returns the numbers of the votes open at that
         quorum; None if too few answer in time. ``kind``: only votes on items of that kind."""
         if len(self._pending) >= MAX_PENDING_READS:
@@ -77,7 +77,7 @@
             return False
         acceptor = self._acceptor_host.acceptor
         numbers = open_votes | {number for number in acceptor.votes if number[0] == kind}
-        while any(not isinstance(acceptor.state(number), Settled | Forgotten) for number in numbers):
+        while any(not isinstance(acceptor.state(number), Decision | Forgotten) for number in numbers):
             if self._loop.time() >= until:
                 return False
             await asyncio.sleep(OPEN_VOTE_POLL_S)
@@ -132,7 +132,7 @@
         epoch = self._member_set.view().epoch
         whole = await self._acceptor_host.check_epoch(epoch) is None
         kind = str(head.get("of", ""))
-        missing = self._charter.lacking(head["v"], MAX_PAGE_ITEMS)
+        missing = self._charter.delta_for(head["v"], MAX_PAGE_ITEMS)
         channel.link.send(
             {
                 "t": "have",
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -14,9 +14,9 @@
 from mesh.event_log.log import EventLog
 from mesh.replication.acceptor import Acceptor
 from mesh.replication.items import Item
-from mesh.replication.membership_epochs import MEMBERS, NOBODY, VIEW, View, read_view, write_view
+from mesh.replication.membership_epochs import EMPTY_VIEW, MEMBERS, VIEW, View, read_view, write_view
 from mesh.replication.proposer import Decided
-from mesh.replication.restore import restored
+from mesh.replication.restore import restored_view
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
 from mesh.runtime.introspection_calls import Handler, Refusal, Told
@@ -95,7 +95,7 @@
         view = _view(kept) if copy else None
         reached = {**self._whole(), self._member_set.own_address: self._disk_writer.whole}
         tolerance = self._member_set.tolerance
-        begins = restored(
+        begins = restored_view(
             self._member_set.own_address, self._member_set.view(), reached, lost, view, tolerance
         )
         if isinstance(begins, str):
@@ -119,7 +119,7 @@
     def _told(self, view: View) -> Told:
         items = [item for item in self._charter.items.values() if item.value is not None]
         count = sum(item.kind != VIEW for item in items)
-        return {"epoch": view.epoch, "members": sorted(view.now), "items": count}
+        return {"epoch": view.epoch, "members": sorted(view.members), "items": count}
 
     def _copy(self, copy: str) -> Held | Refusal:
         path = inside(self._base, copy)
@@ -135,10 +135,10 @@
 
     def _take(self, kept: Held) -> Refusal | None:
         """What the copy holds, where nothing newer is held; what was accepted or overtaken with it."""
-        buckets, keys = self._charter.forget_all(kept.forgotten)
+        buckets, keys = self._charter.merge_collected(kept.forgotten)
         self._disk_writer.remove_keys(keys, buckets)
         items = [item for item in kept.items if item.kind != VIEW]
-        taken = self._charter.mend(items)
+        taken = self._charter.repair(items)
         if isinstance(taken, StoreFull):
             return Refusal(taken.reason)
         self._acceptor_host.items_changed(taken)
@@ -152,4 +152,4 @@
     for item in kept.items:
         if item.key == (VIEW, MEMBERS):
             return read_view(item.version, item.value)
-    return NOBODY
+    return EMPTY_VIEW
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -79,12 +79,12 @@
         view, me = self._member_set.view(), self._member_set.own_address
         if (
             view.joint
-            or me not in view.now
+            or me not in view.members
             or not self._disk_writer.whole
             or not self._member_set.has_contact()
         ):
             return
-        rank = sorted(view.now).index(me)
+        rank = sorted(view.members).index(me)
         ripe = self._tombs.expired(now - rank * EVERY_S, MOST)
         held = [self._charter.items.get(key) for key in ripe]
         drops = [(item.key, item.version) for item in held if item is not None and item.value is None]
@@ -94,7 +94,7 @@
         asking = self._asking = _Asking(view, drops, now + WITHIN_S)
         told = {"t": "held", "n": self._count, "e": view.epoch, "k": [[*key, v] for key, v in drops]}
         for address, channel in self._member_set.peers().items():
-            if address in view.now:
+            if address in view.members:
                 channel.link.send(told)
         self._acceptor_host.spawn(self._own(asking))
 
@@ -111,7 +111,7 @@
 
     def _holds(self, key: Key, version: int) -> bool:
         item = self._charter.items.get(key)
-        known = item.version if item is not None else self._charter.forgotten.version(key)
+        known = item.version if item is not None else self._charter.collected_tombstones.version(key)
         return known >= version
 
     def _heard(self, asking: _Asking, who: str, lacking: Iterable[int]) -> None:
@@ -120,7 +120,7 @@
             return
         asking.heard.add(who)
         asking.lacking.update(lacking)
-        if not asking.heard >= view.now.keys():
+        if not asking.heard >= view.members.keys():
             return
         self._asking = None
         gone = [drop for place, drop in enumerate(asking.drops) if place not in asking.lacking]
@@ -134,7 +134,7 @@
     # Forgetting
 
     def _forget(self, drops: Sequence[Drop]) -> None:
-        buckets, keys = self._charter.forget_drops(drops)
+        buckets, keys = self._charter.collect_tombstones(drops)
         self._forgotten(buckets, keys)
 
     def _forgotten(self, buckets: Sequence[str], keys: Sequence[Key]) -> None:
@@ -149,7 +149,7 @@
 
     def link_opened(self, channel: Channel) -> None:
         """A link to another control process is up: what is left of drops comes before all else on it."""
-        channel.link.send({"t": "gone", "d": self._charter.forgotten.root()})
+        channel.link.send({"t": "gone", "d": self._charter.collected_tombstones.root()})
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of forgetting. Raises KeyError, TypeError or ValueError for what cannot be
@@ -168,9 +168,9 @@
         elif kind == "forget":
             self._forget(_read(head["k"]))
         elif "f" in head:
-            self._forgotten(*self._charter.forget_all(read_rows(head["f"])))
-        elif head["d"] != self._charter.forgotten.root():
-            rows = list(self._charter.forgotten.rows().items())
+            self._forgotten(*self._charter.merge_collected(read_rows(head["f"])))
+        elif head["d"] != self._charter.collected_tombstones.root():
+            rows = list(self._charter.collected_tombstones.rows().items())
             for at in range(0, len(rows), ROWS):
                 channel.link.send({"t": "gone", "f": dict(rows[at : at + ROWS])})
         return True
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -14,7 +14,7 @@
 
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.replication.acceptor import Acceptor, Number
+from mesh.replication.acceptor import Acceptor, Slot
 from mesh.replication.items import Item, Key
 from mesh.replication.store import Store
 from mesh.storage.layout import (
@@ -55,7 +55,7 @@
         self._store, self._acceptor, self._keeper, self._event_log = store, acceptor, keeper, event_log
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._dirty_keys: set[Key] = set()
-        self._dirty_votes: set[Number] = set()  # numbers of votes that were added or removed
+        self._dirty_votes: set[Slot] = set()  # numbers of votes that were added or removed
         self._extra_rows: dict[bytes, bytes] = {}
         self._marked_batch = self._written_batch = 0  # a batch has the number of the last mark in it
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
@@ -72,13 +72,13 @@
         """Marks decided items that have changed for the next batch, together with the vector."""
         self._mark_lazily({item.key for item in items}, ())
 
-    def mark_settled(self, numbers: Iterable[Number]) -> None:
+    def mark_settled(self, numbers: Iterable[Slot]) -> None:
         """Marks numbers that are decided: their votes leave the disk with the batch that holds their items,
         or their digests among overtaken versions."""
         settled = set(numbers)
         self._mark_lazily({(kind, name) for kind, name, _ in settled}, settled)
 
-    def _mark_lazily(self, keys: Iterable[Key], numbers: Iterable[Number]) -> None:
+    def _mark_lazily(self, keys: Iterable[Key], numbers: Iterable[Slot]) -> None:
         self._dirty_keys.update(keys)
         self._dirty_votes.update(numbers)
         if not (self._dirty_keys or self._dirty_votes):
@@ -87,7 +87,7 @@
         if self._lazy_timer is None:
             self._lazy_timer = self._loop.call_later(LAZY_WRITE_S, self._start_writing)
 
-    def mark_votes(self, numbers: Iterable[Number]) -> None:
+    def mark_votes(self, numbers: Iterable[Slot]) -> None:
         """Marks votes that must be on disk before they are sent, and starts writing."""
         self._dirty_votes.update(numbers)
         self._marked_batch += 1
@@ -97,7 +97,7 @@
         """Removes the rows of these keys, and writes those of their forgotten versions in the same batch."""
         self._dirty_keys.update(keys)
         for bucket in buckets:
-            self._extra_rows.update([pack_forgotten(bucket, self._store.forgotten.row(bucket))])
+            self._extra_rows.update([pack_forgotten(bucket, self._store.collected_tombstones.row(bucket))])
         self._marked_batch += 1
         self._start_writing()
 
@@ -178,7 +178,7 @@
         finally:
             self._write_task = None
 
-    def _rows(self, keys: Iterable[Key], votes: Iterable[Number]) -> tuple[Rows, list[bytes]]:
+    def _rows(self, keys: Iterable[Key], votes: Iterable[Slot]) -> tuple[Rows, list[bytes]]:
         """The rows to write for these keys and votes, and the keys of the rows to delete."""
         rows: Rows = [pack_vector(self._store.vector)]
         deleted = []
@@ -188,7 +188,10 @@
                 rows.append(pack_item(item))
             else:
                 deleted.append(item_key(key))
-            digests, unknown = self._acceptor.past.get(key, {}), self._acceptor.unknown.get(key, -1)
+            digests, unknown = (
+                self._acceptor.past_digests.get(key, {}),
+                self._acceptor.unknown_up_to.get(key, -1),
+            )
             if item is not None and (tag := self._acceptor.tags.get((*key, item.version))):
                 digests = {**digests, item.version: f"/{tag}"}
             if digests or unknown >= 0:
@@ -211,11 +214,11 @@
         """Replaces the content of the disk by that of the store, which includes all that was on disk when it
         was opened. Batches in progress are written before or after."""
         acceptor = self._acceptor
-        known_rows, _ = self._rows(self._store.items.keys() | acceptor.past.keys(), acceptor.votes)
+        known_rows, _ = self._rows(self._store.items.keys() | acceptor.past_digests.keys(), acceptor.votes)
         rows = dict(known_rows)
         rows.update([pack_whole(self.whole), pack_generations(acceptor.generations)])
         rows.update([pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_lives(self.incarnations)])
-        rows.update(pack_forgotten(*row) for row in self._store.forgotten.rows().items())
+        rows.update(pack_forgotten(*row) for row in self._store.collected_tombstones.rows().items())
         return await self.run_between_batches(lambda keeper: keeper.rewrite(rows))
 
     def close(self) -> None:
--- a/mesh/data_plane/control_contact.py
+++ b/mesh/data_plane/control_contact.py
@@ -13,7 +13,7 @@
 from mesh.dissemination.peers import Channels
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
-from mesh.replication.quorum_contact import BOUND_SHARE
+from mesh.replication.quorum_contact import REPLY_VALID_SHARE
 
 
 class ControlContact:
@@ -22,13 +22,13 @@
     def __init__(self, contact_ms: float, channels: Channels, event_log: EventLog) -> None:
         """Nothing has been heard yet."""
         self._channels, self._event_log = channels, event_log
-        self._bound_s = BOUND_SHARE * contact_ms / 1000.0
+        self._bound_s = REPLY_VALID_SHARE * contact_ms / 1000.0
         self._began = channels.loop.time()
         self._without: float | None = None  # since then; as told in the log
 
     def tune(self, contact_ms: float) -> None:
         """The settings file has changed."""
-        self._bound_s = BOUND_SHARE * contact_ms / 1000.0
+        self._bound_s = REPLY_VALID_SHARE * contact_ms / 1000.0
 
     def _last(self) -> float | None:
         """When one with contact was last heard that had told all; None where none has been."""
--- a/mesh/data_plane/key_holds.py
+++ b/mesh/data_plane/key_holds.py
@@ -168,7 +168,7 @@
         told = write_report(words, self.holds.silent(now, self._beat_s), self._maps.counted())
         self._told = told
         self._version += 1
-        self._reports.take(KEY_REPORT, self._node, self._version, told)
+        self._reports.write(KEY_REPORT, self._node, self._version, told)
         self._channels().poke()
 
     def again(self) -> None:
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -222,7 +222,7 @@
     def _say_node(self) -> None:
         settings = self.settings
         self._node_version = version_above(self.roll.items.get((NODE, settings.node)), self._node_version + 1)
-        told = self.roll.take(
+        told = self.roll.write(
             NODE,
             settings.node,
             self._node_version,
@@ -256,13 +256,13 @@
         for link in list(self.incoming_links):
             link.tick(now)
         for key in self.tombs.pop_expired(now):
-            self.roll.forget(key)
+            self.roll.remove_tombstone(key)
         for key in self._dropped.pop_expired(now):
-            self.charter.forget(key)
+            self.charter.remove_tombstone(key)
         self._doubts(now)
         if now - self._touched > RESYNC_AFTER_S:  # looked at before the links: they outlast standing still
             self._touched = now
-            self._changed("roll", self.roll.clear())
+            self._changed("roll", self.roll.clear_remote_items())
             self._say_again()
         elif self.channels.open:
             self._touched = now
@@ -276,10 +276,10 @@
         if self._doubted_at is not None:
             if self.channels.whole_at > self._doubted_at:
                 self._doubted_at = None
-                self._changed("charter", self.charter.settle())
+                self._changed("charter", self.charter.remove_unconfirmed())
         elif self.configured() and not self.channels.fresh(RESYNC_AFTER_S):
             self._doubted_at = now
-            self.charter.doubt()
+            self.charter.mark_unconfirmed()
             for channel in list(self.channels.open):
                 channel.link.close("asks for all anew")
 
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -17,7 +17,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item, Key
-from mesh.replication.store import Store, paging
+from mesh.replication.store import Store, is_page_entry
 from mesh.rollout.bounds import derive_rollout_times
 from mesh.rollout.canary_verdict import CanaryMonitor, is_worse
 from mesh.rollout.change_kinds import STAGED, ChangeKind, kind_of
@@ -236,11 +236,11 @@
             return
         self._said, self._said_at = told, self._loop.time()
         self._version += 1
-        self._reports.take(REPORT, self._node, self._version, told)
+        self._reports.write(REPORT, self._node, self._version, told)
         self._channels().poke()
 
     def _vector(self) -> dict[str, int]:
-        return {s: n for s, n in self._charter.vector.items() if not paging(s)}
+        return {s: n for s, n in self._charter.vector.items() if not is_page_entry(s)}
 
 
 def _read(item: Item) -> Route | None:
--- a/mesh/data_plane/upstream_registration.py
+++ b/mesh/data_plane/upstream_registration.py
@@ -118,7 +118,7 @@
         """Makes what the others are to be told items of the roll."""
         items = []
         for one in told:
-            item = self._roll.take(INSTANCE, one.instance, one.version, one.value)
+            item = self._roll.write(INSTANCE, one.instance, one.version, one.value)
             if isinstance(item, Item):
                 items.append(item)
         if items:
--- a/mesh/dissemination/peers.py
+++ b/mesh/dissemination/peers.py
@@ -19,7 +19,7 @@
 from mesh.event_log.log import EventLog
 from mesh.membership.rendezvous import rendezvous_order
 from mesh.replication.items import Item
-from mesh.replication.snapshot import SNAPSHOTS
+from mesh.replication.snapshot import SNAPSHOTS_FEATURE
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 from mesh.transport.link import Address, Link, connect
@@ -185,7 +185,7 @@
         self.up, self.ranks = up, ranks
         self.loop = asyncio.get_running_loop()
         self.me, self.stores, self.most, self.event_log = me, stores, most, event_log
-        self.hello = {**hello, "takes": [*hello.get("takes", ()), SNAPSHOTS]}
+        self.hello = {**hello, "takes": [*hello.get("takes", ()), SNAPSHOTS_FEATURE]}
         self.changed, self.whole, self._extra = changed, whole, extra
         self._opened, self._closed, self._greeted = opened, closed, greeted
         self.silent: Callable[[str], Collection[str]] = lambda role: ()  # stores not told to that role now
--- a/mesh/dissemination/pull_exchange.py
+++ b/mesh/dissemination/pull_exchange.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from mesh.replication.items import Item
-from mesh.replication.snapshot import SNAPSHOTS
+from mesh.replication.snapshot import SNAPSHOTS_FEATURE
 from mesh.replication.store import Store
 from mesh.replication.store_answers import DigestMismatch, StoreFull
 from mesh.transport.frames import Head
@@ -103,7 +103,7 @@
         if not self._open or self._asked is None:
             return False
         return any(
-            store.has_news(self._asked[name])
+            store.has_updates(self._asked[name])
             for name, store in self._stores.items()
             if (among is None or name in among) and (name not in self._up or name in self._peer_takes)
         )
@@ -141,8 +141,8 @@
             if name in self._up and name not in self._peer_takes:
                 continue
             asked = self._asked[name]
-            if store.has_news(asked):
-                lack = store.lacking(asked, PAGE, snapshots=SNAPSHOTS in self._peer_takes)
+            if store.has_updates(asked):
+                lack = store.delta_for(asked, PAGE, snapshots=SNAPSHOTS_FEATURE in self._peer_takes)
                 told[name] = {"items": [pack(item) for item in lack.items], "v": lack.vector}
                 more = more or lack.more
         if not told:
@@ -168,7 +168,7 @@
         }
         changed: dict[str, list[Item]] = {}
         for name, (items, vector) in told.items():
-            taken = self._stores[name].hear(items, vector)
+            taken = self._stores[name].merge_answer(items, vector)
             if isinstance(taken, StoreFull | DigestMismatch):
                 self.full = taken.reason
             else:
--- a/mesh/replication/digest.py
+++ b/mesh/replication/digest.py
@@ -11,7 +11,7 @@
 HEX = "0123456789abcdef"
 
 
-class Digests:
+class DigestTree:
     """A tree of fan-out 16 over the hashes of keys; a node's digest is the xor of its items' 64-bit hashes.
 
     Xor lets one item change in three steps, without its neighbours. Stamps do not count: copies that reached
@@ -22,20 +22,20 @@
         self._sums: dict[str, int] = {}
         self._leaves: dict[str, set[Key]] = {}
 
-    def note(self, old: Item | None, new: Item | None) -> None:
+    def update(self, old: Item | None, new: Item | None) -> None:
         """``old`` (None: there was none) has been replaced by ``new`` (None: forgotten) of the same key."""
         if old is not None:
-            self._turn(_prefix(old.key), hash_of(old))
+            self._toggle(_leaf_prefix(old.key), item_hash(old))
         if new is not None:
-            self._turn(_prefix(new.key), hash_of(new))
-            self._leaves.setdefault(_prefix(new.key), set()).add(new.key)
+            self._toggle(_leaf_prefix(new.key), item_hash(new))
+            self._leaves.setdefault(_leaf_prefix(new.key), set()).add(new.key)
         elif old is not None:
-            leaf = self._leaves[_prefix(old.key)]
+            leaf = self._leaves[_leaf_prefix(old.key)]
             leaf.discard(old.key)
             if not leaf:
-                del self._leaves[_prefix(old.key)]
+                del self._leaves[_leaf_prefix(old.key)]
 
-    def at(self, prefix: str) -> dict[str, str]:
+    def children(self, prefix: str) -> dict[str, str]:
         """Digests (16 hex digits) of the up to 16 children of ``prefix`` ("" to 2 hex digits), by child
         prefix.
 
@@ -49,35 +49,35 @@
 
     def root(self) -> str:
         """One digest (16 hex digits) of all; equal where two hold the same, whatever way it came."""
-        told = 0
-        for digest in self.at("").values():
-            told ^= int(digest, 16)
-        return f"{told:016x}"
+        total = 0
+        for digest in self.children("").values():
+            total ^= int(digest, 16)
+        return f"{total:016x}"
 
     def keys(self, prefix: str) -> list[Key]:
         """The keys under a leaf's prefix (3 hex digits), sorted; empty where there are none."""
         return sorted(self._leaves.get(prefix, ()))
 
-    def _turn(self, leaf: str, bits: int) -> None:
+    def _toggle(self, leaf: str, bits: int) -> None:
         for length in range(1, DEPTH + 1):
             node = leaf[:length]
-            left = self._sums.get(node, 0) ^ bits
-            if left:
-                self._sums[node] = left
+            remaining = self._sums.get(node, 0) ^ bits
+            if remaining:
+                self._sums[node] = remaining
             else:
                 del self._sums[node]
 
 
-def differing(mine: Mapping[str, str], theirs: Mapping[str, str]) -> list[str]:
+def differing_prefixes(mine: Mapping[str, str], theirs: Mapping[str, str]) -> list[str]:
     """The child prefixes, sorted, whose digests differ or that only one side has."""
     return sorted(child for child in mine.keys() | theirs.keys() if mine.get(child) != theirs.get(child))
 
 
-def _prefix(key: Key) -> str:
+def _leaf_prefix(key: Key) -> str:
     return blake2b(msgspec.json.encode(key), digest_size=2).hexdigest()[:DEPTH]
 
 
-def hash_of(item: Item) -> int:
+def item_hash(item: Item) -> int:
     """64 bits over all of an item but its stamp."""
-    told = msgspec.json.encode([item.kind, item.name, item.version, item.value], order="deterministic")
-    return int.from_bytes(blake2b(told, digest_size=8).digest())
+    encoded = msgspec.json.encode([item.kind, item.name, item.version, item.value], order="deterministic")
+    return int.from_bytes(blake2b(encoded, digest_size=8).digest())
--- a/mesh/replication/items.py
+++ b/mesh/replication/items.py
@@ -29,7 +29,7 @@
         return (self.kind, self.name)
 
 
-def content(item: Item) -> bytes:
+def canonical_content(item: Item) -> bytes:
     """The value as JSON with sorted keys, the same bytes in every process; ``null`` for a dropped item.
 
     Raises TypeError where the value holds what JSON cannot say.
@@ -42,7 +42,7 @@
 
     Values are compared as canonical bytes, as ``outranks`` does: Python takes 1, 1.0 and True for equal.
     """
-    return a.version == b.version and content(a) == content(b)
+    return a.version == b.version and canonical_content(a) == canonical_content(b)
 
 
 def outranks(a: Item, b: Item) -> bool:
@@ -56,4 +56,4 @@
         return a.version > b.version
     if (a.value is None) != (b.value is None):
         return a.value is None
-    return content(a) > content(b)
+    return canonical_content(a) > canonical_content(b)
--- a/mesh/replication/membership_epochs.py
+++ b/mesh/replication/membership_epochs.py
@@ -16,9 +16,9 @@
 from mesh.replication.quorum import Place, Tolerance, durable, overlaps
 
 VIEW, MEMBERS = "view", "members"  # kind and name of the one item that holds it
-MOST_EPOCH = 1 << 52
-MOST_MEMBERS = 64
-MOST_VERDICTS = 512  # of one view; its members hear of each other in far fewer combinations
+MAX_EPOCH = 1 << 52
+MAX_MEMBERS = 64
+MAX_CACHED_CHECKS = 512  # of one view; its members hear of each other in far fewer combinations
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,78 +27,78 @@
     change is not over, else None. Epoch 0 and nobody: none is known."""
 
     epoch: int
-    now: Mapping[str, Place]
-    before: Mapping[str, Place] | None = None
-    _verdicts: dict[tuple[bool, frozenset[str], Tolerance], bool] = field(
+    members: Mapping[str, Place]
+    previous_members: Mapping[str, Place] | None = None
+    _cached_checks: dict[tuple[bool, frozenset[str], Tolerance], bool] = field(
         default_factory=dict, init=False, repr=False, compare=False
     )
 
     @property
     def joint(self) -> bool:
-        return self.before is not None
+        return self.previous_members is not None
 
     @property
     def names(self) -> frozenset[str]:
         """All whose answers can count."""
-        return frozenset(self.now) | frozenset(self.before or ())
+        return frozenset(self.members) | frozenset(self.previous_members or ())
 
-    def durable(self, have: Collection[str], tolerance: Tolerance) -> bool:
+    def durable(self, holders: Collection[str], tolerance: Tolerance) -> bool:
         """Whether what ``have`` hold is agreed on and outlives what is tolerated: a quorum to accept."""
-        return self._verdict(True, have, tolerance)
+        return self._check(True, holders, tolerance)
 
-    def overlaps(self, heard: Collection[str], tolerance: Tolerance) -> bool:
+    def overlaps(self, responders: Collection[str], tolerance: Tolerance) -> bool:
         """Whether every set that may have been durable under this view meets ``heard``: a quorum to prepare,
         and to read. False where nobody is known."""
-        return self._verdict(False, heard, tolerance)
+        return self._check(False, responders, tolerance)
 
-    def _verdict(self, to_accept: bool, among: Collection[str], tolerance: Tolerance) -> bool:
+    def _check(self, to_accept: bool, members_in: Collection[str], tolerance: Tolerance) -> bool:
         """Kept, since it is asked for the same sets many times a second."""
-        key = (to_accept, frozenset(among), tolerance)
-        found = self._verdicts.get(key)
+        key = (to_accept, frozenset(members_in), tolerance)
+        found = self._cached_checks.get(key)
         if found is None:
             found = all(
-                durable(among, members, tolerance)
+                durable(members_in, members, tolerance)
                 if to_accept
-                else bool(members) and overlaps(among, members, tolerance)
-                for members in self._all()
+                else bool(members) and overlaps(members_in, members, tolerance)
+                for members in self._member_sets()
             )
-            if len(self._verdicts) >= MOST_VERDICTS:
-                self._verdicts.clear()
-            self._verdicts[key] = found
+            if len(self._cached_checks) >= MAX_CACHED_CHECKS:
+                self._cached_checks.clear()
+            self._cached_checks[key] = found
         return found
 
-    def _all(self) -> list[Mapping[str, Place]]:
-        return [self.now] if self.before is None else [self.before, self.now]
+    def _member_sets(self) -> list[Mapping[str, Place]]:
+        return [self.members] if self.previous_members is None else [self.previous_members, self.members]
 
 
-NOBODY = View(0, {})
+EMPTY_VIEW = View(0, {})
 
 
 def write_view(view: View) -> dict[str, Any]:
     """The item's value; its version is the epoch."""
-    told: dict[str, Any] = {"now": _write(view.now)}
-    if view.before is not None:
-        told["before"] = _write(view.before)
-    return told
+    value: dict[str, Any] = {"now": _write(view.members)}
+    if view.previous_members is not None:
+        value["before"] = _write(view.previous_members)
+    return value
 
 
-def read_view(epoch: object, told: Mapping[str, Any] | None) -> View:
+def read_view(epoch: object, value: Mapping[str, Any] | None) -> View:
     """Raises ValueError for what is no view."""
-    if not isinstance(epoch, int) or not 0 < epoch < MOST_EPOCH or told is None:
+    if not isinstance(epoch, int) or not 0 < epoch < MAX_EPOCH or value is None:
         raise ValueError("a view has an epoch from 1, and members")
-    before = told.get("before")
-    return View(epoch, _read(told.get("now")), None if before is None else _read(before))
+    before = value.get("before")
+    return View(epoch, _read(value.get("now")), None if before is None else _read(before))
 
 
 def _write(members: Mapping[str, Place]) -> dict[str, list[str]]:
     return {name: [place.zone, place.region] for name, place in sorted(members.items())}
 
 
-def _read(told: object) -> dict[str, Place]:
-    if not isinstance(told, dict) or not 0 < len(told) <= MOST_MEMBERS:
-        raise ValueError(f"a view names 1 to {MOST_MEMBERS} members")
+def _read(value: object) -> dict[str, Place]:
+    if not isinstance(value, dict) or not 0 < len(value) <= MAX_MEMBERS:
+        raise ValueError(f"a view names 1 to {MAX_MEMBERS} members")
     found = {}
-    for name, place in told.items():
+    for name, place in value.items():
         if not (isinstance(name, str) and isinstance(place, list) and len(place) == 2):
             raise ValueError("a member is an address with zone and region")
         found[name] = Place(str(place[0]), str(place[1]))
--- a/mesh/replication/proposer.py
+++ b/mesh/replication/proposer.py
@@ -13,11 +13,11 @@
 
 from mesh.replication.acceptor import (
     Ballot,
+    Decision,
     Forgotten,
-    Number,
     Promised,
     Refusal,
-    Settled,
+    Slot,
     Value,
     Vote,
     digest_of,
@@ -29,26 +29,26 @@
 class Prepare(Struct, frozen=True):
     ballot: Ballot
     epoch: int
-    numbers: tuple[Number, ...]
+    slots: tuple[Slot, ...]
 
 
 class Accept(Struct, frozen=True):
     ballot: Ballot
     epoch: int
-    by: Mapping[str, int]
-    writes: Mapping[Number, Value]
-    tags: Mapping[Number, str]
+    generations: Mapping[str, int]
+    writes: Mapping[Slot, Value]
+    tags: Mapping[Slot, str]
 
 
 class Chosen(Struct, frozen=True):
     """Decided by this proposer, and not told yet. ``whole``: with it, all of the order is."""
 
     ballot: Ballot
-    writes: Mapping[Number, Value]
-    whole: bool
+    writes: Mapping[Slot, Value]
+    complete: bool
 
 
-class Again(Struct, frozen=True):
+class Retry(Struct, frozen=True):
     """This ballot leads no further; a new one, of a round above ``round``, may. ``at_once``: there is nobody
     to make room for."""
 
@@ -61,13 +61,13 @@
     """Every item of the order stands, or was overtaken after it stood."""
 
 
-class Rivalled(Struct, frozen=True):
+class Conflict(Struct, frozen=True):
     """Another order has that number, and nothing of this one ever comes into force."""
 
-    number: Number
+    slot: Slot
 
 
-class Unclear(Struct, frozen=True):
+class Unresolved(Struct, frozen=True):
     """It may be in force, in part, or come into it."""
 
     reason: str
@@ -82,183 +82,187 @@
     """
 
     def __init__(
-        self, life: str, writes: Mapping[Number, Value], tolerance: Tolerance, adopts: bool = False
+        self, incarnation: str, writes: Mapping[Slot, Value], tolerance: Tolerance, adopts: bool = False
     ) -> None:
-        self._life, self._tolerance, self.adopts = life, tolerance, adopts
+        self._incarnation, self._tolerance, self.adopts = incarnation, tolerance, adopts
         self.writes = dict(writes)
-        self.settled: dict[Number, str] = {}  # numbers that are decided, by digest
-        self.contents: dict[Number, Value] = {}  # of those, as far as it was told
-        self.forgotten: set[Number] = set()  # of which nobody can know
+        self.decided_digests: dict[Slot, str] = {}  # numbers that are decided, by digest
+        self.decided_values: dict[Slot, Value] = {}  # of those, as far as it was told
+        self.forgotten: set[Slot] = set()  # of which nobody can know
         self.view = View(0, {})
         self.ballot = Ballot(0, "")
-        self._digests = {} if adopts else {number: digest_of(value) for number, value in writes.items()}
-        self._tag = _tag_of(self._digests) if len(self._digests) > 1 else ""
-        self._in_force: set[Number] = set()  # numbers that were decided as a part of this order
-        self._seen = 0  # highest round told of
-        self._knew = False  # this ballot began with a rival known to be decided
+        self._digests = {} if adopts else {slot: digest_of(value) for slot, value in writes.items()}
+        self._tag = _batch_tag(self._digests) if len(self._digests) > 1 else ""
+        self._own_decided: set[Slot] = set()  # numbers that were decided as a part of this order
+        self._highest_round_seen = 0  # highest round told of
+        self._conflict_was_known = False  # this ballot began with a rival known to be decided
         self._promises: dict[str, int] = {}  # by member: its generation
-        self._refused: set[str] = set()
-        self._votes: dict[Number, Vote] = {}  # the highest of each, as promisers told
-        self._blank: set[Number] = set()  # of what it adopts: nobody of a quorum holds anything
-        self._own_found = False  # somebody holds a vote that came with this order
+        self._refused_by: set[str] = set()
+        self._votes: dict[Slot, Vote] = {}  # the highest of each, as promisers told
+        self._empty_slots: set[Slot] = set()  # of what it adopts: nobody of a quorum holds anything
+        self._own_vote_found = False  # somebody holds a vote that came with this order
         self._accept: Accept | None = None
-        self._have: set[str] = set()
+        self._accepted_by: set[str] = set()
 
     def prepare(self, round: int, view: View) -> Prepare:
         """A new ballot. ``round``: above all that this life has used."""
-        self.view, self.ballot = view, Ballot(round, self._life)
-        self._knew = self._rival() is not None
-        self._promises, self._refused, self._votes, self._have = {}, set(), {}, set()
+        self.view, self.ballot = view, Ballot(round, self._incarnation)
+        self._conflict_was_known = self._first_conflict() is not None
+        self._promises, self._refused_by, self._votes, self._accepted_by = {}, set(), {}, set()
         self._accept = None
-        self._blank = set()
+        self._empty_slots = set()
         # Once a rival is known all are asked anew: of what is settled, too, each may tell with which order it
         # came.
-        asked = list(self.writes) if self._knew else self._open()
-        return Prepare(self.ballot, view.epoch, tuple(asked))
+        slots = list(self.writes) if self._conflict_was_known else self._open_slots()
+        return Prepare(self.ballot, view.epoch, tuple(slots))
 
     def promised(
-        self, who: str, epoch: int, ballot: Ballot, promised: Promised
-    ) -> Accept | Again | Decided | Rivalled | Unclear | None:
+        self, member: str, epoch: int, ballot: Ballot, promised: Promised
+    ) -> Accept | Retry | Decided | Conflict | Unresolved | None:
         """One answer; None: more are needed."""
         if ballot != self.ballot or epoch != self.view.epoch or self._accept is not None:
             return None
-        self._promises[who] = promised.generation
-        for number, state in promised.states.items():
-            if number not in self.writes:
+        self._promises[member] = promised.generation
+        for slot, state in promised.states.items():
+            if slot not in self.writes:
                 continue
-            if isinstance(state, Settled):
-                self.settled[number] = state.digest
+            if isinstance(state, Decision):
+                self.decided_digests[slot] = state.digest
                 if state.tag and state.tag == self._tag:
-                    self._in_force.add(number)
-                if state.has:
-                    self.contents[number] = state.value
+                    self._own_decided.add(slot)
+                if state.has_value:
+                    self.decided_values[slot] = state.value
             elif isinstance(state, Forgotten):
-                self.forgotten.add(number)
+                self.forgotten.add(slot)
             else:
-                self._note(number, state)
+                self._record_vote(slot, state)
         if self.forgotten and not self.adopts:
-            return Unclear(f"{named(min(self.forgotten))} is older than what is known of it")
+            return Unresolved(f"{format_slot(min(self.forgotten))} is older than what is known of it")
         if not self.view.overlaps(self._promises, self._tolerance):
             return None
-        return self._go_on()
+        return self._after_promises()
 
-    def _note(self, number: Number, vote: Vote) -> None:
-        self._own_found |= bool(vote.tag) and vote.tag == self._tag
-        held = self._votes.get(number)
+    def _record_vote(self, slot: Slot, vote: Vote) -> None:
+        self._own_vote_found |= bool(vote.tag) and vote.tag == self._tag
+        held = self._votes.get(slot)
         if held is None or vote.ballot > held.ballot:
-            self._votes[number] = vote
+            self._votes[slot] = vote
 
-    def _go_on(self) -> Accept | Again | Decided | Rivalled | Unclear | None:
+    def _after_promises(self) -> Accept | Retry | Decided | Conflict | Unresolved | None:
         if self.adopts:
             # Where a quorum holds nothing, nothing was chosen, and there is nothing to be brought to an end.
-            self._blank = {number for number in self._open() if number not in self._votes}
-            taken = {number: self._votes[number].value for number in self._open()}
-            return self._propose(taken, self._told_tags(taken)) if taken else Decided()
-        rival = self._rival()
-        if rival is not None:
-            return self._lost(rival)
-        votes = {n: v.value for n, v in self._votes.items() if n not in self.settled}
-        others = {n: value for n, value in votes.items() if not self._same(n, value)}
+            self._empty_slots = {slot for slot in self._open_slots() if slot not in self._votes}
+            adopted = {slot: self._votes[slot].value for slot in self._open_slots()}
+            return self._propose(adopted, self._reported_tags(adopted)) if adopted else Decided()
+        conflict = self._first_conflict()
+        if conflict is not None:
+            return self._after_conflict(conflict)
+        votes = {slot: v.value for slot, v in self._votes.items() if slot not in self.decided_digests}
+        others = {slot: value for slot, value in votes.items() if not self._matches_own(slot, value)}
         if others:  # alone: nothing of this order may be accepted while it may lose
-            return self._propose(others, self._told_tags(others))
-        own = {number: self.writes[number] for number in self._open()}
+            return self._propose(others, self._reported_tags(others))
+        own = {slot: self.writes[slot] for slot in self._open_slots()}
         if not own:
             return Decided()
         # What another order has brought here before keeps that one's tag: it may have been chosen with it.
-        tags = {n: self._votes[n].tag if n in self._votes else self._tag for n in own}
-        return self._propose(own, {n: tag for n, tag in tags.items() if tag})
-
-    def _lost(self, rival: Number) -> Again | Rivalled | Unclear | None:
-        lost = self._lost_numbers()
-        if len(lost) == len(self.writes):
-            return Rivalled(rival)
-        if self._own_found or self._in_force:
-            return Unclear(f"another order has {named(rival)}, and a part of this one may be in force")
-        if not self._knew:
-            return Again(0, "another order has a number of this one")
+        tags = {slot: self._votes[slot].tag if slot in self._votes else self._tag for slot in own}
+        return self._propose(own, {slot: tag for slot, tag in tags.items() if tag})
+
+    def _after_conflict(self, conflict: Slot) -> Retry | Conflict | Unresolved | None:
+        conflicting = self._conflicting_slots()
+        if len(conflicting) == len(self.writes):
+            return Conflict(conflict)
+        if self._own_vote_found or self._own_decided:
+            return Unresolved(
+                f"another order has {format_slot(conflict)}, and a part of this one may be in force"
+            )
+        if not self._conflict_was_known:
+            return Retry(0, "another order has a number of this one")
         # All have promised a ballot that began when the rival was decided, and hold no vote of this order:
         # whoever proposes the order hereafter meets the rival before it can send an accept. What is decided
         # as it was sent came with other orders.
-        return Rivalled(rival) if self.view.names <= self._promises.keys() else None
+        return Conflict(conflict) if self.view.names <= self._promises.keys() else None
 
-    def _told_tags(self, numbers: Iterable[Number]) -> dict[Number, str]:
-        return {number: tag for number in numbers if (tag := self._votes[number].tag)}
+    def _reported_tags(self, slots: Iterable[Slot]) -> dict[Slot, str]:
+        return {slot: tag for slot in slots if (tag := self._votes[slot].tag)}
 
-    def _propose(self, writes: Mapping[Number, Value], tags: Mapping[Number, str]) -> Accept:
+    def _propose(self, writes: Mapping[Slot, Value], tags: Mapping[Slot, str]) -> Accept:
         self._accept = Accept(self.ballot, self.view.epoch, dict(self._promises), dict(writes), tags)
         return self._accept
 
-    def accepted(self, who: str, epoch: int, ballot: Ballot) -> Chosen | None:
+    def accepted(self, member: str, epoch: int, ballot: Ballot) -> Chosen | None:
         """One more has it on disk. Once what is chosen is told, `outcome` says whether that was all."""
         if self._accept is None or ballot != self.ballot or epoch != self.view.epoch:
             return None
-        if self.view.durable(self._have, self._tolerance):
+        if self.view.durable(self._accepted_by, self._tolerance):
             return None
-        self._have.add(who)
-        if not self.view.durable(self._have, self._tolerance):
+        self._accepted_by.add(member)
+        if not self.view.durable(self._accepted_by, self._tolerance):
             return None
         writes = self._accept.writes
-        self.settled.update((number, digest_of(value)) for number, value in writes.items())
-        self.contents.update(writes)
+        self.decided_digests.update((slot, digest_of(value)) for slot, value in writes.items())
+        self.decided_values.update(writes)
         return Chosen(self.ballot, writes, not self.adopts and isinstance(self.outcome(), Decided))
 
-    def refused(self, who: str, ballot: Ballot, refusal: Refusal) -> Again | None:
+    def refused(self, member: str, ballot: Ballot, refusal: Refusal) -> Retry | None:
         """``Again`` once so many have refused that this ballot can't go through."""
-        self._seen = max(self._seen, refusal.round)
+        self._highest_round_seen = max(self._highest_round_seen, refusal.round)
         if ballot != self.ballot:
             return None
-        self._refused.add(who)
-        left = self.view.names - self._refused
-        if self._knew and self._accept is None:
-            able = False  # all are needed
+        self._refused_by.add(member)
+        remaining = self.view.names - self._refused_by
+        if self._conflict_was_known and self._accept is None:
+            possible = False  # all are needed
         elif self._accept is not None:
-            able = self.view.durable(left, self._tolerance)
+            possible = self.view.durable(remaining, self._tolerance)
         else:
-            able = self.view.overlaps(left, self._tolerance)
-        return None if able else Again(self._seen, refusal.reason, not refusal.contended)
+            possible = self.view.overlaps(remaining, self._tolerance)
+        return None if possible else Retry(self._highest_round_seen, refusal.reason, not refusal.contended)
 
-    def outcome(self) -> Decided | Rivalled | None:
+    def outcome(self) -> Decided | Conflict | None:
         """Where all is decided, as it was sent, all otherwise, or (``adopts``) in whatever way."""
-        if self._open():
+        if self._open_slots():
             return None
-        rival = self._rival()
-        if rival is None:
+        conflict = self._first_conflict()
+        if conflict is None:
             return Decided()
-        return Rivalled(rival) if len(self._lost_numbers()) == len(self.writes) else None
+        return Conflict(conflict) if len(self._conflicting_slots()) == len(self.writes) else None
 
-    def gave_up(self) -> Unclear:
+    def timed_out(self) -> Unresolved:
         """Its time is over."""
-        rival = self._rival()
-        if rival is not None:
-            return Unclear(
-                f"another order has {named(rival)}, and not all have said that they hold none of this"
+        conflict = self._first_conflict()
+        if conflict is not None:
+            return Unresolved(
+                f"another order has {format_slot(conflict)}, and some members may hold votes of this one"
             )
         step = "accept" if self._accept is not None else "prepare"
-        told = ", ".join(sorted(self._have if self._accept is not None else self._promises)) or "none"
-        return Unclear(f"{step}: answered by {told} of {len(self.view.names)}")
+        responders = (
+            ", ".join(sorted(self._accepted_by if self._accept is not None else self._promises)) or "none"
+        )
+        return Unresolved(f"{step}: answered by {responders} of {len(self.view.names)}")
 
-    def _open(self) -> list[Number]:
-        over = self.settled.keys() | self.forgotten | self._blank
-        return [number for number in self.writes if number not in over]
+    def _open_slots(self) -> list[Slot]:
+        closed = self.decided_digests.keys() | self.forgotten | self._empty_slots
+        return [slot for slot in self.writes if slot not in closed]
 
-    def _same(self, number: Number, value: Value) -> bool:
-        return digest_of(value) == self._digests[number]
+    def _matches_own(self, slot: Slot, value: Value) -> bool:
+        return digest_of(value) == self._digests[slot]
 
-    def _rival(self) -> Number | None:
+    def _first_conflict(self) -> Slot | None:
         if self.adopts:
             return None
-        return min(self._lost_numbers(), default=None)
+        return min(self._conflicting_slots(), default=None)
 
-    def _lost_numbers(self) -> list[Number]:
-        return [n for n, digest in self.settled.items() if digest != self._digests[n]]
+    def _conflicting_slots(self) -> list[Slot]:
+        return [slot for slot, digest in self.decided_digests.items() if digest != self._digests[slot]]
 
 
-def _tag_of(digests: Mapping[Number, str]) -> str:
+def _batch_tag(digests: Mapping[Slot, str]) -> str:
     """Of an order: the same whoever is sent it."""
-    told = msgspec.json.encode(sorted(digests.items()))
-    return blake2b(told, digest_size=8).hexdigest()
+    encoded = msgspec.json.encode(sorted(digests.items()))
+    return blake2b(encoded, digest_size=8).hexdigest()
 
 
-def named(number: Number) -> str:
+def format_slot(slot: Slot) -> str:
     """For people."""
-    return f"{number[0]} {number[1][:60]!r} r{number[2]}"
+    return f"{slot[0]} {slot[1][:60]!r} r{slot[2]}"
--- a/mesh/replication/quorum.py
+++ b/mesh/replication/quorum.py
@@ -25,7 +25,7 @@
     regions: int
 
 
-def durable(have: Collection[str], members: Mapping[str, Place], tolerance: Tolerance) -> bool:
+def durable(holders: Collection[str], members: Mapping[str, Place], tolerance: Tolerance) -> bool:
     """Whether what the machines ``have`` hold is durable among ``members``; others do not count.
 
     An unknown zone or region may be any, so also one of the lost: it adds nothing. Where all members together
@@ -33,23 +33,23 @@
     lost), that kind asks for all members instead, so that a small mesh still takes writes and loses them only
     with a loss that nobody could have borne. Nothing is durable without members.
     """
-    return _durable(have, members, tolerance, unknown_adds=False)
+    return _durable(holders, members, tolerance, count_unknown=False)
 
 
-def overlaps(heard: Collection[str], members: Mapping[str, Place], tolerance: Tolerance) -> bool:
+def overlaps(responders: Collection[str], members: Mapping[str, Place], tolerance: Tolerance) -> bool:
     """Whether every set that may have been durable meets ``heard``, machines whose disks are whole.
 
     That is so when the members not heard can't have been durable. Whoever called them durable may have known
     the places that are unknown here: each unknown zone or region is taken for one of its own. Monotone in
     ``heard``.
     """
-    return not _durable(members.keys() - set(heard), members, tolerance, unknown_adds=True)
+    return not _durable(members.keys() - set(responders), members, tolerance, count_unknown=True)
 
 
 def _durable(
-    have: Collection[str], members: Mapping[str, Place], tolerance: Tolerance, *, unknown_adds: bool
+    holders: Collection[str], members: Mapping[str, Place], tolerance: Tolerance, *, count_unknown: bool
 ) -> bool:
-    held = members.keys() & set(have)
+    held = members.keys() & set(holders)
     if 2 * len(held) <= len(members):
         return False
     if len(held) == len(members):
@@ -58,11 +58,11 @@
     regions = {name: place.region for name, place in members.items()}
     return (
         len(held) > tolerance.machines
-        and (tolerance.zones == 0 or _distinct(held, zones, unknown_adds) > tolerance.zones)
-        and (tolerance.regions == 0 or _distinct(held, regions, unknown_adds) > tolerance.regions)
+        and (tolerance.zones == 0 or _distinct(held, zones, count_unknown) > tolerance.zones)
+        and (tolerance.regions == 0 or _distinct(held, regions, count_unknown) > tolerance.regions)
     )
 
 
-def _distinct(held: Collection[str], areas: Mapping[str, str], unknown_adds: bool) -> int:
+def _distinct(held: Collection[str], areas: Mapping[str, str], count_unknown: bool) -> int:
     known = {areas[name] for name in held if areas[name]}
-    return len(known) + (sum(not areas[name] for name in held) if unknown_adds else 0)
+    return len(known) + (sum(not areas[name] for name in held) if count_unknown else 0)
--- a/mesh/replication/quorum_contact.py
+++ b/mesh/replication/quorum_contact.py
@@ -16,11 +16,11 @@
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Tolerance
 
-BOUND_SHARE = 1 / 3  # of contact_ms, for which an answer counts from its question on
-EVERY_SHARE = 1 / 8  # of contact_ms, between two questions: two may be lost and contact stands
-OPEN_SHARE = 1 / 2  # of the bound, after which an open vote may be one that was acknowledged elsewhere
-QUESTIONS = 8  # whose instants are kept; an answer to an older one is beyond the bound
-STEP_SHARE = 1 / 4  # of the bound, by which the two clocks may part between two looks
+REPLY_VALID_SHARE = 1 / 3  # of contact_ms, for which an answer counts from its question on
+PROBE_INTERVAL_SHARE = 1 / 8  # of contact_ms, between two questions: two may be lost and contact stands
+OPEN_VOTE_SHARE = 1 / 2  # of the bound, after which an open vote may be one that was acknowledged elsewhere
+MAX_PROBES = 8  # whose instants are kept; an answer to an older one is beyond the bound
+CLOCK_STEP_SHARE = 1 / 4  # of the bound, by which the two clocks may part between two looks
 
 
 class Proof(IntEnum):
@@ -34,28 +34,28 @@
     """Those heard can acknowledge by themselves: orders are taken. Half of an even view never can."""
 
 
-class Heard(Struct, frozen=True):
+class ProbeReply(Struct, frozen=True):
     """One member's answer to the latest question that it has answered."""
 
     number: int
-    asked_at: float
-    whole: bool  # its disk
+    sent_at: float
+    disk_complete: bool  # its disk
     epoch: int  # of the view that it goes by
     contact: bool  # it has contact itself
-    settled: bool = True  # it knows of no vote that has long been open
+    no_open_votes: bool = True  # it knows of no vote that has long been open
 
 
-class Contact:
+class QuorumContact:
     """``bound_s``: seconds for which an answer counts, from its question on."""
 
-    def __init__(self, bound_s: float) -> None:
-        self.bound_s = bound_s
+    def __init__(self, reply_valid_s: float) -> None:
+        self.reply_valid_s = reply_valid_s
         self._count = 0
-        self._asked: dict[int, float] = {}
-        self._heard: dict[str, Heard] = {}
-        self._looked: tuple[float, float] | None = None
+        self._sent: dict[int, float] = {}
+        self._replies: dict[str, ProbeReply] = {}
+        self._last_clocks: tuple[float, float] | None = None
 
-    def look(self, now: float, day: float) -> bool:
+    def check_clocks(self, now: float, wall_time: float) -> bool:
         """Called several times a second with both clocks; ``day``: seconds of the time of day.
 
         Where a machine is suspended its steady clock may stand still, and an old answer look fresh. The time
@@ -63,37 +63,50 @@
         that was asked before. A step of the time of day alone costs the same: one round of questions. True
         where that was so.
         """
-        before, self._looked = self._looked, (now, day)
-        if before is None or abs((day - before[1]) - (now - before[0])) <= STEP_SHARE * self.bound_s:
+        before, self._last_clocks = self._last_clocks, (now, wall_time)
+        if (
+            before is None
+            or abs((wall_time - before[1]) - (now - before[0])) <= CLOCK_STEP_SHARE * self.reply_valid_s
+        ):
             return False
-        self._asked.clear()
-        self._heard.clear()
+        self._sent.clear()
+        self._replies.clear()
         return True
 
-    def ask(self, now: float) -> int:
+    def start_probe(self, now: float) -> int:
         """A question goes out now, to all: its number."""
         self._count += 1
-        self._asked[self._count] = now
-        while len(self._asked) > QUESTIONS:
-            del self._asked[next(iter(self._asked))]
+        self._sent[self._count] = now
+        while len(self._sent) > MAX_PROBES:
+            del self._sent[next(iter(self._sent))]
         return self._count
 
-    def answered(
-        self, who: str, number: int, whole: bool, epoch: int, contact: bool, settled: bool = True
+    def record_reply(
+        self,
+        member: str,
+        number: int,
+        disk_complete: bool,
+        epoch: int,
+        contact: bool,
+        no_open_votes: bool = True,
     ) -> None:
         """An answer has come. One to an older question than the last that ``who`` answered changes nothing,
         nor does one to a question that was not asked, or is forgotten."""
-        asked_at, known = self._asked.get(number), self._heard.get(who)
-        if asked_at is not None and (known is None or number > known.number):
-            self._heard[who] = Heard(number, asked_at, whole, epoch, contact, settled)
+        sent_at, known = self._sent.get(number), self._replies.get(member)
+        if sent_at is not None and (known is None or number > known.number):
+            self._replies[member] = ProbeReply(number, sent_at, disk_complete, epoch, contact, no_open_votes)
 
-    def forget(self, who: str) -> None:
+    def forget(self, member: str) -> None:
         """The link to it is lost: it may come back as another life, with another disk."""
-        self._heard.pop(who, None)
+        self._replies.pop(member, None)
 
-    def lately(self, now: float) -> dict[str, Heard]:
+    def valid_replies(self, now: float) -> dict[str, ProbeReply]:
         """By member: its answer, where that still counts."""
-        return {who: heard for who, heard in self._heard.items() if now - heard.asked_at <= self.bound_s}
+        return {
+            member: reply
+            for member, reply in self._replies.items()
+            if now - reply.sent_at <= self.reply_valid_s
+        }
 
     def proof(
         self,
@@ -101,8 +114,8 @@
         view: View,
         tolerance: Tolerance,
         own: str | None,
-        flowing: Collection[str],
-        settled: bool = False,
+        synced: Collection[str],
+        no_open_votes: bool = False,
     ) -> Proof:
         """``own``: this member, None while its disk is not whole; ``flowing``: members from whom all that
         they held has come by the link that stands now, so that news of theirs is known here.
@@ -114,13 +127,16 @@
         is all that was acknowledged. A vote stays open where half of an even view is heard, which can't
         bring it to its end.
         """
-        lately = self.lately(now)
-        if any(heard.epoch > view.epoch for heard in lately.values()):
+        replies = self.valid_replies(now)
+        if any(reply.epoch > view.epoch for reply in replies.values()):
             return Proof.NONE
         counts = {
-            who
-            for who, heard in lately.items()
-            if heard.whole and heard.epoch == view.epoch and who in flowing and (heard.settled or not settled)
+            member
+            for member, reply in replies.items()
+            if reply.disk_complete
+            and reply.epoch == view.epoch
+            and member in synced
+            and (reply.no_open_votes or not no_open_votes)
         }
         if own is not None:
             counts.add(own)
@@ -128,8 +144,10 @@
             return Proof.NONE
         return Proof.ORDERS if view.durable(counts, tolerance) else Proof.READS
 
-    def with_contact(self, now: float) -> list[str]:
+    def members_with_contact(self, now: float) -> list[str]:
         """Those that have said within the bound that they have contact, the latest first: where a caller may
         be sent."""
-        said = [(heard.asked_at, who) for who, heard in self.lately(now).items() if heard.contact]
-        return [who for _, who in sorted(said, reverse=True)]
+        found = [
+            (reply.sent_at, member) for member, reply in self.valid_replies(now).items() if reply.contact
+        ]
+        return [member for _, member in sorted(found, reverse=True)]
--- a/mesh/replication/reconfiguration.py
+++ b/mesh/replication/reconfiguration.py
@@ -12,11 +12,11 @@
 
 from msgspec import Struct
 
-from mesh.replication.membership_epochs import MOST_MEMBERS, View
+from mesh.replication.membership_epochs import MAX_MEMBERS, View
 from mesh.replication.quorum import Place, Tolerance
 
 
-class Known(Struct, frozen=True):
+class MemberStatus(Struct, frozen=True):
     """One machine as the proposer knows it. ``heard``: lately, over a link of its own; ``whole``: its disk
     counts; ``level``: the epoch that it is level with (0: none); ``counts``: it wants to, and has caught up;
     ``leaves``: it was told to end, or its settings no longer count it; ``silent``, ``gone``: by the word of
@@ -24,15 +24,15 @@
     not heard by the proposer, but by another of those that it asked."""
 
     place: Place
-    heard: bool = True
-    whole: bool = True
-    level: int = 0
-    counts: bool = True
-    leaves: bool = False
+    responding: bool = True
+    disk_complete: bool = True
+    synced_epoch: int = 0
+    eligible: bool = True
+    leaving: bool = False
     silent: bool = False
     gone: bool = False
     removed: bool = False
-    reachable: bool = False
+    reachable_by_others: bool = False
 
 
 class Absence(Struct, frozen=True):
@@ -49,7 +49,7 @@
 PRESENT = Absence()
 
 
-class Borne(Struct, frozen=True):
+class LossMargin(Struct, frozen=True):
     """How many more losses of each kind leave orders going on, whichever they are; -1: they do not now."""
 
     machines: int
@@ -62,82 +62,100 @@
         return tuple(kind for kind, least in asked.items() if least and getattr(self, kind) < least)
 
 
-class Plan(Struct, frozen=True):
+class ChangePlan(Struct, frozen=True):
     """``view``: the epoch to propose, or None; ``stays``: by address, why one that is to leave does not now;
     ``waits``: why nothing is proposed though something is to change, else ""."""
 
     view: View | None
-    stays: Mapping[str, str]
-    waits: str = ""
+    retained: Mapping[str, str]
+    blocked_by: str = ""
 
 
-def heard_whole(known: Mapping[str, Known], names: Iterable[str]) -> frozenset[str]:
-    return frozenset(name for name in names if name in known and known[name].heard and known[name].whole)
+def responding_complete(statuses: Mapping[str, MemberStatus], names: Iterable[str]) -> frozenset[str]:
+    return frozenset(
+        name
+        for name in names
+        if name in statuses and statuses[name].responding and statuses[name].disk_complete
+    )
 
 
-def plan(view: View, known: Mapping[str, Known], tolerance: Tolerance) -> Plan:
+def plan_change(view: View, statuses: Mapping[str, MemberStatus], tolerance: Tolerance) -> ChangePlan:
     """The next epoch, if one is due. The same inputs give the same plan wherever it is made."""
-    if not view.now:
-        return Plan(None, {}, "no view is known")
+    if not view.members:
+        return ChangePlan(None, {}, "no view is known")
     if view.joint:
-        return _finish(view, known, tolerance)
-    return _begin(view, known, tolerance)
+        return _plan_final_epoch(view, statuses, tolerance)
+    return _plan_joint_epoch(view, statuses, tolerance)
 
 
-def _finish(view: View, known: Mapping[str, Known], tolerance: Tolerance) -> Plan:
+def _plan_final_epoch(view: View, statuses: Mapping[str, MemberStatus], tolerance: Tolerance) -> ChangePlan:
     """The members of the joint epoch alone, once enough of them hold all that was acknowledged before."""
-    alone = View(view.epoch + 1, view.now)
-    there = heard_whole(known, view.names)
-    level = frozenset(name for name in there if known[name].level >= view.epoch)
+    alone = View(view.epoch + 1, view.members)
+    there = responding_complete(statuses, view.names)
+    level = frozenset(name for name in there if statuses[name].synced_epoch >= view.epoch)
     if not alone.durable(level, tolerance):
-        return Plan(None, {}, f"level with epoch {view.epoch}: {_names(level & view.now.keys())}")
+        return ChangePlan(
+            None, {}, f"level with epoch {view.epoch}: {_join_names(level & view.members.keys())}"
+        )
     # A member that leaves needs not be level; one that stays refuses the vote until it is.
-    if not view.durable(level | (there - view.now.keys()), tolerance):
-        return Plan(
-            None, {}, f"of the view before only {_names(there & (view.before or {}).keys())} are heard"
+    if not view.durable(level | (there - view.members.keys()), tolerance):
+        return ChangePlan(
+            None,
+            {},
+            f"of the view before only {_join_names(there & (view.previous_members or {}).keys())} are heard",
         )
-    return Plan(alone, {})
+    return ChangePlan(alone, {})
 
 
-def _begin(view: View, known: Mapping[str, Known], tolerance: Tolerance) -> Plan:
+def _plan_joint_epoch(view: View, statuses: Mapping[str, MemberStatus], tolerance: Tolerance) -> ChangePlan:
     joiners = sorted(
         name
-        for name, one in known.items()
-        if name not in view.now and one.counts and one.heard and one.whole and not (one.leaves or one.removed)
+        for name, one in statuses.items()
+        if name not in view.members
+        and one.eligible
+        and one.responding
+        and one.disk_complete
+        and not (one.leaving or one.removed)
     )
-    for count in range(min(len(joiners), max(MOST_MEMBERS - len(view.now), 0)), -1, -1):
-        wanted, stays = _wanted(view, known, tolerance, joiners[:count])
-        if _holds_without(view, wanted, known, tolerance):
+    for count in range(min(len(joiners), max(MAX_MEMBERS - len(view.members), 0)), -1, -1):
+        wanted, stays = _members_after_change(view, statuses, tolerance, joiners[:count])
+        if _tolerates_losing_joiners(view, wanted, statuses, tolerance):
             break
-    if wanted == dict(view.now):
-        late = {**_places(view, known), **{name: known[name].place for name in joiners}}
-        why = _why_not(view, late, known, tolerance) or _why_joiners_wait(view, known)
-        return Plan(None, stays, why if joiners else "")
-    if why := _why_not(view, wanted, known, tolerance):
-        return Plan(None, stays, why)
-    return Plan(View(view.epoch + 1, wanted, dict(view.now)), stays)
+    if wanted == dict(view.members):
+        late = {**_current_places(view, statuses), **{name: statuses[name].place for name in joiners}}
+        why = _unsafe_reason(view, late, statuses, tolerance) or _blocking_members(view, statuses)
+        return ChangePlan(None, stays, why if joiners else "")
+    if why := _unsafe_reason(view, wanted, statuses, tolerance):
+        return ChangePlan(None, stays, why)
+    return ChangePlan(View(view.epoch + 1, wanted, dict(view.members)), stays)
 
 
-def _places(view: View, known: Mapping[str, Known]) -> dict[str, Place]:
+def _current_places(view: View, statuses: Mapping[str, MemberStatus]) -> dict[str, Place]:
     """The members in force, with their places as they say them now."""
-    return {name: known[name].place if name in known else place for name, place in view.now.items()}
+    return {name: statuses[name].place if name in statuses else place for name, place in view.members.items()}
 
 
-def _wanted(
-    view: View, known: Mapping[str, Known], tolerance: Tolerance, joiners: Collection[str]
+def _members_after_change(
+    view: View, statuses: Mapping[str, MemberStatus], tolerance: Tolerance, joiners: Collection[str]
 ) -> tuple[dict[str, Place], dict[str, str]]:
     """The members after a change in which these join, and why those that are to leave and do not stay."""
-    wanted = {**_places(view, known), **{name: known[name].place for name in joiners}}
-    if _why_not(view, wanted, known, tolerance):
-        wanted = _places(view, known)  # e.g. a place that is not known yet asks for more than are heard
+    wanted = {**_current_places(view, statuses), **{name: statuses[name].place for name in joiners}}
+    if _unsafe_reason(view, wanted, statuses, tolerance):
+        wanted = _current_places(
+            view, statuses
+        )  # e.g. a place that is not known yet asks for more than are heard
         for name in joiners:
-            if not _why_not(view, {**wanted, name: known[name].place}, known, tolerance):
-                wanted[name] = known[name].place
+            if not _unsafe_reason(view, {**wanted, name: statuses[name].place}, statuses, tolerance):
+                wanted[name] = statuses[name].place
     stays = {}
-    for name in _leavers(view, known):
+    for name in _leaving_members(view, statuses):
         rest = {one: place for one, place in wanted.items() if one != name}
-        why = _why_not(view, rest, known, tolerance)
-        if not why and _early(known[name]) and not _gains(view, wanted, rest, known, tolerance):
+        why = _unsafe_reason(view, rest, statuses, tolerance)
+        if (
+            not why
+            and _only_silent(statuses[name])
+            and not _raises_loss_margin(view, wanted, rest, statuses, tolerance)
+        ):
             why = "it has been silent for the shorter bound alone, and no more losses were borne without it"
         if why:
             stays[name] = why
@@ -146,59 +164,59 @@
     return wanted, stays
 
 
-def _holds_without(
-    view: View, wanted: Mapping[str, Place], known: Mapping[str, Known], tolerance: Tolerance
+def _tolerates_losing_joiners(
+    view: View, wanted: Mapping[str, Place], statuses: Mapping[str, MemberStatus], tolerance: Tolerance
 ) -> bool:
     """Whether those that join may be lost again at once, alone or with their zones, where a member is silent
     already and that loss would have been borne: a successor that counts beside its predecessor would make the
     loss of their zone two losses. It waits until the predecessor goes in the same change. A member that
     another hears is no predecessor: it is not taken out, and nobody waits for that."""
-    members = [known[name] for name in wanted if name in view.now and name in known]
-    if all(one.heard or one.reachable for one in members):
+    members = [statuses[name] for name in wanted if name in view.members and name in statuses]
+    if all(one.responding or one.reachable_by_others for one in members):
         return True
-    stay = heard_whole(known, wanted.keys() & view.now.keys())
-    joins = [wanted[name] for name in wanted.keys() - view.now.keys()]
+    stay = responding_complete(statuses, wanted.keys() & view.members.keys())
+    joins = [wanted[name] for name in wanted.keys() - view.members.keys()]
     zones = {place.zone for place in joins} if tolerance.zones else set()
     losses = [stay, *(frozenset(name for name in stay if wanted[name].zone != zone) for zone in zones)]
-    now, then = View(1, view.now), View(1, wanted)
+    now, then = View(1, view.members), View(1, wanted)
     return all(then.durable(left, tolerance) or not now.durable(left, tolerance) for left in losses)
 
 
-def _why_joiners_wait(view: View, known: Mapping[str, Known]) -> str:
-    silent = {name for name in view.now if name in known and not known[name].heard}
-    return f"who joins waits until these are heard or taken out: {_names(silent)}" if silent else ""
+def _blocking_members(view: View, statuses: Mapping[str, MemberStatus]) -> str:
+    silent = {name for name in view.members if name in statuses and not statuses[name].responding}
+    return f"who joins waits until these are heard or taken out: {_join_names(silent)}" if silent else ""
 
 
-def _leavers(view: View, known: Mapping[str, Known]) -> list[str]:
+def _leaving_members(view: View, statuses: Mapping[str, MemberStatus]) -> list[str]:
     """Those that are to leave, in the order in which they may: who was named by an operator, who is heard no
     more (what is lost already costs nothing), who said so itself."""
-    found = [name for name in view.now if name in known and _leaves(known[name])]
+    found = [name for name in view.members if name in statuses and _is_leaving(statuses[name])]
 
     def rank(name: str) -> tuple[bool, bool, bool, str]:
-        one = known[name]
-        return (not one.removed, one.heard, not one.leaves, name)
+        one = statuses[name]
+        return (not one.removed, one.responding, not one.leaving, name)
 
     return sorted(found, key=rank)
 
 
-def _leaves(one: Known) -> bool:
-    return one.removed or one.leaves or (not one.heard and (one.gone or one.silent))
+def _is_leaving(one: MemberStatus) -> bool:
+    return one.removed or one.leaving or (not one.responding and (one.gone or one.silent))
 
 
-def _early(one: Known) -> bool:
-    return not (one.removed or one.leaves or one.gone)
+def _only_silent(one: MemberStatus) -> bool:
+    return not (one.removed or one.leaving or one.gone)
 
 
-def _gains(
+def _raises_loss_margin(
     view: View,
     wanted: Mapping[str, Place],
     rest: Mapping[str, Place],
-    known: Mapping[str, Known],
+    statuses: Mapping[str, MemberStatus],
     tolerance: Tolerance,
 ) -> bool:
     """Whether a member less lets one more be lost. One that is away and costs nothing keeps its place."""
-    there = heard_whole(known, wanted)
-    now, then = borne(View(1, wanted), there, tolerance), borne(View(1, rest), there, tolerance)
+    there = responding_complete(statuses, wanted)
+    now, then = loss_margin(View(1, wanted), there, tolerance), loss_margin(View(1, rest), there, tolerance)
     return (then.machines, then.zones, then.regions) != (now.machines, now.zones, now.regions) and all(
         a >= b
         for a, b in (
@@ -209,21 +227,21 @@
     )
 
 
-def _why_not(
-    view: View, wanted: Mapping[str, Place], known: Mapping[str, Known], tolerance: Tolerance
+def _unsafe_reason(
+    view: View, wanted: Mapping[str, Place], statuses: Mapping[str, MemberStatus], tolerance: Tolerance
 ) -> str:
     """Why a change to these members is not safe to begin; "" where it is."""
     if not wanted:
         return "nobody would count"
-    there = heard_whole(known, wanted)
-    if not View(1, view.now).durable(there, tolerance):
-        return f"of the view in force only {_names(there & view.now.keys())} would be heard and stay"
+    there = responding_complete(statuses, wanted)
+    if not View(1, view.members).durable(there, tolerance):
+        return f"of the view in force only {_join_names(there & view.members.keys())} would be heard and stay"
     if not View(1, wanted).durable(there, tolerance):
-        return f"of the new view only {_names(there)} would be heard"
+        return f"of the new view only {_join_names(there)} would be heard"
     for what, before, after, tolerated in (
-        ("members", len(view.now), len(wanted), tolerance.machines),
-        ("zones", _areas(view.now, "zone"), _areas(wanted, "zone"), tolerance.zones),
-        ("regions", _areas(view.now, "region"), _areas(wanted, "region"), tolerance.regions),
+        ("members", len(view.members), len(wanted), tolerance.machines),
+        ("zones", _count_areas(view.members, "zone"), _count_areas(wanted, "zone"), tolerance.zones),
+        ("regions", _count_areas(view.members, "region"), _count_areas(wanted, "region"), tolerance.regions),
     ):
         least = 2 * tolerated + 1 if tolerated else 0
         if after < least and after < before:
@@ -233,31 +251,31 @@
     return ""
 
 
-def _areas(members: Mapping[str, Place], kind: str) -> int:
+def _count_areas(members: Mapping[str, Place], kind: str) -> int:
     return len({getattr(place, kind) for place in members.values()} - {""})
 
 
-def _names(names: Collection[str]) -> str:
+def _join_names(names: Collection[str]) -> str:
     return ", ".join(sorted(names)) or "nobody"
 
 
-def borne(view: View, there: Collection[str], tolerance: Tolerance) -> Borne:
+def loss_margin(view: View, available: Collection[str], tolerance: Tolerance) -> LossMargin:
     """``there``: members that are heard and whole. Each criterion of durability has a worst order of losses,
     in which those that hurt it most come first; the losses borne are the fewest over these orders. Unknown
     places may be in whichever area is lost."""
-    up = frozenset(there) & view.names
+    up = frozenset(available) & view.names
     if not view.durable(up, tolerance):
-        return Borne(-1, -1, -1)
-    places = {**(view.before or {}), **view.now}
+        return LossMargin(-1, -1, -1)
+    places = {**(view.previous_members or {}), **view.members}
     singles = [frozenset({name}) for name in sorted(up)]
-    return Borne(
-        _survived(view, up, singles, places, tolerance),
-        _survived(view, up, _units(up, places, "zone"), places, tolerance),
-        _survived(view, up, _units(up, places, "region"), places, tolerance),
+    return LossMargin(
+        _tolerated_losses(view, up, singles, places, tolerance),
+        _tolerated_losses(view, up, _loss_units(up, places, "zone"), places, tolerance),
+        _tolerated_losses(view, up, _loss_units(up, places, "region"), places, tolerance),
     )
 
 
-def _units(up: frozenset[str], places: Mapping[str, Place], kind: str) -> list[frozenset[str]]:
+def _loss_units(up: frozenset[str], places: Mapping[str, Place], kind: str) -> list[frozenset[str]]:
     """What is lost with each zone, or region."""
     unknown = {name for name in up if not getattr(places[name], kind)}
     areas = sorted({getattr(places[name], kind) for name in up} - {""})
@@ -265,16 +283,16 @@
     return found or ([frozenset(up)] if up else [])
 
 
-def _survived(
+def _tolerated_losses(
     view: View,
     up: frozenset[str],
     units: list[frozenset[str]],
     places: Mapping[str, Place],
     tolerance: Tolerance,
 ) -> int:
-    orders = [sorted(units, key=lambda unit: -len(unit & view.now.keys()))]
-    if view.before is not None:
-        before = view.before
+    orders = [sorted(units, key=lambda unit: -len(unit & view.members.keys()))]
+    if view.previous_members is not None:
+        before = view.previous_members
         orders.append(sorted(units, key=lambda unit: -len(unit & before.keys())))
     for kind in ("zone", "region"):
         held = [frozenset(getattr(places[name], kind) for name in unit) - {""} for unit in units]
--- a/mesh/replication/restore.py
+++ b/mesh/replication/restore.py
@@ -9,13 +9,13 @@
 
 from collections.abc import Collection, Mapping
 
-from mesh.replication.membership_epochs import MOST_EPOCH, View
+from mesh.replication.membership_epochs import MAX_EPOCH, View
 from mesh.replication.quorum import Place, Tolerance
 
-STEP = 16  # epochs above the newest known: changes that only the lost ones had come to know lie below
+EPOCH_STEP = 16  # epochs above the newest known: changes that only the lost ones had come to know lie below
 
 
-def restored(
+def restored_view(
     me: str,
     view: View,
     reached: Mapping[str, bool],
@@ -29,30 +29,33 @@
     process that answers, this one with them; ``lost``: addresses that an operator gives up; ``copy``: the
     view of the copy that is to be put back, epoch 0 where it has none, or None where there is no copy.
     """
-    counting = {who for who, whole in reached.items() if whole}
-    if view.overlaps(counting & view.names, tolerance):
+    complete = {address for address, whole in reached.items() if whole}
+    if view.overlaps(complete & view.names, tolerance):
         return "enough of those who count are here: nothing is to be restored; wait, or look at status"
-    for who in sorted(lost):
-        if who in reached:
-            return f"--lost: {who} answers; it may hold newer, so let it count again instead"
-    known = view if copy is None or view.epoch >= copy.epoch else copy
+    for address in sorted(lost):
+        if address in reached:
+            return f"--lost: {address} answers; it may hold newer, so let it count again instead"
+    newest = view if copy is None or view.epoch >= copy.epoch else copy
     names = view.names | (copy.names if copy is not None else frozenset())
-    away = sorted(names - reached.keys() - set(lost))
-    if away:
+    missing = sorted(names - reached.keys() - set(lost))
+    if missing:
         return (
-            f"{', '.join(away)}: counts, is not reached, and may hold newer; bring it back, or give it up "
+            f"{', '.join(missing)}: counts, is not reached, and may hold newer; bring it back, or give it up "
             "for good with --lost"
         )
-    if copy is not None and counting:
+    if copy is not None and complete:
         return (
-            f"{', '.join(sorted(counting))}: its disk counts and is newer than any copy; restore without a "
+            f"{', '.join(sorted(complete))}: its disk counts and is newer than any copy; restore without a "
             "copy, there"
         )
     if copy is None and not reached.get(me, False):
-        where = ", ".join(sorted(counting))
+        where = ", ".join(sorted(complete))
         return f"this disk does not count; ask {where}" if where else "no disk counts any more; name a copy"
-    if known.epoch + STEP >= MOST_EPOCH:
+    if newest.epoch + EPOCH_STEP >= MAX_EPOCH:
         return "the epoch cannot go higher"
-    places = {**(known.before or {}), **known.now}
-    leading = counting if copy is None else {me}
-    return View(known.epoch + STEP, {who: places.get(who, Place("", "")) for who in sorted(leading)})
+    places = {**(newest.previous_members or {}), **newest.members}
+    leading = complete if copy is None else {me}
+    return View(
+        newest.epoch + EPOCH_STEP,
+        {address: places.get(address, Place("", "")) for address in sorted(leading)},
+    )
--- a/mesh/replication/snapshot.py
+++ b/mesh/replication/snapshot.py
@@ -14,17 +14,21 @@
 import msgspec
 from msgspec import Struct
 
-from mesh.replication.digest import hash_of
+from mesh.replication.digest import item_hash
 from mesh.replication.items import Item
 
-SNAP = "snap:"  # before a root: an entry of a vector that counts items of that moment, in the order of keys
-SNAPSHOTS = "snapshots"  # what a process says that takes them
-PART = 2  # a snapshot is told instead of news where more than one in so many of all items is lacking
-MOMENTS = 3  # that a store keeps for others; the one longest unasked makes room
-TAKINGS = 4  # that a store takes at once
+SNAPSHOT_PREFIX = (
+    "snap:"  # before a root: an entry of a vector that counts items of that moment, in the order of keys
+)
+SNAPSHOTS_FEATURE = "snapshots"  # what a process says that takes them
+SNAPSHOT_DIVISOR = (
+    2  # a snapshot is told instead of news where more than one in so many of all items is lacking
+)
+MAX_OUTGOING_SNAPSHOTS = 3  # that a store keeps for others; the one longest unasked makes room
+MAX_INCOMING_SNAPSHOTS = 4  # that a store takes at once
 
 
-class Moment(Struct, frozen=True):
+class Snapshot(Struct, frozen=True):
     """``items`` by key; ``vector``: what it may rise to who holds all of them; ``arrivals``: of its store
     then. Costs the references, and what was replaced since."""
 
@@ -33,87 +37,87 @@
     vector: Mapping[str, int]
     arrivals: int
 
-    def page(self, place: int, most: int, most_bytes: int) -> list[Item]:
+    def page(self, start: int, max_items: int, max_bytes: int) -> list[Item]:
         """From that place on, one item at least."""
-        return cut(self.items[place : place + most], most_bytes)
+        return limit_bytes(self.items[start : start + max_items], max_bytes)
 
 
-def cut(items: Iterable[Item], most_bytes: int) -> list[Item]:
+def limit_bytes(items: Iterable[Item], max_bytes: int) -> list[Item]:
     """The first of these, one at least, that are so many bytes as JSON, about."""
-    found: list[Item] = []
+    page: list[Item] = []
     for item in items:
-        most_bytes -= len(msgspec.json.encode(item.value)) + len(item.name) + 60
-        if found and most_bytes < 0:
+        max_bytes -= len(msgspec.json.encode(item.value)) + len(item.name) + 60
+        if page and max_bytes < 0:
             break
-        found.append(item)
-    return found
+        page.append(item)
+    return page
 
 
-class Giving:
+class OutgoingSnapshots:
     """The moments that a store keeps for those who take them."""
 
     def __init__(self) -> None:
-        self._held: dict[str, Moment] = {}  # by root, the one longest unasked first
+        self._by_root: dict[str, Snapshot] = {}  # by root, the one longest unasked first
 
-    def find(self, root: str) -> Moment | None:
-        moment = self._held.pop(root, None)
-        if moment is not None:
-            self._held[root] = moment
-        return moment
+    def find(self, root: str) -> Snapshot | None:
+        snapshot = self._by_root.pop(root, None)
+        if snapshot is not None:
+            self._by_root[root] = snapshot
+        return snapshot
 
-    def latest(self, arrivals: int, most_since: int) -> Moment | None:
+    def latest(self, arrivals: int, max_since: int) -> Snapshot | None:
         """The newest one, unless more than so many items have come to the store since: what a snapshot is
         short of comes as news after it."""
-        newest = max(self._held.values(), key=lambda moment: moment.arrivals, default=None)
-        if newest is None or arrivals - newest.arrivals > most_since:
+        newest = max(self._by_root.values(), key=lambda snapshot: snapshot.arrivals, default=None)
+        if newest is None or arrivals - newest.arrivals > max_since:
             return None
         return self.find(newest.root)
 
-    def keep(self, moment: Moment) -> None:
-        self._held[moment.root] = moment
-        while len(self._held) > MOMENTS:
-            del self._held[next(iter(self._held))]
+    def add(self, snapshot: Snapshot) -> None:
+        self._by_root[snapshot.root] = snapshot
+        while len(self._by_root) > MAX_OUTGOING_SNAPSHOTS:
+            del self._by_root[next(iter(self._by_root))]
 
     def roots(self) -> list[str]:
-        return list(self._held)
+        return list(self._by_root)
 
 
-class Taking:
+class IncomingSnapshots:
     """The snapshots that a store is taking: by root, how many items it has, and their digest."""
 
     def __init__(self) -> None:
-        self._taken: dict[str, tuple[int, int]] = {}
+        self._progress: dict[str, tuple[int, int]] = {}
 
-    def took(self, root: str, place: int, items: Iterable[Item]) -> int:
+    def add_page(self, root: str, end: int, items: Iterable[Item]) -> int:
         """A page has come that ends at that place; the place from which on items are lacking. A page that was
         had before, or that does not follow, changes nothing."""
-        told = list(items)
-        begins, digest = self._taken.get(root, (0, 0))
-        if place - len(told) != begins:
-            return begins
-        self._taken.pop(root, None)
-        self._taken[root] = (place, _sum(digest, told))
-        while len(self._taken) > TAKINGS:
-            del self._taken[next(iter(self._taken))]
-        return place
-
-    def ends(self, root: str, place: int, items: Iterable[Item]) -> bool | None:
+        page = list(items)
+        start, digest = self._progress.get(root, (0, 0))
+        if end - len(page) != start:
+            return start
+        self._progress.pop(root, None)
+        self._progress[root] = (end, _add_digests(digest, page))
+        while len(self._progress) > MAX_INCOMING_SNAPSHOTS:
+            del self._progress[next(iter(self._progress))]
+        return end
+
+    def finish(self, root: str, end: int, items: Iterable[Item]) -> bool | None:
         """The last page has come. Whether all of them have that root; None where it does not follow."""
-        told = list(items)
-        begins, digest = self._taken.get(root, (0, 0))
-        if place - len(told) != begins:
+        page = list(items)
+        start, digest = self._progress.get(root, (0, 0))
+        if end - len(page) != start:
             return None
-        self._taken.pop(root, None)
-        return f"{_sum(digest, told):016x}" == root
+        self._progress.pop(root, None)
+        return f"{_add_digests(digest, page):016x}" == root
 
-    def begun(self, root: str) -> bool:
-        return root in self._taken
+    def has_begun(self, root: str) -> bool:
+        return root in self._progress
 
     def clear(self) -> None:
-        self._taken.clear()
+        self._progress.clear()
 
 
-def _sum(digest: int, items: Iterable[Item]) -> int:
+def _add_digests(digest: int, items: Iterable[Item]) -> int:
     for item in items:
-        digest ^= hash_of(item)
+        digest ^= item_hash(item)
     return digest
--- a/mesh/replication/tombstones.py
+++ b/mesh/replication/tombstones.py
@@ -19,88 +19,92 @@
 from mesh.replication.items import Key
 
 BUCKETS = 256
-LEFT = 32
+ENTRIES_PER_BUCKET = 32
 
-Row = tuple[int, dict[str, int]]  # watermark, and versions by key's digest
+BucketRow = tuple[int, dict[str, int]]  # watermark, and versions by key's digest
 
 
-class Forgotten:
+class CollectedTombstones:
     def __init__(self) -> None:
-        self._rows: dict[str, Row] = {}  # by bucket, two hex digits
+        self._rows: dict[str, BucketRow] = {}  # by bucket, two hex digits
 
     def version(self, key: Key) -> int:
         """The highest forgotten version of that key, as far as it is left; -1 where none is."""
-        digest = digest_of(key)
+        digest = key_digest(key)
         return self._rows.get(digest[:2], (-1, {}))[1].get(digest, -1)
 
     def watermark(self, key: Key) -> int:
         """Versions of that key up to this may have been dropped and forgotten; -1 where that cannot be."""
-        return max(self.version(key), self._rows.get(digest_of(key)[:2], (-1, {}))[0])
+        return max(self.version(key), self._rows.get(key_digest(key)[:2], (-1, {}))[0])
 
-    def note(self, key: Key, version: int) -> str:
+    def add(self, key: Key, version: int) -> str:
         """That drop is forgotten; its bucket."""
-        digest = digest_of(key)
+        digest = key_digest(key)
         self._merge(digest[:2], -1, {digest: version})
         return digest[:2]
 
-    def row(self, bucket: str) -> Row:
+    def row(self, bucket: str) -> BucketRow:
         """All of one bucket."""
         return self._rows.get(bucket, (-1, {}))
 
-    def rows(self) -> dict[str, Row]:
+    def rows(self) -> dict[str, BucketRow]:
         """All, by bucket."""
         return dict(self._rows)
 
-    def merge(self, rows: Mapping[str, Row]) -> list[str]:
+    def merge(self, rows: Mapping[str, BucketRow]) -> list[str]:
         """What another holds, or a disk held; the buckets that changed. In any order, also doubled: two that
         have told each other hold the same."""
-        return [bucket for bucket, (low, left) in rows.items() if self._merge(bucket, low, left)]
+        return [
+            bucket for bucket, (watermark, entries) in rows.items() if self._merge(bucket, watermark, entries)
+        ]
 
     def root(self) -> str:
         """One digest of all, "" where nothing is held."""
         if not self._rows:
             return ""
-        told = {bucket: [low, left] for bucket, (low, left) in self._rows.items()}
-        return blake2b(msgspec.json.encode(told, order="deterministic"), digest_size=8).hexdigest()
+        rows = {bucket: [watermark, entries] for bucket, (watermark, entries) in self._rows.items()}
+        return blake2b(msgspec.json.encode(rows, order="deterministic"), digest_size=8).hexdigest()
 
-    def _merge(self, bucket: str, low: int, left: Mapping[str, int]) -> bool:
+    def _merge(self, bucket: str, watermark: int, entries: Mapping[str, int]) -> bool:
         before = self._rows.get(bucket, (-1, {}))
-        low, known = max(low, before[0]), dict(before[1])
-        for digest, version in left.items():
+        watermark, known = max(watermark, before[0]), dict(before[1])
+        for digest, version in entries.items():
             known[digest] = max(version, known.get(digest, -1))
-        by_version = sorted((version, digest) for digest, version in known.items() if version > low)
-        gone, kept = by_version[:-LEFT], by_version[-LEFT:]
-        if gone:
-            low = gone[-1][0]
-            kept = [one for one in kept if one[0] > low]
-        after = (low, {digest: version for version, digest in kept})
+        by_version = sorted((version, digest) for digest, version in known.items() if version > watermark)
+        evicted, kept = by_version[:-ENTRIES_PER_BUCKET], by_version[-ENTRIES_PER_BUCKET:]
+        if evicted:
+            watermark = evicted[-1][0]
+            kept = [one for one in kept if one[0] > watermark]
+        after = (watermark, {digest: version for version, digest in kept})
         self._rows[bucket] = after
         return after != before
 
 
-def digest_of(key: Key) -> str:
+def key_digest(key: Key) -> str:
     """Of a key: 16 hex digits."""
     return blake2b(msgspec.json.encode(key), digest_size=8).hexdigest()
 
 
-def read_rows(told: Any) -> dict[str, Row]:
+def read_rows(value: Any) -> dict[str, BucketRow]:
     """A peer's rows. Raises ValueError for what are none."""
-    if not isinstance(told, dict) or len(told) > BUCKETS:
+    if not isinstance(value, dict) or len(value) > BUCKETS:
         raise ValueError(f"rows of up to {BUCKETS} buckets")
-    found: dict[str, Row] = {}
-    for bucket, row in told.items():
-        low, left = _row(row)
-        if len(bucket) != 2 or any(digest[:2] != bucket for digest in left):
+    found: dict[str, BucketRow] = {}
+    for bucket, row in value.items():
+        watermark, entries = _row(row)
+        if len(bucket) != 2 or any(digest[:2] != bucket for digest in entries):
             raise ValueError(f"{bucket[:8]!r} is no bucket of its digests")
-        found[bucket] = (low, left)
+        found[bucket] = (watermark, entries)
     return found
 
 
-def _row(told: Any) -> Row:
-    if not (isinstance(told, list | tuple) and len(told) == 2 and isinstance(told[0], int)):
+def _row(value: Any) -> BucketRow:
+    if not (isinstance(value, list | tuple) and len(value) == 2 and isinstance(value[0], int)):
         raise ValueError("a row is a watermark and versions by digest")
-    left: Iterable[tuple[Any, Any]] = told[1].items() if isinstance(told[1], dict) else [("", None)]
-    found = dict(left)
-    if len(found) > LEFT or any(not isinstance(version, int) for version in found.values()):
-        raise ValueError(f"up to {LEFT} versions by digest")
-    return told[0], found
+    entries: Iterable[tuple[Any, Any]] = value[1].items() if isinstance(value[1], dict) else [("", None)]
+    versions = dict(entries)
+    if len(versions) > ENTRIES_PER_BUCKET or any(
+        not isinstance(version, int) for version in versions.values()
+    ):
+        raise ValueError(f"up to {ENTRIES_PER_BUCKET} versions by digest")
+    return value[0], versions
--- a/mesh/storage/layout.py
+++ b/mesh/storage/layout.py
@@ -13,11 +13,11 @@
 import msgspec
 from msgspec import Struct, field
 
-from mesh.replication.acceptor import Acceptor, Ballot, Number, Vote
+from mesh.replication.acceptor import Acceptor, Ballot, Slot, Vote
 from mesh.replication.items import Item, Key
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
 from mesh.replication.quorum import Place
-from mesh.replication.tombstones import Row
+from mesh.replication.tombstones import BucketRow
 
 LAYOUT = 2
 """The layout that this program writes."""
@@ -126,12 +126,12 @@
     items: tuple[Item, ...] = ()
     vector: dict[str, int] = field(default_factory=dict)
     whole: bool = False
-    votes: dict[Number, Vote] = field(default_factory=dict)
+    votes: dict[Slot, Vote] = field(default_factory=dict)
     past: tuple[Past, ...] = ()
     ceiling: int = 0
     generations: dict[str, int] = field(default_factory=dict)
     lives: dict[str, tuple[int, str]] = field(default_factory=dict)
-    forgotten: dict[str, Row] = field(default_factory=dict)
+    forgotten: dict[str, BucketRow] = field(default_factory=dict)
 
     def fill(self, acceptor: Acceptor) -> None:
         """What was accepted or is past, where it knows nothing of it yet."""
@@ -140,9 +140,9 @@
                 if digest.startswith("/"):
                     acceptor.tags.setdefault((*past.key, version), digest[1:])
                 else:
-                    acceptor.past.setdefault(past.key, {}).setdefault(version, digest)
+                    acceptor.past_digests.setdefault(past.key, {}).setdefault(version, digest)
             if past.unknown >= 0:
-                acceptor.unknown[past.key] = max(past.unknown, acceptor.unknown.get(past.key, -1))
+                acceptor.unknown_up_to[past.key] = max(past.unknown, acceptor.unknown_up_to.get(past.key, -1))
         for number, vote in self.votes.items():
             if acceptor.state(number) is None:
                 acceptor.votes[number] = vote
@@ -163,12 +163,12 @@
     return blake2b(msgspec.json.encode(list(parts)), digest_size=16).digest()
 
 
-def vote_key(number: Number) -> bytes:
+def vote_key(number: Slot) -> bytes:
     """Of the row of an open vote."""
     return _VOTE + _hashed(number)
 
 
-def pack_vote(number: Number, vote: Vote) -> tuple[bytes, bytes]:
+def pack_vote(number: Slot, vote: Vote) -> tuple[bytes, bytes]:
     """The row of an open vote: number, ballot and content."""
     told = [*number, vote.ballot.round, vote.ballot.proposer, vote.value, vote.tag]
     return vote_key(number), msgspec.json.encode(told)
@@ -199,7 +199,7 @@
     return _LIVES, msgspec.json.encode(dict(lives))
 
 
-def pack_forgotten(bucket: str, row: Row) -> tuple[bytes, bytes]:
+def pack_forgotten(bucket: str, row: BucketRow) -> tuple[bytes, bytes]:
     """The row of what is left of forgotten drops in one bucket."""
     return _FORGOTTEN + bucket.encode(), msgspec.json.encode(row)
 
@@ -238,9 +238,9 @@
     """What a store's rows say. A disk without the marker is not complete. Raises StorageError on a row that
     is of no kind known, or cannot be read."""
     items: list[Item] = []
-    votes: dict[Number, Vote] = {}
+    votes: dict[Slot, Vote] = {}
     past: list[Past] = []
-    forgotten: dict[str, Row] = {}
+    forgotten: dict[str, BucketRow] = {}
     for key, value in rows.items():
         if key.startswith(_ITEM):
             items.append(unpack_item(key, value))
--- a/rigs/member_model.py
+++ b/rigs/member_model.py
@@ -23,7 +23,7 @@
 
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place, Tolerance
-from mesh.replication.reconfiguration import Known, plan
+from mesh.replication.reconfiguration import MemberStatus, plan_change
 from statecheck import Model, Violation
 from statecheck.model import State
 
@@ -191,12 +191,12 @@
     def _planned(self, state: State) -> View | None:
         machines, views, _, done, _, _ = state
         view = _view(len(views), views[-1])
-        if view.before is None and done >= len(self.size.changes):
+        if view.previous_members is None and done >= len(self.size.changes):
             return None
         wish = self.size.changes[min(done, len(self.size.changes) - 1)]
         known = {}
         for name, one in zip(self.size.machines, machines, strict=True):
-            known[name] = Known(
+            known[name] = MemberStatus(
                 AT,
                 one.up,
                 one.whole,
@@ -205,7 +205,7 @@
                 name in wish.leaves,
                 gone=not one.up,
             )
-        return plan(view, known, ONE).view
+        return plan_change(view, known, ONE).view
 
     def step(self, state: State, event: Any) -> State:
         machines, views, vote, done, ballots, left = state
@@ -339,7 +339,10 @@
 
 
 def _key(view: View) -> Names:
-    return ("".join(sorted(view.now)), None if view.before is None else "".join(sorted(view.before)))
+    return (
+        "".join(sorted(view.members)),
+        None if view.previous_members is None else "".join(sorted(view.previous_members)),
+    )
 
 
 def _view(epoch: int, key: Names) -> View:
--- a/rigs/order_model/faults.py
+++ b/rigs/order_model/faults.py
@@ -7,18 +7,18 @@
 
 from mesh.replication.acceptor import Acceptor, Promised, Refusal
 from mesh.replication.membership_epochs import View
-from mesh.replication.proposer import Chosen, Proposer, Rivalled
+from mesh.replication.proposer import Chosen, Conflict, Proposer
 from rigs.order_model import frozen, model
 from rigs.order_model.frozen import Memory, Side
 from simulation.mesh.seeds import Patch
 
-ACCEPT, ACCEPTED, GO_ON, KEPT = Acceptor.accept, Proposer.accepted, Proposer._go_on, frozen.kept
-SETTLE = Acceptor.settle
+ACCEPT, ACCEPTED, GO_ON, KEPT = Acceptor.accept, Proposer.accepted, Proposer._after_promises, frozen.kept
+SETTLE = Acceptor.learn
 
 
 def proposes_its_own_over_what_was_accepted(patch: Patch) -> None:
     """A proposer passes over the votes that it is told of."""
-    patch.setattr(Proposer, "_note", lambda _self, _number, _vote: None)
+    patch.setattr(Proposer, "_record_vote", lambda _self, _number, _vote: None)
 
 
 def both_are_acknowledged(patch: Patch) -> None:
@@ -40,7 +40,7 @@
         changed = ACCEPT(self, ballot, by, writes, tags)
         if not isinstance(changed, Refusal):
             for number, value in writes.items():
-                self.settle(number, value)
+                self.learn(number, value)
         return changed
 
     def settle(self: Acceptor, number: Any, value: Any, whole: bool = False) -> bool:
@@ -50,7 +50,7 @@
         return SETTLE(self, number, value, whole)
 
     patch.setattr(Acceptor, "accept", accept)
-    patch.setattr(Acceptor, "settle", settle)
+    patch.setattr(Acceptor, "learn", settle)
 
 
 def promises_are_forgotten_at_a_crash(patch: Patch) -> None:
@@ -90,7 +90,7 @@
 
 def a_lost_disk_counts_after_one_answer(patch: Patch) -> None:
     """One other member is enough to fence a lost disk."""
-    patch.setattr(model, "fenced_by", lambda _view, heard, _member, _tolerance: bool(heard))
+    patch.setattr(model, "can_fence", lambda _view, heard, _member, _tolerance: bool(heard))
 
 
 def a_fence_raises_no_floor(patch: Patch) -> None:
@@ -117,7 +117,7 @@
         if held is None or vote.ballot < held.ballot:
             self._votes[number] = vote
 
-    patch.setattr(Proposer, "_note", note)
+    patch.setattr(Proposer, "_record_vote", note)
 
 
 def a_minority_decides(patch: Patch) -> None:
@@ -134,10 +134,12 @@
     """An order is refused for a vote that may still lose."""
 
     def go_on(self: Proposer) -> Any:
-        other = [n for n, vote in self._votes.items() if not self.adopts and not self._same(n, vote.value)]
-        return Rivalled(other[0]) if other else GO_ON(self)
+        other = [
+            n for n, vote in self._votes.items() if not self.adopts and not self._matches_own(n, vote.value)
+        ]
+        return Conflict(other[0]) if other else GO_ON(self)
 
-    patch.setattr(Proposer, "_go_on", go_on)
+    patch.setattr(Proposer, "_after_promises", go_on)
 
 
 def promises_are_not_kept(patch: Patch) -> None:
@@ -151,7 +153,7 @@
 
 def overtaken_versions_are_forgotten(patch: Patch) -> None:
     """What a higher version has overtaken is not known any more."""
-    patch.setattr(Acceptor, "_passed", lambda _self, _key, _version, _digest: False)
+    patch.setattr(Acceptor, "_record_past", lambda _self, _key, _version, _digest: False)
 
 
 def an_order_of_several_is_refused_by_a_quorum(patch: Patch) -> None:
--- a/rigs/order_model/frozen.py
+++ b/rigs/order_model/frozen.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable, Iterable, Mapping, Sequence
 from typing import Any, NamedTuple
 
-from mesh.replication.acceptor import Acceptor, Ballot, Number, Value, Vote, digest_of
+from mesh.replication.acceptor import Acceptor, Ballot, Slot, Value, Vote, digest_of
 from mesh.replication.membership_epochs import View
 from mesh.replication.proposer import Accept, Proposer
 from rigs.order_model.sizes import CONTENTS, LETTERS
@@ -19,8 +19,8 @@
 
     floor: int = 0
     ceiling: int = 0
-    promises: tuple[tuple[Number, FrozenBallot], ...] = ()
-    votes: tuple[tuple[Number, FrozenBallot, str, str], ...] = ()  # the content's letter, the tag
+    promises: tuple[tuple[Slot, FrozenBallot], ...] = ()
+    votes: tuple[tuple[Slot, FrozenBallot, str, str], ...] = ()  # the content's letter, the tag
     decided: tuple[Any, ...] = ()
     past: tuple[Any, ...] = ()
     unknown: tuple[Any, ...] = ()
@@ -50,13 +50,13 @@
     """A proposer's fields, as far as they make a difference."""
 
     ballot: FrozenBallot
-    accept: tuple[tuple[Number, str], ...] | None
-    settled: tuple[tuple[Number, str], ...]
-    in_force: tuple[Number, ...]
+    accept: tuple[tuple[Slot, str], ...] | None
+    settled: tuple[tuple[Slot, str], ...]
+    in_force: tuple[Slot, ...]
     knew: bool
     promises: tuple[tuple[str, int], ...]  # looked at until an accept goes out, as the next one is
-    votes: tuple[tuple[Number, FrozenBallot, str, str], ...]
-    blank: tuple[Number, ...]
+    votes: tuple[tuple[Slot, FrozenBallot, str, str], ...]
+    blank: tuple[Slot, ...]
     own_found: bool
     have: tuple[str, ...]
 
@@ -74,8 +74,8 @@
 
     ballot: FrozenBallot
     by: tuple[tuple[str, int], ...]
-    rows: tuple[tuple[Number, str], ...]
-    tags: tuple[tuple[Number, str], ...]
+    rows: tuple[tuple[Slot, str], ...]
+    tags: tuple[tuple[Slot, str], ...]
 
 
 class Table:
@@ -132,8 +132,12 @@
         tuple(
             sorted((key, version, LETTERS[digest_of(value)]) for key, (version, value) in one.decided.items())
         ),
-        tuple(sorted((key, tuple(sorted(digests.items()))) for key, digests in one.past.items() if digests)),
-        tuple(sorted(one.unknown.items())),
+        tuple(
+            sorted(
+                (key, tuple(sorted(digests.items()))) for key, digests in one.past_digests.items() if digests
+            )
+        ),
+        tuple(sorted(one.unknown_up_to.items())),
         tuple(sorted(one.generations.items())),
         tuple(sorted(one.tags.items())),
     )
@@ -146,8 +150,8 @@
     one.promises = {number: Ballot(*ballot) for number, ballot in memory.promises}
     one.votes = _thawed_votes(memory.votes)
     one.decided = {key: (version, CONTENTS[letter]) for key, version, letter in memory.decided}
-    one.past = {key: dict(digests) for key, digests in memory.past}
-    one.unknown, one.generations = dict(memory.unknown), dict(memory.generations)
+    one.past_digests = {key: dict(digests) for key, digests in memory.past}
+    one.unknown_up_to, one.generations = dict(memory.unknown), dict(memory.generations)
     one.tags = dict(memory.tags)
     return one
 
@@ -159,25 +163,33 @@
     return FrozenProposer(
         (one.ballot.round, one.ballot.proposer),
         None if accept is None else tuple(sorted((n, LETTERS[digest_of(v)]) for n, v in writes.items())),
-        tuple(sorted(one.settled.items())),
-        tuple(sorted(one._in_force)),
-        one._knew,
+        tuple(sorted(one.decided_digests.items())),
+        tuple(sorted(one._own_decided)),
+        one._conflict_was_known,
         tuple(sorted(one._promises.items())) if accept is None else (),
         _frozen_votes(one._votes) if accept is None else (),
-        tuple(sorted(one._blank)),
-        one._own_found,
-        tuple(sorted(one._have)),
+        tuple(sorted(one._empty_slots)),
+        one._own_vote_found,
+        tuple(sorted(one._accepted_by)),
     )
 
 
 def thaw_proposer(one: Proposer, frozen: FrozenProposer, view: View) -> Proposer:
     """``one``: as it was made, without a ballot."""
     one.ballot, one.view = Ballot(*frozen.ballot), view
-    one.settled, one._in_force, one._knew = dict(frozen.settled), set(frozen.in_force), frozen.knew
+    one.decided_digests, one._own_decided, one._conflict_was_known = (
+        dict(frozen.settled),
+        set(frozen.in_force),
+        frozen.knew,
+    )
     one._promises, one._votes = dict(frozen.promises), _thawed_votes(frozen.votes)
-    one._blank, one._own_found, one._have = set(frozen.blank), frozen.own_found, set(frozen.have)
+    one._empty_slots, one._own_vote_found, one._accepted_by = (
+        set(frozen.blank),
+        frozen.own_found,
+        set(frozen.have),
+    )
     if frozen.accept is not None:
-        writes: Mapping[Number, Value] = {number: CONTENTS[letter] for number, letter in frozen.accept}
+        writes: Mapping[Slot, Value] = {number: CONTENTS[letter] for number, letter in frozen.accept}
         one._accept = Accept(one.ballot, view.epoch, dict(one._promises), writes, {})
     return one
 
@@ -240,7 +252,7 @@
     return tuple(sorted(new[name] for name in told))
 
 
-def _frozen_votes(votes: Mapping[Number, Vote]) -> tuple[tuple[Number, FrozenBallot, str, str], ...]:
+def _frozen_votes(votes: Mapping[Slot, Vote]) -> tuple[tuple[Slot, FrozenBallot, str, str], ...]:
     return tuple(
         sorted(
             (n, (v.ballot.round, v.ballot.proposer), LETTERS[digest_of(v.value)], v.tag)
@@ -249,5 +261,5 @@
     )
 
 
-def _thawed_votes(votes: Iterable[tuple[Number, FrozenBallot, str, str]]) -> dict[Number, Vote]:
+def _thawed_votes(votes: Iterable[tuple[Slot, FrozenBallot, str, str]]) -> dict[Slot, Vote]:
     return {n: Vote(Ballot(*ballot), CONTENTS[letter], tag) for n, ballot, letter, tag in votes}
--- a/rigs/order_model/model.py
+++ b/rigs/order_model/model.py
@@ -17,9 +17,9 @@
 from itertools import combinations
 from typing import Any
 
-from mesh.replication.acceptor import Acceptor, Ballot, Refusal, Settled, Vote, digest_of, fenced_by
+from mesh.replication.acceptor import Acceptor, Ballot, Decision, Refusal, Vote, can_fence, digest_of
 from mesh.replication.membership_epochs import View
-from mesh.replication.proposer import Accept, Decided, Proposer, Rivalled
+from mesh.replication.proposer import Accept, Conflict, Decided, Proposer
 from mesh.replication.quorum import Place, Tolerance
 from rigs.order_model import frozen
 from rigs.order_model.frozen import Asking, Fence, Memory, Sent, Side, Table, Tables, World
@@ -182,9 +182,9 @@
         """The member and the order after it, and the accept that went out."""
         asking: Asking = self.tables.asking[number]
         proposer, acceptor = self._proposer(at, asking), self._acceptor(z, side)
-        if acceptor.wants(proposer.ballot.round):
-            acceptor.raised(proposer.ballot.round)
-        answer = acceptor.promise(proposer.ballot, proposer._open())
+        if acceptor.required_ceiling(proposer.ballot.round):
+            acceptor.set_ceiling(proposer.ballot.round)
+        answer = acceptor.promise(proposer.ballot, proposer._open_slots())
         kept = self._kept(side, acceptor, ("ceiling",))
         if not heard or isinstance(answer, Refusal):  # the host begins anew where it likes
             return kept, number, None
@@ -194,7 +194,7 @@
             return kept, self.tables.asking.number(after._replace(outcome=_ended(step))), None
         rows = tuple(sorted((n, LETTERS[digest_of(v)]) for n, v in step.writes.items()))
         ballot, tags = (step.ballot.round, step.ballot.proposer), tuple(sorted(step.tags.items()))
-        sent = Sent(ballot, tuple(sorted(step.by.items())), rows, tags)
+        sent = Sent(ballot, tuple(sorted(step.generations.items())), rows, tags)
         return kept, self.tables.asking.number(after), sent
 
     def _on_accept(self, world: World, ballot: tuple[int, str], z: int, heard: bool) -> World:
@@ -221,7 +221,7 @@
         chosen = proposer.accepted(self.names[z], 1, ballot)
         outcome = asking.outcome or _ended(proposer.outcome() if chosen is not None else None)
         after = Asking(outcome, frozen.freeze_proposer(proposer), asking.rounds)
-        found = ((sent.ballot, chosen.whole),) if chosen is not None else ()
+        found = ((sent.ballot, chosen.complete),) if chosen is not None else ()
         return kept, self.tables.asking.number(after), found
 
     def _answered(self, world: World, at: int, asking: int, z: int, side: int) -> World:
@@ -243,8 +243,8 @@
 
     def _decided(self, side: int, ballot: tuple[int, str], whole: bool) -> int:
         acceptor = self._acceptor(0, side)
-        for number, value in acceptor.at(Ballot(*ballot)).items():
-            acceptor.settle(number, value, whole)
+        for number, value in acceptor.votes_under(Ballot(*ballot)).items():
+            acceptor.learn(number, value, whole)
         return self._kept(side, acceptor, ())
 
     def _on_news(self, world: World, giver: int, taker: int) -> World:
@@ -257,7 +257,7 @@
         known, acceptor = self._acceptor(0, giver), self._acceptor(0, taker)
         for (kind, name), (version, value) in known.decided.items():
             if version >= acceptor.decided.get((kind, name), (-1, None))[0]:
-                acceptor.settle((kind, name, version), value)
+                acceptor.learn((kind, name, version), value)
         return self._kept(taker, acceptor, ())
 
     def _on_crash(self, world: World, z: int) -> World:
@@ -277,9 +277,9 @@
 
     def _top(self, z: int, lost: int, f: int, giver: int) -> int:
         side, other = self.tables.sides[lost], self._acceptor(f, giver)
-        told = (self.names[f], other.top(), other.generations.get(self.names[z], 0))
+        told = (self.names[f], other.highest_round(), other.generations.get(self.names[z], 0))
         fence = side.fence._replace(tops=tuple(sorted({*side.fence.tops, told})))
-        if fenced_by(self.view, {name for name, _, _ in fence.tops}, self.names[z], self.tolerance):
+        if can_fence(self.view, {name for name, _, _ in fence.tops}, self.names[z], self.tolerance):
             top = max(top for _, top, _ in fence.tops)
             fence = Fence(raised_to=(top, 1 + max(known for _, _, known in fence.tops)))
         return self.tables.sides.number(side._replace(fence=fence))
@@ -295,7 +295,7 @@
         other.fence(round, mine, generation)
         _read_back(back, other)
         raised = tuple(sorted({*side.fence.raised, name}))
-        if fenced_by(self.view, set(raised), mine, self.tolerance):
+        if can_fence(self.view, set(raised), mine, self.tolerance):
             back.fence(round, mine, generation)
             memory = frozen.freeze_acceptor(back)
             after = Side(True, memory, memory if side.disk is not None else None)
@@ -333,11 +333,11 @@
 def _read_back(back: Acceptor, other: Acceptor) -> None:
     """What another holds, to a disk that was lost."""
     for (kind, key), (version, value) in other.decided.items():
-        back.settle((kind, key, version), value)
-    for (kind, key), digests in other.past.items():
+        back.learn((kind, key, version), value)
+    for (kind, key), digests in other.past_digests.items():
         for version, told in digests.items():
             digest, _, tag = told.partition("/")
-            back.told((kind, key, version), Settled(digest, tag=tag))
+            back.learn_state((kind, key, version), Decision(digest, tag=tag))
     back.tags.update(other.tags)
     for number, vote in other.votes.items():
         held = back.state(number)
@@ -352,4 +352,4 @@
 def _ended(step: Any) -> str:
     if isinstance(step, Decided):
         return "decided"
-    return "rivalled" if isinstance(step, Rivalled) else ""
+    return "rivalled" if isinstance(step, Conflict) else ""
--- a/rigs/order_model/properties.py
+++ b/rigs/order_model/properties.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any, NamedTuple
 
-from mesh.replication.acceptor import Number, Settled, Vote, digest_of
+from mesh.replication.acceptor import Decision, Slot, Vote, digest_of
 from rigs.order_model.frozen import Memory, Sent, Side, Tables, thaw_acceptor
 from rigs.order_model.sizes import LETTERS, Size
 from statecheck import Violation
@@ -27,7 +27,7 @@
         self._tables, self._quorums = tables, quorums
         self._numbers = sorted({number for order in size.orders for number in order.numbers})
         self._found: dict[Any, tuple[Violation, ...]] = {}
-        self._states: dict[tuple[Number, Memory], Known] = {}
+        self._states: dict[tuple[Slot, Memory], Known] = {}
 
     def broken(
         self, sides: tuple[int, ...], accepts: int, chosen: int, answers: int
@@ -51,7 +51,7 @@
             yield Violation("both answers", f"order {letter} of {among} was acknowledged and refused")
 
     def _of_number(
-        self, number: Number, sides: Sequence[Side], told: Sequence[Sent], acked: Any, refused: Any
+        self, number: Slot, sides: Sequence[Side], told: Sequence[Sent], acked: Any, refused: Any
     ) -> Iterator[Violation]:
         contents = {letter for letter, among in acked if number in among}
         if len(contents) > 1:
@@ -73,7 +73,7 @@
             yield from self._found_by_quorums(number, letter, sides, states)
 
     def _found_by_quorums(
-        self, number: Number, letter: str, sides: Sequence[Side], states: Sequence[Known]
+        self, number: Slot, letter: str, sides: Sequence[Side], states: Sequence[Known]
     ) -> Iterator[Violation]:
         """What is acknowledged is what whoever reads must take."""
         for among in self._quorums:
@@ -84,16 +84,16 @@
                 words = f"{number}: {letter} is acknowledged, a quorum of {len(among)} meets {met}"
                 yield Violation("found", words)
 
-    def _state(self, number: Number, memory: Memory) -> Known:
+    def _state(self, number: Slot, memory: Memory) -> Known:
         found = self._states.get((number, memory))
         if found is None:
             found = self._states[number, memory] = _known(number, memory)
         return found
 
 
-def _known(number: Number, memory: Memory) -> Known:
+def _known(number: Slot, memory: Memory) -> Known:
     state = thaw_acceptor("", memory).state(number)
-    if isinstance(state, Settled):
+    if isinstance(state, Decision):
         return Known("settled", letter=LETTERS[state.digest])
     if isinstance(state, Vote):
         return Known("voted", state.ballot, LETTERS[digest_of(state.value)])
--- a/rigs/order_model/reduction.py
+++ b/rigs/order_model/reduction.py
@@ -17,7 +17,7 @@
 from functools import cache
 from typing import NamedTuple
 
-from mesh.replication.acceptor import Ballot, Number, Refusal, Settled
+from mesh.replication.acceptor import Ballot, Decision, Refusal, Slot
 from rigs.order_model import frozen
 from rigs.order_model.frozen import Asking, Fence, FrozenBallot, Memory, Sent, Side, Table, Tables, World
 from rigs.order_model.sizes import CONTENTS, Size
@@ -139,11 +139,11 @@
     def _all_settled(self, sides: tuple[int, ...], accepts: int, ballot: FrozenBallot) -> bool:
         """Whether no member has votes under it, and each of its rows is settled at a member."""
         acceptors = [frozen.thaw_acceptor("", self._tables.sides[side].memory) for side in sides]
-        if any(acceptor.at(Ballot(*ballot)) for acceptor in acceptors):
+        if any(acceptor.votes_under(Ballot(*ballot)) for acceptor in acceptors):
             return False
         rows = next(one.rows for one in self._tables.accepts[accepts] if one.ballot == ballot)
         return all(
-            any(isinstance(acceptor.state(number), Settled) for acceptor in acceptors) for number, _ in rows
+            any(isinstance(acceptor.state(number), Decision) for acceptor in acceptors) for number, _ in rows
         )
 
     # Promises, by what they refuse of what may still come
@@ -157,7 +157,7 @@
         return self._opened.number((order.numbers, begins))
 
     def _live(self, opened: tuple[int, ...], accepts: int) -> int:
-        ballots: dict[Number, set[FrozenBallot]] = {}
+        ballots: dict[Slot, set[FrozenBallot]] = {}
         for entry in opened:
             numbers, begins = self._opened[entry]
             for number in numbers:
@@ -245,9 +245,9 @@
 
     memory: Memory
     floor: int
-    live: dict[Number, tuple[FrozenBallot, ...]]
+    live: dict[Slot, tuple[FrozenBallot, ...]]
 
-    def least(self, number: Number, promised: FrozenBallot) -> FrozenBallot | None:
+    def least(self, number: Slot, promised: FrozenBallot) -> FrozenBallot | None:
         """The least ballot that refuses the same as this promise; None: votes and floor do."""
         below: Iterable[FrozenBallot] = [one for one in self.live.get(number, ()) if one < promised]
         last = max(below, default=None)
--- a/rigs/order_model/sizes.py
+++ b/rigs/order_model/sizes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from mesh.replication.acceptor import Number, Value, digest_of
+from mesh.replication.acceptor import Slot, Value, digest_of
 
 CONTENTS: dict[str, Value] = {letter: {"by": letter} for letter in "abc"}
 LETTERS = {digest_of(value): letter for letter, value in CONTENTS.items()}
@@ -18,7 +18,7 @@
     begin. ``letter`` "": it takes open votes up."""
 
     letter: str
-    numbers: tuple[Number, ...]
+    numbers: tuple[Slot, ...]
     rounds: tuple[int, ...]
 
 
--- a/rigs/soak/faults.py
+++ b/rigs/soak/faults.py
@@ -12,7 +12,7 @@
 from mesh.data_plane.shutdown import Shutdown
 from mesh.data_plane.staged_routes import Stages
 from mesh.replication.items import Item
-from mesh.replication.proposer import Decided, Rivalled
+from mesh.replication.proposer import Conflict, Decided
 from mesh.storage.lmdb_store import Keeper, Kept
 from rigs.lost_links.hop import GUARDS
 from rigs.relayed_process import replace
@@ -54,7 +54,7 @@
 
 def _acknowledges_rivals() -> None:
     """Who lost a vote is told that he won it."""
-    replace(operator_api, "Decided", (Decided, Rivalled))
+    replace(operator_api, "Decided", (Decided, Conflict))
 
 
 def _reads_what_is_old() -> None:
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -11,7 +11,7 @@
 from mesh.data_plane.program import Proxy
 from mesh.dissemination.peers import Channels
 from mesh.replication import quorum_contact as contact_module
-from mesh.replication.quorum_contact import Contact, Proof
+from mesh.replication.quorum_contact import Proof, QuorumContact
 from simulation.mesh.seeds import Patch
 
 
@@ -28,27 +28,27 @@
 
 
 def answers_count_from_their_coming(patch: Patch) -> None:
-    real = Contact.answered
+    real = QuorumContact.record_reply
 
-    def answered(self: Contact, who: str, number: int, *said: Any) -> None:
-        if self._asked:
-            real(self, who, next(reversed(self._asked)), *said)
+    def answered(self: QuorumContact, who: str, number: int, *said: Any) -> None:
+        if self._sent:
+            real(self, who, next(reversed(self._sent)), *said)
 
-    patch.setattr(Contact, "answered", answered)
+    patch.setattr(QuorumContact, "record_reply", answered)
 
 
 def answers_count_for_ever(patch: Patch) -> None:
-    patch.setattr(contact_module, "BOUND_SHARE", 100.0)
-    patch.setattr(Contact, "lately", lambda self, now: dict(self._heard))
+    patch.setattr(contact_module, "REPLY_VALID_SHARE", 100.0)
+    patch.setattr(QuorumContact, "valid_replies", lambda self, now: dict(self._replies))
 
 
 def half_takes_orders(patch: Patch) -> None:
-    real = Contact.proof
+    real = QuorumContact.proof
 
-    def proof(self: Contact, *args: Any) -> Proof:
+    def proof(self: QuorumContact, *args: Any) -> Proof:
         return Proof.ORDERS if real(self, *args) >= Proof.READS else Proof.NONE
 
-    patch.setattr(Contact, "proof", proof)
+    patch.setattr(QuorumContact, "proof", proof)
 
 
 def orders_are_taken_without_contact(patch: Patch) -> None:
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -17,7 +17,7 @@
 from mesh.configuration.commands import ConfigurationWrite, decode_change
 from mesh.event_log.events import Event
 from mesh.replication.items import Key
-from mesh.replication.quorum_contact import BOUND_SHARE, OPEN_SHARE, Proof
+from mesh.replication.quorum_contact import OPEN_VOTE_SHARE, REPLY_VALID_SHARE, Proof
 from mesh.runtime.settings import Settings
 from mesh.transport.http_calls import Answer
 from simulation.mesh.clock import LIFE
@@ -25,11 +25,13 @@
 from simulation.mesh.world import Life, Machine, Script, World
 from simulation.mesh.zones import ONE_ZONE, Zones
 
-BOUND_S = 3.0 * BOUND_SHARE  # of contact
+BOUND_S = 3.0 * REPLY_VALID_SHARE  # of contact
 CUT_S = 20.0
 LOOK_S = 0.02  # the monitor's; what it sees began that much earlier at most
 AT_ONCE_S = 0.05  # within which one that is cut off answers
-KNOWN_S = (1.0 + OPEN_SHARE) * BOUND_S + 0.4  # who is told that it has all lacks nothing acknowledged earlier
+KNOWN_S = (
+    1.0 + OPEN_VOTE_SHARE
+) * BOUND_S + 0.4  # who is told that it has all lacks nothing acknowledged earlier
 NEWEST_S = 3.0  # a sidecar has the newest so soon after one with contact can be reached
 SURE_S = BOUND_S + 0.1  # a cut that has lasted so long is proven to the one that is cut off
 
--- a/simulation/mesh/members.py
+++ b/simulation/mesh/members.py
@@ -71,7 +71,9 @@
 
     def holds() -> bool:
         views = [machine.program.member_set.view() for machine in machines if machine.program is not None]
-        return len(views) == len(wanted) and all(not view.joint and set(view.now) == wanted for view in views)
+        return len(views) == len(wanted) and all(
+            not view.joint and set(view.members) == wanted for view in views
+        )
 
     return holds
 
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -67,7 +67,7 @@
         """Whether the new member counts by all, and the losses that are asked are borne."""
         programs = [program for _, program in self.programs(core=True)]
         return all(
-            new.ip in program.member_set.view().now
+            new.ip in program.member_set.view().members
             and not program.member_set.view().joint
             and not program.minding.borne().below(self.tolerance)
             for program in programs
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -99,7 +99,7 @@
 
     patch.setattr(ProposerHost, "decide", decide)
     patch.setattr(
-        Acceptor, "settle", lambda self, number, value, whole=False: bool(self.votes.pop(number, None))
+        Acceptor, "learn", lambda self, slot, value, complete=False: bool(self.votes.pop(slot, None))
     )
 
 
@@ -112,20 +112,20 @@
 
 
 def tombstone_is_forgotten_at_once(patch: Patch) -> None:
-    hear = Store.hear
+    hear = Store.merge_answer
 
     def hears(self: Store, items: Any, vector: Any) -> Any:
         taken = hear(self, items, vector)
         for item in list(self.items.values()):
             if item.value is None and item.kind == "route":
-                self.forget(item.key)
+                self.remove_tombstone(item.key)
         return taken
 
-    patch.setattr(Store, "hear", hears)
+    patch.setattr(Store, "merge_answer", hears)
 
 
 def half_is_enough(patch: Patch) -> None:
-    patch.setattr(View, "durable", lambda self, have, tolerance: len(set(have)) * 2 > len(self.now) - 2)
+    patch.setattr(View, "durable", lambda self, have, tolerance: len(set(have)) * 2 > len(self.members) - 2)
 
 
 def views_of_answerers_are_ignored(patch: Patch) -> None:
@@ -163,7 +163,7 @@
 
 
 def always_something_to_say(patch: Patch) -> None:
-    patch.setattr(Store, "has_news", lambda self, vector: bool(self.items))
+    patch.setattr(Store, "has_updates", lambda self, vector: bool(self.items))
 
 
 def most_of_the_store_is_silent(
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -103,14 +103,14 @@
                 self._goes(life, name, item.version)
             drop(name)
 
-        take = program.reports.take
+        take = program.reports.write
 
         def takes(*written: Any) -> Any:
             told = take(*written)
             self._said(life)
             return told
 
-        routes.put, routes.drop, program.reports.take = puts, drops, takes
+        routes.put, routes.drop, program.reports.write = puts, drops, takes
 
     def _goes(self, life: Life, name: str, version: int) -> None:
         before = [v for _, source, n, v in self.changes if source is life and n == name]
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -15,8 +15,8 @@
 import simpy
 
 from mesh.configuration.commands import INPUT_LIMITS, PLANT, ROUTE, ConfigurationWrite, decode_change
-from mesh.replication.acceptor import Number, Settled, Vote, digest_of
-from mesh.replication.items import Item, Key, content
+from mesh.replication.acceptor import Decision, Slot, Vote, digest_of
+from mesh.replication.items import Item, Key, canonical_content
 from mesh.replication.membership_epochs import View
 from mesh.replication.store import Store
 from mesh.transport.http_calls import Answer
@@ -39,7 +39,7 @@
     ip: str
     epoch: int
     items: Mapping[Key, Item]
-    votes: Mapping[Number, Vote]
+    votes: Mapping[Slot, Vote]
 
 
 class Witness:
@@ -48,8 +48,8 @@
         self.broken: list[str] = []
         self.sent: dict[Key, dict[int, set[bytes]]] = {}  # valid contents by version
         self.acked: dict[Key, tuple[int, float]] = {}  # the highest version acknowledged, and when
-        self.contents: dict[Number, bytes] = {}  # acknowledged
-        self.orders: dict[Number, dict[bytes, set[bytes]]] = {}  # bodies that had each content, by number
+        self.contents: dict[Slot, bytes] = {}  # acknowledged
+        self.orders: dict[Slot, dict[bytes, set[bytes]]] = {}  # bodies that had each content, by number
         self.acked_orders: set[bytes] = set()
         self.rivalled: set[bytes] = set()  # bodies that were answered 409
         self.reads = self.acks = 0
@@ -69,7 +69,7 @@
         change = decode_change(body)
         if valid and isinstance(change, ConfigurationWrite):
             for write in change.writes:
-                told = content(Item(write.kind, write.name, write.version, write.value))
+                told = canonical_content(Item(write.kind, write.name, write.version, write.value))
                 key = (write.kind, write.name)
                 self.sent.setdefault(key, {}).setdefault(write.version, set()).add(told)
                 number = (*key, write.version)
@@ -104,7 +104,7 @@
         now = float(self.world.env.now)
         for write in change.writes:
             key = (write.kind, write.name)
-            told = content(Item(write.kind, write.name, write.version, write.value))
+            told = canonical_content(Item(write.kind, write.name, write.version, write.value))
             if told not in self.sent.get(key, {}).get(write.version, set()):
                 self._say(f"{machine.name} acknowledged the invalid {key} r{write.version}")
             if write.version > self.acked.get(key, (-1, 0.0))[0]:
@@ -136,7 +136,7 @@
         """One item in force, as somebody has it."""
         if item.kind not in ORDERED:
             return
-        number, told = (item.kind, item.name, item.version), content(item)
+        number, told = (item.kind, item.name, item.version), canonical_content(item)
         if self.contents.get(number, told) != told:
             self._say(f"{who} has another content of {number} than was acknowledged")
         bodies = self.orders.get(number, {}).get(told)
@@ -162,12 +162,12 @@
                     if item is not None and item.version == number[2]:
                         self._compare(other.name, item)
 
-    def _decided_otherwise(self, number: Number, value: Any) -> bool:
+    def _decided_otherwise(self, number: Slot, value: Any) -> bool:
         """By the word of any disk or process; one that proposes knows it before them."""
         digest = digest_of(value)
         for _, program in self.world.programs(core=True):
             state = program.acceptor.state(number)
-            if isinstance(state, Settled) and state.digest != digest:
+            if isinstance(state, Decision) and state.digest != digest:
                 return True
         for machine in self.world.controllers():
             for item in machine.disk.holds().items:
@@ -190,7 +190,7 @@
             elif read is None and not self._dropped(key, version):
                 self._say(f"{machine.name}: GET lacks {key}, r{version} was acknowledged")
         for key, write in found.items():
-            told = content(Item(write.kind, write.name, write.version, write.value))
+            told = canonical_content(Item(write.kind, write.name, write.version, write.value))
             if told not in self.sent.get(key, {}).get(write.version, set()):
                 self._say(f"{machine.name}: GET gives {key} r{write.version}, which nobody validly sent so")
             self._compare(f"{machine.name}: GET", Item(*key, write.version, write.value))
@@ -212,7 +212,11 @@
             if held is not None and now.version < held.version:
                 self._say(f"{store.source}: {item.key} went back from {held.version} to {item.version}")
             if item.kind in ORDERED and now is item:
-                if held is not None and held.version == now.version and content(held) != content(now):
+                if (
+                    held is not None
+                    and held.version == now.version
+                    and canonical_content(held) != canonical_content(now)
+                ):
                     self._say(f"{store.source}: {item.key} r{now.version} was turned over")
                 self._compare(store.source, now)
             return changed
@@ -245,12 +249,12 @@
                 if view.epoch and view.overlaps(would, self.world.tolerance):
                     self._say(f"{when}: {would} would do for a read by {name}, and lack {key} r{version}")
 
-    def _holds(self, number: Number, items: Mapping[Key, Item], votes: Mapping[Number, Vote]) -> bool:
+    def _holds(self, number: Slot, items: Mapping[Key, Item], votes: Mapping[Slot, Vote]) -> bool:
         """In force, overtaken, or as an open vote, which every read brings to its decision."""
         item, vote = items.get(number[:2]), votes.get(number)
         if item is not None and item.version >= number[2]:
             return True
-        return vote is not None and content(Item(*number, vote.value)) == self.contents[number]
+        return vote is not None and canonical_content(Item(*number, vote.value)) == self.contents[number]
 
     def watch(self) -> Generator[simpy.Event, Any, None]:
         while True:
@@ -301,7 +305,9 @@
                 self._say(f"{machine.name} does not run")
             for item in machine.disk.holds().items:
                 self._compare(f"{machine.name}'s disk", item)
-                if item.kind in ORDERED and content(item) not in self.sent[item.key].get(item.version, ()):
+                if item.kind in ORDERED and canonical_content(item) not in self.sent[item.key].get(
+                    item.version, ()
+                ):
                     self._say(f"{machine.name}: disk has {item.key} r{item.version}, never validly sent")
             for key, (version, _) in self.acked.items():
                 kept = {item.key: item.version for item in machine.disk.holds().items}
@@ -321,7 +327,7 @@
 
 
 def _level(stores: list[Store]) -> bool:
-    return all(store.digests.at("") == stores[0].digests.at("") for store in stores)
+    return all(store.digests.children("") == stores[0].digests.children("") for store in stores)
 
 
 def _differ(stores: list[Store]) -> str:
--- a/simulation/mesh/world.py
+++ b/simulation/mesh/world.py
@@ -22,7 +22,7 @@
 from mesh.dissemination.peers import Channel
 from mesh.event_log.events import Level
 from mesh.event_log.log import EventLog
-from mesh.replication.membership_epochs import NOBODY
+from mesh.replication.membership_epochs import EMPTY_VIEW
 from mesh.replication.quorum import Tolerance
 from mesh.replication.store import Store
 from mesh.runtime.settings import Bounds, MachineLimits, Ports, Settings
@@ -101,7 +101,7 @@
             mock.patch("mesh.control_plane.program.os", SimpleNamespace(urandom=self._urandom)),
             mock.patch("mesh.data_plane.program.os", SimpleNamespace(urandom=self._urandom)),
             mock.patch.object(Channel, "__hash__", self._hashes()),  # sets of them have one order
-            mock.patch.object(Store, "hear", self._merges(Store.hear)),
+            mock.patch.object(Store, "merge_answer", self._merges(Store.merge_answer)),
             mock.patch.object(Store, "_put", self.witness.puts(Store._put)),
         ]
 
@@ -401,7 +401,7 @@
 
         def all_count() -> bool:
             views = [program.member_set.view() for _, program in self.programs(core=True)]
-            newest = max(views, key=lambda view: view.epoch, default=NOBODY)
+            newest = max(views, key=lambda view: view.epoch, default=EMPTY_VIEW)
             for machine in machines:
                 program = machine.program
                 if (
@@ -412,7 +412,7 @@
                     return False
                 if program.member_set.view().epoch != newest.epoch:
                     return False
-                if machine.counted != (machine.ip in newest.now):
+                if machine.counted != (machine.ip in newest.members):
                     return False
             return True
 
