--- a/tests/mesh/test_ballot.py
+++ b/tests/mesh/test_ballot.py
@@ -6,25 +6,25 @@
 
 from mesh.replication import acceptor as ballot_module
 from mesh.replication.acceptor import (
-    BLOCK,
-    MOST_PAST,
+    MAX_PAST_DIGESTS,
+    ROUND_BLOCK,
     Acceptor,
     Ballot,
+    Decision,
     Forgotten,
-    Number,
     Promised,
     Refusal,
-    Settled,
+    Slot,
     Value,
     Vote,
     digest_of,
 )
 from mesh.replication.membership_epochs import View
-from mesh.replication.proposer import Accept, Again, Chosen, Decided, Proposer, Rivalled, Unclear
+from mesh.replication.proposer import Accept, Chosen, Conflict, Decided, Proposer, Retry, Unresolved
 from mesh.replication.quorum import Place, Tolerance
 
-ONE: Number = ("route", "a", 5)
-TWO: Number = ("route", "b", 1)
+ONE: Slot = ("route", "a", 5)
+TWO: Slot = ("route", "b", 1)
 X: Value = {"x": 1}
 Y: Value = {"y": 1}
 LOSS = Tolerance(1, 0, 0)
@@ -36,7 +36,7 @@
 
 def acceptor(name: str = "a", floor: int = 0) -> Acceptor:
     found = Acceptor(name, floor)
-    found.raised(found.wants(floor + 1))
+    found.set_ceiling(found.required_ceiling(floor + 1))
     return found
 
 
@@ -50,7 +50,7 @@
         step: object = None
         told = proposer.prepare(number, among)
         for name, one in acceptors.items():
-            answer = one.promise(told.ballot, told.numbers)
+            answer = one.promise(told.ballot, told.slots)
             step = (
                 proposer.refused(name, told.ballot, answer)
                 if isinstance(answer, Refusal)
@@ -62,14 +62,14 @@
             have = [
                 name
                 for name, one in acceptors.items()
-                if not isinstance(one.accept(step.ballot, step.by, step.writes, step.tags), Refusal)
+                if not isinstance(one.accept(step.ballot, step.generations, step.writes, step.tags), Refusal)
             ]
             if any([proposer.accepted(name, step.epoch, step.ballot) for name in have]):
                 for held in acceptors.values():
-                    for settled, value in held.at(step.ballot).items():
-                        held.settle(settled, value)
+                    for settled, value in held.votes_under(step.ballot).items():
+                        held.learn(settled, value)
             step = proposer.outcome()
-        if step is not None and not isinstance(step, Again):
+        if step is not None and not isinstance(step, Retry):
             return step
     return None
 
@@ -93,7 +93,7 @@
     one.promise(Ballot(9, "q"), [TWO])
     assert isinstance(one.accept(Ballot(7, "p"), {}, {ONE: X, TWO: X}), Refusal)
     assert not one.votes
-    one.settle(TWO, Y)
+    one.learn(TWO, Y)
     assert one.accept(Ballot(9, "q"), {}, {ONE: X, TWO: X}) == Refusal(0, "decided otherwise")
     assert not one.votes
     assert one.accept(Ballot(9, "q"), {}, {ONE: X, TWO: Y}) == [ONE]  # what is decided so needs no vote
@@ -102,17 +102,21 @@
 def test_a_round_above_the_ceiling_is_not_promised_and_the_next_life_refuses_all_up_to_it() -> None:
     one = Acceptor("a")
     assert one.promise(Ballot(1, "p"), [ONE]) == Refusal(0, "the ceiling on disk is lower")
-    one.raised(one.wants(1))
-    assert one.ceiling == BLOCK and one.wants(BLOCK) == 0 and one.wants(BLOCK + 1) == 2 * BLOCK
+    one.set_ceiling(one.required_ceiling(1))
+    assert (
+        one.ceiling == ROUND_BLOCK
+        and one.required_ceiling(ROUND_BLOCK) == 0
+        and one.required_ceiling(ROUND_BLOCK + 1) == 2 * ROUND_BLOCK
+    )
     assert isinstance(one.promise(Ballot(5, "p"), [ONE]), Promised)
     after = Acceptor("a", one.ceiling)
     after.votes = dict(one.votes)
-    assert after.accept(Ballot(4, "o"), {}, {ONE: X}) == Refusal(BLOCK, "below the floor", False)
-    assert after.top() == BLOCK
+    assert after.accept(Ballot(4, "o"), {}, {ONE: X}) == Refusal(ROUND_BLOCK, "below the floor", False)
+    assert after.highest_round() == ROUND_BLOCK
 
 
 def test_a_full_table_of_promises_raises_the_floor(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ballot_module, "MOST_PROMISES", 3)
+    monkeypatch.setattr(ballot_module, "MAX_PROMISES", 3)
     one = acceptor()
     for round in range(1, 6):
         one.promise(Ballot(round, "p"), [("route", f"r{round}", 1)])
@@ -122,49 +126,49 @@
 
 
 def test_a_full_table_of_votes_takes_no_more_until_one_is_decided(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ballot_module, "MOST_VOTES", 1)
+    monkeypatch.setattr(ballot_module, "MAX_VOTES", 1)
     one = acceptor()
     one.accept(Ballot(1, "p"), {}, {ONE: X})
     assert one.accept(Ballot(2, "p"), {}, {TWO: X}) == Refusal(0, "1 votes are open")
     assert one.accept(Ballot(2, "p"), {}, {ONE: X}) == [ONE]
-    assert one.settle(ONE, X)
+    assert one.learn(ONE, X)
     assert one.accept(Ballot(2, "p"), {}, {TWO: X}) == [TWO]
 
 
 def test_overtaken_versions_are_known_by_their_digests_up_to_a_bound() -> None:
     one = acceptor()
-    for version in range(MOST_PAST + 2):
-        one.settle(("route", "a", version), {"v": version})
-    assert len(one.past["route", "a"]) == MOST_PAST
-    assert one.state(("route", "a", MOST_PAST)) == Settled(digest_of({"v": MOST_PAST}))
-    assert one.state(("route", "a", 1)) == Settled(digest_of({"v": 1}))
+    for version in range(MAX_PAST_DIGESTS + 2):
+        one.learn(("route", "a", version), {"v": version})
+    assert len(one.past_digests["route", "a"]) == MAX_PAST_DIGESTS
+    assert one.state(("route", "a", MAX_PAST_DIGESTS)) == Decision(digest_of({"v": MAX_PAST_DIGESTS}))
+    assert one.state(("route", "a", 1)) == Decision(digest_of({"v": 1}))
     assert one.state(("route", "a", 0)) == Forgotten()
     assert isinstance(one.accept(Ballot(1, "p"), {}, {("route", "a", 0): X}), Refusal)
 
 
 def test_a_late_version_is_voted_on_and_enters_the_past() -> None:
     one = acceptor()
-    one.settle(("route", "a", 7), X)
+    one.learn(("route", "a", 7), X)
     assert one.state(ONE) is None
     assert one.accept(Ballot(1, "p"), {}, {ONE: Y}) == [ONE]
-    assert one.settle(ONE, Y) and one.decided["route", "a"] == (7, X)
-    assert one.state(ONE) == Settled(digest_of(Y))
+    assert one.learn(ONE, Y) and one.decided["route", "a"] == (7, X)
+    assert one.state(ONE) == Decision(digest_of(Y))
 
 
 def test_what_others_know_ends_a_vote_that_came_to_nothing() -> None:
     one = acceptor()
     one.accept(Ballot(1, "p"), {}, {ONE: Y, TWO: Y})
-    assert not one.told(ONE, Settled("d"))  # its item is still to come
-    one.settle(("route", "a", 7), X)
-    assert one.told(ONE, Settled("d")) and one.state(ONE) == Settled("d")
-    assert one.told(TWO, Forgotten()) and one.state(TWO) == Forgotten()
-    assert not one.votes and not one.told(ONE, Settled("d"))
+    assert not one.learn_state(ONE, Decision("d"))  # its item is still to come
+    one.learn(("route", "a", 7), X)
+    assert one.learn_state(ONE, Decision("d")) and one.state(ONE) == Decision("d")
+    assert one.learn_state(TWO, Forgotten()) and one.state(TWO) == Forgotten()
+    assert not one.votes and not one.learn_state(ONE, Decision("d"))
 
 
 def test_a_forgotten_drop_is_known_to_be_older() -> None:
     one = Acceptor("a", 0, lambda key: 6)
     assert one.state(ONE) == Forgotten()
-    one.settle(("route", "a", 7), X)
+    one.learn(("route", "a", 7), X)
     one.forget(("route", "a"))
     assert one.state(("route", "a", 7)) is None and not one.decided
 
@@ -173,12 +177,12 @@
     one = acceptor()
     one.promise(Ballot(3, "p"), [ONE])
     one.fence(9, "b", 1)
-    assert one.ceiling == BLOCK and one.floor == 9
+    assert one.ceiling == ROUND_BLOCK and one.floor == 9
     assert isinstance(one.accept(Ballot(9, "p"), {}, {ONE: X}), Refusal)
     assert one.accept(Ballot(10, "p"), {"b": 0}, {ONE: X}) == Refusal(0, "a disk was lost since its promise")
     assert one.accept(Ballot(10, "p"), {"b": 1, "c": 0}, {ONE: X}) == [ONE]
-    one.fence(2 * BLOCK, "a", 1)
-    assert one.ceiling == one.floor == 2 * BLOCK
+    one.fence(2 * ROUND_BLOCK, "a", 1)
+    assert one.ceiling == one.floor == 2 * ROUND_BLOCK
     assert one.generations == {"a": 1, "b": 1}
 
 
@@ -196,18 +200,18 @@
     acceptors, among = cores(3), view("a", "b", "c")
     assert play(Proposer("p", {ONE: X}, LOSS), acceptors, among) == Decided()
     assert play(Proposer("q", {ONE: X}, LOSS), acceptors, among, 2) == Decided()
-    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, among, 3) == Rivalled(ONE)
-    assert play(Proposer("q", {ONE: None}, LOSS), acceptors, among, 4) == Rivalled(ONE)
+    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, among, 3) == Conflict(ONE)
+    assert play(Proposer("q", {ONE: None}, LOSS), acceptors, among, 4) == Conflict(ONE)
     assert play(Proposer("q", {("route", "a", 6): Y}, LOSS), acceptors, among, 5) == Decided()
     assert play(Proposer("q", {ONE: X}, LOSS), acceptors, among, 6) == Decided()  # overtaken after it stood
-    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, among, 7) == Rivalled(ONE)
+    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, among, 7) == Conflict(ONE)
 
 
 def test_a_proposer_takes_up_the_content_of_the_highest_ballot() -> None:
     acceptors, among = cores(3), view("a", "b", "c")
     acceptors["a"].accept(Ballot(3, "o"), {}, {ONE: X})
     acceptors["b"].accept(Ballot(2, "o"), {}, {ONE: Y})
-    assert play(Proposer("p", {ONE: Y}, LOSS), acceptors, among, 4) == Rivalled(ONE)
+    assert play(Proposer("p", {ONE: Y}, LOSS), acceptors, among, 4) == Conflict(ONE)
     assert all(one.decided["route", "a"] == (5, X) for one in acceptors.values())
 
 
@@ -215,25 +219,25 @@
     acceptors, among = cores(3), view("a", "b", "c")
     acceptors["a"].accept(Ballot(1, "o"), {}, {ONE: X})
     proposer = Proposer("p", {ONE: Y, TWO: Y}, LOSS)
-    assert play(proposer, acceptors, among, 2) == Rivalled(ONE)
+    assert play(proposer, acceptors, among, 2) == Conflict(ONE)
     assert all(("route", "b") not in one.decided and not one.votes for one in acceptors.values())
 
 
 def test_an_order_of_several_is_rivalled_only_once_all_say_that_they_hold_none_of_it() -> None:
     acceptors, among = cores(3), view("a", "b", "c")
     for one in acceptors.values():
-        one.settle(ONE, X)
+        one.learn(ONE, X)
     some = {name: acceptors[name] for name in "ab"}
     proposer = Proposer("p", {ONE: Y, TWO: Y}, LOSS)
     assert play(proposer, some, among) is None
-    assert isinstance(proposer.gave_up(), Unclear)
-    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 9) == Rivalled(ONE)
+    assert isinstance(proposer.timed_out(), Unresolved)
+    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 9) == Conflict(ONE)
     tag = Proposer("o", {ONE: Y, TWO: Y}, LOSS)._tag
     acceptors["c"].accept(Ballot(20, "o"), {}, {TWO: Y})  # with another order
-    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 30) == Rivalled(ONE)
+    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 30) == Conflict(ONE)
     acceptors["c"].accept(Ballot(40, "o"), {}, {TWO: Y}, {TWO: tag})
     outcome = play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 50)
-    assert isinstance(outcome, Unclear) and "route 'a' r5" in outcome.reason
+    assert isinstance(outcome, Unresolved) and "route 'a' r5" in outcome.reason
 
 
 def test_a_part_that_was_decided_with_an_order_stays_known_and_one_of_another_order_does_not_count() -> None:
@@ -242,28 +246,28 @@
     tag = Proposer("o", order, LOSS)._tag
     acceptors["a"].accept(Ballot(1, "o"), {}, order, dict.fromkeys(order, tag))
     for one in acceptors.values():
-        one.settle(ONE, X)
+        one.learn(ONE, X)
     assert play(Proposer("a", {TWO: None}, LOSS, adopts=True), acceptors, among, 2) == Decided()
-    assert isinstance(play(Proposer("p", order, LOSS), acceptors, among, 3), Unclear)
+    assert isinstance(play(Proposer("p", order, LOSS), acceptors, among, 3), Unresolved)
     for one in acceptors.values():
-        one.settle(("route", "b", 2), X)  # overtaken, and known still
-    assert isinstance(play(Proposer("p", order, LOSS), acceptors, among, 5), Unclear)
+        one.learn(("route", "b", 2), X)  # overtaken, and known still
+    assert isinstance(play(Proposer("p", order, LOSS), acceptors, among, 5), Unresolved)
     other = {ONE: Y, ("route", "b", 2): X}
-    assert play(Proposer("p", other, LOSS), acceptors, among, 7) == Rivalled(ONE)
+    assert play(Proposer("p", other, LOSS), acceptors, among, 7) == Conflict(ONE)
 
 
 def test_an_order_that_lost_all_its_numbers_is_rivalled() -> None:
     acceptors, among = cores(3), view("a", "b", "c")
     for one in acceptors.values():
-        one.settle(ONE, X)
-        one.settle(TWO, X)
-    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among) == Rivalled(ONE)
+        one.learn(ONE, X)
+        one.learn(TWO, X)
+    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among) == Conflict(ONE)
 
 
 def test_a_forgotten_version_is_left_without_a_clear_answer() -> None:
     acceptors, among = cores(3), view("a", "b", "c")
-    acceptors["a"].unknown["route", "a"] = 5
-    assert isinstance(play(Proposer("p", {ONE: Y}, LOSS), acceptors, among), Unclear)
+    acceptors["a"].unknown_up_to["route", "a"] = 5
+    assert isinstance(play(Proposer("p", {ONE: Y}, LOSS), acceptors, among), Unresolved)
 
 
 def test_open_votes_are_brought_to_their_decision_whatever_it_is() -> None:
@@ -285,7 +289,7 @@
     assert proposer.promised("d", 1, told.ballot, Promised({}, 0)) is None  # no member
     assert proposer.promised("a", 1, told.ballot, Promised({}, 0)) is None
     step = proposer.promised("b", 1, told.ballot, Promised({}, 2))
-    assert isinstance(step, Accept) and step.by == {"d": 0, "a": 0, "b": 2}
+    assert isinstance(step, Accept) and step.generations == {"d": 0, "a": 0, "b": 2}
     assert proposer.accepted("a", 1, told.ballot) is None
     assert proposer.accepted("a", 1, told.ballot) is None
     assert proposer.accepted("b", 0, told.ballot) is None
@@ -296,7 +300,7 @@
     proposer = Proposer("p", {ONE: X}, LOSS)
     told = proposer.prepare(3, view("a", "b", "c"))
     assert proposer.refused("a", told.ballot, Refusal(70, "")) is None
-    assert proposer.refused("b", told.ballot, Refusal(50, "why")) == Again(70, "why", False)
+    assert proposer.refused("b", told.ballot, Refusal(50, "why")) == Retry(70, "why", False)
 
 
 def test_half_of_an_even_view_may_prepare_and_not_accept() -> None:
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -11,7 +11,7 @@
 from anisestair.http import codec as http
 from mesh.event_log import events
 from mesh.event_log.events import Event
-from mesh.replication.acceptor import Number
+from mesh.replication.acceptor import Slot
 from mesh.replication.items import Key
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
 from mesh.replication.proposer import Decided
@@ -225,12 +225,12 @@
     """By the two numbers of a change, as they are agreed on."""
     program = world.controllers()[0].program
     view = program.member_set.view()
-    rest = {ip: place for ip, place in view.now.items() if ip != who.ip}
-    for next_one in (View(view.epoch + 1, rest, view.now), View(view.epoch + 2, rest)):
+    rest = {ip: place for ip, place in view.members.items() if ip != who.ip}
+    for next_one in (View(view.epoch + 1, rest, view.members), View(view.epoch + 2, rest)):
         number = (VIEW, MEMBERS, next_one.epoch)
         done = world.env.event()
 
-        async def decide(number: Number = number, told: View = next_one, done: simpy.Event = done) -> None:
+        async def decide(number: Slot = number, told: View = next_one, done: simpy.Event = done) -> None:
             done.succeed(await program.proposer_host.decide({number: write_view(told)}, 2.0))
 
         world.controllers()[0].life.context.run(world.loop.create_task, decide())
@@ -322,7 +322,7 @@
         return
     with (
         mock.patch("mesh.control_plane.catch_up.CatchingUp._start_over"),
-        mock.patch("mesh.replication.tombstones.Forgotten.version", lambda *_: -1),
+        mock.patch("mesh.replication.tombstones.CollectedTombstones.version", lambda *_: -1),
         pytest.raises(AssertionError),
     ):
         test_a_reader_that_comes_back_with_its_disk_starts_over()
--- a/tests/mesh/test_cli_questions.py
+++ b/tests/mesh/test_cli_questions.py
@@ -89,7 +89,7 @@
 
 def test_pages_hold_every_item_once_and_are_cut_by_bytes_too(monkeypatch: Any) -> None:
     store = Store("s", 5000)
-    store.take_all(
+    store.write_all(
         [(f"k{at % 3}", f"n{at:04}", 1, None if at % 7 else {"v": at}) for at in range(PAGE + 300)]
     )
     for most in (1 << 20, 200):
@@ -111,10 +111,10 @@
 def test_the_root_tells_copies_apart_by_what_they_hold_alone() -> None:
     one, other = Store("a", 10), Store("b", 10)
     assert one.digests.root() == other.digests.root() == "0" * 16
-    one.take_all([("k", "x", 1, {"v": 1}), ("k", "y", 2, None)])
-    other.take_all([("k", "y", 2, None), ("k", "x", 1, {"v": 1})])
+    one.write_all([("k", "x", 1, {"v": 1}), ("k", "y", 2, None)])
+    other.write_all([("k", "y", 2, None), ("k", "x", 1, {"v": 1})])
     assert one.digests.root() == other.digests.root() != "0" * 16
-    other.take("k", "x", 2, {"v": 1})
+    other.write("k", "x", 2, {"v": 1})
     assert one.digests.root() != other.digests.root()
 
 
@@ -137,7 +137,7 @@
 def test_over_a_link_whatever_the_other_end_does_there_is_an_outcome() -> None:
     async def run() -> None:
         store = Store("s", 5000)
-        store.take_all([("k", f"n{at}", 1, {}) for at in range(PAGE + 7)])
+        store.write_all([("k", f"n{at}", 1, {}) for at in range(PAGE + 7)])
         hangs = asyncio.Event()
 
         async def hang(head: Head) -> dict[str, Any]:
--- a/tests/mesh/test_contact_probing.py
+++ b/tests/mesh/test_contact_probing.py
@@ -114,7 +114,7 @@
     assert alone.contact_probes.proof() is Proof.ORDERS
     alone.contact_probes.link_closed(new)
     assert alone.contact_probes.proof() is Proof.NONE
-    assert not alone.contact_probes.contact.lately(0.0)  # nothing is kept of who is gone
+    assert not alone.contact_probes.contact.valid_replies(0.0)  # nothing is kept of who is gone
 
 
 def test_who_asks_under_an_older_view_is_told_the_newer_one_and_takes_it() -> None:
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -10,7 +10,7 @@
 import pytest
 
 from mesh.event_log import events
-from mesh.replication.quorum_contact import EVERY_SHARE, Proof
+from mesh.replication.quorum_contact import PROBE_INTERVAL_SHARE, Proof
 from simulation.mesh import contact_seeds as seeds
 from simulation.mesh.cuts import BOUND_S, CUTS, NEWEST_S, Cuts, order, others, play
 from simulation.mesh.world import Machine, Script, World
@@ -192,7 +192,7 @@
     def script(world: Cuts) -> Script:
         began, size = world.wire.probes, world.wire.probe_bytes
         yield world.env.timeout(30.0)
-        most = 30.0 / (3.0 * EVERY_SHARE) * 5 * 4 * 2
+        most = 30.0 / (3.0 * PROBE_INTERVAL_SHARE) * 5 * 4 * 2
         assert 0.8 * most <= world.wire.probes - began <= most
         assert (world.wire.probe_bytes - size) / (world.wire.probes - began) <= 50
 
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -19,7 +19,7 @@
 
 def told(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
     """The others say so of an instance."""
-    item = proxy.roll.take(INSTANCE, instance, version, value)
+    item = proxy.roll.write(INSTANCE, instance, version, value)
     proxy._changed("roll", [item])  # type: ignore[list-item]
 
 
--- a/tests/mesh/test_dissemination_peers.py
+++ b/tests/mesh/test_dissemination_peers.py
@@ -25,9 +25,9 @@
 
     looks = 0
 
-    def has_news(self, vector: Mapping[str, int]) -> bool:
+    def has_updates(self, vector: Mapping[str, int]) -> bool:
         self.looks += 1
-        return super().has_news(vector)
+        return super().has_updates(vector)
 
 
 class Line:
@@ -108,7 +108,7 @@
 
 def test_what_rises_is_told_on_every_link_by_the_next_tick_and_once() -> None:
     def script(middle: Middle) -> None:
-        middle.charter.take("route", "r1", 1, {"a": 1})
+        middle.charter.write("route", "r1", 1, {"a": 1})
         assert middle.ticks(3) == LINKS  # of the one store that rose, once a link
         assert all(line.told() == ["r1"] for line in middle.lines)
         for peer in middle.peers:
@@ -122,9 +122,9 @@
 
 def test_what_comes_while_no_question_stands_is_told_with_the_next_one() -> None:
     def script(middle: Middle) -> None:
-        middle.charter.take("route", "r1", 1, {"a": 1})
+        middle.charter.write("route", "r1", 1, {"a": 1})
         middle.ticks(1)
-        middle.roll.take("node", "n1", 1, {"role": PROXY})
+        middle.roll.write("node", "n1", 1, {"role": PROXY})
         middle.ticks(2)
         assert all(line.told() == ["r1"] for line in middle.lines)
         for peer in middle.peers:
@@ -136,7 +136,7 @@
 
 def test_a_peer_that_has_forgotten_is_told_again() -> None:
     def script(middle: Middle) -> None:
-        middle.charter.take("route", "r1", 1, {"a": 1})
+        middle.charter.write("route", "r1", 1, {"a": 1})
         middle.ticks(1)
         for peer in middle.peers:
             middle.ask(peer, charter={"c1": 1})
@@ -155,7 +155,7 @@
         monkeypatch.setattr(middle.channels, "loop", cast(Any, Clock(lambda: now)))
         for peer in middle.peers:
             middle.channels.frame(peer, {"t": "rank", "r": 1}, b"")
-        middle.charter.take("route", "r1", 1, {"a": 1})
+        middle.charter.write("route", "r1", 1, {"a": 1})
         middle.ticks(3)
         assert all(line.told() == [] for line in middle.lines)
         now = RANK_S - 0.01
@@ -191,8 +191,8 @@
         channel = channels.adopt(cast(Link, line), {"node": "c1", "source": "c1.1"})
         giver_charter, giver_roll = Store("c1.1", 5000), Store("c1.1", 100)
         for at in range(2 * PAGE + 1):
-            giver_charter.take("route", f"r{at}", 1, {})
-        giver_roll.take("node", "c1", 1, {})
+            giver_charter.write("route", f"r{at}", 1, {})
+        giver_roll.write("node", "c1", 1, {})
         giver = Exchange({"charter": giver_charter, "roll": giver_roll})
         giver.met("p.1", ())
 
@@ -222,7 +222,7 @@
         said = []
         for version, silent in enumerate((("charter",), ()), 1):
             middle.channels.silent = lambda _, silent=silent: silent  # type: ignore[misc]
-            middle.roll.take("node", "n", version, {})
+            middle.roll.write("node", "n", version, {})
             middle.channels.tick(0.0)
             said.append([head["whole"] for head in middle.lines[0].sent if head["t"] == "news"][-1])
             middle.ask(middle.peers[0], roll={"c1": version})
--- a/tests/mesh/test_dissemination_pull_exchange.py
+++ b/tests/mesh/test_dissemination_pull_exchange.py
@@ -14,7 +14,7 @@
 from mesh.dissemination import pull_exchange
 from mesh.dissemination.pull_exchange import Exchange, pack, unpack
 from mesh.replication.items import Item, same_content
-from mesh.replication.snapshot import SNAPSHOTS
+from mesh.replication.snapshot import SNAPSHOTS_FEATURE
 from mesh.replication.store import Store
 from mesh.replication.store_answers import Delta
 from mesh.transport.frames import Head
@@ -63,7 +63,7 @@
         self.tell(there)
 
     def take(self, node: int, store: str, name: int, version: int, value: dict[str, int] | None) -> None:
-        self.stores[node][store].take("k", str(name), version, value)
+        self.stores[node][store].write("k", str(name), version, value)
         self.tell(node)
 
     def tell(self, node: int) -> None:
@@ -144,7 +144,7 @@
 @given(st.integers(2, 5), OPS)
 @settings(max_examples=120)
 def test_all_converge_and_fall_silent_where_snapshots_are_taken(count: int, ops: list[Any]) -> None:
-    mesh = Mesh(count, takes=(SNAPSHOTS,))
+    mesh = Mesh(count, takes=(SNAPSHOTS_FEATURE,))
     play(mesh, ops)
     assert mesh.settle(), "frames without an end"
     assert not mesh.differ()
@@ -167,13 +167,13 @@
 
 
 @pytest.mark.parametrize("items", [PAGE, PAGE + 1, 3 * PAGE, 3 * PAGE + 1])
-@pytest.mark.parametrize("takes", [(), (SNAPSHOTS,)])
+@pytest.mark.parametrize("takes", [(), (SNAPSHOTS_FEATURE,)])
 def test_pages_bring_all_and_end(items: int, takes: tuple[str, ...]) -> None:
     mesh = Mesh(2, takes=takes)
     mesh.settle()
     before = mesh.frames
     for name in range(items):
-        mesh.stores[0]["roll"].take("k", str(name), 1, {"v": 1})
+        mesh.stores[0]["roll"].write("k", str(name), 1, {"v": 1})
     mesh.tell(0)
     assert mesh.settle() and not mesh.differ()
     pages = -(-items // PAGE)
@@ -185,22 +185,22 @@
 class ClaimsPastGaps(Store):
     """The fault: each page raises the vector to all that the sender has."""
 
-    def lacking(self, vector: Mapping[str, int], most: int, *_: object, **__: object) -> Delta:
-        lack = super().lacking(vector, most)
+    def delta_for(self, vector: Mapping[str, int], max_items: int, *_: object, **__: object) -> Delta:
+        lack = super().delta_for(vector, max_items)
         return Delta(lack.items, dict(self.vector), False) if lack.more else lack
 
 
 class AlwaysNews(Store):
     """The fault: an answer is given though nothing would rise by it."""
 
-    def has_news(self, vector: Mapping[str, int]) -> bool:
+    def has_updates(self, vector: Mapping[str, int]) -> bool:
         return bool(self.items)
 
 
 def test_the_checks_see_a_vector_that_counts_past_a_gap_and_an_exchange_without_end() -> None:
     mesh = Mesh(2, ClaimsPastGaps)
     for name in range(2 * PAGE):
-        mesh.stores[0]["roll"].take("k", str(name), 1, {"v": 1})
+        mesh.stores[0]["roll"].write("k", str(name), 1, {"v": 1})
     mesh.tell(0)
     mesh.settle()
     assert mesh.differ()
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -73,7 +73,7 @@
         self.took_all([(NODE, name, version, value)])
 
     def took_all(self, writes: list[Any]) -> None:
-        taken = self.roll.take_all(writes)
+        taken = self.roll.write_all(writes)
         assert isinstance(taken, list)
         self.took(taken)
 
--- a/tests/mesh/test_member_model.py
+++ b/tests/mesh/test_member_model.py
@@ -44,15 +44,18 @@
 
 def left_before_the_copies_were(patch: Patch) -> None:
     patch.setattr(Members, "_may_vote", lambda self, one, name, wanted: True)
-    finish = reconfiguration._finish
+    finish = reconfiguration._plan_final_epoch
 
-    def unlevelled(view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance) -> reconfiguration.Plan:
+    def unlevelled(
+        view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
+    ) -> reconfiguration.ChangePlan:
         level = {
-            name: reconfiguration.Known(one.place, one.heard, one.whole, 99) for name, one in known.items()
+            name: reconfiguration.MemberStatus(one.place, one.heard, one.whole, 99)
+            for name, one in known.items()
         }
         return finish(view, level, tolerance)
 
-    patch.setattr(reconfiguration, "_finish", unlevelled)
+    patch.setattr(reconfiguration, "_plan_final_epoch", unlevelled)
 
 
 def one_that_is_not_level_votes_for_the_end(patch: Patch) -> None:
@@ -81,30 +84,36 @@
 
 def single_step_replacement(patch: Patch) -> None:
     patch.setattr(Members, "_may_vote", lambda self, one, name, wanted: True)
-    begin = reconfiguration._begin
+    begin = reconfiguration._plan_joint_epoch
 
-    def at_once(view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance) -> reconfiguration.Plan:
+    def at_once(
+        view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
+    ) -> reconfiguration.ChangePlan:
         found = begin(view, known, tolerance)
-        return reconfiguration.Plan(found.view and View(found.view.epoch, found.view.now), found.stays)
+        return reconfiguration.ChangePlan(
+            found.view and View(found.view.epoch, found.view.members), found.retained
+        )
 
-    patch.setattr(reconfiguration, "_begin", at_once)
+    patch.setattr(reconfiguration, "_plan_joint_epoch", at_once)
 
 
 def two_changes_at_once(patch: Patch) -> None:
     """The next change begins while the one before is not over, and forgets what came before it."""
 
-    def begin(view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance) -> reconfiguration.Plan:
-        return reconfiguration._begin(View(view.epoch, view.now), known, tolerance)
+    def begin(
+        view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
+    ) -> reconfiguration.ChangePlan:
+        return reconfiguration._plan_joint_epoch(View(view.epoch, view.members), known, tolerance)
 
-    patch.setattr(reconfiguration, "_finish", begin)
+    patch.setattr(reconfiguration, "_plan_final_epoch", begin)
 
 
 def only_the_new_view_counts(patch: Patch) -> None:
-    patch.setattr(View, "_all", lambda self: [self.now])
+    patch.setattr(View, "_member_sets", lambda self: [self.members])
 
 
 def only_the_view_before_counts(patch: Patch) -> None:
-    patch.setattr(View, "_all", lambda self: [self.before or self.now])
+    patch.setattr(View, "_member_sets", lambda self: [self.previous_members or self.members])
 
 
 def half_is_enough(patch: Patch) -> None:
@@ -115,7 +124,7 @@
 
 
 def shrinks_below_what_is_asked(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_why_not", lambda view, wanted, known, tolerance: "")
+    patch.setattr(reconfiguration, "_unsafe_reason", lambda view, wanted, statuses, tolerance: "")
 
 
 SEEDED: list[tuple[Callable[[Patch], None], str, str]] = [
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -331,7 +331,7 @@
         world.kill(cores[0])
         world.start(cores[0])
         yield from world.joined(cores)
-        assert cores[1].program.member_set.view().now[cores[0].ip].zone == "y"
+        assert cores[1].program.member_set.view().members[cores[0].ip].zone == "y"
         cores[0].program.retune(world.settings(cores[0], False))
 
     assert played(3, restarts) == []
@@ -358,7 +358,7 @@
 
 
 def never_leaves(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_leavers", lambda view, known: [])
+    patch.setattr(reconfiguration, "_leaving_members", lambda view, statuses: [])
 
 
 def never_level(patch: Patch) -> None:
@@ -366,19 +366,19 @@
 
 
 def silence_takes_long(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_gains", lambda *args: False)
+    patch.setattr(reconfiguration, "_raises_loss_margin", lambda *args: False)
 
 
 def shrinks(patch: Patch) -> None:
     """Whoever is told to end leaves, whatever is left."""
-    patch.setattr(reconfiguration, "_why_not", lambda *args: "")
+    patch.setattr(reconfiguration, "_unsafe_reason", lambda *args: "")
 
 
 def three_end(world: World) -> Script:
     """A restart in turn must leave a core that bears a loss at any time."""
     for machine in world.controllers():
         yield from end(world, machine)
-        counted = max(len(program.member_set.view().now) for _, program in world.programs(core=True))
+        counted = max(len(program.member_set.view().members) for _, program in world.programs(core=True))
         if counted < 3:
             world.witness.broken.append(f"{counted} count")
         world.start(machine)
--- a/tests/mesh/test_membership_instance_lifecycle.py
+++ b/tests/mesh/test_membership_instance_lifecycle.py
@@ -58,7 +58,7 @@
         for one in told:
             assert one.version > newest.get(one.instance, 0), (one, newest)
             newest[one.instance] = one.version
-            assert isinstance(others.take("instance", one.instance, one.version, one.value), Item)
+            assert isinstance(others.write("instance", one.instance, one.version, one.value), Item)
 
     for op in ops:
         now += 100.0
@@ -93,7 +93,7 @@
                 if upstream.instance == instance and not upstream.gone:
                     above = newest[instance] + more
                     newest[instance] = above
-                    others.take("instance", instance, above, {"capacity": 0})
+                    others.write("instance", instance, above, {"capacity": 0})
                     hear(upstream.republish(above))
                     held = others.items["instance", instance].value
                     assert held is not None and held["capacity"] != 0
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -21,8 +21,8 @@
     ProposerHost,
 )
 from mesh.control_plane.quorum_reads import MAX_PENDING_READS
-from mesh.replication.acceptor import Settled
-from mesh.replication.proposer import Again, Proposer, Unclear
+from mesh.replication.acceptor import Decision
+from mesh.replication.proposer import Proposer, Retry, Unresolved
 from simulation.mesh import troubles
 from simulation.mesh.plays import order, play
 from simulation.mesh.wire import End
@@ -259,9 +259,9 @@
 ) -> None:
     ballots = []
 
-    async def hasty(self: ProposerHost, proposer: Proposer, until: float) -> Again | Unclear:
+    async def hasty(self: ProposerHost, proposer: Proposer, until: float) -> Retry | Unresolved:
         ballots.append(self._loop.time())
-        return Again(0, "as ever") if len(ballots) < 500 else Unclear("without an end")
+        return Retry(0, "as ever") if len(ballots) < 500 else Unresolved("without an end")
 
     def then(world: World) -> Script:
         monkeypatch.setattr(ProposerHost, "_run_ballot", hasty)
@@ -296,7 +296,7 @@
             yield world.env.timeout(3.0)
             yield from world.joined([machine])
         for machine in cores:
-            assert isinstance(machine.program.acceptor.state((*R1, 1)), Settled)
+            assert isinstance(machine.program.acceptor.state((*R1, 1)), Decision)
         assert (yield from clear(world, 2, order(["r1"], 1, 9))).status == 409
         assert (yield from clear(world, 2, order(["r1"], 1, 1))).status == 200
 
--- a/tests/mesh/test_repair_copies.py
+++ b/tests/mesh/test_repair_copies.py
@@ -10,18 +10,18 @@
 
 from mesh.dissemination.pull_exchange import Exchange, pack
 from mesh.replication.anti_entropy import (
-    MOST_LEAVES,
-    MOST_RANGES,
-    Deeper,
-    Leaves,
+    MAX_LEAVES,
+    MAX_RANGES,
+    DifferingLeaves,
+    DifferingRanges,
     compare,
-    mend,
+    items_under,
+    plan_repair,
     read_leaves,
     read_ranges,
-    under,
 )
-from mesh.replication.digest import DEPTH, Digests
-from mesh.replication.items import Item, content
+from mesh.replication.digest import DEPTH, DigestTree
+from mesh.replication.items import Item, canonical_content
 from mesh.replication.store import Store
 from mesh.transport.frames import frame
 
@@ -44,21 +44,21 @@
     sent = [{"t": "digest", "roots": {"charter": one.digests.root()}}]
     if one.digests.root() == other.digests.root():
         return 1, len(frame(sent[0])), 0
-    told, sides = {"": other.digests.at("")}, (one, other)
+    told, sides = {"": other.digests.children("")}, (one, other)
     sent.append({"t": "range", "s": "charter", "at": told})
     for step in range(DEPTH):
         here = sides[step % 2]
         found = compare(here.digests, read_ranges(told), turn)
         assert found is not None
-        if isinstance(found, Leaves):
+        if isinstance(found, DifferingLeaves):
             there = sides[1 - step % 2]
-            items = under(here, read_leaves(found.digests))
+            items = items_under(here, read_leaves(found.digests))
             sent.append({"t": "mend", "leaves": found.digests, "items": [pack(i) for i in items]})
-            mending = mend(there, found.digests, items, forgets)
-            sent.append({"t": "mended", "items": [pack(item) for item in mending.give]})
+            mending = plan_repair(there, found.digests, items, forgets)
+            sent.append({"t": "mended", "items": [pack(item) for item in mending.send]})
             changed = 0
-            for store, taken in ((there, mending.take), (here, mending.give)):
-                mended = store.mend(taken)
+            for store, taken in ((there, mending.fetch), (here, mending.send)):
+                mended = store.repair(taken)
                 assert isinstance(mended, list)
                 changed += len(mended)
             return len(sent), sum(len(frame(head)) for head in sent), changed
@@ -68,8 +68,8 @@
 
 
 def same(one: Store, other: Store) -> bool:
-    return {k: (i.version, content(i)) for k, i in one.items.items()} == {
-        k: (i.version, content(i)) for k, i in other.items.items()
+    return {k: (i.version, canonical_content(i)) for k, i in one.items.items()} == {
+        k: (i.version, canonical_content(i)) for k, i in other.items.items()
     }
 
 
@@ -145,7 +145,7 @@
     for key in lone:
         assert (key in a.items) != (key in b.items)
     for key in (a.items.keys() | b.items.keys()) - lone:
-        assert content(a.items[key]) == content(b.items[key])
+        assert canonical_content(a.items[key]) == canonical_content(b.items[key])
 
 
 def test_copies_that_differ_everywhere_are_mended_bit_by_bit_within_the_bounds_of_a_frame() -> None:
@@ -160,24 +160,24 @@
 
 def test_only_so_many_ranges_and_leaves_are_gone_into_and_other_ones_the_next_time() -> None:
     one, other = filled("a", routes(6000)), Store("b", 40_000)
-    level = compare(other.digests, {"": one.digests.at("")}, 0)
-    assert isinstance(level, Deeper) and len(level.ranges) == MOST_RANGES == 16
+    level = compare(other.digests, {"": one.digests.children("")}, 0)
+    assert isinstance(level, DifferingRanges) and len(level.ranges) == MAX_RANGES == 16
     seen: set[str] = set()
     for turn in range(16):
-        deeper = compare(other.digests, {p: one.digests.at(p) for p in "0123456789abcdef"}, turn)
-        assert isinstance(deeper, Deeper) and len(deeper.ranges) == MOST_RANGES
+        deeper = compare(other.digests, {p: one.digests.children(p) for p in "0123456789abcdef"}, turn)
+        assert isinstance(deeper, DifferingRanges) and len(deeper.ranges) == MAX_RANGES
         seen |= deeper.ranges.keys()
     assert len(seen) == 256
-    leaves = compare(other.digests, {f"a{d}": one.digests.at(f"a{d}") for d in "0123456789abcdef"}, 1)
-    assert isinstance(leaves, Leaves) and len(leaves.digests) == MOST_LEAVES
+    leaves = compare(other.digests, {f"a{d}": one.digests.children(f"a{d}") for d in "0123456789abcdef"}, 1)
+    assert isinstance(leaves, DifferingLeaves) and len(leaves.digests) == MAX_LEAVES
 
 
 def test_two_contents_of_one_version_are_told_and_one_of_them_wins_on_both_sides() -> None:
     one = filled("a", [Item("route", "r", 3, {"a": 1}, "w", 1)])
     other = filled("b", [Item("route", "r", 3, {"a": 2}, "w", 1)])
     leaf = next(iter(other.digests._leaves))
-    told = mend(one, {leaf: "0" * 16}, under(other, [leaf]), KEEPS)
-    assert [item.name for item in told.split] == ["r"] and len(told.take) + len(told.give) == 1
+    told = plan_repair(one, {leaf: "0" * 16}, items_under(other, [leaf]), KEEPS)
+    assert [item.name for item in told.conflicting] == ["r"] and len(told.fetch) + len(told.send) == 1
     repaired(one, other, KEEPS)
     assert same(one, other) and one.items["route", "r"].value == {"a": 2}
 
@@ -185,13 +185,13 @@
 def test_a_tree_that_is_wrong_is_told_and_nothing_is_sent_for_it() -> None:
     one, other = filled("a", routes(50)), filled("b", routes(50))
     key = one.items["route", "r7"].key
-    one.digests.note(one.items[key], Item(*key, 3, {"rotten": 1}))  # the item itself is as it was
+    one.digests.update(one.items[key], Item(*key, 3, {"rotten": 1}))  # the item itself is as it was
     leaf = next(leaf for leaf, keys in other.digests._leaves.items() if key in keys)
-    digests = {leaf: other.digests.at(leaf[:-1])[leaf]}
-    told = mend(one, digests, under(other, [leaf]), KEEPS)
-    assert (told.take, told.give, told.odd) == ([], [], [leaf])
-    well = mend(filled("c", routes(50)), digests, under(other, [leaf]), KEEPS)
-    assert (well.take, well.give, well.odd) == ([], [], [])
+    digests = {leaf: other.digests.children(leaf[:-1])[leaf]}
+    told = plan_repair(one, digests, items_under(other, [leaf]), KEEPS)
+    assert (told.fetch, told.send, told.inconsistent_leaves) == ([], [], [leaf])
+    well = plan_repair(filled("c", routes(50)), digests, items_under(other, [leaf]), KEEPS)
+    assert (well.fetch, well.send, well.inconsistent_leaves) == ([], [], [])
 
 
 @pytest.mark.parametrize(
@@ -221,4 +221,4 @@
 
 
 def test_an_empty_tree_compares_with_a_full_one() -> None:
-    assert compare(Digests(), {"": {}}, 0) is None
+    assert compare(DigestTree(), {"": {}}, 0) is None
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -19,7 +19,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.replication.acceptor import Acceptor
-from mesh.replication.items import Item, Key, content
+from mesh.replication.items import Item, Key, canonical_content
 from mesh.replication.store import Store
 from mesh.storage.layout import held
 from mesh.storage.lmdb_store import Fresh, Keeper, Kept, Opened, Refused
@@ -56,7 +56,7 @@
 def turned(machine: Machine, store: str, key: Key, item: Item | None) -> None:
     """That copy alone holds something else from now on, under the stamp that vectors have counted."""
     held = getattr(machine.program, store).items
-    getattr(machine.program, store).digests.note(held[key], item)
+    getattr(machine.program, store).digests.update(held[key], item)
     if item is None:
         getattr(machine.program, store)._unstamp(held[key])
         del held[key]
@@ -99,10 +99,14 @@
         turned(world.machines["c3"], "charter", R1, altered(item, 3))
         yield world.env.timeout(WITHIN_S)
         damaged = world.machines["c3"].program.charter.items[R1]
-        assert content(damaged) == content(altered(item, 3))  # told, and not passed on or turned over
+        assert canonical_content(damaged) == canonical_content(
+            altered(item, 3)
+        )  # told, and not passed on or turned over
         sound = [program for machine, program in world.programs(core=True) if machine.name != "c3"]
         sound += [program for _, program in world.programs(core=False)]
-        assert {content(program.charter.items[R1]) for program in sound} == {content(item)}
+        assert {canonical_content(program.charter.items[R1]) for program in sound} == {
+            canonical_content(item)
+        }
         told = world.events(events.COPIES_SPLIT)
         assert told and all((v["kind"], v["name"], v["version"]) == (*R1, 3) for _, _, v in told)
 
@@ -133,7 +137,7 @@
     yield world.env.timeout(1.0)
     forgetful = world.machines["c1"].program
     assert forgetful.roll.items[key].value is None
-    forgetful.roll.forget(key)
+    forgetful.roll.remove_tombstone(key)
     assert key not in forgetful.roll.items
     before = world.wire.sent
     yield world.env.timeout(120.0)
@@ -153,7 +157,7 @@
 def test_a_tree_that_is_wrong_is_told_now_and_then() -> None:
     def wrong(world: Drops) -> Script:
         store = world.machines["c2"].program.charter
-        store.digests.note(store.items[R1], altered(store.items[R1], 3))
+        store.digests.update(store.items[R1], altered(store.items[R1], 3))
         yield world.env.timeout(300.0)
         told = world.events(events.REPAIR_DIFFERS)
         assert 2 <= len(told) <= 30 and all(values["buckets"] == 1 for _, _, values in told)
@@ -182,7 +186,7 @@
 def test_copies_that_differ_in_many_items_are_mended_in_rounds_one_right_after_the_other() -> None:
     def many(world: Drops) -> Script:
         full, lacks = world.machines["c1"].program, world.machines["c2"].program
-        taken = full.charter.take_all([("plant", f"p{n}", 1, {}) for n in range(800)])
+        taken = full.charter.write_all([("plant", f"p{n}", 1, {}) for n in range(800)])
         full._changed("charter", taken)
         yield world.env.timeout(2.0)
         for item in taken:
@@ -200,7 +204,7 @@
         def stir() -> Script:
             for number in range(10**6):
                 program = world.machines["c1"].program
-                program._changed("charter", program.charter.take_all([("plant", "stirred", number, {})]))
+                program._changed("charter", program.charter.write_all([("plant", "stirred", number, {})]))
                 yield world.env.timeout(0.2)
 
         world.env.process(stir())
@@ -232,19 +236,19 @@
 
 
 def nothing_is_taken(patch: pytest.MonkeyPatch) -> None:
-    real = anti_entropy.mend
+    real = anti_entropy.plan_repair
 
     def mend(store: Store, leaves: Any, items: Any, forgets: bool) -> Any:
         found = real(store, leaves, items, forgets)
         return type(found)([], [], [], [])
 
-    patch.setattr(anti_entropy, "mend", mend)
+    patch.setattr(anti_entropy, "plan_repair", mend)
 
 
 def drops_are_brought_back(patch: pytest.MonkeyPatch) -> None:
-    real = anti_entropy.mend
+    real = anti_entropy.plan_repair
     patch.setattr(
-        anti_entropy, "mend", lambda store, leaves, items, forgets: real(store, leaves, items, False)
+        anti_entropy, "plan_repair", lambda store, leaves, items, forgets: real(store, leaves, items, False)
     )
 
 
@@ -277,7 +281,7 @@
         disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, whole=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
         repair = Repairing(1, {CHARTER: store}, channels, disk_writer, event_log, lambda name, items: None)
-        taken = store.take_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
+        taken = store.write_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
         assert isinstance(taken, list)
         disk_writer.mark_items(taken)
         await disk_writer.flush()
@@ -292,7 +296,7 @@
         data = path.read_bytes()
         assert data.count(b"value 7") >= 1
         path.write_bytes(data.replace(b"value 7", b"value 8"))
-        store.take("route", "r0", 2, None)  # known here, and not on disk yet
+        store.write("route", "r0", 2, None)  # known here, and not on disk yet
         await repair._check_disk()
         assert "W705 damaged store written anew items=20 findings=" in log.getvalue()
         assert await disk_writer.run_between_batches(lambda keeper: keeper.verify()) == ()
--- a/tests/mesh/test_replacements_world.py
+++ b/tests/mesh/test_replacements_world.py
@@ -66,7 +66,7 @@
 
 
 def a_successor_counts_beside_the_dead_one(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_holds_without", lambda *_: True)
+    patch.setattr(reconfiguration, "_tolerates_losing_joiners", lambda *_: True)
 
 
 def reasons_are_not_told(patch: Patch) -> None:
--- a/tests/mesh/test_replication_exchange.py
+++ b/tests/mesh/test_replication_exchange.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from mesh.replication.items import Item, Key, outranks, same_content
-from mesh.replication.store import PAGE, Store
+from mesh.replication.store import PAGE_PREFIX, Store
 from mesh.replication.store_answers import Delta
 
 NODES = 3
@@ -29,23 +29,23 @@
 class ClaimsWhatThePageBears(Store):
     """The fault: a page raises each source to its last number in it, past gaps whose items come later."""
 
-    def lacking(self, vector: Mapping[str, int], most: int) -> Delta:
+    def delta_for(self, vector: Mapping[str, int], max_items: int) -> Delta:
         stamps = sorted(
             (item.source, item.number)
             for item in self.items.values()
             if item.number > vector.get(item.source, 0)
         )
         by_stamp = {(item.source, item.number): item for item in self.items.values()}
-        if len(stamps) <= most:
-            return super().lacking(vector, most)
-        return Delta([by_stamp[stamp] for stamp in stamps[:most]], dict(stamps[:most]), True)
+        if len(stamps) <= max_items:
+            return super().delta_for(vector, max_items)
+        return Delta([by_stamp[stamp] for stamp in stamps[:max_items]], dict(stamps[:max_items]), True)
 
 
 class HidesWhatItDoesNotClaim(Store):
     """The fault: items above the own vector are not answered, though they may have replaced claimed ones."""
 
-    def lacking(self, vector: Mapping[str, int], most: int) -> Delta:
-        lack = super().lacking(vector, most)
+    def delta_for(self, vector: Mapping[str, int], max_items: int) -> Delta:
+        lack = super().delta_for(vector, max_items)
         claimed = [item for item in lack.items if item.number <= self.vector.get(item.source, 0)]
         return Delta(claimed, lack.vector, lack.more)
 
@@ -81,12 +81,12 @@
             case ("take", node, name, newer, value):
                 held = self.stores[node].items.get(("k", str(name)))
                 version = newer + (held.version if held is not None else 1)
-                item = self.stores[node].take("k", str(name), version, value)
+                item = self.stores[node].write("k", str(name), version, value)
                 if isinstance(item, Item):
                     self.taken[(item.source, item.number)] = item
             case ("ask", node, peer, most):
                 store = self.stores[node]
-                self.answers.append((store, self.stores[peer].lacking(store.vector, most)))
+                self.answers.append((store, self.stores[peer].delta_for(store.vector, most)))
             case ("deliver", which, keep) if self.answers:
                 store, lack = self.answers[which % len(self.answers)]
                 if not keep:
@@ -110,10 +110,10 @@
             busy = False
             for store in self.stores:
                 for peer in self.stores:
-                    if peer is store or (only_news and not peer.has_news(store.vector)):
+                    if peer is store or (only_news and not peer.has_updates(store.vector)):
                         continue
                     before = dict(store.vector)
-                    lack = peer.lacking(store.vector, most)
+                    lack = peer.delta_for(store.vector, most)
                     changed = store.merge(lack.items, lack.vector)
                     busy = busy or bool(changed) or store.vector != before or lack.more or only_news
             if not busy:
@@ -150,7 +150,7 @@
     for other in others:
         assert other.items.keys() == first.items.keys()
         assert all(same_content(item, first.items[key]) for key, item in other.items.items())
-        assert other.digests.at("") == first.digests.at("")
+        assert other.digests.children("") == first.digests.children("")
     assert mesh.settle(most, only_news=True) < 200  # nobody claims news to another for ever
 
 
@@ -179,15 +179,15 @@
 def test_a_claim_past_a_gap_loses_an_item_for_ever() -> None:
     for kind, reached in ((ClaimsWhatThePageBears, False), (Store, True)):
         sender, third, asker = kind("sender", 10), Store("third", 10), Store("asker", 10)
-        sender.take("k", "a", 1, {})
-        old = sender.lacking({}, 10)
+        sender.write("k", "a", 1, {})
+        old = sender.delta_for({}, 10)
         third.merge(old.items, old.vector)
-        sender.take("k", "b", 1, {})
-        sender.take("k", "a", 2, {})
-        page = sender.lacking({}, 1)
+        sender.write("k", "b", 1, {})
+        sender.write("k", "a", 2, {})
+        page = sender.delta_for({}, 1)
         assert [item.name for item in page.items] == ["b"] and page.more
         asker.merge(page.items, page.vector)  # and the sender is lost, with the newer "a"
-        rest = third.lacking(asker.vector, 10)
+        rest = third.delta_for(asker.vector, 10)
         asker.merge(rest.items, rest.vector)
         assert (("k", "a") in asker.items) == reached
 
@@ -229,14 +229,14 @@
 def test_pages_end_while_writes_go_on_and_leave_no_entry() -> None:
     sender, asker = Store("sender", 1000), Store("asker", 1000)
     for number in range(100):
-        sender.take("k", str(number), 1, {})
+        sender.write("k", str(number), 1, {})
     pages = 0
-    while (lack := sender.lacking(asker.vector, 10)).more:
-        assert set(lack.vector) == {PAGE + "sender"} and len(lack.items) == 10
+    while (lack := sender.delta_for(asker.vector, 10)).more:
+        assert set(lack.vector) == {PAGE_PREFIX + "sender"} and len(lack.items) == 10
         asker.merge(lack.items, lack.vector)
         pages += 1
         for number in range(5):  # replaced before and behind the page
-            sender.take("k", str(number * 20), pages + 1, {})
+            sender.write("k", str(number * 20), pages + 1, {})
     asker.merge(lack.items, lack.vector)
     assert asker.items == sender.items and asker.vector == sender.vector
     assert 10 <= pages <= 20
--- a/tests/mesh/test_replication_items.py
+++ b/tests/mesh/test_replication_items.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.replication.items import Item, content, outranks, same_content
+from mesh.replication.items import Item, canonical_content, outranks, same_content
 
 VALUES = st.none() | st.dictionaries(st.sampled_from("ab"), st.sampled_from([0, 1, 1.0, True, "", None, [1]]))
 ITEMS = st.builds(
@@ -32,5 +32,5 @@
 def test_canonical_bytes_ignore_the_order_of_keys_at_every_depth() -> None:
     there = Item("k", "n", 1, {"b": {"y": 1, "x": 2}, "a": 0})
     here = Item("k", "n", 1, {"a": 0, "b": {"x": 2, "y": 1}})
-    assert content(there) == content(here) == b'{"a":0,"b":{"x":2,"y":1}}'
+    assert canonical_content(there) == canonical_content(here) == b'{"a":0,"b":{"x":2,"y":1}}'
     assert not same_content(Item("k", "n", 1, {"a": 1}), Item("k", "n", 1, {"a": True}))
--- a/tests/mesh/test_replication_membership_epochs.py
+++ b/tests/mesh/test_replication_membership_epochs.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from mesh.replication.membership_epochs import (
-    MOST_EPOCH,
-    MOST_MEMBERS,
-    MOST_VERDICTS,
-    NOBODY,
+    EMPTY_VIEW,
+    MAX_CACHED_CHECKS,
+    MAX_EPOCH,
+    MAX_MEMBERS,
     View,
     read_view,
     write_view,
@@ -47,12 +47,12 @@
 def test_verdicts_are_kept_up_to_a_bound_and_are_of_one_tolerance() -> None:
     view = View(1, {str(number): Place("", "") for number in range(12)})
     few, many = Tolerance(1, 0, 0), Tolerance(9, 0, 0)
-    for have in subsets(view.names)[:: 4096 // (2 * MOST_VERDICTS)]:
+    for have in subsets(view.names)[:: 4096 // (2 * MAX_CACHED_CHECKS)]:
         assert view.durable(have, few) is (len(have) > 6)
         assert view.durable(have, many) is (len(have) > 9)
         assert view.overlaps(have, few) is (len(have) > 5)
-        assert len(view._verdicts) <= MOST_VERDICTS
-    assert view == View(1, dict(view.now))
+        assert len(view._cached_checks) <= MAX_CACHED_CHECKS
+    assert view == View(1, dict(view.members))
 
 
 def test_a_joint_epoch_wants_a_quorum_of_both() -> None:
@@ -61,10 +61,10 @@
     assert joint.joint and joint.names == frozenset("abcde")
     assert joint.durable("bcd", one) and not joint.durable("cde", one) and not joint.durable("abc", one)
     assert joint.overlaps("bcd", one) and not joint.overlaps("ab", one) and not joint.overlaps("ade", one)
-    assert not NOBODY.overlaps("a", one) and not NOBODY.durable("a", one)
+    assert not EMPTY_VIEW.overlaps("a", one) and not EMPTY_VIEW.durable("a", one)
 
 
-@given(st.integers(1, MOST_EPOCH - 1), PART, PART | st.none())
+@given(st.integers(1, MAX_EPOCH - 1), PART, PART | st.none())
 def test_what_is_written_reads_back(epoch: int, now: Any, before: Any) -> None:
     view = View(epoch, now, before)
     assert read_view(epoch, write_view(view)) == view
@@ -74,14 +74,14 @@
     ("epoch", "told"),
     [
         (0, {"now": {"a": ["z", "r"]}}),
-        (MOST_EPOCH, {"now": {"a": ["z", "r"]}}),
+        (MAX_EPOCH, {"now": {"a": ["z", "r"]}}),
         ("1", {"now": {"a": ["z", "r"]}}),
         (1, None),
         (1, {}),
         (1, {"now": {}}),
         (1, {"now": {"a": ["z"]}}),
         (1, {"now": {"a": ["z", "r"]}, "before": {}}),
-        (1, {"now": {str(n): ["z", "r"] for n in range(MOST_MEMBERS + 1)}}),
+        (1, {"now": {str(n): ["z", "r"] for n in range(MAX_MEMBERS + 1)}}),
     ],
 )
 def test_what_is_no_view_is_told(epoch: Any, told: Any) -> None:
--- a/tests/mesh/test_replication_reconfiguration.py
+++ b/tests/mesh/test_replication_reconfiguration.py
@@ -7,9 +7,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.replication.membership_epochs import MOST_MEMBERS, View
+from mesh.replication.membership_epochs import MAX_MEMBERS, View
 from mesh.replication.quorum import Place, Tolerance
-from mesh.replication.reconfiguration import Borne, Known, borne, heard_whole, plan
+from mesh.replication.reconfiguration import (
+    LossMargin,
+    MemberStatus,
+    loss_margin,
+    plan_change,
+    responding_complete,
+)
 
 ONE = Tolerance(1, 0, 0)
 
@@ -22,101 +28,106 @@
     return View(epoch, {n: at() for n in names}, None if before is None else {n: at() for n in before})
 
 
-def known(names: str, **others: Known) -> dict[str, Known]:
-    return {name: Known(at()) for name in names} | others
+def known(names: str, **others: MemberStatus) -> dict[str, MemberStatus]:
+    return {name: MemberStatus(at()) for name in names} | others
 
 
-def away(**more: bool) -> Known:
-    return Known(at(), heard=False, **more)
+def away(**more: bool) -> MemberStatus:
+    return MemberStatus(at(), responding=False, **more)
 
 
 def wanted(found: View | None) -> str:
     assert found is not None
-    return "".join(sorted(found.now))
+    return "".join(sorted(found.members))
 
 
 def test_all_joiners_come_with_one_change_and_only_those_that_caught_up() -> None:
-    told = known("abcdefghijk", x=Known(at(), counts=False), y=Known(at(), whole=False), w=away())
-    found = plan(view("abc"), told, ONE).view
+    told = known(
+        "abcdefghijk",
+        x=MemberStatus(at(), eligible=False),
+        y=MemberStatus(at(), disk_complete=False),
+        w=away(),
+    )
+    found = plan_change(view("abc"), told, ONE).view
     assert found == View(2, {n: at() for n in "abcdefghijk"}, {n: at() for n in "abc"})
-    assert plan(view("abc"), known("abc"), ONE).view is None
+    assert plan_change(view("abc"), known("abc"), ONE).view is None
 
 
 def test_a_change_ends_once_a_durable_set_of_the_new_members_is_level() -> None:
     joint = view("abd", 5, before="abc")
     for level in ("", "a", "b"):
-        told = {n: Known(at(), level=5 if n in level else 4) for n in "abcd"}
-        assert plan(joint, told, ONE).view is None
-    told = {n: Known(at(), level=5 if n in "ad" else 4) for n in "abcd"}
-    assert plan(joint, told, ONE).view is not None  # a of both, c leaves and needs not be level
+        told = {n: MemberStatus(at(), synced_epoch=5 if n in level else 4) for n in "abcd"}
+        assert plan_change(joint, told, ONE).view is None
+    told = {n: MemberStatus(at(), synced_epoch=5 if n in "ad" else 4) for n in "abcd"}
+    assert plan_change(joint, told, ONE).view is not None  # a of both, c leaves and needs not be level
     told["c"] = away(silent=True)
-    assert plan(joint, told, ONE).waits  # of the view before a alone would accept: b is not level
-    told["b"] = Known(at(), level=5)
-    assert plan(joint, told, ONE).view == View(6, {n: at() for n in "abd"})
+    assert plan_change(joint, told, ONE).blocked_by  # of the view before a alone would accept: b is not level
+    told["b"] = MemberStatus(at(), synced_epoch=5)
+    assert plan_change(joint, told, ONE).view == View(6, {n: at() for n in "abd"})
 
 
 def test_nobody_leaves_below_what_is_asked_until_a_successor_comes_with_the_same_change() -> None:
-    for leaver in (Known(at(), leaves=True), away(gone=True), away(leaves=True), away(removed=True)):
+    for leaver in (MemberStatus(at(), leaving=True), away(gone=True), away(leaves=True), away(removed=True)):
         told = known("ab", c=leaver)
-        found = plan(view("abc"), told, ONE)
-        assert found.view is None and "3 are needed" in found.stays["c"]
-        assert wanted(plan(view("abc"), told | known("d"), ONE).view) == "abd"
+        found = plan_change(view("abc"), told, ONE)
+        assert found.view is None and "3 are needed" in found.retained["c"]
+        assert wanted(plan_change(view("abc"), told | known("d"), ONE).view) == "abd"
 
 
 def test_two_that_leave_at_once_go_as_far_as_is_safe() -> None:
-    leaving = Known(at(), leaves=True)
-    found = plan(view("abcde"), known("abc", d=leaving, e=leaving), ONE)
-    assert wanted(found.view) == "abc" and not found.stays
-    found = plan(view("abcd"), known("ab", c=leaving, d=leaving), ONE)
-    assert wanted(found.view) == "abd" and "only a, b would be heard and stay" in found.stays["d"]
+    leaving = MemberStatus(at(), leaving=True)
+    found = plan_change(view("abcde"), known("abc", d=leaving, e=leaving), ONE)
+    assert wanted(found.view) == "abc" and not found.retained
+    found = plan_change(view("abcd"), known("ab", c=leaving, d=leaving), ONE)
+    assert wanted(found.view) == "abd" and "only a, b would be heard and stay" in found.retained["d"]
 
 
 def test_silence_takes_nobody_out_of_less_than_a_majority_of_the_view_before() -> None:
     told = known("ab", c=away(gone=True), d=away(gone=True), e=away(gone=True))
-    found = plan(view("abcde"), told | known("xyz"), ONE)
-    assert found.view is None and "would be heard and stay" in found.waits
+    found = plan_change(view("abcde"), told | known("xyz"), ONE)
+    assert found.view is None and "would be heard and stay" in found.blocked_by
 
 
 def test_one_that_is_silent_for_the_shorter_bound_goes_only_where_more_is_borne_without_it() -> None:
     silent = away(silent=True)
-    found = plan(view("abcd"), known("abc", d=silent), ONE)
+    found = plan_change(view("abcd"), known("abc", d=silent), ONE)
     assert wanted(found.view) == "abc"  # three of four need all three: of three, one more may go
-    found = plan(view("abcde"), known("abcd", e=silent), ONE)
-    assert found.view is None and "shorter bound" in found.stays["e"]
-    assert wanted(plan(view("abcde"), known("abcd", e=away(gone=True)), ONE).view) == "abcd"
-    assert wanted(plan(view("abc"), known("abd", c=silent), ONE).view) == "abd"
+    found = plan_change(view("abcde"), known("abcd", e=silent), ONE)
+    assert found.view is None and "shorter bound" in found.retained["e"]
+    assert wanted(plan_change(view("abcde"), known("abcd", e=away(gone=True)), ONE).view) == "abcd"
+    assert wanted(plan_change(view("abc"), known("abd", c=silent), ONE).view) == "abd"
 
 
 def test_the_last_of_a_zone_that_is_asked_for_stays_until_its_successor_comes() -> None:
     members = {"a": at("1"), "b": at("2"), "c": at("3"), "d": at("1")}
-    told = {n: Known(p) for n, p in members.items()} | {"c": Known(at("3"), leaves=True)}
-    found = plan(View(1, members), told, Tolerance(0, 1, 0))
-    assert found.view is None and "2 zones would be left, 3 are needed" in found.stays["c"]
-    told["e"] = Known(at("3"))
-    assert wanted(plan(View(1, members), told, Tolerance(0, 1, 0)).view) == "abde"
+    told = {n: MemberStatus(p) for n, p in members.items()} | {"c": MemberStatus(at("3"), leaving=True)}
+    found = plan_change(View(1, members), told, Tolerance(0, 1, 0))
+    assert found.view is None and "2 zones would be left, 3 are needed" in found.retained["c"]
+    told["e"] = MemberStatus(at("3"))
+    assert wanted(plan_change(View(1, members), told, Tolerance(0, 1, 0)).view) == "abde"
 
 
 def test_places_that_become_known_are_a_change_and_members_are_bounded() -> None:
     unknown = View(1, {n: Place("", "") for n in "abc"})
-    found = plan(unknown, known("abc"), ONE).view
-    assert found is not None and found.now == {n: at() for n in "abc"} and found.joint
-    many = {f"m{n}": Known(at()) for n in range(MOST_MEMBERS + 9)}
-    grown = plan(View(1, {f"m{n}": at() for n in range(3)}), many, ONE).view
-    assert grown is not None and len(grown.now) == MOST_MEMBERS
+    found = plan_change(unknown, known("abc"), ONE).view
+    assert found is not None and found.members == {n: at() for n in "abc"} and found.joint
+    many = {f"m{n}": MemberStatus(at()) for n in range(MAX_MEMBERS + 9)}
+    grown = plan_change(View(1, {f"m{n}": at() for n in range(3)}), many, ONE).view
+    assert grown is not None and len(grown.members) == MAX_MEMBERS
 
 
 def test_losses_borne_by_hand() -> None:
-    assert borne(view("abc"), "abc", ONE).machines == 1
-    assert borne(view("abcde"), "abcde", ONE).machines == 2
-    assert borne(view("abcd"), "abcd", ONE).machines == 1
-    assert borne(view("abc"), "ab", ONE).machines == 0
-    assert borne(view("abc"), "a", ONE) == Borne(-1, -1, -1)
-    assert borne(view("a"), "a", ONE).machines == 0
-    assert borne(view("a"), "a", ONE).below(ONE) == ("machines",)
+    assert loss_margin(view("abc"), "abc", ONE).machines == 1
+    assert loss_margin(view("abcde"), "abcde", ONE).machines == 2
+    assert loss_margin(view("abcd"), "abcd", ONE).machines == 1
+    assert loss_margin(view("abc"), "ab", ONE).machines == 0
+    assert loss_margin(view("abc"), "a", ONE) == LossMargin(-1, -1, -1)
+    assert loss_margin(view("a"), "a", ONE).machines == 0
+    assert loss_margin(view("a"), "a", ONE).below(ONE) == ("machines",)
     zones = View(1, {"a": at("1"), "b": at("2"), "c": at("3", "q")})
-    assert borne(zones, "abc", ONE) == Borne(1, 1, 0)
-    assert borne(view("abd", 2, before="abc"), "abcd", ONE).machines == 1
-    assert borne(view("abd", 2, before="abc"), "abd", ONE).machines == 0
+    assert loss_margin(zones, "abc", ONE) == LossMargin(1, 1, 0)
+    assert loss_margin(view("abd", 2, before="abc"), "abcd", ONE).machines == 1
+    assert loss_margin(view("abd", 2, before="abc"), "abd", ONE).machines == 0
 
 
 FLAGS = ("heard", "whole", "counts", "leaves", "silent", "gone", "removed")
@@ -133,7 +144,7 @@
     members: dict[str, Place], tolerance: Tolerance, data: st.DataObject
 ) -> None:
     up = data.draw(st.frozensets(st.sampled_from(sorted(members)), min_size=1))
-    now, found = View(1, members), borne(View(1, members), up, tolerance)
+    now, found = View(1, members), loss_margin(View(1, members), up, tolerance)
 
     def bears(lost: list[frozenset[str]]) -> bool:
         return all(now.durable(up - one, tolerance) for one in lost)
@@ -167,18 +178,18 @@
     flag = st.booleans()
     names = [*sorted(members), "x", "y"]
     told = {
-        name: Known(members.get(name, at("a")), **{field: data.draw(flag) for field in FLAGS})
+        name: MemberStatus(members.get(name, at("a")), **{field: data.draw(flag) for field in FLAGS})
         for name in names
     }
-    found = plan(View(3, members), told, tolerance)
+    found = plan_change(View(3, members), told, tolerance)
     if found.view is None:
         return
-    there = heard_whole(told, found.view.names)
-    assert found.view.epoch == 4 and found.view.before == members
-    assert found.view.durable(there & found.view.now.keys(), tolerance)
-    assert len(found.view.now) >= min(len(members), 2 * tolerance.machines + 1)
-    for name in found.view.now.keys() - members.keys():
-        assert told[name].counts and told[name].heard and told[name].whole
-    for name in members.keys() - found.view.now.keys():
+    there = responding_complete(told, found.view.names)
+    assert found.view.epoch == 4 and found.view.previous_members == members
+    assert found.view.durable(there & found.view.members.keys(), tolerance)
+    assert len(found.view.members) >= min(len(members), 2 * tolerance.machines + 1)
+    for name in found.view.members.keys() - members.keys():
+        assert told[name].eligible and told[name].responding and told[name].disk_complete
+    for name in members.keys() - found.view.members.keys():
         one = told[name]
-        assert one.removed or one.leaves or ((one.gone or one.silent) and not one.heard)
+        assert one.removed or one.leaving or ((one.gone or one.silent) and not one.responding)
--- a/tests/mesh/test_replication_tombstones.py
+++ b/tests/mesh/test_replication_tombstones.py
@@ -6,7 +6,13 @@
 
 from mesh.replication.items import Item
 from mesh.replication.store import Store
-from mesh.replication.tombstones import BUCKETS, LEFT, Forgotten, digest_of, read_rows
+from mesh.replication.tombstones import (
+    BUCKETS,
+    ENTRIES_PER_BUCKET,
+    CollectedTombstones,
+    key_digest,
+    read_rows,
+)
 
 KEYS = [("k", f"n{number}") for number in range(200)]
 
@@ -14,30 +20,30 @@
 def test_an_older_copy_is_refused_and_one_that_is_held_goes() -> None:
     store, stale = Store("s", 10), Store("t", 10)
     for one in (store, stale):
-        one.take("k", "x", 5, {})
-        one.take("k", "y", 1, {})
-    store.take("k", "x", 6, None)
-    forgotten = Forgotten()
-    forgotten.note(("k", "x"), 6)
+        one.write("k", "x", 5, {})
+        one.write("k", "y", 1, {})
+    store.write("k", "x", 6, None)
+    forgotten = CollectedTombstones()
+    forgotten.add(("k", "x"), 6)
     for one in (store, stale):
-        buckets, gone = one.forget_all(forgotten.rows())
-        assert (buckets, gone) == ([digest_of(("k", "x"))[:2]], [("k", "x")])
-        assert one.forget_all(forgotten.rows()) == ([], [])
+        buckets, gone = one.merge_collected(forgotten.rows())
+        assert (buckets, gone) == ([key_digest(("k", "x"))[:2]], [("k", "x")])
+        assert one.merge_collected(forgotten.rows()) == ([], [])
         assert one.merge([Item("k", "x", 6, {}, "old", 1)], {"old": 1}) == []
-        assert one.mend([Item("k", "x", 5, {}, "old", 1)]) == []
+        assert one.repair([Item("k", "x", 5, {}, "old", 1)]) == []
         assert set(one.items) == {("k", "y")}
         assert len(one.merge([Item("k", "x", 7, {}, "new", 1)], {})) == 1
-        assert one.forget_all(forgotten.rows()) == ([], []) and ("k", "x") in one.items
+        assert one.merge_collected(forgotten.rows()) == ([], []) and ("k", "x") in one.items
 
 
 def test_a_record_is_bounded_and_its_watermark_tells_of_what_left_it() -> None:
-    forgotten = Forgotten()
-    for version in range(3 * BUCKETS * LEFT):
-        forgotten.note(("k", f"n{version}"), version)
+    forgotten = CollectedTombstones()
+    for version in range(3 * BUCKETS * ENTRIES_PER_BUCKET):
+        forgotten.add(("k", f"n{version}"), version)
     rows = forgotten.rows()
-    assert len(rows) == BUCKETS and all(len(left) <= LEFT for _, left in rows.values())
+    assert len(rows) == BUCKETS and all(len(left) <= ENTRIES_PER_BUCKET for _, left in rows.values())
     assert forgotten.version(("k", "n5")) == -1 and forgotten.watermark(("k", "n5")) >= 5
-    last = 3 * BUCKETS * LEFT - 1
+    last = 3 * BUCKETS * ENTRIES_PER_BUCKET - 1
     assert forgotten.version(("k", f"n{last}")) == forgotten.watermark(("k", f"n{last}")) == last
 
 
@@ -46,10 +52,10 @@
 def test_records_that_told_each_other_are_equal_in_whatever_order(
     notes: list[tuple[tuple[str, str], int, int]],
 ) -> None:
-    ones = [Forgotten() for _ in range(3)]
+    ones = [CollectedTombstones() for _ in range(3)]
     for key, version, at in notes:
-        ones[at].note(key, version)
-    a, b = Forgotten(), Forgotten()
+        ones[at].add(key, version)
+    a, b = CollectedTombstones(), CollectedTombstones()
     for one in ones:
         a.merge(one.rows())
     for one in (ones[2], ones[0], ones[1], ones[0]):
@@ -69,19 +75,19 @@
 
 def test_a_store_that_starts_over_holds_nothing_and_lacks_what_it_stamped_itself() -> None:
     store = Store("s", 10)
-    store.take("k", "x", 5, {})
+    store.write("k", "x", 5, {})
     store.merge([Item("k", "y", 1, {}, "t", 4)], {"t": 4})
-    forgotten = Forgotten()
-    forgotten.note(("k", "z"), 9)
-    store.forget_all(forgotten.rows())
+    forgotten = CollectedTombstones()
+    forgotten.add(("k", "z"), 9)
+    store.merge_collected(forgotten.rows())
     peer = Store("p", 10)
     peer.merge(list(store.items.values()), store.vector)
-    assert sorted(store.start_over("s/2")) == [("k", "x"), ("k", "y")]
+    assert sorted(store.reset("s/2")) == [("k", "x"), ("k", "y")]
     assert store.items == {} and store.vector == {} and store.digests.root() == "0" * 16
-    assert store.forgotten.root() == ""
-    lack = peer.lacking(store.vector, 10)
+    assert store.collected_tombstones.root() == ""
+    lack = peer.delta_for(store.vector, 10)
     assert {item.key for item in lack.items} == {("k", "x"), ("k", "y")}
     store.merge(lack.items, lack.vector)
-    taken = store.take("k", "z", 1, {})
+    taken = store.write("k", "z", 1, {})
     assert isinstance(taken, Item) and (taken.source, taken.number) == ("s/2", 1)
-    assert peer.has_news(store.vector) is False and store.has_news(peer.vector)
+    assert peer.has_updates(store.vector) is False and store.has_updates(peer.vector)
--- a/tests/mesh/test_restore.py
+++ b/tests/mesh/test_restore.py
@@ -13,9 +13,9 @@
 
 from benchmarks.catch_up import Mesh
 from mesh.cli.command import app
-from mesh.replication.membership_epochs import NOBODY, View
+from mesh.replication.membership_epochs import EMPTY_VIEW, View
 from mesh.replication.quorum import Place, Tolerance
-from mesh.replication.restore import STEP, restored
+from mesh.replication.restore import EPOCH_STEP, restored_view
 from rigs.mesh_peers import change, polled, route
 
 ONE = Tolerance(1, 0, 0)
@@ -25,14 +25,14 @@
 def begins(
     reached: dict[str, bool], lost: str = "", copy: View | None = None, view: View = ABC
 ) -> View | str:
-    return restored("a", view, reached, lost, copy, ONE)
+    return restored_view("a", view, reached, lost, copy, ONE)
 
 
 def test_a_disk_that_counts_leads_with_those_that_count_beside_it() -> None:
-    assert begins({"a": True, "b": False, "c": False}) == View(5 + STEP, {"a": Place("z", "r")})
+    assert begins({"a": True, "b": False, "c": False}) == View(5 + EPOCH_STEP, {"a": Place("z", "r")})
     five = View(7, {name: Place("", "") for name in "abcde"})
     told = begins({"a": True, "b": True, "c": False}, "de", view=five)
-    assert isinstance(told, View) and set(told.now) == {"a", "b"} and not told.joint
+    assert isinstance(told, View) and set(told.members) == {"a", "b"} and not told.joint
 
 
 @pytest.mark.parametrize(
@@ -56,9 +56,9 @@
 
 
 def test_a_copy_leads_alone_above_all_epochs_that_are_known() -> None:
-    for view in (ABC, NOBODY):
-        told = begins({"a": False, "b": False, "c": False}, "", View(8, ABC.now), view)
-        assert told == View(8 + STEP, {"a": Place("z", "r")})
+    for view in (ABC, EMPTY_VIEW):
+        told = begins({"a": False, "b": False, "c": False}, "", View(8, ABC.members), view)
+        assert told == View(8 + EPOCH_STEP, {"a": Place("z", "r")})
 
 
 @pytest.fixture
--- a/tests/mesh/test_simulated_mesh.py
+++ b/tests/mesh/test_simulated_mesh.py
@@ -442,7 +442,7 @@
 
     def counts() -> bool:
         view = other.program.member_set.view()
-        return joiner.ip in view.now and not view.joint
+        return joiner.ip in view.members and not view.joint
 
     yield from world.until(counts, 0.9, "one joins")
     paths = set(world.wire.cut)
--- a/tests/mesh/test_stages_frames.py
+++ b/tests/mesh/test_stages_frames.py
@@ -42,7 +42,7 @@
     def says(self, count: int = 1) -> None:
         for _ in range(count):
             version = self.stores[REPORTS].vector.get(self.name, 0) + 1
-            self.stores[REPORTS].take("report", self.name, version, {"v": {}})
+            self.stores[REPORTS].write("report", self.name, version, {"v": {}})
 
 
 def talk(one: End, other: End, most: int = 200) -> int:
@@ -104,7 +104,7 @@
 def test_with_a_program_that_knows_no_reports_the_talk_comes_to_an_end(takes: Any) -> None:
     old, new = End("old", old=True), End("new", takes)
     new.says(3)
-    old.stores["charter"].take("route", "a", 1, {})
+    old.stores["charter"].write("route", "a", 1, {})
     assert talk(new, old) <= 4 and ("route", "a") in new.stores["charter"].items
 
 
--- a/tests/mesh/test_thread_points.py
+++ b/tests/mesh/test_thread_points.py
@@ -90,7 +90,7 @@
     def put(self, name: str) -> Item:
         """The next version of a route, decided and marked for the disk."""
         self.version += 1
-        item = self.store.take("route", name, self.version, {"v": self.version, "text": "x" * 200})
+        item = self.store.write("route", name, self.version, {"v": self.version, "text": "x" * 200})
         assert isinstance(item, Item)
         self.disk_writer.mark_items([item])
         return item
