--- a/mesh/data_plane/body_transfer.py
+++ b/mesh/data_plane/body_transfer.py
@@ -25,10 +25,10 @@
         self._incoming: dict[int, tuple[IncomingBody, Reservation, OnComplete]] = {}
         link.on_writable = self._write
 
-    def send(self, number: int, body: BodyBytes, written: Callable[[], None]) -> None:
+    def send(self, number: int, body: BodyBytes, on_sent: Callable[[], None]) -> None:
         """``written`` is called once, perhaps before this returns, unless the body is cancelled."""
         self._add_open(1)
-        self._on_sent[number] = written
+        self._on_sent[number] = on_sent
         self._outgoing.add(number, body)
         self._write()
 
@@ -43,10 +43,10 @@
         self._link.owes += bodies
         self._link.expects += bodies
 
-    def expect(self, number: int, size: int, hold: Reservation, whole: OnComplete) -> None:
+    def expect(self, number: int, size: int, reservation: Reservation, on_complete: OnComplete) -> None:
         """A body of so many bytes follows; ``hold`` is its memory, ``whole`` called once when all is here."""
         self._add_open(1)
-        self._incoming[number] = IncomingBody(size), hold, whole
+        self._incoming[number] = IncomingBody(size), reservation, on_complete
 
     def on_ack(self, message: BodyAck) -> None:
         """Raises PieceError."""
@@ -59,13 +59,13 @@
         found = self._incoming.get(number)
         if found is None:
             return
-        body, hold, whole = found
+        body, reservation, on_complete = found
         body.add(part)
         self._link.send(BodyAck(number=number, count=body.confirm()))
         if body.whole:
             del self._incoming[number]
             self._add_open(-1)
-            whole(body.data, hold)
+            on_complete(body.data, reservation)
 
     def cancel_sending(self, number: int) -> bool:
         """False where that body is not being sent, or all of it is written."""
--- a/mesh/data_plane/call_messages.py
+++ b/mesh/data_plane/call_messages.py
@@ -1,8 +1,8 @@
-"""One call as it goes between the two hops, what the second tells the first of its end, and the frames.
+"""Calls between the two hops, their results, and the frames that carry them.
 
-Each frame's head is a typed structure, decoded once, where the link reads it. On the wire its fields have one
-letter. What a program from before a field leaves out has its default; fields and frames that are unknown here
-are passed over.
+Each frame head is a typed structure that is decoded once, where the link reads it. Fields have one-letter
+names on the wire. A field that an older release does not send has its default value. Unknown fields and
+frames are ignored.
 """
 
 from __future__ import annotations
@@ -19,37 +19,38 @@
 from mesh.admission.final_check import Why
 from mesh.transport.frames import FrameHead, decode_object
 
-BodyBytes = bytes | bytearray  # a body; one that came in pieces is not copied once more
-HeaderFields = list[tuple[str, str]]  # headers on the wire
+BodyBytes = bytes | bytearray  # a body received in pieces is used without another copy
+HeaderFields = list[tuple[str, str]]  # headers in a frame
 
 
 class Greeting(FrameHead, tag_field="t", tag="hello"):
-    """The first hop's first word on a link. ``window``: bytes of each body in pieces that it takes beyond
-    what it has confirmed; 0 is a program that takes no pieces."""
+    """Sent first by the first hop on a new link. ``window``: bytes of each body in pieces that it accepts
+    beyond what it has acknowledged; 0: it does not support pieces."""
 
     node: str
     purpose: str = msgspec.field(name="for")
-    life: str
+    incarnation: str = msgspec.field(name="life")
     core: list[str]
     window: int = 0
 
 
 class GreetingReply(FrameHead, tag_field="t", tag="life"):
-    """The second hop's answer to a greeting; ``window`` as there."""
+    """The second hop's reply to a `Greeting`; ``window`` as there."""
 
-    life: str
+    incarnation: str = msgspec.field(name="life")
     window: int = 0
 
 
 class WaitLimits(msgspec.Struct, array_like=True):
-    """Milliseconds that a call waits for a place at the most, and where others there are of lower rank."""
+    """How long a call waits for a slot at most, in milliseconds: ``usual``, and ``longer`` while calls of
+    lower rank are waiting."""
 
     usual: float = 0.0
     longer: float = 0.0
 
 
 class RouteUsed(msgspec.Struct, array_like=True):
-    """The route by which a call goes, as its first hop has it."""
+    """The route that the first hop used for a call."""
 
     name: str = ""
     version: int = 0
@@ -60,7 +61,7 @@
 
 
 class CallHead(FrameHead, tag_field="t", tag="call"):
-    """A call. ``size`` above 0: its body has so many bytes and follows in pieces."""
+    """A call. With ``size`` above 0 its body has that many bytes and follows in pieces."""
 
     number: int = msgspec.field(name="n")
     attempt: str = msgspec.field(name="a")
@@ -77,8 +78,8 @@
 
 
 class EndHead(FrameHead, tag_field="t", tag="end"):
-    """A call's end: with ``status`` `Returned`, with ``why`` `TurnedAway`, else `Unclear`. ``size`` as above,
-    of the answer's body."""
+    """The end of a call: `UpstreamResponse` if ``status`` is set, `NotExecuted` if ``reason`` is set, else
+    `Unclear`. With ``size`` above 0 the response body has that many bytes and follows in pieces."""
 
     number: int = msgspec.field(name="n")
     status: int | None = msgspec.field(name="s", default=None)
@@ -92,38 +93,40 @@
 
 
 class InProgress(FrameHead, tag_field="t", tag="passed"):
-    """The upstream has a call that was asked after."""
+    """A queried call is at the upstream."""
 
     number: int = msgspec.field(name="n")
 
 
 class StatusQuery(FrameHead, tag_field="t", tag="ask"):
-    """What became of a call whose link was lost?"""
+    """Asks for the result of a call whose link was lost."""
 
     number: int = msgspec.field(name="n")
     attempt: str = msgspec.field(name="a")
 
 
 class GoAway(FrameHead, tag_field="t", tag="leaving"):
-    """The second hop ends. No call with a number above ``last`` has been taken over this link or will be."""
+    """The second hop is shutting down. It has accepted no call with a number above ``last`` over this link
+    and never will."""
 
     last: int
 
 
 class Drop(FrameHead, tag_field="t", tag="drop"):
-    """Nobody waits for a call any more, or for the rest of its answer."""
+    """The first hop no longer needs a call, or the rest of its response."""
 
     number: int = msgspec.field(name="n")
 
 
 class BodyPiece(FrameHead, tag_field="t", tag="piece"):
-    """The next bytes, behind it as its body, of a call's body or, from the second hop, of its answer's."""
+    """The next bytes of a body in pieces, carried as the frame's body: of the call, or from the second hop of
+    the response."""
 
     number: int = msgspec.field(name="n")
 
 
 class BodyAck(FrameHead, tag_field="t", tag="arrived"):
-    """So many first bytes of a body in pieces have come."""
+    """Acknowledges the first ``count`` bytes of a body in pieces."""
 
     number: int = msgspec.field(name="n")
     count: int = msgspec.field(name="b")
@@ -139,45 +142,49 @@
 
 
 class UnknownFrame(FrameHead):
-    """A frame of a later program."""
+    """A frame of a newer release."""
 
 
-def _decode_unknown(text: bytes, fault: msgspec.ValidationError) -> Any:
-    """What is passed over; raises the fault where the frame is one of ours, and wrong."""
+def _decode_unknown(text: bytes, error: msgspec.ValidationError) -> Any:
+    """What to ignore instead of the frame. Raises the error again if the frame is a known one and
+    malformed."""
     head = decode_object(text)
     if head.get("t") in KNOWN_TAGS:
-        raise fault
+        raise error
     return msgspec.convert(head, UnknownFrame) if head else head
 
 
 def decode_from_first_hop(text: bytes) -> Any:
-    """A `FirstHopMessage`; what is none of them is empty or a `LaterFrame`. Raises msgspec.DecodeError."""
+    """Decodes a `FirstHopMessage`. An unknown frame becomes an empty object or an `UnknownFrame`. Raises
+    msgspec.DecodeError."""
     try:
         return _decode_first(text)
-    except msgspec.ValidationError as fault:
-        return _decode_unknown(text, fault)
+    except msgspec.ValidationError as error:
+        return _decode_unknown(text, error)
 
 
 def decode_from_second_hop(text: bytes) -> Any:
-    """A `SecondHopMessage`; otherwise as `decode_from_first_hop`."""
+    """Decodes a `SecondHopMessage`; otherwise like `decode_from_first_hop`."""
     try:
         return _decode_second(text)
-    except msgspec.ValidationError as fault:
-        return _decode_unknown(text, fault)
+    except msgspec.ValidationError as error:
+        return _decode_unknown(text, error)
 
 
 def convert_from_first_hop(head: dict[str, Any]) -> Any:
-    """A message that was read as a mere object: it stood right behind the greeting. Raises ValueError."""
+    """Converts a message that was decoded as a plain object because it directly followed the greeting. Raises
+    ValueError."""
     if head.get("t") not in KNOWN_TAGS:
         return UnknownFrame()
     try:
         return msgspec.convert(head, FirstHopMessage)
-    except msgspec.ValidationError as fault:
-        raise ValueError(str(fault)) from None
+    except msgspec.ValidationError as error:
+        raise ValueError(str(error)) from None
 
 
 class Call(Struct):
-    """A request on its way to the sidecar beside ``instance``; ``left_ms`` is what its caller still waits."""
+    """A request on its way to the sidecar of ``instance``. ``remaining_ms``: time until the caller's
+    deadline."""
 
     attempt: str
     method: bytes
@@ -187,19 +194,19 @@
     instance: str
     caller: str
     remaining_ms: float
-    rank: float = 0.0  # its worth for its work; the most is served first
-    max_wait_ms: float = 0.0  # it waits so long for a place at the most
-    extended_wait_ms: float = 0.0  # and so long where others there are of lower rank
-    route: str = ""  # by which it goes, and its version; "" from a program that does not tell
+    rank: float = 0.0  # worth per unit of work; the highest rank is served first
+    max_wait_ms: float = 0.0  # longest wait for a slot at the upstream
+    extended_wait_ms: float = 0.0  # the same while calls of lower rank are waiting
+    route: str = ""  # name of the route used; "" from a release that does not send it
     version: int = 0
-    age_ms: float = 0.0  # since its client had sent it whole
+    age_ms: float = 0.0  # since its client had sent it completely
     accept_stale_route: bool = False  # a second hop rejected its version as old, and no newer one is known
-    effectful: bool = False  # it may run once at the most
-    aim_ms: float = 0.0  # known at the first hop alone
-    repeat: bool = False  # another try has arrived before, or a repeat's run has made it
+    effectful: bool = False  # may run at most once
+    aim_ms: float = 0.0  # known at the first hop only
+    repeat: bool = False  # an earlier attempt has arrived, or a repeat's execution made this call
 
     def head(self, number: int, in_pieces: bool = False) -> CallHead:
-        """Its frame's; ``in_pieces``: its body is not in that frame."""
+        """The frame head. ``in_pieces``: the body is not part of that frame."""
         return CallHead(
             number=number,
             attempt=self.attempt,
@@ -222,34 +229,34 @@
         )
 
     def charge_wait(self, waited_ms: float) -> None:
-        """Charges ``waited_ms`` of either hop, so that whoever has the call next knows what is left."""
+        """Subtracts time spent at a hop from what is left for the call."""
         self.remaining_ms -= waited_ms
         self.max_wait_ms -= waited_ms
         self.extended_wait_ms -= waited_ms
         self.age_ms += waited_ms
 
 
-@dataclass(frozen=True, slots=True)  # a Struct has no field that equality passes over
+@dataclass(frozen=True, slots=True)  # a Struct cannot exclude a field from comparison
 class UpstreamResponse:
-    """The upstream's own answer, whole. ``hold``: the memory that is taken for its body."""
+    """The upstream's complete response. ``reservation``: the memory reserved for its body."""
 
     status: int
     headers: http.Headers
     body: BodyBytes
-    executed: bool  # it says that it ran the call, or does not say that it did not
+    executed: bool  # the upstream reports that it ran the call, or does not report that it did not
     reservation: Reservation | None = field(default=None, compare=False, repr=False)
 
 
 class NotExecuted(Struct, frozen=True):
-    """It has not run and never will."""
+    """The call has not run and never will."""
 
     reason: Why
-    reached_upstream: bool = False  # the upstream itself turned it away
-    newer_item: list[Any] | None = None  # where its version is old, the item that holds, as news pack it
+    reached_upstream: bool = False  # the upstream itself rejected it
+    newer_item: list[Any] | None = None  # for an old route version: the current item, as packed in updates
 
 
 class Unclear(Struct, frozen=True):
-    """No answer, and it may have run."""
+    """No response, and the call may have run."""
 
     reason: str
 
@@ -258,17 +265,17 @@
 
 
 def pack_headers(headers: http.Headers) -> HeaderFields:
-    """Headers as they stand in a frame."""
+    """Converts headers for a frame."""
     return [(name.decode("latin-1"), value.decode("latin-1")) for name, value in headers]
 
 
 def unpack_headers(fields: HeaderFields) -> http.Headers:
-    """Headers of a frame; raises UnicodeEncodeError."""
+    """Converts headers from a frame. Raises UnicodeEncodeError."""
     return [(name.encode("latin-1"), value.encode("latin-1")) for name, value in fields]
 
 
 def read_call(head: CallHead, body: BodyBytes) -> Call:
-    """Raises ValueError for what is no call."""
+    """The call of a frame. Raises ValueError if the head is malformed."""
     route = head.route
     return Call(
         attempt=head.attempt,
@@ -292,7 +299,7 @@
 
 
 def end_head(number: int, end: End, in_pieces: bool = False) -> tuple[EndHead, BodyBytes | None]:
-    """An end as a frame, and the body in it; ``in_pieces``: that is not in the frame."""
+    """The frame head of an end, and the body in that frame. ``in_pieces``: the body is not part of it."""
     if isinstance(end, UpstreamResponse):
         size = len(end.body) if in_pieces else 0
         fields = pack_headers(end.headers)
@@ -305,14 +312,14 @@
     return EndHead(number=number, unclear=end.reason), None
 
 
-def read_end(head: EndHead, body: BodyBytes, hold: Reservation | None = None) -> End:
-    """Raises ValueError for what is no end."""
+def read_end(head: EndHead, body: BodyBytes, reservation: Reservation | None = None) -> End:
+    """The end in a frame. Raises ValueError if the head is malformed."""
     if head.status is not None:
         return UpstreamResponse(
-            head.status, unpack_headers(head.headers or []), body, head.executed is not False, hold
+            head.status, unpack_headers(head.headers or []), body, head.executed is not False, reservation
         )
     if head.reason is not None:
         return NotExecuted(head.reason, head.reached_upstream is True, head.newer_item)
     if head.unclear is not None:
         return Unclear(head.unclear)
-    raise ValueError("an end without a word")
+    raise ValueError("end frame has no status, reason or unclear text")
--- a/mesh/data_plane/call_state.py
+++ b/mesh/data_plane/call_state.py
@@ -1,7 +1,8 @@
-"""A call's life over both hops as one table of states and events, and what its client may be told. No I/O.
+"""State machine of a call over both hops, as one table of states and events, and the results that a client
+may get. No I/O.
 
-`docs/design/calls.md` shows the same rows, and a test holds the two together. The programs look each event up
-here: what the table has no row for is passed over, so what comes late, twice or crossed has no effect.
+`docs/design/calls.md` lists the same rows, and a test compares the two. The programs look up each event here.
+An event without a row is ignored, so late, duplicate and crossed events have no effect.
 """
 
 from __future__ import annotations
@@ -19,53 +20,53 @@
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 
-# What waited in vain, or was lost on its way, says nothing of the upstream's pace, which is what w is.
+# These reasons come from queueing or from a lost link and say nothing about the upstream's health.
 NOT_CONNECT_FAILURES = frozenset({Why.FULL, Why.LATE, Why.LOST, Why.OLD})
 
 
 class State(IntEnum):
-    """Where a call is, as one hop or the upstream's connection has it."""
+    """State of a call at one hop, or of a connection to the upstream."""
 
-    READ = 1  # whole, and nothing done for it
-    CHOSEN = 2  # an upstream is, and the link to it comes up
+    READ = 1  # received whole; nothing has been done for it yet
+    CHOSEN = 2  # an upstream has been chosen and the link to its node is being opened
     SENT = 3  # written to the link
-    WAITING = 4  # in the line before the upstream
-    PASSED_ON = 5  # on a connection to the upstream, or on its way to one
-    ANSWERED = 6  # by the upstream
-    UNCLEAR = 7  # its link is lost; the second hop is asked back
-    WITHDRAWN = 8  # nobody waits for it any more
-    ENDED = 9  # without an answer of the upstream, or the first hop has its end
-    IDLE = 10  # of a connection to the upstream: nobody's
-    CLOSED = 11  # of a connection to the upstream: never used again
-    SENDING = 12  # its body leaves in pieces, and the last has not left
-    RECEIVING = 13  # its body comes in pieces, and is not whole
+    WAITING = 4  # queued for a slot at the upstream
+    PASSED_ON = 5  # on a connection to the upstream, or about to be written to one
+    ANSWERED = 6  # the upstream has responded
+    UNCLEAR = 7  # its link was lost; the first hop queries the second hop for its result
+    WITHDRAWN = 8  # cancelled: nobody waits for it any more
+    ENDED = 9  # ended without a response of the upstream; at the first hop: its end has arrived
+    IDLE = 10  # connection to the upstream: not in use
+    CLOSED = 11  # connection to the upstream: never used again
+    SENDING = 12  # the body is being sent in pieces and the last piece has not been written
+    RECEIVING = 13  # the body is being received in pieces and is not complete
 
 
 class Event(IntEnum):
-    """What may befall it."""
+    """Event that may change the state of a call or of a connection."""
 
     LINK_UP = 1
-    LINK_DOWN = 2  # it does not come up in time, or takes no frame
+    LINK_DOWN = 2  # the link does not come up in time, or accepts no frame
     LINK_LOST = 3
-    ANSWER = 4  # the upstream's own, whole, alone and for its id
-    TURNED_AWAY = 5  # with the word that it has not run and never will
-    NO_ANSWER = 6  # with the word that it may have run
-    PASSED = 7  # the second hop's word that the upstream has it
+    ANSWER = 4  # the upstream's response: complete, the only one, and with the call's id
+    TURNED_AWAY = 5  # with the guarantee that the call has not run and never will
+    NO_ANSWER = 6  # the call may have run
+    PASSED = 7  # the second hop reports that the call is at the upstream
     TIME_OVER = 8
-    GIVEN_UP = 9  # the client has left, or has its answer
-    PLACE = 10  # the upstream has one for it
-    NO_PLACE = 11  # the line has
+    GIVEN_UP = 9  # the client has disconnected, or already has its response
+    PLACE = 10  # the upstream has a free slot
+    NO_PLACE = 11  # the queue has room, the upstream has none
     ASKED_BACK = 12
     ASK = 13  # a call is written to the connection
-    STRAY = 14  # an answer to another call, or to nobody's
-    CROWDED = 15  # its own answer, with more behind it, or the connection is to close
-    PARTLY_SENT = 16  # its frame is written, and its body follows in pieces
-    WHOLE_SENT = 17  # the last of them is written
-    WHOLE = 18  # the last of them has come
+    STRAY = 14  # a response for another call, or on a connection without a call
+    CROWDED = 15  # the call's response with more bytes behind it, or the connection is about to close
+    PARTLY_SENT = 16  # the frame is written and the body follows in pieces
+    WHOLE_SENT = 17  # the last piece is written
+    WHOLE = 18  # the last piece has arrived
 
 
 class ExecutionStatus(Enum):
-    """What is known of a call's run."""
+    """What is known about whether a call has run."""
 
     NOT_YET = "has not run"
     NEVER = "has not run and never will"
@@ -81,7 +82,8 @@
 
 
 class Edge(Struct, frozen=True):
-    """``told``: what the client may be told where the call ends by this edge and nothing else is out."""
+    """One row of the table. ``client_result``: the result that the client may get if the call ends by this
+    edge and no other attempt is open. ``handler``: the function that implements the edge."""
 
     hop: Hop
     state: State
@@ -234,25 +236,27 @@
 CONNECTION_TABLE = _transitions(Hop.TAP)
 
 
-# Members of an enumeration are found slowly, and these are asked for with every call.
+# Module constants, because an enum member lookup is slow and these are used for every call.
 ANSWERED, TURNED_AWAY, UNANSWERED = Event.ANSWER, Event.TURNED_AWAY, Event.NO_ANSWER
 OK = Outcome.OK
 
 
 def event_of(end: End) -> Event:
-    """What the end of a call is at either hop."""
+    """The event that the end of a call is, at either hop."""
     if isinstance(end, UpstreamResponse):
         return ANSWERED
     return TURNED_AWAY if isinstance(end, NotExecuted) else UNANSWERED
 
 
-NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})  # statuses that promise the client: not executed
+# These statuses promise the client that its request has not run.
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 
 
 def outcome_of(end: End) -> Outcome:
-    """What the decisions are told: those of `hareloom.interface.NEVER_RAN` have not run and never will."""
+    """The outcome reported to the balancer. Those in `hareloom.interface.NEVER_RAN` mean that the call has
+    not run and never will."""
     if isinstance(end, UpstreamResponse):
-        if end.status in NOT_EXECUTED_STATUSES:  # without the mark that it did not run it is none
+        if end.status in NOT_EXECUTED_STATUSES:  # no promise without the not-executed header
             return Outcome.ERROR
         if end.status >= 500:
             return Outcome.TIMEOUT if end.status == 504 else Outcome.ERROR
@@ -264,49 +268,50 @@
     return Outcome.RESET
 
 
-# The upstream's connection
+# Connections to the upstream
 
 
-def answers_call(wanted: bytes, told: bytes | None) -> bool:
-    """Whether an answer that tells that id, or none, is for the call on its connection."""
-    return told is None or told == wanted
+def answers_call(attempt: bytes, received: bytes | None) -> bool:
+    """Whether a response with the id ``received``, or without an id, belongs to the call on its
+    connection."""
+    return received is None or received == attempt
 
 
-# The request as its client sees it
+# Results for the client
 
 
 class Served(Struct, frozen=True):
-    """An upstream's own answer, to be passed on as it is."""
+    """The upstream's response, passed on unchanged."""
 
     answer: UpstreamResponse
 
 
 class Refused(Struct, frozen=True):
-    """It has not run and never will."""
+    """The request has not run and never will."""
 
     retry_after_ms: float
 
 
 class Failed(Struct, frozen=True):
-    """It may have run; ``late``: its time is over."""
+    """The request may have run. ``late``: its deadline has passed."""
 
     late: bool
 
 
 class RouteChanged(Struct, frozen=True):
-    """It has not run, and its route is another by now: it is to be taken anew."""
+    """The request has not run, and its route has changed: it is to be routed again."""
 
 
 ClientResult = Served | Refused | Failed | RouteChanged
-Try = tuple[str, str, float]  # the upstream, how it ended, after so many milliseconds
+Try = tuple[str, str, float]  # instance, how the attempt ended, duration in ms
 
 
 CHOSEN, SENDING = State.CHOSEN, State.SENDING
-NOT_STARTED = frozenset({State.READ, State.WAITING})  # of a call at the second hop
+NOT_STARTED = frozenset({State.READ, State.WAITING})  # states of a call at the second hop
 
 
 class OutgoingCall:
-    """A call that the first hop has out."""
+    """An attempt of the first hop that has not ended."""
 
     __slots__ = (
         "query_timer",
@@ -320,25 +325,26 @@
         "state",
     )
 
-    def __init__(self, call: Call, ended: Callable[[End], None]) -> None:
-        self.call, self.on_end = call, ended
+    def __init__(self, call: Call, on_end: Callable[[End], None]) -> None:
+        self.call, self.on_end = call, on_end
         self.state = CHOSEN
-        self.link: Any = None  # the node's, as the passage has it
+        self.link: Any = None  # the `PeerLink` to the node
         self.number = 0
-        self.sent_s = 0.0  # seconds of the loop's clock; until it is written, when it was handed over
-        self.peer_incarnation: str | None = None  # of the second hop, on the link that was lost
-        self.dispatched: Any = None  # where the second hop is this process
-        self.query_timer: asyncio.TimerHandle | None = None  # when asking back is over
+        self.sent_s = 0.0  # loop time in seconds when it was written; before that, when it was handed over
+        self.peer_incarnation: str | None = None  # incarnation of the second hop on the link that was lost
+        self.dispatched: Any = None  # the `DispatchedCall`, where the second hop is this process
+        self.query_timer: asyncio.TimerHandle | None = None  # ends the status query
 
     @property
     def may_have_started(self) -> bool:
-        """Whether it may have reached the upstream, or still may once nobody here waits for it."""
+        """Whether it may have reached the upstream, or may still reach it after this process stops
+        waiting."""
         if self.dispatched is not None:
             return self.dispatched.state not in NOT_STARTED
         return self.state not in (CHOSEN, SENDING)
 
     def apply(self, event: Event) -> bool:
-        """Takes the event; False where it has no effect in this state."""
+        """Applies the event. Returns False if it has no effect in this state."""
         state = FIRST_HOP_TABLE.get((self.state, event))
         if state is None:
             return False
@@ -346,21 +352,21 @@
         return True
 
 
-MIN_QUERY_SHARE = 0.25  # of its aim a call is asked back for, however late its link was lost
+MIN_QUERY_SHARE = 0.25  # least part of its aim for which a call is queried, however late its link was lost
 
 
 def query_window_ms(call: Call, since_ms: float) -> float:
-    """How long the end of a call whose link is lost is asked for: what its aim leaves, and a quarter of the
-    aim at the least; not beyond its deadline. ``since_ms``: since it was sent. What may be repeated is not
-    asked for: it goes elsewhere at once."""
+    """How long, in milliseconds, the result of a call is queried after its link was lost: the rest of its
+    aim, at least `MIN_QUERY_SHARE` of the aim, at most until its deadline. ``since_ms``: time since it was
+    sent. Idempotent calls are not queried; they are retried elsewhere at once."""
     if not call.effectful:
         return 0.0
-    leaves = call.aim_ms - call.age_ms - since_ms
-    return max(min(max(leaves, MIN_QUERY_SHARE * call.aim_ms), call.remaining_ms - since_ms), 0.0)
+    aim_left_ms = call.aim_ms - call.age_ms - since_ms
+    return max(min(max(aim_left_ms, MIN_QUERY_SHARE * call.aim_ms), call.remaining_ms - since_ms), 0.0)
 
 
 class ClientRequest(Struct, eq=False):
-    """A client's request, from its whole arrival to its one answer."""
+    """A client's request, from its complete arrival to its single response."""
 
     id: str
     route: Route
@@ -369,28 +375,29 @@
     headers: http.Headers
     attempt: str
     caller: str
-    received_ms: float  # milliseconds of the loop's clock
+    received_ms: float  # loop time in milliseconds
     deadline: float
     reply: Callable[[ClientResult], None]
     outgoing: list[OutgoingCall | None] = field(default_factory=list)
     sent_ms: list[float] = field(default_factory=list)
     tries: list[Try] = field(default_factory=list)
-    reached: int = 0  # upstreams that it reached, or may have
-    unclear: bool = False  # it may have run
-    last_error: UpstreamResponse | None = None  # an upstream's answer that was no success
+    reached: int = 0  # number of attempts that reached an upstream, or may have
+    unclear: bool = False  # an attempt may have run
+    last_error: UpstreamResponse | None = None  # response of an upstream that was not a success
     deadline_timer: asyncio.TimerHandle | None = None
     finished: bool = False
     accept_stale_route: bool = False  # its route version was rejected as old, and no newer one is known here
-    repeat: bool = False  # made by a run that was itself a repeat, as far as can be known
-    key: int | None = None  # of a divided service, the key that it is on
+    repeat: bool = False  # made, as far as can be known, by an execution that was itself a repeat
+    key: int | None = None  # the request's key, where the service is sharded
 
     def may_have_run(self) -> bool:
-        """One whose body has not left whole has not run, and never does once it is dropped."""
-        return self.unclear or any(out is not None and out.state is not SENDING for out in self.outgoing)
+        """Whether an attempt may have run. An attempt whose body has not been sent completely has not run,
+        and never will once it is dropped."""
+        return self.unclear or any(call is not None and call.state is not SENDING for call in self.outgoing)
 
     def client_result(self, late: bool, retry_after_ms: float) -> ClientResult:
-        """What its client may be told now that nothing more is done for it: a promise only where it is
-        certain that it has not run and never will."""
+        """The result for the client when no further attempt is made. `Refused` promises that the request has
+        not run and never will, and is given only where that is certain."""
         if self.last_error is not None:
             return Served(self.last_error)
         return Failed(late) if self.may_have_run() else Refused(retry_after_ms)
--- a/mesh/data_plane/call_trace.py
+++ b/mesh/data_plane/call_trace.py
@@ -61,29 +61,29 @@
         proxy.client_listener.trace = self.response_sent
         self._count_bytes()
 
-    def first_hop(self, now: float, ask: ClientRequest, told: int | Refused | Failed | None) -> None:
+    def first_hop(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
         """A client's call has its end, or its client has left (None)."""
         ends = {Refused: "refused", Failed: "failed", type(None): "left"}
         self._event_log.tell(
             events.CALL_AT_FIRST_HOP,
-            attempt=ask.attempt,
-            route=ask.route.name,
-            service=ask.service,
-            aim_ms=ask.route.aim_ms,
-            took_ms=round(now - ask.received_ms, 1),
-            end=told if isinstance(told, int) else ends[type(told)],
-            tries="|".join(self._tries(now, ask)),
+            attempt=request.attempt,
+            route=request.route.name,
+            service=request.service,
+            aim_ms=request.route.aim_ms,
+            took_ms=round(now - request.received_ms, 1),
+            end=result if isinstance(result, int) else ends[type(result)],
+            tries="|".join(self._tries(now, request)),
         )
 
-    def _tries(self, now: float, ask: ClientRequest) -> Iterable[str]:
+    def _tries(self, now: float, request: ClientRequest) -> Iterable[str]:
         """Each try as upstream, when it was sent (ms), how long it took, and its end; one that is still out
         has taken until now."""
-        for number, (instance, end, took) in enumerate(ask.tries[:MAX_TRIES]):
-            sent = ask.sent_ms[number]
+        for number, (instance, end, took) in enumerate(request.tries[:MAX_TRIES]):
+            sent = request.sent_ms[number]
             took_ms = now - sent if end == "out" else took
-            yield f"{instance}/{sent - ask.received_ms:.1f}/{took_ms:.1f}/{end[:MAX_END_CHARS]}"
+            yield f"{instance}/{sent - request.received_ms:.1f}/{took_ms:.1f}/{end[:MAX_END_CHARS]}"
 
-    def second_hop(self, now: float, call: Call, came: float, began: float, end: End) -> None:
+    def second_hop(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
         """A call for the upstream beside this proxy has its end; ``began`` is 0 where it was never passed
         on."""
         self._event_log.tell(
@@ -91,8 +91,8 @@
             attempt=call.attempt,
             instance=call.instance,
             caller=call.caller,
-            waited_ms=round((began or now) - came, 1),
-            ran_ms=round(now - began, 1) if began else None,
+            waited_ms=round((started_ms or now) - received_ms, 1),
+            ran_ms=round(now - started_ms, 1) if started_ms else None,
             end=describe_end(end),
         )
 
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -42,9 +42,9 @@
 
     __slots__ = ("started_at", "call", "session_entry", "state")
 
-    def __init__(self, call: Call, kept: Kept[End] | None, began: float) -> None:
+    def __init__(self, call: Call, entry: Kept[End] | None, started_at: float) -> None:
         """``began``: when its frame came, in seconds of the loop."""
-        self.call, self.session_entry, self.started_at = call, kept, began
+        self.call, self.session_entry, self.started_at = call, entry, started_at
         self.state = State.RECEIVING
 
     def apply(self, event: Event) -> None:
@@ -61,13 +61,13 @@
     def __init__(
         self,
         link: Link,
-        upstream_dispatch: UpstreamDispatch,
+        dispatch: UpstreamDispatch,
         sessions: Sessions[End] | None = None,
         session: Session[End] | None = None,
         window: int = 0,
     ) -> None:
         """Takes over the link of a greeting."""
-        self._link, self._dispatch = link, upstream_dispatch
+        self._link, self._dispatch = link, dispatch
         self._sessions, self._session = sessions, session
         self._receiving: dict[int, ReceivingCall] = {}
         self._running: dict[int, DispatchedCall] = {}
@@ -102,61 +102,63 @@
         if session is not None and not session.take(number):
             return  # a second copy, or barred: whoever sent it waits for no answer over this link
         self._link.owes += 1
-        hold = Reservation(self._dispatch.bodies)
+        reservation = Reservation(self._dispatch.bodies)
         full = len(self._running) + len(self._receiving) >= self.MAX_OPEN_CALLS
-        if full or isinstance(body, RefusedBody) or not hold.grow(message.size or len(body)):
+        if full or isinstance(body, RefusedBody) or not reservation.grow(message.size or len(body)):
             self._send_end(number, NotExecuted(Why.FULL))
             return
-        kept: Kept[End] | None = None
+        entry: Kept[End] | None = None
         if session is not None and call.effectful:
-            kept = session.calls[number] = Kept(call.attempt)
+            entry = session.calls[number] = Kept(call.attempt)
         if not message.size:
-            self._start(number, call, kept, hold)
+            self._start(number, call, entry, reservation)
             return
-        receiving = self._receiving[number] = ReceivingCall(call, kept, self._loop.time())
-        if kept is not None:
-            kept.run = (receiving, self)
-        self._transfer.expect(number, message.size, hold, partial(self._on_body_complete, number))
+        receiving = self._receiving[number] = ReceivingCall(call, entry, self._loop.time())
+        if entry is not None:
+            entry.run = (receiving, self)
+        self._transfer.expect(number, message.size, reservation, partial(self._on_body_complete, number))
 
-    def _on_body_complete(self, number: int, body: BodyBytes, hold: Reservation) -> None:
+    def _on_body_complete(self, number: int, body: BodyBytes, reservation: Reservation) -> None:
         """The last piece of a call's body has come."""
         receiving = self._receiving.pop(number)
         receiving.apply(Event.WHOLE)
-        call, kept = receiving.call, receiving.session_entry
+        call, entry = receiving.call, receiving.session_entry
         call.body = body
         call.charge_wait((self._loop.time() - receiving.started_at) * 1000.0)
-        if kept is not None:
-            kept.run = None
-        self._start(number, call, kept, hold)
+        if entry is not None:
+            entry.run = None
+        self._start(number, call, entry, reservation)
 
-    def _start(self, number: int, call: Call, kept: Kept[End] | None, hold: Reservation) -> None:
+    def _start(self, number: int, call: Call, entry: Kept[End] | None, reservation: Reservation) -> None:
         """Passes a whole call on to the upstream, or to the line before it."""
-        if kept is None:
-            running = self._dispatch.accept(call, lambda end: self._finish(number, end, hold))
+        if entry is None:
+            dispatched = self._dispatch.accept(call, lambda end: self._finish(number, end, reservation))
         else:
-            running = self._dispatch.accept(call, lambda end: self._finish_tracked(number, kept, end, hold))
-        if running is None or running.state in FINAL_STATES:
+            dispatched = self._dispatch.accept(
+                call, lambda end: self._finish_tracked(number, entry, end, reservation)
+            )
+        if dispatched is None or dispatched.state in FINAL_STATES:
             return
-        self._running[number], running.reservation = running, hold
-        if kept is not None:
-            kept.run, running.session_entry = (running, self), kept
-            kept.waits = running.state is State.WAITING
+        self._running[number], dispatched.reservation = dispatched, reservation
+        if entry is not None:
+            entry.run, dispatched.session_entry = (dispatched, self), entry
+            entry.waits = dispatched.state is State.WAITING
 
-    def _finish(self, number: int, end: End, hold: Reservation) -> None:
+    def _finish(self, number: int, end: End, reservation: Reservation) -> None:
         """A call has its end; ``hold`` is its body's memory."""
-        hold.release()
+        reservation.release()
         self._send_end(number, end)
 
-    def _finish_tracked(self, number: int, kept: Kept[End], end: End, hold: Reservation) -> None:
+    def _finish_tracked(self, number: int, entry: Kept[End], end: End, reservation: Reservation) -> None:
         """So has one that can be asked for: to the link on which it is waited for, if there is one, and held
         besides."""
-        hold.release()
-        here: IncomingCalls | None = self if kept.run is None else kept.run[1]
+        reservation.release()
+        owner: IncomingCalls | None = self if entry.run is None else entry.run[1]
         if self._session is not None and self._sessions is not None:
             size = len(end.body) if isinstance(end, UpstreamResponse) else 0
             self._sessions.end(self._session, number, end, size, self._loop.time())
-        if here is not None:
-            here._send_end(number, end)
+        if owner is not None:
+            owner._send_end(number, end)
         elif isinstance(end, UpstreamResponse) and end.reservation is not None:
             end.reservation.release()  # what is held for a question has a bound of its own
 
@@ -185,18 +187,18 @@
         if number in self._sending:
             self._on_response_sent(number)
             return
-        kept: Kept[End] | None
+        entry: Kept[End] | None
         if number in self._receiving:
-            kept = self._receiving[number].session_entry
+            entry = self._receiving[number].session_entry
             self._withdraw(number, Event.GIVEN_UP)
         else:
-            running = self._running.pop(number, None)
-            if running is None:
+            dispatched = self._running.pop(number, None)
+            if dispatched is None:
                 return
             self._link.owes -= 1
-            self._drop(running)
-            kept = running.session_entry
-        if kept is not None and self._session is not None and self._sessions is not None:
+            self._drop(dispatched)
+            entry = dispatched.session_entry
+        if entry is not None and self._session is not None and self._sessions is not None:
             self._sessions.end(self._session, number, None, 0, self._loop.time())
 
     def _withdraw(self, number: int, event: Event) -> None:
@@ -208,27 +210,27 @@
     def _on_query(self, session: Session[End], number: int, attempt: str) -> None:
         self._link.owes += 1
         self._highest_number = max(self._highest_number, number)
-        verdict, kept = session.ask(number, attempt)
-        if verdict is Verdict.PASSED and kept is not None:
-            running, before = kept.run
-            if before is not None and before is not self:
-                before._leave(number)
-            kept.run, self._running[number] = (running, self), running
-            running.on(Event.ASKED_BACK)
+        verdict, entry = session.ask(number, attempt)
+        if verdict is Verdict.PASSED and entry is not None:
+            dispatched, previous = entry.run
+            if previous is not None and previous is not self:
+                previous._leave(number)
+            entry.run, self._running[number] = (dispatched, self), dispatched
+            dispatched.on(Event.ASKED_BACK)
             self._link.send(InProgress(number=number))
             return
-        if kept is not None and kept.run is not None:  # it waits
-            waiting, before = kept.run
+        if entry is not None and entry.run is not None:  # it waits
+            waiting, previous = entry.run
             if isinstance(waiting, ReceivingCall):
-                before._withdraw(number, Event.ASKED_BACK)
+                previous._withdraw(number, Event.ASKED_BACK)
             else:
-                if before is not None:
-                    before._leave(number)
+                if previous is not None:
+                    previous._leave(number)
                 self._drop(waiting, Event.ASKED_BACK)
         if verdict is Verdict.NO:
             self._send_end(number, NotExecuted(Why.LOST))
-        elif verdict is Verdict.DONE and kept is not None and kept.end is not None:
-            self._send_end(number, kept.end)
+        elif verdict is Verdict.DONE and entry is not None and entry.end is not None:
+            self._send_end(number, entry.end)
         else:
             self._send_end(number, Unclear("it was here; its end is held no more"))
 
@@ -242,10 +244,10 @@
         both, and may send those calls elsewhere. What the upstream has goes on for as long as there is
         time."""
         for number in list(self._receiving):
-            kept = self._receiving[number].session_entry
+            entry = self._receiving[number].session_entry
             self._withdraw(number, Event.GIVEN_UP)
             self._link.owes += 1  # for the word that comes now
-            if kept is not None and self._session is not None and self._sessions is not None:
+            if entry is not None and self._session is not None and self._sessions is not None:
                 self._sessions.end(self._session, number, NotExecuted(Why.LEAVING), 0, self._loop.time())
             self._send_end(number, NotExecuted(Why.LEAVING))
         self._leaving = True
@@ -267,20 +269,20 @@
         for number in list(self._sending):
             self._on_response_sent(number)
         self._transfer.close()
-        running, self._running = self._running, {}
-        for number, item in running.items():
-            kept = item.session_entry
-            if session is None or kept is None:
-                self._drop(item)
+        lost_calls, self._running = self._running, {}
+        for number, dispatched in lost_calls.items():
+            entry = dispatched.session_entry
+            if session is None or entry is None:
+                self._drop(dispatched)
             elif session.lost(number) is not None:
-                self._drop(item, Event.LINK_LOST)
+                self._drop(dispatched, Event.LINK_LOST)
             else:
-                item.apply(Event.LINK_LOST)
-                kept.run = (item, None)
+                dispatched.apply(Event.LINK_LOST)
+                entry.run = (dispatched, None)
         if session is not None and self._sessions is not None:
             self._sessions.closed(session, self._loop.time())
 
-    def _drop(self, running: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
-        self._dispatch.drop(running, event)
-        if running.reservation is not None:
-            running.reservation.release()
+    def _drop(self, dispatched: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
+        self._dispatch.drop(dispatched, event)
+        if dispatched.reservation is not None:
+            dispatched.reservation.release()
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -76,9 +76,9 @@
 class PeerLink:
     """One node's link, as the first hop has it."""
 
-    def __init__(self, passage: PeerLinkContext, node: str, address: Address) -> None:
+    def __init__(self, context: PeerLinkContext, node: str, address: Address) -> None:
         """No link is open yet."""
-        self.context, self.node, self.address = passage, node, address
+        self.context, self.node, self.address = context, node, address
         self.link: Link | None = None
         self.transfer: BodyTransfer | None = None  # of bodies in pieces over that link
         self.verified = False  # the link is up, and its other end is at work as far as can be known
@@ -97,35 +97,37 @@
         self.retired = False  # the node is elsewhere now, or gone
         self.peer_leaving = False  # the other end of the link has said its last word
 
-    def send(self, out: OutgoingCall) -> None:
+    def send(self, outgoing: OutgoingCall) -> None:
         """Writes a call, or keeps it until the link is up, or turns it away."""
-        self.used_at = out.sent_s = self.context.loop.time()
-        if self._may_write(out):
-            self._write(out)
+        self.used_at = outgoing.sent_s = self.context.loop.time()
+        if self._may_write(outgoing):
+            self._write(outgoing)
         elif self.down or self.peer_leaving:
-            self._reject(out)
+            self._reject(outgoing)
         else:
             if not self.waiting:
                 self.context.loop.call_later(CONNECT_WAIT_S, self._reject_waiting)
-            self.waiting.append(out)
+            self.waiting.append(outgoing)
             if self.connecting is None and self.link is None:
                 self.open()
 
-    def _may_write(self, out: OutgoingCall) -> bool:
+    def _may_write(self, outgoing: OutgoingCall) -> bool:
         """What is effectful waits until it is known of whom it could be asked for, and a long body until it
         is known whether the other end takes pieces."""
         up = self.verified and not self.peer_leaving and self.link is not None and self.link.up
-        return up and (self.incarnation_known or not (out.call.effectful or len(out.call.body) > PIECE_BYTES))
+        return up and (
+            self.incarnation_known or not (outgoing.call.effectful or len(outgoing.call.body) > PIECE_BYTES)
+        )
 
     def open(self) -> None:
         """Begins to open a link."""
         self.opened_at = self.context.loop.time()
         self.connecting = self.context.loop.create_task(self._connect())
 
-    def _reject(self, out: OutgoingCall, why: Why = Why.DOWN) -> None:
+    def _reject(self, outgoing: OutgoingCall, why: Why = Why.DOWN) -> None:
         """Nothing of it has left."""
-        if out.apply(Event.LINK_DOWN):
-            out.on_end(NotExecuted(why))
+        if outgoing.apply(Event.LINK_DOWN):
+            outgoing.on_end(NotExecuted(why))
 
     def _reject_waiting(self) -> None:
         """Whoever still waits for the first link waits no more."""
@@ -134,54 +136,54 @@
         waiting, self.waiting = self.waiting, []
         if waiting:
             self._mark_down()
-        for out in waiting:
-            self._reject(out)
+        for outgoing in waiting:
+            self._reject(outgoing)
 
     def _mark_down(self) -> None:
         if not self.down:
             self.down = True
             self.context.on_reachable(self.node, False)
 
-    def _write(self, out: OutgoingCall) -> None:
+    def _write(self, outgoing: OutgoingCall) -> None:
         assert self.link is not None and self.transfer is not None
-        body = out.call.body
+        body = outgoing.call.body
         in_pieces = len(body) > PIECE_BYTES and self.transfer.takes_pieces
         if len(body) > MOST and not in_pieces:
-            self._reject(out, Why.FULL)  # an earlier program ends the link on such a frame
+            self._reject(outgoing, Why.FULL)  # an earlier program ends the link on such a frame
             return
         self.context.last_number += 1  # over all links of this life, and never used again
-        out.number, out.sent_s = self.context.last_number, self.context.loop.time()
-        if not self.link.send(out.call.head(out.number, in_pieces), None if in_pieces else body):
-            self._reject(out)
+        outgoing.number, outgoing.sent_s = self.context.last_number, self.context.loop.time()
+        if not self.link.send(outgoing.call.head(outgoing.number, in_pieces), None if in_pieces else body):
+            self._reject(outgoing)
         elif not in_pieces:
-            out.state = AFTER_LINK_UP
-            self._await_end(out)
+            outgoing.state = AFTER_LINK_UP
+            self._await_end(outgoing)
         else:
-            out.apply(Event.PARTLY_SENT)
-            self._await_end(out)
-            self.transfer.send(out.number, body, partial(self._on_body_sent, out))
+            outgoing.apply(Event.PARTLY_SENT)
+            self._await_end(outgoing)
+            self.transfer.send(outgoing.number, body, partial(self._on_body_sent, outgoing))
 
-    def _on_body_sent(self, out: OutgoingCall) -> None:
+    def _on_body_sent(self, outgoing: OutgoingCall) -> None:
         """The last piece of its body has left: from now on it may run."""
-        out.apply(Event.WHOLE_SENT)
+        outgoing.apply(Event.WHOLE_SENT)
 
-    def _await_end(self, out: OutgoingCall) -> None:
+    def _await_end(self, outgoing: OutgoingCall) -> None:
         assert self.link is not None
-        self.open_calls[out.number] = out
+        self.open_calls[outgoing.number] = outgoing
         self.link.expects += 1
         if len(self.open_calls) == 1:
             self.link.heard_at = self.context.loop.time()  # silence counts from here
 
     def _write_waiting(self) -> None:
         waiting, self.waiting = self.waiting, []
-        for out in waiting:
-            if self._may_write(out):
-                out.call.charge_wait((self.context.loop.time() - out.sent_s) * 1000.0)
-                self._write(out)
+        for outgoing in waiting:
+            if self._may_write(outgoing):
+                outgoing.call.charge_wait((self.context.loop.time() - outgoing.sent_s) * 1000.0)
+                self._write(outgoing)
             elif self.link is not None and self.link.up:
-                self.waiting.append(out)
+                self.waiting.append(outgoing)
             else:
-                self._reject(out)
+                self._reject(outgoing)
 
     def _new_link(self) -> Link:
         link = Link(lambda _: None, self._on_frame, self._on_link_lost, self.context.local.frames)
@@ -208,7 +210,7 @@
             Greeting(
                 node=self.context.node,
                 purpose="calls",
-                life=self.context.incarnation,
+                incarnation=self.context.incarnation,
                 core=select_top(self.node, core, MAX_CORE_ADDRESSES),
                 window=WINDOW_BYTES,
             )
@@ -225,8 +227,8 @@
         if self.refused_connects == 1 and self.to_query:
             self.open()
         elif self.refused_connects > 1:
-            for out in list(self.to_query.values()):
-                self.context.turns.take(partial(self._end_unclear, out, "nobody is there"))
+            for outgoing in list(self.to_query.values()):
+                self.context.turns.take(partial(self._end_unclear, outgoing, "nobody is there"))
 
     def _on_incarnation_timeout(self, link: Link) -> None:
         if self.link is link and not self.incarnation_known:
@@ -257,71 +259,73 @@
             elif isinstance(message, BodyAck):
                 self.transfer.on_ack(message)
             elif isinstance(message, InProgress):
-                out = self.open_calls.get(message.number)
-                if out is not None and out.apply(Event.PASSED):
-                    self._cancel_query_timer(out)
+                outgoing = self.open_calls.get(message.number)
+                if outgoing is not None and outgoing.apply(Event.PASSED):
+                    self._cancel_query_timer(outgoing)
             elif isinstance(message, GreetingReply):
                 self._on_greeting_reply(link, message)
             elif isinstance(message, GoAway):
                 self._on_go_away(link, message)
-        except ValueError as fault:
-            link.close(f"unreadable {type(message).__name__}: {fault}")
+        except ValueError as error:
+            link.close(f"unreadable {type(message).__name__}: {error}")
 
     def _on_end_frame(self, link: Link, transfer: BodyTransfer, message: EndHead, body: bytes) -> None:
         """A call's end, or its head while its answer's body still is to come in pieces."""
         number, size = message.number, message.size or message.body or 0
-        out = self.open_calls.get(number)
-        if out is None:
+        outgoing = self.open_calls.get(number)
+        if outgoing is None:
             if message.size:  # else its pieces would wait at the other end for a word of this one
                 link.send(Drop(number=number))
             return
-        hold = Reservation(self.context.local.answers)
-        if isinstance(body, RefusedBody) or not hold.grow(size):
+        reservation = Reservation(self.context.local.answers)
+        if isinstance(body, RefusedBody) or not reservation.grow(size):
             if message.size:
                 link.send(Drop(number=number))
-            self._finish(link, out, Unclear(f"memory does not bear its answer of {size} bytes"))
+            self._finish(link, outgoing, Unclear(f"memory does not bear its answer of {size} bytes"))
         elif message.size:
-            self._cancel_query_timer(out)
-            transfer.expect(number, size, hold, partial(self._on_response_complete, link, out, message))
+            self._cancel_query_timer(outgoing)
+            transfer.expect(
+                number, size, reservation, partial(self._on_response_complete, link, outgoing, message)
+            )
         else:
-            self._finish(link, out, read_end(message, body, hold))
+            self._finish(link, outgoing, read_end(message, body, reservation))
 
     def _on_go_away(self, link: Link, message: GoAway) -> None:
         """The other end has taken its last call, and all its ends have come before this word. What was
         written behind that call has not run and never will. What was asked after may have come over an
         earlier link, and stays unclear."""
         self.peer_leaving = True  # whoever is turned away may be sent again before this returns
-        for number, out in list(self.open_calls.items()):
-            if number > message.last and out.state is not State.UNCLEAR:
-                self._finish(link, out, NotExecuted(Why.LEAVING))
+        for number, outgoing in list(self.open_calls.items()):
+            if number > message.last and outgoing.state is not State.UNCLEAR:
+                self._finish(link, outgoing, NotExecuted(Why.LEAVING))
         link.close(PEER_LEFT)
 
     def _on_response_complete(
-        self, link: Link, out: OutgoingCall, message: EndHead, body: BodyBytes, hold: Reservation
+        self, link: Link, outgoing: OutgoingCall, message: EndHead, body: BodyBytes, reservation: Reservation
     ) -> None:
         """The last piece of an answer has come."""
-        self._finish(link, out, read_end(message, body, hold))
+        self._finish(link, outgoing, read_end(message, body, reservation))
 
-    def _finish(self, link: Link, out: OutgoingCall, end: End) -> None:
-        del self.open_calls[out.number]
+    def _finish(self, link: Link, outgoing: OutgoingCall, end: End) -> None:
+        del self.open_calls[outgoing.number]
         link.expects -= 1
-        if out.query_timer is not None:
-            self._cancel_query_timer(out)
-        state = FIRST_HOP_TABLE.get((out.state, event_of(end)))
+        if outgoing.query_timer is not None:
+            self._cancel_query_timer(outgoing)
+        state = FIRST_HOP_TABLE.get((outgoing.state, event_of(end)))
         if state is None:
             return
-        self._stop_sending(out)
-        out.state = state
-        out.on_end(end)
+        self._stop_sending(outgoing)
+        outgoing.state = state
+        outgoing.on_end(end)
 
-    def _stop_sending(self, out: OutgoingCall) -> None:
+    def _stop_sending(self, outgoing: OutgoingCall) -> None:
         """Also where all of its body is written: who turned the call away confirms none of it."""
-        if self.transfer is not None and len(out.call.body) > PIECE_BYTES:
-            self.transfer.cancel_sending(out.number)
+        if self.transfer is not None and len(outgoing.call.body) > PIECE_BYTES:
+            self.transfer.cancel_sending(outgoing.number)
 
-    def _stop_receiving(self, out: OutgoingCall) -> None:
+    def _stop_receiving(self, outgoing: OutgoingCall) -> None:
         if self.transfer is not None:
-            self.transfer.cancel_receiving(out.number)
+            self.transfer.cancel_receiving(outgoing.number)
 
     # After a loss
 
@@ -331,30 +335,30 @@
             return
         if not self.transfer.takes_pieces:  # it may come late, and a second one changes nothing
             self.transfer = BodyTransfer(link, message.window)
-        self.peer_incarnation, self.silent_links, self.incarnation_known = message.life, 0, True
+        self.peer_incarnation, self.silent_links, self.incarnation_known = message.incarnation, 0, True
         if self.verified:
             self._write_waiting()
         else:
             link.expects -= 1
             self._mark_verified()
-        for out in list(self.to_query.values()):
-            self.context.turns.take(partial(self._query, out), question=True)
+        for outgoing in list(self.to_query.values()):
+            self.context.turns.take(partial(self._query, outgoing), question=True)
 
-    def _query(self, out: OutgoingCall) -> None:
+    def _query(self, outgoing: OutgoingCall) -> None:
         link = self.link
-        if link is None or not self.verified or out.number not in self.to_query:
+        if link is None or not self.verified or outgoing.number not in self.to_query:
             return  # over the next link, or never
-        if out.peer_incarnation != self.peer_incarnation:
-            self._end_unclear(out, "another life is there")
-        elif self.to_query.pop(out.number, None) is not None:
-            self._await_end(out)
-            link.send(StatusQuery(number=out.number, attempt=out.call.attempt))
+        if outgoing.peer_incarnation != self.peer_incarnation:
+            self._end_unclear(outgoing, "another life is there")
+        elif self.to_query.pop(outgoing.number, None) is not None:
+            self._await_end(outgoing)
+            link.send(StatusQuery(number=outgoing.number, attempt=outgoing.call.attempt))
 
-    def _cancel_query_timer(self, out: OutgoingCall) -> None:
+    def _cancel_query_timer(self, outgoing: OutgoingCall) -> None:
         """What became of it is known, or where it is."""
-        if out.query_timer is not None:
-            out.query_timer.cancel()
-            out.query_timer = None
+        if outgoing.query_timer is not None:
+            outgoing.query_timer.cancel()
+            outgoing.query_timer = None
 
     def _on_link_lost(self, link: Link, why: str) -> None:
         if self.link is not link:
@@ -368,14 +372,14 @@
             self.transfer.close()
             self.transfer = None
         self._reject_waiting()
-        out, self.open_calls = self.open_calls, {}
+        lost_calls, self.open_calls = self.open_calls, {}
         if why != IDLE and not self.retired:
             self._schedule_reconnect()
-        for item in out.values():
-            self._lose_call(item, why)
-        if out:
+        for outgoing in lost_calls.values():
+            self._lose_call(outgoing, why)
+        if lost_calls:
             self.context.event_log.tell(
-                events.CALLS_CUT, peer=self.node, calls=len(out), asked=len(self.to_query), why=why
+                events.CALLS_CUT, peer=self.node, calls=len(lost_calls), asked=len(self.to_query), why=why
             )
         if (
             self.to_query
@@ -384,61 +388,63 @@
         ):
             self.open()
 
-    def _lose_call(self, out: OutgoingCall, why: str) -> None:
+    def _lose_call(self, outgoing: OutgoingCall, why: str) -> None:
         """The link that it was out on is lost."""
-        partly = out.state is SENDING
-        if not out.apply(Event.LINK_LOST):
+        partly_sent = outgoing.state is SENDING
+        if not outgoing.apply(Event.LINK_LOST):
             return
-        if partly:  # the rest of its body never leaves
-            self.context.turns.take(partial(out.on_end, NotExecuted(Why.LOST)))
+        if partly_sent:  # the rest of its body never leaves
+            self.context.turns.take(partial(outgoing.on_end, NotExecuted(Why.LOST)))
         else:
-            self._schedule_query(out, why)
+            self._schedule_query(outgoing, why)
 
-    def _schedule_query(self, out: OutgoingCall, why: str) -> None:
+    def _schedule_query(self, outgoing: OutgoingCall, why: str) -> None:
         """A call whose link is lost: asked after over the next one where that can tell anything in time."""
-        now, out.peer_incarnation = self.context.loop.time(), self.peer_incarnation
-        wait_ms = query_window_ms(out.call, (now - out.sent_s) * 1000.0)
-        if self.retired or out.peer_incarnation is None or wait_ms <= 0.0:
-            self._cancel_query_timer(out)
-            self.context.turns.take(partial(self._end_unclear, out, why))
+        now, outgoing.peer_incarnation = self.context.loop.time(), self.peer_incarnation
+        window_ms = query_window_ms(outgoing.call, (now - outgoing.sent_s) * 1000.0)
+        if self.retired or outgoing.peer_incarnation is None or window_ms <= 0.0:
+            self._cancel_query_timer(outgoing)
+            self.context.turns.take(partial(self._end_unclear, outgoing, why))
             return
-        self.to_query[out.number] = out
-        if out.query_timer is None:
-            out.query_timer = self.context.loop.call_later(wait_ms / 1000.0, self._end_unclear, out, why)
+        self.to_query[outgoing.number] = outgoing
+        if outgoing.query_timer is None:
+            outgoing.query_timer = self.context.loop.call_later(
+                window_ms / 1000.0, self._end_unclear, outgoing, why
+            )
 
-    def _end_unclear(self, out: OutgoingCall, why: str) -> None:
+    def _end_unclear(self, outgoing: OutgoingCall, why: str) -> None:
         """Nothing more is done to learn what became of it."""
-        self._cancel_query_timer(out)
-        self.to_query.pop(out.number, None)
-        if self.open_calls.pop(out.number, None) is not None and self.link is not None:
+        self._cancel_query_timer(outgoing)
+        self.to_query.pop(outgoing.number, None)
+        if self.open_calls.pop(outgoing.number, None) is not None and self.link is not None:
             self.link.expects -= 1
-            self._stop_sending(out)
-            self._stop_receiving(out)
-        if out.apply(Event.TIME_OVER):
-            out.on_end(Unclear(why))
+            self._stop_sending(outgoing)
+            self._stop_receiving(outgoing)
+        if outgoing.apply(Event.TIME_OVER):
+            outgoing.on_end(Unclear(why))
 
-    def drop(self, out: OutgoingCall) -> None:
+    def drop(self, outgoing: OutgoingCall) -> None:
         """Nobody waits for it any more."""
-        if not out.apply(Event.GIVEN_UP):
+        if not outgoing.apply(Event.GIVEN_UP):
             return
-        self._cancel_query_timer(out)
-        self.to_query.pop(out.number, None)
-        if out in self.waiting:
-            self.waiting.remove(out)
-        elif self.open_calls.pop(out.number, None) is not None and self.link is not None:
+        self._cancel_query_timer(outgoing)
+        self.to_query.pop(outgoing.number, None)
+        if outgoing in self.waiting:
+            self.waiting.remove(outgoing)
+        elif self.open_calls.pop(outgoing.number, None) is not None and self.link is not None:
             self.link.expects -= 1
-            self._stop_sending(out)
-            self._stop_receiving(out)
-            self.link.send(Drop(number=out.number))
+            self._stop_sending(outgoing)
+            self._stop_receiving(outgoing)
+            self.link.send(Drop(number=outgoing.number))
 
     def retire(self) -> None:
         """The node is elsewhere now, or gone. What is out may have run; what waits has not been sent."""
         self.retired = True
         waiting, self.waiting = self.waiting, []
-        for out in waiting:
-            self._reject(out)
-        for out in list(self.to_query.values()):
-            self._end_unclear(out, NODE_MOVED)
+        for outgoing in waiting:
+            self._reject(outgoing)
+        for outgoing in list(self.to_query.values()):
+            self._end_unclear(outgoing, NODE_MOVED)
         if self.link is not None:
             self.link.close(NODE_MOVED)
 
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -25,16 +25,16 @@
         node: str,
         local: UpstreamDispatch,
         event_log: EventLog,
-        reached: Callable[[str, bool], None],
-        life: str = "",
+        on_reachable: Callable[[str, bool], None],
+        incarnation: str = "",
     ) -> None:
         """No link is open yet."""
         self.node, self.local, self.event_log, self.on_reachable, self.incarnation = (
             node,
             local,
             event_log,
-            reached,
-            life,
+            on_reachable,
+            incarnation,
         )
         self.loop = asyncio.get_running_loop()
         self.last_number = 0
@@ -44,17 +44,17 @@
         self.turns = PacedTurns(self.loop)  # of calls of lost links, over all links
 
     def send(
-        self, call: Call, node: str, address: Address | None, ended: Callable[[End], None]
+        self, call: Call, node: str, address: Address | None, on_end: Callable[[End], None]
     ) -> OutgoingCall:
         """``ended`` is called once, perhaps before this returns, unless the call is dropped."""
-        out = OutgoingCall(call, ended)
+        outgoing = OutgoingCall(call, on_end)
         if node == self.node:
-            out.dispatched = self.local.accept(call, ended)
-            return out
+            outgoing.dispatched = self.local.accept(call, on_end)
+            return outgoing
         link = self._links.get(node)
         if address is None:
-            ended(NotExecuted(Why.DOWN))
-            return out
+            on_end(NotExecuted(Why.DOWN))
+            return outgoing
         self._retiring.discard(node)
         if link is None or link.address != address:
             if link is not None:
@@ -63,16 +63,16 @@
             link = self._links[node] = PeerLink(self, node, address)
             if known_down:
                 self.on_reachable(node, True)
-        out.link = link
-        link.send(out)
-        return out
+        outgoing.link = link
+        link.send(outgoing)
+        return outgoing
 
-    def drop(self, out: OutgoingCall) -> None:
+    def drop(self, outgoing: OutgoingCall) -> None:
         """Nobody waits for it any more."""
-        if out.dispatched is not None:
-            self.local.drop(out.dispatched)
-        elif out.link is not None:
-            out.link.drop(out)
+        if outgoing.dispatched is not None:
+            self.local.drop(outgoing.dispatched)
+        elif outgoing.link is not None:
+            outgoing.link.drop(outgoing)
 
     def open_early(self, node: str, address: Address) -> None:
         """Opens a link that a call will soon want; nothing where there is one, or one is tried already."""
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -132,7 +132,7 @@
             self.routes.find,
             self.configured,
             lambda service: self.service_balancers.by_service[service].update_instances(
-                self.membership.of(service), whole=True
+                self.membership.of(service), full=True
             ),
         )
         self._join_hops()
@@ -423,7 +423,7 @@
             link.node = str(head.get("node", ""))
             self.incoming_links.add(link)
             if session is not None:
-                link.send(GreetingReply(life=self.incarnation, window=WINDOW_BYTES))
+                link.send(GreetingReply(incarnation=self.incarnation, window=WINDOW_BYTES))
             self._hear_of(head.get("core"))
         elif head.get("t") == "hello" and head.get("for") == "news" and "source" in head and "node" in head:
             self.channels.adopt(link, head)
--- a/mesh/data_plane/route_classes.py
+++ b/mesh/data_plane/route_classes.py
@@ -1,8 +1,8 @@
-"""The classes in which a service's routes are told to the decision module, bounded in number. No I/O.
+"""Maps the routes of a service to a bounded number of request classes for the decision module. No I/O.
 
-A route has a class of its own while there is room. Beyond that, routes that may do the same, are worth the
-same and have times of like size share one, so that a route which came late is decided on by figures like its
-own and not by those of whichever route came first.
+A route has a class of its own while there is room. Beyond that, routes with the same effect, the same worth
+and similar times share a class, so that a late route is judged by figures like its own and not by those of
+whichever route came first.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from hareloom.interface import Effect
 from mesh.configuration.routes import Route
 
-MAX_OWN_CLASSES = 64  # routes with a class of their own
-MAX_SHARED_CLASSES = 64  # classes that others share; beyond these, all that may do the same share one
-LATE_WORTH = 0.3  # of an answer after its aim, as no configuration tells it
-MAX_CACHED_ROUTES = 4096  # routes whose class is remembered; then the memory begins anew
-MAX_PRIORITY = 8  # priorities beyond it are worth as much as it
+MAX_OWN_CLASSES = 64  # classes of single routes
+MAX_SHARED_CLASSES = 64  # beyond these, all routes with the same effect share one class
+LATE_WORTH = 0.3  # worth of a response after the aim; no configuration sets it
+MAX_CACHED_ROUTES = 4096  # when full, the cache is cleared
+MAX_PRIORITY = 8  # lower priorities are worth as much as this one
 
 
 def worth_of(route: Route) -> float:
-    """Of one call, relative to those of the highest priority."""
+    """Worth of one call, relative to calls of the highest priority."""
     return 2.0 ** -min(route.priority, MAX_PRIORITY)
 
 
 def class_of(route: Route) -> api.RequestClass:
-    """The class of a route by itself."""
+    """The class of a single route."""
     aim_ms = min(route.aim_ms, route.horizon_ms) if route.aim_ms > 0 else route.horizon_ms
     return api.RequestClass(
         route.name,
@@ -39,40 +39,43 @@
     )
 
 
-def shared_class(klass: api.RequestClass) -> api.RequestClass:
-    """The class that is shared by those like it: their times are rounded to powers of two."""
-    aim_ms, deadline_ms = (_nearest_power_of_two(span) for span in (klass.aim_ms, klass.deadline_ms))
-    name = f"{_effect_name(klass)}, worth {klass.worth:g}, aim {aim_ms:g} ms, horizon {deadline_ms:g} ms"
-    return replace(klass, name=name, aim_ms=aim_ms, deadline_ms=deadline_ms)
+def shared_class(request_class: api.RequestClass) -> api.RequestClass:
+    """The class shared by similar routes: times are rounded to powers of two."""
+    aim_ms, deadline_ms = (
+        _nearest_power_of_two(duration_ms)
+        for duration_ms in (request_class.aim_ms, request_class.deadline_ms)
+    )
+    name = f"{_effect_name(request_class)}, worth {request_class.worth:g}, aim {aim_ms:g} ms, horizon {deadline_ms:g} ms"
+    return replace(request_class, name=name, aim_ms=aim_ms, deadline_ms=deadline_ms)
 
 
-def _effect_name(klass: api.RequestClass) -> str:
-    return "effectful" if klass.effect is Effect.UNSAFE else "idempotent"
+def _effect_name(request_class: api.RequestClass) -> str:
+    return "effectful" if request_class.effect is Effect.UNSAFE else "idempotent"
 
 
-def _nearest_power_of_two(span_ms: float) -> float:
-    return 2.0 ** round(math.log2(max(span_ms, 1.0)))
+def _nearest_power_of_two(duration_ms: float) -> float:
+    return 2.0 ** round(math.log2(max(duration_ms, 1.0)))
 
 
 class RouteClasses:
-    """Of one service."""
+    """Request classes of one service."""
 
     def __init__(self) -> None:
-        """No routes yet."""
-        self._own: dict[str, api.RequestClass] = {}  # by the route's name
+        """Starts without routes."""
+        self._own: dict[str, api.RequestClass] = {}  # by route name
         self._shared: dict[str, api.RequestClass] = {}
-        self._cache: dict[str, tuple[Route, str]] = {}  # as each came last, and its class
-        self.max_trials = 1  # the most that any route has had
+        self._cache: dict[str, tuple[Route, str]] = {}  # latest version, name of its class
+        self.max_trials = 1  # the highest of any route so far
 
     def all(self) -> tuple[api.RequestClass, ...]:
-        """The classes that decisions are made by, those of single routes first."""
+        """All classes, those of single routes first."""
         return *self._own.values(), *self._shared.values()
 
     def assign(self, route: Route) -> tuple[str, bool]:
-        """The name of a route's class, and whether the decision module must be told of a change."""
-        known = self._cache.get(route.name)
-        if known is not None and known[0] is route:
-            return known[1], False
+        """The name of a route's class, and whether the decision module needs new settings."""
+        cached = self._cache.get(route.name)
+        if cached is not None and cached[0] is route:
+            return cached[1], False
         name, changed = self._choose(class_of(route))
         if len(self._cache) >= MAX_CACHED_ROUTES:
             self._cache.clear()
@@ -81,15 +84,15 @@
             self.max_trials, changed = route.trials, True
         return name, changed
 
-    def _choose(self, klass: api.RequestClass) -> tuple[str, bool]:
-        before = self._own.get(klass.name)
-        if before is not None or len(self._own) < MAX_OWN_CLASSES:
-            self._own[klass.name] = klass
-            return klass.name, klass != before
-        klass = shared_class(klass)
-        if klass.name not in self._shared and len(self._shared) >= MAX_SHARED_CLASSES:
-            klass = replace(klass, name=_effect_name(klass))
-        if klass.name in self._shared:
-            return klass.name, False
-        self._shared[klass.name] = klass
-        return klass.name, True
+    def _choose(self, request_class: api.RequestClass) -> tuple[str, bool]:
+        existing = self._own.get(request_class.name)
+        if existing is not None or len(self._own) < MAX_OWN_CLASSES:
+            self._own[request_class.name] = request_class
+            return request_class.name, request_class != existing
+        request_class = shared_class(request_class)
+        if request_class.name not in self._shared and len(self._shared) >= MAX_SHARED_CLASSES:
+            request_class = replace(request_class, name=_effect_name(request_class))
+        if request_class.name in self._shared:
+            return request_class.name, False
+        self._shared[request_class.name] = request_class
+        return request_class.name, True
--- a/mesh/data_plane/route_preparation.py
+++ b/mesh/data_plane/route_preparation.py
@@ -21,7 +21,7 @@
         known = membership.of(service)
         live = [value for _, value in known if value is not None and value["state"] == SETTLED]
         if new:
-            table.update_instances(known, whole=True)
+            table.update_instances(known, full=True)
             for other in select_top(node, {str(value["node"]) for value in live}, 1):
                 address = membership.address(other)
                 if address is not None:
--- a/mesh/data_plane/service_parts.py
+++ b/mesh/data_plane/service_parts.py
@@ -1,4 +1,4 @@
-"""What the tables of a proxy's services have in common, as one table sees it."""
+"""State that the balancers of a proxy's services share, as one balancer sees it."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 class ServiceContext(Protocol):
-    """``ratio``, ``window_ms`` and ``slack`` bound further tries; ``watch`` is told of each call's end,
-    ``renew`` of an item that a second hop knows to be newer."""
+    """``retry_ratio``, ``retry_window_ms`` and ``retry_slack`` limit retries. ``on_request_end`` is called
+    with the result of each request, ``on_newer_item`` with an item that a second hop knows to be newer."""
 
     loop: asyncio.AbstractEventLoop
     peer_links: PeerLinks
@@ -34,10 +34,10 @@
     on_newer_item: Callable[[list[Any] | None], None]
 
     def now(self) -> float:
-        """Milliseconds of the loop's clock."""
+        """Loop time in milliseconds."""
 
     def address_of(self, node: str) -> Address | None:
-        """Where a node is; None where it is not known."""
+        """Address of a node; None if it is not known."""
 
     def seed(self) -> int:
-        """For the decisions of one service."""
+        """Random seed for the decision module of one service."""
--- a/mesh/data_plane/service_tables.py
+++ b/mesh/data_plane/service_tables.py
@@ -1,4 +1,4 @@
-"""The tables of all services of one proxy, and what they share."""
+"""The balancers of all services of one proxy, and the state that they share."""
 
 from __future__ import annotations
 
@@ -22,74 +22,72 @@
 
 
 class NodeAddresses(Protocol):
-    """Where an instance is, as the membership has it."""
+    """Node addresses known from the membership."""
 
     def address(self, node: str) -> Address | None:
-        """Of a node; None where it is not known."""
+        """Address of a node; None if it is not known."""
 
 
 class ServiceBalancers:
-    """All services' tables of this sidecar, and what they share."""
+    """All service balancers of this sidecar, and the state that they share."""
 
     def __init__(
         self,
-        passage: PeerLinks,
-        place: NodeAddresses,
+        peer_links: PeerLinks,
+        addresses: NodeAddresses,
         node_of: Callable[[str], str],
         zone: str,
-        bounds: tuple[float, float, float],
+        retry_budget: tuple[float, float, float],
         seed: int,
         event_log: EventLog,
     ) -> None:
-        """``bounds``: ratio, window in milliseconds and slack of the budget of further tries."""
+        """``retry_budget``: ratio, window in milliseconds and slack of the retry budget."""
         self.loop = asyncio.get_running_loop()
-        self.peer_links, self.node_of, self._addresses = passage, node_of, place
+        self.peer_links, self.node_of, self._addresses = peer_links, node_of, addresses
         self.zone, self.event_log = zone, event_log
-        self.retry_ratio, self.retry_window_ms, self.retry_slack = bounds
+        self.retry_ratio, self.retry_window_ms, self.retry_slack = retry_budget
         self._random = random.Random(seed)
         self.sidecars, self.multiple_zones = 3, False
         self.by_service: dict[str, ServiceBalancer] = {}
         self.keys = KeyMaps()
         self.traces = FirstHopTraces()
-        self.on_request_end: Callable[[ClientRequest, int | Refused | Failed], None] = (
-            _ignore  # each call's end
-        )
-        self.on_newer_item: Callable[[list[Any] | None], None] = _ignore  # a second hop knows a newer item
+        self.on_request_end: Callable[[ClientRequest, int | Refused | Failed], None] = _ignore
+        self.on_newer_item: Callable[[list[Any] | None], None] = _ignore  # set by the proxy
 
     def now(self) -> float:
-        """Milliseconds of the loop's clock."""
+        """Loop time in milliseconds."""
         return self.loop.time() * 1000.0
 
     def address_of(self, node: str) -> Address | None:
-        """Where a node is, as the membership has it."""
+        """Address of a node, from the membership; None if it is not known."""
         return self._addresses.address(node)
 
     def seed(self) -> int:
-        """For the decisions of one service."""
+        """Random seed for the decision module of one service."""
         return self._random.getrandbits(32)
 
     def random_fraction(self) -> float:
-        """From 0 to 1, for the share of a service."""
+        """Random number from 0 to 1, which picks a service by its share."""
         return self._random.random()
 
     def get_or_create(self, service: str, route: Route) -> tuple[ServiceBalancer, bool]:
-        """The table of a service, and whether it has just been made and knows no instance yet."""
-        table = self.by_service.get(service)
-        if table is not None:
-            return table, False
-        table = self.by_service[service] = ServiceBalancer(self, service, route)
-        return table, True
-
-    def set_retry_budget(self, bounds: tuple[float, float, float]) -> None:
-        """The budget of further tries is another: ratio, window in milliseconds and slack."""
-        if bounds != (self.retry_ratio, self.retry_window_ms, self.retry_slack):
-            self.retry_ratio, self.retry_window_ms, self.retry_slack = bounds
-            for table in self.by_service.values():
-                table.budget.tune(self.now(), *bounds)
+        """The balancer of a service, and whether it was just created and has no instances yet."""
+        balancer = self.by_service.get(service)
+        if balancer is not None:
+            return balancer, False
+        balancer = self.by_service[service] = ServiceBalancer(self, service, route)
+        return balancer, True
+
+    def set_retry_budget(self, retry_budget: tuple[float, float, float]) -> None:
+        """Updates the retry budget: ratio, window in milliseconds and slack."""
+        if retry_budget != (self.retry_ratio, self.retry_window_ms, self.retry_slack):
+            self.retry_ratio, self.retry_window_ms, self.retry_slack = retry_budget
+            for balancer in self.by_service.values():
+                balancer.budget.tune(self.now(), *retry_budget)
 
     def set_fleet_size(self, sidecars: int, zones: int) -> None:
-        """How many sidecars there are, and in how many zones."""
+        """Updates the number of sidecars and of zones."""
         if (sidecars, zones > 1) != (self.sidecars, self.multiple_zones):
             self.sidecars, self.multiple_zones = max(sidecars, 1), zones > 1
-            for table in self.by_service.values():
-                table.retune()
+            for balancer in self.by_service.values():
+                balancer.retune()
--- a/mesh/data_plane/traces.py
+++ b/mesh/data_plane/traces.py
@@ -37,9 +37,9 @@
         self._at = 0
 
     def add(self, entry: E) -> None:
-        at = self._at
-        self._entries[at] = entry
-        self._at = at + 1 if at + 1 < RING_SIZE else 0
+        index = self._at
+        self._entries[index] = entry
+        self._at = index + 1 if index + 1 < RING_SIZE else 0
 
     def __iter__(self) -> Iterator[E]:
         """The oldest first."""
@@ -68,19 +68,32 @@
         self.ordinary, self.notable = Ring[FirstHopEntry](), Ring[FirstHopEntry]()
         self.trace: Callable[[float, ClientRequest, int | Refused | Failed | None], None] | None = None
 
-    def ended(self, now: float, ask: ClientRequest, told: int | Refused | Failed | None) -> None:
+    def ended(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
         """``told``: the status passed on, or what this sidecar said itself; None: the client left."""
-        tried, route = ask.tries, ask.route
-        count = len(tried)
-        plain = count == 1 and isinstance(told, int) and told < 500 and now - ask.received_ms <= route.aim_ms
-        (self.ordinary if plain else self.notable).add(
+        tries, route = request.tries, request.route
+        count = len(tries)
+        ordinary = (
+            count == 1
+            and isinstance(result, int)
+            and result < 500
+            and now - request.received_ms <= route.aim_ms
+        )
+        (self.ordinary if ordinary else self.notable).add(
             (
-                *(ask.attempt, ask.received_ms, now, route.name, route.version, route.aim_ms, ask.service),
-                *(tuple(tried[:MAX_TRIES]), count, told),
+                *(
+                    request.attempt,
+                    request.received_ms,
+                    now,
+                    route.name,
+                    route.version,
+                    route.aim_ms,
+                    request.service,
+                ),
+                *(tuple(tries[:MAX_TRIES]), count, result),
             )
         )
         if self.trace is not None:
-            self.trace(now, ask, told)
+            self.trace(now, request, result)
 
 
 class SecondHopTraces:
@@ -90,14 +103,14 @@
         self.ordinary, self.notable = Ring[SecondHopEntry](), Ring[SecondHopEntry]()
         self.trace: Callable[[float, Call, float, float, End], None] | None = None
 
-    def ended(self, now: float, call: Call, came: float, began: float, end: End) -> None:
+    def ended(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
         """``came`` and ``began``: when it came here, and was passed on (0: never)."""
-        plain = isinstance(end, UpstreamResponse) and end.status < 500
-        (self.ordinary if plain else self.notable).add(
+        ordinary = isinstance(end, UpstreamResponse) and end.status < 500
+        (self.ordinary if ordinary else self.notable).add(
             (
-                *(call.attempt[:MAX_NAME_CHARS], came, began, now),
+                *(call.attempt[:MAX_NAME_CHARS], received_ms, started_ms, now),
                 *(call.instance[:MAX_NAME_CHARS], call.caller[:MAX_NAME_CHARS], describe_end(end)),
             )
         )
         if self.trace is not None:
-            self.trace(now, call, came, began, end)
+            self.trace(now, call, received_ms, started_ms, end)
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -69,11 +69,11 @@
 class ResponseReader(http.Reader):
     """Whole answers of one connection. What memory does not bear is refused once its length is known."""
 
-    def __init__(self, answers: Holding) -> None:
+    def __init__(self, memory: Holding) -> None:
         """``answers`` bounds what is read."""
         super().__init__(httptools.HttpResponseParser, MAX_RESPONSE_BYTES)
-        self._memory = answers
-        self._reservation = Reservation(answers)
+        self._memory = memory
+        self._reservation = Reservation(memory)
         self._complete_reservations: list[Reservation] = []  # of those that are whole
 
     def on_headers_complete(self) -> None:
@@ -103,8 +103,11 @@
 
     def take_responses(self) -> list[ResponseReceived]:
         """Those that are whole, each with its memory."""
-        holds, self._complete_reservations = self._complete_reservations, []
-        return [ResponseReceived(message, hold) for message, hold in zip(self.take(), holds, strict=True)]
+        reservations, self._complete_reservations = self._complete_reservations, []
+        return [
+            ResponseReceived(message, reservation)
+            for message, reservation in zip(self.take(), reservations, strict=True)
+        ]
 
     def release(self) -> None:
         """Of what came of an answer that never is whole."""
@@ -115,10 +118,10 @@
 class UpstreamConnection(http.Buffered):
     """One connection to the upstream."""
 
-    def __init__(self, tap: UpstreamConnectionPool) -> None:
+    def __init__(self, pool: UpstreamConnectionPool) -> None:
         """Not up yet."""
-        self._pool = tap
-        self._reader = ResponseReader(tap.response_memory)
+        self._pool = pool
+        self._reader = ResponseReader(pool.response_memory)
         self._transport: asyncio.Transport | None = None
         self._poll = select.poll()
         self._attempt_id = b""
@@ -152,12 +155,12 @@
         )
 
     def send(
-        self, attempt: bytes, payload: bytes, ended: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
+        self, attempt: bytes, payload: bytes, on_end: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> None:
         """``body`` goes behind the payload."""
         assert self._transport is not None
         self.state = AFTER_SEND
-        self._attempt_id, self._on_end = attempt, ended
+        self._attempt_id, self._on_end = attempt, on_end
         self._transport.write(payload)
         if body:
             self._transport.write(body)
@@ -178,9 +181,9 @@
             self._end(ExchangeFailed(why))
 
     def _end(self, outcome: ExchangeOutcome) -> None:
-        ended, self._on_end = self._on_end, None
-        if ended is not None:
-            ended(outcome)
+        on_end, self._on_end = self._on_end, None
+        if on_end is not None:
+            on_end(outcome)
 
     def data_received(self, data: bytes) -> None:
         """An answer, or a part of one; when nobody has asked, it ends the connection."""
@@ -190,11 +193,11 @@
             return
         try:
             self._reader.feed(data)
-        except http.BadMessage as fault:
+        except http.BadMessage as error:
             self._process_responses(self._reader.take_responses(), False)
             self.close()
-            large = fault.status is HTTPStatus.INSUFFICIENT_STORAGE
-            self._fail("memory does not bear its answer" if large else "what came is no answer")
+            too_large = error.status is HTTPStatus.INSUFFICIENT_STORAGE
+            self._fail("memory does not bear its answer" if too_large else "what came is no answer")
             return
         self._process_responses(self._reader.take_responses(), True)
 
@@ -206,28 +209,30 @@
             return
         self._process_responses(self._reader.take_responses(), False)
 
-    def _process_responses(self, answers: list[ResponseReceived], good: bool) -> None:
-        while answers and self.state is SENT:
-            answered = answers.pop(0)
-            answer = answered.message
-            told = answer.get(ATTEMPT_ID)
-            if not answers_call(self._attempt_id, told.encode("latin-1") if told is not None else None):
+    def _process_responses(self, responses: list[ResponseReceived], reusable: bool) -> None:
+        while responses and self.state is SENT:
+            response = responses.pop(0)
+            message = response.message
+            received_id = message.get(ATTEMPT_ID)
+            if not answers_call(
+                self._attempt_id, received_id.encode("latin-1") if received_id is not None else None
+            ):
                 self.apply(Event.STRAY)
                 self._stray_responses += 1
                 self._pool.event_log.tell(
-                    events.WRONG_ANSWER, wanted=self._attempt_id.decode("latin-1"), got=told
+                    events.WRONG_ANSWER, wanted=self._attempt_id.decode("latin-1"), got=received_id
                 )
                 if self._stray_responses > MAX_STRAY_RESPONSES:
                     self.close()
                     self._fail("answers to other calls")
                 continue
-            if good and not answers and not self._reader.partial and answer.keep_alive:
+            if reusable and not responses and not self._reader.partial and message.keep_alive:
                 self.state = AFTER_ANSWER
-                self._pool.keep_idle(self, answer)
+                self._pool.keep_idle(self, message)
             else:
                 self.apply(Event.CROWDED)
                 self.close()
-            self._end(answered)
+            self._end(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """A call that is out may have run."""
@@ -240,9 +245,11 @@
 class UpstreamConnectionPool:
     """All connections to one address. ``most`` bounds them."""
 
-    def __init__(self, address: Address, most: int, event_log: EventLog, drain_ms: float = math.inf) -> None:
+    def __init__(
+        self, address: Address, max_connections: int, event_log: EventLog, drain_ms: float = math.inf
+    ) -> None:
         """No connection is open yet."""
-        self.address, self.max_connections, self.event_log = address, most, event_log
+        self.address, self.max_connections, self.event_log = address, max_connections, event_log
         self.connect_s = min(CONNECT_S, DRAIN_SHARE * drain_ms / 1000.0)
         self.response_memory = Holding(
             DEFAULT_RESPONSE_MEMORY_BYTES, DEFAULT_RESPONSE_MEMORY_BYTES
@@ -255,24 +262,24 @@
         self._connecting = 0
 
     async def send(
-        self, attempt: bytes, payload: bytes, ended: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
+        self, attempt: bytes, payload: bytes, on_end: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> UpstreamConnection | None:
         """Puts a call on a connection, ``body`` behind its payload; ``ended`` is called once with its
         outcome, unless it is dropped."""
-        now, again = self._loop.time(), attempt in self._recent
-        while self._idle and not again:
+        now, repeated_id = self._loop.time(), attempt in self._recent
+        while self._idle and not repeated_id:
             connection = self._idle.pop()
             if connection.usable(now):
                 self._remember(attempt)
-                connection.send(attempt, payload, ended, body)
+                connection.send(attempt, payload, on_end, body)
                 return connection
             connection.close()
-        if again and self._idle and len(self._open) + self._connecting >= self.max_connections:
+        if repeated_id and self._idle and len(self._open) + self._connecting >= self.max_connections:
             connection = self._idle.pop()  # makes room
             connection.close()
             self._open.discard(connection)
         if len(self._open) + self._connecting >= self.max_connections:
-            ended(NotSent(False))
+            on_end(NotSent(False))
             return None
         self._connecting += 1
         try:
@@ -280,15 +287,15 @@
                 _, connection = await self._loop.create_connection(
                     lambda: UpstreamConnection(self), *self.address
                 )
-        except (OSError, TimeoutError) as fault:
-            ended(NotSent(isinstance(fault, ConnectionRefusedError)))
+        except (OSError, TimeoutError) as error:
+            on_end(NotSent(isinstance(error, ConnectionRefusedError)))
             return None
         finally:
             self._connecting -= 1
         self._open.add(connection)
-        if not again:
+        if not repeated_id:
             self._remember(attempt)
-        connection.send(attempt, payload, ended, body)
+        connection.send(attempt, payload, on_end, body)
         return connection
 
     def _remember(self, attempt: bytes) -> None:
@@ -297,14 +304,14 @@
         if len(self._recent_order) > MAX_RECENT_IDS:
             self._recent.discard(self._recent_order.popleft())
 
-    def keep_idle(self, connection: UpstreamConnection, answer: http.Message) -> None:
+    def keep_idle(self, connection: UpstreamConnection, message: http.Message) -> None:
         """Keeps a connection for the next call, as long as its answer says."""
-        keeps = DEFAULT_IDLE_S + IDLE_MARGIN_S
-        for part in (answer.get(b"keep-alive") or "").split(","):
-            name, _, value = part.strip().partition("=")
+        keep_s = DEFAULT_IDLE_S + IDLE_MARGIN_S
+        for parameter in (message.get(b"keep-alive") or "").split(","):
+            name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
-                keeps = float(value)
-        connection.keep_until = self._loop.time() + min(keeps - IDLE_MARGIN_S, MAX_IDLE_S)
+                keep_s = float(value)
+        connection.keep_until = self._loop.time() + min(keep_s - IDLE_MARGIN_S, MAX_IDLE_S)
         self._idle.append(connection)
 
     def closed(self, connection: UpstreamConnection) -> None:
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -54,8 +54,8 @@
         "task",
     )
 
-    def __init__(self, call: Call, ended: Callable[[End], None], came: float) -> None:
-        self.call, self.on_end, self.received_ms = call, ended, came
+    def __init__(self, call: Call, on_end: Callable[[End], None], received_ms: float) -> None:
+        self.call, self.on_end, self.received_ms = call, on_end, received_ms
         self.started_ms = 0.0  # when it was passed on
         self.state = READ
         self.session_entry: Kept[End] | None = None  # what outlasts its link
@@ -111,109 +111,119 @@
     def now(self) -> float:
         return self._loop.time() * 1000.0
 
-    def accept(self, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
+    def accept(self, call: Call, on_end: Callable[[End], None]) -> DispatchedCall | None:
         """``ended`` is called once, at once where the call is turned away, unless it is dropped."""
         now = self.now()
-        if call.route and not call.accept_stale_route and (newer := self.find_newer_item(call)) is not None:
-            end = NotExecuted(Why.OLD, newer_item=newer)
+        if (
+            call.route
+            and not call.accept_stale_route
+            and (newer_item := self.find_newer_item(call)) is not None
+        ):
+            end = NotExecuted(Why.OLD, newer_item=newer_item)
             self.traces.ended(now, call, now, 0.0, end)
-            ended(end)
+            on_end(end)
             return None
         verdict = judge(now, self.upstream, call.instance, call.remaining_ms)
         if isinstance(verdict, Passed) and not self.holds_key(call):
             verdict = Turned(Why.OTHER)
         if isinstance(verdict, Turned):
             self.traces.ended(now, call, now, 0.0, NotExecuted(verdict.why))
-            ended(NotExecuted(verdict.why))
+            on_end(NotExecuted(verdict.why))
             return None
-        running = DispatchedCall(call, ended, now)
+        dispatched = DispatchedCall(call, on_end, now)
         self.shares.came(now, call.rank)
-        at_once, waiting = places(self.upstream)
-        patience = call.extended_wait_ms if self.lowest.over(now, call.rank) else call.max_wait_ms
-        if len(self.running) < at_once:
-            self._start(running)
-        elif patience <= 0.0:
+        max_running, max_queued = places(self.upstream)
+        wait_ms = call.extended_wait_ms if self.lowest.over(now, call.rank) else call.max_wait_ms
+        if len(self.running) < max_running:
+            self._start(dispatched)
+        elif wait_ms <= 0.0:
             self.traces.ended(now, call, now, 0.0, NotExecuted(Why.FULL))
-            ended(NotExecuted(Why.FULL))
+            on_end(NotExecuted(Why.FULL))
             return None
         else:
-            running.apply(Event.NO_PLACE)
-            over = self.queue.add(running, call.rank, now + patience, waiting, self.shares.behind())
-            if isinstance(over, DispatchedCall):
-                self._reject(over, Why.FULL)
+            dispatched.apply(Event.NO_PLACE)
+            displaced = self.queue.add(dispatched, call.rank, now + wait_ms, max_queued, self.shares.behind())
+            if isinstance(displaced, DispatchedCall):
+                self._reject(displaced, Why.FULL)
             self._set_wait_timer(now)
-        return running
+        return dispatched
 
-    def _start(self, running: DispatchedCall) -> None:
-        running.state = SECOND_HOP_TABLE[running.state, PLACE]
-        if running.session_entry is not None:
-            running.session_entry.waits = False
-        call, running.started_ms = running.call, self.now()
-        call.remaining_ms -= running.started_ms - running.received_ms
-        self.running.add(running)
+    def _start(self, dispatched: DispatchedCall) -> None:
+        dispatched.state = SECOND_HOP_TABLE[dispatched.state, PLACE]
+        if dispatched.session_entry is not None:
+            dispatched.session_entry.waits = False
+        call, dispatched.started_ms = dispatched.call, self.now()
+        call.remaining_ms -= dispatched.started_ms - dispatched.received_ms
+        self.running.add(dispatched)
         if call.repeat:
-            self.repeats.began(running, running.started_ms + call.remaining_ms)
+            self.repeats.began(dispatched, dispatched.started_ms + call.remaining_ms)
         self.shares.passed(call.rank)
-        running.expiry_timer = self._loop.call_later(
-            call.remaining_ms / 1000.0 + RESPONSE_GRACE_S, self._expire, running
+        dispatched.expiry_timer = self._loop.call_later(
+            call.remaining_ms / 1000.0 + RESPONSE_GRACE_S, self._expire, dispatched
         )
-        running.task = task = self._loop.create_task(self._forward(running))
+        dispatched.task = task = self._loop.create_task(self._forward(dispatched))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _reject(self, running: DispatchedCall, why: Why) -> None:
-        if running.apply(Event.TURNED_AWAY):
-            self.traces.ended(self.now(), running.call, running.received_ms, 0.0, NotExecuted(why))
-            running.on_end(NotExecuted(why))
+    def _reject(self, dispatched: DispatchedCall, why: Why) -> None:
+        if dispatched.apply(Event.TURNED_AWAY):
+            self.traces.ended(self.now(), dispatched.call, dispatched.received_ms, 0.0, NotExecuted(why))
+            dispatched.on_end(NotExecuted(why))
 
     def _start_queued(self) -> None:
         """Places that are free go to those that wait."""
-        at_once, _ = places(self.upstream)
-        while len(self.running) < at_once and (running := self.queue.next(self.shares.behind())) is not None:
-            assert isinstance(running, DispatchedCall)
-            call = running.call
+        max_running, _ = places(self.upstream)
+        while (
+            len(self.running) < max_running
+            and (dispatched := self.queue.next(self.shares.behind())) is not None
+        ):
+            assert isinstance(dispatched, DispatchedCall)
+            call = dispatched.call
             verdict = judge(
-                self.now(), self.upstream, call.instance, call.remaining_ms - self.now() + running.received_ms
+                self.now(),
+                self.upstream,
+                call.instance,
+                call.remaining_ms - self.now() + dispatched.received_ms,
             )
             if isinstance(verdict, Turned):
-                self._reject(running, verdict.why)
+                self._reject(dispatched, verdict.why)
             else:
-                self._start(running)
+                self._start(dispatched)
 
     def _set_wait_timer(self, now: float) -> None:
         """The alarm for the next whose patience ends."""
-        end = self.queue.end()
-        if end is None or self._wait_timer is not None and self._wait_timer_ms <= end:
+        next_expiry = self.queue.end()
+        if next_expiry is None or self._wait_timer is not None and self._wait_timer_ms <= next_expiry:
             return
         if self._wait_timer is not None:
             self._wait_timer.cancel()
-        self._wait_timer_ms = end
-        self._wait_timer = self._loop.call_later(max(end - now, 0.0) / 1000.0, self._reject_expired)
+        self._wait_timer_ms = next_expiry
+        self._wait_timer = self._loop.call_later(max(next_expiry - now, 0.0) / 1000.0, self._reject_expired)
 
     def _reject_expired(self) -> None:
         self._wait_timer = None
         now = self.now()
-        for running in self.queue.over(now + 0.5):
-            assert isinstance(running, DispatchedCall)
-            self._reject(running, Why.FULL)
+        for dispatched in self.queue.over(now + 0.5):
+            assert isinstance(dispatched, DispatchedCall)
+            self._reject(dispatched, Why.FULL)
         self._set_wait_timer(now)
 
     def reject_queued(self) -> None:
         """This process ends: what still waits for a place never runs."""
-        for running in self.queue.over(math.inf):
-            assert isinstance(running, DispatchedCall)
-            self._reject(running, Why.LEAVING)
+        for dispatched in self.queue.over(math.inf):
+            assert isinstance(dispatched, DispatchedCall)
+            self._reject(dispatched, Why.LEAVING)
 
-    def drop(self, running: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
+    def drop(self, dispatched: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
         """The first hop waits no more, or asks back after a call that waits here."""
-        if not running.apply(event) or self.queue.drop(running):
+        if not dispatched.apply(event) or self.queue.drop(dispatched):
             return
-        self._free_slot(running)
-        if running.connection is not None:
-            running.connection.drop()
+        self._free_slot(dispatched)
+        if dispatched.connection is not None:
+            dispatched.connection.drop()
 
-    async def _forward(self, running: DispatchedCall) -> None:
-        call = running.call
+    async def _forward(self, dispatched: DispatchedCall) -> None:
+        call = dispatched.call
         headers = [item for item in call.headers if item[0] not in REWRITTEN_HEADERS]
         headers += [
             (b"attempt-id", call.attempt.encode("latin-1")),
@@ -221,76 +231,76 @@
             (b"target-instance", call.instance.encode("latin-1")),
             (b"calling-service", call.caller.encode("latin-1")),
         ]
-        attempt, ended = (
+        attempt, on_end = (
             call.attempt.encode("latin-1"),
-            lambda outcome: self._on_exchange_end(running, outcome),
+            lambda outcome: self._on_exchange_end(dispatched, outcome),
         )
         if len(call.body) <= SHORT:
             payload = http.write_request(call.method, call.target, headers, call.body)
-            connection = await self.connections.send(attempt, payload, ended)
+            connection = await self.connections.send(attempt, payload, on_end)
         else:  # a long body is not copied behind its head
             head = http.request_head(call.method, call.target, headers, len(call.body))
-            connection = await self.connections.send(attempt, head, ended, call.body)
+            connection = await self.connections.send(attempt, head, on_end, call.body)
         if connection is None:
             return
-        if running.state is WITHDRAWN:
+        if dispatched.state is WITHDRAWN:
             connection.drop()
-        elif running.state not in FINAL_STATES:
-            running.connection = connection
+        elif dispatched.state not in FINAL_STATES:
+            dispatched.connection = connection
 
-    def _expire(self, running: DispatchedCall) -> None:
-        if not running.done:
-            if running.connection is not None:
-                running.connection.drop()
-            self._finish(running, Unclear("no answer in its time"), Event.TIME_OVER)
+    def _expire(self, dispatched: DispatchedCall) -> None:
+        if not dispatched.done:
+            if dispatched.connection is not None:
+                dispatched.connection.drop()
+            self._finish(dispatched, Unclear("no answer in its time"), Event.TIME_OVER)
 
-    def _free_slot(self, running: DispatchedCall) -> None:
-        self.running.discard(running)
-        self.repeats.ended(running)
-        if running.expiry_timer is not None:
-            running.expiry_timer.cancel()
+    def _free_slot(self, dispatched: DispatchedCall) -> None:
+        self.running.discard(dispatched)
+        self.repeats.ended(dispatched)
+        if dispatched.expiry_timer is not None:
+            dispatched.expiry_timer.cancel()
         if len(self.queue):
             self._start_queued()
 
-    def _finish(self, running: DispatchedCall, end: End, event: Event | None = None) -> None:
-        state = SECOND_HOP_TABLE.get((running.state, event_of(end) if event is None else event))
+    def _finish(self, dispatched: DispatchedCall, end: End, event: Event | None = None) -> None:
+        state = SECOND_HOP_TABLE.get((dispatched.state, event_of(end) if event is None else event))
         if state is not None:
-            running.state = state
-            self._free_slot(running)
-            self.traces.ended(self.now(), running.call, running.received_ms, running.started_ms, end)
-            running.on_end(end)
+            dispatched.state = state
+            self._free_slot(dispatched)
+            self.traces.ended(self.now(), dispatched.call, dispatched.received_ms, dispatched.started_ms, end)
+            dispatched.on_end(end)
 
-    def _on_exchange_end(self, running: DispatchedCall, outcome: ExchangeOutcome) -> None:
-        if running.state in FINAL_STATES:
+    def _on_exchange_end(self, dispatched: DispatchedCall, outcome: ExchangeOutcome) -> None:
+        if dispatched.state in FINAL_STATES:
             return
         if isinstance(outcome, NotSent):
             if outcome.refused:
                 self._publish(self.upstream.on_connection_refused(self.now()))
-            self._finish(running, NotExecuted(Why.DOWN if outcome.refused else Why.FULL))
+            self._finish(dispatched, NotExecuted(Why.DOWN if outcome.refused else Why.FULL))
             return
         if not isinstance(outcome, ResponseReceived):
-            self._event_log.tell(events.UNCLEAR, attempt=running.call.attempt, why=outcome.reason)
-            self._finish(running, Unclear(outcome.reason))
+            self._event_log.tell(events.UNCLEAR, attempt=dispatched.call.attempt, why=outcome.reason)
+            self._finish(dispatched, Unclear(outcome.reason))
             return
         message = outcome.message
         self._record_load(message.get(b"plant-load"))
         if message.status == 421:
-            self._finish(running, NotExecuted(Why.OTHER, reached_upstream=True))
+            self._finish(dispatched, NotExecuted(Why.OTHER, reached_upstream=True))
         elif message.get(b"not-executed") is not None:
-            self._finish(running, NotExecuted(Why.FULL, reached_upstream=True))
-        elif 200 <= message.status < 300 and not self._has_seal(running, message):
+            self._finish(dispatched, NotExecuted(Why.FULL, reached_upstream=True))
+        elif 200 <= message.status < 300 and not self._has_seal(dispatched, message):
             # Bytes that look like a success and are not the upstream's.
-            self._finish(running, Unclear("a success without its seal or id"))
+            self._finish(dispatched, Unclear("a success without its seal or id"))
         else:
             headers = [item for item in message.end_to_end() if item[0] not in PROXY_ONLY_HEADERS]
             self._finish(
-                running, UpstreamResponse(message.status, headers, message.body, True, outcome.reservation)
+                dispatched, UpstreamResponse(message.status, headers, message.body, True, outcome.reservation)
             )
 
-    def _has_seal(self, running: DispatchedCall, message: http.Message) -> bool:
-        return bool(message.get(b"response-seal")) and message.get(b"attempt-id") == running.call.attempt
+    def _has_seal(self, dispatched: DispatchedCall, message: http.Message) -> bool:
+        return bool(message.get(b"response-seal")) and message.get(b"attempt-id") == dispatched.call.attempt
 
-    def _record_load(self, told: str | None) -> None:
-        parts = (told or "").split(",")
+    def _record_load(self, header: str | None) -> None:
+        parts = (header or "").split(",")
         if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
             self.load = (int(parts[0]), int(parts[1]), int(parts[2]))
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -64,7 +64,7 @@
             self.routes.put(read_route(rule["name"], 1, {**rule, "host": "h.example"}))
 
     def fill(self, service: str) -> None:
-        self.balancers.by_service[service].update_instances([(self.upstream.instance, INSTANCE)], whole=True)
+        self.balancers.by_service[service].update_instances([(self.upstream.instance, INSTANCE)], full=True)
 
     def start(self) -> None:
         self.client_listener = ClientListener(self.request_dispatcher, 50)
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -112,7 +112,7 @@
             session = self.sessions.open(str(head["life"]))
             theirs = head["window"] if self.window else 0
             link.peer = IncomingCalls(link, self.second, self.sessions, session, theirs)
-            link.send(GreetingReply(life=self.life, window=self.window))
+            link.send(GreetingReply(incarnation=self.life, window=self.window))
 
     def _lost(self, link: Link, why: str) -> None:
         if isinstance(link.peer, IncomingCalls):
@@ -569,7 +569,7 @@
         far.deaf = True
         far.links[0].close("reset")
         await until(lambda: len(far.unread) == 1)  # the greeting
-        far.links[-1].send(GreetingReply(life="s1"))
+        far.links[-1].send(GreetingReply(incarnation="s1"))
         await until(lambda: out.number in bench.peer_links._links["there"].open_calls)  # it is asked after
         far.links[-1].send(GoAway(last=0))
         await until(lambda: not far.links[-1].up)
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -96,7 +96,7 @@
         table, new = self.balancers.get_or_create("s", route)
         if new:
             value = {"plant": "s", "zone": "z", "capacity": 8, "state": "settled", "cold_ms": 0.0}
-            table.update_instances([(f"i{at}", value) for at in range(self.upstreams)], whole=True)
+            table.update_instances([(f"i{at}", value) for at in range(self.upstreams)], full=True)
         return table
 
     def ask(
