--- a/mesh/data_plane/call_trace.py
+++ b/mesh/data_plane/call_trace.py
@@ -1,7 +1,7 @@
-"""Writes to the log what took a call's time on each hop, and how many bytes leave the zone.
+"""Logs how long calls take on each hop, and how many bytes leave the zone.
 
-Loaded only where the process was started with ``--debug``. The lines are events 510 to 513, which
-`benchmarks/worth.py` reads.
+Imported only if the process was started with ``--debug``. The events are 510 to 513; `benchmarks/worth.py`
+reads them.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from mesh.runtime.settings import Settings
 from mesh.transport.link import Link
 
-MAX_TRIES, MAX_END_CHARS = 4, 24  # tries of one line, and characters of how each ended
+MAX_TRIES, MAX_END_CHARS = 4, 24  # attempts per event, and characters of their ends
 BYTES_EVERY_S = 1.0
-MIN_WAIT_S = 0.001  # of an answer that is told to have waited
+MIN_WAIT_S = 0.001  # shorter waits of a response are not logged
 
 
 class TracedProxy(Protocol):
-    """What of a proxy is traced."""
+    """What the trace uses of a proxy."""
 
     settings: Settings
     event_log: EventLog
@@ -45,16 +45,16 @@
 
 
 class CallTrace:
-    """Of one proxy."""
+    """Logs the calls of one proxy."""
 
     def __init__(self, proxy: TracedProxy) -> None:
-        """``proxy`` must have started: its log is written to, its links are looked at."""
+        """``proxy`` must have started, because its log and its links are used."""
         self._proxy, self._event_log = proxy, proxy.event_log
-        self._counted: dict[Link, int] = {}  # bytes of each link that have been added up
+        self._counted: dict[Link, int] = {}  # bytes of each link that are already added up
         self._totals = {"calls": 0, "answers": 0, "updates": 0}
 
     def start(self) -> None:
-        """From now on each call that ends is told, and every second what the links have sent."""
+        """Logs each call that ends from now on, and the bytes sent over links once a second."""
         proxy = self._proxy
         proxy.service_balancers.traces.trace = self.first_hop
         proxy.upstream_dispatch.traces.trace = self.second_hop
@@ -62,7 +62,7 @@
         self._count_bytes()
 
     def first_hop(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
-        """A client's call has its end, or its client has left (None)."""
+        """Logs the result of a client's request; None: the client has disconnected."""
         ends = {Refused: "refused", Failed: "failed", type(None): "left"}
         self._event_log.tell(
             events.CALL_AT_FIRST_HOP,
@@ -76,16 +76,16 @@
         )
 
     def _tries(self, now: float, request: ClientRequest) -> Iterable[str]:
-        """Each try as upstream, when it was sent (ms), how long it took, and its end; one that is still out
-        has taken until now."""
+        """Each attempt as instance, start in ms, duration in ms, and end. An open attempt has lasted until
+        now."""
         for number, (instance, end, took) in enumerate(request.tries[:MAX_TRIES]):
             sent = request.sent_ms[number]
             took_ms = now - sent if end == "out" else took
             yield f"{instance}/{sent - request.received_ms:.1f}/{took_ms:.1f}/{end[:MAX_END_CHARS]}"
 
     def second_hop(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
-        """A call for the upstream beside this proxy has its end; ``began`` is 0 where it was never passed
-        on."""
+        """Logs the end of a call for the upstream beside this proxy. ``started_ms`` is 0 if it was never
+        passed on."""
         self._event_log.tell(
             events.CALL_AT_SECOND_HOP,
             attempt=call.attempt,
@@ -97,12 +97,13 @@
         )
 
     def response_sent(self, attempt: str, waited_s: float) -> None:
-        """An answer has left that stood ready for so long: those before it on its connection went first."""
+        """Logs a response that waited behind earlier responses on its connection."""
         if waited_s >= MIN_WAIT_S:
             self._event_log.tell(events.ANSWER_WAITED, attempt=attempt, waited_ms=round(waited_s * 1000.0, 1))
 
     def _count_bytes(self) -> None:
-        """What the links to other zones have sent. The last second of a link that closes is not counted."""
+        """Logs the bytes sent over links to other zones. The last second of a link that closes is not
+        counted."""
         proxy, counted = self._proxy, {}
         for kind, node, link in self._links():
             value = proxy.membership.nodes.get(node)
@@ -117,7 +118,7 @@
         proxy.loop.call_later(BYTES_EVERY_S, self._count_bytes)
 
     def _links(self) -> Iterable[tuple[str, str, Link]]:
-        """What each link carries from here, the node at its other end, and the link."""
+        """The kind of traffic on each link, the node at its other end, and the link."""
         for outgoing in self._proxy.peer_links.links():
             if outgoing.link is not None:
                 yield "calls", outgoing.node, outgoing.link
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -1,5 +1,4 @@
-"""The second hop's end of a link: calls that come from a first hop, and its questions after those that were
-out on a link before."""
+"""The second hop's end of a link: calls from a first hop, and its queries for calls of an earlier link."""
 
 from __future__ import annotations
 
@@ -38,25 +37,25 @@
 
 
 class ReceivingCall:
-    """A call whose body comes in pieces; nothing of it is passed on before it is whole."""
+    """A call whose body is being received in pieces. It is not dispatched before the body is complete."""
 
     __slots__ = ("started_at", "call", "session_entry", "state")
 
     def __init__(self, call: Call, entry: Kept[End] | None, started_at: float) -> None:
-        """``began``: when its frame came, in seconds of the loop."""
+        """``started_at``: loop time in seconds when its frame arrived."""
         self.call, self.session_entry, self.started_at = call, entry, started_at
         self.state = State.RECEIVING
 
     def apply(self, event: Event) -> None:
-        """Takes an event that its state has a row for."""
+        """Applies an event that has a row for the current state."""
         self.state = SECOND_HOP_TABLE[self.state, event]
 
 
 class IncomingCalls:
-    """The other end: calls that come from a first hop over one link. ``session`` has what outlasts the link,
-    where the first hop tells its life; ``window`` is what its greeting says that it takes of a body."""
+    """The calls of one link from a first hop. ``session`` keeps what outlasts the link, if the first hop sent
+    its incarnation. ``window``: bytes of a body in pieces that it accepts, from its greeting."""
 
-    MAX_OPEN_CALLS = 4096  # calls in hand over one link; more are turned away
+    MAX_OPEN_CALLS = 4096  # per link; further calls are rejected
 
     def __init__(
         self,
@@ -66,20 +65,21 @@
         session: Session[End] | None = None,
         window: int = 0,
     ) -> None:
-        """Takes over the link of a greeting."""
+        """Takes over a link after its greeting."""
         self._link, self._dispatch = link, dispatch
         self._sessions, self._session = sessions, session
         self._receiving: dict[int, ReceivingCall] = {}
         self._running: dict[int, DispatchedCall] = {}
-        self._sending: dict[int, UpstreamResponse] = {}  # answers in pieces that are not written whole
+        self._sending: dict[int, UpstreamResponse] = {}  # responses in pieces that are not sent completely
         self._loop = asyncio.get_running_loop()
         self._transfer = BodyTransfer(link, window)
-        self._highest_number = 0  # the highest number that has come over this link
-        self._leaving = False  # nothing more is taken
+        self._highest_number = 0  # of the calls received over this link
+        self._leaving = False  # no further frames are accepted
         link.read_with(decode_from_first_hop)
 
     def handle_frame(self, message: Any, body: bytes) -> None:
-        """A `FirstHopMessage`, or the object of one right behind the greeting. Raises ValueError."""
+        """Handles a `FirstHopMessage`, or the plain object of a frame directly behind the greeting. Raises
+        ValueError."""
         if isinstance(message, dict):
             message = convert_from_first_hop(message)
         if self._leaving:
@@ -100,7 +100,7 @@
         call = read_call(message, body)
         self._highest_number = max(self._highest_number, number)
         if session is not None and not session.take(number):
-            return  # a second copy, or barred: whoever sent it waits for no answer over this link
+            return  # a duplicate, or barred by a query: nobody waits for it on this link
         self._link.owes += 1
         reservation = Reservation(self._dispatch.bodies)
         full = len(self._running) + len(self._receiving) >= self.MAX_OPEN_CALLS
@@ -119,7 +119,7 @@
         self._transfer.expect(number, message.size, reservation, partial(self._on_body_complete, number))
 
     def _on_body_complete(self, number: int, body: BodyBytes, reservation: Reservation) -> None:
-        """The last piece of a call's body has come."""
+        """Handles the last piece of a call's body."""
         receiving = self._receiving.pop(number)
         receiving.apply(Event.WHOLE)
         call, entry = receiving.call, receiving.session_entry
@@ -130,7 +130,7 @@
         self._start(number, call, entry, reservation)
 
     def _start(self, number: int, call: Call, entry: Kept[End] | None, reservation: Reservation) -> None:
-        """Passes a whole call on to the upstream, or to the line before it."""
+        """Dispatches a complete call to the upstream or its queue."""
         if entry is None:
             dispatched = self._dispatch.accept(call, lambda end: self._finish(number, end, reservation))
         else:
@@ -145,13 +145,13 @@
             entry.waits = dispatched.state is State.WAITING
 
     def _finish(self, number: int, end: End, reservation: Reservation) -> None:
-        """A call has its end; ``hold`` is its body's memory."""
+        """Ends a call that cannot be queried. ``reservation`` holds the memory of its body."""
         reservation.release()
         self._send_end(number, end)
 
     def _finish_tracked(self, number: int, entry: Kept[End], end: End, reservation: Reservation) -> None:
-        """So has one that can be asked for: to the link on which it is waited for, if there is one, and held
-        besides."""
+        """Ends a call that can be queried: keeps the end in the session, and sends it over the link on which
+        the first hop waits for it, if there is one."""
         reservation.release()
         owner: IncomingCalls | None = self if entry.run is None else entry.run[1]
         if self._session is not None and self._sessions is not None:
@@ -160,7 +160,7 @@
         if owner is not None:
             owner._send_end(number, end)
         elif isinstance(end, UpstreamResponse) and end.reservation is not None:
-            end.reservation.release()  # what is held for a question has a bound of its own
+            end.reservation.release()  # ends kept for queries have a limit of their own
 
     def _send_end(self, number: int, end: End) -> None:
         self._running.pop(number, None)
@@ -171,19 +171,19 @@
             self._transfer.send(number, end.body, partial(self._on_response_sent, number))
             return
         if isinstance(end, UpstreamResponse) and len(end.body) > MOST:
-            end = Unclear(f"an answer of {len(end.body)} bytes is more than an earlier program takes")
+            end = Unclear(f"response of {len(end.body)} bytes is too long for the release of the peer")
         self._link.send(*end_head(number, end))
         if isinstance(end, UpstreamResponse) and end.reservation is not None:
             end.reservation.release()
 
     def _on_response_sent(self, number: int) -> None:
-        """The last piece of an answer has left, or nobody wants the rest."""
+        """The last piece of a response is sent, or the first hop has dropped the rest."""
         end = self._sending.pop(number)
         if end.reservation is not None:
             end.reservation.release()
 
     def _on_drop(self, number: int) -> None:
-        self._transfer.cancel_sending(number)  # of an answer, also when all of it is written
+        self._transfer.cancel_sending(number)  # of a response, even if all of it is written
         if number in self._sending:
             self._on_response_sent(number)
             return
@@ -202,7 +202,7 @@
             self._sessions.end(self._session, number, None, 0, self._loop.time())
 
     def _withdraw(self, number: int, event: Event) -> None:
-        """A call whose body is not whole is given up, and never runs."""
+        """Gives up a call whose body is not complete; it never runs."""
         self._receiving.pop(number).apply(event)
         self._transfer.cancel_receiving(number)
         self._link.owes -= 1
@@ -219,7 +219,7 @@
             dispatched.on(Event.ASKED_BACK)
             self._link.send(InProgress(number=number))
             return
-        if entry is not None and entry.run is not None:  # it waits
+        if entry is not None and entry.run is not None:  # not at the upstream yet
             waiting, previous = entry.run
             if isinstance(waiting, ReceivingCall):
                 previous._withdraw(number, Event.ASKED_BACK)
@@ -232,21 +232,21 @@
         elif verdict is Verdict.DONE and entry is not None and entry.end is not None:
             self._send_end(number, entry.end)
         else:
-            self._send_end(number, Unclear("it was here; its end is held no more"))
+            self._send_end(number, Unclear("the call was here, but its end is no longer kept"))
 
     @property
     def receiving(self) -> bool:
-        """Whether the body of some call is still coming."""
+        """Whether a call's body is still being received."""
         return bool(self._receiving)
 
     def leave(self) -> None:
-        """This process ends. What is not whole never runs, and nothing more is taken: the first hop learns
-        both, and may send those calls elsewhere. What the upstream has goes on for as long as there is
-        time."""
+        """Stops accepting calls because this process is shutting down. Calls without a complete body never
+        run; the first hop is told so and may send them elsewhere. Calls at the upstream continue while there
+        is time."""
         for number in list(self._receiving):
             entry = self._receiving[number].session_entry
             self._withdraw(number, Event.GIVEN_UP)
-            self._link.owes += 1  # for the word that comes now
+            self._link.owes += 1  # for the end that is sent now
             if entry is not None and self._session is not None and self._sessions is not None:
                 self._sessions.end(self._session, number, NotExecuted(Why.LEAVING), 0, self._loop.time())
             self._send_end(number, NotExecuted(Why.LEAVING))
@@ -254,13 +254,14 @@
         self._link.send(GoAway(last=max(self._highest_number, self._session.highest if self._session else 0)))
 
     def _release(self, number: int) -> None:
-        """Its first hop waits for it over another link now."""
+        """The first hop waits for the call over another link now."""
         if self._running.pop(number, None) is not None:
             self._link.owes -= 1
 
     def link_lost(self) -> None:
-        """The link is down. What may be repeated its first hop has given up, and may have sent elsewhere;
-        what waits or is not whole does not run any more. What is effectful and runs may be asked after."""
+        """Handles the loss of the link. Idempotent calls are dropped, because the first hop has given them up
+        and may have sent them elsewhere. Queued and incomplete calls do not run any more. Effectful calls at
+        the upstream continue and may be queried."""
         session = self._session
         for number in list(self._receiving):
             self._withdraw(number, Event.LINK_LOST)
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -1,8 +1,8 @@
-"""The first hop's link to the sidecar beside another upstream, and the calls that are out on it.
+"""The first hop's link to the sidecar of another node, and the calls sent over it.
 
-A link is opened with the first call for its node. While it is not up, or just failed to come up, a call for
-it ends at once as never sent, so that another upstream can have it. Effectful calls whose link is lost are
-asked after over the next one, where the second hop has told its life and is the same still
+A link is opened with the first call for its node. While it is down, or has just failed to connect, a call for
+it ends at once as not executed, so that another upstream can take it. Effectful calls whose link is lost are
+queried over the next link, if the second hop has sent its incarnation and still has the same one
 (`docs/design/calls.md`).
 """
 
@@ -44,23 +44,24 @@
 from mesh.transport.frames import MOST, RefusedBody
 from mesh.transport.link import Address, Link, connect
 
-RECONNECT_S, MAX_RECONNECT_S = 0.1, 1.0  # pauses after a link that did not come up
-CONNECT_WAIT_S = 0.2  # calls wait so long for a first link; a connection to a dark machine hangs
-MAX_CORE_ADDRESSES = 8  # control processes that the other end is told of
+RECONNECT_S, MAX_RECONNECT_S = 0.1, 1.0  # pause after a failed connect, doubled up to the maximum
+CONNECT_WAIT_S = 0.2  # longest wait of calls for a first link; a connect to a dead machine hangs
+MAX_CORE_ADDRESSES = 8  # control processes sent in the greeting
 IDLE = "idle"
-IDLE_S = 20.0  # a link that carried nothing for so long is closed
-# Links that come up and say nothing, one after another: then it is taken for a program that tells no life.
+IDLE_S = 20.0  # a link without calls is closed after this time
+# After this many links in a row that connect and stay silent, the peer counts as a release that sends no
+# incarnation.
 MAX_SILENT_LINKS = 3
-INCARNATION_WAIT_S = 0.1  # effectful calls wait so long for the life of a second hop that has told none yet
-REFUSED_S = 0.3  # a connection that fails sooner was refused, or broke as it came up
-SENDING = State.SENDING  # members of an enumeration are found slowly
+INCARNATION_WAIT_S = 0.1  # effectful calls wait this long for the first incarnation of a second hop
+REFUSED_S = 0.3  # a connect that fails sooner was refused or reset
+SENDING = State.SENDING  # an enum member lookup is slow
 AFTER_LINK_UP = FIRST_HOP_TABLE[State.CHOSEN, Event.LINK_UP]
-PEER_LEFT = "the other end has ended"
-NODE_MOVED = "its node has another address now, or is gone"
+PEER_LEFT = "peer has shut down"
+NODE_MOVED = "node has another address now, or is gone"
 
 
 class PeerLinkContext(Protocol):
-    """All links for calls of one process, as one of them sees its siblings."""
+    """All peer links of one process, as each of them sees the others."""
 
     node: str
     incarnation: str
@@ -74,31 +75,30 @@
 
 
 class PeerLink:
-    """One node's link, as the first hop has it."""
+    """The first hop's link to one node."""
 
     def __init__(self, context: PeerLinkContext, node: str, address: Address) -> None:
-        """No link is open yet."""
+        """Starts unconnected."""
         self.context, self.node, self.address = context, node, address
         self.link: Link | None = None
-        self.transfer: BodyTransfer | None = None  # of bodies in pieces over that link
-        self.verified = False  # the link is up, and its other end is at work as far as can be known
-        self.peer_incarnation: str | None = None  # of the second hop, as it told last
-        self.incarnation_known = (
-            False  # it has told it on this link, or is taken for a program that tells none
-        )
-        self.silent_links = self.refused_connects = 0  # links in a row that said nothing, that were refused
-        self.open_calls: dict[int, OutgoingCall] = {}  # on the link
-        self.to_query: dict[int, OutgoingCall] = {}  # to be asked after over the next link
-        self.waiting: list[OutgoingCall] = []  # while it comes up
+        self.transfer: BodyTransfer | None = None  # bodies in pieces over the current link
+        self.verified = False  # the link is up and its peer is known to respond
+        self.peer_incarnation: str | None = None  # last one received
+        # Received on this link, or the peer counts as a release that sends none.
+        self.incarnation_known = False
+        self.silent_links = self.refused_connects = 0  # both counted in a row
+        self.open_calls: dict[int, OutgoingCall] = {}  # sent on the current link
+        self.to_query: dict[int, OutgoingCall] = {}  # to be queried over the next link
+        self.waiting: list[OutgoingCall] = []  # until the link is up
         self.connecting: asyncio.Task[None] | None = None
         self.reconnect_at, self.reconnect_delay_s = 0.0, RECONNECT_S
         self.used_at = self.opened_at = 0.0
-        self.down = False  # the last link was lost, or did not come up
-        self.retired = False  # the node is elsewhere now, or gone
-        self.peer_leaving = False  # the other end of the link has said its last word
+        self.down = False  # the last link was lost or did not come up
+        self.retired = False  # the node has another address now, or is gone
+        self.peer_leaving = False  # the peer has sent GoAway
 
     def send(self, outgoing: OutgoingCall) -> None:
-        """Writes a call, or keeps it until the link is up, or turns it away."""
+        """Writes a call, queues it until the link is up, or rejects it."""
         self.used_at = outgoing.sent_s = self.context.loop.time()
         if self._may_write(outgoing):
             self._write(outgoing)
@@ -112,27 +112,27 @@
                 self.open()
 
     def _may_write(self, outgoing: OutgoingCall) -> bool:
-        """What is effectful waits until it is known of whom it could be asked for, and a long body until it
-        is known whether the other end takes pieces."""
+        """Whether a call can be written now. An effectful call waits until the peer's incarnation is known,
+        and a long body until it is known whether the peer supports pieces."""
         up = self.verified and not self.peer_leaving and self.link is not None and self.link.up
         return up and (
             self.incarnation_known or not (outgoing.call.effectful or len(outgoing.call.body) > PIECE_BYTES)
         )
 
     def open(self) -> None:
-        """Begins to open a link."""
+        """Starts connecting."""
         self.opened_at = self.context.loop.time()
         self.connecting = self.context.loop.create_task(self._connect())
 
     def _reject(self, outgoing: OutgoingCall, why: Why = Why.DOWN) -> None:
-        """Nothing of it has left."""
+        """Ends a call of which nothing was sent."""
         if outgoing.apply(Event.LINK_DOWN):
             outgoing.on_end(NotExecuted(why))
 
     def _reject_waiting(self) -> None:
-        """Whoever still waits for the first link waits no more."""
+        """Rejects the calls that still wait for the first link."""
         if self.verified:
-            return  # the link is up: who waits for its life goes with that, or after LIFE_S
+            return  # the link is up; these calls wait for the incarnation, at most INCARNATION_WAIT_S
         waiting, self.waiting = self.waiting, []
         if waiting:
             self._mark_down()
@@ -149,9 +149,9 @@
         body = outgoing.call.body
         in_pieces = len(body) > PIECE_BYTES and self.transfer.takes_pieces
         if len(body) > MOST and not in_pieces:
-            self._reject(outgoing, Why.FULL)  # an earlier program ends the link on such a frame
+            self._reject(outgoing, Why.FULL)  # an older release closes the link on such a frame
             return
-        self.context.last_number += 1  # over all links of this life, and never used again
+        self.context.last_number += 1  # unique over all links of this incarnation
         outgoing.number, outgoing.sent_s = self.context.last_number, self.context.loop.time()
         if not self.link.send(outgoing.call.head(outgoing.number, in_pieces), None if in_pieces else body):
             self._reject(outgoing)
@@ -164,7 +164,7 @@
             self.transfer.send(outgoing.number, body, partial(self._on_body_sent, outgoing))
 
     def _on_body_sent(self, outgoing: OutgoingCall) -> None:
-        """The last piece of its body has left: from now on it may run."""
+        """The last piece of the body is written: from now on the call may run."""
         outgoing.apply(Event.WHOLE_SENT)
 
     def _await_end(self, outgoing: OutgoingCall) -> None:
@@ -172,7 +172,7 @@
         self.open_calls[outgoing.number] = outgoing
         self.link.expects += 1
         if len(self.open_calls) == 1:
-            self.link.heard_at = self.context.loop.time()  # silence counts from here
+            self.link.heard_at = self.context.loop.time()  # the silence limit counts from here
 
     def _write_waiting(self) -> None:
         waiting, self.waiting = self.waiting, []
@@ -204,7 +204,7 @@
             self._on_connect_failed(self.context.loop.time() - began)
             return
         self.link, self.incarnation_known, self.refused_connects = link, False, 0
-        self.transfer = BodyTransfer(link, 0)  # until its other end has said that it takes pieces
+        self.transfer = BodyTransfer(link, 0)  # until the peer says that it supports pieces
         core = [f"{host}:{port}" for host, port in self.context.core().values()]
         link.send(
             Greeting(
@@ -219,16 +219,17 @@
             self.context.loop.call_later(INCARNATION_WAIT_S, self._on_incarnation_timeout, link)
             self._mark_verified()
         else:
-            link.expects += 1  # its life: a process that stands still takes connections and answers nothing
+            link.expects += 1  # its reply: a stopped process accepts connections but sends nothing
 
     def _on_connect_failed(self, took_s: float) -> None:
-        """A link did not come up. Refused twice in a row: nobody listens, that life is over."""
+        """Handles a failed connect. After two refused connects in a row nothing listens there, so that
+        incarnation has ended."""
         self.refused_connects = self.refused_connects + 1 if took_s < REFUSED_S else 0
         if self.refused_connects == 1 and self.to_query:
             self.open()
         elif self.refused_connects > 1:
             for outgoing in list(self.to_query.values()):
-                self.context.turns.take(partial(self._end_unclear, outgoing, "nobody is there"))
+                self.context.turns.take(partial(self._end_unclear, outgoing, "connection refused"))
 
     def _on_incarnation_timeout(self, link: Link) -> None:
         if self.link is link and not self.incarnation_known:
@@ -244,7 +245,7 @@
             self.context.on_reachable(self.node, True)
 
     def _schedule_reconnect(self) -> None:
-        """Calls go elsewhere; the link is tried again by itself, as long as the node is known."""
+        """Sends calls elsewhere and reconnects later, as long as the node is known."""
         self._mark_down()
         self.reconnect_at = self.context.loop.time() + self.reconnect_delay_s
         self.reconnect_delay_s = min(2.0 * self.reconnect_delay_s, MAX_RECONNECT_S)
@@ -270,11 +271,11 @@
             link.close(f"unreadable {type(message).__name__}: {error}")
 
     def _on_end_frame(self, link: Link, transfer: BodyTransfer, message: EndHead, body: bytes) -> None:
-        """A call's end, or its head while its answer's body still is to come in pieces."""
+        """Handles the end of a call, or its head while the response body follows in pieces."""
         number, size = message.number, message.size or message.body or 0
         outgoing = self.open_calls.get(number)
         if outgoing is None:
-            if message.size:  # else its pieces would wait at the other end for a word of this one
+            if message.size:  # without this the peer would wait for acknowledgements of the pieces
                 link.send(Drop(number=number))
             return
         reservation = Reservation(self.context.local.answers)
@@ -291,10 +292,10 @@
             self._finish(link, outgoing, read_end(message, body, reservation))
 
     def _on_go_away(self, link: Link, message: GoAway) -> None:
-        """The other end has taken its last call, and all its ends have come before this word. What was
-        written behind that call has not run and never will. What was asked after may have come over an
-        earlier link, and stays unclear."""
-        self.peer_leaving = True  # whoever is turned away may be sent again before this returns
+        """Handles a peer that is shutting down. It has sent the ends of all calls that it accepted; calls
+        with higher numbers have not run and never will. A queried call may have arrived over an earlier link
+        and stays unclear."""
+        self.peer_leaving = True  # set first: a rejected call may be sent again before this returns
         for number, outgoing in list(self.open_calls.items()):
             if number > message.last and outgoing.state is not State.UNCLEAR:
                 self._finish(link, outgoing, NotExecuted(Why.LEAVING))
@@ -303,7 +304,7 @@
     def _on_response_complete(
         self, link: Link, outgoing: OutgoingCall, message: EndHead, body: BodyBytes, reservation: Reservation
     ) -> None:
-        """The last piece of an answer has come."""
+        """Handles the last piece of a response."""
         self._finish(link, outgoing, read_end(message, body, reservation))
 
     def _finish(self, link: Link, outgoing: OutgoingCall, end: End) -> None:
@@ -319,7 +320,8 @@
         outgoing.on_end(end)
 
     def _stop_sending(self, outgoing: OutgoingCall) -> None:
-        """Also where all of its body is written: who turned the call away confirms none of it."""
+        """Stops the body even if all of it is written: a peer that rejected the call acknowledges none of
+        it."""
         if self.transfer is not None and len(outgoing.call.body) > PIECE_BYTES:
             self.transfer.cancel_sending(outgoing.number)
 
@@ -327,10 +329,10 @@
         if self.transfer is not None:
             self.transfer.cancel_receiving(outgoing.number)
 
-    # After a loss
+    # After a lost link
 
     def _on_greeting_reply(self, link: Link, message: GreetingReply) -> None:
-        """The second hop's life, once a link."""
+        """Handles the peer's incarnation, which it sends once per link."""
         if self.link is not link or self.transfer is None:
             return
         if not self.transfer.takes_pieces:  # it may come late, and a second one changes nothing
@@ -347,15 +349,15 @@
     def _query(self, outgoing: OutgoingCall) -> None:
         link = self.link
         if link is None or not self.verified or outgoing.number not in self.to_query:
-            return  # over the next link, or never
+            return  # over the next link, or not at all
         if outgoing.peer_incarnation != self.peer_incarnation:
-            self._end_unclear(outgoing, "another life is there")
+            self._end_unclear(outgoing, "peer has another incarnation")
         elif self.to_query.pop(outgoing.number, None) is not None:
             self._await_end(outgoing)
             link.send(StatusQuery(number=outgoing.number, attempt=outgoing.call.attempt))
 
     def _cancel_query_timer(self, outgoing: OutgoingCall) -> None:
-        """What became of it is known, or where it is."""
+        """The result of the call, or its place, is known."""
         if outgoing.query_timer is not None:
             outgoing.query_timer.cancel()
             outgoing.query_timer = None
@@ -389,17 +391,17 @@
             self.open()
 
     def _lose_call(self, outgoing: OutgoingCall, why: str) -> None:
-        """The link that it was out on is lost."""
+        """Handles a call whose link is lost."""
         partly_sent = outgoing.state is SENDING
         if not outgoing.apply(Event.LINK_LOST):
             return
-        if partly_sent:  # the rest of its body never leaves
+        if partly_sent:  # the rest of its body is never sent
             self.context.turns.take(partial(outgoing.on_end, NotExecuted(Why.LOST)))
         else:
             self._schedule_query(outgoing, why)
 
     def _schedule_query(self, outgoing: OutgoingCall, why: str) -> None:
-        """A call whose link is lost: asked after over the next one where that can tell anything in time."""
+        """Queries a call over the next link if an answer can come in time; otherwise ends it as unclear."""
         now, outgoing.peer_incarnation = self.context.loop.time(), self.peer_incarnation
         window_ms = query_window_ms(outgoing.call, (now - outgoing.sent_s) * 1000.0)
         if self.retired or outgoing.peer_incarnation is None or window_ms <= 0.0:
@@ -413,7 +415,7 @@
             )
 
     def _end_unclear(self, outgoing: OutgoingCall, why: str) -> None:
-        """Nothing more is done to learn what became of it."""
+        """Ends a call whose result cannot be learned any more."""
         self._cancel_query_timer(outgoing)
         self.to_query.pop(outgoing.number, None)
         if self.open_calls.pop(outgoing.number, None) is not None and self.link is not None:
@@ -424,7 +426,7 @@
             outgoing.on_end(Unclear(why))
 
     def drop(self, outgoing: OutgoingCall) -> None:
-        """Nobody waits for it any more."""
+        """Cancels a call."""
         if not outgoing.apply(Event.GIVEN_UP):
             return
         self._cancel_query_timer(outgoing)
@@ -438,7 +440,8 @@
             self.link.send(Drop(number=outgoing.number))
 
     def retire(self) -> None:
-        """The node is elsewhere now, or gone. What is out may have run; what waits has not been sent."""
+        """Closes the link because the node has another address now or is gone. Open calls may have run;
+        waiting ones were not sent."""
         self.retired = True
         waiting, self.waiting = self.waiting, []
         for outgoing in waiting:
@@ -449,7 +452,7 @@
             self.link.close(NODE_MOVED)
 
     def tick(self, now: float) -> None:
-        """Called every so often: signs of life, idle links, further tries."""
+        """Called periodically: checks the link, closes it when idle, and reconnects."""
         if self.link is not None:
             self.link.tick(now)
             if (
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -1,4 +1,4 @@
-"""All links of the first hop, by node, and which of them has a call."""
+"""All links of the first hop, by node."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class PeerLinks:
-    """``local`` is the second hop of this process, ``node`` this one's name. ``reached`` is told
-    when a node can no longer be reached, and when it can again. ``life`` is this process's own, unlike any
-    other's: the calls of a life are numbered upwards, and no number is ever used again."""
+    """Sends calls to the nodes of their upstreams. ``local`` is the second hop of this process, ``node`` its
+    name. ``on_reachable`` is called when a node becomes unreachable or reachable again. ``incarnation`` is
+    unique to this process; its calls have increasing numbers that are never reused."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         on_reachable: Callable[[str, bool], None],
         incarnation: str = "",
     ) -> None:
-        """No link is open yet."""
+        """Starts without links."""
         self.node, self.local, self.event_log, self.on_reachable, self.incarnation = (
             node,
             local,
@@ -38,15 +38,16 @@
         )
         self.loop = asyncio.get_running_loop()
         self.last_number = 0
-        self.core: Callable[[], Mapping[str, Address]] = dict  # control processes as they are known here
+        self.core: Callable[[], Mapping[str, Address]] = dict  # known control processes
         self._links: dict[str, PeerLink] = {}
-        self._retiring: set[str] = set()  # known no more, with calls still out
-        self.turns = PacedTurns(self.loop)  # of calls of lost links, over all links
+        self._retiring: set[str] = set()  # nodes that are no longer known but have open calls
+        self.turns = PacedTurns(self.loop)  # for the calls of lost links, over all links
 
     def send(
         self, call: Call, node: str, address: Address | None, on_end: Callable[[End], None]
     ) -> OutgoingCall:
-        """``ended`` is called once, perhaps before this returns, unless the call is dropped."""
+        """Sends a call to a node. ``on_end`` is called once, possibly before this returns, unless the call is
+        dropped."""
         outgoing = OutgoingCall(call, on_end)
         if node == self.node:
             outgoing.dispatched = self.local.accept(call, on_end)
@@ -68,31 +69,31 @@
         return outgoing
 
     def drop(self, outgoing: OutgoingCall) -> None:
-        """Nobody waits for it any more."""
+        """Cancels a call."""
         if outgoing.dispatched is not None:
             self.local.drop(outgoing.dispatched)
         elif outgoing.link is not None:
             outgoing.link.drop(outgoing)
 
     def open_early(self, node: str, address: Address) -> None:
-        """Opens a link that a call will soon want; nothing where there is one, or one is tried already."""
+        """Opens a link for calls that are expected soon, unless there is one already."""
         if node != self.node and node not in self._links:
             link = self._links[node] = PeerLink(self, node, address)
             link.used_at = self.loop.time()
             link.open()
 
     def links(self) -> Iterable[PeerLink]:
-        """Those to all nodes that were called or will be soon."""
+        """The links to all nodes that were called or will be soon."""
         return self._links.values()
 
     def reaches(self, node: str) -> bool:
-        """As far as is known."""
+        """Whether a node can be reached, as far as is known."""
         link = self._links.get(node)
         return link is None or not link.down
 
     def forget(self, node: str) -> None:
-        """A node that is known no more, perhaps because others cannot hear it: what is out on its link may
-        still be answered, and the link is left after that."""
+        """Retires the link to a node that is no longer known, after its open calls: the node may only be
+        unreachable from others, and its calls may still get their responses."""
         if node in self._links:
             self._retiring.add(node)
             self._retire_finished()
@@ -104,7 +105,7 @@
                 self._links.pop(node).retire()
 
     def tick(self, now: float) -> None:
-        """Called every so often."""
+        """Called periodically."""
         self._retire_finished()
         for link in list(self._links.values()):
             link.tick(now)
--- a/mesh/data_plane/route_classes.py
+++ b/mesh/data_plane/route_classes.py
@@ -45,7 +45,10 @@
         _nearest_power_of_two(duration_ms)
         for duration_ms in (request_class.aim_ms, request_class.deadline_ms)
     )
-    name = f"{_effect_name(request_class)}, worth {request_class.worth:g}, aim {aim_ms:g} ms, horizon {deadline_ms:g} ms"
+    name = (
+        f"{_effect_name(request_class)}, worth {request_class.worth:g}, "
+        f"aim {aim_ms:g} ms, horizon {deadline_ms:g} ms"
+    )
     return replace(request_class, name=name, aim_ms=aim_ms, deadline_ms=deadline_ms)
 
 
--- a/mesh/data_plane/traces.py
+++ b/mesh/data_plane/traces.py
@@ -1,8 +1,8 @@
-"""The last calls of this sidecar, kept in memory for `trace`: what was decided of each, and how it ended.
+"""Keeps the latest calls of this sidecar in memory for the `trace` command: decisions and results.
 
-Calls that were served in time at the first try have a ring of their own, so that a flood of them does not
-push out the others. An entry holds names and numbers, never a request or an answer: their bodies must go when
-the call is over.
+Calls that succeeded in time at the first attempt have a ring buffer of their own, so that many of them do not
+displace the others. An entry holds names and numbers only, no request or response, because the bodies must be
+freed when the call is over.
 """
 
 from __future__ import annotations
@@ -13,22 +13,23 @@
 from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 from mesh.data_plane.call_state import ClientRequest, Failed, Refused, Try
 
-RING_SIZE = 400  # calls of each ring
-MAX_TRIES = 8  # of one call, the first; the others are only counted
-MAX_NAME_CHARS, MAX_REASON_CHARS = 128, 80  # characters
+RING_SIZE = 400  # entries per ring
+MAX_TRIES = 8  # attempts kept per call; later ones are only counted
+MAX_NAME_CHARS, MAX_REASON_CHARS = 128, 80
 
-# attempt id, taken and over (ms of the loop's clock), route, its version and aim (ms), service, tries, how
-# many, and the end: the status of the upstream's answer, the sidecar's word, or None: the client left
+# Attempt id, received and finished (loop time in ms), route, its version and aim (ms), service, attempts,
+# their number, and the result: the status of the upstream's response, this sidecar's own result, or None if
+# the client disconnected.
 FirstHopEntry = tuple[
     str, float, float, str, int, float, str, tuple[Try, ...], int, "int | Refused | Failed | None"
 ]
-# attempt id, came, passed on (0: never) and over (ms of the loop's clock), upstream, calling service, the end
+# Attempt id, received, passed on (0: never) and finished (loop time in ms), instance, calling service, end.
 SecondHopEntry = tuple[str, float, float, float, str, str, str]
 E = TypeVar("E")
 
 
 class Ring(Generic[E]):
-    """The last ``KEPT`` of what was added."""
+    """Ring buffer of the last ``RING_SIZE`` entries."""
 
     __slots__ = ("_at", "_entries")
 
@@ -42,14 +43,14 @@
         self._at = index + 1 if index + 1 < RING_SIZE else 0
 
     def __iter__(self) -> Iterator[E]:
-        """The oldest first."""
+        """Iterates from the oldest entry."""
         for entry in self._entries[self._at :] + self._entries[: self._at]:
             if entry is not None:
                 yield entry
 
 
 def describe_end(end: End) -> str:
-    """An end in few characters."""
+    """A short description of an end."""
     if isinstance(end, UpstreamResponse):
         return str(end.status)
     if isinstance(end, NotExecuted):
@@ -62,14 +63,14 @@
 
 
 class FirstHopTraces:
-    """Calls that clients brought here."""
+    """Calls from clients."""
 
     def __init__(self) -> None:
         self.ordinary, self.notable = Ring[FirstHopEntry](), Ring[FirstHopEntry]()
         self.trace: Callable[[float, ClientRequest, int | Refused | Failed | None], None] | None = None
 
     def ended(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
-        """``told``: the status passed on, or what this sidecar said itself; None: the client left."""
+        """``result``: the status passed on, this sidecar's own result, or None if the client disconnected."""
         tries, route = request.tries, request.route
         count = len(tries)
         ordinary = (
@@ -97,14 +98,14 @@
 
 
 class SecondHopTraces:
-    """Calls that came for the upstream beside this sidecar."""
+    """Calls for the upstream beside this sidecar."""
 
     def __init__(self) -> None:
         self.ordinary, self.notable = Ring[SecondHopEntry](), Ring[SecondHopEntry]()
         self.trace: Callable[[float, Call, float, float, End], None] | None = None
 
     def ended(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
-        """``came`` and ``began``: when it came here, and was passed on (0: never)."""
+        """``received_ms``: when it arrived; ``started_ms``: when it was passed on, 0 if never."""
         ordinary = isinstance(end, UpstreamResponse) and end.status < 500
         (self.ordinary if ordinary else self.notable).add(
             (
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -1,9 +1,10 @@
-"""Connections to the upstream beside this sidecar: one call at a time on each, kept while that is safe.
+"""Connections to the upstream beside this sidecar. Each carries one call at a time and is kept while that is
+safe.
 
-A connection is used again only after its answer was whole, alone and for its id. An answer with another id is
-one too many for an earlier call; it is passed over, and the right one waited for. Ids are the clients', who
-may use one twice: a call whose id was here before has a connection of its own, on which no answer to the
-first use can still come.
+A connection is reused only after its response was complete, the only one, and with the call's id. A response
+with another id is a second response to an earlier call; it is ignored and the right one is waited for. Ids
+come from clients, which may reuse one: a call whose id was used recently gets a new connection, on which no
+response to the earlier call can arrive.
 """
 
 from __future__ import annotations
@@ -29,36 +30,36 @@
 from mesh.transport.link import Address
 
 CONNECT_S = 0.5
-DRAIN_SHARE = 0.3  # of drain_ms is the longest that opening a connection may hold up a call that may pass
-DEFAULT_IDLE_S = 3.0  # where an answer does not tell how long the connection is kept
-IDLE_MARGIN_S = 0.7  # given back so long before the upstream would close it
+DRAIN_SHARE = 0.3  # of drain_ms: longest time for which opening a connection may delay a call
+DEFAULT_IDLE_S = 3.0  # where a response does not say how long the connection is kept
+IDLE_MARGIN_S = 0.7  # a connection is closed this long before the upstream would close it
 MAX_IDLE_S = 30.0
-MAX_RESPONSE_BYTES = 1 << 30  # bytes of a body, whatever memory there is
-DEFAULT_RESPONSE_MEMORY_BYTES = 64 * 1024 * 1024  # of answers, until the tap is told what it shares
-MAX_STRAY_RESPONSES = 4  # answers with another id on one connection; more, and it is of no use
-MAX_RECENT_IDS = 4096  # ids of the last calls
+MAX_RESPONSE_BYTES = 1 << 30  # limit of a response body, independent of the memory available
+DEFAULT_RESPONSE_MEMORY_BYTES = 64 * 1024 * 1024  # for responses, until the pool gets its shared memory
+MAX_STRAY_RESPONSES = 4  # responses with another id on one connection, before it is closed
+MAX_RECENT_IDS = 4096  # ids of the latest calls
 ATTEMPT_ID = b"attempt-id"
-# Members of an enumeration are found slowly, and these are asked for with every call.
+# Module constants, because an enum member lookup is slow and these are used for every call.
 SENT = State.SENT
 AFTER_SEND = CONNECTION_TABLE[State.IDLE, Event.ASK]
 AFTER_ANSWER = CONNECTION_TABLE[SENT, Event.ANSWER]
 
 
 class ResponseReceived(Struct, frozen=True):
-    """A whole answer to this call; ``hold`` is the memory that is taken for its body."""
+    """A complete response to the call. ``reservation``: the memory reserved for its body."""
 
     message: http.Message
     reservation: Reservation | None = None
 
 
 class NotSent(Struct, frozen=True):
-    """Nothing has left: it has not run. ``refused``: nobody listens there."""
+    """Nothing was sent, so the call has not run. ``refused``: the upstream does not listen."""
 
     refused: bool
 
 
 class ExchangeFailed(Struct, frozen=True):
-    """No whole answer, and it may have run."""
+    """No complete response; the call may have run."""
 
     reason: str
 
@@ -67,29 +68,30 @@
 
 
 class ResponseReader(http.Reader):
-    """Whole answers of one connection. What memory does not bear is refused once its length is known."""
+    """Reads complete responses from one connection. A response for which there is no memory is refused as
+    soon as its length is known."""
 
     def __init__(self, memory: Holding) -> None:
-        """``answers`` bounds what is read."""
+        """``memory`` limits what is read."""
         super().__init__(httptools.HttpResponseParser, MAX_RESPONSE_BYTES)
         self._memory = memory
         self._reservation = Reservation(memory)
-        self._complete_reservations: list[Reservation] = []  # of those that are whole
+        self._complete_reservations: list[Reservation] = []  # of the complete responses
 
     def on_headers_complete(self) -> None:
-        """Takes room for a body of known length."""
+        """Reserves memory for a body of known length."""
         super().on_headers_complete()
         if self._length:
             self._reserve(self._length)
 
     def on_body(self, part: bytes) -> None:
-        """Takes room for a part of a body of unknown length."""
+        """Reserves memory for a part of a body of unknown length."""
         if self._length is None:
             self._reserve(len(part))
         super().on_body(part)
 
     def on_message_complete(self) -> None:
-        """Puts the room beside its answer."""
+        """Stores the reservation with its response."""
         before = len(self._whole)
         super().on_message_complete()
         self._body = bytearray()
@@ -102,7 +104,7 @@
             self._refuse(HTTPStatus.INSUFFICIENT_STORAGE)
 
     def take_responses(self) -> list[ResponseReceived]:
-        """Those that are whole, each with its memory."""
+        """The complete responses, each with its reservation."""
         reservations, self._complete_reservations = self._complete_reservations, []
         return [
             ResponseReceived(message, reservation)
@@ -110,7 +112,7 @@
         ]
 
     def release(self) -> None:
-        """Of what came of an answer that never is whole."""
+        """Releases the memory of a response that will not be completed."""
         self._reservation.release()
         self._complete_reservations.clear()
 
@@ -119,7 +121,7 @@
     """One connection to the upstream."""
 
     def __init__(self, pool: UpstreamConnectionPool) -> None:
-        """Not up yet."""
+        """Starts unconnected."""
         self._pool = pool
         self._reader = ResponseReader(pool.response_memory)
         self._transport: asyncio.Transport | None = None
@@ -131,7 +133,7 @@
         self.keep_until = 0.0
 
     def apply(self, event: Event) -> bool:
-        """Takes the event; False where it has no effect in this state."""
+        """Applies the event. Returns False if it has no effect in this state."""
         state = CONNECTION_TABLE.get((self.state, event))
         if state is None:
             return False
@@ -139,14 +141,15 @@
         return True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Sets up the connected socket."""
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._poll.register(sock.fileno(), select.POLLIN)
 
     def usable(self, now: float) -> bool:
-        """Nothing has come while it stood idle, as far as the kernel knows, and it is not too old."""
+        """Whether the connection is still within its idle time and, as far as the kernel knows, has received
+        nothing."""
         return (
             self._transport is not None
             and not self._transport.is_closing()
@@ -157,7 +160,7 @@
     def send(
         self, attempt: bytes, payload: bytes, on_end: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> None:
-        """``body`` goes behind the payload."""
+        """Writes a call; ``body`` follows the payload."""
         assert self._transport is not None
         self.state = AFTER_SEND
         self._attempt_id, self._on_end = attempt, on_end
@@ -166,13 +169,13 @@
             self._transport.write(body)
 
     def drop(self) -> None:
-        """Nobody waits for the answer any more; the upstream stops when the connection closes."""
+        """Cancels the call. The upstream stops working on it when the connection closes."""
         self.apply(Event.GIVEN_UP)
         self._on_end = None
         self.close()
 
     def close(self) -> None:
-        """Ends it at once."""
+        """Closes the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -186,8 +189,8 @@
             on_end(outcome)
 
     def data_received(self, data: bytes) -> None:
-        """An answer, or a part of one; when nobody has asked, it ends the connection."""
-        if self.state is not SENT:  # nobody asked
+        """Reads a response or a part of one. Data without a call closes the connection."""
+        if self.state is not SENT:  # no call is waiting
             self.apply(Event.STRAY)
             self.close()
             return
@@ -197,12 +200,12 @@
             self._process_responses(self._reader.take_responses(), False)
             self.close()
             too_large = error.status is HTTPStatus.INSUFFICIENT_STORAGE
-            self._fail("memory does not bear its answer" if too_large else "what came is no answer")
+            self._fail("memory does not bear its answer" if too_large else "malformed response")
             return
         self._process_responses(self._reader.take_responses(), True)
 
     def eof_received(self) -> None:
-        """Nothing more comes: an answer without a length is whole."""
+        """Ends a response without a length, which is complete now."""
         try:
             self._reader.end()
         except http.BadMessage:
@@ -224,7 +227,7 @@
                 )
                 if self._stray_responses > MAX_STRAY_RESPONSES:
                     self.close()
-                    self._fail("answers to other calls")
+                    self._fail("responses to other calls")
                 continue
             if reusable and not responses and not self._reader.partial and message.keep_alive:
                 self.state = AFTER_ANSWER
@@ -235,7 +238,7 @@
             self._end(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """A call that is out may have run."""
+        """Ends the current call, which may have run."""
         self._pool.closed(self)
         self._reader.close()
         self._reader.release()
@@ -243,29 +246,28 @@
 
 
 class UpstreamConnectionPool:
-    """All connections to one address. ``most`` bounds them."""
+    """All connections to one address, at most ``max_connections``."""
 
     def __init__(
         self, address: Address, max_connections: int, event_log: EventLog, drain_ms: float = math.inf
     ) -> None:
-        """No connection is open yet."""
+        """Starts without connections."""
         self.address, self.max_connections, self.event_log = address, max_connections, event_log
         self.connect_s = min(CONNECT_S, DRAIN_SHARE * drain_ms / 1000.0)
-        self.response_memory = Holding(
-            DEFAULT_RESPONSE_MEMORY_BYTES, DEFAULT_RESPONSE_MEMORY_BYTES
-        )  # the memory for answers, shared with others
+        # Replaced by the holding that is shared with other users of the memory.
+        self.response_memory = Holding(DEFAULT_RESPONSE_MEMORY_BYTES, DEFAULT_RESPONSE_MEMORY_BYTES)
         self._loop = asyncio.get_running_loop()
         self._idle: list[UpstreamConnection] = []
         self._open: set[UpstreamConnection] = set()
         self._recent: set[bytes] = set()
-        self._recent_order: deque[bytes] = deque()  # of these, the oldest first
+        self._recent_order: deque[bytes] = deque()  # ids in `_recent`, the oldest first
         self._connecting = 0
 
     async def send(
         self, attempt: bytes, payload: bytes, on_end: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> UpstreamConnection | None:
-        """Puts a call on a connection, ``body`` behind its payload; ``ended`` is called once with its
-        outcome, unless it is dropped."""
+        """Sends a call on an idle or new connection, ``body`` after the payload. ``on_end`` is called once
+        with the outcome, unless the call is dropped."""
         now, repeated_id = self._loop.time(), attempt in self._recent
         while self._idle and not repeated_id:
             connection = self._idle.pop()
@@ -275,7 +277,7 @@
                 return connection
             connection.close()
         if repeated_id and self._idle and len(self._open) + self._connecting >= self.max_connections:
-            connection = self._idle.pop()  # makes room
+            connection = self._idle.pop()  # makes room for a new connection
             connection.close()
             self._open.discard(connection)
         if len(self._open) + self._connecting >= self.max_connections:
@@ -305,7 +307,7 @@
             self._recent.discard(self._recent_order.popleft())
 
     def keep_idle(self, connection: UpstreamConnection, message: http.Message) -> None:
-        """Keeps a connection for the next call, as long as its answer says."""
+        """Keeps a connection for the next call, for as long as the response allows."""
         keep_s = DEFAULT_IDLE_S + IDLE_MARGIN_S
         for parameter in (message.get(b"keep-alive") or "").split(","):
             name, _, value = parameter.strip().partition("=")
@@ -315,19 +317,19 @@
         self._idle.append(connection)
 
     def closed(self, connection: UpstreamConnection) -> None:
-        """A connection has ended."""
+        """Removes a connection that has ended."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
 
     def close_expired(self) -> None:
-        """Closes what has stood idle for as long as it may."""
+        """Closes connections whose idle time is over."""
         now = self._loop.time()
         for connection in [item for item in self._idle if now >= item.keep_until]:
             self._idle.remove(connection)
             connection.close()
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         for connection in list(self._open):
             connection.close()
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -1,4 +1,4 @@
-"""The second hop: calls from other sidecars, and from this one, to the upstream beside it."""
+"""The second hop: dispatches calls from other sidecars, and from this one, to the upstream beside it."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 from mesh.event_log.log import EventLog
 from mesh.membership.instance_lifecycle import InstanceUpdate, Upstream
 
-# Written anew here, whatever was sent; the first hop leaves them out, earlier ones did not.
+# Always rewritten here. The first hop leaves them out, but older releases did not.
 REWRITTEN_HEADERS = frozenset({b"time-remaining", b"target-instance", b"calling-service", b"attempt-id"})
-PROXY_ONLY_HEADERS = frozenset({b"plant-load", b"not-executed"})  # for this hop, not for the client
+PROXY_ONLY_HEADERS = frozenset({b"plant-load", b"not-executed"})  # read here and not passed on to the client
 FINAL_STATES = frozenset({State.ANSWERED, State.WITHDRAWN, State.ENDED})
-# Members of an enumeration are found slowly, and these are asked for with every call.
+# Module constants, because an enum member lookup is slow and these are used for every call.
 READ, WITHDRAWN, PLACE = State.READ, State.WITHDRAWN, Event.PLACE
-DEFAULT_BUFFER_BYTES = 64 * 1024 * 1024  # of messages, until `share` says
-RESPONSE_GRACE_S = 0.25  # an upstream that says nothing this long after its deadline is not waited for
+DEFAULT_BUFFER_BYTES = 64 * 1024 * 1024  # for messages, until `use_buffers` is called
+RESPONSE_GRACE_S = 0.25  # wait for a response after the call's deadline
 
 
 class DispatchedCall:
-    """A call that waits for a place, or has been passed on."""
+    """A call that is queued or has been passed on to the upstream."""
 
     __slots__ = (
         "started_ms",
@@ -56,16 +56,16 @@
 
     def __init__(self, call: Call, on_end: Callable[[End], None], received_ms: float) -> None:
         self.call, self.on_end, self.received_ms = call, on_end, received_ms
-        self.started_ms = 0.0  # when it was passed on
+        self.started_ms = 0.0  # when it was passed on; 0: not yet
         self.state = READ
-        self.session_entry: Kept[End] | None = None  # what outlasts its link
-        self.reservation: Reservation | None = None  # its body's memory, where it came over a link
+        self.session_entry: Kept[End] | None = None  # kept by the session after its link is lost
+        self.reservation: Reservation | None = None  # memory for a body that came over a link
         self.connection: UpstreamConnection | None = None
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
     def apply(self, event: Event) -> bool:
-        """Takes the event; False where it has no effect in this state."""
+        """Applies the event. Returns False if it has no effect in this state."""
         state = SECOND_HOP_TABLE.get((self.state, event))
         if state is None:
             return False
@@ -78,33 +78,38 @@
 
 
 class UpstreamDispatch:
+    """The running and queued calls of the upstream beside this sidecar."""
+
     def __init__(
         self,
         upstream: Upstream,
-        tap: UpstreamConnectionPool,
+        connections: UpstreamConnectionPool,
         event_log: EventLog,
         publish: Callable[[list[InstanceUpdate]], None],
     ) -> None:
-        self.upstream, self.connections, self._event_log, self._publish = upstream, tap, event_log, publish
+        self.upstream, self.connections, self._event_log, self._publish = (
+            upstream,
+            connections,
+            event_log,
+            publish,
+        )
         self._loop = asyncio.get_running_loop()
         self.running: set[DispatchedCall] = set()  # at the upstream
         self.queue, self.lowest, self.shares = Line(), Lowest(), Shares()
-        self.repeats = RepeatRuns()  # at the upstream
+        self.repeats = RepeatRuns()  # repeats running at the upstream
         self.traces = SecondHopTraces()
         self._wait_timer: asyncio.TimerHandle | None = None
-        self._wait_timer_ms = 0.0  # when it does
+        self._wait_timer_ms = 0.0  # when the timer fires
         self._tasks: set[asyncio.Task[None]] = set()
-        self.load: tuple[int, int, int] | None = None  # running, waiting, slots, as last told
+        self.load: tuple[int, int, int] | None = None  # running, waiting, slots; last report
         self.use_buffers(BufferBudget(DEFAULT_BUFFER_BYTES))
-        self.find_newer_item: Callable[[Call], list[Any] | None] = (
-            lambda call: None
-        )  # what its route should be, if not so
-        self.holds_key: Callable[[Call], bool] = (
-            lambda call: True
-        )  # whether its upstream holds the call's key
+        # The current item of a call's route, if the call used an older version.
+        self.find_newer_item: Callable[[Call], list[Any] | None] = lambda call: None
+        # Whether the upstream holds the call's key.
+        self.holds_key: Callable[[Call], bool] = lambda call: True
 
     def use_buffers(self, buffers: BufferBudget) -> None:
-        """The memory for bodies, answers and frames, which the clients' side uses as well."""
+        """Shares the memory for bodies, responses and frames with the client side."""
         self.bodies, self.answers, self.frames = buffers.bodies, buffers.answers, buffers.frames
         self.connections.response_memory = buffers.answers
 
@@ -112,7 +117,8 @@
         return self._loop.time() * 1000.0
 
     def accept(self, call: Call, on_end: Callable[[End], None]) -> DispatchedCall | None:
-        """``ended`` is called once, at once where the call is turned away, unless it is dropped."""
+        """Starts, queues or rejects a call. ``on_end`` is called once, possibly before this returns, unless
+        the call is dropped."""
         now = self.now()
         if (
             call.route
@@ -171,7 +177,7 @@
             dispatched.on_end(NotExecuted(why))
 
     def _start_queued(self) -> None:
-        """Places that are free go to those that wait."""
+        """Starts queued calls while there are free slots."""
         max_running, _ = places(self.upstream)
         while (
             len(self.running) < max_running
@@ -191,7 +197,7 @@
                 self._start(dispatched)
 
     def _set_wait_timer(self, now: float) -> None:
-        """The alarm for the next whose patience ends."""
+        """Sets the timer for the next queued call whose wait ends."""
         next_expiry = self.queue.end()
         if next_expiry is None or self._wait_timer is not None and self._wait_timer_ms <= next_expiry:
             return
@@ -209,13 +215,13 @@
         self._set_wait_timer(now)
 
     def reject_queued(self) -> None:
-        """This process ends: what still waits for a place never runs."""
+        """Rejects all queued calls because this process is shutting down."""
         for dispatched in self.queue.over(math.inf):
             assert isinstance(dispatched, DispatchedCall)
             self._reject(dispatched, Why.LEAVING)
 
     def drop(self, dispatched: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
-        """The first hop waits no more, or asks back after a call that waits here."""
+        """Cancels a call that the first hop no longer waits for, or a queued call whose result is queried."""
         if not dispatched.apply(event) or self.queue.drop(dispatched):
             return
         self._free_slot(dispatched)
@@ -252,7 +258,7 @@
         if not dispatched.done:
             if dispatched.connection is not None:
                 dispatched.connection.drop()
-            self._finish(dispatched, Unclear("no answer in its time"), Event.TIME_OVER)
+            self._finish(dispatched, Unclear("no response before the deadline"), Event.TIME_OVER)
 
     def _free_slot(self, dispatched: DispatchedCall) -> None:
         self.running.discard(dispatched)
@@ -289,8 +295,8 @@
         elif message.get(b"not-executed") is not None:
             self._finish(dispatched, NotExecuted(Why.FULL, reached_upstream=True))
         elif 200 <= message.status < 300 and not self._has_seal(dispatched, message):
-            # Bytes that look like a success and are not the upstream's.
-            self._finish(dispatched, Unclear("a success without its seal or id"))
+            # Bytes that look like a success but do not come from the upstream.
+            self._finish(dispatched, Unclear("success without its seal or id"))
         else:
             headers = [item for item in message.end_to_end() if item[0] not in PROXY_ONLY_HEADERS]
             self._finish(
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -383,7 +383,7 @@
         await until(lambda: len(far.second.taken) == 2)
         began = bench.peer_links.loop.time()
         far.close()
-        assert await soon(end) == Unclear("nobody is there")
+        assert await soon(end) == Unclear("connection refused")
         assert bench.peer_links.loop.time() - began < 0.2
 
     over(test)
