--- a/anisestair/configure/effective.py
+++ b/anisestair/configure/effective.py
@@ -74,7 +74,7 @@
     except ValueError as fault:
         raise ConfigError(f"known: {fault}") from None
     try:
-        settings = wire.settings(json.dumps(data.get("settings")))
+        settings = wire.parse_settings(json.dumps(data.get("settings")))
     except wire.WireError as fault:
         raise ConfigError(f"settings: {' '.join(str(fault).split())}") from None
     return Config(
--- a/anisestair/states/bugs.py
+++ b/anisestair/states/bugs.py
@@ -27,7 +27,7 @@
 from hareloom import interface as api
 from hareloom import requests
 from hareloom.interface import Effect, Group, Outcome
-from hareloom.records import Held, Server
+from hareloom.records import OpenRequest, Server
 from hareloom.rules import Balancer
 
 
@@ -101,7 +101,7 @@
 
 def _retune_orphans(self: Balancer, settings: api.Settings) -> None:
     for name, held in list(self.requests.items()):
-        if all(item.name != held.klass.name for item in settings.classes) and not held.waits:
+        if all(item.name != held.klass.name for item in settings.classes) and not held.queued:
             del self.requests[name]
     _sound_retune(self, settings)
 
@@ -297,11 +297,11 @@
     Lives._settle(self, effects, request, final)
 
 
-def _refuses_always(settings: api.Settings, now: float, held: Held) -> api.Refuse:
+def _refuses_always(settings: api.Settings, now: float, held: OpenRequest) -> api.Refuse:
     return api.Refuse(held.id, 0.0)
 
 
-def _sends_sales_again(settings: api.Settings, now: float, held: Held, server: Server) -> bool:
+def _sends_sales_again(settings: api.Settings, now: float, held: OpenRequest, server: Server) -> bool:
     return held.open and len(held.attempts) < settings.limits.max_attempts
 
 
@@ -311,7 +311,7 @@
     grouped: bool,
     settings: api.Settings,
     now: float,
-    held: Held,
+    held: OpenRequest,
     server: Server,
 ) -> bool:
     """The module's rule, with its parts to be left out."""
@@ -324,7 +324,7 @@
     if klass.effect is Effect.UNSAFE:
         return False
     margin = limits.connect_timeout_ms if connecting else 0.0
-    if now > ran[since].sent + klass.window_ms - margin - 2.0 * settings.tick_ms:
+    if now > ran[since].sent_at + klass.window_ms - margin - 2.0 * settings.tick_ms:
         return False
     if klass.group is not Group.CELL or not grouped:
         return True
--- a/anisestair/states/permits.py
+++ b/anisestair/states/permits.py
@@ -9,8 +9,8 @@
 
 from hareloom import interface as api
 from hareloom import requests
-from hareloom.records import Attempt, Held, Server
-from hareloom.work import class_of
+from hareloom.records import Attempt, OpenRequest, Server
+from hareloom.work import class_record
 
 
 class View(NamedTuple):
@@ -27,17 +27,19 @@
 
     def __init__(self, settings: api.Settings, cells: tuple[int, ...], tick_ms: float) -> None:
         self._settings, self._tick_ms = settings, tick_ms
-        self._classes = {item.name: class_of(item, settings, 1.0) for item in settings.classes}
+        self._classes = {item.name: class_record(item, settings, 1.0) for item in settings.classes}
         entries = [api.ServerEntry(f"s{number}", cell=cell) for number, cell in enumerate(cells)]
         self._servers = [Server(entry, 0.0) for entry in entries]
         self._sends: dict[tuple[str, tuple[View, ...], int, int], bool] = {}
         self._finals: dict[tuple[str, tuple[View, ...]], bool] = {}
 
-    def _held(self, klass: str, views: tuple[View, ...]) -> Held:
+    def _held(self, klass: str, views: tuple[View, ...]) -> OpenRequest:
         request = api.Request("r", klass, 1e12)
-        held = Held(request, self._classes[klass], 1e12, self._settings.limits.max_attempts)
+        held = OpenRequest(request, self._classes[klass], 1e12, self._settings.limits.max_attempts)
         for view in views:
-            attempt = Attempt(self._servers[view.server], view.tick * self._tick_ms, 1e9, 1.0, 1.0, held.of)
+            attempt = Attempt(
+                self._servers[view.server], view.tick * self._tick_ms, 1e9, 1.0, 1.0, held.record
+            )
             attempt.ended, attempt.may_have_run = not view.out, view.may_have_run
             held.attempts.append(attempt)
         return held
--- a/anisestair/states/policy.py
+++ b/anisestair/states/policy.py
@@ -112,7 +112,7 @@
         if (
             self.lives.exchanges
             or self.balancer.requests
-            or self.balancer.limits.out
+            or self.balancer.limits.inflight
             or self.balancer.queue.waiting
         ):
             raise Broken(props.NOTHING_LEFT)
--- a/benchmarks/event_kinds.py
+++ b/benchmarks/event_kinds.py
@@ -71,7 +71,7 @@
     from hareloom import Balancer
     from hareloom import interface as api
     from hareloom.host import Host
-    from hareloom.wire import settings as read_settings
+    from hareloom.wire import parse_settings as read_settings
 
     config = {
         "classes": [
@@ -85,7 +85,7 @@
     frames = ["FRAME now-ms=0", "FOR who=1", f"NEW_INSTANCE entropy=1 config={json.dumps(config)}"]
     frames += ["MANIFEST ref=1 entries=13", *entries, "FOR who=1", "SYNC kind=total index=1 ref=1", "END"]
     for line in frames:
-        host.line(line)
+        host.read_line(line)
     asks = [(float(n), "check" if n % 2 else "submit") for n in range(requests)]
     begun = time.perf_counter()
     for now, name in asks:
@@ -99,7 +99,7 @@
             f"RETURNED msg-id=r{now:.0f} copy=0 status=ok took-ms=21.250 no-more=1",
             "END",
         ):
-            host.line(line)
+            host.read_line(line)
     through = time.perf_counter() - begun
     module = Balancer(read_settings(json.dumps(config)), 1)
     entries_ = tuple(api.ServerEntry(f"s{n}", zone="a", cell=n, kind="fast") for n in range(13))
--- a/hareloom/beliefs.py
+++ b/hareloom/beliefs.py
@@ -6,7 +6,7 @@
 
 from hareloom import interface as api
 from hareloom.interface import ServerState
-from hareloom.servers import CROWD_SIZE
+from hareloom.servers import MIN_SIZE
 
 if TYPE_CHECKING:
     from hareloom.rules import Balancer
@@ -17,16 +17,16 @@
     servers = [
         api.LearntServer(
             *(name, s.entry.started_at, s.active, s.w, s.samples, s.breaks, s.backoff),
-            max(s.due - now, 0.0),
+            max(s.trial_at - now, 0.0),
         )
         for name, s in balancer.servers.items()
         if s.samples > 0 and s.entry.state is not ServerState.GONE
     ]
     classes = [
-        api.LearntClass(name, dict(of.costs), of.quick, of.usual, of.calm, of.seen)
-        for name, of in balancer.classes.items()
+        api.LearntClass(name, dict(record.costs), record.quick, record.usual, record.unqueued, record.seen)
+        for name, record in balancer.classes.items()
     ]
-    limits, rate, broken = balancer.limits, balancer.work.rate(now), balancer.activity.broken
+    limits, rate, broken = balancer.limits, balancer.work.rate(now), balancer.activity.broken_share
     return api.Learnt(tuple(servers), tuple(classes), limits.limit, rate, broken, limits.starting)
 
 
@@ -42,17 +42,22 @@
         server.w, server.samples, server.breaks = item.w, max(int(item.samples), 1), int(item.breaks)
         server.active = item.active and server.listed
         server.backoff = min(max(item.backoff, activity.backoff_min), activity.backoff_max)
-        server.due, server.deficit = now + min(item.due_in, activity.backoff_max), floor
+        server.trial_at, server.deficit = now + min(item.due_in, activity.backoff_max), floor
     for known in learnt.classes:
-        of = balancer.classes.get(known.name)
-        if of is None or of.seen > 1.0:
+        record = balancer.classes.get(known.name)
+        if record is None or record.seen > 1.0:
             continue
-        of.costs.update({kind: cost for kind, cost in known.costs.items() if kind in of.costs})
-        of.quick, of.usual, of.calm, of.seen = known.quick, known.usual, known.calm, 1.0 + known.seen
+        record.costs.update({kind: cost for kind, cost in known.costs.items() if kind in record.costs})
+        record.quick, record.usual, record.unqueued, record.seen = (
+            known.quick,
+            known.usual,
+            known.calm,
+            1.0 + known.seen,
+        )
     if learnt.limit > limits.limit:
         limits.limit, limits.starting = learnt.limit, learnt.starting
-    if learnt.done > work.done:
-        work.could = max(sum([s.size for s in servers.values() if s.active]), CROWD_SIZE)
-    work.done, work.done_at = max(work.done, learnt.done), now
-    activity.broken = max(activity.broken, learnt.broken)
-    balancer.working.stale = balancer.working.unsettled = True
+    if learnt.done > work.done_rate:
+        work.mean_size = max(sum([s.size for s in servers.values() if s.active]), MIN_SIZE)
+    work.done_rate, work.done_at = max(work.done_rate, learnt.done), now
+    activity.broken_share = max(activity.broken_share, learnt.broken)
+    balancer.working.needs_draw = balancer.working.views_stale = True
--- a/hareloom/host.py
+++ b/hareloom/host.py
@@ -34,84 +34,84 @@
         self.instances: dict[int, Balancer] = {}
         self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
         self.now: float | None = None
-        self.who: int | None = None
+        self.instance: int | None = None
         self.pending: list[str] = []  # ITEM lines of the list being read
-        self.awaited = 0
-        self.ref = 0
+        self.missing_entries = 0
+        self.list_ref = 0
         self.replies: list[str] = []
-        self.speaker: int | None = None
+        self.reply_instance: int | None = None
 
-    def line(self, line: str) -> list[str] | None:
+    def read_line(self, line: str) -> list[str] | None:
         """Take one line; at the end of a batch, the lines of its reply."""
         word = line.partition(" ")[0]
-        if self.awaited:
+        if self.missing_entries:
             if word != "ITEM":
-                raise WireError(f"list {self.ref} is short of {self.awaited} entries")
+                raise WireError(f"list {self.list_ref} is short of {self.missing_entries} entries")
             self.pending.append(line)
-            self.awaited -= 1
-            if not self.awaited:
-                self.keep_list()
+            self.missing_entries -= 1
+            if not self.missing_entries:
+                self.store_list()
             return None
         if word == "FRAME":
             if self.now is not None:
                 raise WireError("a batch begins inside a batch")
-            self.now = wire.number(wire.need(wire.fields_of(line), "now-ms"), "now-ms")
+            self.now = wire.number(wire.required(wire.fields_of(line), "now-ms"), "now-ms")
             return None
         if self.now is None:
             raise WireError(f"{word!r} outside a batch")
         if word == "END":
             replies, self.replies = self.replies, []
-            self.now = self.who = self.speaker = None
+            self.now = self.instance = self.reply_instance = None
             return [*replies, "READY"]
         if word == "FOR":
-            self.who = wire.whole(wire.need(wire.fields_of(line), "who"), "who")
+            self.instance = wire.integer(wire.required(wire.fields_of(line), "who"), "who")
         elif word == "MANIFEST":
             fields = wire.fields_of(line)
-            self.ref = wire.whole(wire.need(fields, "ref"), "ref")
-            self.awaited = wire.whole(wire.need(fields, "entries"), "entries")
-            if self.awaited < 0:
-                raise WireError(f"field 'entries' is below zero: {self.awaited}")
+            self.list_ref = wire.integer(wire.required(fields, "ref"), "ref")
+            self.missing_entries = wire.integer(wire.required(fields, "entries"), "entries")
+            if self.missing_entries < 0:
+                raise WireError(f"field 'entries' is below zero: {self.missing_entries}")
             self.pending = []
-            if not self.awaited:
-                self.keep_list()
+            if not self.missing_entries:
+                self.store_list()
         else:
-            self.instance_line(word, line)
+            self.handle_instance_line(word, line)
         return None
 
-    def keep_list(self) -> None:
-        self.lists[self.ref] = tuple(wire.entry(item) for item in self.pending)
+    def store_list(self) -> None:
+        self.lists[self.list_ref] = tuple(wire.parse_entry(item) for item in self.pending)
         self.pending = []
 
-    def instance_line(self, word: str, line: str) -> None:
-        if self.who is None or self.now is None:
+    def handle_instance_line(self, word: str, line: str) -> None:
+        if self.instance is None or self.now is None:
             raise WireError(f"{word!r} names no instance")
         if word == "DOWN":
-            self.instances.pop(self.who, None)
+            self.instances.pop(self.instance, None)
             return
         if word == "NEW_INSTANCE":
             fields = wire.fields_of(line, text_field="config")
-            seed = wire.whole(wire.need(fields, "entropy"), "entropy")
-            settings = replace(wire.settings(wire.need(fields, "config")), costs=COSTS)
-            self.instances[self.who] = Balancer(settings, seed)
+            seed = wire.integer(wire.required(fields, "entropy"), "entropy")
+            settings = replace(wire.parse_settings(wire.required(fields, "config")), costs=COSTS)
+            self.instances[self.instance] = Balancer(settings, seed)
             return
-        happened = wire.event(word, line, self.lists)
-        balancer = self.instances.get(self.who)
+        happened = wire.parse_event(word, line, self.lists)
+        balancer = self.instances.get(self.instance)
         if balancer is None:
-            raise WireError(f"{word!r} for instance {self.who}, which is not running")
+            raise WireError(f"{word!r} for instance {self.instance}, which is not running")
         if happened is None:
             return
         try:
             actions = balancer.handle(self.now, happened)
         except Exception as fault:  # the module's fault, not the wire's: say so and let the other side stop
-            self.say(f"DIE words={type(fault).__name__}: {' '.join(str(fault).split())}")
+            self.reply(f"DIE words={type(fault).__name__}: {' '.join(str(fault).split())}")
             return
         for item in actions:
-            self.say(wire.action(item))
+            self.reply(wire.format_action(item))
 
-    def say(self, line: str) -> None:
-        if self.speaker != self.who:
-            self.speaker = self.who
-            self.replies.append(f"SOURCE who={self.who}")
+    def reply(self, line: str) -> None:
+        if self.reply_instance != self.instance:
+            self.reply_instance = self.instance
+            self.replies.append(f"SOURCE who={self.instance}")
         self.replies.append(line)
 
 
@@ -124,7 +124,7 @@
             line = line.rstrip("\r\n")
             if not line:
                 continue
-            reply = host.line(line)
+            reply = host.read_line(line)
             if reply is not None:
                 sink.write("\n".join(reply) + "\n")
                 sink.flush()
--- a/hareloom/limits.py
+++ b/hareloom/limits.py
@@ -5,126 +5,127 @@
 import math
 
 from hareloom.interface import Outcome
-from hareloom.records import Attempt, Class, Held
-
-# Attempts that may be out at once: the least; up for a timely answer, down for one late or missing; below 1,
-# in proportion. Below the even size, so many a server over all sidecars, up by more. Up by LIMIT_START until
-# LATE_START of the answers is late, by LATE_ALPHA, or the limit has come to LIMIT_SOON even sizes: one that
-# starts into a full load needs many times its first limit within a second, and more where a server does more
-# work at once, which nobody tells; a single late answer says little where work itself differs. Never below
-# LIMIT_EACH_MIN a server over all sidecars: where servers are slow by themselves all answers are late,
-# whatever is held back.
+from hareloom.records import Attempt, ClassRecord, OpenRequest
+
+# The limit on attempts in flight: its minimum, and its steps up for a timely answer and down for a late or
+# missing one, in proportion below 1. Below `even`, LIMIT_PER_SERVER a server over all sidecars, the step up
+# is larger. A start adds start_step until LATE_START of the answers, smoothed by LATE_ALPHA, are late, or
+# until LIMIT_START_MAX times `even`: a start into full load needs many times its first limit within a second,
+# and one late answer says little where service times vary. LIMIT_PER_SERVER_MIN a server over all sidecars is
+# always allowed: where servers themselves are slow, all answers are late whatever is held back.
 LIMIT_MIN, LIMIT_UP, LIMIT_DOWN = 0.1, 0.1, 0.2
-LIMIT_EACH, LIMIT_EVEN, LIMIT_PULL = 3.0, 2.0, 0.25
-LIMIT_START, LIMIT_SOON, LIMIT_EACH_MIN = 0.5, 32.0, 1.0
-# Many that share few servers start by smaller steps, by this power of each one's part of them: with the whole
-# step two hundred sidecars had 400 attempts out at 15 servers before the first late answer. It hurts where
-# one of very many carries most of the traffic.
-LIMIT_ROOT = 0.6
-# Timely: within this share of what the aim leaves beyond the class's quick answers, its lowest fifth. More
-# lets queues stand that some servers do not recover from. The fifth is learnt in steps of this share of the
-# aim, large ones at first: where it follows within a second, a queue that stands raises what counts as quick,
-# is timely by that, and stays for good. Where work itself takes about as long as that, a third of the answers
-# was late with nothing waiting, and the limit fell to its least: what is usual, the USUAL quantile, is timely
-# too. It is learnt from what was sent while this sidecar made no queue: the limit not over LIMIT_CALM times
-# its least, or the first USUAL_FIRST of a start; before USUAL_LEAST of those the whole aim is timely.
-TIMELY, QUICK, QUICK_STEP, QUICK_FIRST = 0.25, 0.2, 0.002, 0.5
-QUICK_RATE = 0.115  # of the aim a mean aim's time at the most, or many short calls would make the steps fast
-USUAL, USUAL_STEP, LIMIT_CALM, USUAL_FIRST, USUAL_LEAST = 0.8, 0.005, 2.0, 50, 30
+LIMIT_PER_SERVER, LIMIT_EVEN_MIN, UP_POWER = 3.0, 2.0, 0.25
+LIMIT_START, LIMIT_START_MAX, LIMIT_PER_SERVER_MIN = 0.5, 32.0, 1.0
+# Sidecars that share few servers start by smaller steps, by this power of each one's part of them: with the
+# whole step 200 sidecars had 400 attempts in flight at 15 servers before the first late answer. The cost: a
+# slow start where one of very many sidecars carries most of the traffic.
+LIMIT_START_POWER = 0.6
+# An answer is timely within TIMELY_SHARE of what the aim leaves beyond the class's low quantile of latency,
+# `quick`; a larger share keeps queues from which some servers do not recover. `quick` moves by QUICK_STEP of
+# the aim an answer, by more at first: if it followed within a second, a standing queue would raise it, become
+# timely and stay. Where service times are about that long, a third of the answers was late without any queue
+# and the limit fell to its minimum, so latencies up to the high quantile, `usual`, are timely too. `usual` is
+# learnt only from attempts sent while this sidecar causes no queue: the limit is at most UNQUEUED_LIMIT times
+# its minimum, or it is one of the first USUAL_START_SENDS of a start. Until USUAL_MIN samples the whole aim
+# is timely.
+TIMELY_SHARE, QUICK_QUANTILE, QUICK_STEP, QUICK_FIRST = 0.25, 0.2, 0.002, 0.5
+QUICK_RATE = 0.115  # most that `quick` moves in a mean aim's time, in aims: many short calls step often
+USUAL_QUANTILE, USUAL_STEP, UNQUEUED_LIMIT, USUAL_START_SENDS, USUAL_MIN = 0.8, 0.005, 2.0, 50, 30
 LATE_ALPHA, LATE_START = 0.9, 0.5
-# A stray: an attempt that timely answers to so many later ones at its server have passed, when it is out for
-# so many times what is usual, or its aim. Its answer was lost on the way, or its work is very long; it says
-# nothing of the load, and takes no place of the limit: where a fifth of the answers is lost, those places
-# held back a third of the requests. It hurts by one attempt more where work itself is that long.
-STRAY_PASSED, STRAY_USUAL = 4, 2.0
+# An attempt is presumed lost once LOST_PASSED timely answers to later attempts at its server have come while
+# it is out for LOST_USUAL times `usual`, or for its aim. Its answer was lost on the way or its work is very
+# long, so it says nothing of the load and no longer counts towards the limit: with a fifth of the answers
+# lost, such attempts held back a third of the requests. The cost: one attempt too many where the work itself
+# is that long.
+LOST_PASSED, LOST_USUAL = 4, 2.0
 
 # Looked up for every answer; a member of an enumeration is found slowly.
 OK, TIMEOUT, FULL = Outcome.OK, Outcome.TIMEOUT, Outcome.FULL
 
 
-class Limits:
+class AttemptLimit:
     """``limit``: attempts that may be out; ``out``: those that are, strays left out."""
 
     def __init__(self, mean_aim: float, paced: bool) -> None:
         self.tune(mean_aim)
-        self.limit, self.even, self.share, self.out = 1.0 if paced else math.inf, 1.0, 0.0, 0
-        self.rest_until = -math.inf
+        self.limit, self.even, self.share, self.inflight = 1.0 if paced else math.inf, 1.0, 0.0, 0
+        self.paused_until = -math.inf
         self.start_step = LIMIT_START
-        self.late = 0.0  # share of late answers, of late
+        self.late_share = 0.0  # share of late answers, of late
         self.starting = True  # no answer has been late yet, and the limit is small
 
     def tune(self, mean_aim: float) -> None:
         self.quick_rate = QUICK_RATE / mean_aim
 
-    def spread(self, share: float) -> None:
+    def update_share(self, share: float) -> None:
         """``share``: this sidecar's part of the servers that are listed."""
-        self.share, self.even = share, max(LIMIT_EACH * share, LIMIT_EVEN)
-        self.start_step = LIMIT_START * min((share / LIMIT_EACH) ** LIMIT_ROOT, 1.0)
+        self.share, self.even = share, max(LIMIT_PER_SERVER * share, LIMIT_EVEN_MIN)
+        self.start_step = LIMIT_START * min((share / LIMIT_PER_SERVER) ** LIMIT_START_POWER, 1.0)
 
     def restart(self) -> None:
         """With a list that was held: hundreds that start with several each would crowd every server."""
         if self.limit < math.inf:
-            self.limit = self.even / LIMIT_EVEN
+            self.limit = self.even / LIMIT_EVEN_MIN
 
-    def least(self) -> float:
+    def minimum(self) -> float:
         """The limit's lower end."""
-        return max(LIMIT_MIN, LIMIT_EACH_MIN * self.share)
+        return max(LIMIT_MIN, LIMIT_PER_SERVER_MIN * self.share)
 
     def room(self, now: float) -> bool:
         if self.limit >= 1.0:
-            return self.out < self.limit
-        return self.out < 1.0 and now >= self.rest_until
+            return self.inflight < self.limit
+        return self.inflight < 1.0 and now >= self.paused_until
 
-    def calm(self, of: Class) -> bool:
+    def unqueued(self, record: ClassRecord) -> bool:
         """Whether what is sent now meets no queue that this sidecar made."""
-        calm = self.limit <= LIMIT_CALM * self.least() or self.limit == math.inf
+        calm = self.limit <= UNQUEUED_LIMIT * self.minimum() or self.limit == math.inf
         if self.starting and not calm:
-            of.first += 1
-            calm = of.first <= USUAL_FIRST
+            record.start_sends += 1
+            calm = record.start_sends <= USUAL_START_SENDS
         return calm
 
-    def on_pace(
-        self, now: float, held: Held, attempt: Attempt, outcome: Outcome, latency: float, busy: bool
+    def adjust(
+        self, now: float, pending: OpenRequest, attempt: Attempt, outcome: Outcome, latency: float, busy: bool
     ) -> None:
         """Moves the limit: up for a timely answer, down for one late or missing."""
-        of, timely = held.of, False
+        record, timely = pending.record, False
         if outcome is OK:
-            aim, quick = of.klass.aim_ms, of.quick if of.quick >= 0.0 else latency
-            step, first = self.quick_rate * (now - of.at), QUICK_FIRST / (10.0 + of.seen)
+            aim, quick = record.klass.aim_ms, record.quick if record.quick >= 0.0 else latency
+            step, first = self.quick_rate * (now - record.answered_at), QUICK_FIRST / (10.0 + record.seen)
             step = step if step < QUICK_STEP else QUICK_STEP
-            step, of.at = aim * (first if first > step else step), now
-            of.quick = max(quick + step * (QUICK - (latency < quick)), 0.0)
+            step, record.answered_at = aim * (first if first > step else step), now
+            record.quick = max(quick + step * (QUICK_QUANTILE - (latency < quick)), 0.0)
             # What is usual follows answers only where this sidecar itself makes no queue.
-            usual = of.usual if of.usual >= 0.0 else latency
-            if attempt.calm:
-                of.calm += 1
-                step = aim * max(USUAL_STEP, QUICK_FIRST / (10.0 + of.calm))
-                usual = max(usual + step * (USUAL - (latency < usual)), 0.0)
-            of.usual = usual
-            most = max(quick + TIMELY * (aim - quick), usual if of.calm >= USUAL_LEAST else aim)
-            timely = latency <= most * (held.scale if held.scale > 1.0 else 1.0)
+            usual = record.usual if record.usual >= 0.0 else latency
+            if attempt.unqueued:
+                record.unqueued += 1
+                step = aim * max(USUAL_STEP, QUICK_FIRST / (10.0 + record.unqueued))
+                usual = max(usual + step * (USUAL_QUANTILE - (latency < usual)), 0.0)
+            record.usual = usual
+            most = max(quick + TIMELY_SHARE * (aim - quick), usual if record.unqueued >= USUAL_MIN else aim)
+            timely = latency <= most * (pending.scale if pending.scale > 1.0 else 1.0)
         if timely:
-            if attempt.server.late:
-                self.pass_by(now, attempt)
-            self.late *= LATE_ALPHA
-            self.starting = self.starting and self.limit < LIMIT_SOON * self.even
+            if attempt.server.overdue_count:
+                self.mark_lost(now, attempt)
+            self.late_share *= LATE_ALPHA
+            self.starting = self.starting and self.limit < LIMIT_START_MAX * self.even
             if busy:
-                step = self.start_step if self.starting else LIMIT_UP * (self.even / self.limit) ** LIMIT_PULL
+                step = self.start_step if self.starting else LIMIT_UP * (self.even / self.limit) ** UP_POWER
                 self.limit += step if self.limit >= 1.0 else step * self.limit
-        elif (outcome is OK or outcome is TIMEOUT or outcome is FULL) and not attempt.stray:
-            self.limit = max(self.limit - LIMIT_DOWN * min(self.limit, 1.0), self.least())
-            self.late = LATE_ALPHA * self.late + 1.0 - LATE_ALPHA
-            self.starting = self.starting and self.late < LATE_START
+        elif (outcome is OK or outcome is TIMEOUT or outcome is FULL) and not attempt.presumed_lost:
+            self.limit = max(self.limit - LIMIT_DOWN * min(self.limit, 1.0), self.minimum())
+            self.late_share = LATE_ALPHA * self.late_share + 1.0 - LATE_ALPHA
+            self.starting = self.starting and self.late_share < LATE_START
 
-    def pass_by(self, now: float, answered: Attempt) -> None:
+    def mark_lost(self, now: float, answered: Attempt) -> None:
         """A timely answer passes what was sent before it to its server and is long overdue."""
-        for attempt in answered.server.out:
-            of = attempt.of
-            if not attempt.overdue or attempt.stray or attempt.sent >= answered.sent:
+        for attempt in answered.server.attempts:
+            record = attempt.record
+            if not attempt.overdue or attempt.presumed_lost or attempt.sent_at >= answered.sent_at:
                 continue
-            aim = of.klass.aim_ms
-            long = min(STRAY_USUAL * of.usual, aim) if of.calm >= USUAL_LEAST else aim
-            attempt.passed += now - attempt.sent >= long
-            if attempt.passed >= STRAY_PASSED:
-                attempt.stray = True
-                self.out -= 1
+            aim = record.klass.aim_ms
+            long = min(LOST_USUAL * record.usual, aim) if record.unqueued >= USUAL_MIN else aim
+            attempt.passed += now - attempt.sent_at >= long
+            if attempt.passed >= LOST_PASSED:
+                attempt.presumed_lost = True
+                self.inflight -= 1
--- a/hareloom/rules.py
+++ b/hareloom/rules.py
@@ -14,12 +14,12 @@
 from hareloom import interface as api
 from hareloom.activity import Activity
 from hareloom.interface import NEVER_RAN, ListKind, Outcome
-from hareloom.limits import Limits
-from hareloom.pick import Pick
-from hareloom.records import Agenda, Held, Savings
-from hareloom.requests import RETRY_SAVED, RETRY_SHARE, Ages, Queue
-from hareloom.servers import Members, Warmth, prove
-from hareloom.work import Work, class_of, scale
+from hareloom.limits import AttemptLimit
+from hareloom.pick import Picker
+from hareloom.records import OpenRequest, Schedule, TokenBudget
+from hareloom.requests import RETRY_SHARE, RETRY_TOKENS_MAX, Queue, RequestAges
+from hareloom.servers import Members, Warmth, proves_warm
+from hareloom.work import Work, class_record, cost_scale
 from hareloom.working import WorkingSet
 
 OK = Outcome.OK  # looked up for every request; a member of an enumeration is found slowly
@@ -27,20 +27,23 @@
 
 class Balancer:
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         self.settings, self.mean_aim = settings, mean_aim(settings)
         self.governor = governor.Governor(settings)
-        self.classes = {item.name: class_of(item, settings, self.mean_aim) for item in settings.classes}
+        self.classes = {item.name: class_record(item, settings, self.mean_aim) for item in settings.classes}
         self.queue = Queue(self.classes)
-        self.ages, self.retries = Ages(), Savings(RETRY_SHARE, RETRY_SAVED)
-        self.members, self.warmth = Members(settings, chance), Warmth(settings)
+        self.ages, self.retries = RequestAges(), TokenBudget(RETRY_SHARE, RETRY_TOKENS_MAX)
+        self.members, self.warmth = Members(settings, rng), Warmth(settings)
         self.servers = self.members.servers
-        self.work, self.limits = Work(settings, self.mean_aim), Limits(self.mean_aim, settings.limits.paced)
+        self.work, self.limits = (
+            Work(settings, self.mean_aim),
+            AttemptLimit(self.mean_aim, settings.limits.paced),
+        )
         self.working = WorkingSet(settings, self.mean_aim, self.members, self.warmth)
-        self.activity = Activity(settings, self.mean_aim, self.working, chance)
-        self.pick = Pick(settings, self.activity, self.work, self.limits)
-        self.requests = dict[str, Held]()
-        self.agenda = Agenda()
+        self.activity = Activity(settings, self.mean_aim, self.working, rng)
+        self.pick = Picker(settings, self.activity, self.work, self.limits)
+        self.requests = dict[str, OpenRequest]()
+        self.schedule = Schedule()
         self.now, self.actions = -math.inf, list[api.Action]()
 
     @property
@@ -78,21 +81,21 @@
             if old is not None and old.klass == item:
                 self.classes[item.name] = old
                 continue
-            of = self.classes[item.name] = class_of(item, settings, aim)
+            record = self.classes[item.name] = class_record(item, settings, aim)
             if old is not None:
-                of.follow(old)
-            of.meet(self.members.kinds)
-        self.ages.keep(self.classes)
-        self.queue.line_up(self.classes)
-        self.spread()
-        self.working.stale = True
+                record.copy_learnt(old)
+            record.update_kinds(self.members.kind_counts)
+        self.ages.retain(self.classes)
+        self.queue.set_classes(self.classes)
+        self.update_share()
+        self.working.needs_draw = True
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.now, self.actions = now, []
-        if self.governor.on:
-            self.pay(now, event)
+        if self.governor.enabled:
+            self.spend_for_event(now, event)
         elif self.governor.level:
-            self.governor.advance(now)  # what the host was late by fades
+            self.governor.refill(now)  # what the host was late by fades
         kind = type(event)
         if kind is api.Request:
             self.on_request(event)  # type: ignore[arg-type]
@@ -105,23 +108,23 @@
         elif isinstance(event, api.ClientGone) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, api.StreamStarted):
-            if (held := self.requests.get(event.request)) and event.attempt < len(held.attempts):
-                held.streaming = True
+            if (pending := self.requests.get(event.request)) and event.attempt < len(pending.attempts):
+                pending.streaming = True
         elif isinstance(event, api.Retune):
             self.on_retune(event.settings)
         elif isinstance(event, api.Late):
-            self.governor.advance(now)
-            self.governor.late(event.delay_ms)
+            self.governor.refill(now)
+            self.governor.on_delay(event.delay_ms)
         if self.queue.waiting:
-            self.fill()
-        if alarm := self.agenda.alarm(now):
+            self.send_queued()
+        if alarm := self.schedule.next_timer(now):
             self.actions.append(alarm)
         return self.actions
 
-    def pay(self, now: float, event: api.Event) -> None:
+    def spend_for_event(self, now: float, event: api.Event) -> None:
         """What an event costs by itself; what comes of it is paid for where it is done."""
         governor_, costs = self.governor, self.governor.costs
-        governor_.advance(now)
+        governor_.refill(now)
         if isinstance(event, api.Request):
             governor_.spend(costs.request)
         elif isinstance(event, api.AttemptEnded):
@@ -134,153 +137,153 @@
             governor_.spend(costs.other)
 
     def on_request(self, event: api.Request) -> None:
-        of, until, now = self.classes[event.klass], event.deadline, self.now
-        klass, settings = of.klass, self.settings
-        if not self.governor.affords(of.worth >= self.queue.most_worth):
+        record, until, now = self.classes[event.klass], event.deadline, self.now
+        klass, settings = record.klass, self.settings
+        if not self.governor.affords(record.worth >= self.queue.most_worth):
             # What comes back while this lasts costs as much again: come back for another call, not for this.
-            self.governor.refused()
+            self.governor.on_refused()
             advice = min(klass.deadline_ms, settings.limits.max_retry_after_ms)
             self.actions.append(api.Refuse(event.request, advice))
             return
-        self.governor.taken()
+        self.governor.on_accepted()
         if klass.late_worth <= 0.0:  # a later answer is worth nothing and costs a late failure
             sent = now + event.body_ms
             until = min(until, sent + klass.aim_ms - self.ages.age(klass, until - sent, settings.tick_ms))
-        held = Held(event, of, until - settings.tick_ms, settings.limits.max_attempts)
-        self.requests[event.request] = held
-        of.seen += 1.0
+        pending = OpenRequest(event, record, until - settings.tick_ms, settings.limits.max_attempts)
+        self.requests[event.request] = pending
+        record.seen += 1.0
         if event.cost_ms is not None:
-            held.scale = scale(of, event.cost_ms)
-        self.retries.earn()
-        self.activity.trials.earn()
-        self.working.resize(self.work.done)
-        if held.until <= now:
-            return self.finish(held)
-        self.agenda.add(held.until, "end", held)
-        if self.queue.waiting or not (self.limits.room(now) and self.send(held)):
-            if self.governor.level >= governor.SPARE:  # a line costs a timer and a second look
-                return self.finish(held)
-            self.queue.join(held)
-            self.fill()
-            if held.waits:
-                self.agenda.add(now + of.wait_ms, "wait", held)
+            pending.scale = cost_scale(record, event.cost_ms)
+        self.retries.add()
+        self.activity.trials.add()
+        self.working.resize(self.work.done_rate)
+        if pending.expires_at <= now:
+            return self.finish(pending)
+        self.schedule.add(pending.expires_at, "end", pending)
+        if self.queue.waiting or not (self.limits.room(now) and self.send(pending)):
+            if self.governor.level >= governor.NO_QUEUE:  # a line costs a timer and a second look
+                return self.finish(pending)
+            self.queue.join(pending)
+            self.send_queued()
+            if pending.queued:
+                self.schedule.add(now + record.max_wait_ms, "wait", pending)
 
-    def fill(self) -> None:
+    def send_queued(self) -> None:
         """What is over the limit waits here, else queues make every answer late. Places go to the most worth
         per work, then to the last, with most time."""
-        for line in self.queue.lines:
+        for line in self.queue.queues:
             while line:
                 if not self.limits.room(self.now) or not self.send(next(reversed(line.values()))):
                     return
 
-    def send(self, held: Held) -> bool:
+    def send(self, pending: OpenRequest) -> bool:
         now = self.now
-        if now >= held.until:
+        if now >= pending.expires_at:
             return False
-        if self.governor.on:
+        if self.governor.enabled:
             self.governor.spend(self.governor.costs.pick)
-        server = self.pick.choose(now, held, self.governor)
+        server = self.pick.choose(now, pending, self.governor)
         if server is None:
             return False
-        if held.waits:
-            self.queue.leave(held)
-        attempt = self.pick.put_out(now, held, server)
-        held.attempts.append(attempt)
-        held.out += 1
-        self.actions.append(api.Send(held.id, server.entry.server, attempt.timeout))
+        if pending.queued:
+            self.queue.leave(pending)
+        attempt = self.pick.start_attempt(now, pending, server)
+        pending.attempts.append(attempt)
+        pending.inflight += 1
+        self.actions.append(api.Send(pending.id, server.entry.server, attempt.timeout))
         return True
 
     def on_ended(self, event: api.AttemptEnded) -> None:
-        held = self.requests.get(event.request)
-        if held is None or event.attempt >= len(held.attempts) or held.attempts[event.attempt].ended:
+        pending = self.requests.get(event.request)
+        if pending is None or event.attempt >= len(pending.attempts) or pending.attempts[event.attempt].ended:
             return
-        attempt, of, outcome = held.attempts[event.attempt], held.of, event.outcome
+        attempt, record, outcome = pending.attempts[event.attempt], pending.record, event.outcome
         now, limits = self.now, self.limits
-        server, working, busy = attempt.server, self.working, limits.out >= 0.5 * limits.limit
+        server, working, busy = attempt.server, self.working, limits.inflight >= 0.5 * limits.limit
         attempt.ended, attempt.may_have_run = True, outcome not in NEVER_RAN
-        server.drop(attempt)
-        held.out -= 1
-        working.active_out -= server.counted
+        server.remove_attempt(attempt)
+        pending.inflight -= 1
+        working.active_inflight -= server.in_use
         server.trial = server.trial and not attempt.trial
-        limits.out -= not attempt.stray
+        limits.inflight -= not attempt.presumed_lost
         if outcome is OK:
             latency = event.latency_ms if event.latency_ms > 0.0 else 0.0
             if self.warmth.answered(now, server):
-                working.unsettled = True
-            self.activity.answered(now, attempt, latency)
-            self.work.learn(now, server, of, latency / held.scale, working.able(now))
-            if prove(server, latency / attempt.cost):
-                working.unsettled = True
+                working.views_stale = True
+            self.activity.on_answer(now, attempt, latency)
+            self.work.learn(now, server, record, latency / pending.scale, working.effective_size(now))
+            if proves_warm(server, latency / attempt.cost):
+                working.views_stale = True
         else:
-            self.activity.fault(now, attempt, event)
-        limits.on_pace(now, held, attempt, outcome, event.latency_ms, busy)
+            self.activity.on_failure(now, attempt, event)
+        limits.adjust(now, pending, attempt, outcome, event.latency_ms, busy)
         if limits.limit < 1.0:  # less than one at a time: a pause after each keeps to it
-            limits.rest_until = now + (now - attempt.sent) * (1.0 / limits.limit - 1.0)
-            self.agenda.add(limits.rest_until, "fill", None)
+            limits.paused_until = now + (now - attempt.sent_at) * (1.0 / limits.limit - 1.0)
+            self.schedule.add(limits.paused_until, "fill", None)
         if event.closed:
-            self.close(held)
-        elif held.open and not held.streaming and not held.out:
-            if requests.may_retry(self.retries, limits) and self.send(held):
-                self.retries.saved -= 1.0
+            self.close(pending)
+        elif pending.open and not pending.streaming and not pending.inflight:
+            if requests.may_retry(self.retries, limits) and self.send(pending):
+                self.retries.tokens -= 1.0
             else:
-                self.finish(held)
+                self.finish(pending)
         else:
-            self.forget(held)
+            self.forget(pending)
 
     def on_timer(self, event: api.Timer) -> None:
-        until = self.agenda.rung(self.now, event.token)
-        while (entry := self.agenda.due(until)) is not None:
-            what, held = entry
-            if what == "ask":
+        until = self.schedule.fired(self.now, event.token)
+        while (entry := self.schedule.pop_due(until)) is not None:
+            job, pending = entry
+            if job == "ask":
                 self.actions.append(api.Subscribe())
-            if held is not None and held.open and not held.streaming:
-                if what == "end" or held.waits and not (self.limits.room(self.now) and self.send(held)):
-                    self.finish(held)
+            if pending is not None and pending.open and not pending.streaming:
+                if job == "end" or pending.queued and not (self.limits.room(self.now) and self.send(pending)):
+                    self.finish(pending)
             if self.queue.waiting:
-                self.fill()
+                self.send_queued()
 
-    def finish(self, held: Held) -> None:
-        self.actions.append(requests.final(self.settings, self.now, held))
-        self.close(held)
+    def finish(self, pending: OpenRequest) -> None:
+        self.actions.append(requests.final(self.settings, self.now, pending))
+        self.close(pending)
 
-    def close(self, held: Held) -> None:
-        if held.waits:
-            self.queue.leave(held)
-        if held.out and held.open and self.settings.limits.may_cancel:
-            self.actions += [api.Cancel(held.id, n) for n, a in enumerate(held.attempts) if not a.ended]
-        held.open = False
-        self.forget(held)
+    def close(self, pending: OpenRequest) -> None:
+        if pending.queued:
+            self.queue.leave(pending)
+        if pending.inflight and pending.open and self.settings.limits.may_cancel:
+            self.actions += [api.Cancel(pending.id, n) for n, a in enumerate(pending.attempts) if not a.ended]
+        pending.open = False
+        self.forget(pending)
 
-    def forget(self, held: Held) -> None:
-        if not held.open and not held.out:
-            self.requests.pop(held.id, None)
+    def forget(self, pending: OpenRequest) -> None:
+        if not pending.open and not pending.inflight:
+            self.requests.pop(pending.id, None)
 
     def on_list(self, event: api.ServerList) -> None:
         members = self.members
         if event.kind is ListKind.LOST:
-            self.agenda.add(members.lost(self.now), "ask", None)
+            self.schedule.add(members.next_retry(self.now), "ask", None)
             return
-        if self.settings.asks_for_list and not members.asked:
-            members.asked = True
+        if self.settings.asks_for_list and not members.subscribed:
+            members.subscribed = True
             self.actions.append(api.Subscribe())
         elif event.kind is not ListKind.CACHED:
-            members.ask_wait = members.ask_min
-        self.working.stale = self.working.unsettled = True
-        members.read(self.now, event, self.activity.backoff_min)
-        for of in self.classes.values():
-            of.meet(members.kinds)
-        for kind in [kind for kind, number in members.kinds.items() if not number]:
-            del members.kinds[kind]
+            members.retry_wait = members.retry_wait_min
+        self.working.needs_draw = self.working.views_stale = True
+        members.apply_list(self.now, event, self.activity.backoff_min)
+        for record in self.classes.values():
+            record.update_kinds(members.kind_counts)
+        for kind in [kind for kind, number in members.kind_counts.items() if not number]:
+            del members.kind_counts[kind]
             self.work.means.pop(kind, None)
-        self.spread()
+        self.update_share()
         if event.kind is ListKind.CACHED:
             self.limits.restart()
 
-    def spread(self) -> None:
+    def update_share(self) -> None:
         """This sidecar's part of the servers that are listed, and what follows from it."""
         share = self.members.share()
-        self.limits.spread(share)
-        self.working.spread(share)
+        self.limits.update_share(share)
+        self.working.update_share(share)
 
 
 def mean_aim(settings: api.Settings) -> float:
--- a/hareloom/wire.py
+++ b/hareloom/wire.py
@@ -44,7 +44,7 @@
     return found
 
 
-def need(fields: dict[str, str], name: str) -> str:
+def required(fields: dict[str, str], name: str) -> str:
     try:
         return fields[name]
     except KeyError:
@@ -61,7 +61,7 @@
     return value
 
 
-def whole(text: str, name: str) -> int:
+def integer(text: str, name: str) -> int:
     try:
         return int(text)
     except ValueError:
@@ -74,67 +74,67 @@
     raise WireError(f"field {name!r} is neither 1 nor 0: {text!r}")
 
 
-def one_of(table: Mapping[Any, Any], text: str | int, name: str) -> Any:
+def lookup(table: Mapping[Any, Any], text: str | int, name: str) -> Any:
     try:
         return table[text]
     except KeyError:
         raise WireError(f"field {name!r} has an unknown value: {text!r}") from None
 
 
-def entry(line: str) -> api.ServerEntry:
+def parse_entry(line: str) -> api.ServerEntry:
     fields = fields_of(line)
     started = number(fields.get("boot-time-ms", "0"), "boot-time-ms")
     return api.ServerEntry(
-        server=need(fields, "upstream"),
-        state=one_of(STATES, fields.get("condition", "Ready"), "condition"),
+        server=required(fields, "upstream"),
+        state=lookup(STATES, fields.get("condition", "Ready"), "condition"),
         zone=fields.get("hall", ""),
-        cell=whole(fields.get("group", "0"), "group"),
+        cell=integer(fields.get("group", "0"), "group"),
         kind=fields.get("hw", ""),
         size=number(fields.get("rating", "1"), "rating"),
         started_at=started or None,
     )
 
 
-def event(word: str, line: str, lists: dict[int, tuple[api.ServerEntry, ...]]) -> api.Event | None:
+def parse_event(word: str, line: str, lists: dict[int, tuple[api.ServerEntry, ...]]) -> api.Event | None:
     """The event that a line holds; None for a kind of event that the module has no use for."""
     fields = fields_of(line)
     if word == "ASK":
         hint = fields.get("work-ms")
         return api.Request(
-            request=need(fields, "msg-id"),
-            klass=need(fields, "profile"),
-            deadline=number(need(fields, "not-after-ms"), "not-after-ms"),
+            request=required(fields, "msg-id"),
+            klass=required(fields, "profile"),
+            deadline=number(required(fields, "not-after-ms"), "not-after-ms"),
             cost_ms=None if hint is None else number(hint, "work-ms"),
             retry=boolean(fields.get("is-retry", FALSE), "is-retry"),
         )
     if word == "RETURNED":
         return api.AttemptEnded(
-            request=need(fields, "msg-id"),
-            attempt=whole(need(fields, "copy"), "copy"),
-            outcome=one_of(OUTCOMES, need(fields, "status"), "status"),
+            request=required(fields, "msg-id"),
+            attempt=integer(required(fields, "copy"), "copy"),
+            outcome=lookup(OUTCOMES, required(fields, "status"), "status"),
             latency_ms=number(fields.get("took-ms", "0"), "took-ms"),
             closed=boolean(fields.get("no-more", FALSE), "no-more"),
         )
     if word == "WAKE":
-        return api.Timer(whole(need(fields, "tag"), "tag"))
+        return api.Timer(integer(required(fields, "tag"), "tag"))
     if word == "SYNC":
-        kind = one_of(LIST_KINDS, need(fields, "kind"), "kind")
-        version = whole(fields.get("index", "0"), "index")
+        kind = lookup(LIST_KINDS, required(fields, "kind"), "kind")
+        version = integer(fields.get("index", "0"), "index")
         if kind is api.ListKind.LOST:
             return api.ServerList(kind, version)
-        return api.ServerList(kind, version, one_of(lists, whole(need(fields, "ref"), "ref"), "ref"))
+        return api.ServerList(kind, version, lookup(lists, integer(required(fields, "ref"), "ref"), "ref"))
     if word == "ABANDONED":
-        return api.ClientGone(need(fields, "msg-id"))
+        return api.ClientGone(required(fields, "msg-id"))
     if word == "FIRST":
         return api.StreamStarted(
-            request=need(fields, "msg-id"),
-            attempt=whole(need(fields, "copy"), "copy"),
+            request=required(fields, "msg-id"),
+            attempt=integer(required(fields, "copy"), "copy"),
             latency_ms=number(fields.get("took-ms", "0"), "took-ms"),
         )
     if word == "PROBED":
         return api.ProbeEnded(
-            server=need(fields, "upstream"),
-            outcome=one_of(OUTCOMES, need(fields, "status"), "status"),
+            server=required(fields, "upstream"),
+            outcome=lookup(OUTCOMES, required(fields, "status"), "status"),
             latency_ms=number(fields.get("took-ms", "0"), "took-ms"),
         )
     if word == "FROM_PEER":
@@ -142,7 +142,7 @@
     raise WireError(f"unknown message {word!r}")
 
 
-def action(item: api.Action) -> str:
+def format_action(item: api.Action) -> str:
     if isinstance(item, api.Send):
         return f"SEND msg-id={item.request} upstream={item.server} within-ms={item.timeout_ms:.3f}"
     if isinstance(item, api.SetTimer):
@@ -158,13 +158,13 @@
     return f"KEEP_INFORMED on={TRUE}"
 
 
-def budget(value: Any) -> float:
+def cpu_budget(value: Any) -> float:
     """A limit on CPU; what cannot be used as one is passed over, as `config check` says: no limit."""
     usable = isinstance(value, (int, float)) and 0.0 <= value < 1e15
     return float(value) if usable else 0.0
 
 
-def settings(text: str) -> api.Settings:
+def parse_settings(text: str) -> api.Settings:
     """The settings in the first message's JSON text; what is unknown in it is passed over."""
     try:
         config = json.loads(text)
@@ -199,8 +199,8 @@
                 ),
                 connect_timeout_ms=float(limits.get("connect-timeout-ms", bounds.connect_timeout_ms)),
                 idle_ms=float(limits.get("keepalive-ms", bounds.idle_ms)),
-                cpu_us_per_s=budget(limits.get("cpu-us-per-s")),
-                cpu_us_per_request=budget(limits.get("cpu-us-per-request")),
+                cpu_us_per_s=cpu_budget(limits.get("cpu-us-per-s")),
+                cpu_us_per_request=cpu_budget(limits.get("cpu-us-per-request")),
             ),
             rules=api.Rules(
                 answer_slack_ms=float(rules.get("answer-slack-ms", plain.answer_slack_ms)),
--- a/lab/policies/hedged.py
+++ b/lab/policies/hedged.py
@@ -89,7 +89,7 @@
         """The timer of a hedge, where there is to be one."""
         self._saved = min(self._saved + SHARE, SAVED)
         held, times = self.requests.get(event.request), self._times.get(event.klass)
-        if held is None or not held.out or times is None or held.klass.effect is not api.Effect.SAFE:
+        if held is None or not held.inflight or times is None or held.klass.effect is not api.Effect.SAFE:
             return []
         wait_ms = times.wait_ms(held.klass.aim_ms)
         if wait_ms is None:
@@ -102,7 +102,7 @@
         """A second try of what is still out, elsewhere."""
         self.now, self.actions = now, []
         held = self.requests.get(self._waiting.pop(token))
-        alone = held is not None and held.open and held.out == 1 and len(held.attempts) == 1
+        alone = held is not None and held.open and held.inflight == 1 and len(held.attempts) == 1
         if held is not None and alone and self._saved >= 1.0 and now >= self._paused_until:
             if len(self.working.set) > 1 and self.send(held):
                 self._saved -= 1.0
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -126,7 +126,7 @@
         "w": None if server.w is None else round(server.w, 3),
         "deficit": round(server.deficit, 3),
         "active": server.active,
-        "held": server.held,
+        "held": server.inflight,
         "samples": server.samples,
         "why": why(proxy.service_balancers.now(), server, server in balancer.working.set),
     }
@@ -149,7 +149,7 @@
     if not server.samples:
         return "not tried yet: its first trial is due"
     cause = f"{server.breaks} connections failed in a row" if server.breaks else "far slower than the best"
-    wait = server.due - now
+    wait = server.trial_at - now
     return f"{cause}: next trial " + (f"in {wait:.0f} ms" if 0.0 < wait < math.inf else "is due")
 
 
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -87,9 +87,9 @@
     server.full_until = 9.0
     assert why(2.0, server, True) == "was full: nothing for 7 ms more"
     assert "lowest deficit" in why(10.0, server, True)
-    server.active, server.samples, server.breaks, server.due = False, 3, 2, 50.0
+    server.active, server.samples, server.breaks, server.trial_at = False, 3, 2, 50.0
     assert why(10.0, server, True) == "2 connections failed in a row: next trial in 40 ms"
-    server.breaks, server.due = 0, -math.inf
+    server.breaks, server.trial_at = 0, -math.inf
     assert why(10.0, server, True) == "far slower than the best: next trial is due"
     server.cold_since = 5.0
     assert "warms up" in why(10.0, server, True)
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -411,14 +411,14 @@
     async def test(bench: Bench) -> None:
         ask, _ = bench.ask(READ)  # the first is a trial of its upstream
         balancer = bench.table(READ).balancer
-        assert balancer.limits.out == 1 and any(server.trial for server in balancer.servers.values())
+        assert balancer.limits.inflight == 1 and any(server.trial for server in balancer.servers.values())
         if left:
             bench.table(READ).client_gone(ask)
         else:
             move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
             await turns()
-        assert balancer.limits.out == 0 and not balancer.requests
-        assert [(server.held, server.trial) for server in balancer.servers.values()] == [(0, False)]
+        assert balancer.limits.inflight == 0 and not balancer.requests
+        assert [(server.inflight, server.trial) for server in balancer.servers.values()] == [(0, False)]
         move(10.0)
         bench.serve(3)
         assert len(bench.peer_links.sent) == 4
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -198,7 +198,7 @@
         seed=7,
         sockets=2 * most,
         known=parse_list({"seq": 1, "whole": True, "hosts": known}, offset),
-        settings=wire.settings(json.dumps(SETTINGS | (settings or {}))),
+        settings=wire.parse_settings(json.dumps(SETTINGS | (settings or {}))),
     )
     sidecar = Sidecar(config, offset, most)
     frontend = Frontend(sidecar, most)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -43,7 +43,7 @@
 
 def play(lines: list[str]) -> list[list[str]]:
     host = Host()
-    return [reply for line in lines if (reply := host.line(line)) is not None]
+    return [reply for line in lines if (reply := host.read_line(line)) is not None]
 
 
 def sends(reply: list[str]) -> list[tuple[str, str]]:
@@ -155,7 +155,7 @@
 
 
 def test_missing_settings_get_the_documented_defaults() -> None:
-    settings = wire.settings('{"classes": [{"name": "x", "promise-ms": 1, "give-up-ms": 2}]}')
+    settings = wire.parse_settings('{"classes": [{"name": "x", "promise-ms": 1, "give-up-ms": 2}]}')
     assert settings.limits.max_attempts == 1 and not settings.limits.second_copies
     assert settings.rules.ask_within_ms == 10000.0 and not settings.asks_for_list
 
@@ -219,7 +219,7 @@
 )
 def test_a_cpu_limit_that_cannot_be_used_is_passed_over(given: object, read: float) -> None:
     config = CONFIG | {"limits": {"cpu-us-per-s": given, "cpu-us-per-request": given}}
-    limits = wire.settings(json.dumps(config)).limits
+    limits = wire.parse_settings(json.dumps(config)).limits
     assert (limits.cpu_us_per_s, limits.cpu_us_per_request) == (read, read)
 
 
--- a/tests/test_configure_check.py
+++ b/tests/test_configure_check.py
@@ -322,7 +322,7 @@
 def test_what_the_fields_say_is_what_the_loader_reads() -> None:
     # A field that the loader reads and the table of fields does not know would be called a mistake.
     text = (ROOT / "hareloom" / "wire.py").read_text()
-    read = text[text.index("def settings(") :]
+    read = text[text.index("def parse_settings(") :]
     known = {
         *known_fields.SETTINGS,
         *known_fields.CLASS,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -107,7 +107,7 @@
     server = driver.server(driver.sent[request][0])
     driver.end(request, api.Outcome.CONNECT_FAILED, 2.0)
     assert not server.active and server.cold_since is None
-    driver.now = server.due
+    driver.now = server.trial_at
     assert driver.sent[driver.ask()] == [server.entry.server], "a trial when due, as after any ejection"
 
 
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -11,7 +11,7 @@
 
 from hareloom import Balancer
 from hareloom import interface as api
-from hareloom.governor import FULL, HOLDS_MS, RATE, SAMPLED, SHED, Governor
+from hareloom.governor import BUCKET_MS, FULL, RATE_SHARE, SAMPLED, SHED, Governor
 from lab import scenario
 from lab.policies.choices import LeastOfTwo
 from lab.sidecars import Policy
@@ -36,36 +36,36 @@
     governor, now, paid = Governor(SETTINGS), 0.0, list[tuple[float, float]]()
     for gap, most_worth in steps:
         now += gap
-        governor.advance(now)
-        while governor.held >= governor.mean and governor.affords(most_worth) and len(paid) < 4000:
-            governor.spend(governor.mean)
-            paid.append((now, governor.mean))
+        governor.refill(now)
+        while governor.tokens >= governor.mean_cost and governor.affords(most_worth) and len(paid) < 4000:
+            governor.spend(governor.mean_cost)
+            paid.append((now, governor.mean_cost))
     for at, (begin, _) in enumerate(paid[:: max(len(paid) // 50, 1)]):
         window = [cost for when, cost in paid[at:] if begin <= when <= begin + 1000.0]
-        assert sum(window) <= (RATE + HOLDS_MS / 1000.0) * BUDGET + governor.mean
-    assert -governor.most <= governor.held <= governor.most and FULL <= governor.level <= SHED
+        assert sum(window) <= (RATE_SHARE + BUCKET_MS / 1000.0) * BUDGET + governor.mean_cost
+    assert -governor.capacity <= governor.tokens <= governor.capacity and FULL <= governor.level <= SHED
 
 
 def test_effort_falls_in_steps_and_comes_back_later_than_it_fell() -> None:
     governor, seen = Governor(SETTINGS), list[int]()
-    governor.advance(0.0)
-    while governor.held > 0.0:
+    governor.refill(0.0)
+    while governor.tokens > 0.0:
         governor.spend(10.0)
         seen.append(governor.level)
     assert seen == sorted(seen) and set(seen) == {0, 1, 2, 3}
     fell = seen.index(SHED) / len(seen)
     for now in range(1, 200):
-        governor.advance(float(now))
+        governor.refill(float(now))
         governor.spend(0.0)
         if governor.level < SHED:
             break
-    assert governor.held / governor.most > 1.0 - fell + 0.1
+    assert governor.tokens / governor.capacity > 1.0 - fell + 0.1
 
 
 def test_a_window_that_keeps_near_a_mark_does_not_turn_effort_to_and_fro() -> None:
     governor, turns, last = Governor(SETTINGS), 0, FULL
     for step in range(2000):  # at the rate itself, in lumps: the bucket stands near where it was
-        governor.advance(float(step))
+        governor.refill(float(step))
         governor.spend(governor.rate + (40.0 if step % 2 else -governor.rate))
         turns, last = turns + (governor.level != last), governor.level
     assert turns <= 6
@@ -74,9 +74,9 @@
 @pytest.mark.parametrize("delay", [float("nan"), float("inf"), -1.0, 0.0, 1e300])
 def test_a_clock_that_the_host_misreads_holds_nothing_up_for_long(delay: float) -> None:
     governor = Governor(SETTINGS)
-    governor.late(delay)
-    governor.advance(0.0)
-    governor.advance(10_000.0)  # a hundred aims: what was heard has faded
+    governor.on_delay(delay)
+    governor.refill(0.0)
+    governor.refill(10_000.0)  # a hundred aims: what was heard has faded
     governor.spend(0.0)
     assert governor.level == FULL
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -79,7 +79,7 @@
     driver.warm(dict.fromkeys(names, 50.0))
     failing = set(names[:4])
     for name in failing:
-        driver.server(name).active, driver.server(name).due = False, driver.now
+        driver.server(name).active, driver.server(name).trial_at = False, driver.now
     trials = 0
     for _ in range(40):
         request = driver.ask()
@@ -240,7 +240,7 @@
 
 
 def most_out(driver: Driver) -> dict[str, int]:
-    return {name: len(server.out) for name, server in driver.balancer.servers.items()}
+    return {name: len(server.attempts) for name, server in driver.balancer.servers.items()}
 
 
 def test_what_was_quick_a_moment_ago_does_not_get_a_queue_while_others_are_idle() -> None:
@@ -292,12 +292,12 @@
             driver.serve(latency=50.0)
     else:
         driver.now += 900.0
-    assert balancer.limits.out == (0 if passing else 2)
+    assert balancer.limits.inflight == (0 if passing else 2)
     before = balancer.limits.limit
     driver.now += 1000.0
     for name in lost:
         driver.end(name, api.Outcome.TIMEOUT, driver.now)
-    assert balancer.limits.out == 0 and (balancer.limits.limit == before) is passing, (
+    assert balancer.limits.inflight == 0 and (balancer.limits.limit == before) is passing, (
         "what was lost says nothing of the load"
     )
 
@@ -322,7 +322,7 @@
         entries = tuple(api.ServerEntry(f"s{n}") for n in range(3))
         module.handle(0.0, api.ServerList(api.ListKind.FULL, 1, entries))
         of = module.classes[READ.name]
-        of.calm, of.usual = 100, 320.0
+        of.unqueued, of.usual = 100, 320.0
         for number in range(4):
             actions = module.handle(number * 1.0, api.Request(f"r{number}", READ.name, 1200.0))
             sends = [action for action in actions if isinstance(action, api.Send)]
@@ -330,6 +330,6 @@
             last = module.servers[sends[0].server]
             if number == 3:
                 last.active, last.trial = False, True
-                module.requests["r3"].attempts[0].trial, module.working.unsettled = True, True
+                module.requests["r3"].attempts[0].trial, module.working.views_stale = True, True
             module.handle(number + took, api.AttemptEnded(f"r{number}", 0, api.Outcome.OK, took, True))
         assert last.active is back
--- a/tests/test_paper.py
+++ b/tests/test_paper.py
@@ -62,9 +62,9 @@
         late = 350.0 if driver.sent[request] == ["s0"] else 50.0
         driver.now += late
         driver.end(request, api.Outcome.OK, late)
-    assert not slow.active and slow.due > driver.now
+    assert not slow.active and slow.trial_at > driver.now
     assert driver.sent[driver.ask()] != ["s0"], "not before its time"
-    driver.now = slow.due
+    driver.now = slow.trial_at
     trial = driver.ask()
     assert driver.sent[trial] == ["s0"]
     assert driver.sent[driver.ask()] != ["s0"], "one trial at a time"
@@ -95,11 +95,11 @@
     driver.listed(*names)
     driver.warm(dict.fromkeys(names, 50.0))
     slow = driver.server("s0")
-    slow.active, slow.due = False, driver.now
+    slow.active, slow.trial_at = False, driver.now
     waits = []
     for _ in range(6):
-        driver.now = max(driver.now, slow.due)
-        driver.balancer.activity.trials.saved = 1.0
+        driver.now = max(driver.now, slow.trial_at)
+        driver.balancer.activity.trials.tokens = 1.0
         trial = driver.ask()
         assert driver.sent[trial] == ["s0"]
         waits.append(slow.backoff)
@@ -124,7 +124,7 @@
     driver = Driver()
     driver.listed("a", "b")
     for name, due in (("a", 5000.0), ("b", 3000.0)):
-        driver.server(name).due = due
+        driver.server(name).trial_at = due
         driver.server(name).w = 50.0
     assert driver.sent[driver.ask()] == ["b"]
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -166,22 +166,22 @@
     def check_views(self) -> None:
         """What the module keeps as things change is what it would find by looking at everything."""
         balancer = self.balancer
-        balancer.working.best(balancer.now)  # brings the views of the set up to date
+        balancer.working.best_w(balancer.now)  # brings the views of the set up to date
         active = [s for s in balancer.working.set if s.active]
         assert balancer.working.actives == active
-        assert balancer.working.active_out == sum(len(s.out) for s in active)
+        assert balancer.working.active_inflight == sum(len(s.attempts) for s in active)
         warm = [s.w for s in balancer.working.set if s.active and s.cold_since is None and s.w is not None]
-        assert balancer.working.ws == sorted(warm)
-        lines = [item for line in balancer.queue.lines for item in line.values()]
-        assert balancer.queue.waiting == len(lines) and all(held.waits and held.open for held in lines)
-        balancer.pick.age_out(balancer.now)
+        assert balancer.working.sorted_ws == sorted(warm)
+        lines = [item for line in balancer.queue.queues for item in line.values()]
+        assert balancer.queue.waiting == len(lines) and all(held.queued and held.open for held in lines)
+        balancer.pick.mark_overdue(balancer.now)
         for server in balancer.servers.values():
-            assert server.held == len(server.out)
-            counted = sum(max(a.charge, balancer.now - a.sent) for a in server.out)
-            kept = server.owed + server.late * balancer.now - server.late_sent
+            assert server.inflight == len(server.attempts)
+            counted = sum(max(a.charge, balancer.now - a.sent_at) for a in server.attempts)
+            kept = server.open_charge + server.overdue_count * balancer.now - server.overdue_sent
             assert kept == pytest.approx(counted, rel=1e-9, abs=1e-6)
-        agenda = balancer.agenda
-        assert len(self.timers) == len(agenda.alarms), "no alarm is lost, and none forgotten"
+        agenda = balancer.schedule
+        assert len(self.timers) == len(agenda.timers), "no alarm is lost, and none forgotten"
         first = min((entry[0] for entry in agenda.entries), default=None)
         assert first is None or min(at for at, _ in self.timers) <= first + 1e-9
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -43,7 +43,7 @@
 
 
 def test_a_good_file_is_taken_and_a_class_may_come_or_go() -> None:
-    assert retune.judge(GOOD, SHAPE, ENV, 0.0).settings == wire.settings(json.dumps(SETTINGS))
+    assert retune.judge(GOOD, SHAPE, ENV, 0.0).settings == wire.parse_settings(json.dumps(SETTINGS))
     more = change(
         ["settings", "classes"], [*SETTINGS["classes"], SETTINGS["classes"][0] | {"name": "sale-v2"}]
     )
@@ -209,7 +209,7 @@
     for request, attempt in out:
         carry(balancer.handle(now, api.AttemptEnded(request, attempt, api.Outcome.TIMEOUT, 5000.0, True)))
     assert final >= {name for name in taken if name not in {item for item, _ in out}}
-    assert not balancer.requests and not any(balancer.queue.lines) and balancer.queue.waiting == 0
+    assert not balancer.requests and not any(balancer.queue.queues) and balancer.queue.waiting == 0
 
 
 def test_what_is_learnt_of_a_class_goes_on_where_it_stays() -> None:
@@ -223,7 +223,7 @@
     changed = api.RequestClass("a", 400.0, 900.0, effect=api.Effect.SAFE)
     balancer.handle(600.0, api.Retune(api.Settings((one, api.RequestClass("c", 100.0, 1200.0)))))
     assert balancer.classes["a"] is kept and set(balancer.classes) == {"a", "c"}
-    assert balancer.classes["c"].costs == {"m": balancer.classes["c"].plain}
+    assert balancer.classes["c"].costs == {"m": balancer.classes["c"].default_cost}
     balancer.handle(700.0, api.Retune(api.Settings((changed,))))
     assert balancer.classes["a"] is not kept and balancer.classes["a"].costs == cost
 
@@ -232,7 +232,9 @@
 
 
 def with_classes(*classes: dict[str, Any], **limits: Any) -> api.Settings:
-    return wire.settings(json.dumps(SETTINGS | {"classes": classes, "limits": SETTINGS["limits"] | limits}))
+    return wire.parse_settings(
+        json.dumps(SETTINGS | {"classes": classes, "limits": SETTINGS["limits"] | limits})
+    )
 
 
 SALE, LISTING = SETTINGS["classes"]
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -10,15 +10,15 @@
 
 from hareloom import Balancer
 from hareloom import interface as api
-from hareloom.ring import Ring, parts_of
+from hareloom.ring import Ring, part_count
 from hareloom.working import SET_MAX
 
 
 def part(ring: Ring) -> list[str]:
     """What a sidecar takes first."""
-    first, found = ring.first(), list[str]()
+    first, found = ring.own_start(), list[str]()
     for _, name in ring.items[first:]:
-        if len(found) < ring.own() and name in ring.listed and name not in found:
+        if len(found) < ring.own_count() and name in ring.listed and name not in found:
             found.append(name)
     return found
 
@@ -60,8 +60,8 @@
     for number, size in changes:
         name = f"s-{number}"
         if name in there:
-            grown.rest(name, False)
-            grown.forget(name)
+            grown.withdraw(name, False)
+            grown.remove(name)
             del there[name]
         else:
             grown.put(name, size, float(number))
@@ -70,7 +70,10 @@
     chance.shuffle(names)  # type: ignore[attr-defined]
     for name in names:
         made.put(name, there[name], float(name[2:]))
-    assert made.items == grown.items and (made.first(), made.own()) == (grown.first(), grown.own())
+    assert made.items == grown.items and (made.own_start(), made.own_count()) == (
+        grown.own_start(),
+        grown.own_count(),
+    )
 
 
 def test_one_server_more_moves_few() -> None:
@@ -86,23 +89,26 @@
     ring = Ring(-1, 200)
     for number, rank in enumerate((0.3, 0.1, 0.2)):
         ring.put(f"s-{number}", 1.0, rank)
-    assert [name for _, name in ring.items] == ["s-1", "s-2", "s-0"] and (ring.first(), ring.own()) == (0, 0)
+    assert [name for _, name in ring.items] == ["s-1", "s-2", "s-0"] and (
+        ring.own_start(),
+        ring.own_count(),
+    ) == (0, 0)
 
 
 def test_few_sidecars_have_one_part() -> None:
-    assert [parts_of(peers) for peers in (1, 5, 39, 40, 200, 10_000)] == [1, 1, 1, 2, 10, 500]
+    assert [part_count(peers) for peers in (1, 5, 39, 40, 200, 10_000)] == [1, 1, 1, 2, 10, 500]
 
 
 def test_a_server_that_drains_or_is_gone_for_a_while_moves_only_the_sets_that_it_was_in() -> None:
     ring = rings(200, {f"s-{number}": 1.0 for number in range(40)})[13]
     before, places = part(ring), list(ring.items)
-    ring.rest("s-7", False)
+    ring.withdraw("s-7", False)
     assert ring.items == places and part(ring) == [name for name in before if name != "s-7"]
-    ring.rest("s-7", True)
+    ring.withdraw("s-7", True)
     ring.put("s-7", 1.0, 0.5)
     assert ring.items == places and "s-7" in ring.listed and not ring.absent
     for number in range(40):
-        ring.rest(f"s-{number}", True)
+        ring.withdraw(f"s-{number}", True)
     assert len(ring.absent) <= 0.25 * len(ring.sizes) and len(ring.items) == len(ring.sizes)
 
 
@@ -139,12 +145,14 @@
     balancer.handle(
         2.0, api.ServerList(api.ListKind.DELTA, 2, (draining, api.ServerEntry("s-300", kind="x")))
     )
-    assert balancer.members.kinds == {"": 300, "x": 1} and len(balancer.members.ring.listed) == 300
+    assert balancer.members.kind_counts == {"": 300, "x": 1} and len(balancer.members.ring.listed) == 300
     assert all(balancer.servers[name] is server for name, server in kept.items())
     balancer.handle(
         3.0, api.ServerList(api.ListKind.DELTA, 3, (api.ServerEntry("s-300", api.ServerState.GONE),))
     )
     assert (
-        balancer.members.kinds == {"": 300} and "s-300" not in balancer.servers and not balancer.members.gone
+        balancer.members.kind_counts == {"": 300}
+        and "s-300" not in balancer.servers
+        and not balancer.members.gone
     )
     assert "x" not in balancer.classes["sale"].costs
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -64,7 +64,7 @@
         seed=7,
         sockets=400,
         known=parse_list({"seq": 1, "whole": True, "hosts": known}, offset),
-        settings=wire.settings(json.dumps(SETTINGS | (settings or {}))),
+        settings=wire.parse_settings(json.dumps(SETTINGS | (settings or {}))),
     )
     made = RpcTable(**({"listen": "127.0.0.1:0", "methods": METHODS, "turned_away": ("busy",)} | table))
     sidecar, frontend = setup.start(config, offset, 100, made, 100)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -325,7 +325,7 @@
             await asyncio.sleep(FULL_S)
         assert sent < 100_000_000  # the kernel's buffers, and little here
         assert (
-            there.sidecar.lives.owed == 0 and there.sidecar.balancer.limits.out == 0
+            there.sidecar.lives.owed == 0 and there.sidecar.balancer.limits.inflight == 0
         )  # it holds no place of the limit
         client.writer.transport.abort()
         await upstream.ended.wait()
