--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -31,24 +31,24 @@
 from mesh.storage.lmdb_store import Kept
 from mesh.transport.frames import Head
 
-EVERY_S = (4.0, 8.0)  # between two comparisons of one process
-LOOK_S = 0.5  # copies that changed within it are compared later: news may be under way
-MOST_PUT_OFF = 10  # looks; changes without an end must not keep copies from being compared
-AGAIN_S = 0.5  # after a comparison that mended something: there may be more
-LEFT = 10  # comparisons for which a difference that could not be mended is left alone
-DISK_S = (3600.0, 7200.0)  # between two checks of the disk
+COMPARE_INTERVAL_S = (4.0, 8.0)  # between two comparisons of one process
+CHECK_INTERVAL_S = 0.5  # copies that changed within it are compared later: news may be under way
+MAX_POSTPONED = 10  # looks; changes without an end must not keep copies from being compared
+RETRY_S = 0.5  # after a comparison that mended something: there may be more
+MAX_SKIPPED = 10  # comparisons for which a difference that could not be mended is left alone
+DISK_CHECK_INTERVAL_S = (3600.0, 7200.0)  # between two checks of the disk
 CHARTER, ROLL = "charter", "roll"  # stores that are compared
 FRAMES = frozenset({"digest", "range", "mend", "mended"})
 
 
-class Left(Struct):
+class UnresolvedDifference(Struct):
     """A difference that could not be mended: the two roots, and comparisons since."""
 
     roots: tuple[str, str]
     since: int = 0
 
 
-class Repairing:
+class AntiEntropy:
     def __init__(
         self,
         seed: int,
@@ -62,36 +62,36 @@
         self._loop = asyncio.get_running_loop()
         self._random = random.Random(seed)
         self._stores, self._channels, self._disk_writer = stores, channels, disk_writer
-        self._event_log, self._changed = event_log, changed
+        self._event_log, self._on_change = event_log, changed
         now = self._loop.time()
-        self._look_at = now
-        self._due = now + self._random.uniform(*EVERY_S)
-        self._disk_due = now + self._random.uniform(*DISK_S)
-        self._disk: asyncio.Task[None] | None = None
-        self._seen = self._roots()
-        self._put_off = self._count = 0
-        self._told: dict[tuple[str, str], str] = {}  # roots of peers, by peer and store
-        self._left: dict[tuple[str, str], Left] = {}
+        self._next_check_at = now
+        self._next_comparison_at = now + self._random.uniform(*COMPARE_INTERVAL_S)
+        self._next_disk_check_at = now + self._random.uniform(*DISK_CHECK_INTERVAL_S)
+        self._disk_check: asyncio.Task[None] | None = None
+        self._last_roots = self._roots()
+        self._postponed = self._count = 0
+        self._peer_roots: dict[tuple[str, str], str] = {}  # roots of peers, by peer and store
+        self._unresolved: dict[tuple[str, str], UnresolvedDifference] = {}
 
     def _roots(self) -> dict[str, str]:
         return {name: store.digests.root() for name, store in self._stores.items()}
 
     def tick(self, now: float) -> None:
         """Called several times a second."""
-        if now >= self._disk_due and self._disk is None:
-            self._disk_due = now + self._random.uniform(*DISK_S)
-            self._disk = self._loop.create_task(self._check_disk())
-        if now < self._look_at:
+        if now >= self._next_disk_check_at and self._disk_check is None:
+            self._next_disk_check_at = now + self._random.uniform(*DISK_CHECK_INTERVAL_S)
+            self._disk_check = self._loop.create_task(self._check_disk())
+        if now < self._next_check_at:
             return
-        self._look_at = now + LOOK_S
+        self._next_check_at = now + CHECK_INTERVAL_S
         roots = self._roots()
-        moved, self._seen = roots != self._seen, roots
-        if now < self._due:
+        moved, self._last_roots = roots != self._last_roots, roots
+        if now < self._next_comparison_at:
             return
-        if moved and self._put_off < MOST_PUT_OFF:
-            self._put_off += 1
+        if moved and self._postponed < MAX_POSTPONED:
+            self._postponed += 1
             return
-        self._put_off, self._due = 0, now + self._random.uniform(*EVERY_S)
+        self._postponed, self._next_comparison_at = 0, now + self._random.uniform(*COMPARE_INTERVAL_S)
         peers = sorted(
             (one for one in self._channels.open if one.extra.get("role") == CONTROLLER and one.link.up),
             key=lambda one: (one.node, one.opened_here),
@@ -102,8 +102,8 @@
 
     def link_closed(self, channel: Channel) -> None:
         for name in self._stores:
-            self._told.pop((channel.node, name), None)
-            self._left.pop((channel.node, name), None)
+            self._peer_roots.pop((channel.node, name), None)
+            self._unresolved.pop((channel.node, name), None)
 
     # Comparing
 
@@ -122,26 +122,26 @@
         if name not in self._stores:
             return True  # of a newer program
         if kind == "range":
-            self._go_into(channel, name, read_ranges(head["at"]))
+            self._descend(channel, name, read_ranges(head["at"]))
         elif kind == "mend":
-            self._mend(channel, name, read_leaves(head["leaves"]), _read(head["items"]))
+            self._handle_mend(channel, name, read_leaves(head["leaves"]), _decode_items(head["items"]))
         else:
-            self._take(channel, name, _read(head["items"]))
+            self._apply(channel, name, _decode_items(head["items"]))
         return True
 
     def _compare(self, channel: Channel, name: str, theirs: str) -> None:
         mine, where = self._stores[name].digests.root(), (channel.node, name)
         if mine == theirs:
-            self._left.pop(where, None)
+            self._unresolved.pop(where, None)
             return
-        left = self._left.get(where)
-        if left is not None and left.roots == (mine, theirs) and left.since < LEFT:
+        left = self._unresolved.get(where)
+        if left is not None and left.roots == (mine, theirs) and left.since < MAX_SKIPPED:
             left.since += 1
             return
-        self._told[where] = theirs
+        self._peer_roots[where] = theirs
         channel.link.send({"t": "range", "s": name, "at": {"": self._stores[name].digests.children("")}})
 
-    def _go_into(self, channel: Channel, name: str, told: dict[str, dict[str, str]]) -> None:
+    def _descend(self, channel: Channel, name: str, told: dict[str, dict[str, str]]) -> None:
         store = self._stores[name]
         found = compare(store.digests, told, self._count)
         if isinstance(found, DifferingRanges):
@@ -153,14 +153,14 @@
                 {"t": "mend", "s": name, "leaves": found.digests, "items": items[:MAX_REPAIR_ITEMS]}
             )
 
-    def _mend(self, channel: Channel, name: str, leaves: dict[str, str], items: list[Item]) -> None:
+    def _handle_mend(self, channel: Channel, name: str, leaves: dict[str, str], items: list[Item]) -> None:
         found = plan_repair(self._stores[name], leaves, items, name == ROLL)
         for item in found.conflicting:
             self._event_log.tell(
                 events.COPIES_SPLIT, peer=channel.node, kind=item.kind, name=item.name, version=item.version
             )
         if found.fetch:
-            self._take(channel, name, found.fetch)
+            self._apply(channel, name, found.fetch)
         if found.send:
             channel.link.send(
                 {"t": "mended", "s": name, "items": [pack(item) for item in found.send[:MAX_REPAIR_ITEMS]]}
@@ -171,19 +171,21 @@
             )
         if not (found.fetch or found.send):
             where = (channel.node, name)
-            self._left[where] = Left((self._stores[name].digests.root(), self._told.get(where, "")))
+            self._unresolved[where] = UnresolvedDifference(
+                (self._stores[name].digests.root(), self._peer_roots.get(where, ""))
+            )
 
-    def _take(self, channel: Channel, name: str, items: list[Item]) -> None:
+    def _apply(self, channel: Channel, name: str, items: list[Item]) -> None:
         taken = self._stores[name].repair(items)
         if isinstance(taken, StoreFull):
             self._event_log.tell(events.STATE_FULL, reason=taken.reason)
         elif taken:
             self._event_log.tell(events.REPAIR_DONE, peer=channel.node, items=len(taken))
-            self._changed(name, taken)
-            self._hand_on(name, taken)
-            self._due = self._loop.time() + AGAIN_S
+            self._on_change(name, taken)
+            self._push_to_proxies(name, taken)
+            self._next_comparison_at = self._loop.time() + RETRY_S
 
-    def _hand_on(self, name: str, items: list[Item]) -> None:
+    def _push_to_proxies(self, name: str, items: list[Item]) -> None:
         """Sidecars that asked here may hold what was wrong here. By the vectors they lack nothing: a process
         that had it right may tell them of the new stamp first, as one of an item that they have."""
         part = {name: {"items": [pack(item) for item in items], "v": {}}}
@@ -195,7 +197,7 @@
 
     def check_disk(self) -> None:
         """An operator's question found damage: it is looked for here as well, and mended."""
-        self._disk_due = self._loop.time()
+        self._next_disk_check_at = self._loop.time()
 
     async def _check_disk(self) -> None:
         try:
@@ -211,10 +213,10 @@
             else:
                 self._event_log.tell(events.DISK_REFUSED, reason=outcome.reason)
         finally:
-            self._disk = None
+            self._disk_check = None
 
 
-def _read(told: object) -> list[Item]:
+def _decode_items(told: object) -> list[Item]:
     """Items of a frame. Raises ValueError or TypeError for what are none, or too many."""
     if not isinstance(told, list) or len(told) > MAX_REPAIR_ITEMS:
         raise ValueError(f"at most {MAX_REPAIR_ITEMS} items")
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -16,8 +16,8 @@
 from mesh.storage.lmdb_store import NAME, Keeper, Refused
 from mesh.transport.frames import Head
 
-MOST_FINDINGS = 20
-MOST_PATH = 1024  # characters
+MAX_FINDINGS = 20
+MAX_PATH_LENGTH = 1024  # characters
 
 
 class _Disk(Struct, frozen=True):
@@ -26,7 +26,7 @@
     digest: str
 
 
-class Safekeeping:
+class DiskCommands:
     def __init__(
         self,
         state_dir: str,
@@ -36,10 +36,10 @@
         damaged: Callable[[], None],
     ) -> None:
         """``damaged`` is told where a check finds something: who mends looks for himself."""
-        self._base, self._most = state_dir, int(disk_mb * (1 << 20))
-        self._charter, self._disk_writer, self._damaged = charter, disk_writer, damaged
+        self._state_dir, self._max_bytes = state_dir, int(disk_mb * (1 << 20))
+        self._charter, self._disk_writer, self._on_damage = charter, disk_writer, damaged
 
-    def answers(self) -> dict[str, Handler]:
+    def handlers(self) -> dict[str, Handler]:
         """The questions that are answered here, by name."""
         return {"verify": self.verify, "backup": self.backup}
 
@@ -50,9 +50,9 @@
         before = self._charter.digests.root()
         disk = await self._disk_writer.run_between_batches(_survey)
         if disk.findings:
-            self._damaged()
+            self._on_damage()
         return {
-            "findings": list(disk.findings[:MOST_FINDINGS]),
+            "findings": list(disk.findings[:MAX_FINDINGS]),
             "items": disk.items,
             "disk": disk.digest,
             "memory": before,
@@ -62,12 +62,12 @@
 
     async def backup(self, head: Head) -> Told | Refusal:
         """A copy of the store under the state folder, in a folder that holds none yet."""
-        to = inside(self._base, str(head["to"]))
+        to = target_path(self._state_dir, str(head["to"]))
         if isinstance(to, Refusal):
             return to
         await self._disk_writer.flush()
         return await self._disk_writer.run_between_batches(
-            lambda keeper: _copy(keeper, to, Path(self._base), self._most)
+            lambda keeper: _copy(keeper, to, Path(self._state_dir), self._max_bytes)
         )
 
 
@@ -84,18 +84,18 @@
     return _Disk((), len(kept.items), store.digests.root())
 
 
-def inside(base: str, to: str) -> Path | Refusal:
+def target_path(base: str, to: str) -> Path | Refusal:
     """Where a copy may go: a folder below ``base``, links followed, which is not the store's own."""
-    if not to or len(to) > MOST_PATH or not to.isprintable():
-        return Refusal(f"to: give a path of 1 to {MOST_PATH} printable characters")
+    if not to or len(to) > MAX_PATH_LENGTH or not to.isprintable():
+        return Refusal(f"to: give a path of 1 to {MAX_PATH_LENGTH} printable characters")
     try:
-        inside = Path(base).resolve()
-        path = (inside / to).resolve()
+        base_path = Path(base).resolve()
+        path = (base_path / to).resolve()
     except (OSError, RuntimeError) as fault:
         return Refusal(f"to: {fault}; give a folder under {base}")
-    if path == inside or not path.is_relative_to(inside):
+    if path == base_path or not path.is_relative_to(base_path):
         return Refusal(f"to: {to} lies outside {base}; give a folder under it, such as backup-1")
-    if path.is_relative_to(inside / "charter"):
+    if path.is_relative_to(base_path / "charter"):
         return Refusal(f"to: {to} lies in the store's own folder; give another under {base}")
     return path
 
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -28,14 +28,17 @@
 from mesh.storage.lmdb_store import Keeper, Kept, Size
 
 CHARTER = "charter"
-MOST_LIVES = 128  # machines of which it is known how often they started
-BEGIN_S = 1.0  # that a start is put off by a disk that is not well
-AGAIN_S = 0.3  # after a disk has refused
-LOOK_S = 60.0  # between two looks at the size of the file
-SPARE, TIMES = 4 << 20, 4  # bytes that a file may be larger than so many times what it holds
+MAX_TRACKED_MACHINES = 128  # machines of which it is known how often they started
+START_TIMEOUT_S = 1.0  # that a start is put off by a disk that is not well
+RETRY_S = 0.3  # after a disk has refused
+COMPACTION_CHECK_S = 60.0  # between two looks at the size of the file
+COMPACT_SPARE_BYTES, COMPACT_RATIO = (
+    4 << 20,
+    4,
+)  # bytes that a file may be larger than so many times what it holds
 
 
-class CatchingUp:
+class CatchUp:
     def __init__(
         self,
         charter: Store,
@@ -54,42 +57,45 @@
             member_set,
         )
         self._channels, self._acceptor_host, self._event_log = channels, acceptor_host, event_log
-        self._life, self._lives_here = charter.source, 1  # of the process; as what it counts since it began
-        self._read = False  # the disk is one of a reader; its view may be older than its own joining
-        self._counted = False  # this start is on disk
-        self._settled = False  # there has been contact in this life
+        self._incarnation, self._incarnation_count = (
+            charter.source,
+            1,
+        )  # of the process; as what it counts since it began
+        self._is_reader = False  # the disk is one of a reader; its view may be older than its own joining
+        self._start_recorded = False  # this start is on disk
+        self._had_contact = False  # there has been contact in this life
         self._view = member_set.view()
-        self._size_at = self._loop.time() + LOOK_S
-        self._sizing: asyncio.Task[None] | None = None
+        self._next_compaction_at = self._loop.time() + COMPACTION_CHECK_S
+        self._compaction: asyncio.Task[None] | None = None
 
     async def begin(self) -> None:
         """Before anything is said to anybody: this start is counted, on disk where the disk is well."""
         me = self._member_set.own_address
-        self._lived(me, self._starts() + 1, self._charter.source)
-        self._read = self._view.epoch > 0 and me not in self._view.names
+        self._record_start(me, self._start_count() + 1, self._charter.source)
+        self._is_reader = self._view.epoch > 0 and me not in self._view.names
         try:
-            async with asyncio.timeout(BEGIN_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 await self._disk_writer.flush()
         except TimeoutError:
             pass
         else:
-            self._counted = True
-        self._say()
+            self._start_recorded = True
+        self._update_hello()
 
-    def _starts(self) -> int:
+    def _start_count(self) -> int:
         return self._disk_writer.incarnations.get(self._member_set.own_address, (0, ""))[0]
 
     # What is said of this process
 
-    def _say(self) -> None:
+    def _update_hello(self) -> None:
         hello = self._channels.hello
         lives = dict(self._disk_writer.incarnations)
-        if not self._counted:
+        if not self._start_recorded:
             del lives[self._member_set.own_address]  # the next life may count to the same number
         hello["view"], hello["lives"] = self._member_set.view_item(), lives
         hello["complete"] = self._disk_writer.whole
 
-    def _lived(self, who: str, starts: int, life: str) -> None:
+    def _record_start(self, who: str, starts: int, life: str) -> None:
         """That machine has started so often; ``life``: of its last start. Those that count stay known the
         longest."""
         self._disk_writer.incarnations.pop(who, None)
@@ -98,99 +104,101 @@
             self._disk_writer.incarnations,
             self._member_set.view().names | {self._member_set.own_address},
         )
-        for one in [one for one in lives if one not in keep][: max(len(lives) - MOST_LIVES, 0)]:
+        for one in [one for one in lives if one not in keep][: max(len(lives) - MAX_TRACKED_MACHINES, 0)]:
             del lives[one]
         self._disk_writer.put_row(pack_lives(lives))
-        self._say()
+        self._update_hello()
 
-    def silent(self, role: str) -> Collection[str]:
+    def withheld_stores(self, role: str) -> Collection[str]:
         """Stores of which nothing is told to a process of that role now."""
-        return () if self._settled or role == CONTROLLER else (CHARTER,)
+        return () if self._had_contact or role == CONTROLLER else (CHARTER,)
 
     # What others say
 
-    def met(self, channel: Channel) -> None:
+    def peer_greeted(self, channel: Channel) -> None:
         """Another control process has said who it is; nothing that came behind that has been looked at.
         Raises KeyError, TypeError or ValueError for what cannot be read."""
         told, who = channel.extra, address_of(channel)
         for fields in told.get("view", ()):
             item = unpack(fields)
-            self._meets(read_view(item.version, item.value))
+            self._check_view(read_view(item.version, item.value))
             self._acceptor_host.apply([item], {})
         lives = {str(one): (int(n), str(life)) for one, (n, life) in told.get("lives", {}).items()}
         known, mine = lives.get(self._member_set.own_address, (0, "")), self._charter.source
-        if known[0] >= self._starts() and known[1] != mine:
+        if known[0] >= self._start_count() and known[1] != mine:
             if self._disk_writer.whole:
                 self._start_over(f"{channel.node} knows of a later start than its disk")
-            starts = max(known[0], self._starts()) + 1
-            self._lived(self._member_set.own_address, starts, self._charter.source)
+            starts = max(known[0], self._start_count()) + 1
+            self._record_start(self._member_set.own_address, starts, self._charter.source)
         theirs = lives.get(who, (0, ""))
         if theirs[0] > self._disk_writer.incarnations.get(who, (0, ""))[0]:
-            self._lived(who, *theirs)
+            self._record_start(who, *theirs)
 
-    def _meets(self, view: View) -> None:
+    def _check_view(self, view: View) -> None:
         """A view that another has; who was one of those who count and is none by it starts over."""
         before, me = self._view, self._member_set.own_address
         if view.epoch < before.epoch:
             return
         self._view = view
         if me in view.names:
-            self._read = False
+            self._is_reader = False
         elif me in before.names:
             self._start_over("it was taken out")
-        elif self._read:
+        elif self._is_reader:
             self._start_over("it is not one of those who count")
 
-    def changed(self, items: Iterable[Item]) -> None:
+    def items_changed(self, items: Iterable[Item]) -> None:
         """The charter has changed here, by whatever way."""
         if any(item.kind == VIEW for item in items):
-            self._loop.call_soon(self._meets, self._member_set.view())  # what called goes on with the items
-            self._say()
+            self._loop.call_soon(
+                self._check_view, self._member_set.view()
+            )  # what called goes on with the items
+            self._update_hello()
 
     # Starting over
 
     def _start_over(self, reason: str) -> None:
         self._event_log.tell(events.DISK_OLDER, reason=reason, items=len(self._charter.items))
         view = self._charter.items.get((VIEW, MEMBERS))
-        self._disk_writer.whole, self._settled, self._read = False, False, False
+        self._disk_writer.whole, self._had_contact, self._is_reader = False, False, False
         # As a new life of this process: what the one before stamped, others hold and this one lacks.
-        self._lives_here += 1
-        self._charter.reset(f"{self._life}/{self._lives_here}")
+        self._incarnation_count += 1
+        self._charter.reset(f"{self._incarnation}/{self._incarnation_count}")
         self._channels.hello["source"] = self._charter.source
         self._acceptor.reset()
-        self._lived(self._member_set.own_address, self._starts() + 1, self._charter.source)
+        self._record_start(self._member_set.own_address, self._start_count() + 1, self._charter.source)
         if view is not None:
             self._charter.merge([view], {})
-        self._acceptor_host.spawn(self._rewritten())
-        self._say()
+        self._acceptor_host.spawn(self._rewrite_disk())
+        self._update_hello()
         # What was asked on these links says what was held: answers to it would claim what is gone.
         for channel in list(self._channels.open):
             channel.link.close("its disk starts over")
 
-    async def _rewritten(self) -> None:
+    async def _rewrite_disk(self) -> None:
         while not isinstance(await self._disk_writer.rewrite(), Kept):
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_S)
 
     # The file
 
     def tick(self, now: float) -> None:
         """Called several times a second."""
-        if not self._settled and self._member_set.has_contact():
-            self._settled = True
+        if not self._had_contact and self._member_set.has_contact():
+            self._had_contact = True
             self._channels.poke()
-        if now >= self._size_at and self._sizing is None:
-            self._size_at = now + LOOK_S
-            self._sizing = self._loop.create_task(self._compact())
+        if now >= self._next_compaction_at and self._compaction is None:
+            self._next_compaction_at = now + COMPACTION_CHECK_S
+            self._compaction = self._loop.create_task(self._compact())
 
     async def _compact(self) -> None:
         """The file never shrinks by itself: one that is much larger than what it holds is written anew."""
         try:
             size = await self._disk_writer.run_between_batches(_size)
-            if size is not None and size.file > SPARE + TIMES * size.used:
+            if size is not None and size.file > COMPACT_SPARE_BYTES + COMPACT_RATIO * size.used:
                 await self._disk_writer.rewrite()
                 self._event_log.tell(events.DISK_COMPACTED, before=size.file, used=size.used)
         finally:
-            self._sizing = None
+            self._compaction = None
 
 
 def _size(keeper: Keeper) -> Size | None:
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -23,30 +23,30 @@
 from mesh.runtime.settings import Settings
 from mesh.transport.frames import Head
 
-AGAIN_S = 0.1  # between two looks at what is to be done next
-STEP_S = 2.0  # one fence, or one read
-LIVELY_S = 1.0  # a link on which nothing came for longer does not show that its peer runs
-MOST_SAID = 256  # machines of which it is known what they said last; more are passed over
+STEP_INTERVAL_S = 0.1  # between two looks at what is to be done next
+STEP_TIMEOUT_S = 2.0  # one fence, or one read
+LINK_ALIVE_S = 1.0  # a link on which nothing came for longer does not show that its peer runs
+MAX_KNOWN_STATES = 256  # machines of which it is known what they said last; more are passed over
 LEAVE_SHARE = 0.5  # of grace_s: so long one that is told to end stays up for its leaving
 
 
-class Said(Struct, frozen=True):
+class MemberState(Struct, frozen=True):
     """What a control process says of itself. ``epoch``: 0 where it knows no view; ``counts``: its settings
     want it to count, and it has caught up."""
 
     epoch: int
     whole: bool
-    level: int
+    caught_up_epoch: int
     counts: bool
     leaves: bool
     place: Place
 
-    def write(self) -> Head:
+    def encode(self) -> Head:
         return {
             "t": "member",
             "e": self.epoch,
             "whole": self.whole,
-            "level": self.level,
+            "level": self.caught_up_epoch,
             "counts": self.counts,
             "leaves": self.leaves,
             "zone": self.place.zone,
@@ -54,9 +54,9 @@
         }
 
 
-def read_said(head: Head) -> Said:
+def decode_member_state(head: Head) -> MemberState:
     """Raises KeyError, TypeError or ValueError for what cannot be read."""
-    return Said(
+    return MemberState(
         int(head["e"]),
         bool(head["whole"]),
         int(head["level"]),
@@ -83,13 +83,15 @@
         self.settings, self._member_set, self._acceptor_host = settings, member_set, acceptor_host
         self._proposer_host, self._fencing, self._disk_writer = proposer_host, fencing, disk_writer
         self._event_log, self._became_whole = event_log, became_whole
-        self.level = 0  # the epoch with which this machine is level
+        self.caught_up_epoch = 0  # the epoch with which this machine is level
         self.leaving = False
-        self._caught_up = False  # it has read what was acknowledged, in this life
-        self._began = self._loop.time()
-        self._said: Said | None = None  # as the others were told last
-        self.others: dict[str, Said] = {}  # by address, as they said last, also of those that are silent now
-        acceptor_host.caught_up = self._is_level
+        self._has_read = False  # it has read what was acknowledged, in this life
+        self._started_at = self._loop.time()
+        self._announced: MemberState | None = None  # as the others were told last
+        self.peer_states: dict[
+            str, MemberState
+        ] = {}  # by address, as they said last, also of those that are silent now
+        acceptor_host.caught_up = self._is_caught_up
         self._task: asyncio.Task[None] | None = None
 
     # What this machine is
@@ -111,17 +113,21 @@
     def place(self) -> Place:
         return Place(self.settings.zone, self.settings.region)
 
-    def _is_level(self) -> bool:
+    def _is_caught_up(self) -> bool:
         view = self._member_set.view()
-        return not view.joint or self._member_set.own_address not in view.members or self.level >= view.epoch
+        return (
+            not view.joint
+            or self._member_set.own_address not in view.members
+            or self.caught_up_epoch >= view.epoch
+        )
 
-    def state(self) -> Said:
+    def state(self) -> MemberState:
         view, counted = self._member_set.view(), self.settings.counted
-        return Said(
+        return MemberState(
             view.epoch,
             self._disk_writer.whole,
-            self.level,
-            counted and self._caught_up and not self.leaving,
+            self.caught_up_epoch,
+            counted and self._has_read and not self.leaving,
             self.leaving or not counted,
             self.place,
         )
@@ -132,44 +138,44 @@
                 await self._step()
             except Exception as fault:  # a machine that stops joining would be lost for good
                 self._event_log.tell(events.FAULT, where="joining", what=repr(fault))
-            self.say()
-            await asyncio.sleep(AGAIN_S)
+            self.announce()
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     async def _step(self) -> None:
         view, me = self._member_set.view(), self._member_set.own_address
         if not view.epoch:
-            self._begin()
+            self._form_first_view()
         elif not self._disk_writer.whole:
             if me in view.names or self.settings.counted:
                 await self._become_whole()
         elif me in view.names:
-            self._caught_up = True
-            if view.joint and me in view.members and self.level < view.epoch:
-                if await self._fencing.fence_and_read(STEP_S, fence=False):
-                    self.level = view.epoch
-        elif self.settings.counted and not self._caught_up:
-            self._caught_up = await self._proposer_host.read(STEP_S)
+            self._has_read = True
+            if view.joint and me in view.members and self.caught_up_epoch < view.epoch:
+                if await self._fencing.fence_and_read(STEP_TIMEOUT_S, fence=False):
+                    self.caught_up_epoch = view.epoch
+        elif self.settings.counted and not self._has_read:
+            self._has_read = await self._proposer_host.read(STEP_TIMEOUT_S)
 
     async def _become_whole(self) -> None:
-        if not await self._fencing.fence_and_read(STEP_S):
+        if not await self._fencing.fence_and_read(STEP_TIMEOUT_S):
             return
         await self._disk_writer.mark_whole()
-        self._caught_up = True
+        self._has_read = True
         self._became_whole()
 
-    def _begin(self) -> None:
+    def _form_first_view(self) -> None:
         """A first start whose processes were all killed before their first batch is begun anew: each machine
         that the settings name says that its disk is empty and that it knows no view, and nobody that is heard
         within `contact_ms` knows one. The first view follows from the settings alone, so it is the same in
         all of them."""
         founders = {host for host, _ in self.settings.seeds}
         me, now = self._member_set.own_address, self._loop.time()
-        if me not in founders or now - self._began < self.settings.bounds.contact_ms / 1000.0:
+        if me not in founders or now - self._started_at < self.settings.bounds.contact_ms / 1000.0:
             return
-        heard = self.heard()
-        if any(said.whole or said.epoch for said in self.others.values()):
+        heard = self.reachable()
+        if any(said.whole or said.epoch for said in self.peer_states.values()):
             return
-        if not founders - {me} <= heard & self.others.keys():
+        if not founders - {me} <= heard & self.peer_states.keys():
             return
         first = write_view(View(1, dict.fromkeys(founders, Place("", ""))))
         self._event_log.tell(events.BEGUN_ANEW, founders=", ".join(sorted(founders)))
@@ -177,62 +183,62 @@
 
     # What is said, and heard
 
-    def say(self) -> None:
+    def announce(self) -> None:
         """Tells the others where it has changed."""
         state = self.state()
-        if state != self._said:
-            self._said = state
+        if state != self._announced:
+            self._announced = state
             for channel in self._member_set.peers().values():
-                channel.link.send(state.write())
+                channel.link.send(state.encode())
 
     def link_opened(self, channel: Channel) -> None:
-        channel.link.send(self.state().write())
+        channel.link.send(self.state().encode())
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of these. Raises KeyError, TypeError or ValueError for what cannot be read."""
         if head["t"] != "member":
             return False
         address = address_of(channel)
-        if address in self.others or len(self.others) < MOST_SAID:
-            self.others[address] = read_said(head)
+        if address in self.peer_states or len(self.peer_states) < MAX_KNOWN_STATES:
+            self.peer_states[address] = decode_member_state(head)
         return True
 
-    def heard(self) -> set[str]:
+    def reachable(self) -> set[str]:
         """Other control processes that are heard over a link, by address."""
         now = self._loop.time()
         return {
             address
             for address, channel in self._member_set.peers().items()
-            if now - channel.link.heard_at <= LIVELY_S
+            if now - channel.link.heard_at <= LINK_ALIVE_S
         }
 
-    def known(self, absences: Mapping[str, Absence], removed: str = "") -> dict[str, MemberStatus]:
+    def known_members(self, absences: Mapping[str, Absence], removed: str = "") -> dict[str, MemberStatus]:
         """What a proposer knows of each machine. ``absences``: by the word of more than half, by address;
         ``removed``: by an operator's word."""
-        view, heard = self._member_set.view(), self.heard()
+        view, heard = self._member_set.view(), self.reachable()
         found = {}
-        for address in view.names | self.others.keys() | {self._member_set.own_address}:
-            said = self.state() if address == self._member_set.own_address else self.others.get(address)
+        for address in view.names | self.peer_states.keys() | {self._member_set.own_address}:
+            said = self.state() if address == self._member_set.own_address else self.peer_states.get(address)
             absence = absences.get(address, PRESENT)
             place = view.members.get(address) or (view.previous_members or {}).get(address) or Place("", "")
             found[address] = MemberStatus(
                 said.place if said is not None else place,
                 address == self._member_set.own_address or address in heard,
                 said is not None and said.whole,
-                said.level if said is not None else 0,
+                said.caught_up_epoch if said is not None else 0,
                 said is not None and said.counts,
                 said is not None and said.leaves,
                 absence.silent,
                 absence.gone,
                 address == removed,
-                address in absences and absence.silent_s <= LIVELY_S,
+                address in absences and absence.silent_s <= LINK_ALIVE_S,
             )
         return found
 
-    def forget(self, view: View) -> None:
+    def forget_absent(self, view: View) -> None:
         """What those said that do not count and are heard no more."""
-        for address in self.others.keys() - view.names - self.heard():
-            del self.others[address]
+        for address in self.peer_states.keys() - view.names - self.reachable():
+            del self.peer_states[address]
 
     # The end
 
@@ -240,20 +246,20 @@
         """This machine ends: it says so, and stays up for half of its grace while a change that takes it out
         is possible or another member is not whole, so that what it holds is on enough others first."""
         self.leaving = True
-        self.say()
+        self.announce()
         until = self._loop.time() + LEAVE_SHARE * self.settings.bounds.grace_s
-        while self._awaits() and self._loop.time() < until:
+        while self._should_wait() and self._loop.time() < until:
             await asyncio.sleep(0.02)
         if self._task is not None:
             self._task.cancel()
 
-    def _awaits(self) -> bool:
+    def _should_wait(self) -> bool:
         view, me = self._member_set.view(), self._member_set.own_address
         if me not in view.names:
-            return self._untold(view)
-        known = self.known({})
+            return self._is_uninformed(view)
+        known = self.known_members({})
         # Contact is proven anew with each view, so it says nothing of these two.
-        if view.joint or self._lacks(view, known):
+        if view.joint or self._lacks_member(view, known):
             return True
         if not self._member_set.has_contact():
             return False
@@ -262,14 +268,16 @@
             for name, one in known.items()
             if name != me
         )
-        return coming or me not in self._after(view, known)
+        return coming or me not in self._planned_members(view, known)
 
-    def _untold(self, view: View) -> bool:
+    def _is_uninformed(self, view: View) -> bool:
         """Whether one that counts by that view has not said that it knows it: it may have voted for it, and
         whoever was to tell it the decision may be lost."""
-        return any(address in view.members and one.epoch < view.epoch for address, one in self.others.items())
+        return any(
+            address in view.members and one.epoch < view.epoch for address, one in self.peer_states.items()
+        )
 
-    def _lacks(self, view: View, known: Mapping[str, MemberStatus]) -> bool:
+    def _lacks_member(self, view: View, known: Mapping[str, MemberStatus]) -> bool:
         """Whether another member is away, or its disk is not whole: it may need what is held here, and
         without it this one cannot be taken out."""
         others = [
@@ -279,6 +287,6 @@
         ]
         return not all(one.responding and one.disk_complete for one in others)
 
-    def _after(self, view: View, known: Mapping[str, MemberStatus]) -> Mapping[str, Any]:
+    def _planned_members(self, view: View, known: Mapping[str, MemberStatus]) -> Mapping[str, Any]:
         planned = plan_change(view, known, self._member_set.tolerance).view
         return planned.members if planned is not None else view.members
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from mesh.control_plane.joining import LIVELY_S, Joining
-from mesh.control_plane.leases import Duties
+from mesh.control_plane.joining import LINK_ALIVE_S, Joining
+from mesh.control_plane.leases import ReapingDuty
 from mesh.control_plane.member_set import MemberSet
 from mesh.control_plane.member_silence import MemberSilence
 from mesh.control_plane.proposals import ProposerHost
@@ -21,7 +21,7 @@
 from mesh.event_log.log import EventLog
 from mesh.membership import failure_detection
 from mesh.membership.lease import DUTY, Claim, DutyLease, Hold, LeaseRecord, lease_value, read_lease
-from mesh.membership.lease import MEMBERS as MINDING
+from mesh.membership.lease import MEMBERS as MEMBERS_DUTY
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
 from mesh.replication.proposer import Decided
@@ -36,13 +36,13 @@
 from mesh.runtime.introspection_calls import Refusal, Told
 from mesh.transport.frames import Head
 
-STEADY_SHARE = 1 / 8  # of contact_ms: for so long a process is the first before it claims the duty
-DECIDE_S = 2.0
-PAUSE_S = 0.25  # after a change that was not decided
-REMOVE_S = 5.0
+CLAIM_DELAY_SHARE = 1 / 8  # of contact_ms: for so long a process is the first before it claims the duty
+DECIDE_TIMEOUT_S = 2.0
+RETRY_DELAY_S = 0.25  # after a change that was not decided
+REMOVE_TIMEOUT_S = 5.0
 
 
-class Minding:
+class MemberChanges:
     def __init__(
         self,
         node: str,
@@ -52,119 +52,125 @@
         member_set: MemberSet,
         proposer_host: ProposerHost,
         joining: Joining,
-        duties: Duties,
+        reaping: ReapingDuty,
         event_log: EventLog,
         changed: Callable[[list[Item]], None],
     ) -> None:
         """``changed`` is told of items of the roll that are written here."""
         self._loop = asyncio.get_running_loop()
-        self.node, self.spans = node, spans
+        self.node, self.thresholds = node, spans
         self._roll, self._membership, self._member_set = roll, membership, member_set
-        self._proposer_host, self.joining, self._duties = proposer_host, joining, duties
-        self._event_log, self._changed = event_log, changed
+        self._proposer_host, self.joining, self._reaping = proposer_host, joining, reaping
+        self._event_log, self._on_change = event_log, changed
         now = self._loop.time()
-        self.turn = DutyLease(MINDING, node, spans.suspect_s * STEADY_SHARE)
-        self.silence = MemberSilence(node, spans, self.turn, membership, member_set, duties, event_log)
-        self._held = 0
-        self._live_at = now  # when it could last act
-        self._proposing: asyncio.Task[bool] | None = None
-        self._again_at = now
+        self.lease = DutyLease(MEMBERS_DUTY, node, spans.suspect_s * CLAIM_DELAY_SHARE)
+        self.member_silence = MemberSilence(
+            node, spans, self.lease, membership, member_set, reaping, event_log
+        )
+        self._held_epoch = 0
+        self._last_live_at = now  # when it could last act
+        self._proposal: asyncio.Task[bool] | None = None
+        self._retry_at = now
         self._epoch = member_set.view().epoch
-        self._stays: Mapping[str, str] = {}
-        self._below: tuple[str, ...] = ()  # kinds of which fewer losses are borne than are asked, as told
+        self._staying: Mapping[str, str] = {}
+        self._kinds_below: tuple[
+            str, ...
+        ] = ()  # kinds of which fewer losses are borne than are asked, as told
         self._below_since: float | None = None
         self._borne: tuple[View, frozenset[str], LossMargin] | None = None  # the last one, of what
 
     # Whose turn
 
-    def news(self, items: list[Item]) -> None:
+    def items_changed(self, items: list[Item]) -> None:
         """Items of the roll that have changed."""
         for item in items:
-            if item.kind == DUTY and item.name == MINDING:
+            if item.kind == DUTY and item.name == MEMBERS_DUTY:
                 try:
-                    self.turn.note(self._loop.time(), read_lease(item.version, item.value))
+                    self.lease.note(self._loop.time(), read_lease(item.version, item.value))
                 except ValueError as fault:
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
     def tick(self, now: float) -> None:
         view = self._member_set.view()
-        self.silence.tick(now, view)
-        self.joining.forget(view)
+        self.member_silence.tick(now, view)
+        self.joining.forget_absent(view)
         if view.epoch != self._epoch:
             self._epoch = view.epoch
             counts, before = ", ".join(sorted(view.members)), ", ".join(sorted(view.previous_members or ()))
             self._event_log.tell(
                 events.MEMBERS_CHANGED, epoch=view.epoch, count=counts, before=before or None
             )
-        self._tell_borne(now, view)
-        live = self._duties.live(now, self.spans.suspect_s * STEADY_SHARE)
-        decided = self.turn.decide(now, self._candidates(view), live)
+        self._log_losses(now, view)
+        live = self._reaping.live_controllers(now, self.thresholds.suspect_s * CLAIM_DELAY_SHARE)
+        decided = self.lease.decide(now, self._candidates(view), live)
         if isinstance(decided, Claim):
-            item = self._roll.write(DUTY, MINDING, decided.epoch, lease_value(self.node))
+            item = self._roll.write(DUTY, MEMBERS_DUTY, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
-                self.turn.note_claimed(now, decided.epoch)
-                self._changed([item])
+                self.lease.note_claimed(now, decided.epoch)
+                self._on_change([item])
                 decided = Hold(decided.epoch)
-        if isinstance(decided, Hold) and self._held != decided.epoch:
-            self._held = decided.epoch
-            self._event_log.tell(events.DUTY_TAKEN, duty=MINDING, epoch=decided.epoch)
+        if isinstance(decided, Hold) and self._held_epoch != decided.epoch:
+            self._held_epoch = decided.epoch
+            self._event_log.tell(events.DUTY_TAKEN, duty=MEMBERS_DUTY, epoch=decided.epoch)
         if self.node in live:
-            self._live_at = now
-        if not self._held:
+            self._last_live_at = now
+        if not self._held_epoch:
             return
         # Whoever is first now has to claim it before: until then nobody else would do it. A view that has
         # just come leaves this process without contact for a moment.
-        if self.turn.latest != LeaseRecord(self._held, self.node):
-            self._leave(f"{self.turn.latest.holder} has it")
-        elif now - self._live_at > LIVELY_S:
-            self._leave("no contact with most members")
+        if self.lease.latest != LeaseRecord(self._held_epoch, self.node):
+            self._release(f"{self.lease.latest.holder} has it")
+        elif now - self._last_live_at > LINK_ALIVE_S:
+            self._release("no contact with most members")
         else:
-            self._mind(now, view)
+            self._plan_change(now, view)
 
     def _candidates(self, view: View) -> set[str]:
         """Members alone: one that joins has no part in what is decided yet."""
         return {node for address, node in self._nodes().items() if address in view.members}
 
-    def _leave(self, why: str) -> None:
-        self._event_log.tell(events.DUTY_LEFT, duty=MINDING, epoch=self._held, why=why)
-        self._held = 0
-        self.silence.stop()
+    def _release(self, why: str) -> None:
+        self._event_log.tell(events.DUTY_LEFT, duty=MEMBERS_DUTY, epoch=self._held_epoch, why=why)
+        self._held_epoch = 0
+        self.member_silence.stop()
 
-    def _mind(self, now: float, view: View) -> None:
-        self.silence.ask(now, view, self._held)
-        if self._proposing is not None or now < self._again_at or not self._member_set.has_contact():
+    def _plan_change(self, now: float, view: View) -> None:
+        self.member_silence.ask(now, view, self._held_epoch)
+        if self._proposal is not None or now < self._retry_at or not self._member_set.has_contact():
             return
         planned = plan_change(
-            view, self.joining.known(self.silence.absences(now)), self._member_set.tolerance
+            view, self.joining.known_members(self.member_silence.absences(now)), self._member_set.tolerance
         )
         for address, why in planned.retained.items():
-            said = self.joining.others.get(address)
-            if self._stays.get(address) != why and said is not None and said.leaves:
+            said = self.joining.peer_states.get(address)
+            if self._staying.get(address) != why and said is not None and said.leaves:
                 self._event_log.tell(events.MEMBER_STAYS, member=address, why=why)
-        self._stays = planned.retained
+        self._staying = planned.retained
         if planned.view is not None:
-            self._proposing = self._loop.create_task(self._propose(planned.view))
-            self._proposing.add_done_callback(self._proposed)
+            self._proposal = self._loop.create_task(self._propose(planned.view))
+            self._proposal.add_done_callback(self._proposal_done)
 
     async def _propose(self, view: View) -> bool:
         number = (VIEW, MEMBERS, view.epoch)
-        return isinstance(await self._proposer_host.decide({number: write_view(view)}, DECIDE_S), Decided)
+        return isinstance(
+            await self._proposer_host.decide({number: write_view(view)}, DECIDE_TIMEOUT_S), Decided
+        )
 
-    def _proposed(self, task: asyncio.Task[bool]) -> None:
-        self._proposing = None
+    def _proposal_done(self, task: asyncio.Task[bool]) -> None:
+        self._proposal = None
         if task.cancelled() or task.exception() is not None or not task.result():
-            self._again_at = self._loop.time() + PAUSE_S
+            self._retry_at = self._loop.time() + RETRY_DELAY_S
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was one of this duty. Raises KeyError, TypeError or ValueError for what cannot be
         read."""
-        return self.silence.handle_frame(channel, head)
+        return self.member_silence.handle_frame(channel, head)
 
     # What can be lost
 
     def borne(self) -> LossMargin:
         view = self._member_set.view()
-        there = responding_complete(self.joining.known({}), view.names)
+        there = responding_complete(self.joining.known_members({}), view.names)
         if self._borne is None or self._borne[:2] != (view, there):  # asked for at every tick
             self._borne = view, there, loss_margin(view, there, self._member_set.tolerance)
         return self._borne[2]
@@ -173,17 +179,17 @@
         found = self.borne()
         return {"machines": found.machines, "zones": found.zones, "regions": found.regions}
 
-    def _tell_borne(self, now: float, view: View) -> None:
+    def _log_losses(self, now: float, view: View) -> None:
         """Every process tells it for itself, once it has lasted: links that come and go are no loss."""
         if self._member_set.own_address not in view.names:
             return
         below = self.borne().below(self._member_set.tolerance)
-        if below == self._below:
+        if below == self._kinds_below:
             self._below_since = None
         elif self._below_since is None:
             self._below_since = now
-        elif now - self._below_since >= LIVELY_S:
-            self._below, self._below_since = below, None
+        elif now - self._below_since >= LINK_ALIVE_S:
+            self._kinds_below, self._below_since = below, None
             event = events.LOSSES_BELOW if below else events.LOSSES_BORNE
             self._event_log.tell(event, **self.losses())
 
@@ -192,7 +198,7 @@
     def show(self) -> Told:
         """``members``: all that count, or want to, by address."""
         now, view = self._loop.time(), self._member_set.view()
-        known = self.joining.known(self.silence.absences(now))
+        known = self.joining.known_members(self.member_silence.absences(now))
         planned = plan_change(view, known, self._member_set.tolerance)
         nodes = self._nodes()
         rows: list[dict[str, Any]] = []
@@ -211,9 +217,9 @@
                         "heard": one.responding,
                         "joins": one.eligible and address not in view.members,
                         "leaves": one.leaving,
-                        "silent_s": round(self.silence.watch.silent_s(now, address), 1),
+                        "silent_s": round(self.member_silence.tracker.silent_s(now, address), 1),
                         "stays": planned.retained.get(address)
-                        or self._why_silent_stays(now, view, one, address),
+                        or self._describe_wait(now, view, one, address),
                     }
                 )
         return {
@@ -222,23 +228,25 @@
             "members": rows,
             "borne": self.losses(),
             "waits": planned.blocked_by,
-            "holder": self.turn.latest.holder,
+            "holder": self.lease.latest.holder,
         }
 
-    def _why_silent_stays(self, now: float, view: View, one: MemberStatus, address: str) -> str:
+    def _describe_wait(self, now: float, view: View, one: MemberStatus, address: str) -> str:
         """Of a member that is not heard, where no plan says why it does not leave."""
         if one.responding or address not in view.members:
             return ""
-        if not self._held:
-            holder = self.turn.latest.holder or "nobody yet"
+        if not self._held_epoch:
+            holder = self.lease.latest.holder or "nobody yet"
             return f"{holder} has the duty members, and knows why"
-        why = self.silence.why_it_stays(now, view, address)
+        why = self.member_silence.describe_wait(now, view, address)
         return why or ("" if not view.joint else "the change under way comes first")
 
-    def told(self) -> Told:
+    def status(self) -> Told:
         """For operators: who has the duty, under which epoch."""
-        newest = self.turn.latest
-        return {MINDING: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held)}}
+        newest = self.lease.latest
+        return {
+            MEMBERS_DUTY: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held_epoch)}
+        }
 
     def _nodes(self) -> dict[str, str]:
         found = {}
@@ -256,7 +264,7 @@
         address = next((a for a, node in nodes.items() if node == name), name)
         if address not in view.names:
             return Refusal(f"{name}: does not count; members show lists those that do")
-        if address in self.joining.heard() | {self._member_set.own_address}:
+        if address in self.joining.reachable() | {self._member_set.own_address}:
             return Refusal(f"{name}: runs, and would join again: end it, or set counted = false there")
         if not self._member_set.has_contact():
             return Refusal(f"{self.node} has no contact with most members; ask another with --at")
@@ -264,14 +272,14 @@
             return Refusal(f"a change is under way (epoch {view.epoch}); try again once it is over")
         planned = plan_change(
             view,
-            self.joining.known(self.silence.absences(self._loop.time()), address),
+            self.joining.known_members(self.member_silence.absences(self._loop.time()), address),
             self._member_set.tolerance,
         )
         if address in planned.retained:
             return Refusal(f"{name}: not safe now: {planned.retained[address]}")
         if planned.view is None:
             return Refusal(f"{name}: not safe now: {planned.blocked_by}")
-        until = self._loop.time() + REMOVE_S
+        until = self._loop.time() + REMOVE_TIMEOUT_S
         if not await self._propose(planned.view):
             return Refusal(
                 f"{name}: the change was not decided in time; look with members show, and try again"
--- a/mesh/control_plane/member_messages.py
+++ b/mesh/control_plane/member_messages.py
@@ -13,7 +13,7 @@
 from mesh.transport.frames import Head
 
 
-class Question(msgspec.Struct, frozen=True, tag_field="t", tag="silent"):
+class SilenceQuery(msgspec.Struct, frozen=True, tag_field="t", tag="silent"):
     """For how long have these been silent there? ``of``: members by address, other nodes by name."""
 
     n: int
@@ -22,7 +22,7 @@
     of: list[str]
 
 
-class Answer(msgspec.Struct, frozen=True, tag_field="t", tag="silences"):
+class SilenceAnswer(msgspec.Struct, frozen=True, tag_field="t", tag="silences"):
     """Seconds, in the order of the question. ``linked``: how long ago each was heard over a link of the
     answerer's own, None: never; processes from before that field leave it out."""
 
@@ -39,18 +39,18 @@
         return SilenceReport(dict(zip(nodes, self.silent, strict=True)), heard)
 
 
-class Overtaken(msgspec.Struct, frozen=True, tag_field="t", tag="outdone"):
+class ClaimSuperseded(msgspec.Struct, frozen=True, tag_field="t", tag="outdone"):
     """A question is refused: there is a claim of the duty under a higher epoch."""
 
     epoch: int
     holder: str
 
 
-Frame = Question | Answer | Overtaken
+Frame = SilenceQuery | SilenceAnswer | ClaimSuperseded
 KINDS = frozenset({"silent", "silences", "outdone"})
 
 
-def read(head: Head) -> Frame | None:
+def decode(head: Head) -> Frame | None:
     """None for a frame of another conversation; raises ValueError for what cannot be read."""
     if head["t"] not in KINDS:
         return None
@@ -58,17 +58,17 @@
         frame: Frame = msgspec.convert(head, Frame)
     except msgspec.ValidationError as fault:
         raise ValueError(str(fault)) from fault
-    if isinstance(frame, Question) and len(frame.of) > MAX_QUERIED_NODES:
+    if isinstance(frame, SilenceQuery) and len(frame.of) > MAX_QUERIED_NODES:
         raise ValueError("a question for too many nodes")
     return frame
 
 
-def write(frame: Frame) -> Head:
+def encode(frame: Frame) -> Head:
     """As it goes over a link."""
     told: Head = msgspec.to_builtins(frame)
     return told
 
 
-def standing(frame: Question | Overtaken) -> LeaseRecord:
+def lease_record(frame: SilenceQuery | ClaimSuperseded) -> LeaseRecord:
     """The claim of the duty that it goes by. Raises ValueError for what is no claim."""
     return read_lease(frame.epoch, lease_value(frame.holder))
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -9,24 +9,24 @@
 import zlib
 
 from mesh.control_plane.acceptor_host import AcceptorHost
-from mesh.control_plane.anti_entropy import CHARTER, ROLL, Repairing
-from mesh.control_plane.backup import Safekeeping
-from mesh.control_plane.catch_up import CatchingUp
+from mesh.control_plane.anti_entropy import CHARTER, ROLL, AntiEntropy
+from mesh.control_plane.backup import DiskCommands
+from mesh.control_plane.catch_up import CatchUp
 from mesh.control_plane.confirmations import Confirmations
 from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.disk_opening import open_disk
 from mesh.control_plane.fencing import Fencing
-from mesh.control_plane.introspection import Shown, answers_of
+from mesh.control_plane.introspection import IntrospectionSources, question_handlers
 from mesh.control_plane.joining import Joining
 from mesh.control_plane.key_assignment import KeyAssignment
-from mesh.control_plane.leases import Duties
-from mesh.control_plane.member_changes import Minding
+from mesh.control_plane.leases import ReapingDuty
+from mesh.control_plane.member_changes import MemberChanges
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.control_plane.operator_api import OperatorApi, unclear_answer
 from mesh.control_plane.proposals import ProposerHost
-from mesh.control_plane.restore import Restoring
+from mesh.control_plane.restore import RestoreCommand
 from mesh.control_plane.rollouts import Rollouts
-from mesh.control_plane.tombstone_collection import Forgetting
+from mesh.control_plane.tombstone_collection import TombstoneCollection
 from mesh.data_plane.membership import CONTROLLER, NODE, ROLE_NAMES, Membership
 from mesh.dissemination.peers import Channel, Channels
 from mesh.event_log import events
@@ -108,10 +108,10 @@
             incarnation, seed, self.charter, self.member_set, self.acceptor_host, event_log
         )
         self.fencing = Fencing(self.charter, self.disk_writer, self.member_set, self.acceptor_host)
-        self.forgetting = Forgetting(
+        self.tombstone_collection = TombstoneCollection(
             self.charter, self.acceptor, self.disk_writer, self.member_set, self.acceptor_host, event_log
         )
-        self.catching_up = CatchingUp(
+        self.catch_up = CatchUp(
             self.charter,
             self.acceptor,
             self.disk_writer,
@@ -120,7 +120,7 @@
             self.acceptor_host,
             event_log,
         )
-        self.channels.silent = self.catching_up.silent
+        self.channels.silent = self.catch_up.withheld_stores
         bounds = settings.bounds
         self.contact_probes = ContactProbes(
             bounds.contact_ms,
@@ -143,7 +143,7 @@
         )
         self.operator_api = self._make_operator_api()
         self.http_server = HttpServer(self.operator_api.handle)
-        self.duties = Duties(
+        self.reaping = ReapingDuty(
             settings.node,
             self.own_address,
             silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
@@ -156,7 +156,7 @@
             lambda items: self._changed(ROLL, items),
         )
         self.key_assignment = self._make_key_assignment()
-        self.repairing = Repairing(
+        self.anti_entropy = AntiEntropy(
             seed,
             {CHARTER: self.charter, ROLL: self.roll},
             self.channels,
@@ -164,14 +164,14 @@
             event_log,
             self._changed,
         )
-        safekeeping = Safekeeping(
+        safekeeping = DiskCommands(
             settings.state_dir,
             settings.limits.disk_mb,
             self.charter,
             self.disk_writer,
-            self.repairing.check_disk,
+            self.anti_entropy.check_disk,
         )
-        restoring = Restoring(
+        restoring = RestoreCommand(
             settings.state_dir,
             settings.limits.disk_mb,
             self.charter,
@@ -193,7 +193,7 @@
             event_log,
             self._became_whole,
         )
-        self.minding = Minding(
+        self.member_changes = MemberChanges(
             settings.node,
             silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
             self.roll,
@@ -201,12 +201,12 @@
             self.member_set,
             self.proposer_host,
             self.joining,
-            self.duties,
+            self.reaping,
             event_log,
             lambda items: self._changed(ROLL, items),
         )
         self.stopping = asyncio.Event()
-        self.shown = Shown(
+        self.introspection = IntrospectionSources(
             settings,
             self.charter,
             self.roll,
@@ -214,8 +214,8 @@
             self.member_set,
             self.membership,
             self.rollouts,
-            self.duties,
-            self.minding,
+            self.reaping,
+            self.member_changes,
             self.contact_probes,
             self.proposer_host,
             self.key_assignment,
@@ -223,8 +223,8 @@
             self.stopping,
             self.loop.time,
         )
-        answers = {**answers_of(self.shown, time.time), **safekeeping.answers()}
-        self.questions = Questions({**answers, **restoring.answers()})
+        answers = {**question_handlers(self.introspection, time.time), **safekeeping.handlers()}
+        self.questions = Questions({**answers, **restoring.handlers()})
         self._server: asyncio.Server | None = None
         self._last_linked_at = self.loop.time()  # when a peer link was last open
 
@@ -254,10 +254,10 @@
             self.member_set,
             self.proposer_host,
             self.contact_probes.may_act,
-            self.duties.live,
+            self.reaping.live_controllers,
             self.event_log,
         )
-        assignment.restored()
+        assignment.load_restored()
         return assignment
 
     # Start and shutdown
@@ -265,7 +265,7 @@
     async def start(self) -> None:
         """Starts to listen, to join and to tick."""
         settings = self.settings
-        await self.catching_up.begin()
+        await self.catch_up.begin()
         self._server = await listen(
             self.peer_address, lambda: Link(lambda _: None, self._handle_frame, self._link_lost)
         )
@@ -305,12 +305,12 @@
         self.rollouts.tick(now)
         self.confirmations.tick(now)
         self.proposer_host.tick(now)
-        self.duties.tick(now)
-        self.minding.tick(now)
+        self.reaping.tick(now)
+        self.member_changes.tick(now)
         self.key_assignment.tick(now)
-        self.repairing.tick(now)
-        self.forgetting.tick(now)
-        self.catching_up.tick(now)
+        self.anti_entropy.tick(now)
+        self.tombstone_collection.tick(now)
+        self.catch_up.tick(now)
         for key in self.tombs.pop_expired(now):
             self.roll.remove_tombstone(key)
             self.reports.remove_tombstone(key)
@@ -353,21 +353,21 @@
     def _changed(self, name: str, items: list[Item]) -> None:
         if name == "charter":
             self.acceptor_host.items_changed(items)
-            self.forgetting.note(items)
-            self.catching_up.changed(items)
+            self.tombstone_collection.note(items)
+            self.catch_up.items_changed(items)
             if any(item.kind == VIEW for item in items):
                 self.contact_probes.view_changed()
-            self.rollouts.changed(items)
+            self.rollouts.items_changed(items)
             self.confirmations.items_changed(items)
-            self.key_assignment.changed(items)
+            self.key_assignment.items_changed(items)
         elif name == REPORTS:
-            self.rollouts.reported([item for item in items if item.kind == REPORT])
-            self.key_assignment.reported([item for item in items if item.kind == KEY_REPORT])
+            self.rollouts.reports_changed([item for item in items if item.kind == REPORT])
+            self.key_assignment.reports_changed([item for item in items if item.kind == KEY_REPORT])
             self.tombs.note(self.loop.time(), [item for item in items if item.value is None])
         else:
             self.membership.take(items)
-            self.duties.news(items)
-            self.minding.news(items)
+            self.reaping.items_changed(items)
+            self.member_changes.items_changed(items)
             self.tombs.note(self.loop.time(), items)
             if any(item.kind == NODE for item in items):
                 self._update_known_peers()
@@ -388,8 +388,8 @@
         handlers = (
             self.key_assignment.handle_frame,
             self.contact_probes.handle_frame,
-            self.duties.handle_frame,
-            self.repairing.handle_frame,
+            self.reaping.handle_frame,
+            self.anti_entropy.handle_frame,
         )
         if any(handle(channel, head) for handle in handlers) or channel.extra.get("role") != CONTROLLER:
             return
@@ -399,8 +399,8 @@
             handle(channel, head)
             for handle in (
                 self.joining.handle_frame,
-                self.minding.handle_frame,
-                self.forgetting.handle_frame,
+                self.member_changes.handle_frame,
+                self.tombstone_collection.handle_frame,
                 self.proposer_host.handle_frame,
             )
         ):
@@ -416,11 +416,11 @@
 
     def _channel_greeted(self, channel: Channel) -> None:
         if channel.extra.get("role") == CONTROLLER:
-            self.catching_up.met(channel)
+            self.catch_up.peer_greeted(channel)
 
     def _channel_opened(self, channel: Channel) -> None:
         if channel.extra.get("role") == CONTROLLER:
-            self.forgetting.link_opened(channel)
+            self.tombstone_collection.link_opened(channel)
             self.contact_probes.link_opened(channel)
             self._resend_pending(address_of(channel))
             self.joining.link_opened(channel)
@@ -432,14 +432,14 @@
     def _channel_closed(self, channel: Channel) -> None:
         """Takes over the items stamped by that peer, since it may never send them to others."""
         self.contact_probes.link_closed(channel)
-        self.duties.link_closed(channel)
-        self.repairing.link_closed(channel)
+        self.reaping.link_closed(channel)
+        self.anti_entropy.link_closed(channel)
         if channel.extra.get("role") == CONTROLLER:
             self._resend_pending(address_of(channel))
         claimed = self.charter.restamp_above_vector(channel.peer_source) if channel.peer_source else []
         if claimed:
             self.disk_writer.mark_items(claimed)
-            self.rollouts.restamped(claimed)
+            self.rollouts.items_restamped(claimed)
             self.channels.poke()
 
     def _update_known_peers(self) -> None:
@@ -469,7 +469,7 @@
 
     def retune(self, settings: Settings) -> None:
         """Applies a changed settings file: seeds, and the bounds of rollouts and contact."""
-        self.settings = self.joining.settings = self.shown.settings = settings
+        self.settings = self.joining.settings = self.introspection.settings = settings
         self.rollouts.update_bounds(settings.bounds.settle_ms, settings.bounds.ack_ms)
         self.confirmations.update_bounds(settings.bounds.ack_ms, settings.bounds.contact_ms)
         self.contact_probes.update_bounds(settings.bounds.contact_ms)
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from mesh.control_plane.acceptor_host import AcceptorHost
-from mesh.control_plane.backup import inside
+from mesh.control_plane.backup import target_path
 from mesh.control_plane.member_set import MemberSet
 from mesh.control_plane.proposals import ProposerHost
 from mesh.control_plane.write_batches import DiskWriter
@@ -24,11 +24,11 @@
 from mesh.storage.lmdb_store import Failed, look, room
 from mesh.transport.frames import Head
 
-MOST_LOST = 64
-BATCH, FILL_S = 500, 5.0  # items of one order, and its time
+MAX_LOST = 64
+IMPORT_ORDER_ITEMS, IMPORT_ORDER_TIMEOUT_S = 500, 5.0  # items of one order, and its time
 
 
-class Restoring:
+class RestoreCommand:
     """``whole``: by address, whether the disk counts of each other control process that answers."""
 
     def __init__(
@@ -44,9 +44,9 @@
         event_log: EventLog,
         whole: Callable[[], dict[str, bool]],
     ) -> None:
-        self._base, self._room = state_dir, room(disk_mb)
+        self._state_dir, self._max_bytes = state_dir, room(disk_mb)
         self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
-        self._member_set, self._acceptor_host, self._event_log, self._whole = (
+        self._member_set, self._acceptor_host, self._event_log, self._reachable_members = (
             member_set,
             acceptor_host,
             event_log,
@@ -54,13 +54,13 @@
         )
         self._proposer_host, self._busy = proposer_host, False
 
-    def answers(self) -> dict[str, Handler]:
+    def handlers(self) -> dict[str, Handler]:
         """The question that is answered here, by name."""
         return {"restore": self.restore}
 
     async def restore(self, head: Head) -> Told | Refusal:
         """Raises KeyError, TypeError or ValueError for what cannot be read."""
-        lost = [str(one) for one in head["lost"]][:MOST_LOST]
+        lost = [str(one) for one in head["lost"]][:MAX_LOST]
         if self._busy:
             return Refusal("another restore is under way")
         self._busy = True
@@ -68,7 +68,7 @@
             if not self._member_set.has_contact():
                 return await self._restore(str(head["copy"]), lost)
             if head["copy"] and all(item.kind == VIEW for item in self._charter.items.values()):
-                return await self._fill(str(head["copy"]))
+                return await self._import_copy(str(head["copy"]))
             return Refusal(
                 "the mesh serves, and holds all that was acknowledged; to go back to an earlier "
                 "configuration, send it under higher versions"
@@ -76,24 +76,26 @@
         finally:
             self._busy = False
 
-    async def _fill(self, copy: str) -> Told | Refusal:
+    async def _import_copy(self, copy: str) -> Told | Refusal:
         """The mesh began anew with nothing: what the copy holds is put into it as orders are."""
-        kept = self._copy(copy)
+        kept = self._read_copy(copy)
         if isinstance(kept, Refusal):
             return kept
         writes = [((i.kind, i.name, i.version), i.value) for i in kept.items if i.kind != VIEW]
-        for at in range(0, len(writes), BATCH):
-            outcome = await self._proposer_host.decide(dict(writes[at : at + BATCH]), FILL_S)
+        for at in range(0, len(writes), IMPORT_ORDER_ITEMS):
+            outcome = await self._proposer_host.decide(
+                dict(writes[at : at + IMPORT_ORDER_ITEMS]), IMPORT_ORDER_TIMEOUT_S
+            )
             if not isinstance(outcome, Decided):
                 return Refusal(f"{at} of {len(writes)} items are in force; restore again")
-        return self._told(self._member_set.view())
+        return self._summary(self._member_set.view())
 
     async def _restore(self, copy: str, lost: list[str]) -> Told | Refusal:
-        kept = self._copy(copy) if copy else Held()
+        kept = self._read_copy(copy) if copy else Held()
         if isinstance(kept, Refusal):
             return kept
         view = _view(kept) if copy else None
-        reached = {**self._whole(), self._member_set.own_address: self._disk_writer.whole}
+        reached = {**self._reachable_members(), self._member_set.own_address: self._disk_writer.whole}
         tolerance = self._member_set.tolerance
         begins = restored_view(
             self._member_set.own_address, self._member_set.view(), reached, lost, view, tolerance
@@ -101,7 +103,7 @@
         if isinstance(begins, str):
             return Refusal(begins)
         if copy:
-            refused = self._take(kept)
+            refused = self._merge_copy(kept)
             if refused is not None:
                 return refused
         item = Item(VIEW, MEMBERS, begins.epoch, write_view(begins))
@@ -110,22 +112,22 @@
             await self._disk_writer.mark_whole()
         await self._disk_writer.flush()
         self._member_set.announce_complete()
-        told = self._told(begins)
+        told = self._summary(begins)
         self._event_log.tell(
             events.STATE_RESTORED, epoch=begins.epoch, items=told["items"], lost=", ".join(lost)
         )
         return told
 
-    def _told(self, view: View) -> Told:
+    def _summary(self, view: View) -> Told:
         items = [item for item in self._charter.items.values() if item.value is not None]
         count = sum(item.kind != VIEW for item in items)
         return {"epoch": view.epoch, "members": sorted(view.members), "items": count}
 
-    def _copy(self, copy: str) -> Held | Refusal:
-        path = inside(self._base, copy)
+    def _read_copy(self, copy: str) -> Held | Refusal:
+        path = target_path(self._state_dir, copy)
         if isinstance(path, Refusal):
             return path
-        rows = look(Path(path), self._room)
+        rows = look(Path(path), self._max_bytes)
         if isinstance(rows, Failed):
             return Refusal(f"copy: {rows.reason}")
         try:
@@ -133,7 +135,7 @@
         except StorageError as fault:
             return Refusal(f"copy: {fault}")
 
-    def _take(self, kept: Held) -> Refusal | None:
+    def _merge_copy(self, kept: Held) -> Refusal | None:
         """What the copy holds, where nothing newer is held; what was accepted or overtaken with it."""
         buckets, keys = self._charter.merge_collected(kept.forgotten)
         self._disk_writer.remove_keys(keys, buckets)
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -25,12 +25,12 @@
 from mesh.rollout.change_kinds import STAGED, kind_of
 from mesh.rollout.report import CanaryCounts, RolloutReport, read, required_vector
 
-KEPT = 64  # changes, each the items that came at once
-OPEN_S = 60.0  # a change that nobody confirms is looked after for so long
-SHOWN_S = 1.0  # beyond the settling time; then who lacks it is told
-NAMED = 8  # sidecars that are named at once
+MAX_ROLLOUTS = 64  # changes, each the items that came at once
+COUNT_PERIOD_S = 60.0  # a change that nobody confirms is looked after for so long
+LOG_DELAY_S = 1.0  # beyond the settling time; then who lacks it is told
+MAX_NAMES = 8  # sidecars that are named at once
 
-Standing = Callable[[str, str], "tuple[int, dict[str, object] | None] | None"]
+CurrentItem = Callable[[str, str], "tuple[int, dict[str, object] | None] | None"]
 
 
 class Rollout(Struct, eq=False):
@@ -63,7 +63,7 @@
         contact: Callable[[], bool],
     ) -> None:
         """``contact``: with most members; who has none gives no word."""
-        self._contact = contact
+        self._has_contact = contact
         self._loop = asyncio.get_running_loop()
         self._settle_s = settle_ms / 1000.0
         self.wait_s = derive_rollout_times(settle_ms, ack_ms).ack_wait_s
@@ -74,8 +74,8 @@
             event_log,
         )
         self.reports: dict[str, RolloutReport] = {}  # by node
-        self.heard: dict[str, float] = {}  # and when it last came
-        self.rollouts: deque[Rollout] = deque(maxlen=KEPT)
+        self.reported_at: dict[str, float] = {}  # and when it last came
+        self.rollouts: deque[Rollout] = deque(maxlen=MAX_ROLLOUTS)
         self._counts: dict[Key, dict[str, CanaryCounts]] = {}  # by item and node; of items that change now
         self._waits: set[_Wait] = set()
 
@@ -85,7 +85,7 @@
 
     # News
 
-    def changed(self, items: Iterable[Item]) -> None:
+    def items_changed(self, items: Iterable[Item]) -> None:
         """Items of the configuration have come."""
         told = [item for item in items if item.kind == ROUTE]
         if told:
@@ -95,14 +95,14 @@
             nodes = set(self._membership.draw().nodes)
             self.rollouts.append(Rollout(self._loop.time(), versions, required_vector(told), nodes))
 
-    def restamped(self, items: Iterable[Item]) -> None:
+    def items_restamped(self, items: Iterable[Item]) -> None:
         """Items bear another stamp, their content being the same."""
         keys = {item.key for item in items}
         for one in self.rollouts:
             if one.done is None and keys & one.versions.keys():
                 one.needs = required_vector(self._charter.items[key] for key in one.versions)
 
-    def reported(self, items: Iterable[Item]) -> None:
+    def reports_changed(self, items: Iterable[Item]) -> None:
         """Reports have come, or (without a value) those of sidecars that are gone."""
         now = self._loop.time()
         for item in items:
@@ -112,18 +112,18 @@
                 report = None  # of a newer program, it may be; nothing is confirmed by it
             if report is None:
                 self.reports.pop(item.name, None)
-                self.heard.pop(item.name, None)
+                self.reported_at.pop(item.name, None)
                 continue
-            self.reports[item.name], self.heard[item.name] = report, now
+            self.reports[item.name], self.reported_at[item.name] = report, now
             for one in self.rollouts:
-                if one.done is None and item.name in one.missing and _has(report, one):
+                if one.done is None and item.name in one.missing and _is_confirmed(report, one):
                     one.missing.discard(item.name)
                     if not one.missing:
                         one.done = now
             for count in report.counts:
                 self._count(item.name, count)
         for wait in list(self._waits):
-            if not wait.done.done() and self._first_have(wait.items):
+            if not wait.done.done() and self._first_part_confirmed(wait.items):
                 wait.done.set_result(None)
 
     def _count(self, node: str, count: CanaryCounts) -> None:
@@ -131,7 +131,7 @@
         rollout = next(
             (r for r in reversed(self.rollouts) if r.versions.get(count.key) == count.version), None
         )
-        if rollout is None or self._loop.time() - rollout.known > OPEN_S:
+        if rollout is None or self._loop.time() - rollout.known > COUNT_PERIOD_S:
             return
         counts = self._counts.setdefault(count.key, {})
         counts[node] = count
@@ -148,7 +148,7 @@
                     failed=f"{new.failures}/{new.calls}",
                     before=f"{old.failures}/{old.calls}",
                 )
-        elif not self._contact():
+        elif not self._has_contact():
             return  # a newer version may be known elsewhere; the next count is looked at again
         elif is_sound(new, old) and count.key not in rollout.sound and count.key not in rollout.worse:
             rollout.sound.add(count.key)
@@ -159,17 +159,17 @@
     def tick(self, now: float) -> None:
         """Called several times a second: what has not settled is told, once."""
         for one in self.rollouts:
-            if one.done is None and not one.told and now - one.known > self._settle_s + SHOWN_S:
+            if one.done is None and not one.told and now - one.known > self._settle_s + LOG_DELAY_S:
                 one.told = True
                 if one.missing:
-                    names = ",".join(sorted(one.missing)[:NAMED])
+                    names = ",".join(sorted(one.missing)[:MAX_NAMES])
                     self._event_log.tell(
                         events.NOT_CONFIRMED, items=len(one.versions), sidecars=len(one.missing), names=names
                     )
 
     # Before an acknowledgement
 
-    def hurting(self, writes: Sequence[ItemWrite], standing: Standing) -> list[Key]:
+    def staged_writes(self, writes: Sequence[ItemWrite], standing: CurrentItem) -> list[Key]:
         """Of these writes, those that come into force and can make sound calls fail."""
         found = []
         for write in writes:
@@ -181,12 +181,12 @@
                 found.append((write.kind, write.name))
         return found
 
-    async def first_part(self, keys: Sequence[Key], within_s: float) -> None:
+    async def wait_for_first_part(self, keys: Sequence[Key], within_s: float) -> None:
         """Until the first part of each of these items goes by it, or that time is over. Nobody is waited for
         any longer, whatever became of it."""
         wait_s = min(self.wait_s, within_s)
         items = [self._charter.items[key] for key in keys if key in self._charter.items]
-        if wait_s <= 0.0 or not items or self._first_have(items):
+        if wait_s <= 0.0 or not items or self._first_part_confirmed(items):
             return
         wait = _Wait(items, self._loop.create_future())
         self._waits.add(wait)
@@ -198,7 +198,7 @@
         finally:
             self._waits.discard(wait)
 
-    def _first_have(self, items: Sequence[Item]) -> bool:
+    def _first_part_confirmed(self, items: Sequence[Item]) -> bool:
         draw = self._membership.draw()
         for item in items:
             for node in draw.canaries(item.kind, item.name, item.version):
@@ -209,7 +209,7 @@
 
     # For operators
 
-    def lacking(self, key: Key) -> list[str]:
+    def unconfirmed(self, key: Key) -> list[str]:
         """The sidecars that have not confirmed that item as it is here."""
         item = self._charter.items[key]
         return sorted(
@@ -218,7 +218,7 @@
             if (report := self.reports.get(node)) is None or not report.confirms(item)
         )
 
-    def counted(self, key: Key) -> tuple[Tally, Tally]:
+    def canary_tallies(self, key: Key) -> tuple[Tally, Tally]:
         """What the first part saw of its version: the new way's calls, and the old one's."""
         item = self._charter.items.get(key)
         same = [
@@ -230,7 +230,7 @@
         )
 
 
-def _has(report: RolloutReport, rollout: Rollout) -> bool:
+def _is_confirmed(report: RolloutReport, rollout: Rollout) -> bool:
     return all(report.vector.get(s, 0) >= n for s, n in rollout.needs.items()) and not any(
         key in rollout.versions for key in report.held
     )
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -27,16 +27,18 @@
 from mesh.replication.tombstones import read_rows
 from mesh.transport.frames import Head
 
-EVERY_S = 10.0  # between two questions of one process, and a rank longer for each that goes before it
-WITHIN_S = 5.0  # of which the answers come
-MOST = 500  # drops of one question
-ROWS = 64  # buckets of the record in one frame
+QUERY_INTERVAL_S = (
+    10.0  # between two questions of one process, and a rank longer for each that goes before it
+)
+QUERY_TIMEOUT_S = 5.0  # of which the answers come
+MAX_DROPS = 500  # drops of one question
+MAX_FRAME_BUCKETS = 64  # buckets of the record in one frame
 FRAMES = frozenset({"held", "holding", "forget", "gone"})
 
 Drop = tuple[Key, int]
 
 
-class _Asking(Struct, eq=False):
+class _HoldsQuery(Struct, eq=False):
     view: View
     drops: Sequence[Drop]
     until: float
@@ -44,7 +46,7 @@
     lacking: set[int] = field(default_factory=set)  # places of drops that not all hold
 
 
-class Forgetting:
+class TombstoneCollection:
     def __init__(
         self,
         charter: Store,
@@ -57,25 +59,25 @@
         self._loop = asyncio.get_running_loop()
         self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
         self._member_set, self._acceptor_host, self._event_log = member_set, acceptor_host, event_log
-        self._tombs = Tombstones()
-        self._tombs.note(self._loop.time(), charter.items.values())
-        self._due = self._loop.time() + EVERY_S
+        self._tombstones = Tombstones()
+        self._tombstones.note(self._loop.time(), charter.items.values())
+        self._next_query_at = self._loop.time() + QUERY_INTERVAL_S
         self._count = 0
-        self._asking: _Asking | None = None
+        self._query: _HoldsQuery | None = None
 
     def note(self, items: Iterable[Item]) -> None:
         """These have changed in the charter."""
-        self._tombs.note(self._loop.time(), items)
+        self._tombstones.note(self._loop.time(), items)
 
     # Asking
 
     def tick(self, now: float) -> None:
         """Called several times a second."""
-        if self._asking is not None and now >= self._asking.until:
-            self._asking = None
-        if now < self._due or self._asking is not None:
+        if self._query is not None and now >= self._query.until:
+            self._query = None
+        if now < self._next_query_at or self._query is not None:
             return
-        self._due = now + EVERY_S
+        self._next_query_at = now + QUERY_INTERVAL_S
         view, me = self._member_set.view(), self._member_set.own_address
         if (
             view.joint
@@ -85,25 +87,25 @@
         ):
             return
         rank = sorted(view.members).index(me)
-        ripe = self._tombs.expired(now - rank * EVERY_S, MOST)
+        ripe = self._tombstones.expired(now - rank * QUERY_INTERVAL_S, MAX_DROPS)
         held = [self._charter.items.get(key) for key in ripe]
         drops = [(item.key, item.version) for item in held if item is not None and item.value is None]
         if not drops:
             return
         self._count += 1
-        asking = self._asking = _Asking(view, drops, now + WITHIN_S)
+        asking = self._query = _HoldsQuery(view, drops, now + QUERY_TIMEOUT_S)
         told = {"t": "held", "n": self._count, "e": view.epoch, "k": [[*key, v] for key, v in drops]}
         for address, channel in self._member_set.peers().items():
             if address in view.members:
                 channel.link.send(told)
-        self._acceptor_host.spawn(self._own(asking))
+        self._acceptor_host.spawn(self._check_own_disk(asking))
 
-    async def _own(self, asking: _Asking) -> None:
-        lacking = await self._lacking(asking.view.epoch, asking.drops)
+    async def _check_own_disk(self, asking: _HoldsQuery) -> None:
+        lacking = await self._find_lacking(asking.view.epoch, asking.drops)
         if lacking is not None:
-            self._heard(asking, self._member_set.own_address, lacking)
+            self._handle_answer(asking, self._member_set.own_address, lacking)
 
-    async def _lacking(self, epoch: int, drops: Sequence[Drop]) -> list[int] | None:
+    async def _find_lacking(self, epoch: int, drops: Sequence[Drop]) -> list[int] | None:
         """Places of those that this disk does not hold; None where nothing can be said under that epoch."""
         lacking = [place for place, drop in enumerate(drops) if not self._holds(*drop)]
         await self._disk_writer.flush()
@@ -114,15 +116,15 @@
         known = item.version if item is not None else self._charter.collected_tombstones.version(key)
         return known >= version
 
-    def _heard(self, asking: _Asking, who: str, lacking: Iterable[int]) -> None:
+    def _handle_answer(self, asking: _HoldsQuery, who: str, lacking: Iterable[int]) -> None:
         view = self._member_set.view()
-        if self._asking is not asking or view.epoch != asking.view.epoch:
+        if self._query is not asking or view.epoch != asking.view.epoch:
             return
         asking.heard.add(who)
         asking.lacking.update(lacking)
         if not asking.heard >= view.members.keys():
             return
-        self._asking = None
+        self._query = None
         gone = [drop for place, drop in enumerate(asking.drops) if place not in asking.lacking]
         if gone:
             told = {"t": "forget", "k": [[*key, version] for key, version in gone]}
@@ -135,13 +137,13 @@
 
     def _forget(self, drops: Sequence[Drop]) -> None:
         buckets, keys = self._charter.collect_tombstones(drops)
-        self._forgotten(buckets, keys)
+        self._remove(buckets, keys)
 
-    def _forgotten(self, buckets: Sequence[str], keys: Sequence[Key]) -> None:
+    def _remove(self, buckets: Sequence[str], keys: Sequence[Key]) -> None:
         """In one batch on disk: what is gone, and what is left of it."""
         for key in keys:
             self._acceptor.forget(key)
-        self._tombs.discard(keys)
+        self._tombstones.discard(keys)
         if buckets or keys:
             self._disk_writer.remove_keys(keys, buckets)
 
@@ -158,31 +160,31 @@
         if kind not in FRAMES:
             return False
         if kind == "held":
-            drops = _read(head["k"])
-            self._acceptor_host.spawn(self._answer(channel, int(head["n"]), int(head["e"]), drops))
+            drops = _decode_drops(head["k"])
+            self._acceptor_host.spawn(self._handle_query(channel, int(head["n"]), int(head["e"]), drops))
         elif kind == "holding":
             lacking = [int(place) for place in head["not"]]
-            if self._asking is not None and head["n"] == self._count:
-                if head["e"] == self._asking.view.epoch:
-                    self._heard(self._asking, address_of(channel), lacking)
+            if self._query is not None and head["n"] == self._count:
+                if head["e"] == self._query.view.epoch:
+                    self._handle_answer(self._query, address_of(channel), lacking)
         elif kind == "forget":
-            self._forget(_read(head["k"]))
+            self._forget(_decode_drops(head["k"]))
         elif "f" in head:
-            self._forgotten(*self._charter.merge_collected(read_rows(head["f"])))
+            self._remove(*self._charter.merge_collected(read_rows(head["f"])))
         elif head["d"] != self._charter.collected_tombstones.root():
             rows = list(self._charter.collected_tombstones.rows().items())
-            for at in range(0, len(rows), ROWS):
-                channel.link.send({"t": "gone", "f": dict(rows[at : at + ROWS])})
+            for at in range(0, len(rows), MAX_FRAME_BUCKETS):
+                channel.link.send({"t": "gone", "f": dict(rows[at : at + MAX_FRAME_BUCKETS])})
         return True
 
-    async def _answer(self, channel: Channel, number: int, epoch: int, drops: Sequence[Drop]) -> None:
-        lacking = await self._lacking(epoch, drops)
+    async def _handle_query(self, channel: Channel, number: int, epoch: int, drops: Sequence[Drop]) -> None:
+        lacking = await self._find_lacking(epoch, drops)
         if lacking is not None:
             channel.link.send({"t": "holding", "n": number, "e": epoch, "not": lacking})
 
 
-def _read(told: object) -> list[Drop]:
+def _decode_drops(told: object) -> list[Drop]:
     """Raises TypeError or ValueError for what are none."""
-    if not isinstance(told, list) or len(told) > MOST:
-        raise ValueError(f"at most {MOST} drops")
+    if not isinstance(told, list) or len(told) > MAX_DROPS:
+        raise ValueError(f"at most {MAX_DROPS} drops")
     return [((kind, name), version) for kind, name, version in map(decode_number, told)]
--- a/simulation/mesh/drops.py
+++ b/simulation/mesh/drops.py
@@ -50,16 +50,16 @@
     def _judge(self, by: Machine, node: str) -> None:
         """No process that the dropping one reaches may have heard the node of late, or know a higher epoch;
         it reaches more than half of the members; and no zone goes all at once."""
-        now, duties = float(self.env.now), by.program.duties
+        now, reaping = float(self.env.now), by.program.reaping
         for machine, program in self.programs(core=True):
             if machine is not by and self.wire.parted(by.ip, machine.ip):
                 continue
             for channel in program.channels.open:
                 if channel.node == node and now - channel.link.heard_at < HEARD_S:
                     self._say(f"{by.name} drops {node}, which {machine.name} hears")
-            newest = program.duties.turn.latest
-            if machine is not by and duties._held < newest.epoch:
-                self._say(f"{by.name} drops under {duties._held}, {machine.name} knows {newest}")
+            newest = program.reaping.lease.latest
+            if machine is not by and reaping._held_epoch < newest.epoch:
+                self._say(f"{by.name} drops under {reaping._held_epoch}, {machine.name} knows {newest}")
         if 2 * self.reaches(by) <= self.witness.members():
             self._say(f"{by.name} drops {node} and is cut off from most")
         zone = self.zone(self.machines[node])
@@ -86,7 +86,7 @@
 
     def holders(self) -> set[str]:
         """Control processes that act on the duty now."""
-        return {machine.name for machine, program in self.programs(core=True) if program.duties._held}
+        return {machine.name for machine, program in self.programs(core=True) if program.reaping._held_epoch}
 
     def standing(self) -> tuple[int, str]:
         """The claim that the roll has, where all control processes have the same one; else (0, "")."""
--- a/simulation/mesh/members.py
+++ b/simulation/mesh/members.py
@@ -218,7 +218,7 @@
         told: list[object] = []
 
         async def remove(one: Machine = machine, other: Machine = gone, told: list[object] = told) -> None:
-            told.append(await one.program.minding.remove({"node": other.name}))
+            told.append(await one.program.member_changes.remove({"node": other.name}))
 
         assert machine.life is not None
         machine.life.context.run(world.loop.create_task, remove())
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -69,7 +69,7 @@
         return all(
             new.ip in program.member_set.view().members
             and not program.member_set.view().joint
-            and not program.minding.borne().below(self.tolerance)
+            and not program.member_changes.borne().below(self.tolerance)
             for program in programs
         )
 
@@ -84,7 +84,7 @@
     def tells_what_keeps_the_silent(self) -> None:
         """Each process that has contact says for each silent member why it still counts."""
         for machine, program in self.programs(core=True):
-            for row in program.minding.show()["members"]:
+            for row in program.member_changes.show()["members"]:
                 if (
                     program.member_set.has_contact()
                     and not row["heard"]
@@ -179,7 +179,7 @@
 def holder_is_replaced(world: ZonedWorld) -> Script:
     """Three times the one that has the duty `members` is the one that is lost."""
     for number in range(3):
-        holder = world.controllers()[0].program.minding.turn.latest.holder
+        holder = world.controllers()[0].program.member_changes.lease.latest.holder
         yield from world.replaced(11 + number, world.machines[holder])
     yield from bears_one_more(world)
 
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -9,7 +9,7 @@
 from mesh.control_plane import operator_api as operator_api_module
 from mesh.control_plane import write_batches as write_batches_module
 from mesh.control_plane.acceptor_host import AcceptorHost
-from mesh.control_plane.catch_up import CatchingUp
+from mesh.control_plane.catch_up import CatchUp
 from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.joining import Joining
 from mesh.control_plane.proposals import ProposerHost
@@ -63,7 +63,7 @@
 
 def wiped_counts_at_once(patch: Patch) -> None:
     """And nobody else's word that its disk is another one makes it start over."""
-    patch.setattr(CatchingUp, "_start_over", lambda self, reason: None)
+    patch.setattr(CatchUp, "_start_over", lambda self, reason: None)
     begin = DiskWriter.__init__
 
     def init(self: DiskWriter, *args: Any) -> None:
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -44,7 +44,7 @@
     with (
         mock.patch("mesh.membership.tombstones.RETENTION_S", KEPT_S),
         mock.patch("mesh.data_plane.program.RESYNC_AFTER_S", ANEW_S),
-        mock.patch("mesh.control_plane.tombstone_collection.EVERY_S", 0.5),
+        mock.patch("mesh.control_plane.tombstone_collection.QUERY_INTERVAL_S", 0.5),
     ):
         yield
 
@@ -136,7 +136,7 @@
 def test_without_forgetting_the_store_is_full_for_good() -> None:
     with (
         mock.patch("mesh.control_plane.program.MAX_CHARTER_ITEMS", 60),
-        mock.patch("mesh.control_plane.tombstone_collection.Forgetting.tick"),
+        mock.patch("mesh.control_plane.tombstone_collection.TombstoneCollection.tick"),
         pytest.raises(AssertionError, match=r", None\)"),
     ):
         played(names_without_end)
@@ -321,7 +321,7 @@
             test_a_sidecar_that_was_cut_off_lets_go_what_was_dropped_and_forgotten(4 * KEPT_S)
         return
     with (
-        mock.patch("mesh.control_plane.catch_up.CatchingUp._start_over"),
+        mock.patch("mesh.control_plane.catch_up.CatchUp._start_over"),
         mock.patch("mesh.replication.tombstones.CollectedTombstones.version", lambda *_: -1),
         pytest.raises(AssertionError),
     ):
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -12,7 +12,7 @@
 
 from mesh.cli import shape
 from mesh.cli.mesh_snapshot import MeshSnapshot, Process
-from mesh.control_plane.leases import LIVELY_S, MOST_DROPPED, ROUND_S, Duties
+from mesh.control_plane.leases import ANSWER_TIMEOUT_S, LINK_ALIVE_S, MAX_DROPPED_NODES, ReapingDuty
 from mesh.data_plane.membership import CONTROLLER, INSTANCE, NODE, PROXY, Membership
 from mesh.data_plane.peer_links import PeerLinks
 from mesh.event_log.log import EventLog
@@ -42,7 +42,7 @@
             members=lambda: members, view=lambda: SimpleNamespace(epoch=self.view, names=frozenset(members))
         )
         channels: Any = self.channels
-        self.duties = Duties(
+        self.reaping = ReapingDuty(
             ME,
             f"ip-{ME}",
             SPANS,
@@ -55,9 +55,9 @@
             self.took,
         )
         loop: Any = SimpleNamespace(time=lambda: self.now)
-        self.duties._loop = loop
-        self.duties._look_at = self.duties._began = 0.0
-        self.duties.watch = type(self.duties.watch)(0.0)
+        self.reaping._loop = loop
+        self.reaping._next_check_at = self.reaping._started_at = 0.0
+        self.reaping.tracker = type(self.reaping.tracker)(0.0)
         for name in CORES:
             self.node(name, CONTROLLER, f"ip-{name}")
         for at in range(sides):
@@ -79,7 +79,7 @@
 
     def took(self, items: list[Item]) -> None:
         self.membership.take(items)
-        self.duties.news(items)
+        self.reaping.items_changed(items)
 
     def go_on(self, until: float, hear: Callable[[], None] = lambda: None) -> None:
         while self.now < until:
@@ -87,11 +87,11 @@
             for channel in self.channels.open:
                 channel.link.heard_at = self.now
             hear()
-            self.duties.tick(self.now)
+            self.reaping.tick(self.now)
 
     def hear(self, name: str, head: dict[str, Any]) -> bool:
         (channel,) = [one for one in self.channels.open if one.node == name]
-        return self.duties.handle_frame(channel, head)
+        return self.reaping.handle_frame(channel, head)
 
     def answer(self, name: str, silent_s: float) -> None:
         question = questions(self, name)[-1]
@@ -123,7 +123,7 @@
 
     def hear() -> None:
         for name in keep:
-            alone.duties.watch.note_contact(alone.now, name)
+            alone.reaping.tracker.note_contact(alone.now, name)
 
     alone.go_on(SPANS.gone_s + 1.0, hear)
     for name in OTHERS:
@@ -154,7 +154,7 @@
     def test() -> None:
         alone = asked()
         alone.answer(OTHERS[0], 60.0)
-        alone.now += ROUND_S + 0.1
+        alone.now += ANSWER_TIMEOUT_S + 0.1
         alone.answer(OTHERS[1], 60.0)
         assert alone.dropped == []
         alone = asked()
@@ -187,7 +187,7 @@
         assert alone.dropped == []
         alone.go_on(alone.now + 1.0)
         assert "I602 duty left duty=reaping epoch=1" in alone.log.getvalue()
-        assert alone.duties.told() == {
+        assert alone.reaping.status() == {
             REAPING: {
                 "epoch": 1 if overtaken == "out of touch" else 2,
                 "holder": ME if overtaken == "out of touch" else OTHERS[1],
@@ -202,7 +202,7 @@
     def test() -> None:
         alone = Alone()
         alone.go_on(5.0)
-        alone.duties.turn.note(5.0, LeaseRecord(6, OTHERS[1]))
+        alone.reaping.lease.note(5.0, LeaseRecord(6, OTHERS[1]))
         order = {"t": "heard", "n": 3, "duty": REAPING, "holder": OTHERS[0], "nodes": ["s0", "?"]}
         alone.hear(OTHERS[0], {**order, "epoch": 5})
         assert alone.sent[OTHERS[0]][-1] == {"t": "overtaken", "epoch": 6, "holder": OTHERS[1]}
@@ -214,7 +214,7 @@
             "silent": [4.5, 0.0],
             "linked": [None, None],
         }
-        assert alone.duties.turn.latest == LeaseRecord(7, OTHERS[0])
+        assert alone.reaping.lease.latest == LeaseRecord(7, OTHERS[0])
         for bad in (
             {"epoch": 0},
             {"duty": "other"},
@@ -223,7 +223,7 @@
         ):
             with pytest.raises(ValueError):
                 alone.hear(OTHERS[0], {**order, "epoch": 8, **bad})
-        assert alone.duties.turn.latest.epoch <= 8
+        assert alone.reaping.lease.latest.epoch <= 8
 
     run(test)
 
@@ -267,7 +267,7 @@
         alone.node("s0", PROXY, "10.0.1.1", version=2)
         gone: Any = alone.channel("s1", PROXY)
         gone.link.heard_at = alone.now
-        alone.duties.link_closed(gone)
+        alone.reaping.link_closed(gone)
         alone.go_on(alone.now + SPANS.gone_s - 1.0)
         assert not questions(alone, OTHERS[0])
         alone.go_on(alone.now + 2.0)
@@ -280,8 +280,8 @@
 def test_one_that_is_silent_or_not_in_touch_itself_is_passed_over(why: str) -> None:
     def test() -> None:
         alone = Alone()
-        alone.duties.node = second = OTHERS[0]
-        alone.duties.turn._node = second
+        alone.reaping.node = second = OTHERS[0]
+        alone.reaping.lease._node = second
         alone.channels.open = [alone.channel(ME, CONTROLLER)]
         if why == "not whole":
             alone.channels.open[0].whole = False
@@ -289,8 +289,8 @@
         else:
             while alone.now < 8.0:
                 alone.now += 0.5
-                alone.channels.open[0].link.heard_at = alone.now - LIVELY_S - 0.1
-                alone.duties.tick(alone.now)
+                alone.channels.open[0].link.heard_at = alone.now - LINK_ALIVE_S - 0.1
+                alone.reaping.tick(alone.now)
         assert alone.roll.items[DUTY, REAPING].value == {"holder": second}
 
     run(test)
@@ -298,20 +298,20 @@
 
 def test_so_many_are_dropped_at_once_and_the_rest_later() -> None:
     def test() -> None:
-        alone = asked(MOST_DROPPED + 50)
+        alone = asked(MAX_DROPPED_NODES + 50)
         for name in OTHERS:
             alone.answer(name, 60.0)
-        assert len(alone.dropped) == MOST_DROPPED
-        keep = [name for name in alone.membership.nodes if int(name[1:]) >= MOST_DROPPED + 50]
+        assert len(alone.dropped) == MAX_DROPPED_NODES
+        keep = [name for name in alone.membership.nodes if int(name[1:]) >= MAX_DROPPED_NODES + 50]
 
         def hear() -> None:
             for name in keep:
-                alone.duties.watch.note_contact(alone.now, name)
+                alone.reaping.tracker.note_contact(alone.now, name)
 
         alone.go_on(alone.now + 3.0, hear)
         for name in OTHERS:
             alone.answer(name, 60.0)
-        assert len(alone.dropped) == MOST_DROPPED + 50
+        assert len(alone.dropped) == MAX_DROPPED_NODES + 50
 
     run(test)
 
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -97,7 +97,7 @@
 ) -> None:
     assert killed_at_first(spared) == []
     if not spared:
-        monkeypatch.setattr(Joining, "_begin", lambda self: None)
+        monkeypatch.setattr(Joining, "_form_first_view", lambda self: None)
         assert killed_at_first(spared)
 
 
@@ -123,11 +123,11 @@
         world.env.process(world.witness.watch())
         first, second, third = world.controllers()
         yield from confirms(world, 1)
-        assert first.program.minding.losses() == {"machines": 1, "zones": 1, "regions": 0}
+        assert first.program.member_changes.losses() == {"machines": 1, "zones": 1, "regions": 0}
         go(world, third)
         yield from confirms(world, 2)
         yield world.env.timeout(1.5)  # it is not heard by then
-        assert first.program.minding.losses()["zones"] == 0
+        assert first.program.member_changes.losses()["zones"] == 0
         new = begin(world, 11)
         yield from world.until(counts(world, [first, second, new]), 10.0, "the successor counts in its place")
         yield from confirms(world, 3)
@@ -273,10 +273,10 @@
         told = heard(world)
         first, *_, last = world.controllers()
         yield world.env.timeout(2.0)
-        assert first.program.minding.losses()["machines"] == 1
+        assert first.program.member_changes.losses()["machines"] == 1
         world.kill(last)
         yield world.env.timeout(2.0)
-        assert first.program.minding.losses()["machines"] == 0
+        assert first.program.member_changes.losses()["machines"] == 0
         assert [values["machines"] for code, values in told if code == "W226"] == [0, 0]
         assert not any(code == "I227" for code, _ in told)
         world.start(last)
@@ -293,7 +293,7 @@
 
         def remove(name: str) -> Script:
             async def ask() -> None:
-                told.append(await cores[0].program.minding.remove({"node": name}))
+                told.append(await cores[0].program.member_changes.remove({"node": name}))
 
             cores[0].life.context.run(world.loop.create_task, ask())  # type: ignore[union-attr]
             before = len(told)
@@ -362,7 +362,7 @@
 
 
 def never_level(patch: Patch) -> None:
-    patch.setattr(Joining, "_is_level", lambda self: False)
+    patch.setattr(Joining, "_is_caught_up", lambda self: False)
 
 
 def silence_takes_long(patch: Patch) -> None:
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -234,7 +234,7 @@
             return
         assert [by for _, by, _ in world.dropped] == [after.name]
         program = after.program
-        assert program.duties.turn.latest == LeaseRecord(2, after.name)
+        assert program.reaping.lease.latest == LeaseRecord(2, after.name)
         if how == "killed":
             world.restart(holder, 0.0)
         world.heal()
@@ -267,7 +267,7 @@
         one, two = (world.machines[name] for name in order()[:2])
         world.cut([one], [two])
         yield world.env.timeout(60.0)
-        newest = max(program.duties.turn.latest.epoch for _, program in world.programs(core=True))
+        newest = max(program.reaping.lease.latest.epoch for _, program in world.programs(core=True))
         assert 2 <= newest <= 1 + 60.0 / (4.0 * SPANS.suspect_s)
         assert world.dropped == []
 
@@ -278,11 +278,11 @@
     """The holder is overtaken and does not hear of it; with one node gone it goes on asking."""
     holder, after = (world.machines[name] for name in order()[:2])
     for machine in world.controllers():
-        machine.program.duties.turn.note(0.0, LeaseRecord(5, after.name))
-    duties = holder.program.duties
-    turn = duties.turn = DutyLease(REAPING, holder.name, SPANS.suspect_s)
+        machine.program.reaping.lease.note(0.0, LeaseRecord(5, after.name))
+    reaping = holder.program.reaping
+    lease = reaping.lease = DutyLease(REAPING, holder.name, SPANS.suspect_s)
     now = float(world.env.now)
-    turn.latest, turn._claimed, turn._first_since = LeaseRecord(1, holder.name), 1, now
+    lease.latest, lease._claimed, lease._first_since = LeaseRecord(1, holder.name), 1, now
     world.power_off(world.machines["s1"])
     yield world.env.timeout(GONE_S + 1.5)
     told = [values for _, name, values in world.events(events.EPOCH_OLD) if name != holder.name]
@@ -303,7 +303,7 @@
         holder, _, third = (world.machines[name] for name in order())
         cut_off(world, "s1")
         yield world.env.timeout(GONE_S - 3.0)
-        while holder.program.duties._round is None:
+        while holder.program.reaping._round is None:
             yield world.env.timeout(0.0005)
         assert world.dropped == []
         world.freeze(holder, 4.0)  # the answers wait for it; meanwhile the node comes back
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -13,7 +13,7 @@
 
 from anisestair.http import codec as http
 from mesh.control_plane import anti_entropy
-from mesh.control_plane.anti_entropy import CHARTER, EVERY_S, Repairing
+from mesh.control_plane.anti_entropy import CHARTER, COMPARE_INTERVAL_S, AntiEntropy
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channels
 from mesh.event_log import events
@@ -31,7 +31,9 @@
     b'"predicate":{"prefix":"/r1/"},"response":{"plant":"p","horizon_ms":800,"trials":2}}]}],'
     b'"plant_groups":[{"name":"p","epoch":"r3"}]}}'
 )
-WITHIN_S = 6 * EVERY_S[1]  # every process has chosen every other by then, with the seeds of this rig
+WITHIN_S = (
+    6 * COMPARE_INTERVAL_S[1]
+)  # every process has chosen every other by then, with the seeds of this rig
 R1: Key = ("route", "r1")
 Play = Callable[[Drops], Script]
 
@@ -118,7 +120,9 @@
         yield world.env.timeout(10.0)
         before = world.wire.sent
         yield world.env.timeout(120.0)
-        assert 3 * 120 / EVERY_S[1] - 3 <= world.wire.sent - before <= 3 * 120 / EVERY_S[0]
+        assert (
+            3 * 120 / COMPARE_INTERVAL_S[1] - 3 <= world.wire.sent - before <= 3 * 120 / COMPARE_INTERVAL_S[0]
+        )
         assert all(len(end.written) < 100 for end in world.wire.ends if b'"digest"' in end.written)
         assert not world.events(events.REPAIR_BEGUN)
 
@@ -178,7 +182,7 @@
         ):
             channel.link.send(frame)
         yield world.env.timeout(1.0)
-        assert core.charter.items[R1].version == 3 and core.duties.turn.latest.epoch < 99
+        assert core.charter.items[R1].version == 3 and core.reaping.lease.latest.epoch < 99
 
     assert played(sidecar) == []
 
@@ -193,7 +197,7 @@
             assert item.key in lacks.charter.items
             turned(world.machines["c2"], "charter", item.key, None)
             lacks.charter._arrived.pop(item.key)
-        yield world.env.timeout(EVERY_S[1] + 20.0)  # some thirteen rounds
+        yield world.env.timeout(COMPARE_INTERVAL_S[1] + 20.0)  # some thirteen rounds
         assert lacks.charter.digests.root() == full.charter.digests.root()
 
     assert played(many) == []
@@ -212,7 +216,9 @@
         before, sent = world.wire.sent, count_digests(world)
         yield world.env.timeout(60.0)
         compared = sent() / 3
-        assert before < world.wire.sent and 60 / (EVERY_S[1] + 6.5) - 1 <= compared <= 60 / (EVERY_S[0] + 4.5)
+        assert before < world.wire.sent and 60 / (COMPARE_INTERVAL_S[1] + 6.5) - 1 <= compared <= 60 / (
+            COMPARE_INTERVAL_S[0] + 4.5
+        )
 
     assert played(changes) == []
 
@@ -232,7 +238,7 @@
 
 
 def sidecars_are_not_told(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Repairing, "_hand_on", lambda self, name, items: None)
+    patch.setattr(AntiEntropy, "_push_to_proxies", lambda self, name, items: None)
 
 
 def nothing_is_taken(patch: pytest.MonkeyPatch) -> None:
@@ -280,15 +286,15 @@
         event_log = EventLog("a", log)
         disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, whole=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
-        repair = Repairing(1, {CHARTER: store}, channels, disk_writer, event_log, lambda name, items: None)
+        repair = AntiEntropy(1, {CHARTER: store}, channels, disk_writer, event_log, lambda name, items: None)
         taken = store.write_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
         assert isinstance(taken, list)
         disk_writer.mark_items(taken)
         await disk_writer.flush()
         repair.check_disk()
         repair.tick(channels.loop.time())
-        assert repair._disk is not None
-        await repair._disk
+        assert repair._disk_check is not None
+        await repair._disk_check
         assert log.getvalue() == ""  # nothing was wrong
 
         await disk_writer.run_between_batches(lambda keeper: keeper.close())
--- a/tests/mesh/test_replacements_world.py
+++ b/tests/mesh/test_replacements_world.py
@@ -70,7 +70,7 @@
 
 
 def reasons_are_not_told(patch: Patch) -> None:
-    patch.setattr(MemberSilence, "why_it_stays", lambda *_: "")
+    patch.setattr(MemberSilence, "describe_wait", lambda *_: "")
 
 
 SEEDED: list[tuple[Callable[[Patch], None], Layout, ZonedPlay]] = [
--- a/tests/mesh/test_simulated_mesh.py
+++ b/tests/mesh/test_simulated_mesh.py
@@ -9,7 +9,7 @@
 import pytest
 
 from anisestair.http import codec as http
-from mesh.control_plane.anti_entropy import EVERY_S
+from mesh.control_plane.anti_entropy import COMPARE_INTERVAL_S
 from mesh.membership.tombstones import RESYNC_AFTER_S
 from mesh.replication.acceptor import Ballot
 from simulation.mesh import seeds, troubles
@@ -403,7 +403,7 @@
     yield greater
     yield world.env.timeout(1.0)
     world.heal()
-    yield world.env.timeout(3 * EVERY_S[1])
+    yield world.env.timeout(3 * COMPARE_INTERVAL_S[1])
 
 
 def a_decision_is_not_heard_and_the_next_one_is(world: World) -> Script:
@@ -430,8 +430,10 @@
     """What a writer sends is held up while one joins; then it reaches one that knows. The writer is not the
     one that proposes who counts: that one would be missed first."""
     cores = world.controllers()
-    yield from world.until(lambda: cores[0].program.minding.turn.latest.epoch, 3.0, "the duty is taken")
-    holder = cores[0].program.minding.turn.latest.holder
+    yield from world.until(
+        lambda: cores[0].program.member_changes.lease.latest.epoch, 3.0, "the duty is taken"
+    )
+    holder = cores[0].program.member_changes.lease.latest.holder
     writer = next(machine for machine in cores if machine.name != holder)
     other = next(machine for machine in cores if machine is not writer)
     joiner = world.add("c4", "10.0.0.4")
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -94,7 +94,7 @@
         for machine in world.controllers():
             rollout = machine.program.rollouts.rollouts[-1]
             assert rollout.done is not None and not rollout.missing
-            assert machine.program.rollouts.lacking(("route", "a")) == []
+            assert machine.program.rollouts.unconfirmed(("route", "a")) == []
         told = [
             p.state.value for m in sides(world) for p in m.program.stages.chamber.history if p.version == 2
         ]
--- a/tests/mesh/test_thread_points.py
+++ b/tests/mesh/test_thread_points.py
@@ -191,7 +191,7 @@
 def test_work_on_the_store_beside_the_disks_thread_is_found(
     memory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(DiskWriter, "between", _beside)
+    monkeypatch.setattr(DiskWriter, "run_between_batches", _beside)
     assert all_points(memory / "points", "keep", "questions") != []
 
 
