--- a/mesh/admission/buffer_budget.py
+++ b/mesh/admission/buffer_budget.py
@@ -10,83 +10,88 @@
 
 from __future__ import annotations
 
-COPIES = 2  # of a body that is in hand
-SHORT = 64 * 1024  # bytes of a body that may use all of the room
-LONG_SHARE = 0.75  # of the room that longer ones may fill
+BODY_COPIES = 2  # of a body that is in hand
+SHORT_BODY_BYTES = 64 * 1024  # bytes of a body that may use all of the room
+LONG_BODY_SHARE = 0.75  # of the room that longer ones may fill
 # Of the pool, kept for each. The rest, a fifth, is nobody's.
-KEPT_BODIES, KEPT_ANSWERS, KEPT_HEADS, KEPT_FRAMES = 0.3, 0.3, 0.1, 0.1
+RESERVED_BODIES, RESERVED_ANSWERS, RESERVED_HEADS, RESERVED_FRAMES = 0.3, 0.3, 0.1, 0.1
 
 
-class Pool:
+class BufferPool:
     """The memory that several holdings share, in bytes."""
 
     def __init__(self, room: int) -> None:
         """Nobody holds anything of ``room`` yet."""
-        self.room = room
-        self.holdings: list[Holding] = []
+        self.capacity = room
+        self.quotas: list[BufferQuota] = []
 
-    def bears(self, holding: Holding, size: int) -> bool:
+    def has_room(self, holding: BufferQuota, size: int) -> bool:
         """Whether that holding may have so many bytes of memory more."""
-        others = sum(max(one.memory, one.kept) for one in self.holdings if one is not holding)
-        return holding.memory + size + others <= self.room
+        others = sum(max(one.memory, one.reserved) for one in self.quotas if one is not holding)
+        return holding.memory + size + others <= self.capacity
 
 
-class Holding:
+class BufferQuota:
     """Bytes of one kind. ``room`` is the memory for all of them, ``longest`` one's bound, both in bytes; each
     is there ``copies`` times. ``kept`` is the part of the ``pool`` that nobody else gets."""
 
     def __init__(
-        self, room: int, longest: int, copies: int = COPIES, pool: Pool | None = None, kept: int = 0
+        self,
+        room: int,
+        longest: int,
+        copies: int = BODY_COPIES,
+        pool: BufferPool | None = None,
+        kept: int = 0,
     ) -> None:
         """Nothing is in hand yet."""
-        self.most, self.longest = room // copies, longest
-        self.copies, self.kept = copies, kept
-        self.held = 0  # bytes in hand
+        self.max_bytes, self.max_message_bytes = room // copies, longest
+        self.copies, self.reserved = copies, kept
+        self.held_bytes = 0  # bytes in hand
         self._pool = pool
         if pool is not None:
-            pool.holdings.append(self)
+            pool.quotas.append(self)
 
     @property
     def memory(self) -> int:
         """What all in hand take."""
-        return self.held * self.copies
+        return self.held_bytes * self.copies
 
-    def take(self, size: int, before: int = 0) -> bool:
+    def acquire(self, size: int, before: int = 0) -> bool:
         """Whether so many bytes more find room, and are held; ``before``: of the same body, held already."""
         whole = before + size
-        most = self.most if whole <= SHORT else self.most * LONG_SHARE
-        if whole > self.longest or self.held + size > most:
+        most = self.max_bytes if whole <= SHORT_BODY_BYTES else self.max_bytes * LONG_BODY_SHARE
+        if whole > self.max_message_bytes or self.held_bytes + size > most:
             return False
         # What is kept for this kind is there, whatever the others have: most calls need ask no further.
-        if self._pool is not None and (self.held + size) * self.copies > self.kept:
-            if not self._pool.bears(self, size * self.copies):
+        if self._pool is not None and (self.held_bytes + size) * self.copies > self.reserved:
+            if not self._pool.has_room(self, size * self.copies):
                 return False
-        self.held += size
+        self.held_bytes += size
         return True
 
     def charge(self, size: int) -> None:
         """So many are here already, and count against those to come."""
-        self.held += size
+        self.held_bytes += size
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """So many are in hand no more."""
-        self.held -= size
+        self.held_bytes -= size
 
 
 class Reservation:
     """Room for one message that grows as it comes. It is given back once, at the latest when nothing refers
     to it any more."""
 
-    __slots__ = ("_holding", "size")
+    __slots__ = ("_quota", "size")
 
-    def __init__(self, holding: Holding) -> None:
+    def __init__(self, holding: BufferQuota) -> None:
         """Nothing of ``holding`` is taken yet."""
-        self._holding = holding
+        self._quota = holding
         self.size = 0  # bytes
 
     def grow(self, size: int) -> bool:
         """Whether there is room for so many bytes more, which are then taken."""
-        if not self._holding.take(size, self.size):
+        if not self._quota.acquire(size, self.size):
             return False
         self.size += size
         return True
@@ -95,7 +100,7 @@
         """Gives all of it back."""
         size, self.size = self.size, 0
         if size:
-            self._holding.give(size)
+            self._quota.release(size)
 
     def __del__(self) -> None:
         """Nobody refers to its message any more."""
@@ -107,20 +112,20 @@
 
     def __init__(self, room: int) -> None:
         """Divides ``room`` among the kinds."""
-        self.pool = Pool(room)
-        free = room - int((KEPT_BODIES + KEPT_ANSWERS + KEPT_HEADS + KEPT_FRAMES) * room)
+        self.pool = BufferPool(room)
+        free = room - int((RESERVED_BODIES + RESERVED_ANSWERS + RESERVED_HEADS + RESERVED_FRAMES) * room)
 
-        def holding(share: float, copies: int) -> Holding:
+        def holding(share: float, copies: int) -> BufferQuota:
             kept = int(share * room)
             most = kept + free
-            return Holding(most, most // copies, copies, self.pool, kept)
+            return BufferQuota(most, most // copies, copies, self.pool, kept)
 
-        self.bodies = holding(KEPT_BODIES, COPIES)
-        self.answers = holding(KEPT_ANSWERS, COPIES)
-        self.heads = holding(KEPT_HEADS, 1)
-        self.frames = holding(KEPT_FRAMES, 1)
+        self.bodies = holding(RESERVED_BODIES, BODY_COPIES)
+        self.answers = holding(RESERVED_ANSWERS, BODY_COPIES)
+        self.heads = holding(RESERVED_HEADS, 1)
+        self.frames = holding(RESERVED_FRAMES, 1)
 
-    def told(self) -> dict[str, dict[str, int]]:
+    def usage(self) -> dict[str, dict[str, int]]:
         """Bytes of memory of each kind: in hand, kept for it, and what it can have at the most."""
         kinds = {
             "bodies": self.bodies,
@@ -131,8 +136,8 @@
         return {
             name: {
                 "held_bytes": one.memory,
-                "kept_bytes": one.kept,
-                "most_bytes": one.most * one.copies,
+                "kept_bytes": one.reserved,
+                "most_bytes": one.max_bytes * one.copies,
             }
             for name, one in kinds.items()
         }
--- a/mesh/admission/repeat_runs.py
+++ b/mesh/admission/repeat_runs.py
@@ -12,7 +12,7 @@
 
 # Between what the upstream is told is left and what it tells of its call: the way there, a connection that
 # opens, rounding to whole milliseconds.
-NEAR_MS = 25.0
+DEADLINE_TOLERANCE_MS = 25.0
 
 
 class RepeatRuns:
@@ -26,14 +26,14 @@
         """How many run."""
         return len(self._deadlines)
 
-    def began(self, run: Hashable, deadline: float) -> None:
+    def begin(self, run: Hashable, deadline: float) -> None:
         """The upstream begins a repeat, whose client waits until ``deadline``."""
         self._deadlines[run] = deadline
 
-    def ended(self, run: Hashable) -> None:
+    def end(self, run: Hashable) -> None:
         """Of a run that is no repeat, too: that changes nothing."""
         self._deadlines.pop(run, None)
 
-    def made(self, deadline: float) -> bool:
+    def may_have_made(self, deadline: float) -> bool:
         """Whether a call with that deadline may have been made by one of them."""
-        return any(abs(deadline - of_run) <= NEAR_MS for of_run in self._deadlines.values())
+        return any(abs(deadline - of_run) <= DEADLINE_TOLERANCE_MS for of_run in self._deadlines.values())
--- a/mesh/admission/retry_budget.py
+++ b/mesh/admission/retry_budget.py
@@ -11,17 +11,17 @@
 
 from collections import deque
 
-KEPT = 0.5  # of what the rule gives is used here
-SLOTS = 20  # the window is counted in so many parts
+USED_SHARE = 0.5  # of what the rule gives is used here
+WINDOW_SLOTS = 20  # the window is counted in so many parts
 
 
-class Budget:
+class RetryBudget:
     """Of one service at one sidecar. Instants in milliseconds."""
 
     def __init__(self, ratio: float, window_ms: float, slack: float) -> None:
         """Nothing has been asked for, and nothing spent."""
         self._ratio, self._window, self._slack = ratio, max(window_ms, 1.0), slack
-        self._slots: deque[list[float]] = deque(maxlen=SLOTS + 1)  # [index, requests, further]
+        self._slots: deque[list[float]] = deque(maxlen=WINDOW_SLOTS + 1)  # [index, requests, further]
         self.spent = self.denied = self.charged = 0
 
     def tune(self, now: float, ratio: float, window_ms: float, slack: float) -> None:
@@ -35,28 +35,28 @@
         slot[1], slot[2] = requests, further
 
     def _slot(self, now: float) -> list[float]:
-        index = now // (self._window / SLOTS)
+        index = now // (self._window / WINDOW_SLOTS)
         if not self._slots or self._slots[-1][0] != index:
             self._slots.append([index, 0.0, 0.0])
-        while self._slots[0][0] < index - SLOTS:
+        while self._slots[0][0] < index - WINDOW_SLOTS:
             self._slots.popleft()
         return self._slots[-1]
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A client's request for this service."""
         self._slot(now)[1] += 1.0
 
-    def withdraw(self, now: float) -> None:
+    def withdraw_request(self, now: float) -> None:
         """One of those requests is taken anew, and counted anew where it goes then."""
         self._slot(now)[1] -= 1.0
 
-    def spend(self, now: float, sidecars: int) -> bool:
+    def try_spend(self, now: float, sidecars: int) -> bool:
         """Whether one more arrival beyond the first may be caused now; if so it is counted. ``sidecars``: how
         many share the budget, as far as is known."""
         slot = self._slot(now)
         requests = sum(item[1] for item in self._slots)
         further = sum(item[2] for item in self._slots)
-        most = KEPT * (self._ratio * requests + self._slack / max(sidecars, 1))
+        most = USED_SHARE * (self._ratio * requests + self._slack / max(sidecars, 1))
         if further + 1.0 > most:
             self.denied += 1
             return False
--- a/mesh/admission/wait_queue.py
+++ b/mesh/admission/wait_queue.py
@@ -14,33 +14,33 @@
 from heapq import heappop, heappush
 from operator import itemgetter
 
-Place = tuple[float, int]  # rank, and how late it came
+QueuePosition = tuple[float, int]  # rank, and how late it came
 
 
-RANK_KEPT_MS = 10_000.0  # the lowest rank of this time is what others are held against
+RANK_PERIOD_MS = 10_000.0  # the lowest rank of this time is what others are held against
 
 
-class Lowest:
+class LowestRank:
     """The lowest rank that has come of late."""
 
     def __init__(self) -> None:
         self._rank, self._since = math.inf, -math.inf
         self._next = math.inf
 
-    def over(self, now: float, rank: float) -> bool:
+    def is_above(self, now: float, rank: float) -> bool:
         """Notes a call; whether it is above the lowest."""
-        if now - self._since > RANK_KEPT_MS:
+        if now - self._since > RANK_PERIOD_MS:
             self._rank, self._next, self._since = min(self._next, rank), rank, now
         self._next = min(self._next, rank)
         self._rank = min(self._rank, rank)
         return rank > self._rank
 
 
-class Line:
+class WaitQueue:
     def __init__(self) -> None:
         self._waiting: list[tuple[float, int, Hashable]] = []  # the next one last
-        self._places: dict[Hashable, Place] = {}
-        self._ends: list[tuple[float, int, Hashable]] = []  # when patience ends, the first on top
+        self._positions: dict[Hashable, QueuePosition] = {}
+        self._expiries: list[tuple[float, int, Hashable]] = []  # when patience ends, the first on top
         self._count = 0
 
     def __len__(self) -> int:
@@ -53,15 +53,15 @@
         the least in rank, the longest there, of those whose rank is not ``spared``; None where all have."""
         self._count += 1
         insort(self._waiting, (rank, self._count, call))
-        self._places[call] = (rank, self._count)
-        heappush(self._ends, (until, self._count, call))
+        self._positions[call] = (rank, self._count)
+        heappush(self._expiries, (until, self._count, call))
         if len(self._waiting) <= max(most, 0):
             return None
         least = next((entry[2] for entry in self._waiting if entry[0] not in spared), self._waiting[0][2])
-        self.drop(least)
+        self.remove(least)
         return least
 
-    def next(self, first: Sequence[float] = ()) -> Hashable | None:
+    def pop_next(self, first: Sequence[float] = ()) -> Hashable | None:
         """Takes the one whose turn it is out of the line; those of the ranks in ``first`` go before all."""
         if not self._waiting:
             return None
@@ -72,41 +72,41 @@
                 at = found
                 break
         _, _, call = self._waiting.pop(at)
-        del self._places[call]
+        del self._positions[call]
         return call
 
-    def drop(self, call: Hashable) -> bool:
+    def remove(self, call: Hashable) -> bool:
         """Takes that one out; False where it is not there."""
-        place = self._places.pop(call, None)
+        place = self._positions.pop(call, None)
         if place is None:
             return False
         self._waiting.remove((*place, call))
         return True
 
-    def over(self, now: float) -> list[Hashable]:
+    def pop_expired(self, now: float) -> list[Hashable]:
         """Takes out those whose patience has ended."""
         found = []
-        while self._ends and (self._ends[0][0] <= now or not self._stands(self._ends[0])):
-            entry = heappop(self._ends)
-            if self._stands(entry):
-                self.drop(entry[2])
+        while self._expiries and (self._expiries[0][0] <= now or not self._is_waiting(self._expiries[0])):
+            entry = heappop(self._expiries)
+            if self._is_waiting(entry):
+                self.remove(entry[2])
                 found.append(entry[2])
         return found
 
-    def _stands(self, entry: tuple[float, int, Hashable]) -> bool:
-        place = self._places.get(entry[2])
+    def _is_waiting(self, entry: tuple[float, int, Hashable]) -> bool:
+        place = self._positions.get(entry[2])
         return place is not None and place[1] == entry[1]
 
-    def end(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """When the next patience ends."""
-        while self._ends and not self._stands(self._ends[0]):
-            heappop(self._ends)
-        return self._ends[0][0] if self._ends else None
+        while self._expiries and not self._is_waiting(self._expiries[0]):
+            heappop(self._expiries)
+        return self._expiries[0][0] if self._expiries else None
 
     def clear(self) -> list[Hashable]:
         """All of them, the first in turn first."""
         found = [call for _, _, call in reversed(self._waiting)]
         self._waiting.clear()
-        self._places.clear()
-        self._ends.clear()
+        self._positions.clear()
+        self._expiries.clear()
         return found
--- a/mesh/data_plane/call_messages.py
+++ b/mesh/data_plane/call_messages.py
@@ -16,7 +16,7 @@
 
 from anisestair.http import codec as http
 from mesh.admission.buffer_budget import Reservation
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.transport.frames import FrameHead, decode_object
 
 BodyBytes = bytes | bytearray  # a body received in pieces is used without another copy
@@ -85,7 +85,7 @@
     status: int | None = msgspec.field(name="s", default=None)
     headers: HeaderFields | None = msgspec.field(name="h", default=None)
     executed: bool | None = msgspec.field(name="r", default=None)
-    reason: Why | None = msgspec.field(name="w", default=None)
+    reason: RejectReason | None = msgspec.field(name="w", default=None)
     reached_upstream: bool | None = msgspec.field(name="v", default=None)
     newer_item: list[Any] | None = msgspec.field(name="i", default=None)
     unclear: str | None = msgspec.field(name="u", default=None)
@@ -250,7 +250,7 @@
 class NotExecuted(Struct, frozen=True):
     """The call has not run and never will."""
 
-    reason: Why
+    reason: RejectReason
     reached_upstream: bool = False  # the upstream itself rejected it
     newer_item: list[Any] | None = None  # for an old route version: the current item, as packed in updates
 
--- a/mesh/data_plane/call_state.py
+++ b/mesh/data_plane/call_state.py
@@ -16,12 +16,12 @@
 
 from anisestair.http import codec as http
 from hareloom.interface import Outcome
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 
 # These reasons come from queueing or from a lost link and say nothing about the upstream's health.
-NOT_CONNECT_FAILURES = frozenset({Why.FULL, Why.LATE, Why.LOST, Why.OLD})
+NOT_CONNECT_FAILURES = frozenset({RejectReason.FULL, RejectReason.LATE, RejectReason.LOST, RejectReason.OLD})
 
 
 class State(IntEnum):
--- a/mesh/data_plane/client_connection.py
+++ b/mesh/data_plane/client_connection.py
@@ -18,7 +18,7 @@
 from anisestair.flow.budget import Body
 from anisestair.http import codec as http
 from anisestair.http.frontend import ACCEPT_S, EXIT_S, READ_AHEAD, ClientConnection, Frontend, unread
-from mesh.admission.buffer_budget import SHORT, Reservation
+from mesh.admission.buffer_budget import SHORT_BODY_BYTES, Reservation
 from mesh.configuration.limits import InputLimits
 from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.request_dispatch import OTHERS_S, RequestDispatcher
@@ -66,7 +66,7 @@
         self.held = 0
 
     def _hold(self, size: int) -> None:
-        if not self._dispatcher.bodies.take(size, self.held):
+        if not self._dispatcher.bodies.acquire(size, self.held):
             self.expects_continue = False
             self._refuse(HTTPStatus.SERVICE_UNAVAILABLE)
         self.held += size
@@ -74,7 +74,7 @@
     def let_go(self) -> None:
         """Of the message that was being read."""
         self._head.release()
-        self._dispatcher.bodies.give(self.held)
+        self._dispatcher.bodies.release(self.held)
         self.held = 0
 
 
@@ -127,7 +127,7 @@
 
     def _count(self, unsent: int) -> None:
         """Answers that wait for their client are in hand. A few bytes are the kernel's affair."""
-        held = unsent if unsent > SHORT else 0
+        held = unsent if unsent > SHORT_BODY_BYTES else 0
         self._dispatcher.buffers.answers.charge(held - self._untaken)
         self._untaken = held
 
@@ -224,7 +224,7 @@
             if self._client_listener.trace is not None:
                 attempt = slot.message.get(b"attempt-id") or ""
                 self._client_listener.trace(attempt, self._client_listener.loop.time() - slot.ready)
-            self._dispatcher.buffers.answers.give(len(reply.body))
+            self._dispatcher.buffers.answers.release(len(reply.body))
             self._count(self.transport.get_write_buffer_size())
             self.since = self.rests_since = self.frontend.loop.time()
             self._told_rest_s = self._client_listener.rest_s
@@ -246,7 +246,7 @@
         for slot in slots:
             self._let_go_of(slot.message)
             if slot.reply is not None:
-                self._dispatcher.buffers.answers.give(len(slot.reply.body))
+                self._dispatcher.buffers.answers.release(len(slot.reply.body))
             if slot.id is not None:
                 self._dispatcher.client_gone(slot.id)
 
@@ -256,7 +256,7 @@
         self.waiting.clear()
 
     def _let_go_of(self, message: http.Message) -> None:
-        self._dispatcher.bodies.give(len(message.body))
+        self._dispatcher.bodies.release(len(message.body))
         if isinstance(message.hold, Reservation):
             message.hold.release()
 
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from mesh.admission.buffer_budget import Reservation
-from mesh.admission.call_sessions import Kept, Session, Sessions, Verdict
-from mesh.admission.final_check import Why
+from mesh.admission.call_sessions import CallSessions, Session, SessionCall, Verdict
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.body_transfer import BodyTransfer
 from mesh.data_plane.call_messages import (
     BodyAck,
@@ -41,7 +41,7 @@
 
     __slots__ = ("started_at", "call", "session_entry", "state")
 
-    def __init__(self, call: Call, entry: Kept[End] | None, started_at: float) -> None:
+    def __init__(self, call: Call, entry: SessionCall[End] | None, started_at: float) -> None:
         """``started_at``: loop time in seconds when its frame arrived."""
         self.call, self.session_entry, self.started_at = call, entry, started_at
         self.state = State.RECEIVING
@@ -61,7 +61,7 @@
         self,
         link: Link,
         dispatch: UpstreamDispatch,
-        sessions: Sessions[End] | None = None,
+        sessions: CallSessions[End] | None = None,
         session: Session[End] | None = None,
         window: int = 0,
     ) -> None:
@@ -99,17 +99,17 @@
         number, session = message.number, self._session
         call = read_call(message, body)
         self._highest_number = max(self._highest_number, number)
-        if session is not None and not session.take(number):
+        if session is not None and not session.accept(number):
             return  # a duplicate, or barred by a query: nobody waits for it on this link
         self._link.owes += 1
         reservation = Reservation(self._dispatch.bodies)
         full = len(self._running) + len(self._receiving) >= self.MAX_OPEN_CALLS
         if full or isinstance(body, RefusedBody) or not reservation.grow(message.size or len(body)):
-            self._send_end(number, NotExecuted(Why.FULL))
+            self._send_end(number, NotExecuted(RejectReason.FULL))
             return
-        entry: Kept[End] | None = None
+        entry: SessionCall[End] | None = None
         if session is not None and call.effectful:
-            entry = session.calls[number] = Kept(call.attempt)
+            entry = session.calls[number] = SessionCall(call.attempt)
         if not message.size:
             self._start(number, call, entry, reservation)
             return
@@ -129,7 +129,9 @@
             entry.run = None
         self._start(number, call, entry, reservation)
 
-    def _start(self, number: int, call: Call, entry: Kept[End] | None, reservation: Reservation) -> None:
+    def _start(
+        self, number: int, call: Call, entry: SessionCall[End] | None, reservation: Reservation
+    ) -> None:
         """Dispatches a complete call to the upstream or its queue."""
         if entry is None:
             dispatched = self._dispatch.accept(call, lambda end: self._finish(number, end, reservation))
@@ -142,21 +144,23 @@
         self._running[number], dispatched.reservation = dispatched, reservation
         if entry is not None:
             entry.run, dispatched.session_entry = (dispatched, self), entry
-            entry.waits = dispatched.state is State.WAITING
+            entry.waiting = dispatched.state is State.WAITING
 
     def _finish(self, number: int, end: End, reservation: Reservation) -> None:
         """Ends a call that cannot be queried. ``reservation`` holds the memory of its body."""
         reservation.release()
         self._send_end(number, end)
 
-    def _finish_tracked(self, number: int, entry: Kept[End], end: End, reservation: Reservation) -> None:
+    def _finish_tracked(
+        self, number: int, entry: SessionCall[End], end: End, reservation: Reservation
+    ) -> None:
         """Ends a call that can be queried: keeps the end in the session, and sends it over the link on which
         the first hop waits for it, if there is one."""
         reservation.release()
         owner: IncomingCalls | None = self if entry.run is None else entry.run[1]
         if self._session is not None and self._sessions is not None:
             size = len(end.body) if isinstance(end, UpstreamResponse) else 0
-            self._sessions.end(self._session, number, end, size, self._loop.time())
+            self._sessions.record_end(self._session, number, end, size, self._loop.time())
         if owner is not None:
             owner._send_end(number, end)
         elif isinstance(end, UpstreamResponse) and end.reservation is not None:
@@ -187,7 +191,7 @@
         if number in self._sending:
             self._on_response_sent(number)
             return
-        entry: Kept[End] | None
+        entry: SessionCall[End] | None
         if number in self._receiving:
             entry = self._receiving[number].session_entry
             self._withdraw(number, Event.GIVEN_UP)
@@ -199,7 +203,7 @@
             self._drop(dispatched)
             entry = dispatched.session_entry
         if entry is not None and self._session is not None and self._sessions is not None:
-            self._sessions.end(self._session, number, None, 0, self._loop.time())
+            self._sessions.record_end(self._session, number, None, 0, self._loop.time())
 
     def _withdraw(self, number: int, event: Event) -> None:
         """Gives up a call whose body is not complete; it never runs."""
@@ -228,7 +232,7 @@
                     previous._leave(number)
                 self._drop(waiting, Event.ASKED_BACK)
         if verdict is Verdict.NO:
-            self._send_end(number, NotExecuted(Why.LOST))
+            self._send_end(number, NotExecuted(RejectReason.LOST))
         elif verdict is Verdict.DONE and entry is not None and entry.end is not None:
             self._send_end(number, entry.end)
         else:
@@ -248,8 +252,10 @@
             self._withdraw(number, Event.GIVEN_UP)
             self._link.owes += 1  # for the end that is sent now
             if entry is not None and self._session is not None and self._sessions is not None:
-                self._sessions.end(self._session, number, NotExecuted(Why.LEAVING), 0, self._loop.time())
-            self._send_end(number, NotExecuted(Why.LEAVING))
+                self._sessions.record_end(
+                    self._session, number, NotExecuted(RejectReason.LEAVING), 0, self._loop.time()
+                )
+            self._send_end(number, NotExecuted(RejectReason.LEAVING))
         self._leaving = True
         self._link.send(GoAway(last=max(self._highest_number, self._session.highest if self._session else 0)))
 
@@ -266,7 +272,7 @@
         for number in list(self._receiving):
             self._withdraw(number, Event.LINK_LOST)
             if session is not None:
-                session.lost(number)
+                session.on_link_lost(number)
         for number in list(self._sending):
             self._on_response_sent(number)
         self._transfer.close()
@@ -275,13 +281,13 @@
             entry = dispatched.session_entry
             if session is None or entry is None:
                 self._drop(dispatched)
-            elif session.lost(number) is not None:
+            elif session.on_link_lost(number) is not None:
                 self._drop(dispatched, Event.LINK_LOST)
             else:
                 dispatched.apply(Event.LINK_LOST)
                 entry.run = (dispatched, None)
         if session is not None and self._sessions is not None:
-            self._sessions.closed(session, self._loop.time())
+            self._sessions.close(session, self._loop.time())
 
     def _drop(self, dispatched: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
         self._dispatch.drop(dispatched, event)
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -54,7 +54,7 @@
         "control": proxy.control_contact.status(now),
         "routes": len(proxy.routes),
         "in_hand": proxy.request_dispatcher.in_hand,
-        "memory": proxy.request_dispatcher.buffers.told(),
+        "memory": proxy.request_dispatcher.buffers.usage(),
         "retry_ratio": settings.bounds.retry_ratio,
         "beat_ms": settings.beat_period_ms,
         "upstream": _upstream(proxy),
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from mesh.admission.buffer_budget import Reservation
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.body_transfer import BodyTransfer
 from mesh.data_plane.call_messages import (
     BodyAck,
@@ -124,7 +124,7 @@
         self.opened_at = self.context.loop.time()
         self.connecting = self.context.loop.create_task(self._connect())
 
-    def _reject(self, outgoing: OutgoingCall, why: Why = Why.DOWN) -> None:
+    def _reject(self, outgoing: OutgoingCall, why: RejectReason = RejectReason.DOWN) -> None:
         """Ends a call of which nothing was sent."""
         if outgoing.apply(Event.LINK_DOWN):
             outgoing.on_end(NotExecuted(why))
@@ -149,7 +149,7 @@
         body = outgoing.call.body
         in_pieces = len(body) > PIECE_BYTES and self.transfer.takes_pieces
         if len(body) > MOST and not in_pieces:
-            self._reject(outgoing, Why.FULL)  # an older release closes the link on such a frame
+            self._reject(outgoing, RejectReason.FULL)  # an older release closes the link on such a frame
             return
         self.context.last_number += 1  # unique over all links of this incarnation
         outgoing.number, outgoing.sent_s = self.context.last_number, self.context.loop.time()
@@ -298,7 +298,7 @@
         self.peer_leaving = True  # set first: a rejected call may be sent again before this returns
         for number, outgoing in list(self.open_calls.items()):
             if number > message.last and outgoing.state is not State.UNCLEAR:
-                self._finish(link, outgoing, NotExecuted(Why.LEAVING))
+                self._finish(link, outgoing, NotExecuted(RejectReason.LEAVING))
         link.close(PEER_LEFT)
 
     def _on_response_complete(
@@ -396,7 +396,7 @@
         if not outgoing.apply(Event.LINK_LOST):
             return
         if partly_sent:  # the rest of its body is never sent
-            self.context.turns.take(partial(outgoing.on_end, NotExecuted(Why.LOST)))
+            self.context.turns.take(partial(outgoing.on_end, NotExecuted(RejectReason.LOST)))
         else:
             self._schedule_query(outgoing, why)
 
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
 
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import Call, End, NotExecuted
 from mesh.data_plane.call_state import OutgoingCall
 from mesh.data_plane.paced_turns import PacedTurns
@@ -54,7 +54,7 @@
             return outgoing
         link = self._links.get(node)
         if address is None:
-            on_end(NotExecuted(Why.DOWN))
+            on_end(NotExecuted(RejectReason.DOWN))
             return outgoing
         self._retiring.discard(node)
         if link is None or link.address != address:
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from anisestair.http import codec as http
-from mesh.admission.call_sessions import Sessions
+from mesh.admission.call_sessions import CallSessions
 from mesh.configuration.commands import INPUT_LIMITS, PLANT, ROUTE
 from mesh.configuration.limits import read_limits
 from mesh.configuration.routes import Routes
@@ -96,7 +96,7 @@
         )
         self.peer_links.core = lambda: self.membership.controllers()
         self._heard_of: dict[str, Address] = {}  # control processes that other proxies told of
-        self.sessions: Sessions[End] = Sessions(int(HELD_SHARE * settings.limits.memory_mb * 1e6))
+        self.sessions: CallSessions[End] = CallSessions(int(HELD_SHARE * settings.limits.memory_mb * 1e6))
         self.service_balancers = ServiceBalancers(
             self.peer_links,
             self.membership,
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -143,7 +143,7 @@
             deadline=taken + waits,
             reply=lambda final: self._answer(reply, ask, final),
             accept_stale_route=anyway,
-            repeat=left is not None and self.repeats.made(taken + float(left)),
+            repeat=left is not None and self.repeats.may_have_made(taken + float(left)),
             key=key,
         )
         self._asks[ask.id] = ask
--- a/mesh/data_plane/service_balancers.py
+++ b/mesh/data_plane/service_balancers.py
@@ -11,8 +11,8 @@
 from hareloom import Balancer
 from hareloom import interface as api
 from hareloom.interface import NEVER_RAN, ListKind, Outcome, ServerState
-from mesh.admission.final_check import Why
-from mesh.admission.retry_budget import Budget
+from mesh.admission.final_check import RejectReason
+from mesh.admission.retry_budget import RetryBudget
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 from mesh.data_plane.call_state import (
@@ -46,7 +46,7 @@
     def __init__(self, context: ServiceContext, service: str, route: Route) -> None:
         self.context, self.service = context, service
         self.loop = context.loop
-        self.budget = Budget(context.retry_ratio, context.retry_window_ms, context.retry_slack)
+        self.budget = RetryBudget(context.retry_ratio, context.retry_window_ms, context.retry_slack)
         # Denied retries that are already logged, and the time of that log event in ms.
         self._denied_logged, self._denied_logged_at = 0, -math.inf
         self.classes = RouteClasses()
@@ -151,7 +151,7 @@
 
     def submit(self, request: ClientRequest) -> None:
         now = self.context.now()
-        self.budget.request(now)
+        self.budget.record_request(now)
         self.requests[request.id] = request
         request.deadline_timer = self.loop.call_at(
             (request.deadline + DEADLINE_SLACK_MS) / 1000.0, self._on_deadline, request
@@ -226,7 +226,7 @@
     def _resubmit(self, request: ClientRequest) -> None:
         """Hands the request back to be routed by the current route. No attempt has run or is open."""
         self._close(request)
-        self.budget.withdraw(self.context.now())
+        self.budget.withdraw_request(self.context.now())
         self.handle(api.ClientGone(request.id))
         request.reply(RouteChanged())
 
@@ -278,7 +278,7 @@
 
     def _may_retry(self, now: float) -> bool:
         """Whether the budget allows another retry. Denials are logged once per window."""
-        if self.budget.spend(now, self.context.sidecars):
+        if self.budget.try_spend(now, self.context.sidecars):
             return True
         if now - self._denied_logged_at >= self.context.retry_window_ms:
             refused = self.budget.denied - self._denied_logged
@@ -342,7 +342,7 @@
         request.unclear = request.unclear or outcome not in NEVER_RAN and not succeeded
         if isinstance(end, NotExecuted):
             request.reached -= not end.reached_upstream
-            if end.reason is Why.OLD:
+            if end.reason is RejectReason.OLD:
                 request.accept_stale_route = True
                 self.context.on_newer_item(end.newer_item)
                 if not request.reached and not request.unclear:
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -22,7 +22,7 @@
 from msgspec import Struct
 
 from anisestair.http import codec as http
-from mesh.admission.buffer_budget import Holding, Reservation
+from mesh.admission.buffer_budget import BufferQuota, Reservation
 from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.call_state import CONNECTION_TABLE, Event, State, answers_call
 from mesh.event_log import events
@@ -71,7 +71,7 @@
     """Reads complete responses from one connection. A response for which there is no memory is refused as
     soon as its length is known."""
 
-    def __init__(self, memory: Holding) -> None:
+    def __init__(self, memory: BufferQuota) -> None:
         """``memory`` limits what is read."""
         super().__init__(httptools.HttpResponseParser, MAX_RESPONSE_BYTES)
         self._memory = memory
@@ -255,7 +255,7 @@
         self.address, self.max_connections, self.event_log = address, max_connections, event_log
         self.connect_s = min(CONNECT_S, DRAIN_SHARE * drain_ms / 1000.0)
         # Replaced by the holding that is shared with other users of the memory.
-        self.response_memory = Holding(DEFAULT_RESPONSE_MEMORY_BYTES, DEFAULT_RESPONSE_MEMORY_BYTES)
+        self.response_memory = BufferQuota(DEFAULT_RESPONSE_MEMORY_BYTES, DEFAULT_RESPONSE_MEMORY_BYTES)
         self._loop = asyncio.get_running_loop()
         self._idle: list[UpstreamConnection] = []
         self._open: set[UpstreamConnection] = set()
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from anisestair.http import codec as http
-from mesh.admission.buffer_budget import SHORT, BufferBudget, Reservation
-from mesh.admission.call_sessions import Kept
-from mesh.admission.fair_share import Shares
-from mesh.admission.final_check import Passed, Turned, Why, judge, places
+from mesh.admission.buffer_budget import SHORT_BODY_BYTES, BufferBudget, Reservation
+from mesh.admission.call_sessions import SessionCall
+from mesh.admission.fair_share import FairShare
+from mesh.admission.final_check import Admitted, Rejected, RejectReason, call_limits, check_admission
 from mesh.admission.repeat_runs import RepeatRuns
-from mesh.admission.wait_queue import Line, Lowest
+from mesh.admission.wait_queue import LowestRank, WaitQueue
 from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.call_state import SECOND_HOP_TABLE, Event, State, event_of
 from mesh.data_plane.traces import SecondHopTraces
@@ -58,7 +58,7 @@
         self.call, self.on_end, self.received_ms = call, on_end, received_ms
         self.started_ms = 0.0  # when it was passed on; 0: not yet
         self.state = READ
-        self.session_entry: Kept[End] | None = None  # kept by the session after its link is lost
+        self.session_entry: SessionCall[End] | None = None  # kept by the session after its link is lost
         self.reservation: Reservation | None = None  # memory for a body that came over a link
         self.connection: UpstreamConnection | None = None
         self.expiry_timer: asyncio.TimerHandle | None = None
@@ -95,7 +95,7 @@
         )
         self._loop = asyncio.get_running_loop()
         self.running: set[DispatchedCall] = set()  # at the upstream
-        self.queue, self.lowest, self.shares = Line(), Lowest(), Shares()
+        self.queue, self.lowest, self.shares = WaitQueue(), LowestRank(), FairShare()
         self.repeats = RepeatRuns()  # repeats running at the upstream
         self.traces = SecondHopTraces()
         self._wait_timer: asyncio.TimerHandle | None = None
@@ -125,45 +125,47 @@
             and not call.accept_stale_route
             and (newer_item := self.find_newer_item(call)) is not None
         ):
-            end = NotExecuted(Why.OLD, newer_item=newer_item)
+            end = NotExecuted(RejectReason.OLD, newer_item=newer_item)
             self.traces.ended(now, call, now, 0.0, end)
             on_end(end)
             return None
-        verdict = judge(now, self.upstream, call.instance, call.remaining_ms)
-        if isinstance(verdict, Passed) and not self.holds_key(call):
-            verdict = Turned(Why.OTHER)
-        if isinstance(verdict, Turned):
-            self.traces.ended(now, call, now, 0.0, NotExecuted(verdict.why))
-            on_end(NotExecuted(verdict.why))
+        verdict = check_admission(now, self.upstream, call.instance, call.remaining_ms)
+        if isinstance(verdict, Admitted) and not self.holds_key(call):
+            verdict = Rejected(RejectReason.OTHER)
+        if isinstance(verdict, Rejected):
+            self.traces.ended(now, call, now, 0.0, NotExecuted(verdict.reason))
+            on_end(NotExecuted(verdict.reason))
             return None
         dispatched = DispatchedCall(call, on_end, now)
-        self.shares.came(now, call.rank)
-        max_running, max_queued = places(self.upstream)
-        wait_ms = call.extended_wait_ms if self.lowest.over(now, call.rank) else call.max_wait_ms
+        self.shares.record_arrival(now, call.rank)
+        max_running, max_queued = call_limits(self.upstream)
+        wait_ms = call.extended_wait_ms if self.lowest.is_above(now, call.rank) else call.max_wait_ms
         if len(self.running) < max_running:
             self._start(dispatched)
         elif wait_ms <= 0.0:
-            self.traces.ended(now, call, now, 0.0, NotExecuted(Why.FULL))
-            on_end(NotExecuted(Why.FULL))
+            self.traces.ended(now, call, now, 0.0, NotExecuted(RejectReason.FULL))
+            on_end(NotExecuted(RejectReason.FULL))
             return None
         else:
             dispatched.apply(Event.NO_PLACE)
-            displaced = self.queue.add(dispatched, call.rank, now + wait_ms, max_queued, self.shares.behind())
+            displaced = self.queue.add(
+                dispatched, call.rank, now + wait_ms, max_queued, self.shares.starved_ranks()
+            )
             if isinstance(displaced, DispatchedCall):
-                self._reject(displaced, Why.FULL)
+                self._reject(displaced, RejectReason.FULL)
             self._set_wait_timer(now)
         return dispatched
 
     def _start(self, dispatched: DispatchedCall) -> None:
         dispatched.state = SECOND_HOP_TABLE[dispatched.state, PLACE]
         if dispatched.session_entry is not None:
-            dispatched.session_entry.waits = False
+            dispatched.session_entry.waiting = False
         call, dispatched.started_ms = dispatched.call, self.now()
         call.remaining_ms -= dispatched.started_ms - dispatched.received_ms
         self.running.add(dispatched)
         if call.repeat:
-            self.repeats.began(dispatched, dispatched.started_ms + call.remaining_ms)
-        self.shares.passed(call.rank)
+            self.repeats.begin(dispatched, dispatched.started_ms + call.remaining_ms)
+        self.shares.record_dispatch(call.rank)
         dispatched.expiry_timer = self._loop.call_later(
             call.remaining_ms / 1000.0 + RESPONSE_GRACE_S, self._expire, dispatched
         )
@@ -171,34 +173,34 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _reject(self, dispatched: DispatchedCall, why: Why) -> None:
+    def _reject(self, dispatched: DispatchedCall, why: RejectReason) -> None:
         if dispatched.apply(Event.TURNED_AWAY):
             self.traces.ended(self.now(), dispatched.call, dispatched.received_ms, 0.0, NotExecuted(why))
             dispatched.on_end(NotExecuted(why))
 
     def _start_queued(self) -> None:
         """Starts queued calls while there are free slots."""
-        max_running, _ = places(self.upstream)
+        max_running, _ = call_limits(self.upstream)
         while (
             len(self.running) < max_running
-            and (dispatched := self.queue.next(self.shares.behind())) is not None
+            and (dispatched := self.queue.pop_next(self.shares.starved_ranks())) is not None
         ):
             assert isinstance(dispatched, DispatchedCall)
             call = dispatched.call
-            verdict = judge(
+            verdict = check_admission(
                 self.now(),
                 self.upstream,
                 call.instance,
                 call.remaining_ms - self.now() + dispatched.received_ms,
             )
-            if isinstance(verdict, Turned):
-                self._reject(dispatched, verdict.why)
+            if isinstance(verdict, Rejected):
+                self._reject(dispatched, verdict.reason)
             else:
                 self._start(dispatched)
 
     def _set_wait_timer(self, now: float) -> None:
         """Sets the timer for the next queued call whose wait ends."""
-        next_expiry = self.queue.end()
+        next_expiry = self.queue.next_expiry()
         if next_expiry is None or self._wait_timer is not None and self._wait_timer_ms <= next_expiry:
             return
         if self._wait_timer is not None:
@@ -209,20 +211,20 @@
     def _reject_expired(self) -> None:
         self._wait_timer = None
         now = self.now()
-        for dispatched in self.queue.over(now + 0.5):
+        for dispatched in self.queue.pop_expired(now + 0.5):
             assert isinstance(dispatched, DispatchedCall)
-            self._reject(dispatched, Why.FULL)
+            self._reject(dispatched, RejectReason.FULL)
         self._set_wait_timer(now)
 
     def reject_queued(self) -> None:
         """Rejects all queued calls because this process is shutting down."""
-        for dispatched in self.queue.over(math.inf):
+        for dispatched in self.queue.pop_expired(math.inf):
             assert isinstance(dispatched, DispatchedCall)
-            self._reject(dispatched, Why.LEAVING)
+            self._reject(dispatched, RejectReason.LEAVING)
 
     def drop(self, dispatched: DispatchedCall, event: Event = Event.GIVEN_UP) -> None:
         """Cancels a call that the first hop no longer waits for, or a queued call whose result is queried."""
-        if not dispatched.apply(event) or self.queue.drop(dispatched):
+        if not dispatched.apply(event) or self.queue.remove(dispatched):
             return
         self._free_slot(dispatched)
         if dispatched.connection is not None:
@@ -241,7 +243,7 @@
             call.attempt.encode("latin-1"),
             lambda outcome: self._on_exchange_end(dispatched, outcome),
         )
-        if len(call.body) <= SHORT:
+        if len(call.body) <= SHORT_BODY_BYTES:
             payload = http.write_request(call.method, call.target, headers, call.body)
             connection = await self.connections.send(attempt, payload, on_end)
         else:  # a long body is not copied behind its head
@@ -262,7 +264,7 @@
 
     def _free_slot(self, dispatched: DispatchedCall) -> None:
         self.running.discard(dispatched)
-        self.repeats.ended(dispatched)
+        self.repeats.end(dispatched)
         if dispatched.expiry_timer is not None:
             dispatched.expiry_timer.cancel()
         if len(self.queue):
@@ -282,7 +284,7 @@
         if isinstance(outcome, NotSent):
             if outcome.refused:
                 self._publish(self.upstream.on_connection_refused(self.now()))
-            self._finish(dispatched, NotExecuted(Why.DOWN if outcome.refused else Why.FULL))
+            self._finish(dispatched, NotExecuted(RejectReason.DOWN if outcome.refused else RejectReason.FULL))
             return
         if not isinstance(outcome, ResponseReceived):
             self._event_log.tell(events.UNCLEAR, attempt=dispatched.call.attempt, why=outcome.reason)
@@ -291,9 +293,9 @@
         message = outcome.message
         self._record_load(message.get(b"plant-load"))
         if message.status == 421:
-            self._finish(dispatched, NotExecuted(Why.OTHER, reached_upstream=True))
+            self._finish(dispatched, NotExecuted(RejectReason.OTHER, reached_upstream=True))
         elif message.get(b"not-executed") is not None:
-            self._finish(dispatched, NotExecuted(Why.FULL, reached_upstream=True))
+            self._finish(dispatched, NotExecuted(RejectReason.FULL, reached_upstream=True))
         elif 200 <= message.status < 300 and not self._has_seal(dispatched, message):
             # Bytes that look like a success but do not come from the upstream.
             self._finish(dispatched, Unclear("success without its seal or id"))
--- a/mesh/transport/frames.py
+++ b/mesh/transport/frames.py
@@ -32,10 +32,10 @@
 class Room(Protocol):
     """What bounds the bytes of frames that are being read; `mesh.admission.buffer_budget` has it."""
 
-    def take(self, size: int) -> bool:
+    def acquire(self, size: int) -> bool:
         """Whether so many bytes more find room, and are held."""
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """So many are held no more."""
 
 
@@ -163,7 +163,7 @@
         """Whether there is room for a long netstring, which is then taken."""
         if self._room is None:
             return True
-        if not self._room.take(length):
+        if not self._room.acquire(length):
             return False
         self._counted = length
         return True
@@ -171,7 +171,7 @@
     def let_go(self) -> None:
         """Gives back the room of the netstring that was being read: it is whole, or its link is lost."""
         if self._counted and self._room is not None:
-            self._room.give(self._counted)
+            self._room.release(self._counted)
         self._counted = 0
 
     def _pass_over(self, at: int, end: int) -> int:
--- a/rigs/call_hosts.py
+++ b/rigs/call_hosts.py
@@ -8,15 +8,15 @@
 
 from hareloom import requests
 from hareloom.interface import NEVER_RAN, Effect, Outcome
-from mesh.admission.call_sessions import Kept, Session, Sessions, Verdict
-from mesh.admission.final_check import Why
+from mesh.admission.call_sessions import CallSessions, Session, SessionCall, Verdict
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane import call_messages
 from mesh.data_plane import call_state as table
 from mesh.data_plane.call_state import ClientRequest, Event, Failed, Refused, State, event_of, outcome_of
 from statecheck.model import State as Whole
 
-NO, UNCLEAR = call_messages.NotExecuted(Why.LOST), call_messages.Unclear("lost")
-FULL = call_messages.NotExecuted(Why.FULL)
+NO, UNCLEAR = call_messages.NotExecuted(RejectReason.LOST), call_messages.Unclear("lost")
+FULL = call_messages.NotExecuted(RejectReason.FULL)
 TRIES = 2
 OVER = frozenset({State.ENDED, State.WITHDRAWN})
 
@@ -290,23 +290,23 @@
 
     # The second hop
 
-    def book(self, second: int) -> Sessions[call_messages.End]:
+    def book(self, second: int) -> CallSessions[call_messages.End]:
         """Its sessions, as the shipped code has them."""
-        book: Sessions[call_messages.End] = Sessions(self.size.held_bytes)
+        book: CallSessions[call_messages.End] = CallSessions(self.size.held_bytes)
         for life, highest, forgotten, entries in self.seconds[second].sessions:
             session: Session[call_messages.End] = Session(life)
             session.highest, session.forgotten = highest, forgotten
             for number, call, waits, done, end in entries:
-                session.calls[number] = Kept(self.size.ids[call], call, waits, end, done)
+                session.calls[number] = SessionCall(self.size.ids[call], call, waits, end, done)
                 if done:
                     size = len(end.body) if isinstance(end, call_messages.UpstreamResponse) else 0
                     book._ends.append((0.0, session, number, size))
-                    book.bytes += size
-            book.by_life[life] = session
+                    book.held_bytes += size
+            book.by_incarnation[life] = session
         return book
 
     def shelve(
-        self, second: int, book: Sessions[call_messages.End], calls: dict[tuple[Any, int], int]
+        self, second: int, book: CallSessions[call_messages.End], calls: dict[tuple[Any, int], int]
     ) -> None:
         kept = tuple(
             (
@@ -314,11 +314,11 @@
                 session.highest,
                 session.forgotten,
                 tuple(
-                    (number, calls[life, number], item.waits and not item.done, item.done, item.end)
+                    (number, calls[life, number], item.waiting and not item.done, item.done, item.end)
                     for number, item in sorted(session.calls.items())
                 ),
             )
-            for life, session in sorted(book.by_life.items())
+            for life, session in sorted(book.by_incarnation.items())
         )
         self.seconds[second] = self.seconds[second]._replace(sessions=kept)
 
@@ -369,11 +369,11 @@
             self.shelve(link.second, book, calls)
             self.say(link.id, ("life", self.seconds[link.second].life))
             return
-        session = book.by_life[cast(str, life)]
+        session = book.by_incarnation[cast(str, life)]
         number = frame[1]
         if frame[0] == "call":
-            if session.take(number):
-                session.calls[number] = Kept(self.size.ids[frame[2]], frame[2])
+            if session.accept(number):
+                session.calls[number] = SessionCall(self.size.ids[frame[2]], frame[2])
                 calls[life, number] = frame[2]
                 waiting = table.SECOND_HOP_TABLE[State.READ, Event.NO_PLACE]
                 run = Run(life, number, frame[2], waiting, link.id)
@@ -384,7 +384,7 @@
             turn = self.run_at(link.second, life, number)
             if turn >= 0 and self.seconds[link.second].runs[turn].link == link.id:
                 self.withdraw(link.second, turn, Event.GIVEN_UP)
-                book.end(session, number, None, 0, 0.0)
+                book.record_end(session, number, None, 0, 0.0)
         else:
             self.asked(link, book, session, number, self.size.ids[frame[2]])
         self.shelve(link.second, book, calls)
@@ -394,7 +394,7 @@
     ) -> None:
         """As `IncomingCalls._on_query`."""
         verdict, kept = session.ask(number, attempt)
-        turn = self.run_at(link.second, session.life, number)
+        turn = self.run_at(link.second, session.incarnation, number)
         if verdict is Verdict.PASSED:
             self.run(link.second, turn, link=link.id)
             self.say(link.id, ("passed", number))
@@ -422,7 +422,7 @@
             if run.link != link.id:
                 continue
             turn = self.run_at(link.second, run.life, run.number)
-            if book.by_life[cast(str, run.life)].lost(run.number) is not None:
+            if book.by_incarnation[cast(str, run.life)].on_link_lost(run.number) is not None:
                 self.withdraw(link.second, turn, Event.LINK_LOST)
             else:
                 self.run(link.second, turn, link=0)
@@ -435,10 +435,10 @@
             return
         self.end_run(second, at)
         book, calls = self.book(second), self.owners(second)
-        session = book.by_life[cast(str, run.life)]
+        session = book.by_incarnation[cast(str, run.life)]
         if run.number in session.calls:
             size = len(end.body) if isinstance(end, call_messages.UpstreamResponse) else 0
-            book.end(session, run.number, end, size, 0.0)
+            book.record_end(session, run.number, end, size, 0.0)
         self.shelve(second, book, calls)
         if run.link:
             self.say(run.link, ("end", run.number, end))
@@ -460,9 +460,9 @@
         self.seconds[second] = there._replace(idle=idle, ids=there.ids | {attempt})
         self.run(second, at, state=state, strays=strays)
         book, calls = self.book(second), self.owners(second)
-        kept = book.by_life[cast(str, run.life)].calls.get(run.number)
+        kept = book.by_incarnation[cast(str, run.life)].calls.get(run.number)
         if kept is not None:
-            kept.waits = False
+            kept.waiting = False
         self.shelve(second, book, calls)
         self.begun[run.call] += 1
 
--- a/rigs/call_model.py
+++ b/rigs/call_model.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any
 
-from mesh.admission.call_sessions import HELD_S
+from mesh.admission.call_sessions import END_RETENTION_S
 from mesh.data_plane import call_messages
 from mesh.data_plane import call_state as table
 from mesh.data_plane.call_state import Event, State
@@ -237,7 +237,7 @@
     def _forget(self, world: World, second: int) -> None:
         world.left["forgets"] -= 1
         book, calls = world.book(second), world.owners(second)
-        book.sweep(HELD_S + 1.0)
+        book.sweep(END_RETENTION_S + 1.0)
         world.shelve(second, book, calls)
 
     def _fall(self, world: World, second: int) -> None:
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -338,10 +338,10 @@
     for link in program.incoming_links:
         if link.owes or link.expects:
             found.append(f"{name}: owes {link.owes}, expects {link.expects} on a link")
-    held = {kind: told["held_bytes"] for kind, told in program.request_dispatcher.buffers.told().items()}
+    held = {kind: told["held_bytes"] for kind, told in program.request_dispatcher.buffers.usage().items()}
     if any(held.values()):
         found.append(f"{name}: memory is still held: {held}")
-    if program.sessions.bytes or any(one.calls for one in program.sessions.by_life.values()):
+    if program.sessions.held_bytes or any(one.calls for one in program.sessions.by_incarnation.values()):
         found.append(f"{name}: ends are still held")
     return found
 
--- a/rigs/lost_links/hop.py
+++ b/rigs/lost_links/hop.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from mesh.admission.call_sessions import Session
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.control_plane.program import Controller
 from mesh.data_plane import client_connection, peer_calls, upstream_connections, upstream_dispatch
 from mesh.data_plane.call_messages import NotExecuted
@@ -43,7 +43,7 @@
 
 def _without_bar() -> Replaced:
     """A call that was asked back is taken all the same when it comes."""
-    return [(Session, "take", lambda self, number: True)]
+    return [(Session, "accept", lambda self, number: True)]
 
 
 def _without_ids() -> Replaced:
@@ -57,7 +57,7 @@
 
 def _without_unclear() -> Replaced:
     """A lost call counts as one that never left."""
-    return [(peer_calls, "Unclear", lambda why: NotExecuted(Why.LOST)), *_without_ask_back()]
+    return [(peer_calls, "Unclear", lambda why: NotExecuted(RejectReason.LOST)), *_without_ask_back()]
 
 
 def _without_ask_back() -> Replaced:
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.configuration.routes import read_route
 from mesh.data_plane.call_messages import Call, End, NotExecuted
 from mesh.data_plane.staged_routes import Stages
@@ -98,7 +98,7 @@
     def accept(self: UpstreamDispatch, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
         if call.accept_stale_route:
             return real(self, call, ended)
-        return real(self, call, lambda end: ended(NotExecuted(Why.OLD)))
+        return real(self, call, lambda end: ended(NotExecuted(RejectReason.OLD)))
 
     patch.setattr(UpstreamDispatch, "accept", accept)
 
--- a/tests/mesh/test_admission_fair_share.py
+++ b/tests/mesh/test_admission_fair_share.py
@@ -2,8 +2,15 @@
 
 import pytest
 
-from mesh.admission.fair_share import FEW, HALVED_MS, KINDS, LEAST, RARE_MS, Shares
-from mesh.admission.wait_queue import Line
+from mesh.admission.fair_share import (
+    HALVING_PERIOD_MS,
+    MAX_RANKS,
+    MIN_CALLS,
+    MIN_RELATIVE_SHARE,
+    RARE_RETENTION_MS,
+    FairShare,
+)
+from mesh.admission.wait_queue import WaitQueue
 
 HIGH, MID, LOW = 2.0, 1.0, 0.25
 
@@ -11,20 +18,20 @@
 def overloaded(kinds: dict[float, int], places: int, guarded: bool, rounds: int = 600) -> dict[float, float]:
     """Each round of 10 ms so many calls of each kind come and so many places get free; how often each kind
     was passed on. Patience is three rounds, and eight wait."""
-    line, shares, passed = Line(), Shares(), dict.fromkeys(kinds, 0)
+    line, shares, passed = WaitQueue(), FairShare(), dict.fromkeys(kinds, 0)
     number = 0
     for now in range(0, 10 * rounds, 10):
-        line.over(now)
+        line.pop_expired(now)
         for rank, count in kinds.items():
             for _ in range(count):
                 number += 1
-                shares.came(now, rank)
-                line.add((number, rank), rank, now + 30.0, 8, shares.behind() if guarded else ())
+                shares.record_arrival(now, rank)
+                line.add((number, rank), rank, now + 30.0, 8, shares.starved_ranks() if guarded else ())
         for _ in range(places):
-            call = line.next(shares.behind() if guarded else ())
+            call = line.pop_next(shares.starved_ranks() if guarded else ())
             if call is not None:
                 _, rank = call  # type: ignore[misc]
-                shares.passed(rank)
+                shares.record_dispatch(rank)
                 passed[rank] += 1
     return {rank: passed[rank] / (count * rounds) for rank, count in kinds.items()}
 
@@ -47,56 +54,56 @@
 
 
 def test_a_kind_is_behind_only_when_enough_of_it_came_and_is_forgotten_when_it_comes_no_more() -> None:
-    shares = Shares()
-    for _ in range(int(FEW) - 1):
-        shares.came(0.0, LOW)
+    shares = FairShare()
+    for _ in range(int(MIN_CALLS) - 1):
+        shares.record_arrival(0.0, LOW)
     for _ in range(20):
-        shares.came(0.0, HIGH)
-        shares.passed(HIGH)
-    assert shares.behind() == []
-    shares.came(0.0, LOW)
-    assert shares.behind() == [LOW]
-    shares.came(RARE_MS, HIGH)
-    assert shares.behind() == [LOW]
-    shares.came(RARE_MS + 1.1 * HALVED_MS, HIGH)
-    assert shares.behind() == []
-    assert LEAST > 0.25
+        shares.record_arrival(0.0, HIGH)
+        shares.record_dispatch(HIGH)
+    assert shares.starved_ranks() == []
+    shares.record_arrival(0.0, LOW)
+    assert shares.starved_ranks() == [LOW]
+    shares.record_arrival(RARE_RETENTION_MS, HIGH)
+    assert shares.starved_ranks() == [LOW]
+    shares.record_arrival(RARE_RETENTION_MS + 1.1 * HALVING_PERIOD_MS, HIGH)
+    assert shares.starved_ranks() == []
+    assert MIN_RELATIVE_SHARE > 0.25
 
 
 def test_what_was_long_ago_fades_for_a_kind_that_comes_often() -> None:
-    shares = Shares()
-    for _ in range(int(8 * FEW)):
-        shares.came(0.0, LOW)
-        shares.came(0.0, HIGH)
-        shares.passed(HIGH)
-    assert shares.behind() == [LOW]
+    shares = FairShare()
+    for _ in range(int(8 * MIN_CALLS)):
+        shares.record_arrival(0.0, LOW)
+        shares.record_arrival(0.0, HIGH)
+        shares.record_dispatch(HIGH)
+    assert shares.starved_ranks() == [LOW]
     for halvings in range(1, 5):
-        shares.came(1.1 * HALVED_MS * halvings, LOW)
-        shares.passed(LOW)
-        shares.passed(LOW)
-    assert shares.behind() == []
+        shares.record_arrival(1.1 * HALVING_PERIOD_MS * halvings, LOW)
+        shares.record_dispatch(LOW)
+        shares.record_dispatch(LOW)
+    assert shares.starved_ranks() == []
 
 
 @pytest.mark.parametrize("every", [10, 100, 200, 500])
 def test_a_kind_of_which_each_upstream_sees_few_is_not_starved_either(every: int) -> None:
     """Of the least in rank one call comes each ``every`` rounds of 10 ms: at 500 one in five seconds."""
-    line, shares, rounds, passed = Line(), Shares(), 12_000, 0
+    line, shares, rounds, passed = WaitQueue(), FairShare(), 12_000, 0
     for number in range(rounds):
         now = 10.0 * number
-        line.over(now)
+        line.pop_expired(now)
         for rank in [HIGH, HIGH, LOW][: 2 + (number % every == 0)]:
-            shares.came(now, rank)
-            line.add((number, rank, object()), rank, now + 30.0, 8, shares.behind())
-        call = line.next(shares.behind())
+            shares.record_arrival(now, rank)
+            line.add((number, rank, object()), rank, now + 30.0, 8, shares.starved_ranks())
+        call = line.pop_next(shares.starved_ranks())
         if call is not None:
-            shares.passed(call[1])  # type: ignore[index]
+            shares.record_dispatch(call[1])  # type: ignore[index]
             passed += call[1] == LOW  # type: ignore[index]
     assert passed / (rounds / every) > 0.5 / 4.0
 
 
 def test_so_many_kinds_are_counted_and_no_more() -> None:
-    shares = Shares()
-    for rank in range(3 * KINDS):
+    shares = FairShare()
+    for rank in range(3 * MAX_RANKS):
         for _ in range(1 + (rank == 0)):
-            shares.came(0.0, float(rank))
-    assert len(shares._kinds) == KINDS and 0.0 in shares._kinds
+            shares.record_arrival(0.0, float(rank))
+    assert len(shares._counts) == MAX_RANKS and 0.0 in shares._counts
--- a/tests/mesh/test_admission_final_check.py
+++ b/tests/mesh/test_admission_final_check.py
@@ -5,15 +5,15 @@
 import pytest
 
 from mesh.admission.final_check import (
-    AHEAD_LEAST,
+    DEFAULT_SLOTS,
     DRAIN_SHARE,
-    LINE_SHARE,
-    UNKNOWN_SLOTS,
-    Passed,
-    Turned,
-    Why,
-    judge,
-    places,
+    MIN_OVERCOMMIT,
+    QUEUE_FACTOR,
+    Admitted,
+    Rejected,
+    RejectReason,
+    call_limits,
+    check_admission,
 )
 from mesh.membership.instance_commands import DECAYING, SETTLED, Heartbeat
 from mesh.membership.instance_lifecycle import Upstream
@@ -33,40 +33,40 @@
 
 
 def test_what_is_for_the_one_here_and_in_time_passes() -> None:
-    assert judge(0.0, upstream(beat()), "i-1", 100.0) == Passed()
-    assert judge(0.0, upstream(), "i-1", 100.0) == Passed()
+    assert check_admission(0.0, upstream(beat()), "i-1", 100.0) == Admitted()
+    assert check_admission(0.0, upstream(), "i-1", 100.0) == Admitted()
 
 
 def test_a_drain_that_an_earlier_life_of_this_sidecar_acknowledged_is_over_at_once() -> None:
     found = upstream()
     found.published_decaying = frozenset({"i-1"})
-    assert judge(0.0, found, "i-1", 100.0) == Turned(Why.LEAVING)
-    assert judge(0.0, found, "i-2", 100.0) == Passed()
+    assert check_admission(0.0, found, "i-1", 100.0) == Rejected(RejectReason.LEAVING)
+    assert check_admission(0.0, found, "i-2", 100.0) == Admitted()
     found.on_heartbeat(0.0, beat(state=DECAYING))
-    assert judge(0.0, found, "i-1", 100.0) == Turned(Why.LEAVING)
+    assert check_admission(0.0, found, "i-1", 100.0) == Rejected(RejectReason.LEAVING)
     found.on_heartbeat(1.0, beat("i-2", state=DECAYING))  # another's begins with its own word
-    assert judge(1.0, found, "i-2", 100.0) == Passed()
+    assert check_admission(1.0, found, "i-2", 100.0) == Admitted()
 
 
 @pytest.mark.parametrize("left_ms", [0.0, -5.0])
 def test_nothing_passes_without_time(left_ms: float) -> None:
-    assert judge(0.0, upstream(beat()), "i-1", left_ms) == Turned(Why.LATE)
-    assert judge(0.0, upstream(), "i-1", left_ms) == Turned(Why.LATE)
+    assert check_admission(0.0, upstream(beat()), "i-1", left_ms) == Rejected(RejectReason.LATE)
+    assert check_admission(0.0, upstream(), "i-1", left_ms) == Rejected(RejectReason.LATE)
 
 
 def test_another_life_at_the_same_address_is_another() -> None:
-    assert judge(0.0, upstream(beat(), beat("i-2")), "i-1", 100.0) == Turned(Why.OTHER)
-    assert judge(0.0, upstream(beat(), beat("i-2")), "i-2", 100.0) == Passed()
+    assert check_admission(0.0, upstream(beat(), beat("i-2")), "i-1", 100.0) == Rejected(RejectReason.OTHER)
+    assert check_admission(0.0, upstream(beat(), beat("i-2")), "i-2", 100.0) == Admitted()
 
 
 def test_nothing_passes_to_one_that_signed_off_or_ended_without_a_word() -> None:
     left, silent = upstream(beat()), upstream(beat())
     left.leave("i-1")
     silent.on_connection_refused(4 * BEAT_MS)
-    assert judge(1.0, left, "i-1", 100.0) == Turned(Why.DOWN)
-    assert judge(4 * BEAT_MS, silent, "i-1", 100.0) == Turned(Why.DOWN)
+    assert check_admission(1.0, left, "i-1", 100.0) == Rejected(RejectReason.DOWN)
+    assert check_admission(4 * BEAT_MS, silent, "i-1", 100.0) == Rejected(RejectReason.DOWN)
     silent.on_heartbeat(4 * BEAT_MS, beat(count=2))
-    assert judge(4 * BEAT_MS, silent, "i-1", 100.0) == Passed()
+    assert check_admission(4 * BEAT_MS, silent, "i-1", 100.0) == Admitted()
 
 
 def drained() -> Any:
@@ -85,14 +85,14 @@
 def test_a_drain_passes_for_its_share_of_drain_ms_and_then_no_more_whatever_comes(make: Any) -> None:
     one, last = make(), 1000.0 + DRAIN_SHARE * DRAIN_MS
     assert DRAIN_SHARE < 1.0  # what passes here still has to reach the upstream in time
-    assert judge(last, one, "i-1", 100.0) == Passed()
+    assert check_admission(last, one, "i-1", 100.0) == Admitted()
     one.take(last, beat(count=3, state=DECAYING))
     one.end(last)
-    assert judge(last + 1.0, one, "i-1", 100.0) == Turned(Why.LEAVING)
+    assert check_admission(last + 1.0, one, "i-1", 100.0) == Rejected(RejectReason.LEAVING)
 
 
 def test_places_grow_with_the_slots_and_both_have_a_bound() -> None:
-    assert places(upstream()) == (UNKNOWN_SLOTS + AHEAD_LEAST, LINE_SHARE * UNKNOWN_SLOTS)
-    sizes = [places(upstream(beat(capacity=slots))) for slots in (1, 10, 100)]
+    assert call_limits(upstream()) == (DEFAULT_SLOTS + MIN_OVERCOMMIT, QUEUE_FACTOR * DEFAULT_SLOTS)
+    sizes = [call_limits(upstream(beat(capacity=slots))) for slots in (1, 10, 100)]
     assert all(slots < at_once for (at_once, _), slots in zip(sizes, (1, 10, 100), strict=True))
-    assert [waiting for _, waiting in sizes] == [LINE_SHARE * slots for slots in (1, 10, 100)]
+    assert [waiting for _, waiting in sizes] == [QUEUE_FACTOR * slots for slots in (1, 10, 100)]
--- a/tests/mesh/test_admission_wait_queue.py
+++ b/tests/mesh/test_admission_wait_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.admission.wait_queue import Line
+from mesh.admission.wait_queue import WaitQueue
 
 OPS = st.lists(
     st.one_of(
@@ -52,7 +52,7 @@
 @given(OPS)
 @settings(max_examples=200)
 def test_a_line_serves_worth_then_the_last_come_and_ends_patience_as_the_model_does(ops: list[Any]) -> None:
-    line, model, now = Line(), Model(), 0.0
+    line, model, now = WaitQueue(), Model(), 0.0
     for op in ops:
         if op[0] == "over":
             now += op[1]
@@ -61,20 +61,20 @@
             case ("add", rank, patience, most):
                 found: Any = line.add(model.count, rank, now + patience, most)
             case ("next",):
-                found = line.next()
+                found = line.pop_next()
             case ("drop", call):
-                found = line.drop(call)
+                found = line.remove(call)
             case ("over", _):
-                found = line.over(now)
+                found = line.pop_expired(now)
             case _:
                 found = line.clear()
         assert found == expected, op
         assert len(line) == len(model.waiting)
-        assert line.end() == min((until for _, _, until in model.waiting), default=None)
+        assert line.next_expiry() == min((until for _, _, until in model.waiting), default=None)
 
 
 def test_the_line_has_its_bound_and_the_least_in_rank_that_waits_longest_makes_room() -> None:
-    line = Line()
+    line = WaitQueue()
     assert [line.add(call, rank, 9.0, 2) for call, rank in (("a", 1.0), ("b", 1.0), ("c", 2.0))] == [
         None,
         None,
--- a/tests/mesh/test_benchmarks_worth.py
+++ b/tests/mesh/test_benchmarks_worth.py
@@ -10,7 +10,7 @@
 
 from benchmarks.worth import ledger, table
 from benchmarks.worth_trace import Parts, Stay, Trace, Try, read_trace, second_tries, upstream_loads
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import NotExecuted, UpstreamResponse
 from mesh.data_plane.call_trace import CallTrace
 from mesh.event_log import events
@@ -160,7 +160,7 @@
     call: Any = SimpleNamespace(attempt="a", instance="i-2", caller="s")
     elsewhere: Any = SimpleNamespace(attempt="a", instance="i-1", caller="s")
     trace.second_hop(290.0, call, 181.0, 190.0, UpstreamResponse(200, [], b"", True))
-    trace.second_hop(190.0, elsewhere, 150.0, 0.0, NotExecuted(Why.FULL))
+    trace.second_hop(190.0, elsewhere, 150.0, 0.0, NotExecuted(RejectReason.FULL))
     read = read_trace(stream.getvalue().splitlines())
     assert len(read.calls) == 2 * MOST_A_SECOND and read.calls[0].took_ms == 200.0
     assert read.calls[0].tries[1] == Try("i-2", 80.0, 120.0, "out")
--- a/tests/mesh/test_call_model.py
+++ b/tests/mesh/test_call_model.py
@@ -9,7 +9,7 @@
 
 from hareloom import requests
 from hareloom.interface import Outcome
-from mesh.admission.call_sessions import Kept, Session, Verdict
+from mesh.admission.call_sessions import Session, SessionCall, Verdict
 from mesh.data_plane import call_state as table
 from mesh.data_plane.call_state import ClientRequest, Event, State
 from rigs import call_hosts
@@ -18,7 +18,7 @@
 from simulation.mesh.seeds import Patch
 from statecheck import explore
 
-ASK, TAKE = Session.ask, Session.take
+ASK, TAKE = Session.ask, Session.accept
 
 
 @pytest.mark.parametrize("size", ["one id twice", "an answer too large to hold"])
@@ -32,11 +32,11 @@
 
 
 def takes_whatever_comes(patch: Patch) -> None:
-    patch.setattr(Session, "take", lambda self, number: True)
+    patch.setattr(Session, "accept", lambda self, number: True)
 
 
 def takes_a_second_copy(patch: Patch) -> None:
-    patch.setattr(Session, "take", lambda self, number: number == self.highest or TAKE(self, number))
+    patch.setattr(Session, "accept", lambda self, number: number == self.highest or TAKE(self, number))
 
 
 def does_not_bar(patch: Patch) -> None:
@@ -85,10 +85,10 @@
 
 
 def leaves_what_waits_on_a_lost_link(patch: Patch) -> None:
-    def lost(self: Session[Any], number: int) -> Kept[Any] | None:
+    def on_link_lost(self: Session[Any], number: int) -> SessionCall[Any] | None:
         return None
 
-    patch.setattr(Session, "lost", lost)
+    patch.setattr(Session, "on_link_lost", on_link_lost)
 
 
 def takes_unclear_for_never_sent(patch: Patch) -> None:
@@ -143,7 +143,7 @@
 
     def asked(self: World, link: Any, book: Any, session: Any, number: int, attempt: str) -> None:
         real(self, link, book, session, number, attempt)
-        at = self.run_at(link.second, session.life, number)
+        at = self.run_at(link.second, session.incarnation, number)
         if at >= 0:
             self.place(link.second, at)
 
--- a/tests/mesh/test_call_world.py
+++ b/tests/mesh/test_call_world.py
@@ -9,7 +9,7 @@
 
 from hareloom.interface import Outcome
 from mesh.admission.call_sessions import Session, Verdict
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane import service_balancers
 from mesh.data_plane.call_messages import NotExecuted, Unclear
 from mesh.data_plane.call_state import ClientRequest, outcome_of
@@ -113,7 +113,7 @@
 
 
 def takes_whatever_comes(patch: Patch) -> None:
-    patch.setattr(Session, "take", lambda self, number: True)
+    patch.setattr(Session, "accept", lambda self, number: True)
 
 
 def takes_passed_on_for_waiting(patch: Patch) -> None:
@@ -157,7 +157,7 @@
     def lost(self: PeerLink, link: Any, why: str) -> None:
         out, self.open_calls = self.open_calls, {}
         for one in out.values():
-            one.on_end(NotExecuted(Why.DOWN))
+            one.on_end(NotExecuted(RejectReason.DOWN))
         self.link, self.verified = None, False
         self._schedule_reconnect()
 
--- a/tests/mesh/test_calls_table.py
+++ b/tests/mesh/test_calls_table.py
@@ -8,7 +8,7 @@
 from test_map import names
 
 from hareloom.interface import NEVER_RAN
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import Call, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.call_state import (
     EDGES,
@@ -114,9 +114,9 @@
         (UpstreamResponse(200, [], b"", True), Event.ANSWER, True),
         (UpstreamResponse(503, [], b"", True), Event.ANSWER, True),
         (UpstreamResponse(504, [], b"", True), Event.ANSWER, True),
-        (NotExecuted(Why.LOST), Event.TURNED_AWAY, False),
-        (NotExecuted(Why.FULL, reached_upstream=True), Event.TURNED_AWAY, False),
-        (NotExecuted(Why.DOWN), Event.TURNED_AWAY, False),
+        (NotExecuted(RejectReason.LOST), Event.TURNED_AWAY, False),
+        (NotExecuted(RejectReason.FULL, reached_upstream=True), Event.TURNED_AWAY, False),
+        (NotExecuted(RejectReason.DOWN), Event.TURNED_AWAY, False),
         (Unclear("x"), Event.NO_ANSWER, True),
     ],
 )
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -10,7 +10,7 @@
 
 from hareloom import interface as api
 from hareloom.records import Server
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import Call, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.call_state import Failed, Refused
 from mesh.data_plane.introspection import why
@@ -68,7 +68,7 @@
         first.ended(1.0, asked(f"odd-{at}"), told)
     first.ended(1.0, asked("twice", tries=2), 200)
     first.ended(101.0, asked("late"), 200)
-    second.ended(1.0, call("full"), 0.0, 0.0, NotExecuted(Why.FULL))
+    second.ended(1.0, call("full"), 0.0, 0.0, NotExecuted(RejectReason.FULL))
     for at in range(3 * RING_SIZE):
         first.ended(1.0, asked(f"{at}"), 200)
         second.ended(1.0, call(f"{at}"), 0.0, 0.5, ok)
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -13,8 +13,8 @@
 from test_data_plane_lost import NOT_RUN, SERVED, Bench, Far, call, kind_of
 from test_data_plane_lost import over as over_earlier
 
-from mesh.admission.buffer_budget import LONG_SHARE, Holding
-from mesh.admission.final_check import Why
+from mesh.admission.buffer_budget import LONG_BODY_SHARE, BufferQuota
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import BodyPiece, End, NotExecuted, StatusQuery, Unclear
 from mesh.data_plane.call_state import OutgoingCall, State
 from mesh.data_plane.incoming_calls import IncomingCalls
@@ -31,7 +31,7 @@
 
 def give_room(bench: Bench, far: Far) -> None:
     for hop in bench.peer_links.local, far.second:
-        hop.bodies, hop.answers, hop.frames = (Holding(ROOM, ROOM) for _ in range(3))
+        hop.bodies, hop.answers, hop.frames = (BufferQuota(ROOM, ROOM) for _ in range(3))
 
 
 def over(test: Test) -> None:
@@ -43,7 +43,7 @@
         await bench.known(far)
         await test(bench, far)
         answers = bench.peer_links.local.answers
-        await until(lambda: answers.held == 0)
+        await until(lambda: answers.held_bytes == 0)
 
     over_earlier(run)
 
@@ -86,7 +86,7 @@
         assert len(pieces) == len(LONG) // PIECE_BYTES
         assert (link_of(bench).owes, link_of(bench).expects) == (0, 0)
         await until(lambda: (far.links[0].owes, far.links[0].expects) == (0, 0))
-        assert far.second.bodies.held == 0
+        assert far.second.bodies.held_bytes == 0
 
     over(test)
 
@@ -126,7 +126,7 @@
         far.hear()
         await turns()
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
-        await until(lambda: far.second.bodies.held == 0)
+        await until(lambda: far.second.bodies.held_bytes == 0)
 
     over(test)
 
@@ -145,7 +145,7 @@
         for _, head, data in late:
             incoming.handle_frame(head, data)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
-        assert far.second.bodies.held == 0 and out.state is State.ENDED
+        assert far.second.bodies.held_bytes == 0 and out.state is State.ENDED
 
     over(test)
 
@@ -156,10 +156,10 @@
         incoming = await midway(far)
         await turns()
         late, far.unread = far.unread, []
-        (number,), session = incoming._receiving, far.sessions.by_life["f1"]
+        (number,), session = incoming._receiving, far.sessions.by_incarnation["f1"]
         other = IncomingCalls(Link(lambda _: None, far._frame, far._lost), far.second, far.sessions, session)
         other.handle_frame(StatusQuery(number=number, attempt="a1"), b"")
-        assert not incoming._receiving and far.second.bodies.held == 0 and number not in session.calls
+        assert not incoming._receiving and far.second.bodies.held_bytes == 0 and number not in session.calls
         for _, head, data in late:
             incoming.handle_frame(head, data)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
@@ -185,7 +185,7 @@
         bench.peer_links.drop(out)
         assert out.state is State.WITHDRAWN
         far.hear()
-        await until(lambda: far.links[0].owes == 0 and far.second.bodies.held == 0)
+        await until(lambda: far.links[0].owes == 0 and far.second.bodies.held_bytes == 0)
         assert await served(bench, far) != (None, None)  # the window is free again
         assert not end.done() and len(far.second.taken) == 2
 
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize("effectful", [True, False])
 def test_an_answer_whose_link_is_reset_midway_is_told_again_whole_or_not_at_all(effectful: bool) -> None:
     async def test(bench: Bench, far: Far) -> None:
-        far.sessions._most = 2 * len(LONG)
+        far.sessions._max_bytes = 2 * len(LONG)
         _, end = bench.send(far, long_call("a1", effectful, b"x"))
         await until(lambda: len(far.second.taken) == 2)
         far.second.end(1, dataclasses.replace(SERVED, body=LONG))
@@ -205,7 +205,7 @@
         link_of(bench).close("reset")
         told = await soon(end)
         assert told == dataclasses.replace(SERVED, body=LONG) if effectful else isinstance(told, Unclear)
-        await until(lambda: far.second.answers.held == 0)
+        await until(lambda: far.second.answers.held_bytes == 0)
 
     over(test)
 
@@ -228,7 +228,7 @@
 
 def test_an_answer_that_the_first_hops_memory_does_not_bear_may_have_run_and_is_stopped() -> None:
     async def test(bench: Bench, far: Far) -> None:
-        bench.peer_links.local.answers = Holding(2 * PIECE_BYTES, PIECE_BYTES)
+        bench.peer_links.local.answers = BufferQuota(2 * PIECE_BYTES, PIECE_BYTES)
         for size in (2 * PIECE_BYTES, PIECE_BYTES):  # in pieces, and in one frame
             _, end = bench.send(far, long_call(f"a{size}", body=b"x"))
             before = len(far.second.taken)
@@ -246,16 +246,16 @@
 def test_of_five_hundred_bodies_at_once_memory_takes_some_and_the_others_never_run() -> None:
     async def test(bench: Bench, far: Far) -> None:
         size, fit = 3 * PIECE_BYTES, 20
-        far.second.bodies = Holding(int(fit * size / LONG_SHARE) + 1, size, copies=1)
+        far.second.bodies = BufferQuota(int(fit * size / LONG_BODY_SHARE) + 1, size, copies=1)
         sent = [bench.send(far, long_call(f"a{at}", body=bytes(size))) for at in range(500)]
         await until(lambda: len(far.second.taken) == 1 + fit)
-        assert far.second.bodies.held == fit * size
+        assert far.second.bodies.held_bytes == fit * size
         await until(lambda: sum(end.done() for _, end in sent) == 500 - fit)
-        assert {end.result() for _, end in sent if end.done()} == {NotExecuted(Why.FULL)}
+        assert {end.result() for _, end in sent if end.done()} == {NotExecuted(RejectReason.FULL)}
         for at in range(1, 1 + fit):
             far.second.end(at, SERVED)
         ends = await asyncio.gather(*(soon(end) for _, end in sent))
-        assert ends.count(SERVED) == fit and far.second.bodies.held == 0
+        assert ends.count(SERVED) == fit and far.second.bodies.held_bytes == 0
         assert (link_of(bench).owes, link_of(bench).expects, far.links[0].owes) == (0, 0, 0)
 
     over(test)
@@ -263,10 +263,10 @@
 
 def test_what_was_turned_away_when_all_of_it_was_written_takes_nothing_of_the_window() -> None:
     async def test(bench: Bench, far: Far) -> None:
-        bodies, far.second.bodies = far.second.bodies, Holding(0, 0)
+        bodies, far.second.bodies = far.second.bodies, BufferQuota(0, 0)
         for at in range(3):
             out, end = bench.send(far, long_call(f"a{at}", body=bytes(WINDOW_BYTES)))
-            assert out.state is State.SENT and await soon(end) == NotExecuted(Why.FULL)
+            assert out.state is State.SENT and await soon(end) == NotExecuted(RejectReason.FULL)
         assert (link_of(bench).owes, link_of(bench).expects) == (0, 0)
         far.second.bodies = bodies
         assert (await served(bench, far))[1] == dataclasses.replace(SERVED, body=LONG)
@@ -282,7 +282,7 @@
         assert end == dataclasses.replace(SERVED, body=LONG)
         assert "piece" not in [kind_of(head) for head in far.heads]
         _, end = bench.send(far, long_call("a2", body=bytes(MOST + 1)))  # type: ignore[assignment]
-        assert end.result() == NotExecuted(Why.FULL)  # type: ignore[attr-defined]
+        assert end.result() == NotExecuted(RejectReason.FULL)  # type: ignore[attr-defined]
         assert len(far.links) == 1 and far.links[0].up
 
     over_earlier(test)
@@ -302,9 +302,9 @@
     async def test(bench: Bench, far: Far) -> None:
         give_room(bench, far)
         await bench.known(far)
-        far.links[0]._frames._room = Holding(len(LONG), len(LONG))  # its copies leave half of that
+        far.links[0]._frames._room = BufferQuota(len(LONG), len(LONG))  # its copies leave half of that
         _, end = bench.send(far, long_call("a1"))
-        assert await soon(end) == NotExecuted(Why.FULL)
+        assert await soon(end) == NotExecuted(RejectReason.FULL)
         _, end = bench.send(far, call("a2"))
         await until(lambda: len(far.second.taken) == 2)
         far.second.end(1, SERVED)
@@ -316,7 +316,7 @@
 def test_a_long_body_waits_until_the_other_end_has_said_what_it_takes() -> None:
     async def test(bench: Bench, far: Far) -> None:
         far.window = WINDOW_BYTES
-        far.second.bodies = Holding(ROOM, ROOM)
+        far.second.bodies = BufferQuota(ROOM, ROOM)
         bench.send(far, long_call("a1", effectful=False))
         await until(lambda: len(far.second.taken) == 1)
         assert far.second.taken[0].call.body == LONG and "piece" in [kind_of(head) for head in far.heads]
@@ -352,6 +352,6 @@
         with pytest.raises(ValueError):
             incoming.handle_frame(BodyPiece(number=number), bytes(WINDOW_BYTES + 1))
         link_of(bench).close("over")
-        await until(lambda: far.second.bodies.held == 0)
+        await until(lambda: far.second.bodies.held_bytes == 0)
 
     over(test)
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -12,9 +12,9 @@
 import pytest
 from msgspec.structs import replace
 
-from mesh.admission.buffer_budget import Holding
-from mesh.admission.call_sessions import Sessions
-from mesh.admission.final_check import Why
+from mesh.admission.buffer_budget import BufferQuota
+from mesh.admission.call_sessions import CallSessions
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane import peer_calls as module
 from mesh.data_plane.call_messages import (
     Call,
@@ -39,7 +39,7 @@
 from rigs.mesh_peers import move, play, soon, turns, until
 
 SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body", True)
-NOT_RUN = NotExecuted(Why.LOST)
+NOT_RUN = NotExecuted(RejectReason.LOST)
 AIM_MS = 400.0
 
 
@@ -60,8 +60,8 @@
         self.taken: list[DispatchedCall] = []
         self.dropped: list[str] = []
         self.lines = False  # calls wait
-        self.bodies = Holding(4096, 1024)
-        self.answers = self.frames = Holding(1 << 20, 1 << 20)
+        self.bodies = BufferQuota(4096, 1024)
+        self.answers = self.frames = BufferQuota(1 << 20, 1 << 20)
 
     def accept(self, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
         running = DispatchedCall(call, ended, 0.0)
@@ -86,7 +86,7 @@
     def __init__(self) -> None:
         self.window = 0
         self.second = Second()
-        self.sessions: Sessions[End] = Sessions(1000)
+        self.sessions: CallSessions[End] = CallSessions(1000)
         self.life, self.old, self.deaf = "s1", False, False
         self.links: list[Link] = []
         self.unread: list[tuple[Link, Head, bytes]] = []
@@ -166,7 +166,7 @@
         try:
             await test(bench, far)
             left = sum(len(running.call.body) for running in far.second.taken if not running.done)
-            assert far.second.bodies.held == left
+            assert far.second.bodies.held_bytes == left
         finally:
             far.close()
 
@@ -371,7 +371,7 @@
         _, end = bench.send(far, call("write"))
         await until(lambda: bench.peer_links._links["there"].verified)
         far.links[0].close("reset")
-        assert await soon(end) == NotExecuted(Why.DOWN)
+        assert await soon(end) == NotExecuted(RejectReason.DOWN)
 
     over(test)
 
@@ -525,7 +525,7 @@
         await until(lambda: len(far.unread) == 1)
         (link,) = far.links
         link.peer.leave()
-        assert await soon(unread) == NotExecuted(Why.LEAVING)
+        assert await soon(unread) == NotExecuted(RejectReason.LEAVING)
         assert not bench.peer_links.reaches("there")
         far.hear()  # the late copy
         assert [running.call.attempt for running in far.second.taken] == ["warm", "a1"]
@@ -552,7 +552,7 @@
         bench.peer_links.send(call("a1"), "there", far.address, ended)
         await until(lambda: len(far.unread) == 1)
         far.links[0].peer.leave()
-        assert await soon(again) == NotExecuted(Why.DOWN)
+        assert await soon(again) == NotExecuted(RejectReason.DOWN)
         await turns()
         assert len(far.unread) == 1
 
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -11,8 +11,8 @@
 import pytest
 from msgspec.structs import replace
 
-from mesh.admission.buffer_budget import Holding
-from mesh.admission.final_check import Why
+from mesh.admission.buffer_budget import BufferQuota
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse, end_head
 from mesh.data_plane.call_state import Event, OutgoingCall
 from mesh.data_plane.incoming_calls import IncomingCalls
@@ -41,12 +41,12 @@
         self.taken: asyncio.Queue[DispatchedCall] = asyncio.Queue()
         self.dropped: list[str] = []
         self.full = False
-        self.bodies = Holding(4096, 1024)
-        self.answers = self.frames = Holding(1 << 20, 1 << 20)
+        self.bodies = BufferQuota(4096, 1024)
+        self.answers = self.frames = BufferQuota(1 << 20, 1 << 20)
 
     def accept(self, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
         if self.full:
-            ended(NotExecuted(Why.FULL))
+            ended(NotExecuted(RejectReason.FULL))
             return None
         running = DispatchedCall(call, ended, 0.0)
         self.taken.put_nowait(running)
@@ -142,7 +142,11 @@
         assert far.links[0].owes == 1
         running.on_end(SERVED)
         assert await soon(end) == SERVED
-        for told in (NotExecuted(Why.LEAVING), NotExecuted(Why.OTHER, reached_upstream=True), Unclear("why")):
+        for told in (
+            NotExecuted(RejectReason.LEAVING),
+            NotExecuted(RejectReason.OTHER, reached_upstream=True),
+            Unclear("why"),
+        ):
             _, end = bench.send("a2", far.address)
             (await soon(far.second.taken.get())).on_end(told)
             assert await soon(end) == told
@@ -164,7 +168,7 @@
         for end in ends[0], ends[2]:
             assert isinstance(await soon(end), Unclear)
         assert not bench.peer_links.reaches("there") and bench.reached == [("there", False)]
-        assert bench.send("b", far.address)[1].result() == NotExecuted(Why.DOWN)
+        assert bench.send("b", far.address)[1].result() == NotExecuted(RejectReason.DOWN)
         bench.tick()  # not at once
         await turns()
         assert len(far.links) == 1
@@ -222,9 +226,11 @@
         await turns()
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(2)]
         for end in ends:
-            assert await soon(end) == NotExecuted(Why.DOWN)
-        assert bench.send("b", far.address)[1].result() == NotExecuted(Why.DOWN)  # with no try at all
-        assert bench.send("c", None)[1].result() == NotExecuted(Why.DOWN)
+            assert await soon(end) == NotExecuted(RejectReason.DOWN)
+        assert bench.send("b", far.address)[1].result() == NotExecuted(
+            RejectReason.DOWN
+        )  # with no try at all
+        assert bench.send("c", None)[1].result() == NotExecuted(RejectReason.DOWN)
         assert bench.reached == [("there", False)]  # once
         await far.start(far.address[1])
         await bench.comes_back()
@@ -248,7 +254,7 @@
         assert not end.done()
         move(CONNECT_WAIT_S + 0.01)
         await turns()
-        assert end.result() == NotExecuted(Why.DOWN)
+        assert end.result() == NotExecuted(RejectReason.DOWN)
         assert bench.reached == [("there", False)]
         loop.create_connection = connects  # type: ignore[method-assign]
         move(1.0)  # the try itself is given up
@@ -341,7 +347,7 @@
     async def test(bench: Bench, far: Far) -> None:
         assert far.second is not None
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(4)]
-        assert await soon(ends[3]) == NotExecuted(Why.FULL)
+        assert await soon(ends[3]) == NotExecuted(RejectReason.FULL)
         runnings = [await soon(far.second.taken.get()) for _ in range(3)]
         assert far.second.taken.empty() and far.links[0].owes == 3
         runnings[0].on_end(SERVED)
@@ -349,7 +355,7 @@
         bench.send("b", far.address)
         assert (await soon(far.second.taken.get())).call.attempt == "b"
         far.second.full = True
-        assert await soon(bench.send("c", far.address)[1]) == NotExecuted(Why.FULL)
+        assert await soon(bench.send("c", far.address)[1]) == NotExecuted(RejectReason.FULL)
         assert far.links[0].owes == 3
 
     over(test, real=True)
@@ -360,21 +366,21 @@
         assert far.second is not None
         bodies = far.second.bodies  # 2,048 bytes, 1,024 of one body
         first = [bench.send(f"a{at}", far.address, body=b"x" * 900) for at in range(3)]
-        assert await soon(first[2][1]) == NotExecuted(Why.FULL) and bodies.held == 1800
-        assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(Why.FULL)
+        assert await soon(first[2][1]) == NotExecuted(RejectReason.FULL) and bodies.held_bytes == 1800
+        assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(RejectReason.FULL)
         (await soon(far.second.taken.get())).on_end(SERVED)
         assert await soon(first[0][1]) == SERVED
         bench.peer_links.drop(first[1][0])
-        await until(lambda: bodies.held == 0)
+        await until(lambda: bodies.held_bytes == 0)
         bench.send("c", far.address, body=b"x" * 900)
-        await until(lambda: bodies.held == 900)
+        await until(lambda: bodies.held_bytes == 900)
         far.second.full = True
-        assert await soon(bench.send("d", far.address, body=b"x" * 900)[1]) == NotExecuted(Why.FULL)
-        assert bodies.held == 900
+        assert await soon(bench.send("d", far.address, body=b"x" * 900)[1]) == NotExecuted(RejectReason.FULL)
+        assert bodies.held_bytes == 900
         link = bench.peer_links._links["there"].link
         assert link is not None and isinstance(far.links[0].peer, IncomingCalls)
         far.links[0].peer.link_lost()
-        assert bodies.held == 0
+        assert bodies.held_bytes == 0
 
     over(test, real=True)
 
@@ -427,7 +433,7 @@
         bench.peer_links.drop(out)
         assert bench.local.dropped == ["a1"] and not end.done()
         bench.local.full = True
-        assert bench.send("a2", None, node="here")[1].result() == NotExecuted(Why.FULL)
+        assert bench.send("a2", None, node="here")[1].result() == NotExecuted(RejectReason.FULL)
 
     over(test)
 
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec.structs import replace
 
-from mesh.admission.repeat_runs import NEAR_MS, RepeatRuns
-from mesh.admission.retry_budget import KEPT, Budget
+from mesh.admission.repeat_runs import DEADLINE_TOLERANCE_MS, RepeatRuns
+from mesh.admission.retry_budget import USED_SHARE, RetryBudget
 from mesh.data_plane.call_messages import Call, CallHead, read_call
 from mesh.data_plane.service_tables import ServiceBalancers
 from rigs.mesh_peers import soon, turns, until
@@ -17,24 +17,26 @@
 
 def test_a_call_is_taken_for_a_repeats_by_its_deadline_while_that_runs() -> None:
     runs = RepeatRuns()
-    assert not runs.made(1000.0)
-    runs.began("one", 1000.0)
-    runs.began("two", 5000.0)
-    assert runs.made(1000.0 + NEAR_MS) and runs.made(5000.0 - NEAR_MS)
-    assert not runs.made(1000.0 - NEAR_MS - 1.0) and not runs.made(3000.0)
-    runs.ended("one")
-    runs.ended("never began")
-    assert not runs.made(1000.0) and len(runs) == 1
+    assert not runs.may_have_made(1000.0)
+    runs.begin("one", 1000.0)
+    runs.begin("two", 5000.0)
+    assert runs.may_have_made(1000.0 + DEADLINE_TOLERANCE_MS) and runs.may_have_made(
+        5000.0 - DEADLINE_TOLERANCE_MS
+    )
+    assert not runs.may_have_made(1000.0 - DEADLINE_TOLERANCE_MS - 1.0) and not runs.may_have_made(3000.0)
+    runs.end("one")
+    runs.end("never began")
+    assert not runs.may_have_made(1000.0) and len(runs) == 1
 
 
 def test_what_is_charged_is_never_refused_and_leaves_less_for_further_tries() -> None:
-    budget = Budget(0.2, 1000.0, 8.0)
-    for _ in range(int(KEPT * 8.0)):
+    budget = RetryBudget(0.2, 1000.0, 8.0)
+    for _ in range(int(USED_SHARE * 8.0)):
         budget.charge(0.0)
-    assert not budget.spend(0.0, 1)
+    assert not budget.try_spend(0.0, 1)
     budget.charge(0.0)
     assert (budget.charged, budget.spent, budget.denied) == (5, 0, 1)
-    assert budget.spend(2000.0, 1)
+    assert budget.try_spend(2000.0, 1)
 
 
 def test_a_frame_tells_a_repeat_and_an_older_programs_has_none() -> None:
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -13,7 +13,7 @@
 
 from anisestair.http import codec as http
 from hareloom import interface as api
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.configuration.routes import Route
 from mesh.data_plane import route_classes
 from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
@@ -36,8 +36,8 @@
 
 OK = UpstreamResponse(200, [(b"response-seal", b"s")], b"body", True)
 ERROR = UpstreamResponse(500, [], b"own words", True)
-FULL = NotExecuted(Why.FULL)
-FULL_THERE = NotExecuted(Why.FULL, reached_upstream=True)
+FULL = NotExecuted(RejectReason.FULL)
+FULL_THERE = NotExecuted(RejectReason.FULL, reached_upstream=True)
 UNCLEAR = Unclear("cut")
 
 
@@ -176,7 +176,9 @@
     at_table(test)
 
 
-@pytest.mark.parametrize("first", [FULL, FULL_THERE, NotExecuted(Why.DOWN), NotExecuted(Why.LEAVING)])
+@pytest.mark.parametrize(
+    "first", [FULL, FULL_THERE, NotExecuted(RejectReason.DOWN), NotExecuted(RejectReason.LEAVING)]
+)
 def test_an_effectful_call_that_was_turned_away_may_go_elsewhere_and_then_may_have_run(
     first: NotExecuted,
 ) -> None:
@@ -324,7 +326,7 @@
 def test_a_request_that_is_taken_anew_is_counted_by_whoever_takes_it_alone() -> None:
     async def test(bench: Bench) -> None:
         _, final = bench.ask(READ)
-        bench.end(NotExecuted(Why.OLD))
+        bench.end(NotExecuted(RejectReason.OLD))
         assert final.result() == RouteChanged()
         assert sum(slot[1] for slot in bench.table(READ).budget._slots) == 0.0
 
@@ -382,7 +384,7 @@
 
 def test_what_was_turned_away_at_once_everywhere_is_refused() -> None:
     async def test(bench: Bench) -> None:
-        bench.peer_links.at_once = [NotExecuted(Why.DOWN)] * 20
+        bench.peer_links.at_once = [NotExecuted(RejectReason.DOWN)] * 20
         for route in (READ, PAY):
             _, final = bench.ask(route)
             move(1.2)
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec.structs import replace
 
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import (
     BodyPiece,
     GoAway,
@@ -278,7 +278,7 @@
             client.send(f"a{at}", "/read/hold", left_ms=30_000)
         await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         (waiting,) = (call for _, _, call in proxy.upstream_dispatch.queue._waiting)
-        proxy.upstream_dispatch.queue._ends.clear()  # its patience lasts
+        proxy.upstream_dispatch.queue._expiries.clear()  # its patience lasts
         shutdown = Shutdown(proxy)
         shutdown._times = replace(shutdown._times, notice_s=0.1, exit_s=0.3)
         ends = asyncio.get_running_loop().create_task(shutdown.run())
@@ -346,7 +346,7 @@
         await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         proxy.upstream_dispatch.reject_queued()
         found = await other.end()
-        assert found == NotExecuted(Why.LEAVING)
+        assert found == NotExecuted(RejectReason.LEAVING)
         assert len(proxy.upstream_dispatch.running) == 9
         other.writer.close()
 
@@ -363,11 +363,11 @@
         await until(lambda: isinstance(link.peer, IncomingCalls) and link.peer.receiving)
         assert isinstance(link.peer, IncomingCalls)
         link.peer.leave()
-        assert await other.end() == NotExecuted(Why.LEAVING)
+        assert await other.end() == NotExecuted(RejectReason.LEAVING)
         other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest, too late
         await turns()
         assert there.upstream.seen == [] and not link.peer.receiving and link.owes == 0
-        assert there.proxy.request_dispatcher.bodies.held == 0
+        assert there.proxy.request_dispatcher.bodies.held_bytes == 0
         other.writer.close()
 
     beside(tmp_path, test, grace_s=GRACE_S)
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from anisestair.http import codec as http
-from mesh.admission.final_check import DRAIN_SHARE, Why, places
-from mesh.admission.wait_queue import Line
+from mesh.admission.final_check import DRAIN_SHARE, RejectReason, call_limits
+from mesh.admission.wait_queue import WaitQueue
 from mesh.data_plane.call_messages import Call, End, NotExecuted, Unclear, UpstreamResponse
 from mesh.data_plane.upstream_connections import UpstreamConnectionPool
 from mesh.data_plane.upstream_dispatch import RESPONSE_GRACE_S, DispatchedCall, UpstreamDispatch
@@ -55,7 +55,7 @@
 
     async def fill(self) -> list[tuple[DispatchedCall | None, asyncio.Future[End]]]:
         """Every place at the upstream is taken, by calls that it holds."""
-        at_once, _ = places(self.upstream_dispatch.upstream)
+        at_once, _ = call_limits(self.upstream_dispatch.upstream)
         held = [self.take(f"held-{at}") for at in range(at_once)]
         await until(lambda: len(self.upstream.seen) == at_once)
         return held
@@ -145,8 +145,10 @@
     behind(test, lambda _: way)
 
 
-@pytest.mark.parametrize(("way", "why"), [("full", Why.FULL), ("421", Why.OTHER)])
-def test_what_the_upstream_says_that_it_did_not_run_is_a_turn_away_that_arrived(way: str, why: Why) -> None:
+@pytest.mark.parametrize(("way", "why"), [("full", RejectReason.FULL), ("421", RejectReason.OTHER)])
+def test_what_the_upstream_says_that_it_did_not_run_is_a_turn_away_that_arrived(
+    way: str, why: RejectReason
+) -> None:
     async def test(bench: Bench) -> None:
         assert await soon(bench.take("a1")[1]) == NotExecuted(why, reached_upstream=True)
         assert not bench.upstream.runs
@@ -166,12 +168,12 @@
 def test_nobody_there_is_a_turn_away_that_did_not_arrive_and_an_end_once_beats_are_missing() -> None:
     async def test(bench: Bench) -> None:
         bench.upstream.close()
-        assert await soon(bench.take("a1")[1]) == NotExecuted(Why.DOWN)
+        assert await soon(bench.take("a1")[1]) == NotExecuted(RejectReason.DOWN)
         assert not bench.told
         move(SILENT_HEARTBEATS + 0.1)
-        assert await soon(bench.take("a2")[1]) == NotExecuted(Why.DOWN)
+        assert await soon(bench.take("a2")[1]) == NotExecuted(RejectReason.DOWN)
         assert [(one.instance, one.value) for one in bench.told] == [("i-1", None)]
-        assert bench.take("a3")[1].result() == NotExecuted(Why.DOWN)  # at once now
+        assert bench.take("a3")[1].result() == NotExecuted(RejectReason.DOWN)  # at once now
 
     behind(test)
 
@@ -180,7 +182,7 @@
     async def test(bench: Bench) -> None:
         bench.take("held-1")
         await bench.runs()
-        assert await soon(bench.take("a")[1]) == NotExecuted(Why.FULL)
+        assert await soon(bench.take("a")[1]) == NotExecuted(RejectReason.FULL)
 
     behind(test, held, capacity=4, most=1)
 
@@ -189,12 +191,12 @@
     async def test(bench: Bench) -> None:
         running, end = bench.take("a", instance="i-0")
         assert running is None
-        assert end.result() == NotExecuted(Why.OTHER)
-        assert bench.take("a", remaining_ms=0.0)[1].result() == NotExecuted(Why.LATE)
+        assert end.result() == NotExecuted(RejectReason.OTHER)
+        assert bench.take("a", remaining_ms=0.0)[1].result() == NotExecuted(RejectReason.LATE)
         bench.beat("decaying")
         assert isinstance(await soon(bench.take("a")[1]), UpstreamResponse)
         move(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
-        assert bench.take("a")[1].result() == NotExecuted(Why.LEAVING)
+        assert bench.take("a")[1].result() == NotExecuted(RejectReason.LEAVING)
         assert len(bench.upstream.seen) == 1
 
     behind(test)
@@ -220,15 +222,17 @@
 
 def test_so_many_are_at_the_upstream_and_no_more_wait_than_there_is_room_for() -> None:
     async def test(bench: Bench) -> None:
-        at_once, waiting = places(bench.upstream_dispatch.upstream)
+        at_once, waiting = call_limits(bench.upstream_dispatch.upstream)
         taken = await bench.fill()
         line = [bench.take(f"w{at}") for at in range(waiting)]
         assert len(bench.upstream_dispatch.queue) == waiting
         assert not any(end.done() for _, end in line)
         _, more = bench.take("more")
-        assert line[0][1].result() == NotExecuted(Why.FULL)  # the longest there, and none is lower in rank
-        assert bench.take("least", rank=-1.0)[1].result() == NotExecuted(Why.FULL)
-        assert bench.take("hasty", max_wait_ms=0.0)[1].result() == NotExecuted(Why.FULL)
+        assert line[0][1].result() == NotExecuted(
+            RejectReason.FULL
+        )  # the longest there, and none is lower in rank
+        assert bench.take("least", rank=-1.0)[1].result() == NotExecuted(RejectReason.FULL)
+        assert bench.take("hasty", max_wait_ms=0.0)[1].result() == NotExecuted(RejectReason.FULL)
         assert len(bench.upstream.seen) == at_once
         bench.upstream.release.set()
         for _, end in [*taken, *line[1:]]:
@@ -259,15 +263,15 @@
     async def test(bench: Bench) -> None:
         await bench.fill()
         for _ in range(20):
-            bench.upstream_dispatch.shares.came(bench.upstream_dispatch.now(), 5.0)
-            bench.upstream_dispatch.shares.passed(5.0)
-            bench.upstream_dispatch.shares.came(bench.upstream_dispatch.now(), 0.1)
+            bench.upstream_dispatch.shares.record_arrival(bench.upstream_dispatch.now(), 5.0)
+            bench.upstream_dispatch.shares.record_dispatch(5.0)
+            bench.upstream_dispatch.shares.record_arrival(bench.upstream_dispatch.now(), 0.1)
         bench.take("low", rank=0.1)
-        _, waiting = places(bench.upstream_dispatch.upstream)
+        _, waiting = call_limits(bench.upstream_dispatch.upstream)
         others = [bench.take(f"b{at}", rank=5.0) for at in range(waiting)]
-        assert await soon(others[0][1]) == NotExecuted(Why.FULL)
+        assert await soon(others[0][1]) == NotExecuted(RejectReason.FULL)
         bench.upstream.release.set()
-        for _ in range(places(bench.upstream_dispatch.upstream)[0]):
+        for _ in range(call_limits(bench.upstream_dispatch.upstream)[0]):
             await bench.runs()
         assert await bench.runs() == "low"
 
@@ -283,10 +287,10 @@
         await turns()
         assert not short.done()
         move(0.15)
-        assert await soon(short) == NotExecuted(Why.FULL)
+        assert await soon(short) == NotExecuted(RejectReason.FULL)
         assert not long.done() and len(bench.upstream_dispatch.queue) == 1
         move(2.5)
-        assert await soon(long) == NotExecuted(Why.FULL)
+        assert await soon(long) == NotExecuted(RejectReason.FULL)
         assert not bench.upstream.runs.keys() & {"short", "long"}
 
     behind(test, held)
@@ -298,10 +302,10 @@
         _, low = bench.take("low", rank=0.0, max_wait_ms=300.0, extended_wait_ms=900.0)
         _, high = bench.take("high", rank=2.0, max_wait_ms=300.0, extended_wait_ms=900.0)
         move(0.35)
-        assert await soon(low) == NotExecuted(Why.FULL)
+        assert await soon(low) == NotExecuted(RejectReason.FULL)
         assert not high.done()
         move(0.6)
-        assert await soon(high) == NotExecuted(Why.FULL)
+        assert await soon(high) == NotExecuted(RejectReason.FULL)
 
     behind(test, held)
 
@@ -324,7 +328,7 @@
         _, end = bench.take("late", remaining_ms=300.0, max_wait_ms=3000.0)
         move(0.4)
         bench.upstream.release.set()
-        assert await soon(end) == NotExecuted(Why.LATE)
+        assert await soon(end) == NotExecuted(RejectReason.LATE)
         assert "late" not in bench.upstream.runs
 
     behind(test, held)
@@ -400,24 +404,24 @@
 @example([("add", 0, 1, 1), ("drop", 0, 1, 0), ("add", 0, 1, 9), ("over", 0, 1, 5)], 4)  # one that comes back
 @example([("add", 0, 1, 5), ("over", 0, 1, 5)], 4)
 def test_the_line_agrees_with_a_plain_list(steps: list[tuple[str, int, int, int]], most: int) -> None:
-    line, plain = Line(), list[tuple[int, int, int, int]]()  # rank, number, call, until
+    line, plain = WaitQueue(), list[tuple[int, int, int, int]]()  # rank, number, call, until
     for number, (step, rank, call, instant) in enumerate(steps):
         if step == "add" and all(item[2] != call for item in plain):
             over = line.add(call, float(rank), float(instant), most)
             plain = sorted([*plain, (rank, number, call, instant)])
             assert over == (plain.pop(0)[2] if len(plain) > most else None)
         elif step == "next":
-            assert line.next() == (plain.pop()[2] if plain else None)
+            assert line.pop_next() == (plain.pop()[2] if plain else None)
         elif step == "drop":
-            assert line.drop(call) is any(item[2] == call for item in plain)
+            assert line.remove(call) is any(item[2] == call for item in plain)
             plain = [item for item in plain if item[2] != call]
         elif step == "over":
-            assert sorted(line.over(float(instant))) == sorted(
+            assert sorted(line.pop_expired(float(instant))) == sorted(
                 item[2] for item in plain if item[3] <= instant
             )
             plain = [item for item in plain if item[3] > instant]
         elif step == "end":
-            assert line.end() == min((item[3] for item in plain), default=None)
+            assert line.next_expiry() == min((item[3] for item in plain), default=None)
         assert len(line) == len(plain) <= most
     assert line.clear() == [item[2] for item in reversed(plain)]
-    assert len(line) == 0 and line.end() is None
+    assert len(line) == 0 and line.next_expiry() is None
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -12,8 +12,8 @@
 from msgspec.structs import replace
 
 from anisestair.http.frontend import EXIT_S, IDLE_S
-from mesh.admission.buffer_budget import LONG_SHARE, SHORT, Holding
-from mesh.admission.final_check import DRAIN_SHARE, Why
+from mesh.admission.buffer_budget import LONG_BODY_SHARE, SHORT_BODY_BYTES, BufferQuota
+from mesh.admission.final_check import DRAIN_SHARE, RejectReason
 from mesh.configuration.limits import HEAD_BESIDE, MOST_HEAD, InputLimits, read_limits
 from mesh.data_plane.call_messages import End, NotExecuted, UpstreamResponse
 from mesh.data_plane.shutdown import NOTICE_S
@@ -58,7 +58,7 @@
         assert answer.status == 200 and answer.body.endswith(body)
         there.take("input_limits", "input_limits", {**TOLD, "body_bytes": 8 << 20})
         assert (await client.ask("a2", "/read/ok", body=body)).status == 413
-        assert there.proxy.request_dispatcher.bodies.held == 0
+        assert there.proxy.request_dispatcher.bodies.held_bytes == 0
 
     beside(tmp_path, test)
 
@@ -68,27 +68,27 @@
 
 def test_a_body_that_memory_does_not_bear_is_503_before_it_is_read(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
-        bodies = there.proxy.request_dispatcher.bodies = Holding(2 * 1000, 900)
+        bodies = there.proxy.request_dispatcher.bodies = BufferQuota(2 * 1000, 900)
         held = await there.client()
         held.send("a1", "/read/hold", body=b"x" * 600)
-        assert (await soon(there.upstream.comes.get())).body == b"x" * 600 and bodies.held == 600
+        assert (await soon(there.upstream.comes.get())).body == b"x" * 600 and bodies.held_bytes == 600
         for size, status in (400, 200), (401, 503), (901, 503):
             client = await there.client()
             client.write(HEAD % (b"ok", b"a2", b"expect: 100-continue\r\ncontent-length: %d\r\n" % size))
             told = await soon(client._stream.readuntil(b"\r\n\r\n"))
             if status == 200:
-                assert told.startswith(b"HTTP/1.1 100") and bodies.held == 1000
+                assert told.startswith(b"HTTP/1.1 100") and bodies.held_bytes == 1000
                 client.write(b"x" * size)
                 answer = await client.read()
                 assert answer is not None and answer.status == 200
             else:
                 assert told.startswith(b"HTTP/1.1 503") and b"retry-after" in told
-            assert bodies.held == 600
+            assert bodies.held_bytes == 600
         client = await there.client()  # one that does not say its length, and finds no more room on its way
         assert (await client.ask("a3", "/read/ok", chunks=[b"x" * 300, b"x" * 101])).status == 503
         there.upstream.release.set()
         answer = await held.read()
-        assert answer is not None and answer.status == 200 and bodies.held == 0
+        assert answer is not None and answer.status == 200 and bodies.held_bytes == 0
         assert len(there.upstream.seen) == 2
 
     beside(tmp_path, test)
@@ -111,12 +111,12 @@
             client = await there.client()
             client.write(sent)
             if end == "leaves":
-                await until(lambda: bodies.held > 0)
+                await until(lambda: bodies.held_bytes > 0)
                 client.leave()
             else:
                 answer = await client.read()
                 assert answer is not None and answer.status == int(end), sent
-            await until(lambda: bodies.held == 0)
+            await until(lambda: bodies.held_bytes == 0)
 
     beside(tmp_path, test)
 
@@ -127,18 +127,18 @@
     async def test(there: Beside) -> None:
         there.take("input_limits", "input_limits", TOLD)
         heads = there.proxy.request_dispatcher.buffers.heads
-        heads.most = heads.longest = 40_000
+        heads.max_bytes = heads.max_message_bytes = 40_000
         held = await there.client()
         held.send("a1", "/read/hold", headers=[(b"x-own", b"x" * 25_000)])
         await soon(there.upstream.comes.get())
-        assert 20_000 < heads.held < 30_000
+        assert 20_000 < heads.held_bytes < 30_000
         other = await there.client()
         assert (await other.ask("a2", "/read/ok", headers=[(b"x-own", b"x" * 20_000)])).status == 503
         assert (await (await there.client()).ask("a3", "/read/ok", headers=[(b"x-own", b"x")])).status == 200
         there.upstream.release.set()
         answer = await held.read()
         assert answer is not None and answer.status == 200
-        await until(lambda: heads.held == 0)
+        await until(lambda: heads.held_bytes == 0)
 
     beside(tmp_path, test)
 
@@ -149,12 +149,12 @@
 ) -> None:
     async def test(there: Beside) -> None:
         answers = there.proxy.request_dispatcher.buffers.answers
-        answers.most = answers.longest = 50_000
+        answers.max_bytes = answers.max_message_bytes = 50_000
         client = await there.client()
         answer = await client.ask("a1", "/read/ok", body=b"x" * size)
-        assert answer.status == (502 if size > answers.most else 200)
+        assert answer.status == (502 if size > answers.max_bytes else 200)
         assert there.upstream.runs["a1"] >= 1
-        await until(lambda: answers.held == 0)
+        await until(lambda: answers.held_bytes == 0)
         assert (await client.ask("a2", "/read/ok")).status == 200
 
     beside(tmp_path, test)
@@ -166,29 +166,31 @@
         answers = there.proxy.request_dispatcher.buffers.answers
         client = await Client.to(there.outbound)
         client.send("a1", "/read/ok", body=b"x" * (9 << 20))
-        await until(lambda: len(there.upstream.seen) == 1 and answers.held > 1 << 20)
-        told = there.proxy.request_dispatcher.buffers.told()["answers"]
+        await until(lambda: len(there.upstream.seen) == 1 and answers.held_bytes > 1 << 20)
+        told = there.proxy.request_dispatcher.buffers.usage()["answers"]
         assert told["held_bytes"] == answers.memory <= told["most_bytes"]
         answer = await client.read()
         assert answer is not None and answer.status == 200
-        await until(lambda: answers.held == 0)
+        await until(lambda: answers.held_bytes == 0)
         client.send("a2", "/read/ok", body=b"x" * (9 << 20))
-        await until(lambda: len(there.upstream.seen) == 2 and answers.held > 1 << 20)
+        await until(lambda: len(there.upstream.seen) == 2 and answers.held_bytes > 1 << 20)
         client.leave()
-        await until(lambda: answers.held == 0)
+        await until(lambda: answers.held_bytes == 0)
 
     beside(tmp_path, test)
 
 
 def test_long_bodies_leave_room_for_short_ones() -> None:
-    bodies = Holding(2 * 16 * SHORT, 8 * SHORT)
-    assert not bodies.take(8 * SHORT + 1) and not bodies.take(1, before=8 * SHORT)
-    assert bodies.take(8 * SHORT) and bodies.take(4 * SHORT)
-    assert bodies.held == LONG_SHARE * bodies.most and not bodies.take(SHORT + 1)
-    assert not bodies.take(1, before=SHORT)
-    assert all(bodies.take(SHORT) for _ in range(4)) and not bodies.take(1)
-    bodies.give(bodies.held)
-    assert bodies.held == 0
+    bodies = BufferQuota(2 * 16 * SHORT_BODY_BYTES, 8 * SHORT_BODY_BYTES)
+    assert not bodies.acquire(8 * SHORT_BODY_BYTES + 1) and not bodies.acquire(1, before=8 * SHORT_BODY_BYTES)
+    assert bodies.acquire(8 * SHORT_BODY_BYTES) and bodies.acquire(4 * SHORT_BODY_BYTES)
+    assert bodies.held_bytes == LONG_BODY_SHARE * bodies.max_bytes and not bodies.acquire(
+        SHORT_BODY_BYTES + 1
+    )
+    assert not bodies.acquire(1, before=SHORT_BODY_BYTES)
+    assert all(bodies.acquire(SHORT_BODY_BYTES) for _ in range(4)) and not bodies.acquire(1)
+    bodies.release(bodies.held_bytes)
+    assert bodies.held_bytes == 0
 
 
 def test_no_connection_is_closed_idle_before_the_operators_time_and_each_is_after_it(
@@ -432,11 +434,11 @@
         assert await told(b"PUT", upstream.beat("decaying")) == 200  # again: the time counts from the first
         assert isinstance(await passes("b2"), UpstreamResponse)
         move(0.2 * DRAIN_SHARE * 2.0)
-        assert await passes("b3") == NotExecuted(Why.LEAVING)
+        assert await passes("b3") == NotExecuted(RejectReason.LEAVING)
         assert await told(b"DELETE") == 200 and await told(b"DELETE") == 200
-        assert await passes("b4") == NotExecuted(Why.DOWN)
+        assert await passes("b4") == NotExecuted(RejectReason.DOWN)
         assert await told(b"PUT", upstream.beat()) == 200  # late: that life is over
-        assert await passes("b5") == NotExecuted(Why.DOWN)
+        assert await passes("b5") == NotExecuted(RejectReason.DOWN)
 
     beside(tmp_path, test)
 
@@ -451,6 +453,6 @@
         proxy.registry.reconcile()
         ended: list[End] = []
         proxy.upstream_dispatch.accept(replace(passing("b1", "/read/ok"), instance="i-9"), ended.append)
-        assert ended == [NotExecuted(Why.LEAVING)]
+        assert ended == [NotExecuted(RejectReason.LEAVING)]
 
     beside(tmp_path, test)
--- a/tests/mesh/test_stages_frames.py
+++ b/tests/mesh/test_stages_frames.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from mesh.admission.final_check import Why
+from mesh.admission.final_check import RejectReason
 from mesh.data_plane.call_messages import (
     Call,
     NotExecuted,
@@ -140,6 +140,6 @@
 
 def test_a_turning_away_carries_the_newer_item() -> None:
     item = Item("route", "a", 8, {"x": 1}, "c1", 4)
-    for end in (NotExecuted(Why.OLD, newer_item=pack(item)), NotExecuted(Why.FULL)):
+    for end in (NotExecuted(RejectReason.OLD, newer_item=pack(item)), NotExecuted(RejectReason.FULL)):
         ((head, body),) = typed(frame(end_head(1, end)[0]), decode_from_second_hop)
         assert read_end(head, body) == end
--- a/tests/mesh/test_transport_frames.py
+++ b/tests/mesh/test_transport_frames.py
@@ -95,12 +95,12 @@
     def __init__(self, most: int) -> None:
         self.most, self.held = most, 0
 
-    def take(self, size: int) -> bool:
+    def acquire(self, size: int) -> bool:
         bears = self.held + size <= self.most
         self.held += size if bears else 0
         return bears
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         self.held -= size
 
 
