--- a/mesh/data_plane/call_messages.py
+++ b/mesh/data_plane/call_messages.py
@@ -106,8 +106,7 @@
 
 
 class GoAway(FrameHead, tag_field="t", tag="leaving"):
-    """The second hop is shutting down. It has accepted no call with a number above ``last`` over this link
-    and never will."""
+    """The second hop is shutting down. It accepts no call with a number above ``last`` over this link."""
 
     last: int
 
@@ -119,8 +118,7 @@
 
 
 class BodyPiece(FrameHead, tag_field="t", tag="piece"):
-    """The next bytes of a body in pieces, carried as the frame's body: of the call, or from the second hop of
-    the response."""
+    """The next bytes of the body of a call, or from the second hop of its response, as the frame's body."""
 
     number: int = msgspec.field(name="n")
 
@@ -146,8 +144,7 @@
 
 
 def _decode_unknown(text: bytes, error: msgspec.ValidationError) -> Any:
-    """What to ignore instead of the frame. Raises the error again if the frame is a known one and
-    malformed."""
+    """What to ignore instead of the frame. Raises the error again if the frame is a known one."""
     head = decode_object(text)
     if head.get("t") in KNOWN_TAGS:
         raise error
--- a/mesh/data_plane/call_state.py
+++ b/mesh/data_plane/call_state.py
@@ -95,7 +95,7 @@
 
 
 S, E, C = State, Event, ExecutionStatus
-UPSTREAM_RESPONSE, NOT_EXECUTED, NO_RESPONSE, PENDING = (
+RESPONSE, NOT_EXECUTED, NO_RESPONSE, PENDING = (
     "the upstream's",
     "503, or sent elsewhere",
     "502, 504",
@@ -126,14 +126,14 @@
                 (S.SENDING, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_finish"),
                 (S.SENDING, E.LINK_LOST, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_lose_call"),
                 (S.SENDING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, PEER_LINK + "drop"),
-                (S.SENT, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_finish"),
+                (S.SENT, E.ANSWER, S.ENDED, C.RAN, RESPONSE, PEER_LINK + "_finish"),
                 (S.SENT, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_finish"),
                 (S.SENT, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_finish"),
                 (S.SENT, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_lose_call"),
                 (S.SENT, E.GIVEN_UP, S.WITHDRAWN, C.MAY, NO_RESPONSE, PEER_LINK + "drop"),
                 (S.UNCLEAR, E.LINK_LOST, S.UNCLEAR, C.MAY, PENDING, PEER_LINK + "_lose_call"),
                 (S.UNCLEAR, E.PASSED, S.SENT, C.MAY, PENDING, PEER_LINK + "_on_frame"),
-                (S.UNCLEAR, E.ANSWER, S.ENDED, C.RAN, UPSTREAM_RESPONSE, PEER_LINK + "_finish"),
+                (S.UNCLEAR, E.ANSWER, S.ENDED, C.RAN, RESPONSE, PEER_LINK + "_finish"),
                 (S.UNCLEAR, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, PEER_LINK + "_finish"),
                 (S.UNCLEAR, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_finish"),
                 (S.UNCLEAR, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, PEER_LINK + "_end_unclear"),
@@ -154,23 +154,9 @@
                 (S.WAITING, E.GIVEN_UP, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
                 (S.WAITING, E.LINK_LOST, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
                 (S.WAITING, E.ASKED_BACK, S.WITHDRAWN, C.NEVER, NOT_EXECUTED, DISPATCH + "drop"),
-                (
-                    S.PASSED_ON,
-                    E.LINK_LOST,
-                    S.PASSED_ON,
-                    C.MAY,
-                    PENDING,
-                    INCOMING + "link_lost",
-                ),
-                (
-                    S.PASSED_ON,
-                    E.ASKED_BACK,
-                    S.PASSED_ON,
-                    C.MAY,
-                    PENDING,
-                    INCOMING + "_on_query",
-                ),
-                (S.PASSED_ON, E.ANSWER, S.ANSWERED, C.RAN, UPSTREAM_RESPONSE, DISPATCH + "_finish"),
+                (S.PASSED_ON, E.LINK_LOST, S.PASSED_ON, C.MAY, PENDING, INCOMING + "link_lost"),
+                (S.PASSED_ON, E.ASKED_BACK, S.PASSED_ON, C.MAY, PENDING, INCOMING + "_on_query"),
+                (S.PASSED_ON, E.ANSWER, S.ANSWERED, C.RAN, RESPONSE, DISPATCH + "_finish"),
                 (S.PASSED_ON, E.TURNED_AWAY, S.ENDED, C.NEVER, NOT_EXECUTED, DISPATCH + "_finish"),
                 (S.PASSED_ON, E.NO_ANSWER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_finish"),
                 (S.PASSED_ON, E.TIME_OVER, S.ENDED, C.MAY, NO_RESPONSE, DISPATCH + "_expire"),
@@ -180,7 +166,7 @@
                     E.ASKED_BACK,
                     S.ANSWERED,
                     C.RAN,
-                    UPSTREAM_RESPONSE,
+                    RESPONSE,
                     "admission/call_sessions.py:Session.ask",
                 ),
                 (
@@ -215,8 +201,8 @@
                     UPSTREAM_CONNECTIONS + "UpstreamConnectionPool.close_expired",
                 ),
                 (S.SENT, E.STRAY, S.SENT, C.MAY, PENDING, CONNECTION + "_process_responses"),
-                (S.SENT, E.ANSWER, S.IDLE, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_process_responses"),
-                (S.SENT, E.CROWDED, S.CLOSED, C.RAN, UPSTREAM_RESPONSE, CONNECTION + "_process_responses"),
+                (S.SENT, E.ANSWER, S.IDLE, C.RAN, RESPONSE, CONNECTION + "_process_responses"),
+                (S.SENT, E.CROWDED, S.CLOSED, C.RAN, RESPONSE, CONNECTION + "_process_responses"),
                 (S.SENT, E.NO_ANSWER, S.CLOSED, C.MAY, NO_RESPONSE, CONNECTION + "connection_lost"),
                 (S.SENT, E.GIVEN_UP, S.CLOSED, C.MAY, NO_RESPONSE, CONNECTION + "drop"),
             ),
@@ -313,17 +299,7 @@
 class OutgoingCall:
     """An attempt of the first hop that has not ended."""
 
-    __slots__ = (
-        "query_timer",
-        "call",
-        "on_end",
-        "peer_incarnation",
-        "link",
-        "number",
-        "dispatched",
-        "sent_s",
-        "state",
-    )
+    __slots__ = ("query_timer", "call", "on_end", "incarnation", "link", "number", "local", "sent_s", "state")
 
     def __init__(self, call: Call, on_end: Callable[[End], None]) -> None:
         self.call, self.on_end = call, on_end
@@ -331,16 +307,16 @@
         self.link: Any = None  # the `PeerLink` to the node
         self.number = 0
         self.sent_s = 0.0  # loop time in seconds when it was written; before that, when it was handed over
-        self.peer_incarnation: str | None = None  # incarnation of the second hop on the link that was lost
-        self.dispatched: Any = None  # the `DispatchedCall`, where the second hop is this process
+        self.incarnation: str | None = None  # incarnation of the second hop on the link that was lost
+        self.local: Any = None  # the `DispatchedCall`, where the second hop is this process
         self.query_timer: asyncio.TimerHandle | None = None  # ends the status query
 
     @property
     def may_have_started(self) -> bool:
         """Whether it may have reached the upstream, or may still reach it after this process stops
         waiting."""
-        if self.dispatched is not None:
-            return self.dispatched.state not in NOT_STARTED
+        if self.local is not None:
+            return self.local.state not in NOT_STARTED
         return self.state not in (CHOSEN, SENDING)
 
     def apply(self, event: Event) -> bool:
--- a/mesh/data_plane/call_trace.py
+++ b/mesh/data_plane/call_trace.py
@@ -35,7 +35,7 @@
     settings: Settings
     event_log: EventLog
     loop: asyncio.AbstractEventLoop
-    service_balancers: ServiceBalancers
+    balancers: ServiceBalancers
     upstream_dispatch: UpstreamDispatch
     peer_links: PeerLinks
     incoming_links: set[Link]
@@ -56,7 +56,7 @@
     def start(self) -> None:
         """Logs each call that ends from now on, and the bytes sent over links once a second."""
         proxy = self._proxy
-        proxy.service_balancers.traces.trace = self.first_hop
+        proxy.balancers.traces.trace = self.first_hop
         proxy.upstream_dispatch.traces.trace = self.second_hop
         proxy.client_listener.trace = self.response_sent
         self._count_bytes()
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -39,11 +39,11 @@
 class ReceivingCall:
     """A call whose body is being received in pieces. It is not dispatched before the body is complete."""
 
-    __slots__ = ("started_at", "call", "session_entry", "state")
+    __slots__ = ("started_at", "call", "entry", "state")
 
     def __init__(self, call: Call, entry: SessionCall[End] | None, started_at: float) -> None:
         """``started_at``: loop time in seconds when its frame arrived."""
-        self.call, self.session_entry, self.started_at = call, entry, started_at
+        self.call, self.entry, self.started_at = call, entry, started_at
         self.state = State.RECEIVING
 
     def apply(self, event: Event) -> None:
@@ -122,7 +122,7 @@
         """Handles the last piece of a call's body."""
         receiving = self._receiving.pop(number)
         receiving.apply(Event.WHOLE)
-        call, entry = receiving.call, receiving.session_entry
+        call, entry = receiving.call, receiving.entry
         call.body = body
         call.charge_wait((self._loop.time() - receiving.started_at) * 1000.0)
         if entry is not None:
@@ -143,7 +143,7 @@
             return
         self._running[number], dispatched.reservation = dispatched, reservation
         if entry is not None:
-            entry.run, dispatched.session_entry = (dispatched, self), entry
+            entry.run, dispatched.entry = (dispatched, self), entry
             entry.waiting = dispatched.state is State.WAITING
 
     def _finish(self, number: int, end: End, reservation: Reservation) -> None:
@@ -193,7 +193,7 @@
             return
         entry: SessionCall[End] | None
         if number in self._receiving:
-            entry = self._receiving[number].session_entry
+            entry = self._receiving[number].entry
             self._withdraw(number, Event.GIVEN_UP)
         else:
             dispatched = self._running.pop(number, None)
@@ -201,7 +201,7 @@
                 return
             self._link.owes -= 1
             self._drop(dispatched)
-            entry = dispatched.session_entry
+            entry = dispatched.entry
         if entry is not None and self._session is not None and self._sessions is not None:
             self._sessions.record_end(self._session, number, None, 0, self._loop.time())
 
@@ -248,7 +248,7 @@
         run; the first hop is told so and may send them elsewhere. Calls at the upstream continue while there
         is time."""
         for number in list(self._receiving):
-            entry = self._receiving[number].session_entry
+            entry = self._receiving[number].entry
             self._withdraw(number, Event.GIVEN_UP)
             self._link.owes += 1  # for the end that is sent now
             if entry is not None and self._session is not None and self._sessions is not None:
@@ -278,7 +278,7 @@
         self._transfer.close()
         lost_calls, self._running = self._running, {}
         for number, dispatched in lost_calls.items():
-            entry = dispatched.session_entry
+            entry = dispatched.entry
             if session is None or entry is None:
                 self._drop(dispatched)
             elif session.on_link_lost(number) is not None:
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -42,7 +42,7 @@
     """How it stands. Times in milliseconds; ``whole_ms``: since one that holds all that was acknowledged was
     last heard, null where none has been; ``control``: as `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
-    tables = list(proxy.service_balancers.by_service.items())[:MOST_SHOWN]
+    tables = list(proxy.balancers.by_service.items())[:MOST_SHOWN]
     proxy.channels.fresh(0.0)  # brings whole_at up to now
     whole_at = proxy.channels.whole_at
     return {
@@ -80,7 +80,7 @@
         "state": beat.state,
         "capacity": beat.capacity,
         "gone": upstream.gone,
-        "silent_ms": round(proxy.service_balancers.now() - upstream.heartbeat_at),
+        "silent_ms": round(proxy.balancers.now() - upstream.heartbeat_at),
         "running": len(proxy.upstream_dispatch.running),
         "waiting": len(proxy.upstream_dispatch.queue),
     }
@@ -91,7 +91,7 @@
 
 def upstreams(proxy: Proxy, service: str) -> Told | Refusal:
     """All of one service that it knows, and how each stands in its own picks."""
-    table = proxy.service_balancers.by_service.get(service)
+    table = proxy.balancers.by_service.get(service)
     known = dict(proxy.membership.of(service)[:MOST_SHOWN])
     if table is None and not known:
         return Refusal(f"service {service[:80]!r}: no upstream of it is known, and none was asked for here")
@@ -128,7 +128,7 @@
         "active": server.active,
         "held": server.inflight,
         "samples": server.samples,
-        "why": why(proxy.service_balancers.now(), server, server in balancer.working.set),
+        "why": why(proxy.balancers.now(), server, server in balancer.working.set),
     }
 
 
@@ -185,8 +185,8 @@
 
 def trace(proxy: Proxy, attempt: str) -> Told:
     """What is kept of calls with that id, on either hop; ``ago_ms`` tells when each began, from now."""
-    now = proxy.service_balancers.now()
-    first, second = proxy.service_balancers.traces, proxy.upstream_dispatch.traces
+    now = proxy.balancers.now()
+    first, second = proxy.balancers.traces, proxy.upstream_dispatch.traces
     told = [_first(now, one) for ring in (first.ordinary, first.notable) for one in ring if one[0] == attempt]
     told += [
         _second(now, one) for ring in (second.ordinary, second.notable) for one in ring if one[0] == attempt
@@ -283,7 +283,7 @@
 def answers(proxy: Proxy) -> Told:
     """How long upstreams' own answers below 500 took of late, in milliseconds from the request's arrival, by
     route and by service: how many are kept, the least and the median."""
-    rings = proxy.service_balancers.traces
+    rings = proxy.balancers.traces
     kept = [
         e for ring in (rings.ordinary, rings.notable) for e in ring if isinstance(e[9], int) and e[9] < 500
     ]
--- a/mesh/data_plane/keyed_balancer.py
+++ b/mesh/data_plane/keyed_balancer.py
@@ -62,22 +62,22 @@
 
     def _send_to_holder(self, now: float, request_id: str) -> list[api.Action]:
         """Sends the request to the holder of its key, or waits for one."""
-        open_request = self._open[request_id]
+        entry = self._open[request_id]
         holder = self._holder_of(request_id)
-        if holder and open_request.sends < MAX_SENDS:
+        if holder and entry.sends < MAX_SENDS:
             self._waiting.pop(request_id, None)
-            open_request.sends, open_request.in_flight = open_request.sends + 1, True
+            entry.sends, entry.in_flight = entry.sends + 1, True
             return [api.Send(request_id, holder, SEND_TIMEOUT_MS)]
-        return self._wait(now, request_id, open_request)
+        return self._wait(now, request_id, entry)
 
-    def _wait(self, now: float, request_id: str, open_request: _OpenRequest) -> list[api.Action]:
+    def _wait(self, now: float, request_id: str, entry: _OpenRequest) -> list[api.Action]:
         aim_ms = (
-            open_request.request_class.aim_ms
-            if open_request.request_class is not None
-            else open_request.deadline - open_request.started_ms
+            entry.request_class.aim_ms
+            if entry.request_class is not None
+            else entry.deadline - entry.started_ms
         )
-        wait_until = min(open_request.started_ms + MAX_WAIT_SHARE * aim_ms, open_request.deadline)
-        if now + HOLDER_POLL_MS > wait_until or open_request.sends >= MAX_SENDS:
+        wait_until = min(entry.started_ms + MAX_WAIT_SHARE * aim_ms, entry.deadline)
+        if now + HOLDER_POLL_MS > wait_until or entry.sends >= MAX_SENDS:
             self._forget(request_id)
             return [api.Refuse(request_id, RETRY_AFTER_MS)]
         self._waiting[request_id] = None
@@ -97,24 +97,17 @@
         return actions + (self._set_timer() if self._waiting else [])
 
     def _on_attempt_end(self, now: float, event: api.AttemptEnded) -> list[api.Action]:
-        open_request = self._open.get(event.request)
-        if open_request is None:
+        entry = self._open.get(event.request)
+        if entry is None:
             return []
-        open_request.in_flight = False
+        entry.in_flight = False
         if event.closed:
             self._forget(event.request)
             return []
         if event.outcome in NEVER_RAN:
-            return self._wait(now, event.request, open_request)
-        repeatable = (
-            open_request.request_class is not None and open_request.request_class.effect is Effect.SAFE
-        )
-        if (
-            repeatable
-            and event.outcome is not Outcome.TIMEOUT
-            and open_request.sends < 2
-            and now < open_request.deadline
-        ):
+            return self._wait(now, event.request, entry)
+        repeatable = entry.request_class is not None and entry.request_class.effect is Effect.SAFE
+        if repeatable and event.outcome is not Outcome.TIMEOUT and entry.sends < 2 and now < entry.deadline:
             return self._send_to_holder(now, event.request)
         self._forget(event.request)
         return [api.Fail(event.request)]
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -49,8 +49,7 @@
 MAX_CORE_ADDRESSES = 8  # control processes sent in the greeting
 IDLE = "idle"
 IDLE_S = 20.0  # a link without calls is closed after this time
-# After this many links in a row that connect and stay silent, the peer counts as a release that sends no
-# incarnation.
+# After this many silent links in a row the peer counts as a release that sends no incarnation.
 MAX_SILENT_LINKS = 3
 INCARNATION_WAIT_S = 0.1  # effectful calls wait this long for the first incarnation of a second hop
 REFUSED_S = 0.3  # a connect that fails sooner was refused or reset
@@ -222,8 +221,7 @@
             link.expects += 1  # its reply: a stopped process accepts connections but sends nothing
 
     def _on_connect_failed(self, took_s: float) -> None:
-        """Handles a failed connect. After two refused connects in a row nothing listens there, so that
-        incarnation has ended."""
+        """Handles a failed connect. Two refused connects in a row mean that the incarnation has ended."""
         self.refused_connects = self.refused_connects + 1 if took_s < REFUSED_S else 0
         if self.refused_connects == 1 and self.to_query:
             self.open()
@@ -320,8 +318,7 @@
         outgoing.on_end(end)
 
     def _stop_sending(self, outgoing: OutgoingCall) -> None:
-        """Stops the body even if all of it is written: a peer that rejected the call acknowledges none of
-        it."""
+        """Stops the body even if it is written: a peer that rejected the call does not acknowledge it."""
         if self.transfer is not None and len(outgoing.call.body) > PIECE_BYTES:
             self.transfer.cancel_sending(outgoing.number)
 
@@ -350,7 +347,7 @@
         link = self.link
         if link is None or not self.verified or outgoing.number not in self.to_query:
             return  # over the next link, or not at all
-        if outgoing.peer_incarnation != self.peer_incarnation:
+        if outgoing.incarnation != self.peer_incarnation:
             self._end_unclear(outgoing, "peer has another incarnation")
         elif self.to_query.pop(outgoing.number, None) is not None:
             self._await_end(outgoing)
@@ -402,9 +399,9 @@
 
     def _schedule_query(self, outgoing: OutgoingCall, why: str) -> None:
         """Queries a call over the next link if an answer can come in time; otherwise ends it as unclear."""
-        now, outgoing.peer_incarnation = self.context.loop.time(), self.peer_incarnation
+        now, outgoing.incarnation = self.context.loop.time(), self.peer_incarnation
         window_ms = query_window_ms(outgoing.call, (now - outgoing.sent_s) * 1000.0)
-        if self.retired or outgoing.peer_incarnation is None or window_ms <= 0.0:
+        if self.retired or outgoing.incarnation is None or window_ms <= 0.0:
             self._cancel_query_timer(outgoing)
             self.context.turns.take(partial(self._end_unclear, outgoing, why))
             return
@@ -440,8 +437,7 @@
             self.link.send(Drop(number=outgoing.number))
 
     def retire(self) -> None:
-        """Closes the link because the node has another address now or is gone. Open calls may have run;
-        waiting ones were not sent."""
+        """Closes the link of a node that has moved or is gone. Only open calls may have run."""
         self.retired = True
         waiting, self.waiting = self.waiting, []
         for outgoing in waiting:
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -50,7 +50,7 @@
         dropped."""
         outgoing = OutgoingCall(call, on_end)
         if node == self.node:
-            outgoing.dispatched = self.local.accept(call, on_end)
+            outgoing.local = self.local.accept(call, on_end)
             return outgoing
         link = self._links.get(node)
         if address is None:
@@ -70,8 +70,8 @@
 
     def drop(self, outgoing: OutgoingCall) -> None:
         """Cancels a call."""
-        if outgoing.dispatched is not None:
-            self.local.drop(outgoing.dispatched)
+        if outgoing.local is not None:
+            self.local.drop(outgoing.local)
         elif outgoing.link is not None:
             outgoing.link.drop(outgoing)
 
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -77,9 +77,7 @@
             Store(self.incarnation, MOST_CHARTER, decided=True),
             Store(self.incarnation, MOST_ROLL),
         )
-        self.reports = Store(
-            self.incarnation, 2
-        )  # what this sidecar says of itself; nobody else's comes here
+        self.reports = Store(self.incarnation, 2)  # this sidecar's own reports only
         self.membership, self.routes, self.tombs = Membership(), Routes(), Tombstones()
         self._dropped = Tombstones()  # of the charter
         bounds = settings.bounds
@@ -97,7 +95,7 @@
         self.peer_links.core = lambda: self.membership.controllers()
         self._heard_of: dict[str, Address] = {}  # control processes that other proxies told of
         self.sessions: CallSessions[End] = CallSessions(int(HELD_SHARE * settings.limits.memory_mb * 1e6))
-        self.service_balancers = ServiceBalancers(
+        self.balancers = ServiceBalancers(
             self.peer_links,
             self.membership,
             self.membership.node_of,
@@ -112,26 +110,21 @@
             self.reports,
             self.routes,
             self.membership,
-            lambda route: prepare(
-                route, settings.node, self.service_balancers, self.membership, self.peer_links
-            ),
+            lambda route: prepare(route, settings.node, self.balancers, self.membership, self.peer_links),
             lambda: self.channels,
             int(time.time() * 1000),
             event_log,
         )
         self.key_holds = self._make_key_holds()
-        self.service_balancers.on_request_end, self.service_balancers.on_newer_item = (
-            self.stages.ended,
-            self._renew,
-        )
+        self.balancers.on_request_end, self.balancers.on_newer_item = (self.stages.ended, self._renew)
         self.upstream_dispatch.find_newer_item = self.stages.newer
         self.request_dispatcher = RequestDispatcher(
-            self.service_balancers,
+            self.balancers,
             settings.plant,
             settings.limits.memory_mb,
             self.routes.find,
             self.configured,
-            lambda service: self.service_balancers.by_service[service].update_instances(
+            lambda service: self.balancers.by_service[service].update_instances(
                 self.membership.of(service), full=True
             ),
         )
@@ -141,7 +134,7 @@
             self.roll,
             self.membership,
             event_log,
-            self.service_balancers.now,
+            self.balancers.now,
             lambda items: self._changed("roll", items),
             self.key_holds.answer,
         )
@@ -189,7 +182,7 @@
             settings.plant,
             settings.bounds.hold_max_ms,
             settings.beat_period_ms,
-            self.service_balancers.keys,
+            self.balancers.keys,
             self.reports,
             int(time.time() * 1000),
             lambda: self.channels,
@@ -323,7 +316,7 @@
         else:
             self.tombs.note(self.loop.time(), items)
             for service, entries in self.membership.take(items).items():
-                table = self.service_balancers.by_service.get(service)
+                table = self.balancers.by_service.get(service)
                 if table is not None:
                     table.update_instances(entries)
             if any(item.kind == NODE for item in items):
@@ -331,7 +324,7 @@
                 for item in items:
                     if item.kind == NODE and item.value is None:
                         self.peer_links.forget(item.name)
-            self.service_balancers.set_fleet_size(self.membership.proxies(), self.membership.zones())
+            self.balancers.set_fleet_size(self.membership.proxies(), self.membership.zones())
         self.channels.poke()
 
     def _told(self, channel: Channel, head: Any) -> None:
@@ -344,14 +337,14 @@
         self.event_log.tell(events.REACHED if up else events.UNREACHED, peer=node)
         for instance in self.membership.at(node):
             value = self.membership.instances[instance]
-            table = self.service_balancers.by_service.get(str(value["plant"]))
+            table = self.balancers.by_service.get(str(value["plant"]))
             if table is not None:
                 table.update_instances([(instance, value)])
 
     def _configure(self, item: Item) -> None:
         if item.kind in (PLANT, OWNERSHIP):
             self.key_holds.take(item)
-            table = self.service_balancers.by_service.get(item.name)
+            table = self.balancers.by_service.get(item.name)
             if item.kind == PLANT and table is not None:
                 table.update_sharding()
         if item.kind == ROUTE:
@@ -394,7 +387,7 @@
     def retune(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, other bounds."""
         self.settings = settings
-        self.service_balancers.set_retry_budget(budget_of(settings.bounds))
+        self.balancers.set_retry_budget(budget_of(settings.bounds))
         self.upstream.drain_ms = settings.bounds.drain_ms
         self.client_listener.rest(rest_s(settings.bounds.grace_s))
         self.stages.tune(settings)
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -53,13 +53,7 @@
         fill: Callable[[str], None],
     ) -> None:
         """``known``: whether a configuration is here at all. ``fill`` tells a new table its instances."""
-        self.service_balancers, self.caller, self._find, self._known, self._fill = (
-            tables,
-            caller,
-            find,
-            known,
-            fill,
-        )
+        self.balancers, self.caller, self._find, self._known, self._fill = (tables, caller, find, known, fill)
         self.budget = Budget(memory_mb)
         self.buffers = BufferBudget(self.budget.total)
         self.bodies = self.buffers.bodies
@@ -70,7 +64,7 @@
         self._asks: dict[str, ClientRequest] = {}
 
     def now(self) -> float:
-        return self.service_balancers.now()
+        return self.balancers.now()
 
     @property
     def in_hand(self) -> int:
@@ -79,13 +73,13 @@
     def client_gone(self, request: str) -> None:
         ask = self._asks.pop(request, None)
         if ask is not None:
-            self.service_balancers.by_service[ask.service].client_gone(ask)
+            self.balancers.by_service[ask.service].client_gone(ask)
 
     def give_up(self) -> int:
         """The end of the process is here. What no upstream has, and none ever will, is refused, so that its
         client learns that; the rest has no answer. Gives how many those are."""
         for ask in list(self._asks.values()):
-            self.service_balancers.by_service[ask.service].abandon(ask)
+            self.balancers.by_service[ask.service].abandon(ask)
         return len(self._asks)
 
     def route_of(self, message: http.Message) -> Route | None:
@@ -127,10 +121,10 @@
     ) -> str | None:
         left = message.get(b"time-remaining")
         waits = min(float(left), route.horizon_ms) if left is not None else route.horizon_ms
-        service = pick(route, self.service_balancers.random_fraction())
-        key = read_key(message.get(KEY)) if self.service_balancers.keys.divided(service) else None
+        service = pick(route, self.balancers.random_fraction())
+        key = read_key(message.get(KEY)) if self.balancers.keys.divided(service) else None
         if key is not None:
-            self.service_balancers.keys.count(service, key)
+            self.balancers.keys.count(service, key)
         ask = ClientRequest(
             id=number,
             route=route,
@@ -147,7 +141,7 @@
             key=key,
         )
         self._asks[ask.id] = ask
-        table, new = self.service_balancers.get_or_create(service, route)
+        table, new = self.balancers.get_or_create(service, route)
         if new:
             self._fill(service)
         table.submit(ask)
--- a/mesh/data_plane/service_balancers.py
+++ b/mesh/data_plane/service_balancers.py
@@ -47,7 +47,7 @@
         self.context, self.service = context, service
         self.loop = context.loop
         self.budget = RetryBudget(context.retry_ratio, context.retry_window_ms, context.retry_slack)
-        # Denied retries that are already logged, and the time of that log event in ms.
+        # Denied retries already logged; time of that event in ms.
         self._denied_logged, self._denied_logged_at = 0, -math.inf
         self.classes = RouteClasses()
         self.classes.assign(route)
@@ -71,9 +71,8 @@
                 may_cancel=True,
                 max_retry_after_ms=MAX_RETRY_AFTER_MS,
             ),
-            # No reduced share for cold upstreams: the queue in front of one protects it from overload, its
-            # own response times show how slow it is, and after a loss of all upstreams there are only cold
-            # ones.
+            # No reduced share for cold upstreams: their queues protect them from overload, their response
+            # times show how slow they are, and after a loss of all upstreams there are only cold ones.
             rules=api.Rules(cold_ms=0.0),
             cross_zone_price=0.01 if context.multiple_zones else 0.0,
         )
--- a/mesh/data_plane/shutdown.py
+++ b/mesh/data_plane/shutdown.py
@@ -71,7 +71,7 @@
     event_log: EventLog
     upstream: Upstream
     registry: Registry
-    service_balancers: ServiceBalancers
+    balancers: ServiceBalancers
     client_listener: ClientListener
     request_dispatcher: RequestDispatcher
     upstream_dispatch: UpstreamDispatch
@@ -96,7 +96,7 @@
     async def run(self) -> None:
         """Returns when the process may exit."""
         proxy, times, began = self._proxy, self._times, self._loop.time()
-        proxy.registry.publish(proxy.upstream.shut_down(proxy.service_balancers.now()))
+        proxy.registry.publish(proxy.upstream.shut_down(proxy.balancers.now()))
         late = self._loop.call_later(times.last_request_s, self._refuse_requests)
         clients = self._loop.create_task(
             proxy.client_listener.stop(accept_s=times.notice_s, exit_s=times.exit_s)
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -199,8 +199,7 @@
         """Called several times a second."""
         channels = self._channels()
         self.contact.poll(
-            now,
-            any(one.complete and now - one.link.heard_at <= MAX_POLL_GAP_S for one in channels.open),
+            now, any(one.complete and now - one.link.heard_at <= MAX_POLL_GAP_S for one in channels.open)
         )
         if self._vector() != self._floor and not self.chamber.held and self._said is not None:
             self.changed()  # a vector may rise without an item
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -1,5 +1,4 @@
-"""Connections to the upstream beside this sidecar. Each carries one call at a time and is kept while that is
-safe.
+"""Connections to the upstream beside this sidecar: one call at a time on each, reused while that is safe.
 
 A connection is reused only after its response was complete, the only one, and with the call's id. A response
 with another id is a second response to an earlier call; it is ignored and the right one is waited for. Ids
@@ -68,8 +67,7 @@
 
 
 class ResponseReader(http.Reader):
-    """Reads complete responses from one connection. A response for which there is no memory is refused as
-    soon as its length is known."""
+    """Reads responses. One for which there is no memory is refused as soon as its length is known."""
 
     def __init__(self, memory: BufferQuota) -> None:
         """``memory`` limits what is read."""
@@ -148,8 +146,7 @@
         self._poll.register(sock.fileno(), select.POLLIN)
 
     def usable(self, now: float) -> bool:
-        """Whether the connection is still within its idle time and, as far as the kernel knows, has received
-        nothing."""
+        """Whether it is within its idle time and, as far as the kernel knows, has received nothing."""
         return (
             self._transport is not None
             and not self._transport.is_closing()
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -49,7 +49,7 @@
         "on_end",
         "expiry_timer",
         "reservation",
-        "session_entry",
+        "entry",
         "state",
         "task",
     )
@@ -58,7 +58,7 @@
         self.call, self.on_end, self.received_ms = call, on_end, received_ms
         self.started_ms = 0.0  # when it was passed on; 0: not yet
         self.state = READ
-        self.session_entry: SessionCall[End] | None = None  # kept by the session after its link is lost
+        self.entry: SessionCall[End] | None = None  # kept by the session after its link is lost
         self.reservation: Reservation | None = None  # memory for a body that came over a link
         self.connection: UpstreamConnection | None = None
         self.expiry_timer: asyncio.TimerHandle | None = None
@@ -158,8 +158,8 @@
 
     def _start(self, dispatched: DispatchedCall) -> None:
         dispatched.state = SECOND_HOP_TABLE[dispatched.state, PLACE]
-        if dispatched.session_entry is not None:
-            dispatched.session_entry.waiting = False
+        if dispatched.entry is not None:
+            dispatched.entry.waiting = False
         call, dispatched.started_ms = dispatched.call, self.now()
         call.remaining_ms -= dispatched.started_ms - dispatched.received_ms
         self.running.add(dispatched)
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -255,7 +255,7 @@
             one.headers, one.body, one.answered_at = headers, bytes(body), self.loop.time()
 
         def begin() -> None:
-            program.request_dispatcher.begin(program.service_balancers.now(), message, reply)
+            program.request_dispatcher.begin(program.balancers.now(), message, reply)
 
         machine.life.context.run(self.loop.call_soon, begin)  # type: ignore[union-attr]
 
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -72,7 +72,7 @@
         settings = read(file.read_text())
         assert isinstance(settings, Settings), settings
         self.proxy = Proxy(settings, EventLog(self.node, io.StringIO()))
-        self.proxy.service_balancers._random.seed(self.node)  # the same draws in each play of a plan
+        self.proxy.balancers._random.seed(self.node)  # the same draws in each play of a plan
         await self.proxy.start()
         self._watch()
         assert await self.upstream.tell((self.ip, ports[1])) == 200
--- a/simulation/mesh/key_troubles.py
+++ b/simulation/mesh/key_troubles.py
@@ -202,4 +202,4 @@
         for _, program in world.programs(core=False):
             for _ in range(int(per_s * 0.25)):
                 near = int(draw.paretovariate(0.6)) - 1
-                program.service_balancers.keys.count("p", (hot + near) % 65536)
+                program.balancers.keys.count("p", (hot + near) % 65536)
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -176,7 +176,7 @@
             called.status, called.over = status, float(self.env.now)
 
         def begin() -> None:
-            life.program.request_dispatcher.begin(life.program.service_balancers.now(), message, reply)
+            life.program.request_dispatcher.begin(life.program.balancers.now(), message, reply)
 
         self.loop.call_soon(begin, context=life.context)
 
--- a/tests/mesh/test_calls_table.py
+++ b/tests/mesh/test_calls_table.py
@@ -15,8 +15,8 @@
     FIRST_HOP_TABLE,
     NOT_EXECUTED,
     PENDING,
+    RESPONSE,
     SECOND_HOP_TABLE,
-    UPSTREAM_RESPONSE,
     Event,
     ExecutionStatus,
     Hop,
@@ -64,7 +64,7 @@
     for edge in EDGES:
         if edge.client_result == NOT_EXECUTED:
             assert edge.execution is ExecutionStatus.NEVER, edge
-        if edge.client_result == UPSTREAM_RESPONSE:
+        if edge.client_result == RESPONSE:
             assert edge.execution is ExecutionStatus.RAN, edge
         if edge.execution is ExecutionStatus.NEVER:
             assert edge.next_state in (State.ENDED, State.WITHDRAWN), edge
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -482,7 +482,7 @@
         proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is taken
         beat = read_heartbeat(upstream.instance, upstream.beat())
         assert isinstance(beat, Heartbeat)
-        proxy.upstream.on_heartbeat(proxy.service_balancers.now(), beat)
+        proxy.upstream.on_heartbeat(proxy.balancers.now(), beat)
         link = Link(lambda _: None, proxy._met, proxy._unmet)
         proxy._met(link, {"t": "hello", "node": "n2", "for": "calls"}, b"")
         for number in range(3):
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -63,7 +63,7 @@
 
 def test_the_calls_of_a_repeats_run_are_told_on_as_repeats_and_charged(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
-        proxy, sent = there.proxy, Sent(there.proxy.service_balancers)
+        proxy, sent = there.proxy, Sent(there.proxy.balancers)
         ended: list[object] = []
         repeat = replace(passing("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
         proxy.upstream_dispatch.accept(repeat, ended.append)
@@ -73,7 +73,7 @@
         assert (await client.ask("own", "/read/ok", left_ms=2000)).status == 200  # the upstream's own call
         assert (await client.ask("other", "/read/ok", left_ms=900)).status == 200
         assert [(call.attempt, call.repeat) for call in sent.calls] == [("own", True), ("other", False)]
-        budget = proxy.service_balancers.by_service["s"].budget
+        budget = proxy.balancers.by_service["s"].budget
         assert (budget.charged, budget.spent) == (1, 0)
 
         there.upstream.release.set()
--- a/tests/mesh/test_data_plane_rollouts.py
+++ b/tests/mesh/test_data_plane_rollouts.py
@@ -188,8 +188,8 @@
         assert (await client.ask("a1", "/read/ok")).status == 200
         bounds = replace(proxy.settings.bounds, retry_ratio=0.0, retry_slack=2.0, drain_ms=700.0)
         proxy.retune(replace(proxy.settings, bounds=bounds))
-        budget = proxy.service_balancers.by_service["s"].budget
-        assert [budget.try_spend(proxy.service_balancers.now(), 1) for _ in range(2)] == [True, False]
+        budget = proxy.balancers.by_service["s"].budget
+        assert [budget.try_spend(proxy.balancers.now(), 1) for _ in range(2)] == [True, False]
         assert proxy.upstream.drain_ms == 700.0
 
     beside(tmp_path, test)
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -54,10 +54,7 @@
 
 
 def tapped(
-    test: Callable[[Bench], Awaitable[None]],
-    ways: Sequence[str] = (),
-    most: int = 4,
-    keep_alive: str = "",
+    test: Callable[[Bench], Awaitable[None]], ways: Sequence[str] = (), most: int = 4, keep_alive: str = ""
 ) -> None:
     """``ways`` of the upstream, for one request after another; then "ok"."""
     left = list(ways)
--- a/tests/mesh/test_owners_world.py
+++ b/tests/mesh/test_owners_world.py
@@ -106,7 +106,7 @@
                 yield world.env.timeout(0.25)
                 for _, program in world.programs(core=False):
                     for _ in range(20):
-                        program.service_balancers.keys.count("p", int(2048 * draw.random()))
+                        program.balancers.keys.count("p", int(2048 * draw.random()))
 
         world.env.process(requests())
         yield world.env.timeout(14.0)
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -72,7 +72,7 @@
         sides = [world.machines[name] for name in ("s2", "s3", "s4", "s5")]
         for one in sides:
             one.program.peer_links.open_early("s1", ("10.0.1.1", 7660))
-            assert one.program.service_balancers.sidecars == 5
+            assert one.program.balancers.sidecars == 5
         yield world.env.timeout(1.0)
         world.power_off(world.machines["s1"])
         yield world.env.timeout(GONE_S - 1.0)
@@ -81,7 +81,7 @@
         assert world.know("s1") == set() and drops(world) == ["s1"]
         for one in sides:
             program = one.program
-            assert program.service_balancers.sidecars == 4 and "s1" not in program.peer_links._links
+            assert program.balancers.sidecars == 4 and "s1" not in program.peer_links._links
             assert program.membership.at("s1") == [] and program.membership.address("s1") is None
             assert not program.peer_links._retiring
         for core in world.controllers():
@@ -150,11 +150,11 @@
         life = one.life
         cut_off(world, "s1")
         yield world.env.timeout(GONE_S + LATE_S)
-        assert drops(world) == ["s1"] and other.program.service_balancers.sidecars == 4
+        assert drops(world) == ["s1"] and other.program.balancers.sidecars == 4
         world.heal()
         yield world.env.timeout(3.0)
         assert one.life is life and world.know("s1") == world.running()
-        assert other.program.service_balancers.sidecars == 5
+        assert other.program.balancers.sidecars == 5
         assert world.machines["c1"].program.reports.items[REPORT, "s1"].value is not None
         served = yield from serves(world, other, one)
         assert served
