--- a/tests/mesh/test_call_model.py
+++ b/tests/mesh/test_call_model.py
@@ -1,4 +1,5 @@
-"""Calls explored whole in the small: nothing breaks in any order of events, and seeded faults are found."""
+"""Exhaustive exploration of small call models: no order of events breaks a property, and seeded faults are
+found."""
 
 from __future__ import annotations
 
@@ -28,7 +29,7 @@
     assert report.states > 1000
 
 
-# Seeded faults, each with the size in which it shows and the properties that it may break
+# Seeded faults, each with the model size in which it shows and the properties that it may break
 
 
 def takes_whatever_comes(patch: Patch) -> None:
@@ -136,7 +137,7 @@
 
 
 def an_end_ends_twice(patch: Patch) -> None:
-    """What is passed on is placed once more when it is asked back."""
+    """A call at the upstream is dispatched once more when it is queried."""
     changed = {**table.SECOND_HOP_TABLE, (State.PASSED_ON, Event.PLACE): State.PASSED_ON}
     patch.setattr(table, "SECOND_HOP_TABLE", changed)
     real = World.asked
--- a/tests/mesh/test_call_world.py
+++ b/tests/mesh/test_call_world.py
@@ -1,4 +1,5 @@
-"""Calls over the shipped sidecars in virtual time, with troubles at drawn and at every numbered frame."""
+"""Calls over the shipped sidecars in virtual time, with faults at drawn frames and at every numbered
+frame."""
 
 from __future__ import annotations
 
@@ -34,7 +35,7 @@
 
 
 class At(CallWorld):
-    """One trouble, at one frame."""
+    """One fault, at one frame."""
 
     def __init__(self, number: int, trouble: str) -> None:
         super().__init__(7)
@@ -53,7 +54,7 @@
 
 
 class AllLost(CallWorld):
-    """All sidecars are killed in one moment, and started again."""
+    """All sidecars are killed at once and restarted."""
 
     def play(self, world: World) -> Script:
         yield from self.boot_sides()
@@ -81,7 +82,7 @@
     assert world.played() == []
     half = len(world.asked) // 2
     assert [one.got for one in world.asked[half:]] == [[200]] * half
-    assert any(not one.got for one in world.asked[:half])  # they were lost while calls were out
+    assert any(not one.got for one in world.asked[:half])  # they were lost with open calls
 
 
 def test_a_play_is_the_same_each_time() -> None:
@@ -94,13 +95,13 @@
 
 
 def test_a_program_that_does_not_ask_back_breaks_nothing_either() -> None:
-    kinds = [kind for kind in TROUBLES if kind != "doubled"]  # no connection does that: see the next test
+    kinds = [kind for kind in TROUBLES if kind != "doubled"]  # impossible: see the next test
     for seed in range(30_000, 30_020):
         assert CallWorld(seed, asks_back=False, kinds=kinds).played() == [], seed
 
 
 def test_a_second_copy_of_a_frame_runs_twice_where_no_life_is_told() -> None:
-    """The judge sees it; with a life the numbers keep it out, as the drawn plays show."""
+    """The judge detects it. With an incarnation the numbers prevent it, as the drawn plays show."""
     for seed in range(200):
         if any(
             line.startswith("twice") for line in CallWorld(seed, False, ["doubled", "reset after"]).played()
@@ -109,7 +110,7 @@
     raise AssertionError("not seen in 200 plays")
 
 
-# Seeded faults in the shipped code, each with the words by which it is found
+# Seeded faults in the shipped code, each with the text by which it is found
 
 
 def takes_whatever_comes(patch: Patch) -> None:
--- a/tests/mesh/test_calls_table.py
+++ b/tests/mesh/test_calls_table.py
@@ -1,4 +1,4 @@
-"""The table of a call's life: the page has it as the code has it, its keepers are there, and it is sound."""
+"""The state table of a call: the design page has the same rows, its handlers exist, and it is sound."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def test_what_may_have_run_is_never_again_what_has_not() -> None:
-    """Other than by the second hop's or the upstream's own word that it has not and never will."""
+    """Except by an explicit guarantee of the second hop or of the upstream."""
     for edge in EDGES:
         if (
             edge.hop is Hop.FIRST
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -1,5 +1,5 @@
-"""Long bodies over links: in pieces where both ends take them, whole with an earlier release; and what is
-told of a call when the link, the other hop or the client is lost midway."""
+"""Long bodies over links: in pieces if both ends support them, whole with an earlier release; and how a call
+ends when the link, the other hop or the client is lost midway."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 from msgspec.structs import replace
-from test_data_plane_lost import NOT_RUN, SERVED, Bench, Far, call, kind_of
+from test_data_plane_lost import NOT_RUN, SERVED, Bench, RemotePeer, call, kind_of
 from test_data_plane_lost import over as over_earlier
 
 from mesh.admission.buffer_budget import LONG_BODY_SHARE, BufferQuota
@@ -26,18 +26,18 @@
 
 LONG = bytes(range(256)) * (20 * WINDOW_BYTES // 256)
 ROOM = 256 * 1024 * 1024
-Test = Callable[[Bench, Far], Awaitable[None]]
+Test = Callable[[Bench, RemotePeer], Awaitable[None]]
 
 
-def give_room(bench: Bench, far: Far) -> None:
+def give_room(bench: Bench, far: RemotePeer) -> None:
     for hop in bench.peer_links.local, far.second:
         hop.bodies, hop.answers, hop.frames = (BufferQuota(ROOM, ROOM) for _ in range(3))
 
 
 def over(test: Test) -> None:
-    """Between two ends that take bodies in pieces, with much memory."""
+    """Runs a test between two ends that support bodies in pieces and have much memory."""
 
-    async def run(bench: Bench, far: Far) -> None:
+    async def run(bench: Bench, far: RemotePeer) -> None:
         far.window = WINDOW_BYTES
         give_room(bench, far)
         await bench.known(far)
@@ -52,8 +52,8 @@
     return replace(call(attempt, effectful), body=body, remaining_ms=60_000.0)
 
 
-async def midway(far: Far) -> IncomingCalls:
-    """The second hop has some of a call's body, and not all; it reads no more for now."""
+async def midway(far: RemotePeer) -> IncomingCalls:
+    """The second hop has received a part of a call's body and reads no more for now."""
     await until(lambda: any(isinstance(head, BodyPiece) for head in far.heads))
     far.deaf = True
     incoming = far.links[-1].peer
@@ -68,7 +68,7 @@
 
 
 async def served(
-    bench: Bench, far: Far, body: bytes = LONG, answer: bytes = LONG
+    bench: Bench, far: RemotePeer, body: bytes = LONG, answer: bytes = LONG
 ) -> tuple[OutgoingCall, End]:
     out, end = bench.send(far, long_call("a1", body=body))
     before = len(far.second.taken)
@@ -79,7 +79,7 @@
 
 
 def test_a_long_body_and_its_long_answer_cross_the_link_in_pieces_unchanged() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         _, end = await served(bench, far)
         assert end == dataclasses.replace(SERVED, body=LONG)
         pieces = [head for head in far.heads if isinstance(head, BodyPiece)]
@@ -92,7 +92,7 @@
 
 
 def test_a_body_beyond_one_frame_ends_no_link() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         body = bytes(MOST + 1)
         _, end = await served(bench, far, body, body)
         assert end == dataclasses.replace(SERVED, body=body) and len(far.links) == 1
@@ -101,7 +101,7 @@
 
 
 def test_a_short_call_passes_a_long_body_that_is_on_its_way() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         bench.send(far, long_call("long", body=LONG * 4))
         _, end = bench.send(far, call("short"))
         await until(lambda: len(far.second.taken) == 2)
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("effectful", [True, False])
 def test_a_link_that_is_reset_midway_leaves_a_call_that_never_runs(effectful: bool) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send(far, long_call("a1", effectful))
         await midway(far)
         assert out.state is State.SENDING
@@ -132,8 +132,8 @@
 
 
 def test_what_had_left_whole_is_asked_after_and_barred_though_its_last_pieces_come_late() -> None:
-    async def test(bench: Bench, far: Far) -> None:
-        body = bytes(WINDOW_BYTES)  # all of it may leave before anything is confirmed
+    async def test(bench: Bench, far: RemotePeer) -> None:
+        body = bytes(WINDOW_BYTES)  # all of it may be sent before anything is acknowledged
         out, end = bench.send(far, long_call("a1", body=body))
         incoming = await midway(far)
         await until(lambda: out.state is State.SENT and len(far.unread) > 0)
@@ -151,7 +151,7 @@
 
 
 def test_what_is_asked_after_over_another_link_while_it_still_comes_over_a_silent_one_never_runs() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         bench.send(far, long_call("a1", body=bytes(WINDOW_BYTES)))
         incoming = await midway(far)
         await turns()
@@ -168,7 +168,7 @@
 
 
 def test_a_second_hop_that_ends_midway_never_ran_the_call() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         _, end = bench.send(far, long_call("a1"))
         await midway(far)
         far.close()
@@ -179,7 +179,7 @@
 
 
 def test_a_client_that_goes_away_midway_stops_the_rest_and_nothing_runs() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send(far, long_call("a1"))
         await midway(far)
         bench.peer_links.drop(out)
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("effectful", [True, False])
 def test_an_answer_whose_link_is_reset_midway_is_told_again_whole_or_not_at_all(effectful: bool) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.sessions._max_bytes = 2 * len(LONG)
         _, end = bench.send(far, long_call("a1", effectful, b"x"))
         await until(lambda: len(far.second.taken) == 2)
@@ -211,7 +211,7 @@
 
 
 def test_a_client_that_goes_away_midway_of_its_answer_gives_its_memory_back() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send(far, long_call("a1", body=b"x"))
         await until(lambda: len(far.second.taken) == 2)
         far.second.end(1, dataclasses.replace(SERVED, body=LONG * 4))
@@ -227,7 +227,7 @@
 
 
 def test_an_answer_that_the_first_hops_memory_does_not_bear_may_have_run_and_is_stopped() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         bench.peer_links.local.answers = BufferQuota(2 * PIECE_BYTES, PIECE_BYTES)
         for size in (2 * PIECE_BYTES, PIECE_BYTES):  # in pieces, and in one frame
             _, end = bench.send(far, long_call(f"a{size}", body=b"x"))
@@ -244,7 +244,7 @@
 
 
 def test_of_five_hundred_bodies_at_once_memory_takes_some_and_the_others_never_run() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         size, fit = 3 * PIECE_BYTES, 20
         far.second.bodies = BufferQuota(int(fit * size / LONG_BODY_SHARE) + 1, size, copies=1)
         sent = [bench.send(far, long_call(f"a{at}", body=bytes(size))) for at in range(500)]
@@ -262,7 +262,7 @@
 
 
 def test_what_was_turned_away_when_all_of_it_was_written_takes_nothing_of_the_window() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         bodies, far.second.bodies = far.second.bodies, BufferQuota(0, 0)
         for at in range(3):
             out, end = bench.send(far, long_call(f"a{at}", body=bytes(WINDOW_BYTES)))
@@ -275,7 +275,7 @@
 
 
 def test_an_earlier_release_at_the_second_hop_gets_whole_frames_and_none_that_ends_its_link() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         give_room(bench, far)
         await bench.known(far)
         _, end = await served(bench, far)
@@ -289,7 +289,7 @@
 
 
 def test_an_earlier_release_at_the_first_hop_gets_no_answer_that_ends_its_link() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         give_room(bench, far)
         await bench.known(far)
         _, end = await served(bench, far, b"x", bytes(MOST + 1))
@@ -299,7 +299,7 @@
 
 
 def test_a_whole_frame_that_memory_does_not_bear_is_turned_away_and_its_link_stays() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         give_room(bench, far)
         await bench.known(far)
         far.links[0]._frames._room = BufferQuota(len(LONG), len(LONG))  # its copies leave half of that
@@ -314,7 +314,7 @@
 
 
 def test_a_long_body_waits_until_the_other_end_has_said_what_it_takes() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.window = WINDOW_BYTES
         far.second.bodies = BufferQuota(ROOM, ROOM)
         bench.send(far, long_call("a1", effectful=False))
@@ -325,7 +325,7 @@
 
 
 def test_a_life_that_comes_late_is_heard_all_the_same() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.window, far.deaf = WINDOW_BYTES, True
         give_room(bench, far)
         _, end = bench.send(far, call("a1", effectful=False))
@@ -345,7 +345,7 @@
 
 
 def test_a_piece_beyond_the_window_ends_the_link() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         bench.send(far, long_call("a1"))
         incoming = await midway(far)
         (number,) = incoming._receiving
--- a/tests/mesh/test_data_plane_keyed_balancer.py
+++ b/tests/mesh/test_data_plane_keyed_balancer.py
@@ -1,4 +1,5 @@
-"""The decisions for a divided service: one candidate, bounded waits, nothing sent twice that may have run."""
+"""The balancer of a sharded service: one candidate, bounded waits, and no retry of a call that may have
+run."""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 
 
 class Bench:
-    """``holder`` is whoever holds all keys now."""
+    """``holder`` is the upstream that holds all keys now."""
 
     def __init__(self, holder: str = "i-1") -> None:
         self.now, self.holder = 0.0, holder
@@ -32,7 +33,7 @@
         return self.tell(api.AttemptEnded("r", 0, outcome, 1.0, closed))
 
     def looks(self) -> list[Any]:
-        """One look after the other until something but a look is to be done."""
+        """Polls for the holder until there is an action other than the next poll."""
         while True:
             self.now += HOLDER_POLL_MS
             actions = [one for one in self.tell(api.Timer(0)) if not isinstance(one, api.SetTimer)]
@@ -45,7 +46,7 @@
     (send,) = bench.ask()
     assert send == api.Send("r", "i-1", send.timeout_ms)
     assert bench.ended(Outcome.OK, closed=True) == []
-    assert bench.ended(Outcome.OK, closed=True) == []  # nobody's any more
+    assert bench.ended(Outcome.OK, closed=True) == []  # the request has finished
 
 
 def test_a_key_in_motion_is_waited_for_and_then_refused_with_a_time_to_come_back() -> None:
@@ -73,7 +74,7 @@
         bench.now += 0.1
         actions = bench.ended(Outcome.FULL)
         if not any(isinstance(one, api.Refuse) for one in actions):
-            bench.now = 0.0  # its patience never ends here: the number of its sends does
+            bench.now = 0.0  # its wait never ends here; the number of its sends is the limit
             actions = [one for one in bench.tell(api.Timer(0)) if not isinstance(one, api.SetTimer)]
         if isinstance(actions[0], api.Refuse):
             break
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -1,4 +1,4 @@
-"""A link is lost with effectful calls out: asked back, barred, answered late, given up in time."""
+"""A link is lost with effectful calls open: they are queried, barred, answered late, or given up in time."""
 
 from __future__ import annotations
 
@@ -49,17 +49,17 @@
 
 
 def kind_of(head: Any) -> str:
-    """A frame's kind; a typed one has it as its tag."""
+    """The tag of a frame, decoded or not."""
     return str(head["t"] if isinstance(head, dict) else type(head).__struct_config__.tag)
 
 
-class Second(UpstreamDispatch):
-    """A second hop that passes on and answers when the test says so."""
+class StubDispatch(UpstreamDispatch):
+    """A second hop that dispatches and responds when the test says so."""
 
     def __init__(self) -> None:
         self.taken: list[DispatchedCall] = []
         self.dropped: list[str] = []
-        self.lines = False  # calls wait
+        self.lines = False  # calls are queued
         self.bodies = BufferQuota(4096, 1024)
         self.answers = self.frames = BufferQuota(1 << 20, 1 << 20)
 
@@ -79,13 +79,14 @@
         running.on_end(end)
 
 
-class Far:
-    """The process beside another upstream. While it is ``deaf`` frames stay unread; ``old``: from before
-    there was asking back. It takes no bodies in pieces unless ``window`` says so, as an earlier release."""
+class RemotePeer:
+    """The process beside another upstream. While it is ``deaf`` frames stay unread; ``old``: a release
+    without status queries. It accepts no bodies in pieces unless ``window`` is set, like an earlier
+    release."""
 
     def __init__(self) -> None:
         self.window = 0
-        self.second = Second()
+        self.second = StubDispatch()
         self.sessions: CallSessions[End] = CallSessions(1000)
         self.life, self.old, self.deaf = "s1", False, False
         self.links: list[Link] = []
@@ -119,7 +120,7 @@
             link.peer.link_lost()
 
     def hear(self) -> None:
-        """What has stood unread is read."""
+        """Reads the frames that have stayed unread."""
         self.deaf = False
         unread, self.unread = self.unread, []
         for one in unread:
@@ -134,22 +135,24 @@
 class Bench:
     def __init__(self) -> None:
         self.log = io.StringIO()
-        self.peer_links = PeerLinks("here", Second(), EventLog("t", self.log), lambda node, up: None, "f1")
+        self.peer_links = PeerLinks(
+            "here", StubDispatch(), EventLog("t", self.log), lambda node, up: None, "f1"
+        )
 
-    def send(self, far: Far, call: Call) -> tuple[OutgoingCall, asyncio.Future[End]]:
-        end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # one end, or it raises
+    def send(self, far: RemotePeer, call: Call) -> tuple[OutgoingCall, asyncio.Future[End]]:
+        end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # a second end raises
         return self.peer_links.send(call, "there", far.address, end.set_result), end
 
-    async def known(self, far: Far) -> None:
-        """There is a link, and the far end has told its life."""
+    async def known(self, far: RemotePeer) -> None:
+        """Opens a link and waits for the remote incarnation."""
         _, end = self.send(far, call("warm", effectful=False))
         await until(lambda: len(far.second.taken) == 1)
         far.second.end(0, SERVED)
         assert await soon(end) == SERVED
         move(1.0)
 
-    async def runs(self, seconds: float, far: Far | None = None) -> None:
-        """Looks at the links as often as the programs do; of ``far`` too, where it is given."""
+    async def runs(self, seconds: float, far: RemotePeer | None = None) -> None:
+        """Ticks the links at the interval of the programs, also those of ``far`` if it is given."""
         for _ in range(int(seconds / TICK_S) + 1):
             move(TICK_S)
             for link in far.links if far is not None else []:
@@ -159,9 +162,9 @@
             await turns()
 
 
-def over(test: Callable[[Bench, Far], Awaitable[None]]) -> None:
+def over(test: Callable[[Bench, RemotePeer], Awaitable[None]]) -> None:
     async def run() -> None:
-        far, bench = Far(), Bench()
+        far, bench = RemotePeer(), Bench()
         await far.start()
         try:
             await test(bench, far)
@@ -174,7 +177,7 @@
 
 
 def test_what_had_not_come_is_barred_and_its_late_copy_does_not_run() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         far.deaf = True
         _, end = bench.send(far, call("a1"))
@@ -191,7 +194,7 @@
 
 
 def test_what_waits_is_withdrawn_whichever_comes_first() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         far.second.lines = True
         _, end = bench.send(far, call("a1"))
@@ -205,14 +208,14 @@
 
 @pytest.mark.parametrize("when", ["before it is asked for", "after"])
 def test_what_was_passed_on_is_answered_over_the_next_link(when: str) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
         if when == "after":
             far.links[0].close("reset")
             await until(lambda: "ask" in [kind_of(head) for head in far.heads])
-            await bench.runs(0.8, far)  # it is known to run: no haste any more
+            await bench.runs(0.8, far)  # it is known to run: no timeout any more
             assert not end.done()
         else:
             far.deaf = True
@@ -229,7 +232,7 @@
 
 
 def test_an_end_that_was_lost_with_its_link_is_told_again() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -241,7 +244,7 @@
 
 
 def test_another_life_does_not_know() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -254,7 +257,7 @@
 
 
 def test_what_may_be_repeated_is_not_asked_for() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1", effectful=False))
         await until(lambda: len(far.second.taken) == 2)
@@ -267,7 +270,7 @@
 
 @pytest.mark.parametrize(("waited_ms", "least", "most"), [(0.0, 0.4, 0.45), (390.0, 0.1, 0.15)])
 def test_no_answer_in_what_the_aim_leaves_is_unclear(waited_ms: float, least: float, most: float) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -289,7 +292,7 @@
 
 
 def test_a_program_that_tells_no_life_is_not_asked() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.old = True
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
@@ -303,7 +306,7 @@
 
 
 def test_one_that_says_nothing_is_not_reached_and_after_some_links_taken_for_an_older_program() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         far.old = True
         far.links[0].close("replaced")
@@ -320,10 +323,10 @@
 
 
 def test_what_is_effectful_waits_for_the_life_that_could_be_asked() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.deaf = True
         ends = [bench.send(far, call(name, effectful=name == "write"))[1] for name in ("write", "read")]
-        await until(lambda: len(far.unread) == 2)  # the hello and what may be repeated
+        await until(lambda: len(far.unread) == 2)  # the greeting and the idempotent call
         await turns()
         assert [head.get("a") for _, head, _ in far.unread] == [None, "read"]
         far.hear()
@@ -336,7 +339,7 @@
 
 
 def test_an_older_program_is_waited_for_a_moment_only() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.old = True
         _, end = bench.send(far, call("write"))
         await until(lambda: bench.peer_links._links["there"].verified)
@@ -351,13 +354,13 @@
 
 
 def test_who_waits_for_a_life_longer_than_for_a_link_leaves_the_node_reached() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.old = True
         _, end = bench.send(far, call("write"))
         await until(lambda: bench.peer_links._links["there"].verified)
         bench.peer_links._links[
             "there"
-        ]._reject_waiting()  # the time for a link is over, that for its life is not
+        ]._reject_waiting()  # the wait for a link is over, that for the incarnation is not
         assert not end.done() and bench.peer_links.reaches("there")
         move(INCARNATION_WAIT_S)
         await until(lambda: len(far.second.taken) == 1)
@@ -366,7 +369,7 @@
 
 
 def test_who_waits_for_a_life_on_a_link_that_is_lost_has_not_left() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.deaf = True
         _, end = bench.send(far, call("write"))
         await until(lambda: bench.peer_links._links["there"].verified)
@@ -377,7 +380,7 @@
 
 
 def test_where_nobody_listens_any_more_nothing_is_waited_for() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1", aim_ms=800.0))
         await until(lambda: len(far.second.taken) == 2)
@@ -390,7 +393,7 @@
 
 
 def test_a_link_that_is_lost_again_is_asked_over_the_next() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1", aim_ms=5000.0))
         await until(lambda: len(far.second.taken) == 2)
@@ -406,7 +409,7 @@
 
 
 def test_a_call_that_is_given_up_while_it_is_asked_for_has_no_end() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -421,7 +424,7 @@
 
 
 def test_second_tries_after_a_loss_of_all_links_come_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         ends = [bench.send(far, call(f"a{at}", effectful=False))[1] for at in range(3 * AT_ONCE)]
         await until(lambda: len(far.second.taken) == 1 + len(ends))
@@ -440,7 +443,7 @@
 
 
 def test_a_second_copy_of_a_call_is_not_taken() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -455,7 +458,7 @@
 
 
 def test_two_calls_with_one_id_have_each_its_own_answer() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         ends = [bench.send(far, call("same"))[1] for _ in range(2)]
         await until(lambda: len(far.second.taken) == 3)
@@ -471,7 +474,7 @@
 
 
 def test_an_unreadable_end_leaves_its_call_to_be_asked_for() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -486,15 +489,15 @@
 
 @pytest.mark.parametrize("others", [0, 40, 120])
 def test_a_question_does_not_wait_behind_second_tries(others: int) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         far.deaf = True
         for at in range(others):
             bench.send(far, call(f"r{at}", effectful=False))
         _, end = bench.send(far, call("pay", aim_ms=400.0))
         await until(lambda: len(far.unread) == others + 1)
-        move(SILENT_S)  # its aim is over: a quarter of it is left to ask in
-        far.unread.clear()  # the calls never came to be read
+        move(SILENT_S)  # the aim is over: a quarter of it is left for queries
+        far.unread.clear()  # the calls are never read
         far.deaf = False
         bench.peer_links._links["there"].link.close("silent")
         for _ in range(200):
@@ -511,12 +514,12 @@
     over(test)
 
 
-# The second hop ends in order
+# Shutdown of the second hop
 
 
 @pytest.mark.parametrize("effectful", [True, False])
 def test_what_an_ending_second_hop_had_not_read_has_not_run_and_may_go_elsewhere(effectful: bool) -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, taken = bench.send(far, call("a1", effectful))
         await until(lambda: len(far.second.taken) == 2)
@@ -529,8 +532,8 @@
         assert not bench.peer_links.reaches("there")
         far.hear()  # the late copy
         assert [running.call.attempt for running in far.second.taken] == ["warm", "a1"]
-        await until(lambda: not link.up)  # the first hop has read the word, and closes
-        if effectful:  # asked after over the next link, as its end may still come
+        await until(lambda: not link.up)  # the first hop has read GoAway, and closes the link
+        if effectful:  # queried over the next link, as its end may still come
             await bench.runs(0.1, far)
             far.second.end(1, SERVED)
             assert await soon(taken) == SERVED
@@ -541,7 +544,7 @@
 
 
 def test_what_is_sent_again_at_once_is_not_written_to_the_one_that_ends() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         far.deaf = True
         again: asyncio.Future[End] = asyncio.get_running_loop().create_future()
@@ -560,9 +563,9 @@
 
 
 def test_a_call_of_an_earlier_link_is_not_taken_for_one_that_never_came() -> None:
-    """Its number says nothing of what came over the link that it is asked after on."""
+    """The call's number says nothing about the link over which it is queried."""
 
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
         await until(lambda: len(far.second.taken) == 2)
@@ -570,7 +573,7 @@
         far.links[0].close("reset")
         await until(lambda: len(far.unread) == 1)  # the greeting
         far.links[-1].send(GreetingReply(incarnation="s1"))
-        await until(lambda: out.number in bench.peer_links._links["there"].open_calls)  # it is asked after
+        await until(lambda: out.number in bench.peer_links._links["there"].open_calls)  # it is queried
         far.links[-1].send(GoAway(last=0))
         await until(lambda: not far.links[-1].up)
         assert not end.done()
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -1,4 +1,5 @@
-"""Calls over links: what is said of each when its link is lost, not up, or has moved; and the other end."""
+"""Calls over links: how each ends when its link is lost, down or replaced; and the second hop's end of a
+link."""
 
 from __future__ import annotations
 
@@ -34,8 +35,8 @@
     return Call(attempt, b"POST", b"/x?q=\xe9", [(b"x-own", b"\xff")], body, "i-1", "s", 700.0, 0.5, 20.0)
 
 
-class Second(UpstreamDispatch):
-    """A second hop that answers when the test says so."""
+class StubDispatch(UpstreamDispatch):
+    """A second hop that responds when the test says so."""
 
     def __init__(self) -> None:
         self.taken: asyncio.Queue[DispatchedCall] = asyncio.Queue()
@@ -56,10 +57,10 @@
         self.dropped.append(running.call.attempt)
 
 
-class Far:
-    """The process beside another upstream; with ``second`` it has the real other end of the calls."""
+class RemotePeer:
+    """The process beside another upstream; with ``second`` it has real `IncomingCalls`."""
 
-    def __init__(self, second: Second | None = None) -> None:
+    def __init__(self, second: StubDispatch | None = None) -> None:
         self.second = second
         self.frames: asyncio.Queue[tuple[Link, Head, bytes]] = asyncio.Queue()
         self.links: list[Link] = []
@@ -83,7 +84,7 @@
         self.lost += 1
 
     async def next(self) -> tuple[Link, Head, bytes]:
-        """The next frame after a hello."""
+        """The next frame after a greeting."""
         found = await soon(self.frames.get())
         return found if found[1]["t"] != "hello" else await self.next()
 
@@ -95,8 +96,8 @@
 
 class Bench:
     def __init__(self) -> None:
-        self.local = Second()
-        self.reached: list[tuple[str, bool]] = []  # as it was told
+        self.local = StubDispatch()
+        self.reached: list[tuple[str, bool]] = []  # arguments of on_reachable
         self.peer_links = PeerLinks(
             "here", self.local, EventLog("t", io.StringIO()), lambda node, up: self.reached.append((node, up))
         )
@@ -105,7 +106,7 @@
         self.peer_links.tick(self.peer_links.loop.time())
 
     async def comes_back(self) -> None:
-        """A link that is down is tried again by itself."""
+        """A link that is down reconnects by itself."""
         move(RECONNECT_S + 0.01)
         self.tick()
         await until(lambda: self.peer_links.reaches("there"))
@@ -113,15 +114,15 @@
     def send(
         self, attempt: str, address: Address | None, node: str = "there", body: bytes = b""
     ) -> tuple[OutgoingCall, asyncio.Future[End]]:
-        end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # one end, or it raises
+        end: asyncio.Future[End] = asyncio.get_running_loop().create_future()  # a second end raises
         return self.peer_links.send(call(attempt, body), node, address, end.set_result), end
 
 
-def over(test: Callable[[Bench, Far], Awaitable[None]], real: bool = False) -> None:
-    """``real``: the far end is an `IncomingCalls`."""
+def over(test: Callable[[Bench, RemotePeer], Awaitable[None]], real: bool = False) -> None:
+    """``real``: the remote end has `IncomingCalls`."""
 
     async def run() -> None:
-        far, bench = Far(Second() if real else None), Bench()
+        far, bench = RemotePeer(StubDispatch() if real else None), Bench()
         await far.start()
         try:
             await test(bench, far)
@@ -132,9 +133,9 @@
 
 
 def test_a_call_and_its_end_cross_the_link_unchanged() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
-        bench.peer_links.open_early("there", far.address)  # what waits for the link is charged for that
+        bench.peer_links.open_early("there", far.address)  # waiting for the link is charged to the call
         await until(lambda: bench.peer_links._links["there"].verified)
         _, end = bench.send("a1", far.address, body=b"\x00,:")
         running = await soon(far.second.taken.get())
@@ -158,7 +159,7 @@
 
 
 def test_a_link_that_is_lost_leaves_all_calls_that_are_out_unclear() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(3)]
         frames = [await far.next() for _ in ends]
         link, head, _ = frames[1]
@@ -183,17 +184,17 @@
 
 
 def test_silence_while_calls_are_out_is_a_loss() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         _, first = bench.send("a1", far.address)
         link, head, _ = await far.next()
         link.send(*end_head(head["n"], SERVED))
         await soon(first)
-        move(5.0)  # nothing is out: no silence
+        move(5.0)  # no call is open, so silence does not count
         _, end = bench.send("a2", far.address)
         bench.tick()
         await far.next()
         assert not end.done()
-        for _ in range(int((SILENT_S + 0.1) / TICK_S) + 1):  # as often as the program looks
+        for _ in range(int((SILENT_S + 0.1) / TICK_S) + 1):  # at the interval of the program
             move(TICK_S)
             bench.tick()
         assert await soon(end) == Unclear("silent")
@@ -202,7 +203,7 @@
 
 
 def test_a_second_hop_that_owes_is_not_silent() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         _, end = bench.send("a1", far.address)
         running = await soon(far.second.taken.get())
@@ -221,7 +222,7 @@
 
 
 def test_a_link_that_does_not_come_up_turns_away_what_waits_and_at_once_what_comes_next() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         far.close()
         await turns()
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(2)]
@@ -229,7 +230,7 @@
             assert await soon(end) == NotExecuted(RejectReason.DOWN)
         assert bench.send("b", far.address)[1].result() == NotExecuted(
             RejectReason.DOWN
-        )  # with no try at all
+        )  # without an attempt
         assert bench.send("c", None)[1].result() == NotExecuted(RejectReason.DOWN)
         assert bench.reached == [("there", False)]  # once
         await far.start(far.address[1])
@@ -243,7 +244,7 @@
 
 
 def test_calls_wait_for_a_link_that_hangs_for_a_moment_only() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         async def hang(*_: object) -> None:
             await asyncio.get_running_loop().create_future()
 
@@ -257,7 +258,7 @@
         assert end.result() == NotExecuted(RejectReason.DOWN)
         assert bench.reached == [("there", False)]
         loop.create_connection = connects  # type: ignore[method-assign]
-        move(1.0)  # the try itself is given up
+        move(1.0)  # the connect times out
         await until(lambda: bench.peer_links._links["there"].connecting is None)
         await bench.comes_back()
         assert not far.frames.qsize() or (await soon(far.frames.get()))[1]["t"] == "hello"
@@ -266,7 +267,7 @@
 
 
 def test_calls_that_wait_for_a_link_go_over_it_when_it_is_up() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         sent = [bench.send(f"a{at}", far.address) for at in range(3)]
         bench.peer_links.drop(sent[1][0])
         found = [(await far.next())[1]["a"] for _ in range(2)]
@@ -277,7 +278,7 @@
 
 
 def test_what_a_call_waited_for_its_link_is_taken_off_what_the_second_hop_is_told_is_left() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         loop, goes_on = bench.peer_links.loop, asyncio.Event()
         connects = loop.create_connection
 
@@ -292,7 +293,7 @@
         goes_on.set()
         assert far.second is not None
         told, began = (await soon(far.second.taken.get())).call, call("a1")
-        least = 500.0 * CONNECT_WAIT_S - 1.0  # ages cross the link as whole milliseconds
+        least = 500.0 * CONNECT_WAIT_S - 1.0  # ages are sent as whole milliseconds
         most = 1000.0 * CONNECT_WAIT_S
         waited = (
             began.remaining_ms - told.remaining_ms,
@@ -307,7 +308,7 @@
 
 
 def test_a_drop_crosses_the_link() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         out, end = bench.send("a1", far.address)
         running = await soon(far.second.taken.get())
@@ -315,7 +316,7 @@
         await until(lambda: far.second is not None and far.second.dropped == ["a1"])
         link = bench.peer_links._links["there"].link
         assert link is not None and (link.expects, far.links[0].owes) == (0, 0)
-        bench.peer_links.drop(out)  # of no effect
+        bench.peer_links.drop(out)  # without effect
         _, other = bench.send("a2", far.address)
         (await soon(far.second.taken.get())).on_end(SERVED)
         assert await soon(other) == SERVED
@@ -326,7 +327,7 @@
 
 
 def test_an_answer_that_crosses_a_drop_is_nobodys() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send("a1", far.address)
         link, head, _ = await far.next()
         bench.peer_links.drop(out)
@@ -344,7 +345,7 @@
 def test_calls_in_hand_over_one_link_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(IncomingCalls, "MAX_OPEN_CALLS", 3)
 
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(4)]
         assert await soon(ends[3]) == NotExecuted(RejectReason.FULL)
@@ -362,9 +363,9 @@
 
 
 def test_bodies_in_hand_are_bounded_together_and_counted_to_their_ends() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
-        bodies = far.second.bodies  # 2,048 bytes, 1,024 of one body
+        bodies = far.second.bodies  # 2,048 bytes, at most 1,024 for one body
         first = [bench.send(f"a{at}", far.address, body=b"x" * 900) for at in range(3)]
         assert await soon(first[2][1]) == NotExecuted(RejectReason.FULL) and bodies.held_bytes == 1800
         assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(RejectReason.FULL)
@@ -386,8 +387,8 @@
 
 
 def test_a_node_that_has_moved_gets_a_new_link_and_the_old_ones_calls_are_unclear() -> None:
-    async def test(bench: Bench, far: Far) -> None:
-        moved = Far()
+    async def test(bench: Bench, far: RemotePeer) -> None:
+        moved = RemotePeer()
         await moved.start()
         _, old = bench.send("a1", far.address)
         await far.next()
@@ -406,14 +407,14 @@
 
 
 def test_a_link_that_carries_nothing_is_closed_and_one_that_does_is_not() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         _, end = bench.send("a1", far.address)
         link, head, _ = await far.next()
         heard = bench.peer_links.loop.time() + IDLE_S + 1.0
         outgoing = bench.peer_links._links["there"].link
         assert outgoing is not None
         move(IDLE_S + 1.0)
-        outgoing.heard_at = heard  # it has beaten meanwhile
+        outgoing.heard_at = heard  # a keep-alive has arrived meanwhile
         bench.tick()
         assert outgoing.up
         link.send(*end_head(head["n"], SERVED))
@@ -427,7 +428,7 @@
 
 
 def test_calls_for_this_machine_take_no_link() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send("a1", None, node="here")
         assert (await soon(bench.local.taken.get())).call == call("a1")
         bench.peer_links.drop(out)
@@ -439,7 +440,7 @@
 
 
 def test_an_end_that_cannot_be_read_leaves_its_call_unclear() -> None:
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         _, end = bench.send("a1", far.address)
         link, head, _ = await far.next()
         link.send({"t": "end", "n": head["n"], "w": "no such word", "v": False})
@@ -450,8 +451,8 @@
 
 
 def test_a_link_that_comes_up_for_an_address_that_is_old_by_then_does_not_stay() -> None:
-    async def test(bench: Bench, far: Far) -> None:
-        moved = Far()
+    async def test(bench: Bench, far: RemotePeer) -> None:
+        moved = RemotePeer()
         await moved.start()
         _, old = bench.send("a1", far.address)
         bench.send("a2", moved.address)
@@ -467,9 +468,10 @@
 
 
 def test_calls_whose_first_hop_is_lost_are_dropped(tmp_path: Path) -> None:
-    """It has given them up, and may have sent them elsewhere; those that wait here must not run any more."""
+    """The first hop has given them up and may have sent them elsewhere, so queued calls must not run any
+    more."""
 
-    async def test(bench: Bench, far: Far) -> None:
+    async def test(bench: Bench, far: RemotePeer) -> None:
         upstream = Upstream(way=lambda _: "hold", capacity=1)
         await upstream.start()
         ports = free_ports(["127.0.0.1"], 4)
@@ -479,7 +481,7 @@
         )
         told = read(file.read_text())
         assert isinstance(told, Settings), told
-        proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is taken
+        proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is opened
         beat = read_heartbeat(upstream.instance, upstream.beat())
         assert isinstance(beat, Heartbeat)
         proxy.upstream.on_heartbeat(proxy.balancers.now(), beat)
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -1,4 +1,5 @@
-"""Calls that a repeat's run makes: known where they begin, told on, counted against the budget."""
+"""Calls made by the execution of a repeat: detected where they begin, marked for the next hop, charged to the
+retry budget."""
 
 from __future__ import annotations
 
@@ -44,17 +45,17 @@
     head = call.head(1)
     assert read_call(head, b"").repeat
     told = msgspec.to_builtins(head)
-    earlier = msgspec.convert({**told, "v": told["v"][:5]}, CallHead)  # of a program that does not tell it
+    earlier = msgspec.convert({**told, "v": told["v"][:5]}, CallHead)  # from a release that does not send it
     assert not read_call(earlier, b"").repeat
 
 
 class Sent:
-    """Notes the calls that a sidecar sends."""
+    """Records the calls that a sidecar sends."""
 
-    def __init__(self, tables: ServiceBalancers) -> None:
+    def __init__(self, balancers: ServiceBalancers) -> None:
         self.calls: list[Call] = []
-        self._send = tables.peer_links.send
-        tables.peer_links.send = self.send  # type: ignore[method-assign]
+        self._send = balancers.peer_links.send
+        balancers.peer_links.send = self.send  # type: ignore[method-assign]
 
     def send(self, call: Call, *way: object) -> object:
         self.calls.append(call)
--- a/tests/mesh/test_data_plane_route_classes.py
+++ b/tests/mesh/test_data_plane_route_classes.py
@@ -1,4 +1,4 @@
-"""Classes of routes: bounded whatever routes there are, and by the route's own figures for each."""
+"""Request classes of routes: bounded for any number of routes, and with the figures of each route."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         name, _ = classes.assign(route)
         klass = {one.name: one for one in classes.all()}[name]
         assert (klass.effect is Effect.UNSAFE) == effectful
-        if name not in ("effectful", "idempotent"):  # beyond all bounds
+        if name not in ("effectful", "idempotent"):  # beyond all limits
             assert klass.worth == worth_of(route)
             assert 0.7 < klass.aim_ms / route.aim_ms < 1.5
             assert 0.7 < klass.deadline_ms / horizon_ms < 1.5
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -1,4 +1,5 @@
-"""A service's table with the real decisions: what may be sent again, and what its client may be told."""
+"""The balancer of a service with the real decision module: which attempts may be retried, and which result
+the client may get."""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
 
 @dataclass
 class FakePeerLinks:
-    """Keeps what is sent; ends it at once with what ``at_once`` has next, where it has something."""
+    """Records the calls that are sent. Ends each at once with the next item of ``at_once``, if there is
+    one."""
 
     sent: list[Sent] = field(default_factory=list)
     dropped: list[Sent] = field(default_factory=list)
@@ -103,9 +105,8 @@
         self, route: Route, left_ms: float = 1000.0
     ) -> tuple[ClientRequest, asyncio.Future[ClientResult]]:
         self.asked += 1
-        final: asyncio.Future[ClientResult] = (
-            asyncio.get_running_loop().create_future()
-        )  # one answer, or it raises
+        # A second result raises InvalidStateError.
+        final: asyncio.Future[ClientResult] = asyncio.get_running_loop().create_future()
         now = self.balancers.now()
         message = http.Message(method=b"POST", target=b"/x", body=b"b")
         attempt = f"a{self.asked}"
@@ -125,11 +126,11 @@
         return ask, final
 
     def end(self, end: End) -> None:
-        """Of the call that was sent last."""
+        """Ends the call that was sent last."""
         self.peer_links.sent[-1].ended(end)
 
     def serve(self, count: int) -> None:
-        """So many requests, answered at once: the decisions see upstreams that are well."""
+        """Serves ``count`` requests at once, so that the decision module sees healthy upstreams."""
         for _ in range(count):
             _, final = self.ask(READ)
             self.end(OK)
@@ -139,7 +140,7 @@
         return [sent.call.instance for sent in self.peer_links.sent if sent.call.attempt == ask.attempt]
 
 
-def at_table(
+def with_balancer(
     test: Callable[[Bench], Awaitable[None]], upstreams: int = 5, slack: float = 1000.0, ratio: float = 0.2
 ) -> None:
     async def run() -> None:
@@ -162,7 +163,7 @@
         await turns()
         assert not bench.peer_links.dropped
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize("end", [UNCLEAR, ERROR, UpstreamResponse(504, [], b"", True)])
@@ -173,7 +174,7 @@
         assert len(bench.sends(ask)) == 1
         assert final.result() == (Served(end) if isinstance(end, UpstreamResponse) else Failed(False))
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize(
@@ -189,7 +190,7 @@
         bench.end(UNCLEAR)
         assert final.result() == Failed(False) and len(bench.sends(ask)) == 2
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_an_effectful_call_that_is_still_out_at_its_deadline_is_not_promised() -> None:
@@ -198,9 +199,9 @@
         move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
         assert await soon(final) == Failed(True)
         assert [sent.call.attempt for sent in bench.peer_links.dropped] == [ask.attempt]
-        bench.end(OK)  # too late for anybody
+        bench.end(OK)  # after the client's result
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize("silent", [False, True])
@@ -225,7 +226,7 @@
         assert isinstance(await soon(final), Refused)
         assert [sent.call.attempt for sent in dropped_by_then] == [ask.attempt]
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize("out", [True, False])
@@ -246,7 +247,7 @@
         assert await soon(final) == (Failed(True) if out else Refused(0.0))
         assert bench.peer_links.dropped == bench.peer_links.sent and not table.requests
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize("status", [503, 429, 408])
@@ -257,7 +258,7 @@
         told = final.result()
         assert not (isinstance(told, Served) and told.answer.status in (408, 429, 503))
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize("first", [UNCLEAR, ERROR])
@@ -271,7 +272,7 @@
         assert bench.table(READ).budget.spent == 1
         assert [sent.call.repeat for sent in bench.peer_links.sent] == [False, True]
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_no_more_upstreams_are_reached_than_the_route_has_trials() -> None:
@@ -286,7 +287,7 @@
         bench.end(ERROR)
         assert len(bench.sends(ask)) == 1 and final.result() == Served(ERROR)
 
-    at_table(test, upstreams=9)
+    with_balancer(test, upstreams=9)
 
 
 def test_turn_aways_before_the_upstream_spend_no_trial_and_those_of_the_upstream_do() -> None:
@@ -300,7 +301,7 @@
         assert len(bench.sends(ask)) == 2
         assert isinstance(final.result(), Refused)
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_further_tries_keep_to_the_budget() -> None:
@@ -315,12 +316,12 @@
                 bench.end(OK)
             requests = 2 * (at + 1)
             assert tries == budget.spent <= 0.5 * (0.2 * requests + 4.0)
-        assert tries >= 0.5 * (0.2 * 120 + 4.0) - 1.0  # and are not withheld below it
+        assert tries >= 0.5 * (0.2 * 120 + 4.0) - 1.0  # and retries are allowed up to it
         assert budget.denied > 0
         told = [line for line in bench.log.getvalue().splitlines() if " W502 " in line]
-        assert len(told) == 1 and "service=s refused=1" in told[0]  # once a window
+        assert len(told) == 1 and "service=s refused=1" in told[0]  # once per window
 
-    at_table(test, slack=4.0)
+    with_balancer(test, slack=4.0)
 
 
 def test_a_request_that_is_taken_anew_is_counted_by_whoever_takes_it_alone() -> None:
@@ -330,7 +331,7 @@
         assert final.result() == RouteChanged()
         assert sum(slot[1] for slot in bench.table(READ).budget._slots) == 0.0
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_three_are_taken_to_share_the_budget_until_the_membership_is_known() -> None:
@@ -342,7 +343,7 @@
         return bench.table(READ).budget.spent
 
     async def test(bench: Bench) -> None:
-        bench.balancers.sidecars = 3  # as it is made
+        bench.balancers.sidecars = 3  # the initial value
         assert further(bench) == 2  # half of 12, a third of it
         bench.balancers.set_fleet_size(0, 1)  # none is counted as one
         assert further(bench) > 2
@@ -354,8 +355,8 @@
         )
         assert again.sidecars == 3
 
-    at_table(test, slack=12.0, ratio=0.0)
-    at_table(new)
+    with_balancer(test, slack=12.0, ratio=0.0)
+    with_balancer(new)
 
 
 def test_nothing_that_could_have_it_is_refused_with_a_time_to_come_back() -> None:
@@ -367,7 +368,7 @@
             assert isinstance(told, Refused) and told.retry_after_ms >= 0.0
             assert not bench.sends(ask) and not bench.peer_links.dropped
 
-    at_table(test, upstreams=0)
+    with_balancer(test, upstreams=0)
 
 
 def test_what_was_turned_away_everywhere_is_refused() -> None:
@@ -379,7 +380,7 @@
             assert isinstance(final.result(), Refused), final
             assert bench.sends(ask)
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_what_was_turned_away_at_once_everywhere_is_refused() -> None:
@@ -390,7 +391,7 @@
             move(1.2)
             assert isinstance(await soon(final), Refused), final
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_the_clients_leaving_ends_what_is_out() -> None:
@@ -399,19 +400,19 @@
         bench.table(READ).client_gone(ask)
         assert bench.peer_links.dropped == bench.peer_links.sent
         bench.table(READ).client_gone(ask)
-        bench.end(UNCLEAR)  # it had ended as the drop went out
+        bench.end(UNCLEAR)  # it ended while it was being dropped
         move(2.0)
         await turns()
         assert not final.done() and len(bench.sends(ask)) == 1 and len(bench.peer_links.dropped) == 1
         assert not bench.table(READ).requests
 
-    at_table(test)
+    with_balancer(test)
 
 
 @pytest.mark.parametrize("left", [True, False], ids=["the client leaves", "the deadline passes"])
 def test_what_is_withdrawn_is_no_longer_counted_as_out_and_its_upstream_is_tried_again(left: bool) -> None:
     async def test(bench: Bench) -> None:
-        ask, _ = bench.ask(READ)  # the first is a trial of its upstream
+        ask, _ = bench.ask(READ)  # the first one is a trial of its upstream
         balancer = bench.table(READ).balancer
         assert balancer.limits.inflight == 1 and any(server.trial for server in balancer.servers.values())
         if left:
@@ -425,7 +426,7 @@
         bench.serve(3)
         assert len(bench.peer_links.sent) == 4
 
-    at_table(test, upstreams=1)
+    with_balancer(test, upstreams=1)
 
 
 @pytest.mark.parametrize("event", [api.Request, api.AttemptEnded])
@@ -451,7 +452,7 @@
         bench.end(OK)
         assert final.result() == Served(OK)
 
-    at_table(test)
+    with_balancer(test)
 
 
 def test_an_instance_that_drains_or_is_gone_gets_nothing_more() -> None:
@@ -465,7 +466,7 @@
             assert final.result() == Served(OK)
         assert {sent.call.instance for sent in bench.peer_links.sent} == {"i2"}
 
-    at_table(test, upstreams=3)
+    with_balancer(test, upstreams=3)
 
 
 def test_what_cannot_be_reached_from_here_gets_nothing_until_it_can() -> None:
@@ -481,7 +482,7 @@
         bench.serve(30)
         assert {sent.call.instance for sent in bench.peer_links.sent} == {"i0", "i1", "i2"}
 
-    at_table(test, upstreams=3)
+    with_balancer(test, upstreams=3)
 
 
 def test_classes_are_bounded_and_what_a_route_may_do_is_kept_beyond_the_bound(
@@ -504,7 +505,7 @@
             "idempotent, worth 0.5, aim 512 ms, horizon 1024 ms",
         }
 
-    at_table(test, upstreams=9)
+    with_balancer(test, upstreams=9)
 
 
 def test_a_route_whose_trials_are_raised_has_them() -> None:
@@ -516,7 +517,7 @@
             bench.end(UNCLEAR)
         assert len(bench.sends(ask)) == 6
 
-    at_table(test, upstreams=9)
+    with_balancer(test, upstreams=9)
 
 
 def test_a_route_that_came_late_has_its_trials_as_the_first_have() -> None:
@@ -529,7 +530,7 @@
             bench.end(UNCLEAR)
         assert len(bench.sends(ask)) == 6
 
-    at_table(test, upstreams=9)
+    with_balancer(test, upstreams=9)
 
 
 def test_four_thousand_late_routes_are_served_as_the_first_and_cost_a_bounded_number_of_retunes() -> None:
@@ -548,4 +549,4 @@
             assert final.result() == Served(OK), at
         assert len(retunes) < 2 * route_classes.MAX_OWN_CLASSES + route_classes.MAX_SHARED_CLASSES
 
-    at_table(test)
+    with_balancer(test)
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -1,4 +1,5 @@
-"""Connections to the upstream: whose an answer is, when a connection is kept, and what may have run."""
+"""Connections to the upstream: which call a response belongs to, when a connection is reused, and which calls
+may have run."""
 
 from __future__ import annotations
 
@@ -26,7 +27,7 @@
 
 
 class Asked:
-    """One call through a tap, and its one outcome."""
+    """One call through the pool, and its outcome."""
 
     def __init__(self) -> None:
         self.outcome: asyncio.Future[ExchangeOutcome] = asyncio.get_running_loop().create_future()
@@ -34,13 +35,13 @@
 
 
 class Bench:
-    def __init__(self, upstream: Upstream, tap: UpstreamConnectionPool) -> None:
-        self.upstream, self.connections = upstream, tap
+    def __init__(self, upstream: Upstream, pool: UpstreamConnectionPool) -> None:
+        self.upstream, self.connections = upstream, pool
 
     async def begin(self, attempt: str) -> Asked:
         asked = Asked()
         payload = http.write_request(b"GET", b"/x", [(b"attempt-id", attempt.encode())])
-        # A second outcome would raise InvalidStateError.
+        # a second outcome raises InvalidStateError
         asked.connection = await self.connections.send(attempt.encode(), payload, asked.outcome.set_result)
         return asked
 
@@ -56,17 +57,17 @@
 def tapped(
     test: Callable[[Bench], Awaitable[None]], ways: Sequence[str] = (), most: int = 4, keep_alive: str = ""
 ) -> None:
-    """``ways`` of the upstream, for one request after another; then "ok"."""
+    """``ways``: what the upstream does with one request after another; then "ok"."""
     left = list(ways)
 
     async def run() -> None:
         upstream = Upstream(way=lambda _: left.pop(0) if left else "ok", keep_alive=keep_alive)
         await upstream.start()
-        tap = UpstreamConnectionPool(upstream.address, most, EventLog("t", io.StringIO()))
+        pool = UpstreamConnectionPool(upstream.address, most, EventLog("t", io.StringIO()))
         try:
-            await test(Bench(upstream, tap))
+            await test(Bench(upstream, pool))
         finally:
-            tap.close()
+            pool.close()
             upstream.close()
 
     play(run)
@@ -125,7 +126,7 @@
         await soon(asked.outcome)
         connection = asked.connection
         assert connection is not None and connection._transport is not None
-        connection._transport.pause_reading()  # this loop is late
+        connection._transport.pause_reading()  # this process reads late
         assert connection.usable(0.0)
         bench.upstream.say(b"x")
         await until(lambda: bool(connection._poll.poll(0)))
@@ -151,7 +152,7 @@
         if kept_s:
             move(kept_s - 0.3)
             bench.connections.close_expired()
-            await bench.good("a2")  # from here on, as long again
+            await bench.good("a2")  # from here on for the same time again
             assert bench.upstream.opened == 1
         move(kept_s)
         await bench.good("a3")
@@ -203,7 +204,7 @@
         held = [await bench.begin(f"a{at}") for at in range(2)]
         coming = asyncio.get_running_loop().create_task(bench.begin("a2"))
         await until(lambda: bench.connections._connecting == 1)
-        assert await bench.ask("b") == NotSent(refused=False)  # one that is coming up counts
+        assert await bench.ask("b") == NotSent(refused=False)  # one that is being opened counts
         held.append(await coming)
         assert await bench.ask("b") == NotSent(refused=False)
         await until(lambda: len(bench.upstream.seen) == 3)
@@ -218,7 +219,8 @@
 
 
 def test_a_second_use_of_an_id_has_a_connection_of_its_own() -> None:
-    """A late second answer to the first use would pass for its own: it has the same id."""
+    """A late second response to the first use has the same id and would be taken for the response to the
+    second use."""
 
     async def test(bench: Bench) -> None:
         await bench.good("a1")
@@ -269,7 +271,7 @@
 def test_opening_a_connection_holds_a_call_up_for_a_part_of_a_short_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A call that may still pass must not reach its upstream after drain_ms."""
+    """A call that may still be passed on must not reach its upstream after drain_ms."""
 
     async def test(bench: Bench) -> None:
         async def hangs(*_: object) -> None:
@@ -277,11 +279,11 @@
 
         loop = asyncio.get_running_loop()
         for drain_ms, most_s in (400.0, 0.12), (2000.0, CONNECT_S):
-            tap = UpstreamConnectionPool(bench.upstream.address, 1, EventLog("t", io.StringIO()), drain_ms)
+            pool = UpstreamConnectionPool(bench.upstream.address, 1, EventLog("t", io.StringIO()), drain_ms)
             with monkeypatch.context() as patch:
                 patch.setattr(loop, "create_connection", hangs)
                 outcome: asyncio.Future[ExchangeOutcome] = loop.create_future()
-                task = loop.create_task(tap.send(b"a1", b"", outcome.set_result))
+                task = loop.create_task(pool.send(b"a1", b"", outcome.set_result))
                 await turns()
                 move(0.9 * most_s)
                 await turns()
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -1,4 +1,4 @@
-"""The second hop: who gets a place at the upstream, and what is said of each call's end."""
+"""The second hop: which calls get a slot at the upstream, and which end each call gets."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         return self.upstream_dispatch.accept(Call(**values), end.set_result), end  # type: ignore[arg-type]
 
     async def fill(self) -> list[tuple[DispatchedCall | None, asyncio.Future[End]]]:
-        """Every place at the upstream is taken, by calls that it holds."""
+        """Fills all slots of the upstream with calls that it holds."""
         at_once, _ = call_limits(self.upstream_dispatch.upstream)
         held = [self.take(f"held-{at}") for at in range(at_once)]
         await until(lambda: len(self.upstream.seen) == at_once)
@@ -75,17 +75,17 @@
         upstream, told = Upstream(way=way, capacity=capacity), list[InstanceUpdate]()
         await upstream.start()
         event_log = EventLog("t", io.StringIO())
-        life, tap = (
+        life, connections = (
             Life("n1", "z", 1000.0, DRAIN_MS),
             UpstreamConnectionPool(upstream.address, most, event_log),
         )
-        bench = Bench(upstream, UpstreamDispatch(life, tap, event_log, told.extend), told)
+        bench = Bench(upstream, UpstreamDispatch(life, connections, event_log, told.extend), told)
         bench.beat()
         try:
             await test(bench)
         finally:
             upstream.release.set()
-            tap.close()
+            connections.close()
             upstream.close()
 
     play(run)
@@ -95,7 +95,7 @@
     return "hold" if (message.get(b"attempt-id") or "").startswith("held") else "ok"
 
 
-# What is written to the upstream, and what is told of it
+# Requests written to the upstream, and the ends of their calls
 
 
 def test_the_headers_that_are_ours_are_written_anew_and_all_else_is_passed_on() -> None:
@@ -217,7 +217,7 @@
     behind(test, held)
 
 
-# Places
+# Slots
 
 
 def test_so_many_are_at_the_upstream_and_no_more_wait_than_there_is_room_for() -> None:
@@ -230,7 +230,7 @@
         _, more = bench.take("more")
         assert line[0][1].result() == NotExecuted(
             RejectReason.FULL
-        )  # the longest there, and none is lower in rank
+        )  # it waits longest, and no call has a lower rank
         assert bench.take("least", rank=-1.0)[1].result() == NotExecuted(RejectReason.FULL)
         assert bench.take("hasty", max_wait_ms=0.0)[1].result() == NotExecuted(RejectReason.FULL)
         assert len(bench.upstream.seen) == at_once
@@ -253,7 +253,7 @@
             await bench.runs()
         running, _ = taken[0]
         assert running is not None
-        bench.upstream_dispatch.drop(running)  # one place: they go one after another
+        bench.upstream_dispatch.drop(running)  # with one slot they run one after another
         assert [await bench.runs() for _ in range(4)] == ["high", "second", "first", "low"]
 
     behind(test, held)
@@ -371,7 +371,7 @@
         assert running is not None
         bench.upstream_dispatch.drop(running)
         assert isinstance(await soon(waits), UpstreamResponse)
-        await until(lambda: bench.upstream.open == len(taken))  # less the dropped one's, with that of "w"
+        await until(lambda: bench.upstream.open == len(taken))  # except the dropped one's and the one of "w"
         assert not end.done()
 
     behind(test, held)
@@ -390,7 +390,7 @@
     behind(test, held)
 
 
-# The line by itself
+# The queue alone
 
 
 STEPS = st.tuples(
@@ -401,7 +401,7 @@
 
 @settings(max_examples=120)
 @given(st.lists(STEPS, max_size=40), st.integers(0, 4))
-@example([("add", 0, 1, 1), ("drop", 0, 1, 0), ("add", 0, 1, 9), ("over", 0, 1, 5)], 4)  # one that comes back
+@example([("add", 0, 1, 1), ("drop", 0, 1, 0), ("add", 0, 1, 9), ("over", 0, 1, 5)], 4)  # added again
 @example([("add", 0, 1, 5), ("over", 0, 1, 5)], 4)
 def test_the_line_agrees_with_a_plain_list(steps: list[tuple[str, int, int, int]], most: int) -> None:
     line, plain = WaitQueue(), list[tuple[int, int, int, int]]()  # rank, number, call, until
