--- a/hareloom/beliefs.py
+++ b/hareloom/beliefs.py
@@ -1,4 +1,4 @@
-"""What was learnt, from one life of this sidecar to the next."""
+"""Exports and restores what a Balancer has learnt, from one process of a sidecar to the next."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def learnt(balancer: Balancer, now: float) -> api.Learnt:
-    """Of every listed server that has been met, every class, and all together."""
+    """Returns the learnt state of all servers that have been used and are not gone, and of all classes."""
     servers = [
         api.LearntServer(
             *(name, s.entry.started_at, s.active, s.w, s.samples, s.breaks, s.backoff),
@@ -31,7 +31,7 @@
 
 
 def believe(balancer: Balancer, now: float, learnt: api.Learnt) -> None:
-    """Takes what an earlier life learnt, already faded, where this one knows nothing of its own yet."""
+    """Restores the state of an earlier process, already aged, where this one has learnt nothing yet."""
     servers, activity = balancer.servers, balancer.activity
     limits, work = balancer.limits, balancer.work
     floor = min((s.deficit for s in servers.values() if s.active), default=0.0)
--- a/hareloom/interface.py
+++ b/hareloom/interface.py
@@ -1,7 +1,7 @@
-"""What goes into a Balancer and what comes out of it: settings, events, actions and outcomes.
+"""The Balancer's input and output types: settings, events, actions and outcomes.
 
-Times are milliseconds as floats. Instants share one clock, the caller's; it starts anywhere and never goes
-back. Names (servers, classes, zones, kinds) are opaque: nothing is decided by how one is spelled.
+Times are floats in milliseconds. Instants come from the caller's monotonic clock, which may start anywhere.
+Names of servers, classes, zones and kinds are opaque strings.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Effect(Enum):
-    """May a request of this class run more than once?"""
+    """Whether a request of a class may run more than once."""
 
-    SAFE = "safe"  # as often as one likes
-    KEYED = "keyed"  # repeats are dropped inside one group of servers, for a window of time
+    SAFE = "safe"  # any number of times
+    KEYED = "keyed"  # the servers of one group drop repeats within a time window
     UNSAFE = "unsafe"  # never
 
 
 class Group(Enum):
-    """Which servers drop each other's repeats of a keyed request."""
+    """The servers that share the deduplication of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,28 +29,32 @@
 
 
 class ServerState(Enum):
+    """The state that discovery reports for a server."""
+
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has; nothing new may be sent
+    DRAINING = "draining"  # finishes its open requests; nothing new may be sent
     GONE = "gone"
 
 
 class ListKind(Enum):
-    FULL = "full"  # the whole list; a server that is missing is gone
+    """How complete and how current a server list is."""
+
+    FULL = "full"  # the complete list; a server that is missing from it is gone
     DELTA = "delta"  # changed entries only
-    CACHED = "cached"  # the whole list as it was last held, perhaps old
-    LOST = "lost"  # a call to discovery failed; the old list stands
+    CACHED = "cached"  # the complete list as last received; it may be out of date
+    LOST = "lost"  # a discovery call failed; the previous list stays valid
 
 
 class Outcome(Enum):
-    """How one attempt, or one probe, ended."""
+    """The result of one attempt or probe."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; it may have run
-    FULL = "full"  # turned away unseen; it did not run
-    TIMEOUT = "timeout"  # no answer in the time allowed; it may have run or still run
+    ERROR = "error"  # an error response; it may have run
+    FULL = "full"  # rejected by a full server; it did not run
+    TIMEOUT = "timeout"  # no answer in time; it may have run or may still be running
     CONNECT_FAILED = "connect_failed"  # no connection; it did not run
-    RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # withdrawn; it may have run
+    RESET = "reset"  # the connection was lost; it may have run
+    CANCELLED = "cancelled"  # cancelled by this side; it may have run
     MOOT = "moot"  # never sent; it did not run
 
 
@@ -59,76 +63,82 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Latency targets, value and repeat semantics of one class of requests."""
+
     name: str
-    aim_ms: float  # an answer within this time earns the full worth
-    deadline_ms: float  # how long a client waits in all, over all its tries
+    aim_ms: float  # an answer within this time has the full worth
+    deadline_ms: float  # how long a client waits in total, over all its tries
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth for an answer between aim and deadline, 0 to 1
+    late_worth: float = 0.0  # share of the worth, 0 to 1, of an answer after the aim and before the deadline
     effect: Effect = Effect.UNSAFE
     group: Group = Group.ALL  # keyed classes only
-    window_ms: float = (
-        0.0  # keyed classes only: how long a repeat is dropped, from the first send that may have run
-    )
+    # Keyed classes only: how long repeats are dropped, from the first attempt that may have run.
+    window_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What the balancer may do for a request, and what its decisions may cost."""
+
     max_attempts: int = 1  # per request
-    paced: bool = True  # attempts out are limited here; False where a queue before each server does that
+    paced: bool = True  # attempts in flight are limited here; False where a queue per server limits them
     may_cancel: bool = False
-    second_copies: bool = False  # may two attempts of one request be out at once
+    second_copies: bool = False  # two attempts of one request may be in flight at once
     may_probe: bool = False
-    max_retry_after_ms: float = 0.0  # the longest advice a client follows; 0: clients take no advice
-    connect_timeout_ms: float = 250.0  # for the host: a connection not up by then has failed
-    idle_ms: float = 15000.0  # for the host: upstreams close connections that stand idle so long
-    # What decisions may cost, in microseconds of the host's CPU: a second, and a request on average; 0: no
-    # limit.
+    max_retry_after_ms: float = 0.0  # longest retry-after that clients follow; 0: they follow none
+    connect_timeout_ms: float = 250.0  # for the host: the time limit on opening a connection
+    idle_ms: float = 15000.0  # for the host: upstreams close connections after this idle time
+    # CPU budget of decisions, in microseconds of the host: a second, and a request on average; 0: no limit.
     cpu_us_per_s: float = 0.0
     cpu_us_per_request: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What each kind of work costs the host, in the microseconds in which its limits are: told by the host,
-    since the module reads no clock. All 0: nobody knows, and nothing is governed."""
+    """CPU cost of each kind of work in microseconds, as in ``Limits``. The host supplies it, since the module
+    reads no clock. All 0: the costs are unknown and no CPU budget is applied."""
 
-    request: float = 0.0  # one read, and refused at once if need be
-    pick: float = 0.0  # one kept and sent: its place, the choice and the send
-    look: float = 0.0  # each server looked at for that
-    ended: float = 0.0  # an attempt's end
+    request: float = 0.0  # a request that is read, and perhaps refused at once
+    pick: float = 0.0  # a request that is admitted: its queue place, the choice and the send
+    look: float = 0.0  # each server that the choice examines
+    ended: float = 0.0  # the end of an attempt
     timer: float = 0.0
-    entry: float = 0.0  # each entry of a list
+    entry: float = 0.0  # each entry of a server list
     other: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    answer_slack_ms: float = 0.0  # how late past a request's deadline its final answer still counts
-    drain_grace_ms: float = 0.0  # not relied on: sends stop with the event itself
-    ask_within_ms: float = 10000.0  # an asked-for list counts as known after this long without asking
-    cold_from: float = 0.3  # share of its capacity that a server starts with, or more
-    cold_ms: float = 0.0  # and it is warm after this; 0: servers start warm
-    # A cold server sent so many times what it can do, for so long, falls over. Not relied on: what it gets
-    # keeps to its warmed share all the time.
+    """Properties of the clients and servers that decisions rely on."""
+
+    answer_slack_ms: float = 0.0  # how long after its deadline a final answer still counts
+    drain_grace_ms: float = 0.0  # not used: sends stop as soon as the event arrives
+    ask_within_ms: float = 10000.0  # a list may go unrequested for this long
+    cold_from: float = 0.3  # least share of its capacity that a server starts with
+    cold_ms: float = 0.0  # time until a started server is warm; 0: servers start warm
+    # A cold server fails when it is sent this multiple of what it can serve for this time. The balancer does
+    # not rely on the time: it keeps each cold server within its share throughout.
     fall_multiple: float = 2.0
     fall_ms: float = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """All settings of one Balancer. Raises ValueError, naming the field, for a value out of range."""
+
     classes: tuple[RequestClass, ...]
-    peers: int = 1  # how many sidecars share the list, this one counted
-    me: int = -1  # this one's number among them, from 0; below 0: not told
-    zone: str = ""  # this sidecar's own
-    asks_for_list: bool = False  # the list comes only when asked for
-    sized: bool = True  # the list's sizes are registered sizes that may scale a server's share
+    peers: int = 1  # number of sidecars that share the list, this one included
+    me: int = -1  # index of this sidecar among them, from 0; below 0: unknown
+    zone: str = ""  # zone of this sidecar
+    asks_for_list: bool = False  # the list is sent only on request
+    sized: bool = True  # sizes in the list are registered capacities that scale a server's share
     limits: Limits = Limits()
     rules: Rules = Rules()
-    tick_ms: float = 1.0  # events are handed over no more often than this
-    worst_class_weight: float = 0.0  # part of the goal that is the worst-served class, 0 to 1; for who waits
-    by_work: bool = False  # a request's worth grows with its work
+    tick_ms: float = 1.0  # least interval between two deliveries of events
+    worst_class_weight: float = 0.0  # weight, 0 to 1, of the worst-served class in the objective
+    by_work: bool = False  # the worth of a request is proportional to its work
     costs: Costs = Costs()
-    cross_zone_price: float = 0.0  # points of 1 that an attempt costs in another zone; 0: zones are all alike
+    cross_zone_price: float = 0.0  # cost of an attempt in another zone, in points of 1; 0: zones are equal
 
     def __post_init__(self) -> None:
         checks = [
@@ -171,6 +181,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
+    """One server in a server list."""
+
     server: str
     state: ServerState = ServerState.READY
     zone: str = ""
@@ -180,27 +192,31 @@
     started_at: float | None = None  # None: long ago
 
 
-# What was learnt, as `Balancer.learnt` tells it and `Balancer.believe` takes it. Starts are instants;
-# ``due_in`` is in milliseconds from then on.
+# The learnt state that `Balancer.learnt` returns and `Balancer.believe` restores. ``started_at`` is an
+# instant; ``due_in`` counts from the call.
 
 
 @dataclass(frozen=True, slots=True)
 class LearntServer:
+    """Learnt state of one server."""
+
     server: str
     started_at: float | None
     active: bool
     w: float | None
     samples: float
-    breaks: float  # broken connections in a row
+    breaks: float  # consecutive connection failures
     backoff: float
-    due_in: float  # until its next trial
+    due_in: float  # time until its next trial
 
 
 @dataclass(frozen=True, slots=True)
 class LearntClass:
+    """Learnt state of one class of requests."""
+
     name: str
     costs: dict[str, float]  # by kind of machine
-    quick: float  # below 0: not learnt, as for ``usual``
+    quick: float  # low latency quantile; below 0: not learnt yet, as for ``usual``
     usual: float
     calm: int
     seen: float
@@ -208,6 +224,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Learnt:
+    """All learnt state of a Balancer."""
+
     servers: tuple[LearntServer, ...] = ()
     classes: tuple[LearntClass, ...] = ()
     limit: float = 0.0
@@ -221,6 +239,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
+    """A server list, complete or in part, or the failure to get one."""
+
     kind: ListKind
     version: int = 0
     entries: tuple[ServerEntry, ...] = ()
@@ -228,16 +248,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A client's request."""
+
     request: str
     klass: str
-    deadline: float  # the instant at which the client gives this try up
-    cost_ms: float | None = None  # a guess of its work, where there is one
-    retry: bool = False  # the client says that it is a repeat
-    body_ms: float = 0.0  # how long its body may still take to come; ``deadline`` has that in it
+    deadline: float  # instant at which the client gives up this try
+    cost_ms: float | None = None  # estimate of its work, if known
+    retry: bool = False  # the client marked it as a retry
+    body_ms: float = 0.0  # time that its body may still take to arrive; included in ``deadline``
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
+    """The first part of a streamed answer has arrived."""
+
     request: str
     attempt: int
     latency_ms: float
@@ -245,25 +269,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has ended."""
+
     request: str
     attempt: int
     outcome: Outcome
     latency_ms: float
-    closed: bool  # nothing more is owed for the request
+    closed: bool  # the request is complete
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
+    """The client gave up or disconnected."""
+
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
+    """A timer that was set by `SetTimer` has fired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
+    """A probe has ended."""
+
     server: str
     outcome: Outcome
     latency_ms: float
@@ -271,14 +303,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Late:
-    """The host came to its work late by so much: its event loop's delay."""
+    """The host's event loop was delayed by this much."""
 
     delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Retune:
-    """Other settings from now on. Open requests keep their class, and their number of attempts."""
+    """New settings. Open requests keep their class and their number of attempts."""
 
     settings: Settings
 
@@ -290,6 +322,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send an attempt of the request to the server."""
+
     request: str
     server: str
     timeout_ms: float
@@ -297,35 +331,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
+    """Refuse the request: the client may safely retry it."""
+
     request: str
-    retry_after_ms: float = 0.0  # advice to the client; 0: none
+    retry_after_ms: float = 0.0  # delay that the client is asked to keep; 0: none
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Fail the request: it may have run."""
+
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt in flight."""
+
     request: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Deliver `Timer` with this token after the delay."""
+
     delay_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Probe the server."""
+
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for the changes from here on (only where the list must be asked for)."""
+    """Subscribe to changes of the server list, where it is sent only on request."""
 
 
 Action = Union[Send, Refuse, Fail, Cancel, SetTimer, Probe, Subscribe]
--- a/hareloom/limits.py
+++ b/hareloom/limits.py
@@ -1,4 +1,4 @@
-"""How many attempts may be out at once: more for timely answers, fewer for late and missing ones."""
+"""The limit on attempts in flight: raised by timely answers, lowered by late and missing ones."""
 
 from __future__ import annotations
 
@@ -39,36 +39,34 @@
 # is that long.
 LOST_PASSED, LOST_USUAL = 4, 2.0
 
-# Looked up for every answer; a member of an enumeration is found slowly.
+# Module-level names, since enum member lookup is slow and this runs for every answer.
 OK, TIMEOUT, FULL = Outcome.OK, Outcome.TIMEOUT, Outcome.FULL
 
 
 class AttemptLimit:
-    """``limit``: attempts that may be out; ``out``: those that are, strays left out."""
+    """``limit``: attempts allowed in flight; ``inflight``: their number now, without those presumed lost."""
 
     def __init__(self, mean_aim: float, paced: bool) -> None:
         self.tune(mean_aim)
         self.limit, self.even, self.share, self.inflight = 1.0 if paced else math.inf, 1.0, 0.0, 0
         self.paused_until = -math.inf
         self.start_step = LIMIT_START
-        self.late_share = 0.0  # share of late answers, of late
-        self.starting = True  # no answer has been late yet, and the limit is small
+        self.late_share = 0.0  # recent share of late answers
+        self.starting = True  # few answers have been late yet, and the limit is small
 
     def tune(self, mean_aim: float) -> None:
         self.quick_rate = QUICK_RATE / mean_aim
 
     def update_share(self, share: float) -> None:
-        """``share``: this sidecar's part of the servers that are listed."""
         self.share, self.even = share, max(LIMIT_PER_SERVER * share, LIMIT_EVEN_MIN)
         self.start_step = LIMIT_START * min((share / LIMIT_PER_SERVER) ** LIMIT_START_POWER, 1.0)
 
     def restart(self) -> None:
-        """With a list that was held: hundreds that start with several each would crowd every server."""
+        """Starts low with a cached list: hundreds of sidecars that start together would overload servers."""
         if self.limit < math.inf:
             self.limit = self.even / LIMIT_EVEN_MIN
 
     def minimum(self) -> float:
-        """The limit's lower end."""
         return max(LIMIT_MIN, LIMIT_PER_SERVER_MIN * self.share)
 
     def room(self, now: float) -> bool:
@@ -77,17 +75,17 @@
         return self.inflight < 1.0 and now >= self.paused_until
 
     def unqueued(self, record: ClassRecord) -> bool:
-        """Whether what is sent now meets no queue that this sidecar made."""
-        calm = self.limit <= UNQUEUED_LIMIT * self.minimum() or self.limit == math.inf
-        if self.starting and not calm:
+        """Returns whether an attempt sent now meets no queue that this sidecar caused."""
+        unqueued = self.limit <= UNQUEUED_LIMIT * self.minimum() or self.limit == math.inf
+        if self.starting and not unqueued:
             record.start_sends += 1
-            calm = record.start_sends <= USUAL_START_SENDS
-        return calm
+            unqueued = record.start_sends <= USUAL_START_SENDS
+        return unqueued
 
     def adjust(
         self, now: float, pending: OpenRequest, attempt: Attempt, outcome: Outcome, latency: float, busy: bool
     ) -> None:
-        """Moves the limit: up for a timely answer, down for one late or missing."""
+        """Updates the latency quantiles and raises or lowers the limit after an attempt."""
         record, timely = pending.record, False
         if outcome is OK:
             aim, quick = record.klass.aim_ms, record.quick if record.quick >= 0.0 else latency
@@ -95,15 +93,15 @@
             step = step if step < QUICK_STEP else QUICK_STEP
             step, record.answered_at = aim * (first if first > step else step), now
             record.quick = max(quick + step * (QUICK_QUANTILE - (latency < quick)), 0.0)
-            # What is usual follows answers only where this sidecar itself makes no queue.
+            # `usual` follows answers only while this sidecar causes no queue.
             usual = record.usual if record.usual >= 0.0 else latency
             if attempt.unqueued:
                 record.unqueued += 1
                 step = aim * max(USUAL_STEP, QUICK_FIRST / (10.0 + record.unqueued))
                 usual = max(usual + step * (USUAL_QUANTILE - (latency < usual)), 0.0)
             record.usual = usual
-            most = max(quick + TIMELY_SHARE * (aim - quick), usual if record.unqueued >= USUAL_MIN else aim)
-            timely = latency <= most * (pending.scale if pending.scale > 1.0 else 1.0)
+            bound = max(quick + TIMELY_SHARE * (aim - quick), usual if record.unqueued >= USUAL_MIN else aim)
+            timely = latency <= bound * (pending.scale if pending.scale > 1.0 else 1.0)
         if timely:
             if attempt.server.overdue_count:
                 self.mark_lost(now, attempt)
@@ -118,14 +116,14 @@
             self.starting = self.starting and self.late_share < LATE_START
 
     def mark_lost(self, now: float, answered: Attempt) -> None:
-        """A timely answer passes what was sent before it to its server and is long overdue."""
+        """Counts a timely answer against earlier attempts at its server that are long overdue."""
         for attempt in answered.server.attempts:
             record = attempt.record
             if not attempt.overdue or attempt.presumed_lost or attempt.sent_at >= answered.sent_at:
                 continue
             aim = record.klass.aim_ms
-            long = min(LOST_USUAL * record.usual, aim) if record.unqueued >= USUAL_MIN else aim
-            attempt.passed += now - attempt.sent_at >= long
+            overdue_ms = min(LOST_USUAL * record.usual, aim) if record.unqueued >= USUAL_MIN else aim
+            attempt.passed += now - attempt.sent_at >= overdue_ms
             if attempt.passed >= LOST_PASSED:
                 attempt.presumed_lost = True
                 self.inflight -= 1
--- a/hareloom/requests.py
+++ b/hareloom/requests.py
@@ -1,4 +1,4 @@
-"""What a request gets: a place in a line, further attempts and what pays for them, and the final answer."""
+"""The queue of waiting requests, the rules for retries, and the final answer."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from hareloom.limits import AttemptLimit
 from hareloom.records import ClassRecord, OpenRequest, Server, TokenBudget
 
-# Retries: so many per request, saved up to this, and only with this share of the limit free.
+# Retry budget per request, its maximum, and the share of the limit that attempts in flight must be below.
 RETRY_SHARE, RETRY_TOKENS_MAX, RETRY_LIMIT_SHARE = 0.1, 10.0, 0.5
-SAFE = api.Effect.SAFE  # looked up for every request; a member of an enumeration is found slowly
+SAFE = api.Effect.SAFE  # a module-level name, since enum member lookup is slow
 
 
 class Queue:
-    """Lines of those with no place yet, by worth, the most first; the last in a line is served first."""
+    """Waiting requests by the worth of their class, highest first; last in, first out within a worth."""
 
     def __init__(self, classes: dict[str, ClassRecord]) -> None:
         self.queues: list[dict[str, OpenRequest]] = []
@@ -20,11 +20,11 @@
         self.set_classes(classes)
 
     def set_classes(self, classes: dict[str, ClassRecord]) -> None:
-        """A line in which some wait stays, whatever became of their class."""
+        """Applies new classes. A queue with waiting requests is kept, even if its class is gone."""
         worths: dict[float, dict[str, OpenRequest]] = {}
-        for line in self.queues:
-            if line:
-                worths[next(iter(line.values())).record.worth] = line
+        for queue in self.queues:
+            if queue:
+                worths[next(iter(queue.values())).record.worth] = queue
         for record in classes.values():
             record.queue = worths.setdefault(record.worth, record.queue)
         self.queues = [worths[worth] for worth in sorted(worths, reverse=True)]
@@ -41,30 +41,30 @@
 
 
 class RequestAges:
-    """How long ago clients first asked."""
+    """Estimates how long ago clients first sent a request."""
 
     def __init__(self) -> None:
         self.remaining: dict[str, tuple[float, int]] = {}
 
-    def age(self, klass: api.RequestClass, life: float, tick_ms: float) -> float:
-        """How long ago the client first asked, at the least: a last try has what is left of the deadline, all
-        others the same life. Serving what comes back after its aim keeps an overload going for nothing."""
-        usual, votes = self.remaining.get(klass.name, (life, 0))
-        same = abs(life - usual) <= 2.0 * tick_ms
+    def age(self, klass: api.RequestClass, remaining: float, tick_ms: float) -> float:
+        """Returns a lower bound on the request's age by its remaining time: a last try has the rest of the
+        deadline, all others the same time. Serving retries past their aim prolongs an overload in vain."""
+        usual, votes = self.remaining.get(klass.name, (remaining, 0))
+        same = abs(remaining - usual) <= 2.0 * tick_ms
         votes += 1 if same else -1
-        self.remaining[klass.name] = (usual, min(votes, 20)) if votes >= 0 else (life, 1)
-        return 0.0 if same else max(klass.deadline_ms - life, 0.0)
+        self.remaining[klass.name] = (usual, min(votes, 20)) if votes >= 0 else (remaining, 1)
+        return 0.0 if same else max(klass.deadline_ms - remaining, 0.0)
 
     def retain(self, classes: dict[str, ClassRecord]) -> None:
-        self.remaining = {name: life for name, life in self.remaining.items() if name in classes}
+        self.remaining = {name: item for name, item in self.remaining.items() if name in classes}
 
 
-def may_retry(savings: TokenBudget, limits: AttemptLimit) -> bool:
-    return savings.tokens >= 1.0 and limits.inflight < RETRY_LIMIT_SHARE * limits.limit
+def may_retry(budget: TokenBudget, limits: AttemptLimit) -> bool:
+    return budget.tokens >= 1.0 and limits.inflight < RETRY_LIMIT_SHARE * limits.limit
 
 
 def may_send(settings: api.Settings, now: float, pending: OpenRequest, server: Server | None) -> bool:
-    """May this request be sent, and to this server? None: to any, which is all that a first send asks."""
+    """Returns whether the request may be sent to this server; None: to any, as a first send may."""
     limits, klass = settings.limits, pending.klass
     if not pending.open or pending.streaming or len(pending.attempts) >= pending.max_attempts:
         return False
@@ -74,9 +74,9 @@
     if not ran:
         return True
     if klass.effect is api.Effect.UNSAFE:
-        return False  # it may have run: once more would be twice
+        return False  # it may have run, so another attempt could run it twice
     if now > ran[0].sent_at + klass.window_ms - limits.connect_timeout_ms - 2.0 * settings.tick_ms:
-        return False  # they may have forgotten it by the time that a new connection is up
+        return False  # servers may stop dropping repeats before a new connection is up
     mine, theirs = server.entry, [a.server.entry for a in ran]
     if klass.group is api.Group.ZONE:
         return all(mine.zone == other.zone for other in theirs)
@@ -84,10 +84,10 @@
 
 
 def final(settings: api.Settings, now: float, pending: OpenRequest) -> api.Refuse | api.Fail:
-    """The final answer: refused where trying again is harmless, else failed. Those that are too late are told
-    to stay away; others may come back while their answer is still worth something, after as long as they have
-    found no place."""
+    """Returns the final answer: a refusal where a retry is harmless, otherwise a failure. Late requests are
+    asked to stay away for their class's deadline; others may retry after the longest wait in the queue, while
+    an answer still has worth."""
     retry_after = pending.klass.deadline_ms if now >= pending.expires_at else pending.record.max_wait_ms
     retry_after = min(retry_after, settings.limits.max_retry_after_ms)
-    harmless = pending.record.retry_safe or not any(a.may_have_run for a in pending.attempts)
-    return api.Refuse(pending.id, retry_after) if harmless else api.Fail(pending.id)
+    retry_safe = pending.record.retry_safe or not any(a.may_have_run for a in pending.attempts)
+    return api.Refuse(pending.id, retry_after) if retry_safe else api.Fail(pending.id)
--- a/hareloom/rules.py
+++ b/hareloom/rules.py
@@ -1,8 +1,8 @@
-"""All of a sidecar's decisions, bound together. The types it takes and gives are in interface.py.
+"""The Balancer: all decisions of a sidecar. Its input and output types are in interface.py.
 
-The ordinary path is the round-robin rule of Cicconetti et al. (Sec. IV). Every server has a smoothed
-latency w and a deficit; a request goes to the active server with the lowest deficit, which then grows by w.
-Active are those whose w is within a fixed factor of the best w; others return by backed-off trials.
+Servers are chosen by the round-robin rule of Cicconetti et al. (Sec. IV). Every server has a smoothed latency
+w and a deficit; a request goes to the active server with the lowest deficit, which then grows by w. A server
+is active while its w is within a fixed factor of the best w; others return by trials with backoff.
 """
 
 from __future__ import annotations
@@ -22,10 +22,12 @@
 from hareloom.work import Work, class_record, cost_scale
 from hareloom.working import WorkingSet
 
-OK = Outcome.OK  # looked up for every request; a member of an enumeration is found slowly
+OK = Outcome.OK  # a module-level name, since enum member lookup is slow
 
 
 class Balancer:
+    """Turns events into actions. It does no I/O, reads no clock and takes its randomness from ``seed``."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         rng = random.Random(seed)
         self.settings, self.mean_aim = settings, mean_aim(settings)
@@ -48,11 +50,11 @@
 
     @property
     def looks(self) -> int:
-        """Servers that were looked at for requests, in all."""
+        """Total number of servers examined for requests."""
         return self.pick.looks
 
     def avoided(self) -> int:
-        """How many listed servers of the working set wait for a trial after what they did."""
+        """Returns the number of listed servers in the working set that wait for a trial."""
         return self.working.avoided(self.now)
 
     def learnt(self, now: float) -> api.Learnt:
@@ -62,9 +64,9 @@
         beliefs.believe(self, now, learnt)
 
     def on_retune(self, settings: api.Settings) -> None:
-        """Classes that stay as they are keep all that was learnt; one that has changed goes on from it as
-        another object, so that an open request's class is never another than it was taken under."""
-        known, old_settings, aim = self.classes, self.settings, mean_aim(settings)
+        """Applies new settings. Unchanged classes keep their records; the learnt state of a changed class is
+        copied to a new record, so that open requests keep the class under which they were admitted."""
+        old_classes, old_settings, aim = self.classes, self.settings, mean_aim(settings)
         self.settings = self.pick.settings = settings
         self.mean_aim = aim
         if (old_settings.limits, old_settings.costs) != (settings.limits, settings.costs):
@@ -77,7 +79,7 @@
         self.activity.tune(settings, aim)
         self.classes = {}
         for item in settings.classes:
-            old = known.get(item.name) or known.get(item.name.rstrip("\0"))
+            old = old_classes.get(item.name) or old_classes.get(item.name.rstrip("\0"))
             if old is not None and old.klass == item:
                 self.classes[item.name] = old
                 continue
@@ -91,11 +93,12 @@
         self.working.needs_draw = True
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        """Handles an event; returns the actions to take. ``now`` must not decrease from call to call."""
         self.now, self.actions = now, []
         if self.governor.enabled:
             self.spend_for_event(now, event)
         elif self.governor.level:
-            self.governor.refill(now)  # what the host was late by fades
+            self.governor.refill(now)  # decays the host's delay
         kind = type(event)
         if kind is api.Request:
             self.on_request(event)  # type: ignore[arg-type]
@@ -122,33 +125,33 @@
         return self.actions
 
     def spend_for_event(self, now: float, event: api.Event) -> None:
-        """What an event costs by itself; what comes of it is paid for where it is done."""
-        governor_, costs = self.governor, self.governor.costs
-        governor_.refill(now)
+        """Charges the cost of the event itself; work that follows from it is charged where it is done."""
+        budget, costs = self.governor, self.governor.costs
+        budget.refill(now)
         if isinstance(event, api.Request):
-            governor_.spend(costs.request)
+            budget.spend(costs.request)
         elif isinstance(event, api.AttemptEnded):
-            governor_.spend(costs.ended)
+            budget.spend(costs.ended)
         elif isinstance(event, api.Timer):
-            governor_.spend(costs.timer)
+            budget.spend(costs.timer)
         elif isinstance(event, api.ServerList):
-            governor_.spend(costs.other + costs.entry * len(event.entries))
+            budget.spend(costs.other + costs.entry * len(event.entries))
         else:
-            governor_.spend(costs.other)
+            budget.spend(costs.other)
 
     def on_request(self, event: api.Request) -> None:
         record, until, now = self.classes[event.klass], event.deadline, self.now
         klass, settings = record.klass, self.settings
         if not self.governor.affords(record.worth >= self.queue.most_worth):
-            # What comes back while this lasts costs as much again: come back for another call, not for this.
+            # A retry during the overload costs as much again, so it is put off for the class's until.
             self.governor.on_refused()
-            advice = min(klass.deadline_ms, settings.limits.max_retry_after_ms)
-            self.actions.append(api.Refuse(event.request, advice))
+            retry_after = min(klass.deadline_ms, settings.limits.max_retry_after_ms)
+            self.actions.append(api.Refuse(event.request, retry_after))
             return
         self.governor.on_accepted()
-        if klass.late_worth <= 0.0:  # a later answer is worth nothing and costs a late failure
-            sent = now + event.body_ms
-            until = min(until, sent + klass.aim_ms - self.ages.age(klass, until - sent, settings.tick_ms))
+        if klass.late_worth <= 0.0:  # an answer after the aim has no worth, and delays the failure
+            start = now + event.body_ms
+            until = min(until, start + klass.aim_ms - self.ages.age(klass, until - start, settings.tick_ms))
         pending = OpenRequest(event, record, until - settings.tick_ms, settings.limits.max_attempts)
         self.requests[event.request] = pending
         record.seen += 1.0
@@ -161,7 +164,7 @@
             return self.finish(pending)
         self.schedule.add(pending.expires_at, "end", pending)
         if self.queue.waiting or not (self.limits.room(now) and self.send(pending)):
-            if self.governor.level >= governor.NO_QUEUE:  # a line costs a timer and a second look
+            if self.governor.level >= governor.NO_QUEUE:  # the queue costs a timer and a second choice
                 return self.finish(pending)
             self.queue.join(pending)
             self.send_queued()
@@ -169,11 +172,11 @@
                 self.schedule.add(now + record.max_wait_ms, "wait", pending)
 
     def send_queued(self) -> None:
-        """What is over the limit waits here, else queues make every answer late. Places go to the most worth
-        per work, then to the last, with most time."""
-        for line in self.queue.queues:
-            while line:
-                if not self.limits.room(self.now) or not self.send(next(reversed(line.values()))):
+        """Sends waiting requests while the limit allows: those of the most worth per work first, then the
+        newest, which have the most time. Without this queue, queues at the servers make every answer late."""
+        for queue in self.queue.queues:
+            while queue:
+                if not self.limits.room(self.now) or not self.send(next(reversed(queue.values()))):
                     return
 
     def send(self, pending: OpenRequest) -> bool:
@@ -217,7 +220,7 @@
         else:
             self.activity.on_failure(now, attempt, event)
         limits.adjust(now, pending, attempt, outcome, event.latency_ms, busy)
-        if limits.limit < 1.0:  # less than one at a time: a pause after each keeps to it
+        if limits.limit < 1.0:  # below one attempt at a time: pause after each attempt
             limits.paused_until = now + (now - attempt.sent_at) * (1.0 / limits.limit - 1.0)
             self.schedule.add(limits.paused_until, "fill", None)
         if event.closed:
@@ -280,7 +283,7 @@
             self.limits.restart()
 
     def update_share(self) -> None:
-        """This sidecar's part of the servers that are listed, and what follows from it."""
+        """Updates what depends on the number of listed servers per sidecar."""
         share = self.members.share()
         self.limits.update_share(share)
         self.working.update_share(share)
--- a/hareloom/working.py
+++ b/hareloom/working.py
@@ -1,4 +1,4 @@
-"""The working set: the servers that this sidecar sends to, drawn in its own order, and views of them."""
+"""The working set: the servers that this sidecar sends to, taken in its own order."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from hareloom.ring import SIDECARS_PER_SERVER
 from hareloom.servers import Members, Warmth
 
-# Working set: each server is met about once in so many mean aims, within bounds, and is in so many sidecars'
-# sets, or their loads do not even out; widened so far if some do not stand.
+# Size of the working set: each server gets about one request in SET_AIMS mean aims, within bounds, and is in
+# SIDECARS_PER_SERVER sets or more, or loads do not even out. Inactive ones extend it up to SET_GROWTH times.
 SET_AIMS, SET_MIN, SET_MAX, SET_GROWTH = 0.43, 3, 48, 4
 
 
 class WorkingSet:
-    """Views of the set are kept as it changes. ``stale``: it has to be drawn again; ``unsettled``: its views
-    have to be made anew."""
+    """The set and views that are cached as it changes. ``needs_draw``: the set is out of date;
+    ``views_stale``: the views are."""
 
     def __init__(self, settings: api.Settings, mean_aim: float, members: Members, warmth: Warmth) -> None:
         self.members, self.warmth = members, warmth
@@ -25,8 +25,7 @@
         self.size: float = float(SET_MIN)
         self.min_size: float = float(SET_MIN)
         self.needs_draw = self.views_stale = True
-        # The active ones, those of the own zone, the others, the cold; attempts out at the active ones and
-        # their sizes; w of the warm active ones, sorted.
+        # The views. ``own_zone`` holds active servers; ``sorted_ws`` the w of the warm active ones, sorted.
         self.actives, self.own_zone, self.inactives = list[Server](), list[Server](), list[Server]()
         self.cold, self.sorted_ws = list[Server](), list[float]()
         self.active_inflight, self.active_size = 0, 0.0
@@ -37,16 +36,16 @@
     def update_share(self, share: float) -> None:
         self.min_size = max(SIDECARS_PER_SERVER * share, SET_MIN)
 
-    def resize(self, done: float) -> None:
-        """To what gets done, in mean requests a millisecond."""
-        size = done * self.set_ms
+    def resize(self, done_rate: float) -> None:
+        """Adapts the size to the work completed, in mean requests a millisecond."""
+        size = done_rate * self.set_ms
         size = size if size > self.min_size else self.min_size
         size = float(round(size)) if size < SET_MAX else float(SET_MAX)
         if not 0.8 * self.size <= size <= 1.25 * self.size:
             self.size, self.needs_draw = size, True
 
     def refresh(self, now: float) -> None:
-        """All of it up to now."""
+        """Brings the set and its views up to date."""
         if self.needs_draw:
             self.draw(now)
         if self.cold:
@@ -55,20 +54,22 @@
             self.refresh_views(now)
 
     def draw(self, now: float) -> None:
-        """The first listed servers in this sidecar's own order, until enough of them stand. With all of
-        a large fleet a quiet sidecar meets each too seldom to learn, and connections grow until refused."""
+        """Takes listed servers in this sidecar's order until enough are active or new. With all of a large
+        fleet a quiet sidecar uses each too rarely to learn, and connections grow until refused."""
         need, cap, ring, servers = self.size, SET_GROWTH * self.size, self.members.ring, self.members.servers
         old, self.set, self.needs_draw = set(self.set), [], False
         floor = min((s.deficit for s in old if s.active), default=0.0)
-        first, own, count = ring.own_start(), ring.own_count(), len(ring.items)
-        if SET_MIN <= own <= SET_MAX and need < own + 1:  # just its own part, or some are in more sets
+        start, own, count = ring.own_start(), ring.own_count(), len(ring.items)
+        if (
+            SET_MIN <= own <= SET_MAX and need < own + 1
+        ):  # no more than its own part, or some servers are in more sets
             need = float(own)
-        for at in range(count):
+        for offset in range(count):
             if need <= 0 or len(self.set) >= cap:
                 break
-            name = ring.items[(first + at) % count][1]
+            name = ring.items[(start + offset) % count][1]
             if name not in ring.listed or own and servers[name] in self.set:
-                continue  # a large one stands there more than once
+                continue  # a large server has several places
             server = servers[name]
             self.set.append(server)
             need -= server.active or not server.samples
@@ -79,7 +80,7 @@
         self.refresh_views(now)
 
     def refresh_views(self, now: float) -> None:
-        """Makes the views of the working set anew: after a draw, or when one became active, or left."""
+        """Rebuilds the views after a draw or after a server became active or inactive."""
         self.views_stale = False
         self.actives = [s for s in self.set if s.active]
         self.inactives = [s for s in self.set if not s.active]
@@ -93,7 +94,7 @@
             self.rank(now, server)
 
     def rank(self, now: float, server: Server) -> None:
-        """Puts a server's w where it belongs among those that give the best, or takes it out of there."""
+        """Updates a server's entry in ``sorted_ws`` and its effective w."""
         if server.ranked_w is not None:
             del self.sorted_ws[bisect_left(self.sorted_ws, server.ranked_w)]
         server.ranked_w = server.w if server.in_use and server.cold_since is None else None
@@ -103,38 +104,38 @@
             server.eff_w = server.w if server.cold_since is None else server.w / self.warmth.at(now, server)
 
     def warm_up(self, now: float) -> None:
-        """Brings what depends on the age of cold servers up to now."""
+        """Updates what depends on the age of cold servers."""
         for server in self.cold:
             if self.warmth.at(now, server) >= 1.0:
                 server.cold_since, self.views_stale = None, True
             self.rank(now, server)
 
     def best_w(self, now: float) -> float | None:
-        """The w that others are measured by: the best quarter's, not the lowest. One lucky answer makes a
-        lowest w that shuts most of the fleet out, and what is left is pushed over. Cold servers do not count
-        while any other is active: little is sent to them, so they look quick next to busy ones."""
+        """Returns the reference w: the lower quartile, since a minimum from one lucky answer excludes most of
+        the fleet and overloads the rest. Cold servers count only if no other is active: they get little
+        traffic and look fast next to busy ones."""
         if self.views_stale:
             self.refresh_views(now)
         ranked = self.sorted_ws or sorted(s.w for s in self.actives if s.w is not None)
         return ranked[len(ranked) // 4] if ranked else None
 
     def charge(self, now: float, server: Server, record: ClassRecord) -> float:
-        """Latency that a request of this class should see there; for a trial, that of the best."""
+        """Returns the expected latency of this class at the server; for a trial, from the reference w."""
         w = server.w if server.active else self.best_w(now)
         return (self.mean_aim if w is None else w) * record.cost(server) / self.warmth.at(now, server)
 
     def active_share(self, now: float) -> float:
-        """The share of the working set that is active."""
+        """Returns the active share of the working set."""
         if self.views_stale:
             self.refresh_views(now)
         return len(self.actives) / max(len(self.set), 1)
 
     def avoided(self, now: float) -> int:
-        """As `Balancer` says. It looks at a kept view: from another thread, as right as the last event."""
+        """As in `Balancer`. It reads a cached view, so another thread sees the state after the last event."""
         return sum([s.listed and s.trial_at > now for s in self.inactives])
 
     def effective_size(self, now: float) -> float:
-        """Sizes of the active servers, the cold ones by their warmth."""
+        """Returns the total size of the active servers, cold ones scaled by their warmth."""
         if self.views_stale:
             self.refresh_views(now)
         if not self.cold:
