--- a/mesh/membership/failure_detection.py
+++ b/mesh/membership/failure_detection.py
@@ -1,15 +1,16 @@
-"""Which nodes are gone for good, so that their items may be dropped. No I/O; seconds of the caller's steady
-clock.
-
-A node is gone when none of the control processes that can be heard, more than half of the members among them,
-has heard it for `Spans.gone_s`. Silence is counted only over time in which the listener itself ran.
-
-A zone that is cut off falls silent at one instant, and nobody in it is heard afterwards; machines that go one
-by one leave others of their zone that are. So a silent node is gone only if somebody of its zone was heard
-the partition window after it, over a link of the listener's own that had stood for RECONNECT_S: when it ends
-its nodes come back one by one. Else its zone may be cut off, and it stays until that is so or `zone_gone_s`
-is over. How many dead nodes the store still names makes no difference (docs/design/duties.md). A drop has
-the next version, and who comes back says itself anew above that.
+"""Failure detection: decides which nodes are gone for good, so that their items may be dropped. No I/O; all
+times are seconds of the caller's steady clock.
+
+A node is gone when it has been silent for `SilenceThresholds.gone_s` to every control process that answers,
+and these include more than half of the members. Silence counts only while the listener itself was running.
+
+A network partition silences a whole zone at once, and no node of it is heard afterwards; machines that fail
+one by one leave others of their zone reachable. So a silent node is gone only if some node of its zone was
+heard `partition_window_s` after it, over a link of the listener's own that had been up for RECONNECT_S,
+because the nodes of a zone reconnect one by one when a partition heals. Otherwise the zone may be
+partitioned, and the node is kept until such contact or until `zone_gone_s`. The number of dead nodes still
+in the store makes no difference (docs/design/duties.md). A drop takes the item's next version; a node that
+returns publishes itself above that version.
 """
 
 from __future__ import annotations
@@ -20,23 +21,18 @@
 
 from mesh.replication.items import Item
 
-MIN_GONE_S = 20.0  # the shortest silence after which a node may be gone
-CONTACT_PERIODS, HEARTBEAT_PERIODS = (
-    5.0,
-    4.0,
-)  # and so many times contact_ms and the upstreams' period of beats
-MIN_ZONE_GONE_S = 600.0  # the same where the whole zone is silent
-PARTITION_WINDOW_SHARE = (
-    1 / 3
-)  # of the silence that makes suspect: what falls silent within it may be one cut
-RECONNECT_S = 2.2  # by then all links to a zone stand again: the longest pause between two tries, and one try
-MAX_POLL_GAP_S = 2.0  # between two looks; a longer one tells that this process itself stood still
-MAX_QUERIED_NODES = 1024  # nodes of one question
-NEVER_S = float("inf")  # since a node was heard, where none that answered ever has
+MIN_GONE_S = 20.0  # lower bound of `SilenceThresholds.gone_s`
+CONTACT_PERIODS, HEARTBEAT_PERIODS = 5.0, 4.0  # multiples of contact_ms and beat_ms in `gone_s`
+MIN_ZONE_GONE_S = 600.0  # lower bound of `SilenceThresholds.zone_gone_s`
+PARTITION_WINDOW_SHARE = 1 / 3  # of `suspect_s`: nodes silenced within it may be behind one partition
+RECONNECT_S = 2.2  # the longest pause between two connection attempts and one attempt: all links are up again
+MAX_POLL_GAP_S = 2.0  # a longer gap between two polls means that this process itself was suspended
+MAX_QUERIED_NODES = 1024  # nodes in one query
+NEVER_S = float("inf")  # time since contact with a node that no reporter has ever had
 
 
 class SilenceThresholds(Struct, frozen=True):
-    """Seconds of silence: from which a node counts as silent, as gone, and as gone with most of its zone."""
+    """Seconds of silence after which a node is suspect, is gone, and is gone although its zone is silent."""
 
     suspect_s: float
     gone_s: float
@@ -44,14 +40,14 @@
 
     @property
     def partition_window_s(self) -> float:
-        """Two nodes that fell silent so far apart did not go by one cut."""
+        """Nodes that fell silent further apart than this were not cut off by one partition."""
         return PARTITION_WINDOW_SHARE * self.suspect_s
 
 
 class NodeInfo(Struct, frozen=True):
-    """A node of the membership store. ``stays``: silence never drops it. ``member``: its disk counts; a zone
-    in which no other machine was left counts then as one machine, since a member that is lost alone must not
-    keep the next loss from being borne."""
+    """A node of the membership store. An ``exempt`` node is never dropped for silence. The disk of a
+    ``member`` counts for durability: where it was the last machine of its zone, its loss counts as that of
+    one machine, so that it does not block tolerating the next loss."""
 
     zone: str
     exempt: bool = False
@@ -59,41 +55,39 @@
 
 
 class SilenceReport(Struct, frozen=True):
-    """What one control process says of nodes, in seconds: for how long each has been ``silent`` there, and
-    how long ago it was ``heard`` there over a link of its own that stood (left out: never)."""
+    """One control process's view, in seconds by node: how long the node has been silent there, and how long
+    ago it was heard over an established link of that process's own (absent: never)."""
 
     silent_s: Mapping[str, float]
     linked_s: Mapping[str, float] = {}
 
 
 class Verdict(Struct, frozen=True):
-    """``gone``: nodes to drop; ``zones``: those of which nodes are kept though they are silent."""
+    """``gone``: nodes to drop; ``kept_zones``: zones with silent nodes that are kept."""
 
     gone: tuple[str, ...]
     kept_zones: tuple[str, ...]
 
 
 def silence_thresholds(contact_ms: float, beat_ms: float) -> SilenceThresholds:
-    """Of a deployment's own figures."""
+    """The thresholds for a deployment's contact bound and heartbeat period."""
     gone_s = max(MIN_GONE_S, (CONTACT_PERIODS * contact_ms + HEARTBEAT_PERIODS * beat_ms) / 1000.0)
     return SilenceThresholds(contact_ms / 1000.0, gone_s, max(MIN_ZONE_GONE_S, 10.0 * gone_s))
 
 
 class SilenceTracker:
-    """How long each node has been silent here. Bounded by the nodes that ``look`` is given."""
+    """Tracks how long each node has been silent to this process. Bounded by the nodes passed to `poll`."""
 
     def __init__(self, now: float) -> None:
-        self._listening_since = self._polled_at = now  # listening without a gap; the last look
+        self._listening_since = self._polled_at = now
         self._contacts: dict[str, float] = {}
-        self._link_contacts: dict[
-            str, float
-        ] = {}  # when something came over a link that had stood for RECONNECT_S
-        self._reported_contacts: dict[str, float] = {}  # when another process heard it, as that one said
+        self._link_contacts: dict[str, float] = {}  # over a link that had been up for RECONNECT_S
+        self._reported_contacts: dict[str, float] = {}  # contacts of other processes, as they reported them
         self._reported_link_contacts: dict[str, float] = {}
 
     def poll(self, now: float, names: Collection[str]) -> None:
-        """To be called at least every GAP_S. ``names``: all nodes of the roll; one that is new counts as
-        heard when it came, one that is not named is forgotten."""
+        """Must be called at least every MAX_POLL_GAP_S with all nodes of the membership store. A new node
+        counts as heard now; a node that is not in ``names`` is forgotten."""
         if now - self._polled_at > MAX_POLL_GAP_S:
             self._listening_since = now
         self._polled_at = now
@@ -109,46 +103,46 @@
                 del table[name]
 
     def listening_s(self, now: float) -> float:
-        """For how long it has listened without a gap."""
+        """How long this process has been listening without a gap."""
         return 0.0 if now - self._polled_at > MAX_POLL_GAP_S else now - self._listening_since
 
     def note_contact(self, at: float, name: str) -> None:
-        """Of nodes of the roll; what others say of themselves is passed over."""
+        """Records that a node was heard. Names outside the membership store are ignored."""
         if name in self._contacts:
             self._contacts[name] = max(at, self._contacts[name])
 
     def note_link_contact(self, at: float, name: str, since: float) -> None:
-        """The same, over a link of its own that stands since then."""
+        """Records that a node was heard over an own link that has been up since ``since``."""
         self.note_contact(at, name)
         if name in self._contacts and at - since >= RECONNECT_S:
             self._link_contacts[name] = max(at, self._link_contacts.get(name, at))
 
     def note_reported_contact(self, at: float, name: str) -> None:
-        """Another has heard it then. Spares a question; never said to others as this one's own."""
+        """Records that another process heard a node. Saves a query; never reported on as an own contact."""
         if name in self._contacts:
             self._reported_contacts[name] = max(at, self._reported_contacts.get(name, at))
 
     def note_reported_link_contact(self, at: float, name: str) -> None:
-        """The same, over a link of the other's own."""
+        """Records that another process heard a node over a link of its own."""
         if name in self._contacts:
             self._reported_link_contacts[name] = max(at, self._reported_link_contacts.get(name, at))
 
     def silent_s(self, now: float, name: str) -> float:
-        """0 for a node that is not known: nothing can be said against it."""
+        """How long a node has been silent here; 0 for an unknown node, about which nothing is known."""
         if name not in self._contacts:
             return 0.0
         return min(now - self._contacts[name], self.listening_s(now))
 
     def silent_anywhere_s(self, now: float, name: str) -> float:
-        """The same, with what others said."""
+        """How long a node has been silent here and to the processes that reported contacts."""
         return min(self.silent_s(now, name), now - self._reported_contacts.get(name, -1e18))
 
     def linked_s(self, now: float, name: str) -> float | None:
-        """How long ago it was heard over a link of its own that had stood for RECONNECT_S; None: never."""
+        """How long ago a node was heard over an own link that had been up for RECONNECT_S; None: never."""
         return now - self._link_contacts[name] if name in self._link_contacts else None
 
     def linked_anywhere_s(self, now: float, name: str) -> float | None:
-        """The same, with what others said. For this process's own judgement, never said on."""
+        """Like `linked_s`, including reported contacts. For local decisions only; never reported on."""
         known = [
             table[name] for table in (self._link_contacts, self._reported_link_contacts) if name in table
         ]
@@ -156,48 +150,50 @@
 
 
 def nodes_to_query(
-    nodes: Mapping[str, NodeInfo], doubts: Mapping[str, float], spans: SilenceThresholds
+    nodes: Mapping[str, NodeInfo], silences: Mapping[str, float], thresholds: SilenceThresholds
 ) -> list[str]:
-    """Of which nodes the others are to be asked: none unless one may be gone; then also those that are
-    silent in the same zones, since a zone's nodes are judged together. The most silent first."""
+    """The nodes to ask the other control processes about, the most silent first: none unless some node may
+    be gone; then the suspect nodes of its zone too, because a zone's nodes are assessed together."""
     zones = {
-        node.zone for name, node in nodes.items() if not node.exempt and doubts.get(name, 0.0) >= spans.gone_s
+        node.zone
+        for name, node in nodes.items()
+        if not node.exempt and silences.get(name, 0.0) >= thresholds.gone_s
     }
     found = [
         name
         for name, node in nodes.items()
-        if node.zone in zones and doubts.get(name, 0.0) >= spans.suspect_s
+        if node.zone in zones and silences.get(name, 0.0) >= thresholds.suspect_s
     ]
-    return sorted(found, key=lambda name: (-doubts[name], name))[:MAX_QUERIED_NODES]
+    return sorted(found, key=lambda name: (-silences[name], name))[:MAX_QUERIED_NODES]
 
 
-def is_majority(heard: Collection[str], members: Collection[str]) -> bool:
-    """Whether more than half of the members say something, by address."""
-    return 2 * len(set(heard) & set(members)) > len(members)
+def is_majority(responders: Collection[str], members: Collection[str]) -> bool:
+    """Whether the responders include more than half of the members; both are addresses."""
+    return 2 * len(set(responders) & set(members)) > len(members)
 
 
 def assess_silence(
-    nodes: Mapping[str, NodeInfo], reports: Sequence[SilenceReport], spans: SilenceThresholds
+    nodes: Mapping[str, NodeInfo], reports: Sequence[SilenceReport], thresholds: SilenceThresholds
 ) -> Verdict:
-    """``reports``: of this process, and of each that answered. One that says nothing of a node has heard it,
-    so the node is not gone; that is no proof that its zone can be reached."""
+    """Decides which nodes are gone, from the reports of this process and of each that answered. A report
+    that omits a node counts as recent contact with the node, but not as proof that its zone is reachable."""
     if not reports:
         return Verdict((), ())
     silent = min_silence(nodes, reports)
-    heard = {name: min(report.linked_s.get(name, NEVER_S) for report in reports) for name in nodes}
+    linked = {name: min(report.linked_s.get(name, NEVER_S) for report in reports) for name in nodes}
     zones: dict[str, list[str]] = {}
     for name, node in nodes.items():
         zones.setdefault(node.zone, []).append(name)
-    latest = {zone: min(heard[name] for name in names) for zone, names in zones.items()}
+    latest = {zone: min(linked[name] for name in names) for zone, names in zones.items()}
     gone, kept = [], set()
     for name, node in sorted(nodes.items()):
-        if node.exempt or silent[name] < spans.gone_s:
+        if node.exempt or silent[name] < thresholds.gone_s:
             continue
-        others = [heard[other] for other in zones[node.zone] if other != name]
-        # Nobody else was left there: all others fell silent long before it.
-        lone = all(silent[name] + spans.partition_window_s <= heard_s < NEVER_S for heard_s in others)
-        answered = latest[node.zone] <= silent[name] - spans.partition_window_s
-        if answered or silent[name] >= spans.zone_gone_s or (node.member and lone):
+        others = [linked[other] for other in zones[node.zone] if other != name]
+        # The node was alone in its zone: all others fell silent long before it.
+        alone = all(silent[name] + thresholds.partition_window_s <= linked_s < NEVER_S for linked_s in others)
+        reachable = latest[node.zone] <= silent[name] - thresholds.partition_window_s
+        if reachable or silent[name] >= thresholds.zone_gone_s or (node.member and alone):
             gone.append(name)
         else:
             kept.add(node.zone)
@@ -205,21 +201,21 @@
 
 
 def min_silence(names: Iterable[str], reports: Sequence[SilenceReport]) -> dict[str, float]:
-    """For how long nobody who answered has heard each of these, in seconds."""
+    """For each node, the shortest silence in any report, in seconds."""
     return {name: min(report.silent_s.get(name, 0.0) for report in reports) for name in names}
 
 
 def was_dropped(item: Item | None) -> bool:
-    """Whether others gave this process up, by the item that it has said of itself."""
+    """Whether other processes dropped this process, given the item that it published about itself."""
     return item is not None and item.value is None
 
 
 def version_above(item: Item | None, version: int) -> int:
-    """A version for what a process says of itself: ``version``, or more where the roll holds as much already
-    (a drop, or an earlier life whose clock was ahead)."""
+    """A version for an item that a process publishes about itself: ``version``, or the next one where the
+    store already holds that or more (after a drop, or after an incarnation whose clock was ahead)."""
     return max(version, item.version + 1) if item is not None else version
 
 
 def drop_writes(items: Iterable[Item]) -> list[tuple[str, str, int, None]]:
-    """Writes that drop these."""
+    """The writes that drop these items; already dropped ones are left out."""
     return [(item.kind, item.name, item.version + 1, None) for item in items if item.value is not None]
--- a/mesh/membership/instance_commands.py
+++ b/mesh/membership/instance_commands.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself, decoded into commands. No I/O."""
+"""Decodes the registration calls of an upstream into commands. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from mesh.ownership.server_holds import HeldRow, ReleasedRow
 from mesh.transport.link import Address
 
-MAX_INSTANCE_ID_LENGTH = 128  # characters of an instance's id at the most
+MAX_INSTANCE_ID_LENGTH = 128  # characters
 SETTLED, DECAYING = "settled", "decaying"
-MAX_KEY_ROWS = 1024  # of keys in one beat
+MAX_KEY_ROWS = 1024  # in one heartbeat
 
 
 class Heartbeat(Struct, frozen=True):
+    """The state that an instance reports periodically."""
+
     instance: str
     plant: str
     address: Address
@@ -25,23 +27,29 @@
     state: str
     warmup_left_ms: float
     sample_count: int
-    holds: tuple[HeldRow, ...] = ()  # keys that it holds or still works on
-    released: tuple[ReleasedRow, ...] = ()  # and those that it let go since its last acknowledged beat
+    holds: tuple[HeldRow, ...] = ()  # keys that it holds or still processes
+    released: tuple[ReleasedRow, ...] = ()  # since its last acknowledged heartbeat
 
 
 class Leave(Struct, frozen=True):
+    """An instance deregisters."""
+
     instance: str
 
 
 class InvalidCommand(Struct, frozen=True):
+    """A call that cannot be decoded: the invalid field and how to correct it."""
+
     field: str
     remedy: str
 
     def line(self) -> str:
+        """The error text of the answer."""
         return f"beat: {self.field}: {self.remedy}"
 
 
 def read_address(text: Any) -> Address | None:
+    """Parses HOST:PORT; None if the text is not of that form."""
     if not isinstance(text, str):
         return None
     host, colon, port = text.rpartition(":")
@@ -55,46 +63,47 @@
 
 
 def read_heartbeat(instance: str, body: bytes) -> Heartbeat | InvalidCommand:
+    """Decodes the body of a heartbeat call."""
     if not 0 < len(instance) <= MAX_INSTANCE_ID_LENGTH:
         return InvalidCommand("path", f"an id has 1 to {MAX_INSTANCE_ID_LENGTH} characters")
     try:
-        told = msgspec.json.decode(body)
+        fields = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError):
         return InvalidCommand("body", "send a JSON object")
-    if not isinstance(told, dict):
+    if not isinstance(fields, dict):
         return InvalidCommand("body", "send a JSON object")
-    address = read_address(told.get("address"))
+    address = read_address(fields.get("address"))
     if address is None:
         return InvalidCommand("address", "give HOST:PORT")
-    if told.get("state") not in (SETTLED, DECAYING):
+    if fields.get("state") not in (SETTLED, DECAYING):
         return InvalidCommand("state", f"give {SETTLED} or {DECAYING}")
     for field in ("capacity", "sample_count"):
-        if not _is_number(told.get(field)) or int(told[field]) != told[field]:
+        if not _is_number(fields.get(field)) or int(fields[field]) != fields[field]:
             return InvalidCommand(field, "give a whole number from 0")
-    if not _is_number(told.get("warmup_left_ms", 0)):
+    if not _is_number(fields.get("warmup_left_ms", 0)):
         return InvalidCommand("warmup_left_ms", "give a number from 0")
     for field in ("plant", "zone", "epoch"):
-        if not isinstance(told.get(field, ""), str) or len(told.get(field, "")) > 256:
+        if not isinstance(fields.get(field, ""), str) or len(fields.get(field, "")) > 256:
             return InvalidCommand(field, "give text of 256 characters at the most")
-    if not told.get("plant"):
+    if not fields.get("plant"):
         return InvalidCommand("plant", "give the service's name")
     try:
-        holds = msgspec.convert(told.get("holds") or [], tuple[HeldRow, ...])
-        released = msgspec.convert(told.get("released") or [], tuple[ReleasedRow, ...])
-    except msgspec.ValidationError as fault:
-        return InvalidCommand("holds, released", f"give rows of keys: {fault}")
+        holds = msgspec.convert(fields.get("holds") or [], tuple[HeldRow, ...])
+        released = msgspec.convert(fields.get("released") or [], tuple[ReleasedRow, ...])
+    except msgspec.ValidationError as error:
+        return InvalidCommand("holds, released", f"give rows of keys: {error}")
     if len(holds) > MAX_KEY_ROWS or len(released) > MAX_KEY_ROWS:
         return InvalidCommand("holds, released", f"give {MAX_KEY_ROWS} rows at the most")
     return Heartbeat(
         instance=instance,
-        plant=told["plant"],
+        plant=fields["plant"],
         address=address,
-        zone=told.get("zone", ""),
-        epoch=told.get("epoch", ""),
-        capacity=max(int(told["capacity"]), 1),
-        state=told["state"],
-        warmup_left_ms=float(told.get("warmup_left_ms", 0.0)),
-        sample_count=int(told["sample_count"]),
+        zone=fields.get("zone", ""),
+        epoch=fields.get("epoch", ""),
+        capacity=max(int(fields["capacity"]), 1),
+        state=fields["state"],
+        warmup_left_ms=float(fields.get("warmup_left_ms", 0.0)),
+        sample_count=int(fields["sample_count"]),
         holds=holds,
         released=released,
     )
--- a/mesh/membership/lease.py
+++ b/mesh/membership/lease.py
@@ -1,10 +1,11 @@
-"""Whose turn a duty is, and under which epoch. No I/O; instants in seconds of the caller's steady clock.
-
-A duty falls to the first live control process in the order that rendezvous over the duty's name gives, the
-same wherever it is worked out. Who finds itself first says so with an item of the roll whose version is the
-epoch, one above the highest it knows. An order names the epoch that it is given under; who knows a higher
-one refuses it. Nothing here keeps two processes that cannot hear each other from both holding a duty: what a
-duty does must bear that (docs/design/duties.md).
+"""Leases of duties: which control process holds a duty, and in which epoch. No I/O; all times are seconds of
+the caller's steady clock.
+
+A duty belongs to the first live control process in the rendezvous order of the duty's name, which every
+process computes alike. A process that finds itself first claims the duty with an item of the membership
+store whose version is the epoch, one above the highest known. Requests of the holder carry the epoch, and a
+process that knows a higher one refuses them. Two processes that cannot reach each other may both hold a
+duty, so the actions of a duty must tolerate that (docs/design/duties.md).
 """
 
 from __future__ import annotations
@@ -17,44 +18,44 @@
 from mesh.membership.rendezvous import rendezvous_order
 from mesh.replication.items import Item, outranks
 
-DUTY = "duty"  # the kind of the items that say who has one
-REAPING = "reaping"  # dropping what is gone for good
-MEMBERS = "members"  # proposing who counts
-TENURE_FACTOR = 4.0  # of the steady time, a claim stands before it is outbid
+DUTY = "duty"  # kind of the items that hold claims
+REAPING = "reaping"  # the duty to drop nodes that are gone
+MEMBERS = "members"  # the duty to propose member changes
+TENURE_FACTOR = 4.0  # times the stable time: how long a claim stands before another process may supersede it
 MAX_EPOCH = 1 << 52
 
 
 class LeaseRecord(Struct, frozen=True):
-    """The highest claim known. Epoch 0: nobody has claimed it."""
+    """The highest known claim of a duty; epoch 0: there is none."""
 
     epoch: int
     holder: str
 
 
 class Claim(Struct, frozen=True):
-    """This process is to take the duty under that epoch."""
+    """This process has to claim the duty with this epoch."""
 
     epoch: int
 
 
 class Hold(Struct, frozen=True):
-    """This process has it, and may act."""
+    """This process holds the duty in this epoch and may act."""
 
     epoch: int
 
 
 class Standby(Struct, frozen=True):
-    """It is another's, or nobody's yet."""
+    """Another process holds the duty, or none does yet."""
 
 
 def lease_value(holder: str) -> dict[str, Any]:
-    """Of a claim's item."""
+    """The value of a claim's item."""
     return {"holder": holder}
 
 
-def read_lease(epoch: object, told: Mapping[str, Any] | None) -> LeaseRecord:
-    """Raises ValueError for what is no claim."""
-    holder = told.get("holder") if told is not None else None
+def read_lease(epoch: object, fields: Mapping[str, Any] | None) -> LeaseRecord:
+    """Parses a claim's version and value. Raises ValueError if they are not a claim."""
+    holder = fields.get("holder") if fields is not None else None
     if not isinstance(epoch, int) or not 0 < epoch < MAX_EPOCH:
         raise ValueError("a duty's epoch is a whole number from 1")
     if not isinstance(holder, str) or not 0 < len(holder) <= 256:
@@ -63,53 +64,55 @@
 
 
 def first_live(duty: str, names: Iterable[str], live: Collection[str]) -> str:
-    """The first live one in the duty's order; "" where none is."""
+    """The first live process in the duty's rendezvous order; "" if there is none."""
     return next((name for name in rendezvous_order(duty, names) if name in live), "")
 
 
 class DutyLease:
-    """One duty as the process ``me`` sees it. ``steady_s``: it must have been first for so long before it
-    claims; links that come and go would hand the duty to and fro otherwise."""
+    """One duty from the view of the process ``node``. The process must have been first for ``stable_s``
+    before it claims; otherwise links that flap would move the duty back and forth."""
 
-    def __init__(self, duty: str, me: str, steady_s: float) -> None:
-        self.duty, self._node, self._stable_s, self._tenure_s = duty, me, steady_s, TENURE_FACTOR * steady_s
+    def __init__(self, duty: str, node: str, stable_s: float) -> None:
+        self.duty, self._node, self._stable_s, self._tenure_s = duty, node, stable_s, TENURE_FACTOR * stable_s
         self.latest = LeaseRecord(0, "")
-        self._latest_at = 0.0  # when it was learned
+        self._latest_at = 0.0  # when `latest` was received
         self._first_since: float | None = None
-        self._claimed = 0  # the epoch that this life claimed last
+        self._claimed = 0  # the last epoch that this incarnation claimed
 
-    def note(self, now: float, standing: LeaseRecord) -> bool:
-        """A claim, or an order under it, has been heard. False: a higher one is known, and it is refused."""
-        if standing == self.latest:
+    def note(self, now: float, record: LeaseRecord) -> bool:
+        """Records a claim, or a request that carries it. Returns False, and the request has to be refused,
+        if a higher claim is known."""
+        if record == self.latest:
             return True
-        if not outranks(self._item(standing), self._item(self.latest)):
+        if not outranks(self._item(record), self._item(self.latest)):
             return False
-        self.latest, self._latest_at = standing, now
+        self.latest, self._latest_at = record, now
         return True
 
-    def _item(self, standing: LeaseRecord) -> Item:
-        """What the roll would hold, so that two claims of one epoch are settled here as they are there."""
-        return Item(DUTY, self.duty, standing.epoch, lease_value(standing.holder) if standing.holder else {})
+    def _item(self, record: LeaseRecord) -> Item:
+        """The claim as the store holds it, so that a tie within an epoch is resolved as in the store."""
+        return Item(DUTY, self.duty, record.epoch, lease_value(record.holder) if record.holder else {})
 
     def note_claimed(self, now: float, epoch: int) -> None:
-        """This process has said so."""
+        """Records that this process has claimed the duty."""
         self._claimed = epoch
         self.note(now, LeaseRecord(epoch, self._node))
 
     def decide(self, now: float, names: Iterable[str], live: Collection[str]) -> Claim | Hold | Standby:
-        """``names``: all control processes known, this one too; ``live``: those that can act now. A claim is
-        not outbid before its time, so that two who do not hear each other, and are both heard by a third,
-        do not outbid each other all the time; a life that has not claimed it does not have it."""
+        """``names``: all known control processes, this one included; ``live``: those that can act now. A
+        claim is not superseded before its tenure ends, so that two processes that cannot reach each other,
+        but both reach a third, do not supersede each other continually. An incarnation that has not claimed
+        the duty itself does not hold it."""
         if first_live(self.duty, names, live) != self._node:
             self._first_since = None
             return Standby()
         if self._first_since is None:
             self._first_since = now
-        newest = self.latest
-        if newest.holder == self._node and newest.epoch == self._claimed:
-            return Hold(newest.epoch)
+        latest = self.latest
+        if latest.holder == self._node and latest.epoch == self._claimed:
+            return Hold(latest.epoch)
         if now - self._first_since < self._stable_s:
             return Standby()
-        if newest.epoch and newest.holder != self._node and now - self._latest_at < self._tenure_s:
+        if latest.epoch and latest.holder != self._node and now - self._latest_at < self._tenure_s:
             return Standby()
-        return Claim(newest.epoch + 1)
+        return Claim(latest.epoch + 1)
--- a/mesh/membership/rendezvous.py
+++ b/mesh/membership/rendezvous.py
@@ -1,7 +1,8 @@
-"""Rendezvous hashing: whom each process knows and watches, and in which order a duty falls to them. No I/O.
+"""Rendezvous hashing: selects the peers that each process connects to and the order in which processes take a
+duty. No I/O.
 
-Each pair of names has a weight of its own, the same wherever it is worked out; the heaviest few are named.
-One that comes or goes changes the sets that it is in and no others.
+Each pair of names has a fixed weight that every process computes alike; the names with the highest weights
+are selected. A name that joins or leaves changes only the selections that it is part of.
 """
 
 from __future__ import annotations
@@ -11,14 +12,15 @@
 
 
 def weight(one: str, other: str) -> int:
+    """The weight of a pair of names, a 64-bit hash."""
     return int.from_bytes(blake2b(f"{one}\0{other}".encode(), digest_size=8).digest(), "big")
 
 
-def rendezvous_order(me: str, names: Iterable[str]) -> list[str]:
-    """All of them, the heaviest first."""
-    return sorted(names, key=lambda name: (weight(me, name), name), reverse=True)
+def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
+    """All names by descending weight for ``key``."""
+    return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
 
 
-def select_top(me: str, names: Iterable[str], most: int) -> list[str]:
-    """The heaviest ``most`` of them."""
-    return rendezvous_order(me, names)[:most]
+def select_top(key: str, names: Iterable[str], count: int) -> list[str]:
+    """The ``count`` names with the highest weights for ``key``."""
+    return rendezvous_order(key, names)[:count]
--- a/tests/mesh/test_duty_turn.py
+++ b/tests/mesh/test_duty_turn.py
@@ -1,4 +1,4 @@
-"""Whose turn a duty is: the order, the epochs, and who stops when it is overtaken."""
+"""Leases of duties: the order of the holders, the epochs, and a holder that stops when it is superseded."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 
-STEADY_S = 3.0
+STABLE_S = 3.0
 NAMES = [f"c{number}" for number in range(1, 6)]
 
 
 def order() -> list[str]:
-    """As taking away the first one again and again gives it."""
+    """The order that results from removing the first live process repeatedly."""
     left, found = list(NAMES), []
     while left:
         found.append(first_live(REAPING, left, left))
@@ -38,15 +38,15 @@
     return found
 
 
-def holding(me: str, now: float = 0.0) -> tuple[DutyLease, float]:
-    """A turn that has claimed epoch 1, and when."""
-    turn = DutyLease(REAPING, me, STEADY_S)
-    assert turn.decide(now, NAMES, NAMES) == Standby()
-    now += STEADY_S
-    assert turn.decide(now, NAMES, NAMES) == Claim(1)
-    turn.note_claimed(now, 1)
-    assert turn.decide(now, NAMES, NAMES) == Hold(1)
-    return turn, now
+def holding(node: str, now: float = 0.0) -> tuple[DutyLease, float]:
+    """A lease with epoch 1 claimed, and the time of the claim."""
+    lease = DutyLease(REAPING, node, STABLE_S)
+    assert lease.decide(now, NAMES, NAMES) == Standby()
+    now += STABLE_S
+    assert lease.decide(now, NAMES, NAMES) == Claim(1)
+    lease.note_claimed(now, 1)
+    assert lease.decide(now, NAMES, NAMES) == Hold(1)
+    return lease, now
 
 
 def test_the_order_is_the_same_wherever_it_is_worked_out_and_differs_by_duty() -> None:
@@ -60,42 +60,42 @@
 
 def test_only_the_first_that_is_live_claims_and_only_once_it_has_been_so_for_a_while() -> None:
     one, two = order()[:2]
-    turn = DutyLease(REAPING, two, STEADY_S)
+    lease = DutyLease(REAPING, two, STABLE_S)
     for now in range(100):
-        assert turn.decide(float(now), NAMES, NAMES) == Standby()
+        assert lease.decide(float(now), NAMES, NAMES) == Standby()
     alone = set(NAMES) - {one}
-    assert turn.decide(100.0, NAMES, alone) == Standby()
-    assert turn.decide(102.0, NAMES, NAMES) == Standby()  # it was there again: the time begins anew
-    assert turn.decide(102.5, NAMES, alone) == Standby()
-    assert turn.decide(105.4, NAMES, alone) == Standby()
-    assert turn.decide(105.5, NAMES, alone) == Claim(1)
-    assert turn.decide(105.6, NAMES, alone - {two}) == Standby()  # not in touch itself: it does not act
+    assert lease.decide(100.0, NAMES, alone) == Standby()
+    assert lease.decide(102.0, NAMES, NAMES) == Standby()  # the first process was back: the time starts again
+    assert lease.decide(102.5, NAMES, alone) == Standby()
+    assert lease.decide(105.4, NAMES, alone) == Standby()
+    assert lease.decide(105.5, NAMES, alone) == Claim(1)
+    assert lease.decide(105.6, NAMES, alone - {two}) == Standby()  # out of contact itself: it does not act
 
 
 def test_who_is_overtaken_stops_and_waits_before_it_outbids() -> None:
     one, two = order()[:2]
-    turn, now = holding(one)
-    assert turn.note(now, LeaseRecord(2, two))
-    assert turn.decide(now, NAMES, NAMES) == Standby()
-    assert turn.decide(now + TENURE_FACTOR * STEADY_S - 0.1, NAMES, NAMES) == Standby()
-    assert turn.decide(now + TENURE_FACTOR * STEADY_S, NAMES, NAMES) == Claim(3)
+    lease, now = holding(one)
+    assert lease.note(now, LeaseRecord(2, two))
+    assert lease.decide(now, NAMES, NAMES) == Standby()
+    assert lease.decide(now + TENURE_FACTOR * STABLE_S - 0.1, NAMES, NAMES) == Standby()
+    assert lease.decide(now + TENURE_FACTOR * STABLE_S, NAMES, NAMES) == Claim(3)
 
 
 def test_a_life_does_not_act_under_a_claim_of_the_one_before() -> None:
     one = order()[0]
-    turn = DutyLease(REAPING, one, STEADY_S)
-    turn.note(0.0, LeaseRecord(7, one))
-    assert turn.decide(0.0, NAMES, NAMES) == Standby()
-    assert turn.decide(STEADY_S, NAMES, NAMES) == Claim(8)
+    lease = DutyLease(REAPING, one, STABLE_S)
+    lease.note(0.0, LeaseRecord(7, one))
+    assert lease.decide(0.0, NAMES, NAMES) == Standby()
+    assert lease.decide(STABLE_S, NAMES, NAMES) == Claim(8)
 
 
 def test_an_order_of_an_old_epoch_is_refused_and_of_a_higher_one_is_remembered() -> None:
     one, two = order()[:2]
-    turn, now = holding(one)
-    assert turn.note(now, LeaseRecord(1, one))
-    assert turn.note(now, LeaseRecord(4, two)) and turn.latest == LeaseRecord(4, two)
-    assert not turn.note(now, LeaseRecord(3, one)) and not turn.note(now, LeaseRecord(1, one))
-    assert turn.latest == LeaseRecord(4, two)
+    lease, now = holding(one)
+    assert lease.note(now, LeaseRecord(1, one))
+    assert lease.note(now, LeaseRecord(4, two)) and lease.latest == LeaseRecord(4, two)
+    assert not lease.note(now, LeaseRecord(3, one)) and not lease.note(now, LeaseRecord(1, one))
+    assert lease.latest == LeaseRecord(4, two)
 
 
 claims = st.builds(LeaseRecord, st.integers(1, 4), st.sampled_from(NAMES))
@@ -103,24 +103,24 @@
 
 @settings(max_examples=200)
 @given(st.lists(claims, max_size=8))
-def test_claims_end_the_same_in_every_order_and_as_the_roll_has_them(heard: list[LeaseRecord]) -> None:
-    turns = [DutyLease(REAPING, "c1", STEADY_S) for _ in range(2)]
+def test_claims_end_the_same_in_every_order_and_as_the_roll_has_them(records: list[LeaseRecord]) -> None:
+    leases = [DutyLease(REAPING, "c1", STABLE_S) for _ in range(2)]
     roll = Store("s", 10)
-    for turn, told in zip(turns, (heard, heard[::-1]), strict=True):
-        for standing in told:
-            before = turn.latest
-            taken = turn.note(0.0, standing)
-            assert taken == (turn.latest == standing) and turn.latest.epoch >= before.epoch
-    for standing in heard:
-        roll.merge([Item(DUTY, REAPING, standing.epoch, lease_value(standing.holder), "x", 1)], {})
-    assert turns[0].latest == turns[1].latest
-    if heard:
+    for lease, received in zip(leases, (records, records[::-1]), strict=True):
+        for record in received:
+            before = lease.latest
+            taken = lease.note(0.0, record)
+            assert taken == (lease.latest == record) and lease.latest.epoch >= before.epoch
+    for record in records:
+        roll.merge([Item(DUTY, REAPING, record.epoch, lease_value(record.holder), "x", 1)], {})
+    assert leases[0].latest == leases[1].latest
+    if records:
         item = roll.items[DUTY, REAPING]
-        assert read_lease(item.version, item.value) == turns[0].latest
+        assert read_lease(item.version, item.value) == leases[0].latest
 
 
 @pytest.mark.parametrize(
-    ("epoch", "told"),
+    ("epoch", "fields"),
     [
         (0, {"holder": "c1"}),
         (MAX_EPOCH, {"holder": "c1"}),
@@ -132,6 +132,6 @@
         (1, {"holder": "x" * 257}),
     ],
 )
-def test_what_is_no_claim_is_not_read(epoch: object, told: dict[str, object] | None) -> None:
+def test_what_is_no_claim_is_not_read(epoch: object, fields: dict[str, object] | None) -> None:
     with pytest.raises(ValueError):
-        read_lease(epoch, told)
+        read_lease(epoch, fields)
--- a/tests/mesh/test_membership_instance_lifecycle.py
+++ b/tests/mesh/test_membership_instance_lifecycle.py
@@ -1,5 +1,5 @@
-"""Lives of the upstream beside a sidecar: what is published rises in version, also after the sidecar began
-anew, and what ended does not come back."""
+"""Incarnations of the upstream beside a sidecar: published versions always rise, also after a restart of the
+sidecar, and an ended incarnation does not return."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 BEAT_MS, DRAIN_MS = 1500.0, 2000.0
 
 
-def beat(
+def heartbeat(
     count: int, instance: str = "i-1", state: str = SETTLED, cold: float = 0.0, slots: int = 4
 ) -> Heartbeat:
     return Heartbeat(instance, "p", ("10.0.0.1", 8147), "z", "v1", slots, state, cold, count)
@@ -36,12 +36,12 @@
     st.one_of(
         st.tuples(st.just("beat"), st.sampled_from([SETTLED, SETTLED, DECAYING]), st.integers(3, 5)),
         st.tuples(st.just("late"), st.integers(0, 4)),
-        st.tuples(st.just("next life")),
+        st.tuples(st.just("new incarnation")),
         st.tuples(st.just("leave")),
         st.tuples(st.just("refused"), st.sampled_from([0.0, 5 * BEAT_MS])),
         st.tuples(st.just("end")),
         st.tuples(st.just("restart")),
-        st.tuples(st.just("spoken for"), st.integers(1, 3)),
+        st.tuples(st.just("overwritten"), st.integers(1, 3)),
     ),
     max_size=40,
 )
@@ -50,51 +50,51 @@
 @given(OPS)
 @settings(max_examples=250)
 def test_versions_of_an_instance_always_rise_also_over_restarts_of_the_sidecar(ops: list[Any]) -> None:
-    upstream, count, life, now, signed_off = make(), 0, 1, 0.0, False
+    upstream, count, incarnation, now, signed_off = make(), 0, 1, 0.0, False
     newest: dict[str, int] = {}
-    others = Store("others", 1000)  # what the mesh holds: it takes only what outranks
+    others = Store("others", 1000)  # the store of the mesh, which accepts only items that outrank
 
-    def hear(told: list[InstanceUpdate]) -> None:
-        for one in told:
+    def apply(updates: list[InstanceUpdate]) -> None:
+        for one in updates:
             assert one.version > newest.get(one.instance, 0), (one, newest)
             newest[one.instance] = one.version
             assert isinstance(others.write("instance", one.instance, one.version, one.value), Item)
 
     for op in ops:
         now += 100.0
-        instance = f"i-{life}"
+        instance = f"i-{incarnation}"
         match op:
             case ("beat", state, slots) if not signed_off:
                 count += 1
-                hear(upstream.on_heartbeat(now, beat(count, instance, state, slots=slots)))
+                apply(upstream.on_heartbeat(now, heartbeat(count, instance, state, slots=slots)))
                 assert upstream.heartbeat is not None and not upstream.gone
                 held = others.items["instance", instance].value
                 assert held is not None and held["capacity"] == slots
             case ("late", back) if upstream.instance == instance:
-                assert upstream.on_heartbeat(now, beat(max(count - back, 0), instance)) == []
-            case ("next life",):
-                life, count, signed_off = life + 1, 0, False
+                assert upstream.on_heartbeat(now, heartbeat(max(count - back, 0), instance)) == []
+            case ("new incarnation",):
+                incarnation, count, signed_off = incarnation + 1, 0, False
             case ("leave",) if count and not signed_off:
                 signed_off = True
-                hear(upstream.leave(instance))
-                hear(upstream.leave(instance))
+                apply(upstream.leave(instance))
+                apply(upstream.leave(instance))
             case ("refused", silent):
                 now += silent
                 before = upstream.gone
-                hear(upstream.on_connection_refused(now))
+                apply(upstream.on_connection_refused(now))
                 assert before or not upstream.gone or silent
             case ("end",):
-                hear(upstream.shut_down(now))
+                apply(upstream.shut_down(now))
             case ("restart",):
                 upstream = make()
-            case ("spoken for", more) if (
+            case ("overwritten", more) if (
                 newest.get(instance, FINAL_VERSION) < FINAL_VERSION - VERSIONS_PER_HEARTBEAT
             ):
                 if upstream.instance == instance and not upstream.gone:
                     above = newest[instance] + more
                     newest[instance] = above
                     others.write("instance", instance, above, {"capacity": 0})
-                    hear(upstream.republish(above))
+                    apply(upstream.republish(above))
                     held = others.items["instance", instance].value
                     assert held is not None and held["capacity"] != 0
             case _:
@@ -104,89 +104,93 @@
 def test_the_rising_of_versions_is_seen_to_break_without_the_steps(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("mesh.membership.instance_lifecycle.VERSIONS_PER_HEARTBEAT", 1)
     upstream = make()
-    told = upstream.on_heartbeat(0.0, beat(1)) + upstream.shut_down(1.0) + make().on_heartbeat(2.0, beat(2))
-    versions = [one.version for one in told]
+    updates = (
+        upstream.on_heartbeat(0.0, heartbeat(1))
+        + upstream.shut_down(1.0)
+        + make().on_heartbeat(2.0, heartbeat(2))
+    )
+    versions = [one.version for one in updates]
     assert versions != sorted(set(versions))
 
 
 def test_a_late_beat_changes_nothing_and_no_way_leads_back_from_a_drain() -> None:
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(5, state=DECAYING))
-    assert upstream.on_heartbeat(10.0, beat(4)) == []
-    upstream.on_heartbeat(20.0, beat(6))
+    upstream.on_heartbeat(0.0, heartbeat(5, state=DECAYING))
+    assert upstream.on_heartbeat(10.0, heartbeat(4)) == []
+    upstream.on_heartbeat(20.0, heartbeat(6))
     assert upstream.heartbeat is not None and upstream.heartbeat.state == DECAYING
     assert upstream.drain_started_at == 0.0
 
 
 def test_a_new_life_ends_the_one_before_and_for_good_once_it_has_beaten_on() -> None:
     upstream = make()
-    (last,) = upstream.on_heartbeat(0.0, beat(5, state=DECAYING))
-    gone, here = upstream.on_heartbeat(10.0, beat(1, "i-2"))
+    (last,) = upstream.on_heartbeat(0.0, heartbeat(5, state=DECAYING))
+    gone, here = upstream.on_heartbeat(10.0, heartbeat(1, "i-2"))
     assert gone.instance == "i-1" and gone.value is None and last.version < gone.version < FINAL_VERSION
     assert here.instance == "i-2" and here.version == VERSIONS_PER_HEARTBEAT and here.value is not None
     assert upstream.drain_started_at is None
-    assert upstream.on_heartbeat(10.0 + TAKEOVER_MS - 1.0, beat(2, "i-2")) == []
-    assert upstream.on_heartbeat(10.0 + TAKEOVER_MS, beat(3, "i-2")) == [
+    assert upstream.on_heartbeat(10.0 + TAKEOVER_MS - 1.0, heartbeat(2, "i-2")) == []
+    assert upstream.on_heartbeat(10.0 + TAKEOVER_MS, heartbeat(3, "i-2")) == [
         InstanceUpdate("i-1", FINAL_VERSION, None)
     ]
-    assert upstream.on_heartbeat(9000.0, beat(6)) == [] and upstream.contender == ""
+    assert upstream.on_heartbeat(9000.0, heartbeat(6)) == [] and upstream.contender == ""
 
 
 def test_the_living_one_is_back_with_its_second_beat_where_a_late_one_has_taken_its_place() -> None:
-    """The late one is of a short life, and looks like that of the next."""
+    """A late heartbeat of a short incarnation looks like the first one of a successor."""
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(50, "i-living"))
-    gone, dead = upstream.on_heartbeat(1.0, beat(2, "i-dead"))
+    upstream.on_heartbeat(0.0, heartbeat(50, "i-living"))
+    gone, dead = upstream.on_heartbeat(1.0, heartbeat(2, "i-dead"))
     assert (gone.instance, dead.instance) == ("i-living", "i-dead")
-    assert upstream.on_heartbeat(1500.0, beat(51, "i-living")) == [] and upstream.contender == "i-living"
-    over, back = upstream.on_heartbeat(3000.0, beat(52, "i-living"))
+    assert upstream.on_heartbeat(1500.0, heartbeat(51, "i-living")) == [] and upstream.contender == "i-living"
+    over, back = upstream.on_heartbeat(3000.0, heartbeat(52, "i-living"))
     assert over.instance == "i-dead" and over.value is None
     assert back.value is not None and back.version > gone.version and upstream.contender == ""
-    assert upstream.on_heartbeat(4500.0, beat(53, "i-living")) == [
+    assert upstream.on_heartbeat(4500.0, heartbeat(53, "i-living")) == [
         InstanceUpdate("i-dead", FINAL_VERSION, None)
     ]
 
 
 def test_late_beats_that_are_read_at_one_moment_or_between_those_of_the_living_prove_nothing() -> None:
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(3, "i-living"))
+    upstream.on_heartbeat(0.0, heartbeat(3, "i-living"))
     for now, count in (1.0, 7), (2.0, 8), (1400.0, 9):
         if now > 1000.0:
-            upstream.on_heartbeat(now - 1.0, beat(4, "i-living"))
-        assert upstream.on_heartbeat(now, beat(count, "i-dead")) == []
+            upstream.on_heartbeat(now - 1.0, heartbeat(4, "i-living"))
+        assert upstream.on_heartbeat(now, heartbeat(count, "i-dead")) == []
     assert upstream.instance == "i-living"
 
 
 def test_another_life_takes_the_place_of_a_silent_one_at_once() -> None:
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(3))
-    gone, here = upstream.on_heartbeat(BEAT_MS, beat(9, "i-2"))
+    upstream.on_heartbeat(0.0, heartbeat(3))
+    gone, here = upstream.on_heartbeat(BEAT_MS, heartbeat(9, "i-2"))
     assert (gone.instance, here.instance) == ("i-1", "i-2")
 
 
 def test_a_life_that_this_machine_has_said_is_over_has_to_beat_on_before_it_counts() -> None:
     upstream = make()
-    assert upstream.on_heartbeat(0.0, beat(7), over=True) == [] and upstream.contender == "i-1"
-    assert upstream.on_heartbeat(TAKEOVER_MS - 1.0, beat(8), over=True) == []
-    (here,) = upstream.on_heartbeat(TAKEOVER_MS, beat(9), over=True)
+    assert upstream.on_heartbeat(0.0, heartbeat(7), known_ended=True) == [] and upstream.contender == "i-1"
+    assert upstream.on_heartbeat(TAKEOVER_MS - 1.0, heartbeat(8), known_ended=True) == []
+    (here,) = upstream.on_heartbeat(TAKEOVER_MS, heartbeat(9), known_ended=True)
     assert here.value is not None and upstream.instance == "i-1"
 
 
 def test_a_crash_without_a_word_is_believed_after_silence_and_taken_back_with_the_next_beat() -> None:
     upstream = make()
-    (first_told,) = upstream.on_heartbeat(0.0, beat(1))
+    (first_update,) = upstream.on_heartbeat(0.0, heartbeat(1))
     assert upstream.on_connection_refused(SILENT_HEARTBEATS * BEAT_MS - 1.0) == []
     (gone,) = upstream.on_connection_refused(SILENT_HEARTBEATS * BEAT_MS)
-    assert gone.value is None and first_told.version < gone.version < FINAL_VERSION
+    assert gone.value is None and first_update.version < gone.version < FINAL_VERSION
     assert upstream.on_connection_refused(9 * BEAT_MS) == []
-    (back,) = upstream.on_heartbeat(9 * BEAT_MS, beat(2))
+    (back,) = upstream.on_heartbeat(9 * BEAT_MS, heartbeat(2))
     assert back.value is not None and back.version > gone.version
 
 
 def test_beats_that_say_nothing_new_publish_nothing() -> None:
     upstream = make()
-    assert len(upstream.on_heartbeat(0.0, beat(1, cold=900.0))) == 1
-    assert upstream.on_heartbeat(1.0, beat(2, cold=600.0)) == []
+    assert len(upstream.on_heartbeat(0.0, heartbeat(1, cold=900.0))) == 1
+    assert upstream.on_heartbeat(1.0, heartbeat(2, cold=600.0)) == []
     assert upstream.republish(5 * VERSIONS_PER_HEARTBEAT)[0].version == 5 * VERSIONS_PER_HEARTBEAT + 1
 
 
@@ -197,25 +201,25 @@
 
 def test_a_late_beat_of_a_life_that_ended_here_does_not_end_the_one_that_is_here() -> None:
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(7))
-    upstream.on_heartbeat(10.0, beat(1, "i-2"))
-    assert upstream.on_heartbeat(11.0, beat(8)) == []
+    upstream.on_heartbeat(0.0, heartbeat(7))
+    upstream.on_heartbeat(10.0, heartbeat(1, "i-2"))
+    assert upstream.on_heartbeat(11.0, heartbeat(8)) == []
     assert upstream.instance == "i-2"
 
 
 def test_a_late_beat_of_a_life_that_was_never_heard_does_not_end_the_one_that_beats_on() -> None:
-    """Read in another order than they were sent in, as by a sidecar that wakes or starts."""
+    """A sidecar that resumes or starts reads heartbeats out of order."""
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(1, "i-2"))
-    upstream.on_heartbeat(1.0, beat(9, "i-1"))  # of the life before
-    upstream.on_heartbeat(1500.0, beat(2, "i-2"))
-    upstream.on_heartbeat(3000.0, beat(3, "i-2"))
+    upstream.on_heartbeat(0.0, heartbeat(1, "i-2"))
+    upstream.on_heartbeat(1.0, heartbeat(9, "i-1"))  # of the previous incarnation
+    upstream.on_heartbeat(1500.0, heartbeat(2, "i-2"))
+    upstream.on_heartbeat(3000.0, heartbeat(3, "i-2"))
     assert upstream.instance == "i-2" and not upstream.gone
 
 
 def test_a_beat_that_comes_behind_the_signing_off_changes_nothing() -> None:
     upstream = make()
-    upstream.on_heartbeat(0.0, beat(7))
+    upstream.on_heartbeat(0.0, heartbeat(7))
     upstream.leave("i-1")
-    assert upstream.on_heartbeat(11.0, beat(8)) == []
+    assert upstream.on_heartbeat(11.0, heartbeat(8)) == []
     assert upstream.gone
--- a/tests/mesh/test_membership_rendezvous.py
+++ b/tests/mesh/test_membership_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous: one that comes or goes changes the sets that it is in and no others, and the load is spread."""
+"""Rendezvous hashing: a name that joins or leaves changes only its own selections, and the load is spread."""
 
 from collections import Counter
 
@@ -38,4 +38,4 @@
     moved = [me for me, some in chosen.items() if select_top(me, without, 3) != some]
     assert moved == [me for me, some in chosen.items() if "core-4" in some]
     first = Counter(some[0] for some in chosen.values())
-    assert all(60 <= first[name] <= 150 for name in names), first  # a duty falls to the first: 100 each
+    assert all(60 <= first[name] <= 150 for name in names), first  # the first holds a duty: 100 each
