--- a/hareloom/__init__.py
+++ b/hareloom/__init__.py
@@ -4,6 +4,6 @@
 
 ahead.use(__path__)
 
-from hareloom.rules import Balancer  # noqa: E402  (found where `ahead` has looked first)
+from hareloom.rules import Balancer  # noqa: E402  (after `ahead` has changed the search path)
 
 __all__ = ["Balancer"]
--- a/hareloom/ahead.py
+++ b/hareloom/ahead.py
@@ -1,9 +1,8 @@
-"""The decisions compiled ahead of time, from the same source: used where that was built, and nothing else
-changes.
+"""Selects the modules that are compiled ahead of time from the same sources, if they have been built.
 
-`python -m hareloom.compile` builds them. Without that folder, with one built from other sources, or with
-HARELOOM_PLAIN set in the environment, the source itself is run. A folder's name holds the digest of the
-sources, so that none outlives a change.
+`python -m hareloom.compile` builds them. The Python sources run instead if there is no build of them or if
+HARELOOM_PLAIN is set in the environment. The name of a build's folder contains a digest of the sources, so
+that no build is used after a change.
 """
 
 from __future__ import annotations
@@ -17,16 +16,16 @@
 
 HERE = os.path.dirname(os.path.realpath(__file__))
 ROOT = os.path.join(os.path.dirname(HERE), ".compiled")
-COMPILED = (  # what a request passes through
+COMPILED = (  # the modules that handle a request
     *("rules.py", "servers.py", "working.py", "activity.py", "pick.py", "work.py", "limits.py"),
     *("requests.py", "governor.py", "ring.py", "records.py", "beliefs.py", "wire.py", "host.py"),
 )
-TYPED_BY = ("interface.py",)  # what they are compiled against
+TYPED_BY = ("interface.py",)  # imported by the compiled modules
 
 
 def folder() -> Path:
-    """Where the modules compiled from the sources as they stand belong."""
-    # Loaded where something was compiled alone: together 0.7 MB, in programs that count them.
+    """Returns the folder for modules that are compiled from the current sources."""
+    # Imported only where a build exists: together they take 0.7 MB, and programs have memory limits.
     from importlib.util import source_hash
     from pathlib import Path
 
@@ -35,18 +34,18 @@
 
 
 def use(path: list[str], root: str | Path = ROOT) -> None:
-    """Lets the package's modules be found there first, if they are there and can be loaded."""
+    """Puts the compiled modules first on the package's search path, if they exist and can be loaded."""
     if os.environ.get("HARELOOM_PLAIN") or not os.path.isdir(root):
         return
-    found = folder()
-    if not found.is_dir():
+    build = folder()
+    if not build.is_dir():
         return
-    compiled = str(found / os.path.basename(HERE))
+    compiled = str(build / os.path.basename(HERE))
     path.insert(0, compiled)
-    sys.path.append(str(found))  # what the modules share lies there, under a name of its own
+    sys.path.append(str(build))  # the library that the compiled modules share
     try:
         import hareloom.rules  # noqa: F401
-    except ImportError as fault:  # built for another machine: the source does as well
+    except ImportError as error:  # built for another machine: run the sources
         path.remove(compiled)
-        sys.path.remove(str(found))
-        print(f"hareloom: {found.name} cannot be loaded ({fault}); running the source", file=sys.stderr)
+        sys.path.remove(str(build))
+        print(f"hareloom: {build.name} cannot be loaded ({error}); running the source", file=sys.stderr)
--- a/hareloom/compile.py
+++ b/hareloom/compile.py
@@ -1,4 +1,4 @@
-"""Compiles the decisions with mypyc, for `hareloom.ahead` to find. Needs mypy, setuptools and a C compiler.
+"""Compiles the package with mypyc for `hareloom.ahead`. Needs mypy, setuptools and a C compiler.
 
 python -m hareloom.compile
 """
@@ -19,21 +19,21 @@
 
 
 def build(into: Path, level: str = "3") -> Path:
-    """Raises CalledProcessError where that does not work; the folder is there whole, or not at all."""
+    """Builds into a folder, which appears complete or not at all. Raises CalledProcessError on failure."""
     with tempfile.TemporaryDirectory() as scratch:
-        place = Path(scratch) / HERE.name
-        shutil.copytree(HERE, place, ignore=shutil.ignore_patterns("__pycache__"))
-        words = [sys.executable, "-m", "mypyc", "--strict", *(f"{HERE.name}/{name}" for name in COMPILED)]
+        package = Path(scratch) / HERE.name
+        shutil.copytree(HERE, package, ignore=shutil.ignore_patterns("__pycache__"))
+        command = [sys.executable, "-m", "mypyc", "--strict", *(f"{HERE.name}/{name}" for name in COMPILED)]
         env = os.environ | {"MYPYC_OPT_LEVEL": level, "MYPYC_DEBUG_LEVEL": "0", "HARELOOM_PLAIN": "1"}
-        subprocess.run(words, cwd=scratch, env=env, check=True, stdout=subprocess.DEVNULL)
+        subprocess.run(command, cwd=scratch, env=env, check=True, stdout=subprocess.DEVNULL)
         into.parent.mkdir(parents=True, exist_ok=True)
         unfinished = Path(tempfile.mkdtemp(dir=into.parent))
-        unfinished.chmod(0o755)  # whoever runs it may be another than who built it
+        unfinished.chmod(0o755)  # another user may run it
         (unfinished / HERE.name).mkdir()
-        for item in place.glob("*.so"):
-            shutil.copy2(item, unfinished / HERE.name)
-        for item in Path(scratch).glob("*.so"):
-            shutil.copy2(item, unfinished)
+        for library in package.glob("*.so"):
+            shutil.copy2(library, unfinished / HERE.name)
+        for library in Path(scratch).glob("*.so"):
+            shutil.copy2(library, unfinished)
         shutil.rmtree(into, ignore_errors=True)
         unfinished.rename(into)
     return into
--- a/hareloom/host.py
+++ b/hareloom/host.py
@@ -1,5 +1,4 @@
-"""Many instances of the module in one process, on the bench's wire. What is read and written is the
-caller's."""
+"""Runs many Balancers in one process on the simulator's text protocol. The caller supplies the streams."""
 
 from __future__ import annotations
 
@@ -12,9 +11,9 @@
 from hareloom.rules import Balancer
 from hareloom.wire import WireError
 
-# What an event costs here with its lines read and written (`python -m benchmarks.event_kinds`), in the
-# microseconds in which the other side charges: of a standard core, a twelfth of the interpreter's. From
-# source it costs twice as much as compiled.
+# Cost of an event with its lines read and written (`python -m benchmarks.event_kinds`), in the simulator's
+# microseconds: those of its standard core, a twelfth of the interpreter's. Uncompiled code costs about twice
+# as much.
 _SCALE = (1.0 if rules.__file__.endswith(".so") else 2.1) / 12.0
 COSTS = api.Costs(
     request=16.0 * _SCALE,
@@ -28,7 +27,7 @@
 
 
 class Host:
-    """All instances of one process; each is reached by its number only and shares nothing with the others."""
+    """The instances of one process, addressed by number; they share no state."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
@@ -42,7 +41,7 @@
         self.reply_instance: int | None = None
 
     def read_line(self, line: str) -> list[str] | None:
-        """Take one line; at the end of a batch, the lines of its reply."""
+        """Reads one line; returns the reply's lines at the end of a batch. Raises WireError."""
         word = line.partition(" ")[0]
         if self.missing_entries:
             if word != "ITEM":
@@ -79,10 +78,12 @@
         return None
 
     def store_list(self) -> None:
+        """Keeps the list whose entries have all been read."""
         self.lists[self.list_ref] = tuple(wire.parse_entry(item) for item in self.pending)
         self.pending = []
 
     def handle_instance_line(self, word: str, line: str) -> None:
+        """Handles a line that is addressed to an instance."""
         if self.instance is None or self.now is None:
             raise WireError(f"{word!r} names no instance")
         if word == "DOWN":
@@ -94,21 +95,22 @@
             settings = replace(wire.parse_settings(wire.required(fields, "config")), costs=COSTS)
             self.instances[self.instance] = Balancer(settings, seed)
             return
-        happened = wire.parse_event(word, line, self.lists)
+        event = wire.parse_event(word, line, self.lists)
         balancer = self.instances.get(self.instance)
         if balancer is None:
             raise WireError(f"{word!r} for instance {self.instance}, which is not running")
-        if happened is None:
+        if event is None:
             return
         try:
-            actions = balancer.handle(self.now, happened)
-        except Exception as fault:  # the module's fault, not the wire's: say so and let the other side stop
-            self.reply(f"DIE words={type(fault).__name__}: {' '.join(str(fault).split())}")
+            actions = balancer.handle(self.now, event)
+        except Exception as error:  # a fault of the Balancer, not of the input: report it to the simulator
+            self.reply(f"DIE words={type(error).__name__}: {' '.join(str(error).split())}")
             return
         for item in actions:
             self.reply(wire.format_action(item))
 
     def reply(self, line: str) -> None:
+        """Adds a line to the reply, after a line that names the instance if that has changed."""
         if self.reply_instance != self.instance:
             self.reply_instance = self.instance
             self.replies.append(f"SOURCE who={self.instance}")
@@ -116,6 +118,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
+    """Serves until the input ends; returns the exit status: 0, or 2 for bad input."""
     host = Host()
     line_number = 0
     try:
@@ -130,7 +133,7 @@
                 sink.flush()
         if host.now is not None:
             raise WireError("the input ends inside a batch")
-    except (WireError, UnicodeDecodeError) as fault:
-        print(f"hareloom: bad input, line {line_number}: {fault}", file=sys.stderr)
+    except (WireError, UnicodeDecodeError) as error:
+        print(f"hareloom: bad input, line {line_number}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/hareloom/limits.py
+++ b/hareloom/limits.py
@@ -7,12 +7,12 @@
 from hareloom.interface import Outcome
 from hareloom.records import Attempt, ClassRecord, OpenRequest
 
-# The limit on attempts in flight: its minimum, and its steps up for a timely answer and down for a late or
+# The limit on attempts in flight: its minimum, its steps up for a timely answer and down for a late or
 # missing one, in proportion below 1. Below `even`, LIMIT_PER_SERVER a server over all sidecars, the step up
 # is larger. A start adds start_step until LATE_START of the answers, smoothed by LATE_ALPHA, are late, or
 # until LIMIT_START_MAX times `even`: a start into full load needs many times its first limit within a second,
-# and one late answer says little where service times vary. LIMIT_PER_SERVER_MIN a server over all sidecars is
-# always allowed: where servers themselves are slow, all answers are late whatever is held back.
+# more where servers work on many requests at once, and one late answer says little where service times vary.
+# LIMIT_PER_SERVER_MIN a server over all sidecars stays: if servers themselves are slow, every answer is late.
 LIMIT_MIN, LIMIT_UP, LIMIT_DOWN = 0.1, 0.1, 0.2
 LIMIT_PER_SERVER, LIMIT_EVEN_MIN, UP_POWER = 3.0, 2.0, 0.25
 LIMIT_START, LIMIT_START_MAX, LIMIT_PER_SERVER_MIN = 0.5, 32.0, 1.0
--- a/hareloom/wire.py
+++ b/hareloom/wire.py
@@ -1,4 +1,4 @@
-"""The bench's wire: its lines to events, actions to its lines. Nothing is decided here."""
+"""The simulator's text protocol: parses lines into events and formats actions as lines. No decisions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WireError(Exception):
-    """The other side said something that cannot be read."""
+    """A line that cannot be parsed."""
 
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
@@ -30,21 +30,22 @@
 
 
 def fields_of(line: str, text_field: str = "") -> dict[str, str]:
-    """The name=value pairs of a line; ``text_field`` runs to the end of the line."""
-    found: dict[str, str] = {}
+    """Returns the name=value pairs of a line; the value of ``text_field`` extends to the end of the line."""
+    fields: dict[str, str] = {}
     rest = line.partition(" ")[2]
     while rest:
-        name, sign, after = rest.partition("=")
-        if not sign or not name or " " in name:
+        name, equals, value = rest.partition("=")
+        if not equals or not name or " " in name:
             raise WireError(f"not a name=value pair: {rest.split(' ', 1)[0]!r}")
         if name == text_field:
-            found[name] = after
-            return found
-        found[name], _, rest = after.partition(" ")
-    return found
+            fields[name] = value
+            return fields
+        fields[name], _, rest = value.partition(" ")
+    return fields
 
 
 def required(fields: dict[str, str], name: str) -> str:
+    """Returns a field. Raises WireError if it is missing."""
     try:
         return fields[name]
     except KeyError:
@@ -52,6 +53,7 @@
 
 
 def number(text: str, name: str) -> float:
+    """Parses a finite number. Raises WireError naming the field, as the functions below do."""
     try:
         value = float(text)
     except ValueError:
@@ -62,6 +64,7 @@
 
 
 def integer(text: str, name: str) -> int:
+    """Parses an integer."""
     try:
         return int(text)
     except ValueError:
@@ -69,12 +72,14 @@
 
 
 def boolean(text: str, name: str) -> bool:
+    """Parses 1 or 0."""
     if text in (TRUE, FALSE):
         return text == TRUE
     raise WireError(f"field {name!r} is neither 1 nor 0: {text!r}")
 
 
 def lookup(table: Mapping[Any, Any], text: str | int, name: str) -> Any:
+    """Returns the table's value for a field's text."""
     try:
         return table[text]
     except KeyError:
@@ -82,6 +87,7 @@
 
 
 def parse_entry(line: str) -> api.ServerEntry:
+    """Parses a line with one entry of a server list."""
     fields = fields_of(line)
     started = number(fields.get("boot-time-ms", "0"), "boot-time-ms")
     return api.ServerEntry(
@@ -96,7 +102,7 @@
 
 
 def parse_event(word: str, line: str, lists: dict[int, tuple[api.ServerEntry, ...]]) -> api.Event | None:
-    """The event that a line holds; None for a kind of event that the module has no use for."""
+    """Parses an event; returns None for a kind of event that the Balancer does not use."""
     fields = fields_of(line)
     if word == "ASK":
         hint = fields.get("work-ms")
@@ -143,6 +149,7 @@
 
 
 def format_action(item: api.Action) -> str:
+    """Formats an action as a line."""
     if isinstance(item, api.Send):
         return f"SEND msg-id={item.request} upstream={item.server} within-ms={item.timeout_ms:.3f}"
     if isinstance(item, api.SetTimer):
@@ -159,17 +166,17 @@
 
 
 def cpu_budget(value: Any) -> float:
-    """A limit on CPU; what cannot be used as one is passed over, as `config check` says: no limit."""
+    """Returns a CPU limit, or 0 for no limit if the value is unusable; `config check` reports that."""
     usable = isinstance(value, (int, float)) and 0.0 <= value < 1e15
     return float(value) if usable else 0.0
 
 
 def parse_settings(text: str) -> api.Settings:
-    """The settings in the first message's JSON text; what is unknown in it is passed over."""
+    """Parses the settings from JSON, ignoring unknown fields. Raises WireError."""
     try:
         config = json.loads(text)
         limits, rules = config.get("limits", {}), config.get("rules", {})
-        plain, bounds = api.Rules(), api.Limits()
+        default_rules, default_limits = api.Rules(), api.Limits()
         return api.Settings(
             classes=tuple(
                 api.RequestClass(
@@ -197,19 +204,19 @@
                 max_retry_after_ms=(
                     float(limits.get("max-retry-after-ms", 0.0)) if limits.get("retry-after", False) else 0.0
                 ),
-                connect_timeout_ms=float(limits.get("connect-timeout-ms", bounds.connect_timeout_ms)),
-                idle_ms=float(limits.get("keepalive-ms", bounds.idle_ms)),
+                connect_timeout_ms=float(limits.get("connect-timeout-ms", default_limits.connect_timeout_ms)),
+                idle_ms=float(limits.get("keepalive-ms", default_limits.idle_ms)),
                 cpu_us_per_s=cpu_budget(limits.get("cpu-us-per-s")),
                 cpu_us_per_request=cpu_budget(limits.get("cpu-us-per-request")),
             ),
             rules=api.Rules(
-                answer_slack_ms=float(rules.get("answer-slack-ms", plain.answer_slack_ms)),
-                drain_grace_ms=float(rules.get("drain-grace-ms", plain.drain_grace_ms)),
-                ask_within_ms=float(rules.get("ask-within-ms", plain.ask_within_ms)),
-                cold_from=float(rules.get("cold-from", plain.cold_from)),
-                cold_ms=float(rules.get("cold-ms", plain.cold_ms)),
-                fall_multiple=float(rules.get("tip-multiple", plain.fall_multiple)),
-                fall_ms=float(rules.get("overload-for-ms", plain.fall_ms)),
+                answer_slack_ms=float(rules.get("answer-slack-ms", default_rules.answer_slack_ms)),
+                drain_grace_ms=float(rules.get("drain-grace-ms", default_rules.drain_grace_ms)),
+                ask_within_ms=float(rules.get("ask-within-ms", default_rules.ask_within_ms)),
+                cold_from=float(rules.get("cold-from", default_rules.cold_from)),
+                cold_ms=float(rules.get("cold-ms", default_rules.cold_ms)),
+                fall_multiple=float(rules.get("tip-multiple", default_rules.fall_multiple)),
+                fall_ms=float(rules.get("overload-for-ms", default_rules.fall_ms)),
             ),
             tick_ms=float(config.get("tick-ms", 1.0)),
             worst_class_weight=float(config.get("scoring-mix", {}).get("worst-class", 0.0)),
@@ -222,5 +229,5 @@
         TypeError,
         AttributeError,
         OverflowError,
-    ) as fault:  # overflow: 1e400 attempts
-        raise WireError(f"field 'config' cannot be used: {type(fault).__name__}: {fault}") from None
+    ) as error:  # OverflowError: an integer field of 1e400
+        raise WireError(f"field 'config' cannot be used: {type(error).__name__}: {error}") from None
--- a/hareloom/wirehost.py
+++ b/hareloom/wirehost.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the module on the bench's wire, from standard input to standard output."""
+"""Runs many Balancers on the simulator's text protocol, over standard input and output."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def main() -> int:
+    """Runs the program; returns its exit status."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return serve(sys.stdin, sys.stdout)
