--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -134,7 +134,7 @@
     program, other = taker.program, world.controllers()[0].program
     return (
         program is not None
-        and program.disk_writer.whole
+        and program.disk_writer.complete
         and program.member_set.has_contact()
         and program.charter.digests.root() == other.charter.digests.root()
     )
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -42,7 +42,7 @@
 
 
 class AcceptorHost:
-    """One member's acceptor on the network. ``caught_up``: whether this member may vote for a view that is
+    """One member's acceptor on the network. ``synced``: whether this member may vote for a view that is
     not joint; ``on_view_change`` is called when a new view is in force."""
 
     def __init__(
@@ -58,7 +58,7 @@
         self._loop = asyncio.get_running_loop()
         self.acceptor, self._charter, self._disk_writer = acceptor, charter, disk_writer
         self._member_set, self._event_log, self._on_change = member_set, event_log, on_change
-        self.caught_up: Callable[[], bool] = lambda: True
+        self.synced: Callable[[], bool] = lambda: True
         self.on_view_change: Callable[[], None] = lambda: None
         self._durable_epoch = 0
         self._ceiling = acceptor.ceiling  # the highest that was passed to the disk
@@ -70,7 +70,7 @@
     async def check_epoch(self, epoch: int) -> Refusal | None:
         """Why nothing can be answered under that epoch; None if it can. Waits until the epoch is on disk."""
         while True:
-            if not self._disk_writer.whole:
+            if not self._disk_writer.complete:
                 return Refusal(0, "its disk does not count")
             if self._member_set.view().epoch != epoch:
                 return Refusal(0, f"it has epoch {self._member_set.view().epoch}")
@@ -115,8 +115,8 @@
         if refusal is not None:
             return refusal
         for (kind, _, _), value in writes.items():
-            if kind == VIEW and value is not None and "before" not in value and not self.caught_up():
-                return Refusal(0, "it has not caught up with the joint view")
+            if kind == VIEW and value is not None and "before" not in value and not self.synced():
+                return Refusal(0, "it is not synced with the joint view")
         if not self.has_room(writes):
             return Refusal(0, DISK_FULL)
         changed = self.acceptor.accept(ballot, by, writes, tags)
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Repair between control processes: every few seconds each compares its copies with one other's, and what
-differs is mended from the newer. Now and then the disk is read through, and written anew where it is damaged.
-"""
+"""Anti-entropy between control processes: every few seconds each compares its stores with those of one other,
+and differing items are replaced by the newer version. The disk is verified now and then, and rewritten if it
+is damaged."""
 
 from __future__ import annotations
 
@@ -31,24 +31,26 @@
 from mesh.storage.lmdb_store import Kept
 from mesh.transport.frames import Head
 
-COMPARE_INTERVAL_S = (4.0, 8.0)  # between two comparisons of one process
-CHECK_INTERVAL_S = 0.5  # copies that changed within it are compared later: news may be under way
-MAX_POSTPONED = 10  # looks; changes without an end must not keep copies from being compared
-RETRY_S = 0.5  # after a comparison that mended something: there may be more
-MAX_SKIPPED = 10  # comparisons for which a difference that could not be mended is left alone
-DISK_CHECK_INTERVAL_S = (3600.0, 7200.0)  # between two checks of the disk
+COMPARE_INTERVAL_S = (4.0, 8.0)  # range of the time between two comparisons by one process
+CHECK_INTERVAL_S = 0.5  # stores that changed within it are compared later: updates may be in transit
+MAX_POSTPONED = 10  # checks; constant changes must not prevent comparisons
+RETRY_S = 0.5  # after a repair: there may be more differences
+MAX_SKIPPED = 10  # comparisons that skip a difference which could not be repaired
+DISK_CHECK_INTERVAL_S = (3600.0, 7200.0)  # range of the time between two checks of the disk
 CHARTER, ROLL = "charter", "roll"  # stores that are compared
 FRAMES = frozenset({"digest", "range", "mend", "mended"})
 
 
 class UnresolvedDifference(Struct):
-    """A difference that could not be mended: the two roots, and comparisons since."""
+    """A difference that could not be repaired: the two root digests, and the comparisons since."""
 
     roots: tuple[str, str]
     since: int = 0
 
 
 class AntiEntropy:
+    """Compares the stores of this process with those of others, and repairs differences."""
+
     def __init__(
         self,
         seed: int,
@@ -56,13 +58,13 @@
         channels: Channels,
         disk_writer: DiskWriter,
         event_log: EventLog,
-        changed: Callable[[str, list[Item]], None],
+        on_change: Callable[[str, list[Item]], None],
     ) -> None:
-        """``stores``: those that are compared, by name; ``changed`` is told what was mended here."""
+        """``stores``: those to compare, by name; ``on_change`` is called with items repaired here."""
         self._loop = asyncio.get_running_loop()
         self._random = random.Random(seed)
         self._stores, self._channels, self._disk_writer = stores, channels, disk_writer
-        self._event_log, self._on_change = event_log, changed
+        self._event_log, self._on_change = event_log, on_change
         now = self._loop.time()
         self._next_check_at = now
         self._next_comparison_at = now + self._random.uniform(*COMPARE_INTERVAL_S)
@@ -70,14 +72,14 @@
         self._disk_check: asyncio.Task[None] | None = None
         self._last_roots = self._roots()
         self._postponed = self._count = 0
-        self._peer_roots: dict[tuple[str, str], str] = {}  # roots of peers, by peer and store
+        self._peer_roots: dict[tuple[str, str], str] = {}  # root digests of peers, by peer and store
         self._unresolved: dict[tuple[str, str], UnresolvedDifference] = {}
 
     def _roots(self) -> dict[str, str]:
         return {name: store.digests.root() for name, store in self._stores.items()}
 
     def tick(self, now: float) -> None:
-        """Called several times a second."""
+        """Starts comparisons and disk checks that are due; called several times a second."""
         if now >= self._next_disk_check_at and self._disk_check is None:
             self._next_disk_check_at = now + self._random.uniform(*DISK_CHECK_INTERVAL_S)
             self._disk_check = self._loop.create_task(self._check_disk())
@@ -85,22 +87,27 @@
             return
         self._next_check_at = now + CHECK_INTERVAL_S
         roots = self._roots()
-        moved, self._last_roots = roots != self._last_roots, roots
+        changed, self._last_roots = roots != self._last_roots, roots
         if now < self._next_comparison_at:
             return
-        if moved and self._postponed < MAX_POSTPONED:
+        if changed and self._postponed < MAX_POSTPONED:
             self._postponed += 1
             return
         self._postponed, self._next_comparison_at = 0, now + self._random.uniform(*COMPARE_INTERVAL_S)
         peers = sorted(
-            (one for one in self._channels.open if one.extra.get("role") == CONTROLLER and one.link.up),
-            key=lambda one: (one.node, one.opened_here),
+            (
+                channel
+                for channel in self._channels.open
+                if channel.extra.get("role") == CONTROLLER and channel.link.up
+            ),
+            key=lambda channel: (channel.node, channel.opened_here),
         )
         if peers:
             self._count += 1
             self._random.choice(peers).link.send({"t": "digest", "roots": roots})
 
     def link_closed(self, channel: Channel) -> None:
+        """Drops what is known of that peer's stores."""
         for name in self._stores:
             self._peer_roots.pop((channel.node, name), None)
             self._unresolved.pop((channel.node, name), None)
@@ -108,19 +115,19 @@
     # Comparing
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of repair. Raises KeyError, TypeError or ValueError for what cannot be read."""
+        """Whether it was a frame of repair. Raises KeyError, TypeError or ValueError if it is malformed."""
         kind = head["t"]
         if kind not in FRAMES or channel.extra.get("role") != CONTROLLER:
             return False
         if kind == "digest":
             self._count += 1
-            for name, theirs in head["roots"].items():
+            for name, peer_root in head["roots"].items():
                 if name in self._stores:
-                    self._compare(channel, name, str(theirs))
+                    self._compare(channel, name, str(peer_root))
             return True
         name = head["s"]
         if name not in self._stores:
-            return True  # of a newer program
+            return True  # a store of a later release
         if kind == "range":
             self._descend(channel, name, read_ranges(head["at"]))
         elif kind == "mend":
@@ -129,21 +136,21 @@
             self._apply(channel, name, _decode_items(head["items"]))
         return True
 
-    def _compare(self, channel: Channel, name: str, theirs: str) -> None:
-        mine, where = self._stores[name].digests.root(), (channel.node, name)
-        if mine == theirs:
-            self._unresolved.pop(where, None)
+    def _compare(self, channel: Channel, name: str, peer_root: str) -> None:
+        own_root, key = self._stores[name].digests.root(), (channel.node, name)
+        if own_root == peer_root:
+            self._unresolved.pop(key, None)
             return
-        left = self._unresolved.get(where)
-        if left is not None and left.roots == (mine, theirs) and left.since < MAX_SKIPPED:
+        left = self._unresolved.get(key)
+        if left is not None and left.roots == (own_root, peer_root) and left.since < MAX_SKIPPED:
             left.since += 1
             return
-        self._peer_roots[where] = theirs
+        self._peer_roots[key] = peer_root
         channel.link.send({"t": "range", "s": name, "at": {"": self._stores[name].digests.children("")}})
 
-    def _descend(self, channel: Channel, name: str, told: dict[str, dict[str, str]]) -> None:
+    def _descend(self, channel: Channel, name: str, ranges: dict[str, dict[str, str]]) -> None:
         store = self._stores[name]
-        found = compare(store.digests, told, self._count)
+        found = compare(store.digests, ranges, self._count)
         if isinstance(found, DifferingRanges):
             channel.link.send({"t": "range", "s": name, "at": found.ranges})
         elif found is not None:
@@ -170,9 +177,9 @@
                 events.REPAIR_DIFFERS, peer=channel.node, buckets=len(found.inconsistent_leaves)
             )
         if not (found.fetch or found.send):
-            where = (channel.node, name)
-            self._unresolved[where] = UnresolvedDifference(
-                (self._stores[name].digests.root(), self._peer_roots.get(where, ""))
+            key = (channel.node, name)
+            self._unresolved[key] = UnresolvedDifference(
+                (self._stores[name].digests.root(), self._peer_roots.get(key, ""))
             )
 
     def _apply(self, channel: Channel, name: str, items: list[Item]) -> None:
@@ -186,17 +193,18 @@
             self._next_comparison_at = self._loop.time() + RETRY_S
 
     def _push_to_proxies(self, name: str, items: list[Item]) -> None:
-        """Sidecars that asked here may hold what was wrong here. By the vectors they lack nothing: a process
-        that had it right may tell them of the new stamp first, as one of an item that they have."""
-        part = {name: {"items": [pack(item) for item in items], "v": {}}}
+        """Sends repaired items to the sidecars linked here, which may hold what was wrong here. Their vectors
+        show nothing missing: another process may have sent them the new stamp as one of an item that they
+        have."""
+        update = {name: {"items": [pack(item) for item in items], "v": {}}}
         for channel in list(self._channels.open):
             if channel.extra.get("role") == PROXY and channel.said_whole is not None:
-                channel.link.send({"t": "news", "n": part, "more": True, "whole": channel.said_whole})
+                channel.link.send({"t": "news", "n": update, "more": True, "whole": channel.said_whole})
 
     # The disk
 
     def check_disk(self) -> None:
-        """An operator's question found damage: it is looked for here as well, and mended."""
+        """Checks and repairs the disk soon, since an operator's check found damage."""
         self._next_disk_check_at = self._loop.time()
 
     async def _check_disk(self) -> None:
@@ -216,8 +224,8 @@
             self._disk_check = None
 
 
-def _decode_items(told: object) -> list[Item]:
-    """Items of a frame. Raises ValueError or TypeError for what are none, or too many."""
-    if not isinstance(told, list) or len(told) > MAX_REPAIR_ITEMS:
+def _decode_items(data: object) -> list[Item]:
+    """Decodes the items of a frame. Raises ValueError or TypeError if they are malformed or too many."""
+    if not isinstance(data, list) or len(data) > MAX_REPAIR_ITEMS:
         raise ValueError(f"at most {MAX_REPAIR_ITEMS} items")
-    return [unpack(fields) for fields in told]
+    return [unpack(fields) for fields in data]
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -1,5 +1,5 @@
-"""The disk's part of operators' questions: its check, and a copy of it while the process goes on. Both run on
-the disk's thread, so writes wait for them."""
+"""Operators' questions about the disk: its verification, and a backup while the process runs. Both run on the
+disk's thread, so writes wait for them."""
 
 from __future__ import annotations
 
@@ -27,25 +27,27 @@
 
 
 class DiskCommands:
+    """Answers the questions `verify` and `backup`."""
+
     def __init__(
         self,
         state_dir: str,
         disk_mb: float,
         charter: Store,
         disk_writer: DiskWriter,
-        damaged: Callable[[], None],
+        on_damage: Callable[[], None],
     ) -> None:
-        """``damaged`` is told where a check finds something: who mends looks for himself."""
+        """``on_damage`` is called when a check finds damage; the repair does its own check."""
         self._state_dir, self._max_bytes = state_dir, int(disk_mb * (1 << 20))
-        self._charter, self._disk_writer, self._on_damage = charter, disk_writer, damaged
+        self._charter, self._disk_writer, self._on_damage = charter, disk_writer, on_damage
 
     def handlers(self) -> dict[str, Handler]:
-        """The questions that are answered here, by name."""
+        """The handlers of these questions, by name."""
         return {"verify": self.verify, "backup": self.backup}
 
     async def verify(self, head: Head) -> Told:
-        """Every row read and checked, and the digest of what the disk holds beside that of what is held in
-        memory. ``moving``: the two could not be compared, since changes came meanwhile."""
+        """Reads and checks every row, and returns the digests of the disk and of the store in memory.
+        ``moving``: they cannot be compared, since items changed during the check."""
         await self._disk_writer.flush()
         before = self._charter.digests.root()
         disk = await self._disk_writer.run_between_batches(_survey)
@@ -57,11 +59,11 @@
             "disk": disk.digest,
             "memory": before,
             "moving": before != self._charter.digests.root(),
-            "whole": self._disk_writer.whole,
+            "whole": self._disk_writer.complete,
         }
 
     async def backup(self, head: Head) -> Told | Refusal:
-        """A copy of the store under the state folder, in a folder that holds none yet."""
+        """Copies the store to a folder under the state folder that holds no store yet."""
         to = target_path(self._state_dir, str(head["to"]))
         if isinstance(to, Refusal):
             return to
@@ -85,7 +87,7 @@
 
 
 def target_path(base: str, to: str) -> Path | Refusal:
-    """Where a copy may go: a folder below ``base``, links followed, which is not the store's own."""
+    """The folder for a copy: below ``base`` after resolving links, and not the store's own folder."""
     if not to or len(to) > MAX_PATH_LENGTH or not to.isprintable():
         return Refusal(f"to: give a path of 1 to {MAX_PATH_LENGTH} printable characters")
     try:
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -1,10 +1,10 @@
-"""Whether what this process holds may count for anything: an older disk never leads.
+"""Detects an outdated disk and discards its state, so that other processes never follow it.
 
-A disk may be of a machine that was taken out, of a reader that was away, or an older copy of itself (a backup
-put back). Such a one starts over: it forgets charter and votes, and reads all anew from those who count, as
-an empty one does. It learns it from the first frame of a link, before it has answered anything there: each
-hello bears the view in force, and of each member how often it has started, which a disk that went back does
-not know any more. To sidecars the charter is told only after the first contact of a life.
+A disk may belong to a machine that was removed from the view, to a reader that was away, or be an older copy
+of itself (a restored backup). Its process then starts over: it drops charter and votes and reads all from the
+members again, as with an empty disk. It learns this from the first frame of a link, before it has answered
+anything there: each hello carries the view in force, and for each member how often it has started, which an
+older copy no longer knows. Sidecars receive the charter only after the process has had contact once.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from mesh.storage.lmdb_store import Keeper, Kept, Size
 
 CHARTER = "charter"
-MAX_TRACKED_MACHINES = 128  # machines of which it is known how often they started
-START_TIMEOUT_S = 1.0  # that a start is put off by a disk that is not well
-RETRY_S = 0.3  # after a disk has refused
-COMPACTION_CHECK_S = 60.0  # between two looks at the size of the file
-COMPACT_SPARE_BYTES, COMPACT_RATIO = (
-    4 << 20,
-    4,
-)  # bytes that a file may be larger than so many times what it holds
+MAX_TRACKED_MACHINES = 128  # machines whose number of starts is kept
+START_TIMEOUT_S = 1.0  # longest delay of a start by a slow disk
+RETRY_S = 0.3  # after the disk refused a rewrite
+COMPACTION_CHECK_S = 60.0  # between two checks of the file size
+# A file is rewritten when it is larger than the ratio times its content plus the spare bytes.
+COMPACT_SPARE_BYTES, COMPACT_RATIO = 4 << 20, 4
 
 
 class CatchUp:
+    """Counts the starts of this process, and starts over when its disk is outdated."""
+
     def __init__(
         self,
         charter: Store,
@@ -57,11 +57,11 @@
             member_set,
         )
         self._channels, self._acceptor_host, self._event_log = channels, acceptor_host, event_log
-        self._incarnation, self._incarnation_count = (
-            charter.source,
-            1,
-        )  # of the process; as what it counts since it began
-        self._is_reader = False  # the disk is one of a reader; its view may be older than its own joining
+        # Of the process, and of the store: the count rises each time that the store starts over.
+        self._incarnation, self._incarnation_count = charter.source, 1
+        self._is_reader = (
+            False  # the disk belongs to a reader: its view may be older than this machine's joining
+        )
         self._start_recorded = False  # this start is on disk
         self._had_contact = False  # there has been contact in this life
         self._view = member_set.view()
@@ -69,7 +69,7 @@
         self._compaction: asyncio.Task[None] | None = None
 
     async def begin(self) -> None:
-        """Before anything is said to anybody: this start is counted, on disk where the disk is well."""
+        """Counts this start, on disk if the disk answers in time; to be called before any link is open."""
         me = self._member_set.own_address
         self._record_start(me, self._start_count() + 1, self._charter.source)
         self._is_reader = self._view.epoch > 0 and me not in self._view.names
@@ -85,57 +85,62 @@
     def _start_count(self) -> int:
         return self._disk_writer.incarnations.get(self._member_set.own_address, (0, ""))[0]
 
-    # What is said of this process
+    # The hello of this process
 
     def _update_hello(self) -> None:
         hello = self._channels.hello
         lives = dict(self._disk_writer.incarnations)
         if not self._start_recorded:
-            del lives[self._member_set.own_address]  # the next life may count to the same number
+            del lives[self._member_set.own_address]  # the next incarnation may use the same number
         hello["view"], hello["lives"] = self._member_set.view_item(), lives
-        hello["complete"] = self._disk_writer.whole
+        hello["complete"] = self._disk_writer.complete
 
-    def _record_start(self, who: str, starts: int, life: str) -> None:
-        """That machine has started so often; ``life``: of its last start. Those that count stay known the
+    def _record_start(self, member: str, starts: int, incarnation: str) -> None:
+        """Records how often a machine has started; ``incarnation``: of its last start. Members are kept
         longest."""
-        self._disk_writer.incarnations.pop(who, None)
-        self._disk_writer.incarnations[who] = (starts, life)
-        lives, keep = (
+        self._disk_writer.incarnations.pop(member, None)
+        self._disk_writer.incarnations[member] = (starts, incarnation)
+        records, keep = (
             self._disk_writer.incarnations,
             self._member_set.view().names | {self._member_set.own_address},
         )
-        for one in [one for one in lives if one not in keep][: max(len(lives) - MAX_TRACKED_MACHINES, 0)]:
-            del lives[one]
-        self._disk_writer.put_row(pack_lives(lives))
+        for one in [one for one in records if one not in keep][: max(len(records) - MAX_TRACKED_MACHINES, 0)]:
+            del records[one]
+        self._disk_writer.put_row(pack_lives(records))
         self._update_hello()
 
     def withheld_stores(self, role: str) -> Collection[str]:
-        """Stores of which nothing is told to a process of that role now."""
+        """Stores that are not sent to a process of that role now."""
         return () if self._had_contact or role == CONTROLLER else (CHARTER,)
 
-    # What others say
+    # Peers
 
     def peer_greeted(self, channel: Channel) -> None:
-        """Another control process has said who it is; nothing that came behind that has been looked at.
-        Raises KeyError, TypeError or ValueError for what cannot be read."""
-        told, who = channel.extra, address_of(channel)
-        for fields in told.get("view", ()):
+        """Checks the hello of another control process, before any later frame of it is read. Raises KeyError,
+        TypeError or ValueError if it is malformed."""
+        hello, member = channel.extra, address_of(channel)
+        for fields in hello.get("view", ()):
             item = unpack(fields)
             self._check_view(read_view(item.version, item.value))
             self._acceptor_host.apply([item], {})
-        lives = {str(one): (int(n), str(life)) for one, (n, life) in told.get("lives", {}).items()}
-        known, mine = lives.get(self._member_set.own_address, (0, "")), self._charter.source
-        if known[0] >= self._start_count() and known[1] != mine:
-            if self._disk_writer.whole:
+        records = {
+            str(one): (int(n), str(incarnation)) for one, (n, incarnation) in hello.get("lives", {}).items()
+        }
+        own_start, own_source = (
+            records.get(self._member_set.own_address, (0, "")),
+            self._charter.source,
+        )
+        if own_start[0] >= self._start_count() and own_start[1] != own_source:
+            if self._disk_writer.complete:
                 self._start_over(f"{channel.node} knows of a later start than its disk")
-            starts = max(known[0], self._start_count()) + 1
+            starts = max(own_start[0], self._start_count()) + 1
             self._record_start(self._member_set.own_address, starts, self._charter.source)
-        theirs = lives.get(who, (0, ""))
-        if theirs[0] > self._disk_writer.incarnations.get(who, (0, ""))[0]:
-            self._record_start(who, *theirs)
+        peer_start = records.get(member, (0, ""))
+        if peer_start[0] > self._disk_writer.incarnations.get(member, (0, ""))[0]:
+            self._record_start(member, *peer_start)
 
     def _check_view(self, view: View) -> None:
-        """A view that another has; who was one of those who count and is none by it starts over."""
+        """Starts over if this machine was a member and is none in the view of a peer."""
         before, me = self._view, self._member_set.own_address
         if view.epoch < before.epoch:
             return
@@ -143,16 +148,14 @@
         if me in view.names:
             self._is_reader = False
         elif me in before.names:
-            self._start_over("it was taken out")
+            self._start_over("it was removed from the view")
         elif self._is_reader:
-            self._start_over("it is not one of those who count")
+            self._start_over("it is not a member")
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """The charter has changed here, by whatever way."""
+        """Checks a changed view; to be called with all charter items that changed here."""
         if any(item.kind == VIEW for item in items):
-            self._loop.call_soon(
-                self._check_view, self._member_set.view()
-            )  # what called goes on with the items
+            self._loop.call_soon(self._check_view, self._member_set.view())  # after the caller is done
             self._update_hello()
 
     # Starting over
@@ -160,8 +163,8 @@
     def _start_over(self, reason: str) -> None:
         self._event_log.tell(events.DISK_OLDER, reason=reason, items=len(self._charter.items))
         view = self._charter.items.get((VIEW, MEMBERS))
-        self._disk_writer.whole, self._had_contact, self._is_reader = False, False, False
-        # As a new life of this process: what the one before stamped, others hold and this one lacks.
+        self._disk_writer.complete, self._had_contact, self._is_reader = False, False, False
+        # A new incarnation of the store: others hold items stamped by the earlier one that are missing here.
         self._incarnation_count += 1
         self._charter.reset(f"{self._incarnation}/{self._incarnation_count}")
         self._channels.hello["source"] = self._charter.source
@@ -171,7 +174,7 @@
             self._charter.merge([view], {})
         self._acceptor_host.spawn(self._rewrite_disk())
         self._update_hello()
-        # What was asked on these links says what was held: answers to it would claim what is gone.
+        # Requests sent on these links carry the old vector, so their answers would omit what was dropped.
         for channel in list(self._channels.open):
             channel.link.close("its disk starts over")
 
@@ -179,10 +182,10 @@
         while not isinstance(await self._disk_writer.rewrite(), Kept):
             await asyncio.sleep(RETRY_S)
 
-    # The file
+    # Compaction
 
     def tick(self, now: float) -> None:
-        """Called several times a second."""
+        """Notes the first contact, and starts compactions; called several times a second."""
         if not self._had_contact and self._member_set.has_contact():
             self._had_contact = True
             self._channels.poke()
@@ -191,7 +194,7 @@
             self._compaction = self._loop.create_task(self._compact())
 
     async def _compact(self) -> None:
-        """The file never shrinks by itself: one that is much larger than what it holds is written anew."""
+        """Rewrites a file that is much larger than its content; it never shrinks by itself."""
         try:
             size = await self._disk_writer.run_between_batches(_size)
             if size is not None and size.file > COMPACT_SPARE_BYTES + COMPACT_RATIO * size.used:
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -78,7 +78,7 @@
         pulled = {address_of(channel) for channel in self._links if channel.exchange.pulled}
         own = (
             self._member_set.own_address
-            if self._disk_writer.whole and not (settled and self._has_stale_vote())
+            if self._disk_writer.complete and not (settled and self._has_stale_vote())
             else None
         )
         view, tolerance = self._member_set.view(), self._member_set.tolerance
@@ -202,7 +202,7 @@
                 "t": "probed",
                 "n": int(head["n"]),
                 "e": epoch,
-                "w": self._disk_writer.whole,
+                "w": self._disk_writer.complete,
                 "c": self.may_act(),
             }
             if self._has_stale_vote():
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -84,7 +84,7 @@
         number = self._count
         others = view.names - {self._member_set.own_address}
         request = self._requests[number] = _FenceRequest(view, fence, self._loop.create_future(), others)
-        if fence is None and self._disk_writer.whole:
+        if fence is None and self._disk_writer.complete:
             request.answered.add(self._member_set.own_address)
         try:
             for address, channel in self._member_set.peers().items():
@@ -147,7 +147,7 @@
         if await self._acceptor_host.check_epoch(epoch) is not None:
             own_view = self._member_set.view()
             message: Head = {"t": "fenced", "n": number, "e": own_view.epoch, "no": True}
-            if not self._disk_writer.whole:
+            if not self._disk_writer.complete:
                 message["empty"] = True
                 if "r" in head and head["g"]:
                     await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -1,5 +1,4 @@
-"""What a control process shows of itself to operators: plain dicts out of its state, which stays as it is. No
-I/O."""
+"""Answers of a control process to operators' questions: plain dicts built from its state. No I/O."""
 
 from __future__ import annotations
 
@@ -22,11 +21,11 @@
 from mesh.runtime.introspection_calls import Handler, Refusal, Told, common, items
 from mesh.runtime.settings import Settings
 
-MAX_SHOWN = 20  # changes, or sidecars of a first part, of one answer
+MAX_SHOWN = 20  # rollouts, or sidecars of a first part, in one answer
 
 
 class IntrospectionSources(Struct):
-    """The parts of a control process that are shown. ``steady``: the clock of its loop, in seconds."""
+    """The parts of a control process that are shown. ``steady``: its monotonic clock, in seconds."""
 
     settings: Settings
     charter: Store
@@ -45,24 +44,24 @@
     steady: Callable[[], float]
 
 
-def question_handlers(shown: IntrospectionSources, clock: Callable[[], float]) -> dict[str, Handler]:
-    """The questions that a control process answers. ``clock`` gives seconds since 1970."""
-    stores = {"charter": shown.charter, "roll": shown.roll}
+def question_handlers(sources: IntrospectionSources, clock: Callable[[], float]) -> dict[str, Handler]:
+    """The handlers of the questions to a control process, by name. ``clock`` gives seconds since 1970."""
+    stores = {"charter": sources.charter, "roll": sources.roll}
     return {
-        "status": lambda head: status(shown, clock()),
+        "status": lambda head: status(sources, clock()),
         "items": lambda head: items(stores, head),
-        "members": lambda head: shown.member_changes.show(),
-        "members remove": shown.member_changes.remove,
-        "ownership": lambda head: shown.key_assignment.status(),
-        "rollouts": lambda head: rollouts(shown),
-        "rollout": lambda head: rollout(shown, str(head["kind"]), str(head["name"])),
+        "members": lambda head: sources.member_changes.show(),
+        "members remove": sources.member_changes.remove,
+        "ownership": lambda head: sources.key_assignment.status(),
+        "rollouts": lambda head: rollouts(sources),
+        "rollout": lambda head: rollout(sources, str(head["kind"]), str(head["name"])),
     }
 
 
-def votes(shown: IntrospectionSources) -> Told:
-    """``open``: votes that are not decided, as known here; ``rivalled``: numbers for which this process
-    refused an order of late since another one has them, the newest first."""
-    now, proposer_host = shown.steady(), shown.proposer_host
+def votes(sources: IntrospectionSources) -> Told:
+    """``open``: the number of undecided votes known here; ``rivalled``: numbers for which this process
+    recently refused an order because another order has them, newest first."""
+    now, proposer_host = sources.steady(), sources.proposer_host
     rivalled = [
         {"ago_ms": round((now - at) * 1000.0), "kind": kind, "name": name, "version": version}
         for at, (kind, name, version) in reversed(proposer_host.rivalled)
@@ -70,38 +69,40 @@
     return {"open": len(proposer_host.acceptor_host.acceptor.votes), "rivalled": rivalled}
 
 
-def rollouts(shown: IntrospectionSources) -> Told:
-    """The changes of late, the newest first: how many items, how many sidecars have not confirmed all of
-    them, the first of these, and what the first part said; and the votes."""
-    now, known = shown.steady(), shown.rollouts
-    told = []
-    for one in list(known.rollouts)[: -MAX_SHOWN - 1 : -1]:
-        names = sorted(f"{name} r{version}" for (_, name), version in one.versions.items())
-        told.append(
+def rollouts(sources: IntrospectionSources) -> Told:
+    """The latest rollouts, newest first: the number of items, the number of sidecars that have not confirmed
+    all of them, some of their names, and the verdict of the first part; and the votes."""
+    now, known = sources.steady(), sources.rollouts
+    rows = []
+    for rollout in list(known.rollouts)[: -MAX_SHOWN - 1 : -1]:
+        names = sorted(f"{name} r{version}" for (_, name), version in rollout.versions.items())
+        rows.append(
             {
-                "ago_ms": round((now - one.known) * 1000.0),
+                "ago_ms": round((now - rollout.known_at) * 1000.0),
                 "items": len(names),
                 "named": names[:MAX_NAMES],
-                "missing": len(one.missing),
-                "lack": sorted(one.missing)[:MAX_NAMES],
-                "took_ms": round((one.done - one.known) * 1000.0) if one.done is not None else None,
-                "worse": sorted(name for _, name in one.worse)[:MAX_NAMES],
-                "sound": len(one.sound),
+                "missing": len(rollout.missing),
+                "lack": sorted(rollout.missing)[:MAX_NAMES],
+                "took_ms": round((rollout.done - rollout.known_at) * 1000.0)
+                if rollout.done is not None
+                else None,
+                "worse": sorted(name for _, name in rollout.worse)[:MAX_NAMES],
+                "sound": len(rollout.sound),
             }
         )
-    return {"sidecars": len(shown.membership.draw().nodes), "rollouts": told, "votes": votes(shown)}
+    return {"sidecars": len(sources.membership.draw().nodes), "rollouts": rows, "votes": votes(sources)}
 
 
-def rollout(shown: IntrospectionSources, kind: str, name: str) -> Told | Refusal:
-    """One item as it stands: who goes by it, and who has not said so. ``word``: calls and failures by the new
-    way of the first part, and by its old one."""
-    item = shown.charter.items.get((kind, name))
+def rollout(sources: IntrospectionSources, kind: str, name: str) -> Told | Refusal:
+    """The rollout of one item: which sidecars have not confirmed it. ``word``: calls and failures of the
+    first part with the new version, and with the old one."""
+    item = sources.charter.items.get((kind, name))
     if item is None or kind == VIEW:
         return Refusal(f"{kind} {name[:80]!r}: no such item; config get shows all")
-    lack, now = shown.rollouts.unconfirmed(item.key), shown.steady()
-    heard = shown.rollouts.reported_at
-    draw = shown.membership.draw()
-    new, old = shown.rollouts.canary_tallies(item.key)
+    lack, now = sources.rollouts.unconfirmed(item.key), sources.steady()
+    heard = sources.rollouts.reported_at
+    draw = sources.membership.draw()
+    new, old = sources.rollouts.canary_tallies(item.key)
     return {
         "version": item.version,
         "dropped": item.value is None,
@@ -116,32 +117,32 @@
     }
 
 
-def status(shown: IntrospectionSources, clock: float) -> Told:
-    """How it stands. ``members``: whose disks count, by address, with zone and region; ``refused``: the
-    disk's last word where that was no, else ""; ``contact``: what is proven of it, for how long it has been
-    so, and who has answered lately; ``control``: where it takes the operator's calls; ``duties``:
-    who has which, under which epoch, as known here, and whether this process acts on it; ``borne``: how many
-    more losses of each kind orders would go on after, -1 where they do not now."""
-    settings, disk_writer = shown.settings, shown.disk_writer
-    tolerance, view = settings.tolerance, shown.member_set.view()
+def status(sources: IntrospectionSources, clock: float) -> Told:
+    """The state of this process. ``members``: by address, with zone and region; ``refused``: why the disk
+    refused the last batch, else ""; ``contact``: the proof, for how long it has held, and who has answered
+    recently; ``control``: the address for operator calls; ``duties``: holder and epoch of each, as known
+    here, and whether this process performs it; ``borne``: how many more losses of each kind orders survive,
+    -1 if they are not decided now."""
+    settings, disk_writer = sources.settings, sources.disk_writer
+    tolerance, view = settings.tolerance, sources.member_set.view()
     return {
-        **common(settings, shown.charter, shown.roll, clock),
+        **common(settings, sources.charter, sources.roll, clock),
         "role": CONTROLLER,
-        "ending": shown.stopping.is_set(),
-        "control": shown.control,
+        "ending": sources.stopping.is_set(),
+        "control": sources.control,
         "counted": settings.counted,
-        "whole": disk_writer.whole,
+        "whole": disk_writer.complete,
         "refused": disk_writer.last_refusal,
-        "in_touch": shown.contact_probes.has_contact(),
-        "contact": shown.contact_probes.status(),
-        "votes": votes(shown),
-        "duties": {**shown.reaping.status(), **shown.member_changes.status()},
+        "in_touch": sources.contact_probes.has_contact(),
+        "contact": sources.contact_probes.status(),
+        "votes": votes(sources),
+        "duties": {**sources.reaping.status(), **sources.member_changes.status()},
         "epoch": view.epoch,
         "joint": view.joint,
-        "borne": shown.member_changes.losses(),
+        "borne": sources.member_changes.losses(),
         "tolerates": {"machines": tolerance.machines, "zones": tolerance.zones, "regions": tolerance.regions},
         "members": {
             address: [place.zone, place.region]
-            for address, place in sorted(shown.member_set.members().items())
+            for address, place in sorted(sources.member_set.members().items())
         },
     }
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -1,8 +1,10 @@
-"""A control process's part in keys: it answers proxies which map holds, and one of all proposes the next.
+"""Assignment of keys to instances: control processes tell proxies which key map is in force, and one of them
+proposes the next map.
 
-Each control process keeps what is needed to go on at once where another stops: since when a row is known to
-leave, the proxies' words, and the load. Who proposes is the first live one in an order that all work out
-alike; two that both find themselves first propose for one version, and one of the two is voted for.
+Each control process keeps what is needed to take over at once: since when a row is known to be leaving, the
+reports of proxies, and the load. The proposer is the first live one in a rendezvous order that is the same
+everywhere; if two processes consider themselves first, they propose the same version, and one proposal is
+decided.
 """
 
 from __future__ import annotations
@@ -30,26 +32,24 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-PROPOSER_DUTY = "keys"  # in whose order the proposer is found
-CHECK_INTERVAL_S = 0.1  # between two looks at what is to change
-FIRST_MAP_DELAY_S = 1.5  # after the first upstream is known: the others have come by then
-REBALANCE_INTERVAL_S = 0.6  # between two versions for the load's sake
-ROLL_RECOVERY_S = 3.0  # after a start the roll comes within this; who is not in it then is gone
-REPORT_TIMEOUT_S = 4.5  # a proxy without a report for so long cannot renew its upstream's holds much longer
-MIN_REPORTING_SHARE = (
-    0.6  # of a service's proxies; where fewer are heard, it is this process that does not hear
-)
-FREEZE_S = 1.0  # between two looks: this process stood still, and what came meanwhile is still unread
-DECIDE_TIMEOUT_S = 1.0  # a proposal is waited for so long
+PROPOSER_DUTY = "keys"  # the name by which the proposer is chosen
+CHECK_INTERVAL_S = 0.1  # between two checks for changes
+FIRST_MAP_DELAY_S = 1.5  # after the first upstream is known: the others are known by then
+REBALANCE_INTERVAL_S = 0.6  # between two versions that balance the load
+ROLL_RECOVERY_S = 3.0  # after a start the roll is complete; nodes missing from it are gone
+REPORT_TIMEOUT_S = 4.5  # a proxy without a report for longer soon cannot renew the holds of its upstream
+MIN_REPORTING_SHARE = 0.6  # of a service's proxies; below it this process is considered cut off
+FREEZE_S = 1.0  # between two ticks: this process was frozen, and messages are still unread
+DECIDE_TIMEOUT_S = 1.0  # for one proposal
 READ_TIMEOUT_S = 0.6
-QUESTION_BATCH_S = 0.02  # questions that come within it are answered by one read
+QUESTION_BATCH_S = 0.02  # questions that arrive within it share one read
 MAX_QUESTIONS = 4096
 
 RowKey = tuple[str, str, int, int, int]  # service, holder, first and last key, fence
 
 
 class KeyAssignment:
-    """Of one control process."""
+    """The part of one control process in the assignment of keys."""
 
     def __init__(
         self,
@@ -59,26 +59,28 @@
         membership: Membership,
         member_set: MemberSet,
         proposer_host: ProposerHost,
-        acts: Callable[[], bool],
-        live: Callable[[float, float], set[str]],
+        may_act: Callable[[], bool],
+        live_controllers: Callable[[float, float], set[str]],
         event_log: EventLog,
     ) -> None:
-        """``acts``: contact with enough members to decide; ``live``: control processes that can act, by the
-        time and how long they must have been awake."""
+        """``may_act``: contact with enough members to decide; ``live_controllers``: the control processes
+        that can act, by the time and for how long they must have been awake."""
         self._loop = asyncio.get_running_loop()
         self._node, self._terms = node, lease_terms_for(hold_max_ms)
         self._charter, self._membership, self._member_set = charter, membership, member_set
         self._proposer_host, self._may_act, self._live_controllers, self._event_log = (
             proposer_host,
-            acts,
-            live,
+            may_act,
+            live_controllers,
             event_log,
         )
-        self._sharded: dict[str, float] = {}  # services, by when their first upstream was seen; 0: none yet
+        self._sharded: dict[
+            str, float
+        ] = {}  # sharded services: when their first upstream was seen; 0: none yet
         self._maps: dict[str, KeyMap] = {}
-        self._leaving: dict[RowKey, float] = {}  # since when a row is known to leave
+        self._leaving: dict[RowKey, float] = {}  # since when a row is known to be leaving
         self._reports: dict[str, KeyReport] = {}  # by node
-        self._reported_at: dict[str, float] = {}  # when each last came
+        self._reported_at: dict[str, float] = {}  # when the last report of each node arrived
         self._loads: dict[str, KeyLoad] = {}
         self._balanced_at: dict[str, float] = {}
         self._proposing: set[str] = set()
@@ -87,10 +89,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._next_check_at = self._last_tick_at = self._awake_since = self._loop.time()
 
-    # What comes in
+    # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Items of the configuration have come."""
+        """Reads services and key maps from charter items that have changed."""
         for item in items:
             if item.kind == PLANT:
                 if item.value is not None and item.value.get("sharded") is True:
@@ -101,7 +103,7 @@
                 self._apply_map(item)
 
     def load_restored(self) -> None:
-        """What the disk held is in the store."""
+        """Reads what the disk held, once it is in the store."""
         self.items_changed(list(self._charter.items.values()))
 
     def _apply_map(self, item: Item) -> None:
@@ -120,13 +122,13 @@
         self._leaving.update({key: known.get(key, now) for key in leaving})
 
     def reports_changed(self, items: Iterable[Item]) -> None:
-        """Proxies' reports have come, or (without a value) those of proxies that are gone."""
+        """Reads reports of proxies; an item without a value drops the report of a proxy that is gone."""
         now = self._loop.time()
         for item in items:
             try:
                 report = read_report(item.value) if item.value is not None else None
             except (KeyError, TypeError, ValueError):
-                report = None  # of a newer program
+                report = None  # of a later release
             if report is None:
                 self._reports.pop(item.name, None)
                 self._reported_at.pop(item.name, None)
@@ -136,10 +138,11 @@
                 if service in self._sharded:
                     self._loads.setdefault(service, KeyLoad()).add(now, counts.items())
 
-    # Which map holds
+    # Questions of proxies
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was a proxy's question. Raises KeyError, TypeError or ValueError."""
+        """Whether it was a question of a proxy. Raises KeyError, TypeError or ValueError if it is
+        malformed."""
         if head["t"] != "keys":
             return False
         if len(self._questions) < MAX_QUESTIONS:
@@ -149,7 +152,7 @@
         return True
 
     async def _answer_questions(self) -> None:
-        """By a read that begins after the questions came; what comes meanwhile waits for the next."""
+        """Answers by a read that starts after the questions arrived; later ones wait for the next read."""
         try:
             while self._questions:
                 await asyncio.sleep(QUESTION_BATCH_S)
@@ -157,7 +160,7 @@
                 if not await self._proposer_host.reads.wait_until_current(
                     OWNERSHIP, self._loop.time() + READ_TIMEOUT_S
                 ):
-                    continue  # who asked asks again, elsewhere
+                    continue  # the proxies ask another control process
                 versions = {service: key_map.version for service, key_map in self._maps.items()}
                 for channel, number in asked:
                     if channel.link.up:
@@ -168,7 +171,7 @@
     # The next map
 
     def tick(self, now: float) -> None:
-        """Called several times a second."""
+        """Proposes maps that are due; called several times a second."""
         if now - self._last_tick_at > FREEZE_S:
             self._awake_since = now
         self._last_tick_at = now
@@ -182,7 +185,7 @@
                 self._update_map(now, service)
 
     def _is_proposer(self, now: float) -> bool:
-        names = {name for name, told in self._membership.nodes.items() if told.get("role") == CONTROLLER}
+        names = {name for name, info in self._membership.nodes.items() if info.get("role") == CONTROLLER}
         return first_live(PROPOSER_DUTY, names | {self._node}, self._live_controllers(now, 0.0)) == self._node
 
     def _update_map(self, now: float, service: str) -> None:
@@ -211,40 +214,44 @@
             self._balanced_at[service] = now
         if found is not None:
             nodes = key_map.nodes | {
-                name: str(told.get("node", ""))
-                for name, told in self._membership.of(service)
-                if told is not None
+                name: str(info.get("node", ""))
+                for name, info in self._membership.of(service)
+                if info is not None
             }
             self._propose(service, key_map.version + 1, write_map(*found, nodes))
 
     def _candidates(self, now: float, service: str) -> Mapping[str, Candidate]:
         silent = {report.silent_upstream for report in self._reports.values() if report.silent_upstream}
-        known = {instance: told for instance, told in self._membership.of(service) if told is not None}
-        heard = {name for name, told in known.items() if self._is_reporting(now, str(told.get("node", "")))}
-        hears = len(heard) >= MIN_REPORTING_SHARE * len(known)
-        followed = {str(told.get("node", "")) for told in known.values()}
-        return self._unknown_holders(now, service, known.keys(), followed) | {
+        known = {instance: info for instance, info in self._membership.of(service) if info is not None}
+        reporting = {
+            name for name, info in known.items() if self._is_reporting(now, str(info.get("node", "")))
+        }
+        mostly_reporting = len(reporting) >= MIN_REPORTING_SHARE * len(known)
+        nodes = {str(info.get("node", "")) for info in known.values()}
+        return self._unknown_holders(now, service, known.keys(), nodes) | {
             name: Candidate(
-                capacity=max(float(told.get("capacity", 1)), 1.0),
-                eligible=told.get("state") == SETTLED and name not in silent and (name in heard or not hears),
+                capacity=max(float(info.get("capacity", 1)), 1.0),
+                eligible=info.get("state") == SETTLED
+                and name not in silent
+                and (name in reporting or not mostly_reporting),
             )
-            for name, told in known.items()
+            for name, info in known.items()
         }
 
     def _unknown_holders(
-        self, now: float, service: str, known: Collection[str], followed: Collection[str]
+        self, now: float, service: str, known: Collection[str], nodes: Collection[str]
     ) -> dict[str, Candidate]:
-        """Holders that are not in the roll and keep their keys: after a start it comes bit by bit. Not those
-        at whose machine (``followed``) another one is known by now."""
+        """Holders missing from the roll that keep their keys, since it arrives in parts after a start; not
+        those on a node (``nodes``) where another instance is known by now."""
         key_map = self._maps.get(service)
         if key_map is None or now - self._awake_since >= ROLL_RECOVERY_S:
             return {}
         holders = {row.holder for row in key_map.rows if row.holder and row.holder not in known}
-        kept = [name for name in holders if key_map.nodes.get(name) not in followed]
+        kept = [name for name in holders if key_map.nodes.get(name) not in nodes]
         return {name: Candidate(1.0, eligible=True) for name in kept}
 
     def _is_reporting(self, now: float, node: str) -> bool:
-        """Whether that proxy has reported lately, or could not have been heard."""
+        """Whether that proxy has reported recently, or this process started too recently to know."""
         return now - max(self._reported_at.get(node, 0.0), self._awake_since) < REPORT_TIMEOUT_S
 
     def _words(self) -> list[Release]:
@@ -273,8 +280,8 @@
             self._proposing.discard(service)
 
     def status(self) -> dict[str, Any]:
-        """For operators: of each divided service its map, as this process has it. A row is first and last
-        key, holder, fence, next holder, for how many seconds it is known to leave (null where it does not),
+        """For operators: the map of each sharded service, as this process has it. A row is first and last
+        key, holder, fence, next holder, for how many seconds it is known to be leaving (null if it is not),
         and its share of the traffic. ``proposer``: whether this process proposes the next map."""
         now = self._loop.time()
         services = {}
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -1,7 +1,7 @@
-"""Duties, carried out: this process's turn at them, what it asks the others, and what it answers them.
+"""The duty `reaping`: its holder drops nodes that are gone for good.
 
-There is one: dropping nodes that are gone for good. Its holder asks every control process that it hears how
-long the nodes that it doubts have been silent there, under its epoch; each that knows a higher epoch refuses.
+The holder queries all reachable control processes, under its epoch, for how long the nodes that are silent
+here have been silent there; a process that knows a higher epoch refuses.
 """
 
 from __future__ import annotations
@@ -25,74 +25,76 @@
 from mesh.transport.frames import Head
 
 CHECK_INTERVAL_S = 1.0
-ANSWER_TIMEOUT_S = 1.0  # an answer that comes later is too old to act on
-LINK_ALIVE_S = 1.0  # a link on which nothing came for longer does not show that its peer runs
-MAX_DROPPED_NODES = 256  # nodes dropped at once; the rest with the next round
+ANSWER_TIMEOUT_S = 1.0  # a later answer is too old to act on
+LINK_ALIVE_S = 1.0  # a link that received nothing for longer does not show that its peer runs
+MAX_DROPPED_NODES = 256  # nodes dropped by one query; the rest by the next
 
 
 class QueryRound(Struct, eq=False):
-    """One question to all that are heard, and what they answered: seconds of silence by node."""
+    """One query to all reachable control processes, and the silence reports that answered it."""
 
     number: int
     epoch: int
-    began: float
+    started_at: float
     nodes: list[str]
-    waits: set[str]  # control processes that have not answered, by node
-    heard: set[str]  # addresses that have, this one among them
+    awaiting: set[str]  # nodes of control processes without an answer yet
+    answered: set[str]  # addresses that answered, this one included
     reports: list[failure_detection.SilenceReport] = field(default_factory=list)
 
 
 def encode_link_ages(seconds: Iterable[float | None]) -> list[float | None]:
-    """How long ago each node was heard over a link, as an answer has it."""
+    """Encodes how many seconds ago each node was heard over a link."""
     return [None if linked_s is None else round(linked_s, 1) for linked_s in seconds]
 
 
 def decode_report(nodes: Sequence[str], head: Head) -> failure_detection.SilenceReport:
-    """An answer, for the nodes that were asked for; processes from before ``linked`` leave it out. Raises
-    KeyError, TypeError or ValueError for what cannot be read."""
+    """Decodes an answer on the queried nodes; earlier releases omit ``linked``. Raises KeyError, TypeError or
+    ValueError if it is malformed."""
     silent = [float(silent_s) for silent_s in head["silent"]]
     linked = head.get("linked", [None] * len(nodes))
     if len(silent) != len(nodes) or len(linked) != len(nodes):
-        raise ValueError("not as many answers as were asked for")
+        raise ValueError("an answer to another number of nodes")
     heard = {name: float(heard_s) for name, heard_s in zip(nodes, linked, strict=True) if heard_s is not None}
     return failure_detection.SilenceReport(dict(zip(nodes, silent, strict=True)), heard)
 
 
 class ReapingDuty:
+    """Holds the duty `reaping` when it is this process's turn, and answers the queries of its holder."""
+
     def __init__(
         self,
         node: str,
         address: str,
-        spans: failure_detection.SilenceThresholds,
+        thresholds: failure_detection.SilenceThresholds,
         roll: Store,
         membership: Membership,
         channels: Channels,
         member_set: MemberSet,
-        contact: Callable[[], bool],
+        has_contact: Callable[[], bool],
         event_log: EventLog,
-        changed: Callable[[list[Item]], None],
+        on_change: Callable[[list[Item]], None],
     ) -> None:
-        """``address``: as the members are named; ``contact``: with enough of them to act for all;
-        ``changed`` is told of items written here."""
+        """``address``: of this process as a member; ``has_contact``: with enough members to decide;
+        ``on_change`` is called with items written here."""
         self._loop = asyncio.get_running_loop()
-        self.node, self._address, self.thresholds = node, address, spans
+        self.node, self._address, self.thresholds = node, address, thresholds
         self._roll, self._membership, self._channels = roll, membership, channels
-        self._member_set, self._event_log, self._on_change = member_set, event_log, changed
-        self._has_contact = contact
+        self._member_set, self._event_log, self._on_change = member_set, event_log, on_change
+        self._has_contact = has_contact
         now = self._loop.time()
-        self.lease = DutyLease(REAPING, node, spans.suspect_s)
+        self.lease = DutyLease(REAPING, node, thresholds.suspect_s)
         self._started_at = now
         self.tracker = failure_detection.SilenceTracker(now)
         self._next_check_at = now
-        self._held_epoch = 0  # the epoch under which this process has the duty; 0: it has not
+        self._held_epoch = 0  # the epoch under which this process holds the duty; 0: it does not
         self._count = 0
         self._round: QueryRound | None = None
-        self._kept_zones: set[str] = set()  # zones, as last told
+        self._kept_zones: set[str] = set()  # zones, as last logged
 
-    # What comes in
+    # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Items of the roll that have changed."""
+        """Notes signs of life and leases in roll items that have changed."""
         now = self._loop.time()
         for item in items:
             if item.kind == NODE and item.value is not None:
@@ -104,12 +106,14 @@
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
     def link_closed(self, channel: Channel) -> None:
+        """Notes when the node was last heard on a link that closed."""
         self._note_link(channel)
 
     def _note_link(self, channel: Channel) -> None:
         self.tracker.note_link_contact(channel.link.heard_at, channel.node, channel.link.since)
 
     def tick(self, now: float) -> None:
+        """Claims, releases or performs the duty; called several times a second."""
         if now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_INTERVAL_S
@@ -118,7 +122,7 @@
         self.tracker.note_link_contact(now, self.node, self._started_at)
         for channel in self._channels.open:
             self._note_link(channel)
-        names = {name for name, told in self._membership.nodes.items() if told.get("role") == CONTROLLER}
+        names = {name for name, info in self._membership.nodes.items() if info.get("role") == CONTROLLER}
         decided = self.lease.decide(
             now, names | {self.node}, self.live_controllers(now, self.thresholds.suspect_s)
         )
@@ -148,42 +152,42 @@
         self._held_epoch, self._round = 0, None
         self._kept_zones.clear()
 
-    def live_controllers(self, now: float, awake_s: float) -> set[str]:
-        """Control processes that can act, as far as this one hears: this one where it has been running for so
-        long and is in touch, others that say so of themselves over a link that is alive."""
-        found = {
+    def live_controllers(self, now: float, min_awake_s: float) -> set[str]:
+        """Control processes that can act, as known here: this one if it has contact and has been awake for
+        ``min_awake_s``, and others that report so over a live link."""
+        live = {
             channel.node
             for channel in self._channels.open
             if channel.extra.get("role") == CONTROLLER
             and channel.whole
             and now - channel.link.heard_at <= LINK_ALIVE_S
         }
-        if self._has_contact() and self.tracker.listening_s(now) >= awake_s:
-            found.add(self.node)
-        return found
+        if self._has_contact() and self.tracker.listening_s(now) >= min_awake_s:
+            live.add(self.node)
+        return live
 
     def _nodes(self) -> dict[str, failure_detection.NodeInfo]:
-        """All that the roll names. Whose disk counts stays, whatever its silence: others must go on trying to
-        reach it; so does this one."""
+        """All nodes of the roll. Members and this node are never dropped: other processes must keep trying to
+        connect to them."""
         members = self._member_set.view().names
         found = {}
-        for name, told in self._membership.nodes.items():
+        for name, info in self._membership.nodes.items():
             address = self._membership.address(name)
-            member = told.get("role") == CONTROLLER and address is not None and address[0] in members
-            found[name] = failure_detection.NodeInfo(str(told.get("zone", "")), member or name == self.node)
-        for told in self._membership.instances.values():
-            name = str(told["node"])
-            if name not in found:  # its node was dropped, and then came news of it from before
-                found[name] = failure_detection.NodeInfo(str(told.get("zone", "")))
+            member = info.get("role") == CONTROLLER and address is not None and address[0] in members
+            found[name] = failure_detection.NodeInfo(str(info.get("zone", "")), member or name == self.node)
+        for info in self._membership.instances.values():
+            name = str(info["node"])
+            if name not in found:  # an older update arrived after its node was dropped
+                found[name] = failure_detection.NodeInfo(str(info.get("zone", "")))
         return found
 
-    # Asking, and acting on what was answered
+    # Queries, and acting on their answers
 
     def _query_silence(self, now: float, nodes: dict[str, failure_detection.NodeInfo], epoch: int) -> None:
-        if self._round is not None and now - self._round.began < self.thresholds.suspect_s:
+        if self._round is not None and now - self._round.started_at < self.thresholds.suspect_s:
             return
-        doubts = {name: self.tracker.silent_anywhere_s(now, name) for name in nodes}
-        asked = failure_detection.nodes_to_query(nodes, doubts, self.thresholds)
+        silences = {name: self.tracker.silent_anywhere_s(now, name) for name in nodes}
+        asked = failure_detection.nodes_to_query(nodes, silences, self.thresholds)
         self._round = None
         if not asked:
             return
@@ -199,18 +203,18 @@
             "e": self._member_set.view().epoch,
         }
         for channel in list(self._channels.open):
-            if channel.extra.get("role") == CONTROLLER and channel.node not in round.waits | {self.node}:
-                round.waits.add(channel.node)
+            if channel.extra.get("role") == CONTROLLER and channel.node not in round.awaiting | {self.node}:
+                round.awaiting.add(channel.node)
                 channel.link.send(question)
         self._conclude(now)
 
     def _conclude(self, now: float) -> None:
-        """Drops what all that were asked have not heard either, once all have answered."""
+        """Drops nodes that none of the queried processes has heard, once all have answered."""
         round = self._round
-        if round is None or round.waits or now - round.began > ANSWER_TIMEOUT_S:
+        if round is None or round.awaiting or now - round.started_at > ANSWER_TIMEOUT_S:
             return
         if (
-            not failure_detection.is_majority(round.heard, self._member_set.members())
+            not failure_detection.is_majority(round.answered, self._member_set.members())
             or not self._has_contact()
         ):
             return
@@ -248,7 +252,8 @@
     # Frames
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of duties. Raises KeyError, TypeError or ValueError for what cannot be read."""
+        """Whether it was a frame of this duty. Raises KeyError, TypeError or ValueError if it is
+        malformed."""
         kind = head["t"]
         if kind not in ("heard", "hears", "overtaken") or channel.extra.get("role") != CONTROLLER:
             return False
@@ -262,42 +267,42 @@
         return True
 
     def _handle_query(self, now: float, channel: Channel, head: Head) -> None:
-        standing, nodes = read_lease(head["epoch"], {"holder": head["holder"]}), head["nodes"]
+        claim, nodes = read_lease(head["epoch"], {"holder": head["holder"]}), head["nodes"]
         if (
             head["duty"] != REAPING
             or not isinstance(nodes, list)
             or len(nodes) > failure_detection.MAX_QUERIED_NODES
         ):
-            raise ValueError("not a question of a duty that is known here")
-        known = self._member_set.view().epoch
-        # Who goes by an older view may count a majority that is none any more.
-        old_view = int(head.get("e", known)) < known
-        if not self.lease.note(now, standing) or old_view:
+            raise ValueError("a query for an unknown duty, or for too many nodes")
+        epoch = self._member_set.view().epoch
+        # A holder with an older view may count a majority that no longer is one.
+        old_view = int(head.get("e", epoch)) < epoch
+        if not self.lease.note(now, claim) or old_view:
             newest = self.lease.latest
-            self._event_log.tell(events.EPOCH_OLD, duty=REAPING, epoch=standing.epoch, newest=newest.epoch)
+            self._event_log.tell(events.EPOCH_OLD, duty=REAPING, epoch=claim.epoch, newest=newest.epoch)
             channel.link.send({"t": "overtaken", "epoch": newest.epoch, "holder": newest.holder})
             return
-        told = [round(self.tracker.silent_s(now, str(name)), 1) for name in nodes]
+        silent = [round(self.tracker.silent_s(now, str(name)), 1) for name in nodes]
         linked = [self.tracker.linked_s(now, str(name)) for name in nodes]
         channel.link.send(
-            {"t": "hears", "n": int(head["n"]), "silent": told, "linked": encode_link_ages(linked)}
+            {"t": "hears", "n": int(head["n"]), "silent": silent, "linked": encode_link_ages(linked)}
         )
 
     def _handle_answer(self, now: float, channel: Channel, head: Head) -> None:
         round = self._round
-        if round is None or head["n"] != round.number or channel.node not in round.waits:
+        if round is None or head["n"] != round.number or channel.node not in round.awaiting:
             return
         report = decode_report(round.nodes, head)
-        round.waits.discard(channel.node)
-        round.heard.add(str(channel.extra.get("ip", "")))
+        round.awaiting.discard(channel.node)
+        round.answered.add(str(channel.extra.get("ip", "")))
         round.reports.append(report)
         for name, silent_s in report.silent_s.items():
-            self.tracker.note_reported_contact(round.began - silent_s, name)
+            self.tracker.note_reported_contact(round.started_at - silent_s, name)
         for name, heard_s in report.linked_s.items():
-            self.tracker.note_reported_link_contact(round.began - heard_s, name)
+            self.tracker.note_reported_link_contact(round.started_at - heard_s, name)
         self._conclude(now)
 
     def status(self) -> dict[str, Any]:
-        """For operators: who has which duty, under which epoch."""
+        """For operators: holder and epoch of the duty, and whether this process performs it."""
         newest = self.lease.latest
         return {REAPING: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held_epoch)}}
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -1,7 +1,7 @@
-"""The duty `members`: which change of members comes next is worked out and proposed by its holder, and what
-can be lost is told. Decided in `mesh.replication.reconfiguration`; agreed on by `voting`.
+"""The duty `members`: its holder works out the next change of members and proposes it, see
+`mesh.replication.reconfiguration`; each process logs when fewer losses are tolerable than configured.
 
-Two holders at once do no harm: the epoch is a number of the charter, and has one content.
+Two holders at once do no harm: a view is a numbered item of the charter, so one content is decided per epoch.
 """
 
 from __future__ import annotations
@@ -36,17 +36,19 @@
 from mesh.runtime.introspection_calls import Refusal, Told
 from mesh.transport.frames import Head
 
-CLAIM_DELAY_SHARE = 1 / 8  # of contact_ms: for so long a process is the first before it claims the duty
+CLAIM_DELAY_SHARE = 1 / 8  # of contact_ms, for which a process ranks first before it claims the duty
 DECIDE_TIMEOUT_S = 2.0
-RETRY_DELAY_S = 0.25  # after a change that was not decided
+RETRY_DELAY_S = 0.25  # after a proposal that was not decided
 REMOVE_TIMEOUT_S = 5.0
 
 
 class MemberChanges:
+    """Holds the duty `members` when it is this process's turn, and answers operators about members."""
+
     def __init__(
         self,
         node: str,
-        spans: failure_detection.SilenceThresholds,
+        thresholds: failure_detection.SilenceThresholds,
         roll: Store,
         membership: Membership,
         member_set: MemberSet,
@@ -54,35 +56,36 @@
         joining: Joining,
         reaping: ReapingDuty,
         event_log: EventLog,
-        changed: Callable[[list[Item]], None],
+        on_change: Callable[[list[Item]], None],
     ) -> None:
-        """``changed`` is told of items of the roll that are written here."""
+        """``on_change`` is called with roll items that are written here."""
         self._loop = asyncio.get_running_loop()
-        self.node, self.thresholds = node, spans
+        self.node, self.thresholds = node, thresholds
         self._roll, self._membership, self._member_set = roll, membership, member_set
         self._proposer_host, self.joining, self._reaping = proposer_host, joining, reaping
-        self._event_log, self._on_change = event_log, changed
+        self._event_log, self._on_change = event_log, on_change
         now = self._loop.time()
-        self.lease = DutyLease(MEMBERS_DUTY, node, spans.suspect_s * CLAIM_DELAY_SHARE)
+        self.lease = DutyLease(MEMBERS_DUTY, node, thresholds.suspect_s * CLAIM_DELAY_SHARE)
         self.member_silence = MemberSilence(
-            node, spans, self.lease, membership, member_set, reaping, event_log
+            node, thresholds, self.lease, membership, member_set, reaping, event_log
         )
         self._held_epoch = 0
-        self._last_live_at = now  # when it could last act
+        self._last_live_at = now  # when this process could last act
         self._proposal: asyncio.Task[bool] | None = None
         self._retry_at = now
         self._epoch = member_set.view().epoch
         self._staying: Mapping[str, str] = {}
-        self._kinds_below: tuple[
-            str, ...
-        ] = ()  # kinds of which fewer losses are borne than are asked, as told
+        # Kinds of which fewer losses are tolerable than configured, as last logged.
+        self._kinds_below: tuple[str, ...] = ()
         self._below_since: float | None = None
-        self._borne: tuple[View, frozenset[str], LossMargin] | None = None  # the last one, of what
+        self._borne: tuple[View, frozenset[str], LossMargin] | None = (
+            None  # the latest result with its arguments
+        )
 
-    # Whose turn
+    # The lease
 
     def items_changed(self, items: list[Item]) -> None:
-        """Items of the roll that have changed."""
+        """Reads the lease from roll items that have changed."""
         for item in items:
             if item.kind == DUTY and item.name == MEMBERS_DUTY:
                 try:
@@ -91,6 +94,7 @@
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
     def tick(self, now: float) -> None:
+        """Claims, releases or performs the duty; called several times a second."""
         view = self._member_set.view()
         self.member_silence.tick(now, view)
         self.joining.forget_absent(view)
@@ -116,8 +120,8 @@
             self._last_live_at = now
         if not self._held_epoch:
             return
-        # Whoever is first now has to claim it before: until then nobody else would do it. A view that has
-        # just come leaves this process without contact for a moment.
+        # A process that ranks first now has to claim the duty before this one gives it up, or nobody would
+        # perform it. A new view leaves this process without contact for a moment.
         if self.lease.latest != LeaseRecord(self._held_epoch, self.node):
             self._release(f"{self.lease.latest.holder} has it")
         elif now - self._last_live_at > LINK_ALIVE_S:
@@ -126,7 +130,7 @@
             self._plan_change(now, view)
 
     def _candidates(self, view: View) -> set[str]:
-        """Members alone: one that joins has no part in what is decided yet."""
+        """Nodes of members only: a joining machine does not vote yet."""
         return {node for address, node in self._nodes().items() if address in view.members}
 
     def _release(self, why: str) -> None:
@@ -141,10 +145,10 @@
         planned = plan_change(
             view, self.joining.known_members(self.member_silence.absences(now)), self._member_set.tolerance
         )
-        for address, why in planned.retained.items():
-            said = self.joining.peer_states.get(address)
-            if self._staying.get(address) != why and said is not None and said.leaves:
-                self._event_log.tell(events.MEMBER_STAYS, member=address, why=why)
+        for address, reason in planned.retained.items():
+            state = self.joining.peer_states.get(address)
+            if self._staying.get(address) != reason and state is not None and state.leaving:
+                self._event_log.tell(events.MEMBER_STAYS, member=address, why=reason)
         self._staying = planned.retained
         if planned.view is not None:
             self._proposal = self._loop.create_task(self._propose(planned.view))
@@ -162,11 +166,11 @@
             self._retry_at = self._loop.time() + RETRY_DELAY_S
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of this duty. Raises KeyError, TypeError or ValueError for what cannot be
-        read."""
+        """Whether it was a frame of this duty. Raises KeyError, TypeError or ValueError if it is
+        malformed."""
         return self.member_silence.handle_frame(channel, head)
 
-    # What can be lost
+    # Tolerable losses
 
     def borne(self) -> LossMargin:
         view = self._member_set.view()
@@ -180,7 +184,7 @@
         return {"machines": found.machines, "zones": found.zones, "regions": found.regions}
 
     def _log_losses(self, now: float, view: View) -> None:
-        """Every process tells it for itself, once it has lasted: links that come and go are no loss."""
+        """Each process logs a change by itself, once it has lasted: a link that reconnects is no loss."""
         if self._member_set.own_address not in view.names:
             return
         below = self.borne().below(self._member_set.tolerance)
@@ -196,30 +200,30 @@
     # Operators
 
     def show(self) -> Told:
-        """``members``: all that count, or want to, by address."""
+        """For operators. ``members``: all members, and machines that want to join, by address."""
         now, view = self._loop.time(), self._member_set.view()
         known = self.joining.known_members(self.member_silence.absences(now))
         planned = plan_change(view, known, self._member_set.tolerance)
         nodes = self._nodes()
         rows: list[dict[str, Any]] = []
-        for address, one in sorted(known.items()):
-            if address in view.names or one.responding:
+        for address, status in sorted(known.items()):
+            if address in view.names or status.responding:
                 rows.append(
                     {
                         "address": address,
                         "node": nodes.get(address, ""),
-                        "zone": one.place.zone,
-                        "region": one.place.region,
+                        "zone": status.place.zone,
+                        "region": status.place.region,
                         "counts": address in view.members,
                         "before": address in (view.previous_members or {}),
-                        "whole": one.disk_complete,
-                        "level": one.synced_epoch,
-                        "heard": one.responding,
-                        "joins": one.eligible and address not in view.members,
-                        "leaves": one.leaving,
+                        "whole": status.disk_complete,
+                        "level": status.synced_epoch,
+                        "heard": status.responding,
+                        "joins": status.eligible and address not in view.members,
+                        "leaves": status.leaving,
                         "silent_s": round(self.member_silence.tracker.silent_s(now, address), 1),
                         "stays": planned.retained.get(address)
-                        or self._describe_wait(now, view, one, address),
+                        or self._describe_wait(now, view, status, address),
                     }
                 )
         return {
@@ -231,34 +235,34 @@
             "holder": self.lease.latest.holder,
         }
 
-    def _describe_wait(self, now: float, view: View, one: MemberStatus, address: str) -> str:
-        """Of a member that is not heard, where no plan says why it does not leave."""
-        if one.responding or address not in view.members:
+    def _describe_wait(self, now: float, view: View, status: MemberStatus, address: str) -> str:
+        """Why an unreachable member has not been removed, if the plan gives no reason."""
+        if status.responding or address not in view.members:
             return ""
         if not self._held_epoch:
             holder = self.lease.latest.holder or "nobody yet"
             return f"{holder} has the duty members, and knows why"
-        why = self.member_silence.describe_wait(now, view, address)
-        return why or ("" if not view.joint else "the change under way comes first")
+        reason = self.member_silence.describe_wait(now, view, address)
+        return reason or ("" if not view.joint else "the change under way comes first")
 
     def status(self) -> Told:
-        """For operators: who has the duty, under which epoch."""
+        """For operators: holder and epoch of the duty, and whether this process performs it."""
         newest = self.lease.latest
         return {
             MEMBERS_DUTY: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held_epoch)}
         }
 
     def _nodes(self) -> dict[str, str]:
-        found = {}
-        for name, told in self._membership.nodes.items():
+        nodes = {}
+        for name, info in self._membership.nodes.items():
             host = self._membership.address(name)
-            if host is not None and told.get("role") == CONTROLLER:
-                found[host[0]] = name
-        return found
+            if host is not None and info.get("role") == CONTROLLER:
+                nodes[host[0]] = name
+        return nodes
 
     async def remove(self, head: Head) -> Told | Refusal:
-        """An operator's word that a machine is gone for good: no silence is waited for. Safe or not is judged
-        as for any other change."""
+        """Removes a machine that an operator reports as gone for good, without waiting for its silence. The
+        change must be as safe as any other."""
         name, view = str(head["node"]), self._member_set.view()
         nodes = self._nodes()
         address = next((a for a, node in nodes.items() if node == name), name)
--- a/mesh/control_plane/member_messages.py
+++ b/mesh/control_plane/member_messages.py
@@ -1,8 +1,5 @@
-"""The frames in which the holder of the duty `members` asks the other control processes for how long members
-have been silent there. Unknown fields are passed over, so that later releases may add some.
-
-`Frame` is what a frame is decoded to, once; what it is written as is its only other form.
-"""
+"""The frames in which the holder of the duty `members` queries the other control processes for how long
+members have been silent there. Unknown fields are ignored, so that later releases may add some."""
 
 from __future__ import annotations
 
@@ -14,7 +11,7 @@
 
 
 class SilenceQuery(msgspec.Struct, frozen=True, tag_field="t", tag="silent"):
-    """For how long have these been silent there? ``of``: members by address, other nodes by name."""
+    """Asks how long these have been silent to the peer. ``of``: members by address, other nodes by name."""
 
     n: int
     epoch: int
@@ -23,24 +20,24 @@
 
 
 class SilenceAnswer(msgspec.Struct, frozen=True, tag_field="t", tag="silences"):
-    """Seconds, in the order of the question. ``linked``: how long ago each was heard over a link of the
-    answerer's own, None: never; processes from before that field leave it out."""
+    """Seconds of silence, in the order of the query. ``linked``: how long ago each was heard over a link of
+    the sender itself, None for never; earlier releases omit this field."""
 
     n: int
     silent: list[float]
     linked: list[float | None] = []
 
     def report(self, nodes: list[str]) -> SilenceReport:
-        """For the nodes that were asked for. Raises ValueError where it answers another question."""
+        """The report on the queried nodes. Raises ValueError if it answers another query."""
         linked = self.linked or [None] * len(nodes)
         if len(self.silent) != len(nodes) or len(linked) != len(nodes):
-            raise ValueError("not as many answers as were asked for")
+            raise ValueError("an answer to another number of nodes")
         heard = {name: heard_s for name, heard_s in zip(nodes, linked, strict=True) if heard_s is not None}
         return SilenceReport(dict(zip(nodes, self.silent, strict=True)), heard)
 
 
 class ClaimSuperseded(msgspec.Struct, frozen=True, tag_field="t", tag="outdone"):
-    """A question is refused: there is a claim of the duty under a higher epoch."""
+    """Refuses a query: there is a claim of the duty under a higher epoch."""
 
     epoch: int
     holder: str
@@ -51,7 +48,7 @@
 
 
 def decode(head: Head) -> Frame | None:
-    """None for a frame of another conversation; raises ValueError for what cannot be read."""
+    """Decodes a frame; None for other kinds of frames. Raises ValueError if it is malformed."""
     if head["t"] not in KINDS:
         return None
     try:
@@ -59,16 +56,16 @@
     except msgspec.ValidationError as fault:
         raise ValueError(str(fault)) from fault
     if isinstance(frame, SilenceQuery) and len(frame.of) > MAX_QUERIED_NODES:
-        raise ValueError("a question for too many nodes")
+        raise ValueError("a query for too many nodes")
     return frame
 
 
 def encode(frame: Frame) -> Head:
-    """As it goes over a link."""
-    told: Head = msgspec.to_builtins(frame)
-    return told
+    """The frame as it is sent over a link."""
+    message: Head = msgspec.to_builtins(frame)
+    return message
 
 
 def lease_record(frame: SilenceQuery | ClaimSuperseded) -> LeaseRecord:
-    """The claim of the duty that it goes by. Raises ValueError for what is no claim."""
+    """The claim of the duty that the frame refers to. Raises ValueError if it is malformed."""
     return read_lease(frame.epoch, lease_value(frame.holder))
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -1,6 +1,6 @@
-"""Which members are silent to more than half of them: the holder of the duty `members` asks, the others
-answer. Judged by `membership.failure_detection`, with the zone's other nodes; what is to follow is
-`replication.reconfiguration`'s."""
+"""Finds members that a majority has not heard: the holder of the duty `members` queries the others. The
+answers are assessed by `membership.failure_detection` together with other nodes of the zone;
+`replication.reconfiguration` decides what follows."""
 
 from __future__ import annotations
 
@@ -32,42 +32,44 @@
 from mesh.replication.reconfiguration import Absence
 from mesh.transport.frames import Head
 
-QUERY_INTERVAL_S = 0.5  # between two questions for silence; `suspect_s` where the same are silent
+QUERY_INTERVAL_S = 0.5  # between two queries; suspect_s while the same members are silent
 
 
 @dataclass(eq=False, slots=True)
 class _QueryRound:
-    """One question to all that are heard, and what they answered."""
+    """One query to all reachable members, and their answers."""
 
     number: int
-    began: float
+    started_at: float
     nodes: list[str]
-    waits: set[str]  # addresses that have not answered
-    heard: set[str]  # addresses that have, this one among them
+    awaiting: set[str]  # addresses without an answer yet
+    answered: set[str]  # addresses that answered, this one included
     reports: list[SilenceReport] = field(default_factory=list)
 
 
 class MemberSilence:
-    """What the holder of the duty `members` learns of silent members, and what others answer it."""
+    """The queries of the holder of the duty `members`, and the answers of the others."""
 
     def __init__(
         self,
         node: str,
-        spans: SilenceThresholds,
+        thresholds: SilenceThresholds,
         lease: DutyLease,
         membership: Membership,
         member_set: MemberSet,
         reaping: ReapingDuty,
         event_log: EventLog,
     ) -> None:
-        """``node``: this process; ``turn``: its turn at the duty, under which it asks."""
+        """``node``: this process; ``lease``: of the duty, under which it queries."""
         self._loop = asyncio.get_running_loop()
-        self._node, self.thresholds, self._lease = node, spans, lease
-        self._suspect_thresholds = SilenceThresholds(spans.suspect_s, spans.suspect_s, spans.zone_gone_s)
+        self._node, self.thresholds, self._lease = node, thresholds, lease
+        self._suspect_thresholds = SilenceThresholds(
+            thresholds.suspect_s, thresholds.suspect_s, thresholds.zone_gone_s
+        )
         self._membership, self._member_set, self._reaping = membership, member_set, reaping
         self._event_log = event_log
         self._started_at = self._loop.time()
-        self.tracker = SilenceTracker(self._started_at)  # of members, by address
+        self.tracker = SilenceTracker(self._started_at)  # of members by address
         self._count = 0
         self._round: _QueryRound | None = None
         self._queried_at = -1e18
@@ -75,24 +77,24 @@
         self._assessed_at = -1e18
 
     def tick(self, now: float, view: View) -> None:
-        """Notes which members have been heard; to be called every GAP_S at least."""
+        """Notes which members have been heard; to be called at least every GAP_S."""
         self.tracker.poll(now, view.names | {self._member_set.own_address})
         self.tracker.note_link_contact(now, self._member_set.own_address, self._started_at)
         for address, channel in self._member_set.peers().items():
             self.tracker.note_link_contact(channel.link.heard_at, address, channel.link.since)
 
     def stop(self) -> None:
-        """The duty is another's now."""
+        """Another process holds the duty now."""
         self._round, self._absences = None, {}
 
     def absences(self, now: float) -> Mapping[str, Absence]:
-        """By the word of more than half, by address; empty once that word is old."""
+        """Absences by address, as reported by a majority; empty once the reports are old."""
         return self._absences if now - self._assessed_at <= 2.0 * self.thresholds.suspect_s else {}
 
-    # Asking
+    # Queries
 
     def ask(self, now: float, view: View, epoch: int) -> None:
-        """Asks the others for how long members have been silent there, once one of them may be gone."""
+        """Queries how long silent members have been silent to the others, once one may be gone."""
         if now - self._queried_at < QUERY_INTERVAL_S:
             return
         silent = [a for a in sorted(view.names) if self.tracker.silent_s(now, a) >= self.thresholds.suspect_s]
@@ -106,16 +108,16 @@
         self._queried_at = now
         self._count += 1
         names = [*silent, *self._unheard_neighbors(now, view, silent)][:MAX_QUERIED_NODES]
-        self._round = asked = _QueryRound(self._count, now, names, set(), {self._member_set.own_address})
+        self._round = query = _QueryRound(self._count, now, names, set(), {self._member_set.own_address})
         question = member_messages.encode(SilenceQuery(self._count, epoch, self._node, names))
         for address, channel in self._member_set.peers().items():
-            asked.waits.add(address)
+            query.awaiting.add(address)
             channel.link.send(question)
         self._conclude(now)
 
     def _unheard_neighbors(self, now: float, view: View, silent: Iterable[str]) -> list[str]:
-        """Nodes that count for nothing, of the zones of silent members, that are not heard here: whether one
-        of them is heard elsewhere tells a member that is gone from a zone that is cut off."""
+        """Unheard nodes that are no members, in the zones of silent members: if another process hears one of
+        them, the member is gone, otherwise the zone may be cut off."""
         zones = {_place(view, address).zone for address in silent}
         return [
             name
@@ -125,27 +127,27 @@
         ]
 
     def _other_nodes(self, view: View) -> dict[str, str]:
-        """Nodes of the membership store that are no members, with their zones."""
-        found = {}
-        for name, told in self._membership.nodes.items():
+        """Nodes of the roll that are no members, with their zones."""
+        nodes = {}
+        for name, info in self._membership.nodes.items():
             host = self._membership.address(name)
-            if host is None or told.get("role") != CONTROLLER or host[0] not in view.names:
-                found[name] = str(told.get("zone", ""))
-        return found
+            if host is None or info.get("role") != CONTROLLER or host[0] not in view.names:
+                nodes[name] = str(info.get("zone", ""))
+        return nodes
 
     def _tracker_of(self, name: str) -> SilenceTracker:
-        """Members are watched by their address, other nodes by their name."""
+        """Members are tracked by address, other nodes by name."""
         return self.tracker if name in self._member_set.view().names else self._reaping.tracker
 
     def _conclude(self, now: float) -> None:
-        asked, view = self._round, self._member_set.view()
-        if asked is None or asked.waits or now - asked.began > ANSWER_TIMEOUT_S:
+        query, view = self._round, self._member_set.view()
+        if query is None or query.awaiting or now - query.started_at > ANSWER_TIMEOUT_S:
             return
-        if not is_majority(asked.heard, view.names):
+        if not is_majority(query.answered, view.names):
             return
         known = {address: NodeInfo(_place(view, address).zone, member=True) for address in view.names}
         known |= {name: NodeInfo(zone, exempt=True) for name, zone in self._other_nodes(view).items()}
-        reports = [self._own_report(now, known), *asked.reports]
+        reports = [self._own_report(now, known), *query.reports]
         verdict = assess_silence(known, reports, self._suspect_thresholds)
         gone = set(assess_silence(known, reports, self.thresholds).gone) & set(verdict.gone)
         silent_s = min_silence(view.names, reports)
@@ -156,7 +158,7 @@
                 silent_s=silent_s[address],
                 zone_silent=known[address].zone in verdict.kept_zones,
             )
-            for address in asked.nodes
+            for address in query.nodes
             if address in view.names
         }
         self._assessed_at = now
@@ -174,19 +176,19 @@
     # Operators
 
     def describe_wait(self, now: float, view: View, address: str) -> str:
-        """What keeps a member that is not heard here, as the duty's holder knows it; "" where the next change
-        is to take it out."""
+        """Why the holder of the duty does not remove a member that is not heard here; "" if the next change
+        removes it."""
         silent_s, bound_s = self.tracker.silent_s(now, address), self.thresholds.suspect_s
         if silent_s < bound_s:
             return f"not heard for {silent_s:.0f} s, less than {bound_s:g} s"
         absence = self.absences(now).get(address)
         if absence is None:
-            asked = self._round
-            waits = ", ".join(sorted(asked.waits)) if asked is not None else ""
-            if waits:
-                return f"the others are asked; no answer yet from {waits}"
-            if asked is not None and not is_majority(asked.heard, view.names):
-                return f"of {len(view.names)} members only {len(asked.heard)} could be asked"
+            query = self._round
+            awaiting = ", ".join(sorted(query.awaiting)) if query is not None else ""
+            if awaiting:
+                return f"the others are asked; no answer yet from {awaiting}"
+            if query is not None and not is_majority(query.answered, view.names):
+                return f"of {len(view.names)} members only {len(query.answered)} could be asked"
             return "the others are asked next"
         if absence.silent:
             return ""
@@ -202,7 +204,7 @@
     # Frames
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of this conversation. Raises ValueError for what cannot be read."""
+        """Whether it was a query or its answer. Raises ValueError if it is malformed."""
         frame = member_messages.decode(head)
         if isinstance(frame, SilenceQuery):
             self._handle_query(self._loop.time(), channel, frame)
@@ -230,13 +232,13 @@
         channel.link.send(member_messages.encode(answer))
 
     def _handle_answer(self, now: float, address: str, answer: SilenceAnswer) -> None:
-        asked = self._round
-        if asked is None or answer.n != asked.number or address not in asked.waits:
+        query = self._round
+        if query is None or answer.n != query.number or address not in query.awaiting:
             return
-        report = answer.report(asked.nodes)
-        asked.waits.discard(address)
-        asked.heard.add(address)
-        asked.reports.append(report)
+        report = answer.report(query.nodes)
+        query.awaiting.discard(address)
+        query.answered.add(address)
+        query.reports.append(report)
         self._conclude(now)
 
 
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -77,7 +77,7 @@
                 "source": incarnation,
                 "ip": self.own_address,
                 "role": CONTROLLER,
-                "complete": self.disk_writer.whole,
+                "complete": self.disk_writer.complete,
                 "takes": [REPORTS],
                 "control": control_address(settings),
             },
@@ -191,7 +191,7 @@
             self.fencing,
             self.disk_writer,
             event_log,
-            self._became_whole,
+            self._on_disk_complete,
         )
         self.member_changes = MemberChanges(
             settings.node,
@@ -343,7 +343,7 @@
             self._server.close()
         self.event_log.tell(events.ENDED)
 
-    def _became_whole(self) -> None:
+    def _on_disk_complete(self) -> None:
         self.event_log.tell(events.DISK_WHOLE, items=len(self.charter.items))
         self.member_set.announce_complete()
         self.channels.hello["complete"] = True
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -1,4 +1,5 @@
-"""`state restore`: an operator's word that more was lost than is borne, and that what is here leads on."""
+"""`state restore`: an operator states that more was lost than is tolerated, and that this state is the
+newest."""
 
 from __future__ import annotations
 
@@ -25,11 +26,11 @@
 from mesh.transport.frames import Head
 
 MAX_LOST = 64
-IMPORT_ORDER_ITEMS, IMPORT_ORDER_TIMEOUT_S = 500, 5.0  # items of one order, and its time
+IMPORT_ORDER_ITEMS, IMPORT_ORDER_TIMEOUT_S = 500, 5.0  # of one order of an import
 
 
 class RestoreCommand:
-    """``whole``: by address, whether the disk counts of each other control process that answers."""
+    """Answers the question `restore`."""
 
     def __init__(
         self,
@@ -55,11 +56,11 @@
         self._proposer_host, self._busy = proposer_host, False
 
     def handlers(self) -> dict[str, Handler]:
-        """The question that is answered here, by name."""
+        """The handler of this question, by name."""
         return {"restore": self.restore}
 
     async def restore(self, head: Head) -> Told | Refusal:
-        """Raises KeyError, TypeError or ValueError for what cannot be read."""
+        """Restores from ``head``; raises KeyError, TypeError or ValueError if it is malformed."""
         lost = [str(one) for one in head["lost"]][:MAX_LOST]
         if self._busy:
             return Refusal("another restore is under way")
@@ -77,7 +78,7 @@
             self._busy = False
 
     async def _import_copy(self, copy: str) -> Told | Refusal:
-        """The mesh began anew with nothing: what the copy holds is put into it as orders are."""
+        """Imports a copy into a mesh that started again empty, by ordinary orders."""
         kept = self._read_copy(copy)
         if isinstance(kept, Refusal):
             return kept
@@ -95,28 +96,28 @@
         if isinstance(kept, Refusal):
             return kept
         view = _view(kept) if copy else None
-        reached = {**self._reachable_members(), self._member_set.own_address: self._disk_writer.whole}
+        reached = {**self._reachable_members(), self._member_set.own_address: self._disk_writer.complete}
         tolerance = self._member_set.tolerance
-        begins = restored_view(
+        new_view = restored_view(
             self._member_set.own_address, self._member_set.view(), reached, lost, view, tolerance
         )
-        if isinstance(begins, str):
-            return Refusal(begins)
+        if isinstance(new_view, str):
+            return Refusal(new_view)
         if copy:
             refused = self._merge_copy(kept)
             if refused is not None:
                 return refused
-        item = Item(VIEW, MEMBERS, begins.epoch, write_view(begins))
+        item = Item(VIEW, MEMBERS, new_view.epoch, write_view(new_view))
         self._acceptor_host.apply([item], {})
-        if not self._disk_writer.whole:
-            await self._disk_writer.mark_whole()
+        if not self._disk_writer.complete:
+            await self._disk_writer.mark_complete()
         await self._disk_writer.flush()
         self._member_set.announce_complete()
-        told = self._summary(begins)
+        summary = self._summary(new_view)
         self._event_log.tell(
-            events.STATE_RESTORED, epoch=begins.epoch, items=told["items"], lost=", ".join(lost)
+            events.STATE_RESTORED, epoch=new_view.epoch, items=summary["items"], lost=", ".join(lost)
         )
-        return told
+        return summary
 
     def _summary(self, view: View) -> Told:
         items = [item for item in self._charter.items.values() if item.value is not None]
@@ -136,14 +137,15 @@
             return Refusal(f"copy: {fault}")
 
     def _merge_copy(self, kept: Held) -> Refusal | None:
-        """What the copy holds, where nothing newer is held; what was accepted or overtaken with it."""
+        """Merges the items of a copy that are not older than those here, with its votes and overtaken
+        versions."""
         buckets, keys = self._charter.merge_collected(kept.forgotten)
         self._disk_writer.remove_keys(keys, buckets)
         items = [item for item in kept.items if item.kind != VIEW]
-        taken = self._charter.repair(items)
-        if isinstance(taken, StoreFull):
-            return Refusal(taken.reason)
-        self._acceptor_host.items_changed(taken)
+        merged = self._charter.repair(items)
+        if isinstance(merged, StoreFull):
+            return Refusal(merged.reason)
+        self._acceptor_host.items_changed(merged)
         kept.fill(self._acceptor)
         self._disk_writer.mark_votes(kept.votes)
         self._disk_writer.mark_settled([(*past.key, 0) for past in kept.past])
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -1,7 +1,8 @@
-"""What the sidecars' reports say of each change: who goes by it, who lacks it, and the first part's word.
+"""Follows each rollout by the sidecars' reports: which sidecars use it, which lack it, and the verdict of its
+first part.
 
-Every control process does this by itself with what it has heard. There is no holder to be lost, and two that
-differ do no harm: a good word only makes the others take sooner what they would take anyway.
+Every control process does this by itself with the reports that it has. There is no holder to be lost, and two
+that differ do no harm: a good verdict only makes the others activate earlier what they would activate anyway.
 """
 
 from __future__ import annotations
@@ -25,23 +26,23 @@
 from mesh.rollout.change_kinds import STAGED, kind_of
 from mesh.rollout.report import CanaryCounts, RolloutReport, read, required_vector
 
-MAX_ROLLOUTS = 64  # changes, each the items that came at once
-COUNT_PERIOD_S = 60.0  # a change that nobody confirms is looked after for so long
-LOG_DELAY_S = 1.0  # beyond the settling time; then who lacks it is told
-MAX_NAMES = 8  # sidecars that are named at once
+MAX_ROLLOUTS = 64  # each with the items that changed together
+COUNT_PERIOD_S = 60.0  # for which counts of the first part are pooled
+LOG_DELAY_S = 1.0  # beyond the settling time, until missing confirmations are logged
+MAX_NAMES = 8  # sidecars named in one log line or answer
 
 CurrentItem = Callable[[str, str], "tuple[int, dict[str, object] | None] | None"]
 
 
 class Rollout(Struct, eq=False):
-    """One change. ``needs``: by source, the number to which a vector that holds all of it has risen."""
+    """One rollout. ``needs``: by source, the lowest number of a vector that includes all of it."""
 
-    known: float
+    known_at: float
     versions: dict[Key, int]
     needs: dict[str, int]
     missing: set[str]  # sidecars that have not confirmed all of it
     done: float | None = None
-    told: bool = False
+    logged: bool = False
     worse: set[Key] = field(default_factory=set)
     sound: set[Key] = field(default_factory=set)
 
@@ -52,6 +53,8 @@
 
 
 class Rollouts:
+    """The rollouts known to one control process, and the latest report of each sidecar."""
+
     def __init__(
         self,
         settle_ms: float,
@@ -60,10 +63,10 @@
         membership: Membership,
         channels: Channels,
         event_log: EventLog,
-        contact: Callable[[], bool],
+        has_contact: Callable[[], bool],
     ) -> None:
-        """``contact``: with most members; who has none gives no word."""
-        self._has_contact = contact
+        """``has_contact``: with most members; without it no good verdict is sent."""
+        self._has_contact = has_contact
         self._loop = asyncio.get_running_loop()
         self._settle_s = settle_ms / 1000.0
         self.wait_s = derive_rollout_times(settle_ms, ack_ms).ack_wait_s
@@ -74,52 +77,52 @@
             event_log,
         )
         self.reports: dict[str, RolloutReport] = {}  # by node
-        self.reported_at: dict[str, float] = {}  # and when it last came
+        self.reported_at: dict[str, float] = {}  # when the latest report of each node arrived
         self.rollouts: deque[Rollout] = deque(maxlen=MAX_ROLLOUTS)
-        self._counts: dict[Key, dict[str, CanaryCounts]] = {}  # by item and node; of items that change now
+        self._counts: dict[Key, dict[str, CanaryCounts]] = {}  # by item and node, of current rollouts
         self._waits: set[_Wait] = set()
 
     def update_bounds(self, settle_ms: float, ack_ms: float) -> None:
-        """Other bounds, for what comes from now on."""
+        """Applies changed bounds to later checks."""
         self._settle_s, self.wait_s = settle_ms / 1000.0, derive_rollout_times(settle_ms, ack_ms).ack_wait_s
 
-    # News
+    # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Items of the configuration have come."""
-        told = [item for item in items if item.kind == ROUTE]
-        if told:
-            for item in told:
+        """Starts a rollout of the routes among charter items that have changed."""
+        routes = [item for item in items if item.kind == ROUTE]
+        if routes:
+            for item in routes:
                 self._counts.pop(item.key, None)
-            versions = {item.key: item.version for item in told}
+            versions = {item.key: item.version for item in routes}
             nodes = set(self._membership.draw().nodes)
-            self.rollouts.append(Rollout(self._loop.time(), versions, required_vector(told), nodes))
+            self.rollouts.append(Rollout(self._loop.time(), versions, required_vector(routes), nodes))
 
     def items_restamped(self, items: Iterable[Item]) -> None:
-        """Items bear another stamp, their content being the same."""
+        """Items have a new stamp with the same content."""
         keys = {item.key for item in items}
-        for one in self.rollouts:
-            if one.done is None and keys & one.versions.keys():
-                one.needs = required_vector(self._charter.items[key] for key in one.versions)
+        for rollout in self.rollouts:
+            if rollout.done is None and keys & rollout.versions.keys():
+                rollout.needs = required_vector(self._charter.items[key] for key in rollout.versions)
 
     def reports_changed(self, items: Iterable[Item]) -> None:
-        """Reports have come, or (without a value) those of sidecars that are gone."""
+        """Reads reports of sidecars; an item without a value drops the report of a sidecar that is gone."""
         now = self._loop.time()
         for item in items:
             try:
                 report = read(item.value) if item.value is not None else None
             except (KeyError, TypeError, ValueError):
-                report = None  # of a newer program, it may be; nothing is confirmed by it
+                report = None  # perhaps of a later release; it confirms nothing
             if report is None:
                 self.reports.pop(item.name, None)
                 self.reported_at.pop(item.name, None)
                 continue
             self.reports[item.name], self.reported_at[item.name] = report, now
-            for one in self.rollouts:
-                if one.done is None and item.name in one.missing and _is_confirmed(report, one):
-                    one.missing.discard(item.name)
-                    if not one.missing:
-                        one.done = now
+            for rollout in self.rollouts:
+                if rollout.done is None and item.name in rollout.missing and _is_confirmed(report, rollout):
+                    rollout.missing.discard(item.name)
+                    if not rollout.missing:
+                        rollout.done = now
             for count in report.counts:
                 self._count(item.name, count)
         for wait in list(self._waits):
@@ -127,17 +130,23 @@
                 wait.done.set_result(None)
 
     def _count(self, node: str, count: CanaryCounts) -> None:
-        """Pools what the first part saw."""
+        """Pools the counts of the first part, and sends or logs a verdict."""
         rollout = next(
             (r for r in reversed(self.rollouts) if r.versions.get(count.key) == count.version), None
         )
-        if rollout is None or self._loop.time() - rollout.known > COUNT_PERIOD_S:
+        if rollout is None or self._loop.time() - rollout.known_at > COUNT_PERIOD_S:
             return
         counts = self._counts.setdefault(count.key, {})
         counts[node] = count
-        same = [one for one in counts.values() if one.version == count.version]
-        new = Tally(sum(one.new[0] for one in same), sum(one.new[1] for one in same))
-        old = Tally(sum(one.old[0] for one in same), sum(one.old[1] for one in same))
+        same = [other for other in counts.values() if other.version == count.version]
+        new = Tally(
+            sum(other.new[0] for other in same),
+            sum(other.new[1] for other in same),
+        )
+        old = Tally(
+            sum(other.old[0] for other in same),
+            sum(other.old[1] for other in same),
+        )
         if is_worse(new, old):
             if count.key not in rollout.worse:
                 rollout.worse.add(count.key)
@@ -149,7 +158,7 @@
                     before=f"{old.failures}/{old.calls}",
                 )
         elif not self._has_contact():
-            return  # a newer version may be known elsewhere; the next count is looked at again
+            return  # others may know a newer version; the next count is checked again
         elif is_sound(new, old) and count.key not in rollout.sound and count.key not in rollout.worse:
             rollout.sound.add(count.key)
             for channel in list(self._channels.open):
@@ -157,33 +166,39 @@
                     channel.link.send({"t": "go", "items": [[*count.key, count.version]]})
 
     def tick(self, now: float) -> None:
-        """Called several times a second: what has not settled is told, once."""
-        for one in self.rollouts:
-            if one.done is None and not one.told and now - one.known > self._settle_s + LOG_DELAY_S:
-                one.told = True
-                if one.missing:
-                    names = ",".join(sorted(one.missing)[:MAX_NAMES])
+        """Logs each rollout that has not settled in time, once; called several times a second."""
+        for rollout in self.rollouts:
+            if (
+                rollout.done is None
+                and not rollout.logged
+                and now - rollout.known_at > self._settle_s + LOG_DELAY_S
+            ):
+                rollout.logged = True
+                if rollout.missing:
+                    names = ",".join(sorted(rollout.missing)[:MAX_NAMES])
                     self._event_log.tell(
-                        events.NOT_CONFIRMED, items=len(one.versions), sidecars=len(one.missing), names=names
+                        events.NOT_CONFIRMED,
+                        items=len(rollout.versions),
+                        sidecars=len(rollout.missing),
+                        names=names,
                     )
 
     # Before an acknowledgement
 
-    def staged_writes(self, writes: Sequence[ItemWrite], standing: CurrentItem) -> list[Key]:
-        """Of these writes, those that come into force and can make sound calls fail."""
+    def staged_writes(self, writes: Sequence[ItemWrite], current: CurrentItem) -> list[Key]:
+        """The writes among these that come into force and can make working calls fail."""
         found = []
         for write in writes:
-            stands = standing(write.kind, write.name) if write.kind == ROUTE else None
-            if stands is None or stands[1] is None or write.value is None or write.version <= stands[0]:
+            item = current(write.kind, write.name) if write.kind == ROUTE else None
+            if item is None or item[1] is None or write.value is None or write.version <= item[0]:
                 continue
-            old = read_route(write.name, stands[0], dict(stands[1]))
+            old = read_route(write.name, item[0], dict(item[1]))
             if kind_of(old, read_route(write.name, write.version, write.value)) in STAGED:
                 found.append((write.kind, write.name))
         return found
 
     async def wait_for_first_part(self, keys: Sequence[Key], within_s: float) -> None:
-        """Until the first part of each of these items goes by it, or that time is over. Nobody is waited for
-        any longer, whatever became of it."""
+        """Waits until the first part of each of these items uses it, for ``within_s`` at most."""
         wait_s = min(self.wait_s, within_s)
         items = [self._charter.items[key] for key in keys if key in self._charter.items]
         if wait_s <= 0.0 or not items or self._first_part_confirmed(items):
@@ -210,7 +225,7 @@
     # For operators
 
     def unconfirmed(self, key: Key) -> list[str]:
-        """The sidecars that have not confirmed that item as it is here."""
+        """The sidecars that have not confirmed the version of that item here."""
         item = self._charter.items[key]
         return sorted(
             node
@@ -219,7 +234,7 @@
         )
 
     def canary_tallies(self, key: Key) -> tuple[Tally, Tally]:
-        """What the first part saw of its version: the new way's calls, and the old one's."""
+        """Calls and failures of the first part: with the current version, and with the old one."""
         item = self._charter.items.get(key)
         same = [
             c for c in self._counts.get(key, {}).values() if item is not None and c.version == item.version
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -1,9 +1,9 @@
-"""Drops of the charter are forgotten once every member of the view has them on its disk: asked under one
-epoch, answered after a sync. Then nobody who counts holds an older copy, and what is left of them
-(`replication.tombstones`) is told to whoever comes later.
+"""Collects tombstones of the charter once every member of the view has them on its disk: queried under one
+epoch, answered after a sync. Then no member holds an older version, and the remaining record
+(`replication.tombstones`) is sent to processes that connect later.
 
-They are kept for KEPT_S before that, as those of the membership are: a sidecar that was out of touch for half
-of it asks for all anew.
+Tombstones are kept for KEPT_S before that, as those of the roll are: a sidecar that was disconnected for half
+of it requests everything again.
 """
 
 from __future__ import annotations
@@ -27,12 +27,10 @@
 from mesh.replication.tombstones import read_rows
 from mesh.transport.frames import Head
 
-QUERY_INTERVAL_S = (
-    10.0  # between two questions of one process, and a rank longer for each that goes before it
-)
-QUERY_TIMEOUT_S = 5.0  # of which the answers come
-MAX_DROPS = 500  # drops of one question
-MAX_FRAME_BUCKETS = 64  # buckets of the record in one frame
+QUERY_INTERVAL_S = 10.0  # between two queries of one process; each rank adds as much to a tombstone's age
+QUERY_TIMEOUT_S = 5.0  # for the answers to one query
+MAX_DROPS = 500  # tombstones in one query
+MAX_FRAME_BUCKETS = 64  # of the record
 FRAMES = frozenset({"held", "holding", "forget", "gone"})
 
 Drop = tuple[Key, int]
@@ -42,11 +40,13 @@
     view: View
     drops: Sequence[Drop]
     until: float
-    heard: set[str] = field(default_factory=set)
-    lacking: set[int] = field(default_factory=set)  # places of drops that not all hold
+    answered: set[str] = field(default_factory=set)
+    lacking: set[int] = field(default_factory=set)  # indexes of drops that some member lacks
 
 
 class TombstoneCollection:
+    """Queries the members about expired tombstones, and removes those that all hold."""
+
     def __init__(
         self,
         charter: Store,
@@ -66,13 +66,13 @@
         self._query: _HoldsQuery | None = None
 
     def note(self, items: Iterable[Item]) -> None:
-        """These have changed in the charter."""
+        """Notes tombstones among charter items that have changed."""
         self._tombstones.note(self._loop.time(), items)
 
-    # Asking
+    # Queries
 
     def tick(self, now: float) -> None:
-        """Called several times a second."""
+        """Starts a query that is due; called several times a second."""
         if self._query is not None and now >= self._query.until:
             self._query = None
         if now < self._next_query_at or self._query is not None:
@@ -82,32 +82,32 @@
         if (
             view.joint
             or me not in view.members
-            or not self._disk_writer.whole
+            or not self._disk_writer.complete
             or not self._member_set.has_contact()
         ):
             return
         rank = sorted(view.members).index(me)
-        ripe = self._tombstones.expired(now - rank * QUERY_INTERVAL_S, MAX_DROPS)
-        held = [self._charter.items.get(key) for key in ripe]
+        expired = self._tombstones.expired(now - rank * QUERY_INTERVAL_S, MAX_DROPS)
+        held = [self._charter.items.get(key) for key in expired]
         drops = [(item.key, item.version) for item in held if item is not None and item.value is None]
         if not drops:
             return
         self._count += 1
-        asking = self._query = _HoldsQuery(view, drops, now + QUERY_TIMEOUT_S)
-        told = {"t": "held", "n": self._count, "e": view.epoch, "k": [[*key, v] for key, v in drops]}
+        query = self._query = _HoldsQuery(view, drops, now + QUERY_TIMEOUT_S)
+        message = {"t": "held", "n": self._count, "e": view.epoch, "k": [[*key, v] for key, v in drops]}
         for address, channel in self._member_set.peers().items():
             if address in view.members:
-                channel.link.send(told)
-        self._acceptor_host.spawn(self._check_own_disk(asking))
+                channel.link.send(message)
+        self._acceptor_host.spawn(self._check_own_disk(query))
 
-    async def _check_own_disk(self, asking: _HoldsQuery) -> None:
-        lacking = await self._find_lacking(asking.view.epoch, asking.drops)
+    async def _check_own_disk(self, query: _HoldsQuery) -> None:
+        lacking = await self._find_lacking(query.view.epoch, query.drops)
         if lacking is not None:
-            self._handle_answer(asking, self._member_set.own_address, lacking)
+            self._handle_answer(query, self._member_set.own_address, lacking)
 
     async def _find_lacking(self, epoch: int, drops: Sequence[Drop]) -> list[int] | None:
-        """Places of those that this disk does not hold; None where nothing can be said under that epoch."""
-        lacking = [place for place, drop in enumerate(drops) if not self._holds(*drop)]
+        """Indexes of the drops that this disk lacks; None if nothing can be answered under that epoch."""
+        lacking = [index for index, drop in enumerate(drops) if not self._holds(*drop)]
         await self._disk_writer.flush()
         return None if await self._acceptor_host.check_epoch(epoch) is not None else lacking
 
@@ -116,31 +116,31 @@
         known = item.version if item is not None else self._charter.collected_tombstones.version(key)
         return known >= version
 
-    def _handle_answer(self, asking: _HoldsQuery, who: str, lacking: Iterable[int]) -> None:
+    def _handle_answer(self, query: _HoldsQuery, member: str, lacking: Iterable[int]) -> None:
         view = self._member_set.view()
-        if self._query is not asking or view.epoch != asking.view.epoch:
+        if self._query is not query or view.epoch != query.view.epoch:
             return
-        asking.heard.add(who)
-        asking.lacking.update(lacking)
-        if not asking.heard >= view.members.keys():
+        query.answered.add(member)
+        query.lacking.update(lacking)
+        if not query.answered >= view.members.keys():
             return
         self._query = None
-        gone = [drop for place, drop in enumerate(asking.drops) if place not in asking.lacking]
-        if gone:
-            told = {"t": "forget", "k": [[*key, version] for key, version in gone]}
+        held_by_all = [drop for index, drop in enumerate(query.drops) if index not in query.lacking]
+        if held_by_all:
+            message = {"t": "forget", "k": [[*key, version] for key, version in held_by_all]}
             for channel in self._member_set.peers().values():
-                channel.link.send(told)
-            self._forget(gone)
-            self._event_log.tell(events.DROPS_FORGOTTEN, items=len(gone))
+                channel.link.send(message)
+            self._forget(held_by_all)
+            self._event_log.tell(events.DROPS_FORGOTTEN, items=len(held_by_all))
 
-    # Forgetting
+    # Removal
 
     def _forget(self, drops: Sequence[Drop]) -> None:
         buckets, keys = self._charter.collect_tombstones(drops)
         self._remove(buckets, keys)
 
     def _remove(self, buckets: Sequence[str], keys: Sequence[Key]) -> None:
-        """In one batch on disk: what is gone, and what is left of it."""
+        """Removes the keys, and writes the remaining record in the same batch."""
         for key in keys:
             self._acceptor.forget(key)
         self._tombstones.discard(keys)
@@ -150,12 +150,11 @@
     # Links and frames
 
     def link_opened(self, channel: Channel) -> None:
-        """A link to another control process is up: what is left of drops comes before all else on it."""
+        """Sends the digest of the record first of all on a new link to another control process."""
         channel.link.send({"t": "gone", "d": self._charter.collected_tombstones.root()})
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was one of forgetting. Raises KeyError, TypeError or ValueError for what cannot be
-        read."""
+        """Whether it was a frame of this exchange. Raises KeyError, TypeError or ValueError if malformed."""
         kind = head["t"]
         if kind not in FRAMES:
             return False
@@ -163,7 +162,7 @@
             drops = _decode_drops(head["k"])
             self._acceptor_host.spawn(self._handle_query(channel, int(head["n"]), int(head["e"]), drops))
         elif kind == "holding":
-            lacking = [int(place) for place in head["not"]]
+            lacking = [int(index) for index in head["not"]]
             if self._query is not None and head["n"] == self._count:
                 if head["e"] == self._query.view.epoch:
                     self._handle_answer(self._query, address_of(channel), lacking)
@@ -183,8 +182,8 @@
             channel.link.send({"t": "holding", "n": number, "e": epoch, "not": lacking})
 
 
-def _decode_drops(told: object) -> list[Drop]:
-    """Raises TypeError or ValueError for what are none."""
-    if not isinstance(told, list) or len(told) > MAX_DROPS:
+def _decode_drops(data: object) -> list[Drop]:
+    """Decodes drops; raises TypeError or ValueError if they are malformed or too many."""
+    if not isinstance(data, list) or len(data) > MAX_DROPS:
         raise ValueError(f"at most {MAX_DROPS} drops")
-    return [((kind, name), version) for kind, name, version in map(decode_number, told)]
+    return [((kind, name), version) for kind, name, version in map(decode_number, data)]
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -35,9 +35,7 @@
 from mesh.storage.lmdb_store import Keeper, Kept, Refused
 
 RETRY_S = 0.3  # delay after the disk refused a batch
-LAZY_WRITE_S = (
-    0.25  # what is decided goes to disk so much later, where nothing that is waited for takes it along
-)
+LAZY_WRITE_S = 0.25  # longest delay of decided items that nobody waits for
 SLOW_BATCH_S = 0.5  # a batch that takes longer is logged
 
 Rows = list[tuple[bytes, bytes]]
@@ -45,11 +43,11 @@
 
 
 class DiskWriter:
-    """Writes the charter to disk. ``whole``: the disk holds all that this machine ever acknowledged to
+    """Writes the charter to disk. ``complete``: the disk holds all that this machine ever acknowledged to
     hold."""
 
     def __init__(
-        self, store: Store, acceptor: Acceptor, keeper: Keeper, event_log: EventLog, whole: bool
+        self, store: Store, acceptor: Acceptor, keeper: Keeper, event_log: EventLog, complete: bool
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._store, self._acceptor, self._keeper, self._event_log = store, acceptor, keeper, event_log
@@ -62,10 +60,9 @@
         self._write_task: asyncio.Task[None] | None = None
         self._urgent = False  # marked changes are not to wait for the timer
         self._lazy_timer: asyncio.TimerHandle | None = None
-        self.whole = whole
-        self.incarnations: dict[
-            str, tuple[int, str]
-        ] = {}  # how often each machine has started, and its last life
+        self.complete = complete
+        # By machine: how often it has started, and its last incarnation.
+        self.incarnations: dict[str, tuple[int, str]] = {}
         self.last_refusal = ""  # why the disk refused the last batch; "" if it did not
 
     def mark_items(self, items: Iterable[Item]) -> None:
@@ -121,15 +118,15 @@
         return self._keeper.fits(more_bytes)
 
     def mark_founded(self) -> None:
-        """Marks an empty disk of the very first start as whole: nothing was acknowledged before it."""
-        self.whole = True
+        """Marks an empty disk of the very first start as complete: nothing was acknowledged before it."""
+        self.complete = True
         self.put_row(pack_whole(True))
 
-    async def mark_whole(self) -> None:
+    async def mark_complete(self) -> None:
         """Records that this disk holds all that was acknowledged; it counts once that is on disk."""
         self.put_row(pack_whole(True))
         await self.flush()
-        self.whole = True
+        self.complete = True
 
     def _start_writing(self) -> None:
         if self._lazy_timer is not None:
@@ -216,7 +213,7 @@
         acceptor = self._acceptor
         known_rows, _ = self._rows(self._store.items.keys() | acceptor.past_digests.keys(), acceptor.votes)
         rows = dict(known_rows)
-        rows.update([pack_whole(self.whole), pack_generations(acceptor.generations)])
+        rows.update([pack_whole(self.complete), pack_generations(acceptor.generations)])
         rows.update([pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_lives(self.incarnations)])
         rows.update(pack_forgotten(*row) for row in self._store.collected_tombstones.rows().items())
         return await self.run_between_batches(lambda keeper: keeper.rewrite(rows))
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -20,7 +20,7 @@
 
     def proof(self: ContactProbes, settled: bool = False) -> Proof:
         heard = {address_of(channel) for channel in self._links if channel.exchange.pulled}
-        heard |= {self._member_set.own_address} if self._disk_writer.whole else set()
+        heard |= {self._member_set.own_address} if self._disk_writer.complete else set()
         view, tolerance = self._member_set.view(), self._member_set.tolerance
         return Proof.ORDERS if view.overlaps(heard, tolerance) else Proof.NONE
 
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -97,7 +97,7 @@
         reached = {
             other.ip
             for other, there in self.programs(core=True)
-            if there.disk_writer.whole
+            if there.disk_writer.complete
             and (other is machine or not self.wire.parted(machine.ip, other.ip))
             and other.life is not None
             and other.life.frozen_until <= now
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -68,17 +68,17 @@
 
     def init(self: DiskWriter, *args: Any) -> None:
         begin(self, *args)
-        self.whole = True
+        self.complete = True
 
     patch.setattr(DiskWriter, "__init__", init)
 
 
 def whole_before_it_heard_all(patch: Patch) -> None:
     async def become(self: Joining) -> None:
-        await self._disk_writer.mark_whole()
-        self._became_whole()
+        await self._disk_writer.mark_complete()
+        self._on_disk_complete()
 
-    patch.setattr(Joining, "_become_whole", become)
+    patch.setattr(Joining, "_complete_disk", become)
 
 
 def both_are_confirmed(patch: Patch) -> None:
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -233,7 +233,7 @@
             if program is not None:
                 view = program.member_set.view()
                 views.append((machine.name, view))
-                counts, epoch = program.disk_writer.whole, view.epoch
+                counts, epoch = program.disk_writer.complete, view.epoch
                 items, votes = program.charter.items, program.acceptor.votes
             else:
                 kept = machine.disk.holds()
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -249,9 +249,9 @@
         world.start(one)
         while one.program is None or (VIEW, MEMBERS) not in one.program.charter.items:
             yield world.env.timeout(0.001)
-        while one.program.disk_writer.whole and not world.tellers(events.DISK_OLDER):
+        while one.program.disk_writer.complete and not world.tellers(events.DISK_OLDER):
             yield world.env.timeout(0.001)
-        while not one.program.disk_writer.whole:
+        while not one.program.disk_writer.complete:
             yield world.env.timeout(0.001)
         held = {item.key for item in one.program.charter.items.values()}
         assert held >= world.witness.acked.keys()
@@ -278,8 +278,8 @@
         world.heal()
         while not world.tellers(events.DISK_OLDER):
             yield world.env.timeout(0.001)
-        assert not one.program.disk_writer.whole
-        while not one.program.disk_writer.whole:
+        assert not one.program.disk_writer.complete
+        while not one.program.disk_writer.complete:
             yield world.env.timeout(0.001)
         held = {item.key: item.version for item in one.program.charter.items.values()}
         assert {key: held.get(key) for key in world.witness.acked} == {
--- a/tests/mesh/test_contact_probing.py
+++ b/tests/mesh/test_contact_probing.py
@@ -52,7 +52,7 @@
             view_item=lambda: [["view", "members", self.view.epoch, {}, "s", 1]],
         )
         channels: Any = SimpleNamespace(loop=loop)
-        disk_writer: Any = SimpleNamespace(whole=True)
+        disk_writer: Any = SimpleNamespace(complete=True)
         self.contact_probes = ContactProbes(
             3000.0,
             channels,
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -362,7 +362,7 @@
 
 
 def never_level(patch: Patch) -> None:
-    patch.setattr(Joining, "_is_caught_up", lambda self: False)
+    patch.setattr(Joining, "_is_synced", lambda self: False)
 
 
 def silence_takes_long(patch: Patch) -> None:
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -284,7 +284,7 @@
         assert isinstance(opened, Fresh)
         store, log = Store("a", 100), io.StringIO()
         event_log = EventLog("a", log)
-        disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, whole=True)
+        disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, complete=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
         repair = AntiEntropy(1, {CHARTER: store}, channels, disk_writer, event_log, lambda name, items: None)
         taken = store.write_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
