--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: many instances on the wire, in its own process, and what it says of bad input."""
+"""The text protocol's host: many instances in one process, and its messages for bad input."""
 
 import json
 import os
@@ -190,12 +190,12 @@
         capture_output=True,
     )
     assert (done.returncode, done.stdout) == (0, "READY\n")
-    # The sidecar finds its packages there, and gets as far as asking for its configuration.
+    # The sidecar finds its packages and starts as far as reading its configuration.
     done = subprocess.run(
         ["/bin/sh", "-c", deploy["run"]], cwd=tmp_path, env={}, text=True, capture_output=True
     )
     assert (done.returncode, done.stderr) == (2, "anisestair: BALANCER_CONFIG: not set\n")
-    # The module is compiled there, and passes the tests that its source passes here.
+    # The decision module is compiled there and passes the tests that its source passes.
     check = "import hareloom.rules as rules; print(rules.__file__)"
     words = [str(tmp_path / ".venv" / "bin" / "python"), "-c", check]
     found = subprocess.run(words, cwd=tmp_path, env={}, text=True, capture_output=True, check=True).stdout
@@ -205,7 +205,7 @@
         [*words, "tests/test_property.py"], cwd=tmp_path, text=True, capture_output=True, env=COMPILED
     )
     assert done.returncode == 0, done.stdout[-2000:]
-    # A change of the source leaves the compiled form behind.
+    # After a change of the source the compiled form is no longer used.
     with (tmp_path / "hareloom" / "governor.py").open("a") as source:
         source.write("# changed\n")
     words = [str(tmp_path / ".venv" / "bin" / "python"), "-c", check]
@@ -224,7 +224,7 @@
 
 
 def test_nothing_is_opened_for_writing() -> None:
-    """The file system is read-only in service: any open but for reading fails here, as it would there."""
+    """The file system is read-only in production, so any open except for reading fails here too."""
     guard = """
 import os, sys
 def hook(event, args):
--- a/tests/test_even_load.py
+++ b/tests/test_even_load.py
@@ -1,5 +1,5 @@
-"""Two hundred sidecars that each see little, and what befalls them all at once: in virtual time, by seed.
-The same with real processes is tests/test_many.py and benchmarks/many.py."""
+"""200 sidecars with little traffic each, and events that affect all at once, in virtual time by seed.
+For real processes see tests/test_many.py and benchmarks/many.py."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     return simulation, row
 
 
-def came(simulation: Simulation, first_ms: float, last_ms: float) -> dict[int, int]:
-    """Attempts by server between two instants."""
+def attempts_between(simulation: Simulation, first_ms: float, last_ms: float) -> dict[int, int]:
+    """Returns the attempts by server between two instants."""
     cells = slice(int(first_ms / 50), int(last_ms / 50))
     return {server: sum(counts[cells]) for server, counts in simulation.evenness.counts.items()}
 
@@ -32,7 +32,7 @@
 def test_a_server_five_times_the_others_has_about_five_times_their_calls() -> None:
     kinds = [{"name": "std", "share": 39.0, "workers": 2}, {"name": "big", "share": 1.0, "workers": 10}]
     simulation, row = played(servers__kinds=kinds)
-    counts = came(simulation, 4000.0, 14_000.0)
+    counts = attempts_between(simulation, 4000.0, 14_000.0)
     (big,) = (server.number for server in simulation.servers if server.kind.name == "big")
     rest = [count for server, count in counts.items() if server != big]
     assert 3.0 < counts[big] / (sum(rest) / len(rest)) < 7.0 and row.service > 0.995
@@ -41,7 +41,7 @@
 def test_servers_that_return_cold_in_every_list_at_once_draw_no_herd() -> None:
     dead = {"kind": "dead", "at_ms": 4500.0, "for_ms": 1500.0, "share": 0.25}
     _, row = played(seconds=16.0, troubles=[dead], discovery__lag_ms=[0, 6000], load__share=0.5)
-    assert row.herd < 2.0 and row.peak < 2.0 and row.unused == 0  # chance alone makes 1.5 of so few calls
+    assert row.herd < 2.0 and row.peak < 2.0 and row.unused == 0  # random choice alone gives 1.5
 
 
 def test_half_of_the_sidecars_that_go_on_with_old_beliefs_push_nobody_over() -> None:
@@ -57,7 +57,7 @@
     (failing,) = (
         server.number for server in simulation.servers if server.errors > 0 or _spoilt(simulation, server)
     )
-    counts = came(simulation, 7000.0, 12_000.0)
+    counts = attempts_between(simulation, 7000.0, 12_000.0)
     rest = [count for server, count in counts.items() if server != failing]
     assert counts[failing] < 0.7 * sum(rest) / len(rest)
 
@@ -71,7 +71,7 @@
     replaced = {"kind": "replaced", "at_ms": 6000.0, "for_ms": 1000.0, "share": 0.1}
     simulation, row = played(troubles=[away, replaced], load__share=0.4, seconds=16.0)
     assert row.service > 0.97 and row.peak < 2.0
-    counts = came(simulation, 12_000.0, 16_000.0)
+    counts = attempts_between(simulation, 12_000.0, 16_000.0)
     assert all(
         counts[server.number] > 0 for server in simulation.servers if server.name not in simulation.leaving
     )
@@ -79,8 +79,8 @@
 
 @pytest.mark.parametrize("sidecars, servers", [(6, 60), (200, 8)])
 def test_few_sidecars_for_many_servers_and_many_for_few(sidecars: int, servers: int) -> None:
-    """Where servers are more than sets reach, some have nothing: no fault. Where few, each has its part."""
+    """With more servers than the sets cover, some get no calls, which is allowed; with few, all get calls."""
     simulation, row = played(sidecars__count=sidecars, servers__count=servers, load__share=0.3, seconds=10.0)
     assert row.service > 0.99
     if servers < 60:
-        assert all(count > 0 for count in came(simulation, 4000.0, 10_000.0).values())
+        assert all(count > 0 for count in attempts_between(simulation, 4000.0, 10_000.0).values())
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -1,4 +1,4 @@
-"""The measures of evenness by hand, and that notes of several processes come to the same as one's."""
+"""Measures of evenness on small examples, and merged notes of several processes against those of one."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 
 def test_waste_is_time_idle_while_another_queues() -> None:
     made = even(2)
-    made.moved(1000.0, 0, 2, 2, 3)  # three wait there, two workers are idle here
-    made.moved(3000.0, 1, 2, 1, 0)  # and then one
+    made.moved(1000.0, 0, 2, 2, 3)  # three requests wait at server 0, two workers of server 1 are idle
+    made.moved(3000.0, 1, 2, 1, 0)  # then one worker is idle
     made.moved(4000.0, 0, 2, 1, 0)
-    made.moved(5000.0, 0, 0, 0, 0)  # down: neither idle nor there
+    made.moved(5000.0, 0, 0, 0, 0)  # down: not counted as idle
     assert made.waste() == pytest.approx((2 * 2000.0 + 1000.0) / (4 * 5000.0))
 
 
@@ -109,8 +109,8 @@
 
 
 def test_sets_by_turns_spread_calls_of_many_that_see_little() -> None:
-    """200 sidecars at two calls a second and 40 servers in virtual time: counts lie closer together than
-    those of independent random callers, and no server is left idle."""
+    """200 sidecars at two calls a second and 40 servers in virtual time: counts vary less than with random
+    choice, and every server gets calls."""
     source = scenario.load(Path("lab/scenarios/even.toml")).changed({"seconds": 15.0})
     found = {}
     for name in ("module", "random"):
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -1,4 +1,4 @@
-"""What decisions may cost: no window over its budget, steps with hysteresis, smooth falls of service."""
+"""The CPU budget of decisions: no window above it, levels with hysteresis, gradual loss of service."""
 
 from __future__ import annotations
 
@@ -31,8 +31,7 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 400.0), st.booleans()), max_size=200))
 def test_no_window_pays_for_more_than_its_budget(steps: list[tuple[float, bool]]) -> None:
-    """Work that is done only where it can be paid for, beside refusals, keeps to rate and bucket in any
-    window."""
+    """Work that is done only if the bucket can pay for it keeps to the rate plus one bucket in any window."""
     governor, now, paid = Governor(SETTINGS), 0.0, list[tuple[float, float]]()
     for gap, most_worth in steps:
         now += gap
@@ -64,7 +63,7 @@
 
 def test_a_window_that_keeps_near_a_mark_does_not_turn_effort_to_and_fro() -> None:
     governor, turns, last = Governor(SETTINGS), 0, FULL
-    for step in range(2000):  # at the rate itself, in lumps: the bucket stands near where it was
+    for step in range(2000):  # spends at the refill rate in lumps, so the fill stays near one value
         governor.refill(float(step))
         governor.spend(governor.rate + (40.0 if step % 2 else -governor.rate))
         turns, last = turns + (governor.level != last), governor.level
@@ -76,14 +75,14 @@
     governor = Governor(SETTINGS)
     governor.on_delay(delay)
     governor.refill(0.0)
-    governor.refill(10_000.0)  # a hundred aims: what was heard has faded
+    governor.refill(10_000.0)  # a hundred aims: the delay has decayed
     governor.spend(0.0)
     assert governor.level == FULL
 
 
 @pytest.mark.parametrize("cost", [0.0, 10e6])
 def test_costs_of_nothing_and_of_ten_seconds(cost: float) -> None:
-    """Of nothing: nobody counts. Of ten seconds: all is refused, each at once, and nothing breaks."""
+    """Costs of 0: nothing is charged. Costs of ten seconds: every request is refused at once."""
     costs = api.Costs(cost, cost, cost, cost, cost, cost, cost)
     module = Balancer(replace(SETTINGS, costs=costs), 1)
     module.handle(0.0, api.ServerList(api.ListKind.FULL, 1, (api.ServerEntry("s"),)))
@@ -110,22 +109,22 @@
 
 
 def test_a_late_host_lowers_effort_and_gets_it_back() -> None:
-    module = Balancer(replace(SETTINGS, costs=api.Costs()), 1)  # no budget: the delay alone speaks
+    module = Balancer(replace(SETTINGS, costs=api.Costs()), 1)  # no budget: only the delay counts
     for delay, level in ((5.0, FULL), (15.0, SAMPLED), (60.0, SHED)):
         module.handle(0.0, api.Late(delay))
         assert module.governor.level == level
-    for at in range(10):  # whatever comes next: what was heard fades
+    for at in range(10):  # the delay decays with any event
         module.handle(100.0 + 100.0 * at, api.ClientGone("nobody"))
     assert module.governor.level == FULL
 
 
-def service(decides: Policy, share: float) -> float:
+def service(balancer: Policy, share: float) -> float:
     source = scenario.load(BUSY).changed({"seconds": 6.0, "settle_ms": 1000.0, "load.share": share})
-    return Simulation(source.play_of(1), 1, decides).run().service
+    return Simulation(source.play_of(1), 1, balancer).run().service
 
 
 def test_service_falls_smoothly_where_a_textbook_policy_falls_off_a_cliff() -> None:
-    """Traffic from within the budget to three times that: what the budget pays for is served."""
+    """Traffic from within the budget up to three times as much: what the budget pays for is served."""
     found = {share: service(Balancer, share) for share in (0.3, 0.45, 0.9)}
     assert found[0.3] > 0.99 and found[0.45] > 0.85
     assert found[0.9] > 0.5 > service(LeastOfTwo, 0.9)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Refusals, the limit and late repeats: what keeps an overload from feeding itself."""
+"""What keeps an overload from sustaining itself: refusals, the limit on attempts and the age of retries."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def test_a_repeat_whose_aim_has_passed_is_refused_at_once() -> None:
-    """A last try lives as long as is left of the deadline: what it has left tells when it was first asked."""
+    """The remaining time of a last try tells when the client sent the request first."""
     driver = Driver(READ)
     driver.listed("a", "b")
     for _ in range(5):
         driver.now += 100.0
         driver.end(driver.ask(life=700.0), api.Outcome.OK, 10.0)
-    late = driver.ask(life=550.0)  # first asked 450 ms ago, wanted within 400
+    late = driver.ask(life=550.0)  # first sent 450 ms ago, with an aim of 400 ms
     assert late not in driver.sent and isinstance(driver.finals[late], api.Refuse)
-    again = driver.ask(life=800.0)  # 200 ms ago: half of the aim is left
+    again = driver.ask(life=800.0)  # first sent 200 ms ago: half of the aim is left
     (sent,) = [a for a in driver.log if isinstance(a, api.Send) and a.request == again]
     assert sent.timeout_ms == pytest.approx(200.0, abs=2.0)
 
@@ -44,7 +44,7 @@
 
 def test_advice_is_long_when_it_is_too_late_and_else_as_long_as_the_wait_for_a_place() -> None:
     driver = Driver(READ)
-    early = driver.ask()  # no server at all
+    early = driver.ask()  # no server is listed
     driver.run_timers(150.0)
     assert driver.finals[early] == api.Refuse(early, 60.0)
     driver.listed("a")
@@ -55,7 +55,7 @@
 
 
 def test_a_limit_below_one_is_kept_by_pauses() -> None:
-    """Hundreds of sidecars with one request each are too many for a crowded fleet: some must do with less."""
+    """Hundreds of sidecars with one request each can overload a fleet, so a limit may fall below one."""
     driver = Driver(READ, peers=400)
     driver.listed("a", "b", "c")
     for _ in range(9):
@@ -68,11 +68,11 @@
         driver.run_timers(driver.now + 10.0)
     sent = [name for name in driver.sent if int(name[1:]) > 49]
     assert driver.balancer.limits.limit < 1.0
-    assert 0 < len(sent) < 16, "less than one at a time, but never nothing"
+    assert 0 < len(sent) < 16, "less than one attempt at a time, but more than none"
 
 
 def test_trials_of_failed_servers_are_a_small_part_of_a_quiet_sidecars_requests() -> None:
-    """Half of the set out, each due again in seconds: without a budget nearly every request is a trial."""
+    """Half of the set is inactive and soon due: without a budget nearly every request would be a trial."""
     driver = Driver(READ)
     names = [f"s{number}" for number in range(8)]
     driver.listed(*names)
@@ -101,7 +101,7 @@
 
 
 def test_a_sidecar_that_comes_back_takes_its_share_at_once() -> None:
-    """It begins anew, and its clients do not: what it may have out must not climb from a few."""
+    """A restarted sidecar gets its clients' full traffic at once, so its limit must not start from a few."""
     driver = Driver(READ, peers=2)
     driver.listed(*(f"s-{number}" for number in range(15)))
     first = [driver.ask() for _ in range(10)]
@@ -112,7 +112,7 @@
     driver = Driver(READ, peers=5)
     driver.listed(*(f"s-{number}" for number in range(20)))
     first = driver.balancer.limits.limit
-    for _ in range(2):  # two round trips, as much out as the limit allows
+    for _ in range(2):  # two round trips with as many attempts in flight as allowed
         names = [driver.ask() for _ in range(int(driver.balancer.limits.limit))]
         driver.now += 20.0
         for name in names:
@@ -135,21 +135,21 @@
 
 
 def test_work_as_long_as_its_aim_does_not_close_a_sidecar() -> None:
-    """Half of the answers are later than a quarter of the aim with nothing waiting: that is no queue."""
+    """Half of the answers take more than a quarter of the aim without a queue, so the limit must not fall."""
     driver = Driver(api.RequestClass("read", 100.0, 1000.0, late_worth=0.5, effect=api.Effect.SAFE), peers=2)
     driver.listed(*(f"s-{number}" for number in range(8)))
-    chance = random.Random(3)
+    rng = random.Random(3)
     for _ in range(150):
         names = [driver.ask() for _ in range(min(int(driver.balancer.limits.limit), 40))]
         start = driver.now
-        for latency, name in sorted((chance.uniform(10.0, 90.0), name) for name in names):
+        for latency, name in sorted((rng.uniform(10.0, 90.0), name) for name in names):
             driver.now = start + latency
             driver.end(name, api.Outcome.OK, latency)
-    assert driver.balancer.limits.limit > 10.0, "it was held at the least, 4"
+    assert driver.balancer.limits.limit > 10.0, "the limit fell to its minimum, 4"
 
 
 def test_a_server_that_turned_a_request_away_rests_for_a_quick_answers_time() -> None:
-    """It has no place until something there is done: it got a thousand a second, and turned all away."""
+    """A full server has no room until a request there ends: one got and rejected a thousand a second."""
     driver = Driver(READ, peers=2)
     driver.listed("a", "b")
     driver.warm({"a": 50.0, "b": 50.0})
@@ -175,7 +175,7 @@
 
 
 def test_servers_that_are_slow_by_themselves_do_not_close_a_sidecar() -> None:
-    """All answers are late however few are out: with a limit that only falls, 85% were refused for good."""
+    """All answers are late at any load: with a limit that only fell, 85% were refused permanently."""
     driver = Driver(READ, peers=2)
     driver.listed(*(f"s-{number}" for number in range(8)))
     for _ in range(40):
@@ -184,11 +184,11 @@
         for name, latency in zip(names, (40.0, 350.0, 350.0, 350.0), strict=True):
             if name in driver.sent:
                 driver.end(name, api.Outcome.OK, latency)
-    assert driver.balancer.limits.limit >= 4.0, "one at each server, over both sidecars"
+    assert driver.balancer.limits.limit >= 4.0, "one attempt per server over both sidecars"
 
 
 def test_a_queue_that_stands_does_not_come_to_count_as_quick() -> None:
-    """What counts as timely followed a standing queue within a second, and the queue stayed for good."""
+    """When the bound of timely answers followed a standing queue in a second, the queue never drained."""
     driver = Driver(READ, peers=2)
     driver.listed(*(f"s-{number}" for number in range(8)))
 
@@ -223,37 +223,37 @@
     assert {priced.serve(latency=30.0)[0] for _ in range(30)} == {"a"}
     assert {free.serve(latency=30.0)[0] for _ in range(30)} == {"a", "b"}
     busy = zoned(0.02, alike | {"a0": 90.0, "a1": 90.0, "a2": 90.0})
-    assert [busy.serve(latency=30.0)[0] for _ in range(30)].count("b") > 15, "by deficits, as if unpriced"
+    assert [busy.serve(latency=30.0)[0] for _ in range(30)].count("b") > 15, "by deficits, as without a price"
 
 
 def test_the_own_zone_takes_no_queue_and_nothing_once_the_limit_is_half_used() -> None:
     driver = zoned(0.02, {entry.server: 30.0 for entry in ZONED})
     for _ in range(24):
         driver.ask()
-    out = most_out(driver)
-    assert sum(out.values()) == 24 and max(out.values()) <= 2 * 24 / 6 + 1
+    inflight = inflight_by_server(driver)
+    assert sum(inflight.values()) == 24 and max(inflight.values()) <= 2 * 24 / 6 + 1
     full = zoned(0.02, {entry.server: 30.0 for entry in ZONED})
     full.balancer.limits.limit = 8.0
     for _ in range(8):
         full.ask()
-    assert sum(n for name, n in most_out(full).items() if name[0] == "b") >= 2
+    assert sum(n for name, n in inflight_by_server(full).items() if name[0] == "b") >= 2
 
 
-def most_out(driver: Driver) -> dict[str, int]:
+def inflight_by_server(driver: Driver) -> dict[str, int]:
     return {name: len(server.attempts) for name, server in driver.balancer.servers.items()}
 
 
 def test_what_was_quick_a_moment_ago_does_not_get_a_queue_while_others_are_idle() -> None:
-    # One lucky answer: a w three times lower than the others', within the factor. By its deficit alone it
-    # gets the next ones three to one, and nothing of its queue is seen until they are answered.
+    # One lucky answer gives a w three times lower than the others', within ACTIVE_FACTOR. By deficit alone
+    # this server gets three times the requests, and its queue shows only when they are answered.
     driver = Driver(READ)
     driver.listed("a", "b", "c", "d")
     driver.warm({"a": 10.0, "b": 35.0, "c": 35.0, "d": 35.0})
     driver.balancer.limits.limit = 100.0
     for _ in range(40):
         driver.ask()
-    out = most_out(driver)
-    assert sum(out.values()) == 40 and max(out.values()) - min(out.values()) <= 2, out
+    inflight = inflight_by_server(driver)
+    assert sum(inflight.values()) == 40 and max(inflight.values()) - min(inflight.values()) <= 2, inflight
 
 
 def test_the_even_part_goes_by_registered_size_where_sizes_count() -> None:
@@ -264,13 +264,13 @@
     driver.balancer.limits.limit = 100.0
     for _ in range(40):
         driver.ask()
-    out = most_out(driver)
-    # A size of nothing is no division by nothing, and gets the least that every server may have.
-    assert out["c"] <= 2 and 2.0 <= out["a"] / out["b"] <= 4.0, out
+    inflight = inflight_by_server(driver)
+    # A size of 0 causes no division by zero; that server may have the minimum that every server may have.
+    assert inflight["c"] <= 2 and 2.0 <= inflight["a"] / inflight["b"] <= 4.0, inflight
 
 
 def test_a_few_out_are_no_queue() -> None:
-    # With next to nothing out, evenness says nothing: the quick one goes on being chosen.
+    # With very few attempts in flight the even load does not apply: the fast server is still chosen.
     driver = Driver(READ)
     driver.listed("a", "b", "c", "d")
     driver.warm({"a": 10.0, "b": 35.0, "c": 35.0, "d": 35.0})
@@ -298,12 +298,12 @@
     for name in lost:
         driver.end(name, api.Outcome.TIMEOUT, driver.now)
     assert balancer.limits.inflight == 0 and (balancer.limits.limit == before) is passing, (
-        "what was lost says nothing of the load"
+        "a lost attempt does not lower the limit"
     )
 
 
 def test_many_that_share_few_servers_start_by_smaller_steps() -> None:
-    """Two hundred that each grow by a whole step have hundreds out before the first answer is late."""
+    """200 sidecars that grow by whole steps have hundreds of attempts in flight before a late answer."""
     steps = {}
     for peers in (1, 5, 30, 200, 1000):
         module = Balancer(api.Settings(classes=(READ,), peers=peers), 1)
@@ -316,13 +316,13 @@
 
 
 def test_an_answer_that_is_usual_brings_a_server_back() -> None:
-    """Work that differs much: a trial's answer is ten times the best of a few, and no later than most."""
+    """Where service times vary much, a trial's answer may take ten times the best and still be usual."""
     for latency, back in ((300.0, True), (390.0, False)):
         module = Balancer(api.Settings(classes=(READ,)), 1)
         entries = tuple(api.ServerEntry(f"s{n}") for n in range(3))
         module.handle(0.0, api.ServerList(api.ListKind.FULL, 1, entries))
-        of = module.classes[READ.name]
-        of.unqueued, of.usual = 100, 320.0
+        record = module.classes[READ.name]
+        record.unqueued, record.usual = 100, 320.0
         for number in range(4):
             actions = module.handle(number * 1.0, api.Request(f"r{number}", READ.name, 1200.0))
             sends = [action for action in actions if isinstance(action, api.Send)]
--- a/tests/test_paper.py
+++ b/tests/test_paper.py
@@ -1,4 +1,4 @@
-"""The clauses of the paper's round-robin rule, each worked by hand."""
+"""The rules of the paper's round-robin (Cicconetti et al.), each checked on a small example."""
 
 from collections import Counter
 
@@ -63,11 +63,11 @@
         driver.now += late
         driver.end(request, api.Outcome.OK, late)
     assert not slow.active and slow.trial_at > driver.now
-    assert driver.sent[driver.ask()] != ["s0"], "not before its time"
+    assert driver.sent[driver.ask()] != ["s0"], "no trial before it is due"
     driver.now = slow.trial_at
     trial = driver.ask()
     assert driver.sent[trial] == ["s0"]
-    assert driver.sent[driver.ask()] != ["s0"], "one trial at a time"
+    assert driver.sent[driver.ask()] != ["s0"], "only one trial at a time"
     cost = driver.cost("s0")
     driver.now += 60.0
     driver.end(trial, api.Outcome.OK, 60.0)
@@ -82,7 +82,7 @@
     driver.server("a").deficit, driver.server("b").deficit = 700.0, 730.0
     driver.listed("c", kind=api.ListKind.DELTA)
     trial = driver.ask()
-    assert driver.sent[trial] == ["c"], "a new server is tried at once"
+    assert driver.sent[trial] == ["c"], "a new server gets a trial at once"
     driver.now += 50.0
     driver.end(trial, api.Outcome.OK, 50.0)
     assert (driver.server("a").deficit, driver.server("b").deficit) == (0.0, 30.0)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the four rules are checked on every action."""
+"""Random legal event sequences, with the rules checked on every action."""
 
 from __future__ import annotations
 
@@ -18,49 +18,49 @@
 )
 
 
-def deployment(chance: random.Random, second_copies: bool) -> api.Settings:
-    """Any setup: times over two orders of magnitude, few sidecars and many, one attempt and six."""
-    aim = 100.0 * 10.0 ** chance.uniform(-1.0, 1.0)
+def deployment(rng: random.Random, second_copies: bool) -> api.Settings:
+    """Random settings: aims over two orders of magnitude, 1 to 60 sidecars, 1 to 6 attempts."""
+    aim = 100.0 * 10.0 ** rng.uniform(-1.0, 1.0)
     classes = tuple(
         api.RequestClass(
             f"{effect.value}-{group.value}",
-            aim * chance.uniform(0.5, 2.0),
-            aim * chance.uniform(2.5, 6.0),
-            late_worth=chance.choice([0.0, 0.5]),
+            aim * rng.uniform(0.5, 2.0),
+            aim * rng.uniform(2.5, 6.0),
+            late_worth=rng.choice([0.0, 0.5]),
             effect=effect,
             group=group,
-            window_ms=aim * chance.uniform(0.5, 6.0),
+            window_ms=aim * rng.uniform(0.5, 6.0),
         )
         for effect, group in EFFECTS
     )
     limits = api.Limits(
-        max_attempts=chance.randint(1, 6),
-        may_cancel=chance.random() < 0.5,
+        max_attempts=rng.randint(1, 6),
+        may_cancel=rng.random() < 0.5,
         second_copies=second_copies,
-        max_retry_after_ms=chance.choice([0.0, 500.0]),
-        connect_timeout_ms=aim * chance.uniform(0.1, 2.0),
+        max_retry_after_ms=rng.choice([0.0, 500.0]),
+        connect_timeout_ms=aim * rng.uniform(0.1, 2.0),
     )
     return api.Settings(
         classes,
-        peers=chance.choice([1, 2, 10, 60]),
+        peers=rng.choice([1, 2, 10, 60]),
         zone="z0",
-        asks_for_list=chance.random() < 0.5,
-        sized=chance.random() < 0.5,
+        asks_for_list=rng.random() < 0.5,
+        sized=rng.random() < 0.5,
         limits=limits,
-        rules=api.Rules(answer_slack_ms=5.0, cold_ms=chance.choice([0.0, 9.0 * aim])),
-        cross_zone_price=chance.choice([0.0, 0.02]),
+        rules=api.Rules(answer_slack_ms=5.0, cold_ms=rng.choice([0.0, 9.0 * aim])),
+        cross_zone_price=rng.choice([0.0, 0.02]),
     )
 
 
 class World:
-    """A legal other side: it knows what is out, what may have run, and what each server's state is."""
+    """A legal environment: it tracks attempts in flight, what may have run, and the state of each server."""
 
-    def __init__(self, chance: random.Random, second_copies: bool) -> None:
-        self.chance, self.now, self.second_copies = chance, 0.0, second_copies
-        self.settings = deployment(chance, second_copies)
+    def __init__(self, rng: random.Random, second_copies: bool) -> None:
+        self.rng, self.now, self.second_copies = rng, 0.0, second_copies
+        self.settings = deployment(rng, second_copies)
         self.pace = self.settings.classes[0].aim_ms / 100.0
-        self.fleet = chance.choice([3, 6, 60])
-        self.balancer = Balancer(self.settings, chance.randrange(1000))
+        self.fleet = rng.choice([3, 6, 60])
+        self.balancer = Balancer(self.settings, rng.randrange(1000))
         self.servers: dict[str, api.ServerEntry] = {}
         self.timers: list[tuple[float, int]] = []
         self.requests: dict[str, dict] = {}  # type: ignore[type-arg]
@@ -104,56 +104,56 @@
         held["closed"] = True
 
     def step(self) -> None:
-        chance = self.chance
-        self.now += self.pace * chance.choice([0.0, 1.0, 5.0, 20.0])
+        rng = self.rng
+        self.now += self.pace * rng.choice([0.0, 1.0, 5.0, 20.0])
         for item in sorted(item for item in self.timers if item[0] <= self.now):
             self.timers.remove(item)
             self.give(api.Timer(item[1]))
         for held in self.requests.values():
             if self.now > held["deadline"] + 5.0:
                 assert held["closed"], "rule 1: no final answer in time"
-        kind = chance.random()
+        kind = rng.random()
         if kind < 0.15:
             self.change_list()
         elif kind < 0.5:
             self.count += 1
-            name, klass = f"r{self.count}", chance.choice(self.settings.classes)
-            deadline = self.now + min(self.pace * chance.choice([1.0, 30.0, 200.0, 500.0]), klass.deadline_ms)
+            name, klass = f"r{self.count}", rng.choice(self.settings.classes)
+            deadline = self.now + min(self.pace * rng.choice([1.0, 30.0, 200.0, 500.0]), klass.deadline_ms)
             self.requests[name] = {"klass": klass, "deadline": deadline, "attempts": [], "closed": False}
             self.give(api.Request(name, klass.name, deadline))
         elif kind < 0.95:
             self.end_one()
         elif self.requests:
-            name = chance.choice(sorted(self.requests))
+            name = rng.choice(sorted(self.requests))
             self.requests[name]["closed"] = True
             self.give(api.ClientGone(name))
 
     def end_one(self) -> None:
-        out = [
+        inflight = [
             (name, number)
             for name, held in self.requests.items()
             for number, attempt in enumerate(held["attempts"])
             if not attempt["outcome"]
         ]
-        if out:
-            name, number = self.chance.choice(out)
+        if inflight:
+            name, number = self.rng.choice(inflight)
             held = self.requests[name]
             attempt = held["attempts"][number]
-            attempt["outcome"] = self.chance.choice([O.OK, O.OK, O.OK, *O])
+            attempt["outcome"] = self.rng.choice([O.OK, O.OK, O.OK, *O])
             held["closed"] = held["closed"] or attempt["outcome"] is O.OK
             latency = self.now - attempt["sent"]
             self.give(api.AttemptEnded(name, number, attempt["outcome"], latency, held["closed"]))
 
     def change_list(self) -> None:
-        number = self.chance.randrange(self.fleet)
+        number = self.rng.randrange(self.fleet)
         name = f"s{number}"
-        state = self.chance.choice([api.ServerState.READY, api.ServerState.READY, *api.ServerState])
-        started = self.chance.choice([None, None, self.now])
+        state = self.rng.choice([api.ServerState.READY, api.ServerState.READY, *api.ServerState])
+        started = self.rng.choice([None, None, self.now])
         entry = api.ServerEntry(name, state, f"z{number // 4}", number // 2, "kind", 1.0, started)
-        if self.chance.random() < 0.1:
+        if self.rng.random() < 0.1:
             self.give(api.ServerList(api.ListKind.LOST))
-        elif self.chance.random() < 0.2:
-            gone = [known for known in self.servers if known != name and self.chance.random() < 0.3]
+        elif self.rng.random() < 0.2:
+            gone = [known for known in self.servers if known != name and self.rng.random() < 0.3]
             for known in gone:
                 self.servers[known] = api.ServerEntry(known, api.ServerState.GONE)
             self.servers[name] = entry
@@ -164,25 +164,25 @@
             self.give(api.ServerList(api.ListKind.DELTA, 1, (entry,)))
 
     def check_views(self) -> None:
-        """What the module keeps as things change is what it would find by looking at everything."""
+        """Checks that incrementally maintained state equals the state computed from scratch."""
         balancer = self.balancer
-        balancer.working.best_w(balancer.now)  # brings the views of the set up to date
+        balancer.working.best_w(balancer.now)  # refreshes the views of the set
         active = [s for s in balancer.working.set if s.active]
         assert balancer.working.actives == active
         assert balancer.working.active_inflight == sum(len(s.attempts) for s in active)
         warm = [s.w for s in balancer.working.set if s.active and s.cold_since is None and s.w is not None]
         assert balancer.working.sorted_ws == sorted(warm)
-        lines = [item for line in balancer.queue.queues for item in line.values()]
-        assert balancer.queue.waiting == len(lines) and all(held.queued and held.open for held in lines)
+        waiting = [item for queue in balancer.queue.queues for item in queue.values()]
+        assert balancer.queue.waiting == len(waiting) and all(item.queued and item.open for item in waiting)
         balancer.pick.mark_overdue(balancer.now)
         for server in balancer.servers.values():
             assert server.inflight == len(server.attempts)
-            counted = sum(max(a.charge, balancer.now - a.sent_at) for a in server.attempts)
-            kept = server.open_charge + server.overdue_count * balancer.now - server.overdue_sent
-            assert kept == pytest.approx(counted, rel=1e-9, abs=1e-6)
-        agenda = balancer.schedule
-        assert len(self.timers) == len(agenda.timers), "no alarm is lost, and none forgotten"
-        first = min((entry[0] for entry in agenda.entries), default=None)
+            expected = sum(max(a.charge, balancer.now - a.sent_at) for a in server.attempts)
+            actual = server.open_charge + server.overdue_count * balancer.now - server.overdue_sent
+            assert actual == pytest.approx(expected, rel=1e-9, abs=1e-6)
+        schedule = balancer.schedule
+        assert len(self.timers) == len(schedule.timers), "timers of the host and of the schedule differ"
+        first = min((entry[0] for entry in schedule.entries), default=None)
         assert first is None or min(at for at, _ in self.timers) <= first + 1e-9
 
 
@@ -200,8 +200,8 @@
 def test_the_same_events_give_the_same_actions() -> None:
     def actions() -> list[api.Action]:
         world, found = World(random.Random(5), True), []
-        plain = world.check
-        world.check = lambda action: (found.append(action), plain(action))[1]  # type: ignore[method-assign]
+        unwrapped = world.check
+        world.check = lambda action: (found.append(action), unwrapped(action))[1]  # type: ignore[method-assign]
         world.give(api.ServerList(api.ListKind.CACHED, 1, ()))
         for _ in range(400):
             world.step()
@@ -242,18 +242,18 @@
 
 def test_one_alarm_serves_many_requests_and_an_early_ring_counts_as_its_instant() -> None:
     balancer = Balancer(api.Settings((api.RequestClass("x", 100.0, 500.0, late_worth=0.5),)), 1)
-    alarms = []
-    for number in range(50):  # no server is listed: all wait, and end by the alarms alone
+    timers = []
+    for number in range(50):  # no server is listed: all requests wait and are ended by timers
         actions = balancer.handle(0.1 * number, api.Request(f"r{number}", "x", 400.0))
-        alarms += [item for item in actions if isinstance(item, api.SetTimer)]
-    assert len(alarms) == 1
+        timers += [item for item in actions if isinstance(item, api.SetTimer)]
+    assert len(timers) == 1
     refused, now = 0, 0.0
-    while alarms:
-        alarm = alarms.pop(0)
-        now += alarm.delay_ms - 0.001
-        actions = balancer.handle(now, api.Timer(alarm.token))
+    while timers:
+        timer = timers.pop(0)
+        now += timer.delay_ms - 0.001
+        actions = balancer.handle(now, api.Timer(timer.token))
         refused += sum(isinstance(item, api.Refuse) for item in actions)
-        assert any(isinstance(item, api.Refuse) for item in actions), "nothing was due when it rang"
-        alarms += [item for item in actions if isinstance(item, api.SetTimer)]
-        assert balancer.handle(now, api.Timer(10**9)) == [], "a ring that was not asked for"
+        assert any(isinstance(item, api.Refuse) for item in actions), "nothing was due when the timer fired"
+        timers += [item for item in actions if isinstance(item, api.SetTimer)]
+        assert balancer.handle(now, api.Timer(10**9)) == [], "an unknown timer has no effect"
     assert refused == 50 and not balancer.requests
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,4 +1,4 @@
-"""Sets that are even over the fleet although nobody talks: as many sidecars a server as its size says."""
+"""Deterministic subsetting: each server is in a number of sets in proportion to its size."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def part(ring: Ring) -> list[str]:
-    """What a sidecar takes first."""
+    """Returns the servers of the sidecar's own part."""
     first, found = ring.own_start(), list[str]()
     for _, name in ring.items[first:]:
         if len(found) < ring.own_count() and name in ring.listed and name not in found:
@@ -47,7 +47,7 @@
     rest = sum(counts[f"s-{number}"] for number in range(10, 60)) / 50
     assert 3.4 < large / rest < 4.6
     ring = rings(400, sizes)[0]
-    assert abs(len(ring.items) - 60) < 8  # so that a part is as long as with servers of one size
+    assert abs(len(ring.items) - 60) < 8  # a part is as long as with servers of equal size
 
 
 CHANGES = st.lists(st.tuples(st.integers(0, 30), st.sampled_from([1.0, 1.0, 2.5])), max_size=60)
@@ -55,7 +55,7 @@
 
 @given(CHANGES, st.integers(0, 99), st.randoms())
 def test_the_order_is_of_the_list_alone(changes: list[tuple[int, float]], me: int, chance: object) -> None:
-    """However it came about: servers that came and went, were told twice, or in another order."""
+    """Servers that were added, removed, repeated or added in another order give the same ring."""
     grown, there = Ring(me, 100), dict[str, float]()
     for number, size in changes:
         name = f"s-{number}"
@@ -77,7 +77,7 @@
 
 
 def test_one_server_more_moves_few() -> None:
-    """Those that take it, and a place at the end of a third of the others' parts."""
+    """Only the sets that get the new server change, and the ends of a third of the other parts."""
     sizes = {f"s-{number}": 1.0 for number in range(100)}
     before = rings(200, sizes)
     after = rings(200, sizes | {"s-new": 1.0})
@@ -132,7 +132,7 @@
 
 
 def test_a_set_has_a_bound_however_long_the_list() -> None:
-    """200 sidecars and 1,000 servers: a part would have 100."""
+    """With 200 sidecars and 1,000 servers a part would have 100 servers."""
     (balancer,) = fleet(200, 1000)[:1]
     balancer.handle(1.0, api.Request("r", "sale", 1201.0))
     assert len(balancer.working.set) == SET_MAX
