--- a/mesh/rollout/change_kinds.py
+++ b/mesh/rollout/change_kinds.py
@@ -1,4 +1,4 @@
-"""What a changed route can hurt, and so whether it is taken in stages. No I/O."""
+"""Kinds of route changes by the harm that they can do, and which kinds are rolled out in stages. No I/O."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 class ChangeKind(str, Enum):
     """How a new version of an item differs from the one in force."""
 
-    ADDED = "added"  # until it is taken its requests get 404
-    DROPPED = "dropped"  # its requests get 404 from then on, as the operator wants
-    PLACED = "placed"  # another host or prefix: an addition and a drop
-    ONCE = "once"  # its requests must not be repeated any more: the sooner, the safer
-    MOVED = "moved"  # other services, or other shares
-    BOUNDED = "bounded"  # another time-out, number of trials, or may be repeated from now on
-    RANKED = "ranked"  # its aim or its priority, or nothing
-    OTHER = "other"  # no route: a service's health path, limits
+    ADDED = "added"  # its requests get 404 until it is in force
+    DROPPED = "dropped"  # its requests get 404 from then on, as intended
+    PLACED = "placed"  # another host or prefix, which is an addition and a drop
+    ONCE = "once"  # its requests must not be repeated any more: the sooner it is in force, the safer
+    MOVED = "moved"  # other services, or other shares of them
+    BOUNDED = "bounded"  # another timeout or number of trials, or its requests may be repeated from now on
+    RANKED = "ranked"  # another aim or priority, or no difference
+    OTHER = "other"  # not a route: a service's health path, limits
 
 
-# In stages go those that can make sound requests fail. An addition cannot: its requests fail until it is
-# taken. A drop is wanted, and its bound is the same for all.
+# Kinds that can make working requests fail. An addition cannot, since its requests fail until it is in force;
+# a drop is intended, and its bound is the same for all sidecars.
 STAGED = frozenset({ChangeKind.MOVED, ChangeKind.BOUNDED})
 
 
 def kind_of(old: Route | None, new: Route | None) -> ChangeKind:
-    """``old``: in force, None for none; ``new``: None where it is dropped."""
+    """Classifies a change. ``old``: the version in force or None; ``new``: None for a drop."""
     if new is None:
         return ChangeKind.DROPPED
     if old is None:
--- a/mesh/rollout/contact.py
+++ b/mesh/rollout/contact.py
@@ -1,25 +1,25 @@
-"""Whether a sidecar hears the news as they come, or was behind. No I/O; instants in seconds.
+"""Tracks whether a sidecar receives updates without delay. No I/O; times in seconds.
 
-Only who has heard the control processes without a break can say that an item is as new as it looks here. Who
-was started, cut off or frozen within the time that the news may take knows no such thing, and takes all at
-once: its bound may be near, or over.
+Only a sidecar in uninterrupted contact with the control processes knows how recent an update is. One that was
+started, disconnected or suspended within the propagation time does not, and activates every update at once,
+because the deadline of the update may be near or past.
 """
 
 from __future__ import annotations
 
-MAX_POLL_GAP_S = (
-    0.4  # between two looks, which are a tenth of a second apart: more, and the process stood still
-)
+MAX_POLL_GAP_S = 0.4  # polls are 0.1 s apart; a longer gap means that the process was suspended
 
 
 class UpdateContact:
-    def __init__(self, news_s: float, gap_s: float = MAX_POLL_GAP_S) -> None:
-        self.propagation_s, self.max_poll_gap_s = news_s, gap_s
-        self._since: float | None = None  # in contact without a break since then
+    """The contact of a sidecar with control processes that hold all acknowledged items."""
+
+    def __init__(self, propagation_s: float, max_poll_gap_s: float = MAX_POLL_GAP_S) -> None:
+        self.propagation_s, self.max_poll_gap_s = propagation_s, max_poll_gap_s
+        self._since: float | None = None  # start of the uninterrupted contact
         self._polled_at = float("-inf")
 
     def poll(self, now: float, heard: bool) -> None:
-        """Called several times a second. ``heard``: somebody who holds all that was acknowledged was heard
+        """Called several times a second. ``heard``: a process that holds all acknowledged items was heard
         just now."""
         if not heard:
             self._since = None
@@ -28,6 +28,7 @@
         self._polled_at = now
 
     def is_behind(self, now: float) -> bool:
+        """Whether contact is lost, or has lasted for less than the propagation time."""
         if self._since is None or now - self._polled_at > self.max_poll_gap_s:
             return True
         return now - self._since < self.propagation_s
--- a/tests/mesh/test_rollout.py
+++ b/tests/mesh/test_rollout.py
@@ -1,4 +1,4 @@
-"""Stages without I/O: for all orders of news, words, orders and time, what must hold of them holds."""
+"""Staged rollout without I/O: its invariants hold for all orders of updates, verdicts, commands and time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from mesh.configuration.routes import Route
 from mesh.replication.items import Item
 from mesh.rollout import staged_activation as activation_module
-from mesh.rollout import version_check as newer_module
+from mesh.rollout import version_check as version_check_module
 from mesh.rollout.bounds import CALLER_TIMEOUT_S, derive_rollout_times
 from mesh.rollout.canary_selection import CanarySelection
 from mesh.rollout.canary_verdict import (
@@ -76,7 +76,7 @@
     assert {ChangeKind.MOVED, ChangeKind.BOUNDED} == STAGED
 
 
-# Draws
+# Canary selection
 
 
 @settings(max_examples=40, deadline=None)
@@ -91,7 +91,7 @@
     by_zone = [sum(nodes[node] == f"z{at}" for node in first) for at in range(min(zones, count))]
     assert max(by_zone) - min(by_zone) <= 1
     gone = sorted(nodes.keys() - first)[:1]
-    if gone and count % 10:  # one of the others that goes changes nothing, where the part stays as large
+    if gone and count % 10:  # the loss of another sidecar changes nothing while the size stays the same
         assert (
             CanarySelection({n: z for n, z in nodes.items() if n not in gone}).canaries("route", "a", version)
             == first
@@ -99,10 +99,10 @@
 
 
 def test_each_version_has_a_part_of_its_own_and_nobody_is_always_in_it() -> None:
-    draw = CanarySelection({f"n{at}": f"z{at % 3}" for at in range(60)})
-    counts = dict.fromkeys(draw.nodes, 0)
+    selection = CanarySelection({f"n{at}": f"z{at % 3}" for at in range(60)})
+    counts = dict.fromkeys(selection.nodes, 0)
     for version in range(2000):
-        for node in draw.canaries("route", "a", version):
+        for node in selection.canaries("route", "a", version):
             counts[node] += 1
     assert min(counts.values()) > 0 and max(counts.values()) < 2000 / 2
     assert CanarySelection({}).canaries("route", "a", 1) == frozenset()
@@ -119,7 +119,7 @@
         assert contact.is_behind(at / 10) == (at < 14)
     assert not contact.is_behind(1.9 + MAX_POLL_GAP_S - 0.01) and contact.is_behind(
         1.9 + MAX_POLL_GAP_S + 0.01
-    )  # it stood still
+    )  # it was suspended
     contact.poll(2.5, True)
     assert contact.is_behind(2.5) and contact.is_behind(2.5 + 0.3)
     for at in range(15):
@@ -130,19 +130,20 @@
     assert contact.is_behind(4.1)
 
 
-# The chamber
+# Activation
 
 
-class Chambers(RuleBasedStateMachine):
-    """One sidecar's chamber as its host has it, against what must hold at every step."""
+class ActivationMachine(RuleBasedStateMachine):
+    """The activation of items at one sidecar as its host runs it; invariants are checked at every step."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now, self.hold = 100.0, 0.6
-        self.chamber = StagedActivation(self.hold)
+        self.activation = StagedActivation(self.hold)
         self.version: dict[str, int] = {}
         self.force: dict[str, int] = {}
-        self.known: dict[str, list[tuple[int, float]]] = {}  # versions not in force yet, and when they came
+        # Versions that are not in force yet, and when they were received.
+        self.known: dict[str, list[tuple[int, float]]] = {}
 
     def use(self, one: ItemActivation) -> None:
         name = one.key[1]
@@ -154,14 +155,14 @@
         name=st.sampled_from("abc"),
         step=st.integers(1, 9),
         kind=st.sampled_from(list(ChangeKind)),
-        first=st.booleans(),
+        canary=st.booleans(),
         behind=st.booleans(),
     )
-    def news(self, name: str, step: int, kind: ChangeKind, first: bool, behind: bool) -> None:
+    def update(self, name: str, step: int, kind: ChangeKind, canary: bool, behind: bool) -> None:
         version = self.version[name] = self.version.get(name, 0) + step
         self.known.setdefault(name, []).append((version, self.now))
-        one = self.chamber.receive(self.now, ("route", name), version, kind, first, behind)
-        if kind not in STAGED or first or behind:
+        one = self.activation.receive(self.now, ("route", name), version, kind, canary, behind)
+        if kind not in STAGED or canary or behind:
             assert one.state is State.IN_FORCE
         if one.state is State.IN_FORCE:
             self.use(one)
@@ -169,81 +170,82 @@
     @rule(seconds=st.sampled_from([0.001, 0.1, 0.3, 0.59, 0.7, 61.0]))
     def time(self, seconds: float) -> None:
         until = self.now + seconds
-        while (due := self.chamber.next_due()) is not None and due <= until:
+        while (due := self.activation.next_due()) is not None and due <= until:
             self.now = max(due, self.now)
-            for one in self.chamber.activate_due(self.now):
+            for one in self.activation.activate_due(self.now):
                 self.use(one)
         self.now = until
 
     @rule(name=st.sampled_from("abc"), late=st.booleans())
-    def word(self, name: str, late: bool) -> None:
+    def verdict(self, name: str, late: bool) -> None:
         version = self.version.get(name, 1) - late
-        held = self.chamber.held.get(("route", name))
-        one = self.chamber.approve(self.now, ("route", name), version)
+        held = self.activation.held.get(("route", name))
+        one = self.activation.approve(self.now, ("route", name), version)
         if one is not None:
             assert one.version == version and one.command is not RolloutCommand.HOLD
             self.use(one)
         elif held is not None and held.version == version:
             assert held.command is RolloutCommand.HOLD
 
-    @rule(name=st.sampled_from("abc"), order=st.sampled_from(list(RolloutCommand)), at_next=st.booleans())
-    def order(self, name: str, order: RolloutCommand, at_next: bool) -> None:
+    @rule(name=st.sampled_from("abc"), command=st.sampled_from(list(RolloutCommand)), at_next=st.booleans())
+    def command(self, name: str, command: RolloutCommand, at_next: bool) -> None:
         if at_next:
-            self.chamber.apply_command_to_next(self.now, ("route", name), order)
+            self.activation.apply_command_to_next(self.now, ("route", name), command)
             return
-        held = ("route", name) in self.chamber.held
-        one = self.chamber.apply_command(self.now, ("route", name), order)
+        held = ("route", name) in self.activation.held
+        one = self.activation.apply_command(self.now, ("route", name), command)
         assert (one is not None) == held
-        if one is not None and order is RolloutCommand.GO:
+        if one is not None and command is RolloutCommand.GO:
             self.use(one)
 
     @precondition(lambda self: self.force)
     @rule()
-    def told(self) -> None:
-        self.chamber.confirm(self.now)
+    def reported(self) -> None:
+        self.activation.confirm(self.now)
 
     @invariant()
     def all_in_time(self) -> None:
-        """Whatever came, something at least as new as each version is in force within the hold."""
+        """Each version, or a newer one, is in force within the hold time."""
         for name, waiting in self.known.items():
             for version, at in waiting:
                 assert self.force.get(name, 0) >= version or self.now <= at + self.hold + 1e-9
 
     @invariant()
     def states(self) -> None:
-        assert len(self.chamber.history) <= MAX_HISTORY
-        for one in self.chamber.history:
-            held = self.chamber.held.get(one.key) is one
+        assert len(self.activation.history) <= MAX_HISTORY
+        for one in self.activation.history:
+            held = self.activation.held.get(one.key) is one
             assert held == (one.state in (State.KNOWN, State.PREPARED))
 
 
-TestChambers = Chambers.TestCase
-TestChambers.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestActivation = ActivationMachine.TestCase
+TestActivation.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
 def test_what_is_held_and_ordered_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(activation_module, "MAX_HELD", 3)
-    chamber = StagedActivation(0.6)
+    activation = StagedActivation(0.6)
     states = [
-        chamber.receive(0.0, ("route", f"r{at}"), 1, ChangeKind.MOVED, False, False).state for at in range(5)
+        activation.receive(0.0, ("route", f"r{at}"), 1, ChangeKind.MOVED, False, False).state
+        for at in range(5)
     ]
     assert states == [State.KNOWN] * 3 + [State.IN_FORCE] * 2
     for at in range(MAX_PENDING_COMMANDS + 1):
-        chamber.apply_command_to_next(0.0, ("route", f"n{at}"), RolloutCommand.GO)
-    chamber = StagedActivation(0.6)
-    chamber.apply_command_to_next(0.0, ("route", "a"), RolloutCommand.GO)
+        activation.apply_command_to_next(0.0, ("route", f"n{at}"), RolloutCommand.GO)
+    activation = StagedActivation(0.6)
+    activation.apply_command_to_next(0.0, ("route", "a"), RolloutCommand.GO)
     assert (
-        chamber.receive(PENDING_COMMAND_S + 0.1, ("route", "a"), 2, ChangeKind.MOVED, False, False).state
+        activation.receive(PENDING_COMMAND_S + 0.1, ("route", "a"), 2, ChangeKind.MOVED, False, False).state
         is State.KNOWN
     )
 
 
-# The word
+# Canary verdict
 
 
 def test_a_way_that_answers_500_is_seen_within_eight_calls_and_a_sound_one_never() -> None:
     chance = random.Random(49)
-    for failing in (0.0, 0.01, 0.1, 0.4):  # of the old way, and of a sound new one
+    for failing in (0.0, 0.01, 0.1, 0.4):  # of the old version, and of a sound new one
         for _ in range(1000):
             old = Tally(200, sum(chance.random() < failing for _ in range(200)))
             new = Tally()
@@ -263,22 +265,22 @@
 
 
 def test_calls_count_for_the_version_that_they_began_with_and_lateness_by_the_longer_aim() -> None:
-    watch = CanaryMonitor()
+    monitor = CanaryMonitor()
     for _ in range(20):
-        watch.record(0.0, "a", 1, False, 300.0, 400.0)
-    watch.start(1.0, "a", 2, 400.0)
-    assert watch.record(1.0, "a", 1, True, 1.0, 400.0) is None
-    looks = [watch.record(1.0, "a", 2, False, 300.0, 100.0) for _ in range(8)]
-    watched = watch.watched["a"]
-    assert looks == [None] * 7 + [watched] and (watched.new.calls, watched.new.failures) == (8, 0)
+        monitor.record(0.0, "a", 1, False, 300.0, 400.0)
+    monitor.start(1.0, "a", 2, 400.0)
+    assert monitor.record(1.0, "a", 1, True, 1.0, 400.0) is None
+    results = [monitor.record(1.0, "a", 2, False, 300.0, 100.0) for _ in range(8)]
+    watched = monitor.watched["a"]
+    assert results == [None] * 7 + [watched] and (watched.new.calls, watched.new.failures) == (8, 0)
     assert (watched.old.calls, watched.old.failures) == (20, 0)
-    assert watch.record(1.0 + WATCH_S + 0.1, "a", 2, False, 1.0, 1.0) is None and "a" not in watch.watched
+    assert monitor.record(1.0 + WATCH_S + 0.1, "a", 2, False, 1.0, 1.0) is None and "a" not in monitor.watched
     for at in range(MAX_WATCHED + 5):
-        watch.start(2.0, f"r{at}", 2, 1.0)
-    assert len(watch.watched) == MAX_WATCHED
+        monitor.start(2.0, f"r{at}", 2, 1.0)
+    assert len(monitor.watched) == MAX_WATCHED
     for at in range(MAX_ROUTES + 5):
-        watch.record(2.0, f"s{at}", 1, False, 1.0, 2.0)
-    assert len(watch._routes) == MAX_ROUTES
+        monitor.record(2.0, f"s{at}", 1, False, 1.0, 2.0)
+    assert len(monitor._routes) == MAX_ROUTES
 
 
 # Reports, versions
@@ -303,13 +305,13 @@
 
 
 def test_no_call_is_outdated_that_its_client_sent_before_the_bound() -> None:
-    newer = VersionCheck(6.0)
-    newer.note(10.0, "a", 5)
-    assert not newer.outdated(16.0, "a", 4, 0.0) and newer.outdated(16.1, "a", 4, 0.0)
-    assert not newer.outdated(18.0, "a", 4, 2.1) and newer.outdated(18.2, "a", 4, 2.1)
-    assert not newer.outdated(99.0, "a", 5, 0.0) and not newer.outdated(99.0, "b", 1, 0.0)
-    newer.note(20.0, "a", 6)  # what is newest has not been known for long
-    assert not newer.outdated(25.0, "a", 4, 0.0)
-    for at in range(newer_module.MAX_ROUTES):
-        newer.note(30.0, f"r{at}", 1)
-    assert not newer.outdated(99.0, "a", 4, 0.0)
+    version_check = VersionCheck(6.0)
+    version_check.note(10.0, "a", 5)
+    assert not version_check.outdated(16.0, "a", 4, 0.0) and version_check.outdated(16.1, "a", 4, 0.0)
+    assert not version_check.outdated(18.0, "a", 4, 2.1) and version_check.outdated(18.2, "a", 4, 2.1)
+    assert not version_check.outdated(99.0, "a", 5, 0.0) and not version_check.outdated(99.0, "b", 1, 0.0)
+    version_check.note(20.0, "a", 6)  # the newest version was received only recently
+    assert not version_check.outdated(25.0, "a", 4, 0.0)
+    for at in range(version_check_module.MAX_ROUTES):
+        version_check.note(30.0, f"r{at}", 1)
+    assert not version_check.outdated(99.0, "a", 4, 0.0)
--- a/tests/mesh/test_stages_frames.py
+++ b/tests/mesh/test_stages_frames.py
@@ -1,5 +1,5 @@
-"""What stages add to frames: reports that go one way, calls that name their version, and programs of other
-versions at the other end."""
+"""Frames of staged rollout: reports that go one way, calls that carry their route version, and peers that run
+older or newer programs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class End:
-    """A process at one end of a link; ``takes``: what its hello says."""
+    """A process at one end of a link; ``takes``: the stores that its hello names."""
 
     def __init__(self, name: str, takes: Any = (), old: bool = False) -> None:
         self.name, self.takes, self.old = name, takes, old
@@ -39,14 +39,14 @@
         self.exchange = Exchange(self.stores, *(() if old else (UP, takes)))
         self.sent = 0
 
-    def says(self, count: int = 1) -> None:
+    def report(self, count: int = 1) -> None:
         for _ in range(count):
             version = self.stores[REPORTS].vector.get(self.name, 0) + 1
             self.stores[REPORTS].write("report", self.name, version, {"v": {}})
 
 
-def talk(one: End, other: End, most: int = 200) -> int:
-    """Until neither has anything to say; how many frames that took."""
+def exchange_all(one: End, other: End, most: int = 200) -> int:
+    """Exchanges until neither end has updates left; returns the number of frames."""
     for here, there in ((one, other), (other, one)):
         if not here.old:
             here.exchange.met(there.name, there.takes)
@@ -54,36 +54,36 @@
     for here, there in ((one, other), (other, one)):
         there.exchange.asked(here.exchange.question(), here.name)
     while frames < most:
-        said = False
+        sent = False
         for here, there in ((one, other), (other, one)):
-            told = here.exchange.answer(True)
-            if told is not None:
+            answer = here.exchange.answer(True)
+            if answer is not None:
                 frames += 2
                 here.sent += 1
-                there.exchange.answered(told)
+                there.exchange.answered(answer)
                 here.exchange.asked(there.exchange.question(), there.name)
-                said = True
-        if not said:
+                sent = True
+        if not sent:
             return frames
-    raise AssertionError(f"still talking after {most} frames")
+    raise AssertionError(f"still exchanging after {most} frames")
 
 
 def test_reports_go_up_and_between_those_that_take_them_and_never_down() -> None:
     core, other, side, next_side = End("c1", TAKES), End("c2", TAKES), End("s1"), End("s2")
-    side.says()
-    next_side.says()
-    talk(side, core)
-    talk(next_side, other)
+    side.report()
+    next_side.report()
+    exchange_all(side, core)
+    exchange_all(next_side, other)
     core.exchange, other.exchange = (Exchange(end.stores, UP, TAKES) for end in (core, other))
-    talk(core, other)
+    exchange_all(core, other)
     for end in (core, other):
         assert {name for _, name in end.stores[REPORTS].items} == {"s1", "s2"}
     core.exchange, side.exchange = Exchange(core.stores, UP, TAKES), Exchange(side.stores, UP)
     core.exchange.met("s1", ())
-    assert core.exchange.question()["v"] == {REPORTS: {"s1": 1}}  # not that of all sidecars
+    assert core.exchange.question()["v"] == {REPORTS: {"s1": 1}}  # not the vector of all sidecars
     assert REPORTS not in side.exchange.question()["v"]
     core.exchange, side.exchange = Exchange(core.stores, UP, TAKES), Exchange(side.stores, UP)
-    talk(core, side)
+    exchange_all(core, side)
     assert {name for _, name in side.stores[REPORTS].items} == {"s1"} and core.sent == 1
     assert side.exchange.has(REPORTS, "s1") == 1
 
@@ -91,25 +91,25 @@
 def test_what_nobody_asked_for_is_not_taken_from_above() -> None:
     side = End("s1")
     item = Item("report", "s2", 1, {"v": {}}, "s2", 1)
-    told = {
+    answer = {
         "t": "news",
         "n": {REPORTS: {"items": [pack(item)], "v": {"s2": 1}}},
         "more": False,
         "whole": True,
     }
-    assert side.exchange.answered(told) == {} and not side.stores[REPORTS].items
+    assert side.exchange.answered(answer) == {} and not side.stores[REPORTS].items
 
 
 @pytest.mark.parametrize("takes", [(), TAKES])
 def test_with_a_program_that_knows_no_reports_the_talk_comes_to_an_end(takes: Any) -> None:
     old, new = End("old", old=True), End("new", takes)
-    new.says(3)
+    new.report(3)
     old.stores["charter"].write("route", "a", 1, {})
-    assert talk(new, old) <= 4 and ("route", "a") in new.stores["charter"].items
+    assert exchange_all(new, old) <= 4 and ("route", "a") in new.stores["charter"].items
 
 
 def typed(data: bytes, decode: Callable[[bytes], Any]) -> list[tuple[Any, bytes]]:
-    """The frames as the calls' links read them."""
+    """The frames as the links of calls decode them."""
     frames = Frames()
     frames.decode = decode
     return frames.feed(data)
@@ -130,11 +130,11 @@
         age_ms=12.0,
         accept_stale_route=True,
     )
-    told = msgspec.to_builtins(call.head(3))
-    ((head, body),) = typed(frame({**told, "of a newer program": [1]}, b""), decode_from_first_hop)
+    fields = msgspec.to_builtins(call.head(3))
+    ((head, body),) = typed(frame({**fields, "of a newer program": [1]}, b""), decode_from_first_hop)
     assert read_call(head, body) == call
-    del told["v"]
-    old = read_call(typed(frame(told), decode_from_first_hop)[0][0], b"")
+    del fields["v"]
+    old = read_call(typed(frame(fields), decode_from_first_hop)[0][0], b"")
     assert (old.route, old.accept_stale_route) == ("", False)
 
 
