--- a/mesh/control_plane/accept_pages.py
+++ b/mesh/control_plane/accept_pages.py
@@ -16,11 +16,11 @@
     """Returns the rows of an accept in pages; each content is encoded once. A page has at least one row."""
     pages: list[list[Any]] = [[]]
     room = PAGE_BYTES
-    for number, value in sorted(writes.items(), key=lambda entry: entry[0]):
+    for slot, value in sorted(writes.items(), key=lambda entry: entry[0]):
         packed = msgspec.Raw(msgspec.json.encode(value))
         room -= len(packed)
         if room < 0 and pages[-1]:
             pages.append([])
             room = PAGE_BYTES - len(packed)
-        pages[-1].append([*number, packed, tags[number]] if number in tags else [*number, packed])
+        pages[-1].append([*slot, packed, tags[slot]] if slot in tags else [*slot, packed])
     return pages
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -80,8 +80,8 @@
             if self._member_set.view().epoch == epoch:
                 self._durable_epoch = epoch
 
-    async def promise(self, epoch: int, ballot: Ballot, numbers: Sequence[Slot]) -> Promised | Refusal:
-        """Promises all numbers or none, with a ceiling on disk that covers the ballot's round."""
+    async def promise(self, epoch: int, ballot: Ballot, slots: Sequence[Slot]) -> Promised | Refusal:
+        """Promises all slots or none, with a ceiling on disk that covers the ballot's round."""
         while True:
             refusal = await self.check_epoch(epoch)
             if refusal is not None:
@@ -93,7 +93,7 @@
         next_ceiling = self.acceptor.required_ceiling(ballot.round + ROUND_BLOCK // 2)
         if next_ceiling > self._ceiling:
             self.spawn(self.raise_ceiling(next_ceiling))
-        return self.acceptor.promise(ballot, numbers)
+        return self.acceptor.promise(ballot, slots)
 
     async def raise_ceiling(self, ceiling: int) -> None:
         """Returns once that ceiling is on disk."""
@@ -148,36 +148,36 @@
             self._event_log.tell(events.STATE_FULL, reason=changed.reason)
             return
         # Forgotten items are not settled.
-        self._settle([item for item in items if item.key in self._charter.items], whole)
+        self._learn([item for item in items if item.key in self._charter.items], whole)
         if changed:
             self._on_change(changed)
 
     def stamp_items(self, decided: Iterable[tuple[Slot, Value]]) -> tuple[list[Item], dict[str, int]]:
-        """Items stamped by this store, in the order of their numbers, and its vector that includes them."""
+        """Items stamped by this store, in the order of their slots, and its vector that includes them."""
         source = self._charter.source
         first = self._charter.vector.get(source, 0) + 1
         items = [
-            Item(*number, value, source, first + index)
-            for index, (number, value) in enumerate(sorted(decided, key=lambda pair: pair[0]))
+            Item(*slot, value, source, first + index)
+            for index, (slot, value) in enumerate(sorted(decided, key=lambda pair: pair[0]))
         ]
         return items, {source: first - 1 + len(items)}
 
     def items_changed(self, items: Sequence[Item]) -> None:
         """Charter items have changed, from any source; all items of the charter are decided."""
-        self._settle(items, False)
+        self._learn(items, False)
         self._disk_writer.mark_items(items)
         if any(item.kind == VIEW for item in items):
             self.on_view_change()
 
-    def record_outcome(self, number: Slot, state: Decision | Forgotten) -> None:
+    def learn_state(self, slot: Slot, state: Decision | Forgotten) -> None:
         """Records an outcome that another acceptor reported without its content."""
-        if self.acceptor.learn_state(number, state):
-            self._disk_writer.mark_settled([number])
+        if self.acceptor.learn_state(slot, state):
+            self._disk_writer.mark_decided([slot])
 
-    def _settle(self, items: Iterable[Item], whole: bool) -> None:
-        numbered = [((item.kind, item.name, item.version), item.value) for item in items]
-        self._disk_writer.mark_settled(
-            [number for number, value in numbered if self.acceptor.learn(number, value, whole)]
+    def _learn(self, items: Iterable[Item], whole: bool) -> None:
+        slots = [((item.kind, item.name, item.version), item.value) for item in items]
+        self._disk_writer.mark_decided(
+            [slot for slot, value in slots if self.acceptor.learn(slot, value, whole)]
         )
 
     # Frames
@@ -187,13 +187,13 @@
         ValueError for a malformed frame."""
         kind = head["t"]
         if kind == "prepare":
-            numbers = [decode_number(number) for number in head["k"]]
-            self.spawn(self._handle_prepare(channel, head, decode_ballot(head["b"]), numbers))
+            slots = [decode_slot(slot) for slot in head["k"]]
+            self.spawn(self._handle_prepare(channel, head, decode_ballot(head["b"]), slots))
         elif kind == "accept":
             rows = self._collect_pages(channel, head)
             if rows is not None:
-                writes = {decode_number(row): row[3] for row in rows}
-                tags = {decode_number(row): str(row[4]) for row in rows if len(row) > 4}
+                writes = {decode_slot(row): row[3] for row in rows}
+                tags = {decode_slot(row): str(row[4]) for row in rows if len(row) > 4}
                 if any(not (value is None or isinstance(value, dict)) for value in writes.values()):
                     raise ValueError("a content is an object, or null where the item is dropped")
                 self.spawn(self._handle_accept(channel, head, decode_ballot(head["b"]), writes, tags))
@@ -228,23 +228,21 @@
             self.acceptor.votes_under(decode_ballot(head["b"])).items(), key=lambda pair: pair[0]
         )
         if len(decided) == head["of"]:
-            items = [Item(*number, value, source, first + at) for at, (number, value) in enumerate(decided)]
+            items = [Item(*slot, value, source, first + at) for at, (slot, value) in enumerate(decided)]
             self.apply(
                 items, self._charter.contiguous_vector(source, first, len(items)), bool(head.get("whole"))
             )
         elif decided:  # the others were decided otherwise, before or meanwhile
             self.apply(*self.stamp_items(decided))
 
-    async def _handle_prepare(
-        self, channel: Channel, head: Head, ballot: Ballot, numbers: list[Slot]
-    ) -> None:
-        answer = await self.promise(int(head["e"]), ballot, numbers)
+    async def _handle_prepare(self, channel: Channel, head: Head, ballot: Ballot, slots: list[Slot]) -> None:
+        answer = await self.promise(int(head["e"]), ballot, slots)
         if isinstance(answer, Refusal):
             self._send_refusal(channel, head, answer)
             return
-        indexes = {number: index for index, number in enumerate(numbers)}
+        indexes = {slot: index for index, slot in enumerate(slots)}
         full = bool(head.get("full"))
-        rows = [[indexes[number], *encode_state(state, full)] for number, state in answer.states.items()]
+        rows = [[indexes[slot], *encode_state(state, full)] for slot, state in answer.states.items()]
         packed = msgspec.json.encode(rows)
         if len(packed) > MAX_PROMISE_BYTES:
             self._send_refusal(channel, head, Refusal(0, "too many open votes for one promise"))
@@ -298,11 +296,11 @@
     return Ballot(round, proposer)
 
 
-def decode_number(data: Any) -> Slot:
-    """Decodes the first three fields; raises TypeError or ValueError if they are no number."""
+def decode_slot(data: Any) -> Slot:
+    """Decodes the first three fields; raises TypeError or ValueError if they are no slot."""
     kind, name, version = data[:3]
     if not (isinstance(kind, str) and isinstance(name, str) and isinstance(version, int)):
-        raise ValueError("a number is kind, name and version")
+        raise ValueError("a slot is kind, name and version")
     return kind, name, version
 
 
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from mesh.control_plane.acceptor_host import AcceptorHost, decode_ballot, decode_number, encode_ballot
+from mesh.control_plane.acceptor_host import AcceptorHost, decode_ballot, decode_slot, encode_ballot
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
@@ -171,7 +171,7 @@
             await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
         unlimited = 2 * self._charter.max_items
         rows: list[StateRow] = [*self._charter.delta_for(head["v"], unlimited, sys.maxsize).items]
-        rows += [(vote_number, vote) for vote_number, vote in acceptor.votes.items()]
+        rows += [(slot, vote) for slot, vote in acceptor.votes.items()]
         rows += [
             Past(key, acceptor.unknown_up_to.get(key, -1), dict(acceptor.past_digests.get(key, {})))
             for key in acceptor.past_digests.keys() | acceptor.unknown_up_to.keys()
@@ -231,17 +231,17 @@
                 _, kind, name, unknown, digests = row
                 for version, digest in digests.items():
                     digest, _, tag = str(digest).partition("/")
-                    self._acceptor_host.record_outcome((kind, name, int(version)), Decision(digest, tag=tag))
-                self._acceptor_host.record_outcome((kind, name, int(unknown)), Forgotten())
-        acceptor.tags.update((decode_number(row[1:4]), str(row[4])) for row in rows if row[0] == "t")
+                    self._acceptor_host.learn_state((kind, name, int(version)), Decision(digest, tag=tag))
+                self._acceptor_host.learn_state((kind, name, int(unknown)), Forgotten())
+        acceptor.tags.update((decode_slot(row[1:4]), str(row[4])) for row in rows if row[0] == "t")
         merged = []
         for row in rows:
             if row[0] == "v":
-                number, vote = decode_number(row[1:4]), Vote(decode_ballot(row[4:6]), row[6], str(row[7]))
-                held = acceptor.state(number)
+                slot, vote = decode_slot(row[1:4]), Vote(decode_ballot(row[4:6]), row[6], str(row[7]))
+                held = acceptor.state(slot)
                 if held is None or (isinstance(held, Vote) and held.ballot < vote.ballot):
-                    acceptor.votes[number] = vote
-                    merged.append(number)
+                    acceptor.votes[slot] = vote
+                    merged.append(slot)
         self._disk_writer.mark_votes(merged)
 
 
@@ -264,7 +264,7 @@
         return ["i", *pack(row)]
     if isinstance(row, Past):
         return ["p", *row.key, row.unknown, row.digests]
-    number, state = row
+    slot, state = row
     if isinstance(state, str):
-        return ["t", *number, state]
-    return ["v", *number, *encode_ballot(state.ballot), state.value, state.tag]
+        return ["t", *slot, state]
+    return ["v", *slot, *encode_ballot(state.ballot), state.value, state.tag]
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -59,14 +59,14 @@
 
 
 def votes(sources: IntrospectionSources) -> Told:
-    """``open``: the number of undecided votes known here; ``rivalled``: numbers for which this process
+    """``open``: the number of undecided votes known here; ``rivalled``: slots for which this process
     recently refused an order because another order has them, newest first."""
     now, proposer_host = sources.steady(), sources.proposer_host
-    rivalled = [
+    conflicts = [
         {"ago_ms": round((now - at) * 1000.0), "kind": kind, "name": name, "version": version}
-        for at, (kind, name, version) in reversed(proposer_host.rivalled)
+        for at, (kind, name, version) in reversed(proposer_host.conflicts)
     ]
-    return {"open": len(proposer_host.acceptor_host.acceptor.votes), "rivalled": rivalled}
+    return {"open": len(proposer_host.acceptor_host.acceptor.votes), "rivalled": conflicts}
 
 
 def rollouts(sources: IntrospectionSources) -> Told:
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -1,7 +1,7 @@
 """The duty `members`: its holder works out the next change of members and proposes it, see
 `mesh.replication.reconfiguration`; each process logs when fewer losses are tolerable than configured.
 
-Two holders at once do no harm: a view is a numbered item of the charter, so one content is decided per epoch.
+Two holders at once do no harm: each epoch is a slot of the charter, so one view is decided for it.
 """
 
 from __future__ import annotations
@@ -155,9 +155,9 @@
             self._proposal.add_done_callback(self._proposal_done)
 
     async def _propose(self, view: View) -> bool:
-        number = (VIEW, MEMBERS, view.epoch)
+        slot = (VIEW, MEMBERS, view.epoch)
         return isinstance(
-            await self._proposer_host.decide({number: write_view(view)}, DECIDE_TIMEOUT_S), Decided
+            await self._proposer_host.decide({slot: write_view(view)}, DECIDE_TIMEOUT_S), Decided
         )
 
     def _proposal_done(self, task: asyncio.Task[bool]) -> None:
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -61,7 +61,7 @@
     return msgspec.json.encode({"error": message})
 
 
-def unclear_answer(reason: str) -> Answer:
+def unresolved_answer(reason: str) -> Answer:
     """Answers that the change may be in force now or later; the caller is to send it again."""
     return Answer(503, error_body(reason), retry_after_s=RETRY_AFTER_S)
 
@@ -108,11 +108,11 @@
         address = self._contact_probes.redirect_address()
         if address:
             return Answer(307, location=f"http://{address}{PATH.decode()}")
-        return unclear_answer("no contact with most control processes here; another one may have it")
+        return unresolved_answer("no contact with most control processes here; another one may have it")
 
     async def _read(self) -> Answer:
         if not await self._proposer_host.read(READ_TIMEOUT_S):
-            return unclear_answer("too few control processes answer to know the newest")
+            return unresolved_answer("too few control processes answer to know the newest")
         return Answer(200, self._rendered())
 
     def _rendered(self) -> bytes:
@@ -129,12 +129,10 @@
         if invalid is not None:
             # This copy may be out of date, so a valid change must not be refused because of it: read first.
             if not await self._proposer_host.read(READ_TIMEOUT_S):
-                return self._answer_unclear("too few control processes answer")
+                return self._answer_unresolved("too few control processes answer")
             invalid = check(change, self._current)
-            if invalid is not None and any(
-                isinstance(self._acceptor.state(number), Vote) for number in writes
-            ):
-                return self._answer_unclear("a part of it is being decided")
+            if invalid is not None and any(isinstance(self._acceptor.state(slot), Vote) for slot in writes):
+                return self._answer_unresolved("a part of it is being decided")
         if invalid is not None:
             return self._answer_refused(invalid)
         if not writes:
@@ -151,18 +149,18 @@
             message = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
             self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
             return Answer(409, error_body(message))
-        return self._answer_unclear(outcome.reason)
+        return self._answer_unresolved(outcome.reason)
 
-    async def _acknowledge(self, numbers: Collection[Slot], within_s: float) -> Answer:
+    async def _acknowledge(self, slots: Collection[Slot], within_s: float) -> Answer:
         """Acknowledges a decided order once it is in force at all proxies that are waited for."""
-        items = [self._charter.items.get((kind, name)) for kind, name, _ in numbers]
+        items = [self._charter.items.get((kind, name)) for kind, name, _ in slots]
         if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
             return Answer(200, b"{}")
-        return self._answer_unclear("it is decided, but not yet in force at all sidecars")
+        return self._answer_unresolved("it is decided, but not yet in force at all sidecars")
 
-    def _answer_unclear(self, reason: str) -> Answer:
+    def _answer_unresolved(self, reason: str) -> Answer:
         self._event_log.tell(events.NOT_ACKNOWLEDGED, reason=reason)
-        return unclear_answer(reason)
+        return unresolved_answer(reason)
 
     def _answer_refused(self, invalid: Invalid) -> Answer:
         self._event_log.tell(events.CHANGE_REFUSED, reason=invalid.line())
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -22,7 +22,7 @@
 from mesh.control_plane.leases import ReapingDuty
 from mesh.control_plane.member_changes import MemberChanges
 from mesh.control_plane.member_set import MemberSet, address_of
-from mesh.control_plane.operator_api import OperatorApi, unclear_answer
+from mesh.control_plane.operator_api import OperatorApi, unresolved_answer
 from mesh.control_plane.proposals import ProposerHost
 from mesh.control_plane.restore import RestoreCommand
 from mesh.control_plane.rollouts import Rollouts
@@ -337,7 +337,7 @@
         while self.http_server.busy and self.loop.time() < until:
             await asyncio.sleep(SHUTDOWN_POLL_S)
         if self.http_server.busy:
-            self.http_server.give_up(unclear_answer("this control process is shutting down"))
+            self.http_server.give_up(unresolved_answer("this control process is shutting down"))
             await asyncio.sleep(SHUTDOWN_POLL_S)  # until the answers are sent
         if self._server is not None:
             self._server.close()
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -42,7 +42,7 @@
 MAX_PENDING_ORDERS = 256  # concurrent orders; further ones are answered as busy
 MAX_RECOVERED_VOTES = 2000  # of one recovery
 MAX_RECOVERED_BYTES = 2 << 20  # of one recovery, as JSON
-MAX_RIVALLED = 16  # latest rivalled numbers, kept for operators
+MAX_CONFLICTS = 16  # latest slots lost to other orders, kept for operators
 
 Outcome = Decided | Conflict | Unresolved
 Step = Decided | Conflict | Unresolved | Retry
@@ -96,7 +96,7 @@
         # When first seen, never reset by a recovery; the age of votes read from disk is unknown.
         self._open_since = dict.fromkeys(self._acceptor.votes, float("-inf"))
         self._recovery_task: asyncio.Task[None] | None = None
-        self.rivalled: deque[tuple[float, Slot]] = deque(maxlen=MAX_RIVALLED)
+        self.conflicts: deque[tuple[float, Slot]] = deque(maxlen=MAX_CONFLICTS)
 
     # Orders
 
@@ -104,7 +104,7 @@
         """Decides one order, or gives up waiting after ``within_s``. The order is pursued for ORDER_TIMEOUT_S
         even if the caller leaves; the same order sent here meanwhile shares its ballots."""
         proposer = Proposer(self._incarnation, writes, self._member_set.tolerance)
-        key = tuple(sorted((number, digest_of(value)) for number, value in writes.items()))
+        key = tuple(sorted((slot, digest_of(value)) for slot, value in writes.items()))
         pending = self._orders.get(key)
         if pending is None:
             refused = self._check_room(writes) if self.acceptor_host.has_room(writes) else DISK_FULL
@@ -118,7 +118,7 @@
             return pending.proposer.timed_out()
         outcome = pending.task.result()
         if isinstance(outcome, Conflict):
-            self.rivalled.append((self._loop.time(), outcome.slot))
+            self.conflicts.append((self._loop.time(), outcome.slot))
         return outcome
 
     def _check_room(self, writes: Collection[Slot]) -> str:
@@ -229,7 +229,7 @@
         chosen = running.proposer.accepted(member, epoch, running.prepare.ballot)
         if chosen is not None:
             self._announce(chosen)
-            running.finish(running.proposer.outcome() or Retry(0, "another order had a number of this one"))
+            running.finish(running.proposer.outcome() or Retry(0, "another order had a slot of this one"))
 
     def _refused(self, running: _RunningBallot, member: str, refusal: Refusal) -> None:
         step = running.proposer.refused(member, running.prepare.ballot, refusal)
@@ -268,36 +268,36 @@
         open_votes = await self.reads.collect_open_votes(until)
         if open_votes is None:
             return False
-        return await self._settle(open_votes | self._acceptor.votes.keys(), until)
+        return await self._bring_to_decision(open_votes | self._acceptor.votes.keys(), until)
 
-    def _unsettled(self, numbers: Collection[Slot]) -> list[Slot]:
+    def _undecided(self, slots: Collection[Slot]) -> list[Slot]:
         final = (Decision, Forgotten)
-        return [number for number in numbers if not isinstance(self._acceptor.state(number), final)]
+        return [slot for slot in slots if not isinstance(self._acceptor.state(slot), final)]
 
-    async def _settle(self, numbers: Collection[Slot], until: float) -> bool:
+    async def _bring_to_decision(self, slots: Collection[Slot], until: float) -> bool:
         """Brings these open votes to their decision; returns whether that succeeded."""
-        left = self._unsettled(numbers)
-        if left:
+        undecided = self._undecided(slots)
+        if undecided:
             await asyncio.sleep(READ_GRACE_S)
-            left = self._unsettled(left)
-        if not left:
+            undecided = self._undecided(undecided)
+        if not undecided:
             return True
-        return await self._recover(left, max(until - self._loop.time(), 0.0))
+        return await self._recover(undecided, max(until - self._loop.time(), 0.0))
 
     async def _recover(self, votes: Collection[Slot], within_s: float) -> bool:
         proposer = Proposer(self._incarnation, dict.fromkeys(votes), self._member_set.tolerance, adopts=True)
         outcome = await self._run(proposer, within_s)
         found = []
-        for number, digest in proposer.decided_digests.items():
-            held = self._acceptor.votes.get(number)
-            if number in proposer.decided_values:
-                found.append((number, proposer.decided_values[number]))
+        for slot, digest in proposer.decided_digests.items():
+            held = self._acceptor.votes.get(slot)
+            if slot in proposer.decided_values:
+                found.append((slot, proposer.decided_values[slot]))
             elif held is not None and digest_of(held.value) == digest:
-                found.append((number, held.value))
+                found.append((slot, held.value))
             else:
-                self.acceptor_host.record_outcome(number, Decision(digest))
-        for number in proposer.forgotten:
-            self.acceptor_host.record_outcome(number, Forgotten())
+                self.acceptor_host.learn_state(slot, Decision(digest))
+        for slot in proposer.forgotten:
+            self.acceptor_host.learn_state(slot, Forgotten())
         lacking = [one for one in found if not isinstance(self._acceptor.state(one[0]), Decision)]
         if lacking:
             self.acceptor_host.apply(*self.acceptor_host.stamp_items(lacking))
@@ -312,17 +312,17 @@
             self._recovery_since.clear()
             self._open_since.clear()
             return
-        self._open_since = {number: self._open_since.get(number, now) for number in votes}
-        self._recovery_since = {number: self._recovery_since.get(number, now) for number in votes}
+        self._open_since = {slot: self._open_since.get(slot, now) for slot in votes}
+        self._recovery_since = {slot: self._recovery_since.get(slot, now) for slot in votes}
         if self._recovery_task is not None or not self._member_set.has_contact():
             return
         names, ranks = self._member_set.view().names, dict[Ballot, int]()
         due: list[Slot] = []
         room = MAX_RECOVERED_BYTES
-        for number, since in self._recovery_since.items():
+        for slot, since in self._recovery_since.items():
             if now - since < OPEN_VOTE_TIMEOUT_S:
                 continue
-            ballot = votes[number].ballot
+            ballot = votes[slot].ballot
             if ballot not in ranks:
                 ranking = rendezvous_order(f"{ballot.round}.{ballot.proposer}", names)
                 ranks[ballot] = (
@@ -331,10 +331,10 @@
                     else len(ranking)
                 )
             if now - since >= OPEN_VOTE_TIMEOUT_S + RANK_DELAY_S * ranks[ballot]:
-                room -= len(msgspec.json.encode(votes[number].value))
+                room -= len(msgspec.json.encode(votes[slot].value))
                 if due and (room < 0 or len(due) >= MAX_RECOVERED_VOTES):
                     break
-                due.append(number)
+                due.append(slot)
         if due:
             self._recovery_task = self._loop.create_task(self._recover_due(due))
 
@@ -350,7 +350,7 @@
             self._event_log.tell(events.VOTES_TAKEN_UP, items=len(due))
             await self._recover(due, ORDER_TIMEOUT_S)
             now = self._loop.time()
-            self._recovery_since.update((number, now) for number in due if number in self._recovery_since)
+            self._recovery_since.update((slot, now) for slot in due if slot in self._recovery_since)
         finally:
             self._recovery_task = None
 
@@ -382,8 +382,8 @@
     def _handle_answer(self, running: _RunningBallot, channel: Channel, kind: str, head: Head) -> None:
         member, epoch = address_of(channel), int(head["e"])
         if kind == "promise":
-            numbers = running.prepare.slots
-            states = {numbers[int(row[0])]: decode_state(row[1:]) for row in head["s"]}
+            slots = running.prepare.slots
+            states = {slots[int(row[0])]: decode_state(row[1:]) for row in head["s"]}
             self._promised(running, member, epoch, Promised(states, int(head["g"])))
         elif kind == "accepted":
             if running.accept is not None and int(head["p"]) + 1 < len(running.pages):
--- a/mesh/control_plane/quorum_reads.py
+++ b/mesh/control_plane/quorum_reads.py
@@ -1,7 +1,7 @@
 """Quorum reads: fetch what a quorum holds before this process claims to hold all that was acknowledged.
 
 Both sides of the exchange are here: `read` asks with a vector, `have` answers with the items missing from it,
-a page at a time, and with the numbers of open votes.
+a page at a time, and with the slots of open votes.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from mesh.control_plane.acceptor_host import AcceptorHost, decode_number
+from mesh.control_plane.acceptor_host import AcceptorHost, decode_slot
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.dissemination.peers import Channel
 from mesh.dissemination.pull_exchange import pack, unpack
@@ -51,7 +51,7 @@
         return len(self._pending)
 
     async def collect_open_votes(self, until: float, kind: str = "") -> set[Slot] | None:
-        """Merges what a quorum holds into the store, then returns the numbers of the votes open at that
+        """Merges what a quorum holds into the store, then returns the slots of the votes open at that
         quorum; None if too few answer in time. ``kind``: only votes on items of that kind."""
         if len(self._pending) >= MAX_PENDING_READS:
             return None
@@ -76,8 +76,8 @@
         if open_votes is None:
             return False
         acceptor = self._acceptor_host.acceptor
-        numbers = open_votes | {number for number in acceptor.votes if number[0] == kind}
-        while any(not isinstance(acceptor.state(number), Decision | Forgotten) for number in numbers):
+        slots = open_votes | {slot for slot in acceptor.votes if slot[0] == kind}
+        while any(not isinstance(acceptor.state(slot), Decision | Forgotten) for slot in slots):
             if self._loop.time() >= until:
                 return False
             await asyncio.sleep(OPEN_VOTE_POLL_S)
@@ -140,9 +140,7 @@
                 "e": epoch,
                 "items": [pack(item) for item in missing.items],
                 "v": missing.vector,
-                "open": [
-                    number for number in self._acceptor_host.acceptor.votes if not kind or number[0] == kind
-                ],
+                "open": [slot for slot in self._acceptor_host.acceptor.votes if not kind or slot[0] == kind],
                 "whole": whole,
                 "complete": whole and not missing.more,
             }
@@ -160,7 +158,7 @@
                 self._send_read(int(head["n"]), read, member, channel)
         elif head["complete"] and epoch == read.view.epoch:
             read.answered.add(member)
-            read.open.update(decode_number(number) for number in head["open"])
+            read.open.update(decode_slot(slot) for slot in head["open"])
             self._check(read)
         elif head["whole"] and read.asked.get(member) is channel:  # more pages follow
             self._send_read(int(head["n"]), read, member, channel)
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -148,7 +148,7 @@
         self._acceptor_host.items_changed(merged)
         kept.fill(self._acceptor)
         self._disk_writer.mark_votes(kept.votes)
-        self._disk_writer.mark_settled([(*past.key, 0) for past in kept.past])
+        self._disk_writer.mark_decided([(*past.key, 0) for past in kept.past])
         return None
 
 
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from mesh.control_plane.acceptor_host import AcceptorHost, decode_number
+from mesh.control_plane.acceptor_host import AcceptorHost, decode_slot
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channel
@@ -186,4 +186,4 @@
     """Decodes drops; raises TypeError or ValueError if they are malformed or too many."""
     if not isinstance(data, list) or len(data) > MAX_DROPS:
         raise ValueError(f"at most {MAX_DROPS} drops")
-    return [((kind, name), version) for kind, name, version in map(decode_number, data)]
+    return [((kind, name), version) for kind, name, version in map(decode_slot, data)]
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -53,7 +53,7 @@
         self._store, self._acceptor, self._keeper, self._event_log = store, acceptor, keeper, event_log
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._dirty_keys: set[Key] = set()
-        self._dirty_votes: set[Slot] = set()  # numbers of votes that were added or removed
+        self._dirty_votes: set[Slot] = set()  # slots of votes that were added or removed
         self._extra_rows: dict[bytes, bytes] = {}
         self._marked_batch = self._written_batch = 0  # a batch has the number of the last mark in it
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
@@ -69,24 +69,24 @@
         """Marks decided items that have changed for the next batch, together with the vector."""
         self._mark_lazily({item.key for item in items}, ())
 
-    def mark_settled(self, numbers: Iterable[Slot]) -> None:
-        """Marks numbers that are decided: their votes leave the disk with the batch that holds their items,
+    def mark_decided(self, slots: Iterable[Slot]) -> None:
+        """Marks slots that are decided: their votes leave the disk with the batch that holds their items,
         or their digests among overtaken versions."""
-        settled = set(numbers)
-        self._mark_lazily({(kind, name) for kind, name, _ in settled}, settled)
+        decided = set(slots)
+        self._mark_lazily({(kind, name) for kind, name, _ in decided}, decided)
 
-    def _mark_lazily(self, keys: Iterable[Key], numbers: Iterable[Slot]) -> None:
+    def _mark_lazily(self, keys: Iterable[Key], slots: Iterable[Slot]) -> None:
         self._dirty_keys.update(keys)
-        self._dirty_votes.update(numbers)
+        self._dirty_votes.update(slots)
         if not (self._dirty_keys or self._dirty_votes):
             return
         self._marked_batch += 1
         if self._lazy_timer is None:
             self._lazy_timer = self._loop.call_later(LAZY_WRITE_S, self._start_writing)
 
-    def mark_votes(self, numbers: Iterable[Slot]) -> None:
+    def mark_votes(self, slots: Iterable[Slot]) -> None:
         """Marks votes that must be on disk before they are sent, and starts writing."""
-        self._dirty_votes.update(numbers)
+        self._dirty_votes.update(slots)
         self._marked_batch += 1
         self._start_writing()
 
@@ -195,12 +195,12 @@
                 rows.append(pack_past(Past(key, unknown, digests)))
             else:
                 deleted.append(past_key(key))
-        for number in votes:
-            vote = self._acceptor.votes.get(number)
+        for slot in votes:
+            vote = self._acceptor.votes.get(slot)
             if vote is not None:
-                rows.append(pack_vote(number, vote))
+                rows.append(pack_vote(slot, vote))
             else:
-                deleted.append(vote_key(number))
+                deleted.append(vote_key(slot))
         return rows, deleted
 
     async def run_between_batches(self, work: Callable[[Keeper], T]) -> T:
