--- a/hareloom/interface.py
+++ b/hareloom/interface.py
@@ -113,7 +113,7 @@
 
     answer_slack_ms: float = 0.0  # how long after its deadline a final answer still counts
     drain_grace_ms: float = 0.0  # not used: sends stop as soon as the event arrives
-    ask_within_ms: float = 10000.0  # a list may go unrequested for this long
+    ask_within_ms: float = 10000.0  # a list counts as known after this time, even if it was not requested
     cold_from: float = 0.3  # least share of its capacity that a server starts with
     cold_ms: float = 0.0  # time until a started server is warm; 0: servers start warm
     # A cold server fails when it is sent this multiple of what it can serve for this time. The balancer does
--- a/hareloom/limits.py
+++ b/hareloom/limits.py
@@ -70,6 +70,7 @@
         return max(LIMIT_MIN, LIMIT_PER_SERVER_MIN * self.share)
 
     def room(self, now: float) -> bool:
+        """Returns whether another attempt may be sent now."""
         if self.limit >= 1.0:
             return self.inflight < self.limit
         return self.inflight < 1.0 and now >= self.paused_until
--- a/hareloom/records.py
+++ b/hareloom/records.py
@@ -101,7 +101,7 @@
         """``worth``: per work; ``default_cost``: from the aims; ``max_wait_ms``: longest wait in the queue;
         ``retry_safe``: a retry is harmless wherever an earlier attempt may have run."""
         self.klass, self.worth, self.retry_safe = klass, worth, retry_safe
-        self.queue: dict[str, OpenRequest] = {}  # those with no place yet; classes of one worth share a line
+        self.queue: dict[str, OpenRequest] = {}  # waiting requests; classes of equal worth share it
         self.costs: dict[str, float] = {}  # by kind of machine
         self.default_cost, self.max_wait_ms = default_cost, max_wait_ms
         self.seen, self.mean_hint, self.quick, self.usual, self.unqueued, self.start_sends = (
--- a/hareloom/requests.py
+++ b/hareloom/requests.py
@@ -60,6 +60,7 @@
 
 
 def may_retry(budget: TokenBudget, limits: AttemptLimit) -> bool:
+    """Returns whether the budget and the limit allow a retry."""
     return budget.tokens >= 1.0 and limits.inflight < RETRY_LIMIT_SHARE * limits.limit
 
 
--- a/hareloom/rules.py
+++ b/hareloom/rules.py
@@ -143,7 +143,7 @@
         record, until, now = self.classes[event.klass], event.deadline, self.now
         klass, settings = record.klass, self.settings
         if not self.governor.affords(record.worth >= self.queue.most_worth):
-            # A retry during the overload costs as much again, so it is put off for the class's until.
+            # A retry during the overload costs as much again, so it is put off for the class's deadline.
             self.governor.on_refused()
             retry_after = min(klass.deadline_ms, settings.limits.max_retry_after_ms)
             self.actions.append(api.Refuse(event.request, retry_after))
--- a/hareloom/servers.py
+++ b/hareloom/servers.py
@@ -18,7 +18,7 @@
 # does not report it. It is cold until its warm-up time is over or WARM_ANSWERS consecutive answers are within
 # WARM_RATIO times its earlier w: then only the network had failed. The cost: where connections fail often
 # without restarts, such a server has less than its share for the time of those answers.
-RESTART_CONNECT_FAILURES, WARM_ANSWERS, WARM_RATIO = 2, 4, 1.5
+RESTART_FAILURES, WARM_ANSWERS, WARM_RATIO = 2, 4, 1.5
 # A cold server is sent, scaled by its warmth, at most COLD_MAX_RATIO times what this sidecar completes at a
 # warm one, or COLD_SAFE_SHARE of what overloads it if that is less: the ratio exceeds 1 since other sidecars
 # may learn of a start late or send nothing. Among the warm servers it still takes its turn by deficit.
@@ -34,7 +34,7 @@
         self.servers: dict[str, Server] = {}
         self.ring = Ring(settings.me, settings.peers)  # listed servers in this sidecar's order
         self.kind_counts: dict[str, int] = {}  # known servers of each kind; 0: to be removed
-        self.gone = dict[str, None]()  # unlisted servers with attempts in flight
+        self.gone = dict[str, None]()  # gone servers, kept while attempts are in flight
         self.subscribed, self.retry_wait = False, self.retry_wait_min
 
     def tune(self, settings: api.Settings) -> None:
@@ -122,7 +122,7 @@
 
     def due_servers(self, now: float, cold: list[Server], per_server: float) -> list[Server]:
         """Returns the cold servers whose turn has come, by the work completed at a warm server now. Work sent
-        differs much in an overload; by the rate at its last send a sidecar that had just started never came
+        is far more in an overload; by the rate at its last send a sidecar that had just started never came
         to a cold server. By the total completed, each drain lowered the rate at the replacements until all
         were cold and idle and every request was refused; a single remaining server was overloaded."""
         rate = self.cold_share * per_server
@@ -132,9 +132,7 @@
     def answered(self, now: float, server: Server) -> bool:
         """Returns whether this answer, after connection failures, shows a restart: connections show it before
         the list does."""
-        restarted = (
-            server.connect_failures >= RESTART_CONNECT_FAILURES and self.cold_ms > 0.0 and server.listed
-        )
+        restarted = server.connect_failures >= RESTART_FAILURES and self.cold_ms > 0.0 and server.listed
         if restarted:
             server.cold_since, server.fast_answers = now, 0
             server.wait_turn(now, 1.0)
@@ -156,4 +154,5 @@
 
 
 def jitter(rng: Random, span: float) -> float:
+    """Returns ``span``, changed at random by up to JITTER."""
     return span * rng.uniform(1.0 - JITTER, 1.0 + JITTER)
--- a/hareloom/working.py
+++ b/hareloom/working.py
@@ -60,9 +60,7 @@
         old, self.set, self.needs_draw = set(self.set), [], False
         floor = min((s.deficit for s in old if s.active), default=0.0)
         start, own, count = ring.own_start(), ring.own_count(), len(ring.items)
-        if (
-            SET_MIN <= own <= SET_MAX and need < own + 1
-        ):  # no more than its own part, or some servers are in more sets
+        if SET_MIN <= own <= SET_MAX and need < own + 1:  # beyond its part, some servers are in more sets
             need = float(own)
         for offset in range(count):
             if need <= 0 or len(self.set) >= cap:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,7 +18,7 @@
 
 
 class Driver:
-    """A Balancer, the attempts it has out, and the clock."""
+    """Drives a Balancer: its attempts in flight, its timers and a simulated clock."""
 
     def __init__(self, *classes: api.RequestClass, seed: int = 1, **settings: object) -> None:
         values: dict[str, object] = {"classes": classes or (READ,), "limits": LIMITS, "rules": RULES}
@@ -48,10 +48,10 @@
         entries = tuple(api.ServerEntry(name, **fields) for name in names)  # type: ignore[arg-type]
         self.give(api.ServerList(kind, 1, entries))
 
-    def ask(self, klass: str = "read", life: float = 1000.0) -> str:
+    def ask(self, klass: str = "read", remaining: float = 1000.0) -> str:
         self.count += 1
         name = f"r{self.count}"
-        self.give(api.Request(name, klass, self.now + life))
+        self.give(api.Request(name, klass, self.now + remaining))
         return name
 
     def end(
@@ -62,14 +62,14 @@
         return self.give(api.AttemptEnded(request, number, outcome, latency, closed))
 
     def serve(self, klass: str = "read", latency: float = 50.0) -> str:
-        """One request, answered; gives the server that had it."""
+        """Sends one request and answers it; returns the server that got it."""
         request = self.ask(klass)
         self.now += latency
         self.end(request, api.Outcome.OK, latency)
         return self.sent[request][0]
 
     def warm(self, latencies: dict[str, float]) -> None:
-        """Each server answers once, at its own latency; all are active then."""
+        """Lets each server answer once with its own latency, so that all become active."""
         self.balancer.limits.limit = max(self.balancer.limits.limit, len(latencies) + 1.0)
         requests = [self.ask() for _ in latencies]
         start = self.now
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -18,10 +18,10 @@
     driver.listed("a", "b")
     for _ in range(5):
         driver.now += 100.0
-        driver.end(driver.ask(life=700.0), api.Outcome.OK, 10.0)
-    late = driver.ask(life=550.0)  # first sent 450 ms ago, with an aim of 400 ms
+        driver.end(driver.ask(remaining=700.0), api.Outcome.OK, 10.0)
+    late = driver.ask(remaining=550.0)  # first sent 450 ms ago, with an aim of 400 ms
     assert late not in driver.sent and isinstance(driver.finals[late], api.Refuse)
-    again = driver.ask(life=800.0)  # first sent 200 ms ago: half of the aim is left
+    again = driver.ask(remaining=800.0)  # first sent 200 ms ago: half of the aim is left
     (sent,) = [a for a in driver.log if isinstance(a, api.Send) and a.request == again]
     assert sent.timeout_ms == pytest.approx(200.0, abs=2.0)
 
@@ -31,15 +31,15 @@
     driver.listed("a", "b")
     for _ in range(50):
         driver.now += 100.0
-        name = driver.ask(life=550.0)
+        name = driver.ask(remaining=550.0)
         if name in driver.sent:
             driver.end(name, api.Outcome.OK, 10.0)
     for _ in range(40):
         driver.now += 100.0
-        name = driver.ask(life=700.0)
+        name = driver.ask(remaining=700.0)
         if name in driver.sent:
             driver.end(name, api.Outcome.OK, 10.0)
-    assert driver.ask(life=700.0) in driver.sent
+    assert driver.ask(remaining=700.0) in driver.sent
 
 
 def test_advice_is_long_when_it_is_too_late_and_else_as_long_as_the_wait_for_a_place() -> None:
