--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -170,7 +170,7 @@
         store.merge(items("instance"), {})
     with _traced(found, "membership"):
         membership = Membership()
-        membership.take(items("instance"))
+        membership.apply(items("instance"))
     with _traced(found, "routes"):
         routes = Routes()
         for at in range(ENTRIES):
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -90,7 +90,11 @@
                 "sound": len(rollout.sound),
             }
         )
-    return {"sidecars": len(sources.membership.draw().nodes), "rollouts": rows, "votes": votes(sources)}
+    return {
+        "sidecars": len(sources.membership.canary_selection().nodes),
+        "rollouts": rows,
+        "votes": votes(sources),
+    }
 
 
 def rollout(sources: IntrospectionSources, kind: str, name: str) -> Told | Refusal:
@@ -101,7 +105,7 @@
         return Refusal(f"{kind} {name[:80]!r}: no such item; config get shows all")
     lack, now = sources.rollouts.unconfirmed(item.key), sources.steady()
     heard = sources.rollouts.reported_at
-    draw = sources.membership.draw()
+    draw = sources.membership.canary_selection()
     new, old = sources.rollouts.canary_tallies(item.key)
     return {
         "version": item.version,
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -215,14 +215,16 @@
         if found is not None:
             nodes = key_map.nodes | {
                 name: str(info.get("node", ""))
-                for name, info in self._membership.of(service)
+                for name, info in self._membership.instances_of(service)
                 if info is not None
             }
             self._propose(service, key_map.version + 1, write_map(*found, nodes))
 
     def _candidates(self, now: float, service: str) -> Mapping[str, Candidate]:
         silent = {report.silent_upstream for report in self._reports.values() if report.silent_upstream}
-        known = {instance: info for instance, info in self._membership.of(service) if info is not None}
+        known = {
+            instance: info for instance, info in self._membership.instances_of(service) if info is not None
+        }
         reporting = {
             name for name, info in known.items() if self._is_reporting(now, str(info.get("node", "")))
         }
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -237,7 +237,7 @@
         )
 
     def _drop(self, name: str, silent_s: float) -> None:
-        instances = self._membership.at(name)
+        instances = self._membership.instances_at(name)
         keys = [(NODE, name), *((INSTANCE, instance) for instance in instances)]
         held = [self._roll.items[key] for key in keys if key in self._roll.items]
         taken = self._roll.write_all(failure_detection.drop_writes(held))
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -365,7 +365,7 @@
             self.key_assignment.reports_changed([item for item in items if item.kind == KEY_REPORT])
             self.tombs.note(self.loop.time(), [item for item in items if item.value is None])
         else:
-            self.membership.take(items)
+            self.membership.apply(items)
             self.reaping.items_changed(items)
             self.member_changes.items_changed(items)
             self.tombs.note(self.loop.time(), items)
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -95,7 +95,7 @@
             for item in routes:
                 self._counts.pop(item.key, None)
             versions = {item.key: item.version for item in routes}
-            nodes = set(self._membership.draw().nodes)
+            nodes = set(self._membership.canary_selection().nodes)
             self.rollouts.append(Rollout(self._loop.time(), versions, required_vector(routes), nodes))
 
     def items_restamped(self, items: Iterable[Item]) -> None:
@@ -214,7 +214,7 @@
             self._waits.discard(wait)
 
     def _first_part_confirmed(self, items: Sequence[Item]) -> bool:
-        draw = self._membership.draw()
+        draw = self._membership.canary_selection()
         for item in items:
             for node in draw.canaries(item.kind, item.name, item.version):
                 report = self.reports.get(node)
@@ -229,7 +229,7 @@
         item = self._charter.items[key]
         return sorted(
             node
-            for node in self._membership.draw().nodes
+            for node in self._membership.canary_selection().nodes
             if (report := self.reports.get(node)) is None or not report.confirms(item)
         )
 
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -20,10 +20,10 @@
 if TYPE_CHECKING:
     from mesh.data_plane.program import Proxy
 
-MOST_SHOWN = 2000  # upstreams, services or routes of one answer
+MAX_SHOWN = 2000  # upstreams, services or routes of one answer
 
 
-def answers_of(proxy: Proxy, clock: Callable[[], float]) -> dict[str, Handler]:
+def operator_handlers(proxy: Proxy, clock: Callable[[], float]) -> dict[str, Handler]:
     """The questions that a sidecar answers. ``clock`` gives seconds since 1970."""
     stores = {"charter": proxy.charter, "roll": proxy.roll}
     return {
@@ -42,7 +42,7 @@
     """How it stands. Times in milliseconds; ``whole_ms``: since one that holds all that was acknowledged was
     last heard, null where none has been; ``control``: as `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
-    tables = list(proxy.balancers.by_service.items())[:MOST_SHOWN]
+    tables = list(proxy.balancers.by_service.items())[:MAX_SHOWN]
     proxy.channels.fresh(0.0)  # brings whole_at up to now
     whole_at = proxy.channels.whole_at
     return {
@@ -53,7 +53,7 @@
         "whole_ms": round((now - whole_at) * 1000.0) if whole_at > 0.0 else None,
         "control": proxy.control_contact.status(now),
         "routes": len(proxy.routes),
-        "in_hand": proxy.request_dispatcher.in_hand,
+        "in_hand": proxy.request_dispatcher.open_requests,
         "memory": proxy.request_dispatcher.buffers.usage(),
         "retry_ratio": settings.bounds.retry_ratio,
         "beat_ms": settings.beat_period_ms,
@@ -92,7 +92,7 @@
 def upstreams(proxy: Proxy, service: str) -> Told | Refusal:
     """All of one service that it knows, and how each stands in its own picks."""
     table = proxy.balancers.by_service.get(service)
-    known = dict(proxy.membership.of(service)[:MOST_SHOWN])
+    known = dict(proxy.membership.instances_of(service)[:MAX_SHOWN])
     if table is None and not known:
         return Refusal(f"service {service[:80]!r}: no upstream of it is known, and none was asked for here")
     return {"service": service, "used": table is not None, "upstreams": _standings(proxy, table, known)}
@@ -102,7 +102,7 @@
     balancer = table.balancer if table is not None else None
     servers = balancer.servers if isinstance(balancer, Balancer) else {}
     told = []
-    for instance in sorted({*known, *list(servers)[:MOST_SHOWN]}):
+    for instance in sorted({*known, *list(servers)[:MAX_SHOWN]}):
         value, server = known.get(instance) or {}, servers.get(instance)
         one: Told = {
             "instance": instance,
@@ -159,7 +159,7 @@
     if found is None:
         return {"route": None, "configured": proxy.configured(), "services": []}
     services = []
-    for service, share in found.split[:MOST_SHOWN]:
+    for service, share in found.split[:MAX_SHOWN]:
         told = upstreams(proxy, service)
         known = [] if isinstance(told, Refusal) else told["upstreams"]
         services.append({"service": service, "share": round(share, 6), "upstreams": known})
@@ -241,10 +241,10 @@
     """How the versions of a route of late went here, the oldest first; ``after_ms``: from the news until it
     was in force or overtaken, null while it is held back; ``word``: what its first calls came to, if this
     sidecar is of its first part."""
-    now, stages = proxy.loop.time(), proxy.stages
-    standing, watched = proxy.routes.named(name), stages.watch.watched.get(name)
+    now, stages = proxy.loop.time(), proxy.staged_routes
+    standing, watched = proxy.routes.named(name), stages.monitor.watched.get(name)
     told = []
-    for one in stages.chamber.history:
+    for one in stages.activation.history:
         if one.key != (ROUTE, name):
             continue
         entry: Told = {
@@ -264,14 +264,14 @@
         "node": proxy.settings.node,
         "in_force": standing.version if standing is not None else None,
         "behind": stages.contact.is_behind(now),
-        "dry": stages.dry.get(name, ""),
+        "dry": stages.unserved.get(name, ""),
         "passes": told,
     }
 
 
 def order(proxy: Proxy, name: str, word: str, at_next: bool) -> Told:
     """An operator's hold or go. ``obeyed``: that version was held back here; null where nothing was."""
-    one = proxy.stages.order(name, RolloutCommand(word), at_next)
+    one = proxy.staged_routes.apply_command(name, RolloutCommand(word), at_next)
     standing = proxy.routes.named(name)
     return {
         "node": proxy.settings.node,
--- a/mesh/data_plane/key_maps.py
+++ b/mesh/data_plane/key_maps.py
@@ -9,8 +9,8 @@
 from mesh.ownership.key_map import BUCKET, KeyMap, read_map
 from mesh.replication.items import Item
 
-KEY = b"shard-key"  # the header that names a request's key
-COUNTED_MOST = 4096  # requests between two reports that are counted
+KEY_HEADER = b"shard-key"  # the header that names a request's key
+MAX_COUNTED = 4096  # requests between two reports that are counted
 
 
 class KeyMaps:
@@ -18,18 +18,18 @@
 
     def __init__(self) -> None:
         """None yet."""
-        self._divided: set[str] = set()
+        self._sharded: set[str] = set()
         self.by_service: dict[str, KeyMap] = {}
         self._counts: dict[str, Counter[int]] = {}
 
-    def plant(self, name: str, value: Mapping[str, Any] | None) -> None:
+    def apply_service(self, name: str, value: Mapping[str, Any] | None) -> None:
         """A service's item has come."""
         if value is not None and value.get("sharded") is True:
-            self._divided.add(name)
+            self._sharded.add(name)
         else:
-            self._divided.discard(name)
+            self._sharded.discard(name)
 
-    def take(self, item: Item) -> None:
+    def apply_map(self, item: Item) -> None:
         """A map has come; one that cannot be read is of a later program and changes nothing."""
         if item.value is None:
             self.by_service.pop(item.name, None)
@@ -39,9 +39,9 @@
         except (KeyError, TypeError, ValueError):
             return
 
-    def divided(self, service: str) -> bool:
+    def is_sharded(self, service: str) -> bool:
         """Whether that service is divided by key."""
-        return service in self._divided
+        return service in self._sharded
 
     def holder(self, service: str, key: int) -> str:
         """The upstream that holds the key, as far as is known here; "" where nobody does."""
@@ -51,10 +51,10 @@
     def count(self, service: str, key: int) -> None:
         """A client's request on that key."""
         counts = self._counts.setdefault(service, Counter())
-        if counts.total() < COUNTED_MOST:
+        if counts.total() < MAX_COUNTED:
             counts[key // BUCKET] += 1
 
-    def counted(self) -> dict[str, Counter[int]]:
+    def take_counts(self) -> dict[str, Counter[int]]:
         """The requests since the last call, by service and bucket."""
         counts, self._counts = self._counts, {}
         return counts
--- a/mesh/data_plane/membership.py
+++ b/mesh/data_plane/membership.py
@@ -22,41 +22,41 @@
         self.nodes: dict[str, Mapping[str, Any]] = {}
         self.instances: dict[str, Mapping[str, Any]] = {}
         self._addresses: dict[str, Address] = {}
-        self.of_service: dict[str, set[str]] = {}
-        self._of_node: dict[str, dict[str, None]] = {}  # instances, in the order in which they came
-        self._draw: CanarySelection | None = None
+        self.instances_by_service: dict[str, set[str]] = {}
+        self._instances_by_node: dict[str, dict[str, None]] = {}  # instances, in the order in which they came
+        self._canary_selection: CanarySelection | None = None
 
-    def take(self, items: Iterable[Item]) -> dict[str, list[tuple[str, Mapping[str, Any] | None]]]:
+    def apply(self, items: Iterable[Item]) -> dict[str, list[tuple[str, Mapping[str, Any] | None]]]:
         """Takes items that have changed; gives the instances among them, by service."""
         told: dict[str, list[tuple[str, Mapping[str, Any] | None]]] = {}
-        self._draw = None
+        self._canary_selection = None
         for item in items:
             if item.kind == NODE:
-                self._node(item)
+                self._apply_node(item)
             elif item.kind == INSTANCE:
                 known = self.instances.pop(item.name, None)
                 if known is not None:
-                    self._leaves(item.name, str(known.get("node", "")))
+                    self._remove_from_node(item.name, str(known.get("node", "")))
                     service = str(known["plant"])
-                    self.of_service[service].discard(item.name)
-                    if not self.of_service[service]:
-                        del self.of_service[service]
+                    self.instances_by_service[service].discard(item.name)
+                    if not self.instances_by_service[service]:
+                        del self.instances_by_service[service]
                     if item.value is None or item.value["plant"] != service:
                         told.setdefault(service, []).append((item.name, None))
                 if item.value is not None:
                     service = str(item.value["plant"])
                     self.instances[item.name] = item.value
-                    self._of_node.setdefault(str(item.value.get("node", "")), {})[item.name] = None
-                    self.of_service.setdefault(service, set()).add(item.name)
+                    self._instances_by_node.setdefault(str(item.value.get("node", "")), {})[item.name] = None
+                    self.instances_by_service.setdefault(service, set()).add(item.name)
                     told.setdefault(service, []).append((item.name, item.value))
         return told
 
-    def _leaves(self, instance: str, node: str) -> None:
-        del self._of_node[node][instance]
-        if not self._of_node[node]:
-            del self._of_node[node]
+    def _remove_from_node(self, instance: str, node: str) -> None:
+        del self._instances_by_node[node][instance]
+        if not self._instances_by_node[node]:
+            del self._instances_by_node[node]
 
-    def _node(self, item: Item) -> None:
+    def _apply_node(self, item: Item) -> None:
         self.nodes.pop(item.name, None)
         self._addresses.pop(item.name, None)
         if item.value is not None:
@@ -72,13 +72,13 @@
         value = self.instances.get(instance)
         return str(value["node"]) if value is not None else ""
 
-    def of(self, service: str) -> list[tuple[str, Mapping[str, Any] | None]]:
+    def instances_of(self, service: str) -> list[tuple[str, Mapping[str, Any] | None]]:
         """The instances of one service."""
-        return [(name, self.instances[name]) for name in sorted(self.of_service.get(service, ()))]
+        return [(name, self.instances[name]) for name in sorted(self.instances_by_service.get(service, ()))]
 
-    def at(self, node: str) -> list[str]:
+    def instances_at(self, node: str) -> list[str]:
         """The instances that are said to be there. Asked at every tick: never a search of all."""
-        return list(self._of_node.get(node, ()))
+        return list(self._instances_by_node.get(node, ()))
 
     def controllers(self) -> dict[str, Address]:
         """Control processes by the host of their address."""
@@ -89,18 +89,18 @@
                 found[address[0]] = address
         return found
 
-    def draw(self) -> CanarySelection:
+    def canary_selection(self) -> CanarySelection:
         """Who takes changed items first, of the sidecars that have an upstream: those without one have ended,
         or carry next to nothing."""
-        if self._draw is None:
+        if self._canary_selection is None:
             nodes = {str(value["node"]) for value in self.instances.values()}
-            self._draw = CanarySelection(
+            self._canary_selection = CanarySelection(
                 {node: str(self.nodes.get(node, {}).get("zone", "")) for node in nodes}
             )
-        return self._draw
+        return self._canary_selection
 
-    def proxies(self) -> int:
+    def proxy_count(self) -> int:
         return sum(value.get("role") == PROXY for value in self.nodes.values())
 
-    def zones(self) -> int:
+    def zone_count(self) -> int:
         return len({value.get("zone") for value in self.instances.values()})
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -227,7 +227,7 @@
             self.open()
         elif self.refused_connects > 1:
             for outgoing in list(self.to_query.values()):
-                self.context.turns.take(partial(self._end_unclear, outgoing, "connection refused"))
+                self.context.turns.submit(partial(self._end_unclear, outgoing, "connection refused"))
 
     def _on_incarnation_timeout(self, link: Link) -> None:
         if self.link is link and not self.incarnation_known:
@@ -341,7 +341,7 @@
             link.expects -= 1
             self._mark_verified()
         for outgoing in list(self.to_query.values()):
-            self.context.turns.take(partial(self._query, outgoing), question=True)
+            self.context.turns.submit(partial(self._query, outgoing), question=True)
 
     def _query(self, outgoing: OutgoingCall) -> None:
         link = self.link
@@ -393,7 +393,7 @@
         if not outgoing.apply(Event.LINK_LOST):
             return
         if partly_sent:  # the rest of its body is never sent
-            self.context.turns.take(partial(outgoing.on_end, NotExecuted(RejectReason.LOST)))
+            self.context.turns.submit(partial(outgoing.on_end, NotExecuted(RejectReason.LOST)))
         else:
             self._schedule_query(outgoing, why)
 
@@ -403,7 +403,7 @@
         window_ms = query_window_ms(outgoing.call, (now - outgoing.sent_s) * 1000.0)
         if self.retired or outgoing.incarnation is None or window_ms <= 0.0:
             self._cancel_query_timer(outgoing)
-            self.context.turns.take(partial(self._end_unclear, outgoing, why))
+            self.context.turns.submit(partial(self._end_unclear, outgoing, why))
             return
         self.to_query[outgoing.number] = outgoing
         if outgoing.query_timer is None:
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -18,7 +18,7 @@
 from mesh.data_plane.client_connection import ClientListener
 from mesh.data_plane.control_contact import ControlContact
 from mesh.data_plane.incoming_calls import IncomingCalls
-from mesh.data_plane.introspection import answers_of
+from mesh.data_plane.introspection import operator_handlers
 from mesh.data_plane.key_holds import KeyHolds
 from mesh.data_plane.membership import NODE, PROXY, ROLE_NAMES, Membership
 from mesh.data_plane.peer_calls import MAX_CORE_ADDRESSES
@@ -26,8 +26,8 @@
 from mesh.data_plane.request_dispatch import RequestDispatcher
 from mesh.data_plane.route_preparation import prepare
 from mesh.data_plane.service_tables import ServiceBalancers
-from mesh.data_plane.shutdown import Shutdown, rest_s
-from mesh.data_plane.staged_routes import Stages
+from mesh.data_plane.shutdown import Shutdown, max_idle_s
+from mesh.data_plane.staged_routes import StagedRoutes
 from mesh.data_plane.upstream_connections import UpstreamConnectionPool
 from mesh.data_plane.upstream_dispatch import UpstreamDispatch
 from mesh.data_plane.upstream_registration import Registry
@@ -50,19 +50,19 @@
 from mesh.transport.http_calls import Answer, HttpServer
 from mesh.transport.link import Address, Link, listen
 
-MOST_CHARTER = 40_000
-MOST_ROLL = 20_000
+MAX_CHARTER_ITEMS = 40_000
+MAX_ROLL_ITEMS = 20_000
 TICK_S = 0.1
 SPARE_FILES = 64  # descriptors that are neither clients', links' nor the upstream's
-ASKED_BEYOND = 2  # control processes asked for news beyond those that may be lost at once
-MOST_HEARD = 64  # control processes that other proxies tell of
-TAP_SHARE = 0.9  # of what an upstream accepts, this sidecar opens; it is the only one that can
-TAP_MOST = 100  # where the operator does not say
-OPERATORS_KINDS = frozenset({INPUT_LIMITS, PLANT, ROUTE})
-HELD_SHARE = 1 / 32  # of the memory, for ends that may be asked after
+EXTRA_CONTROLLERS = 2  # control processes asked for news beyond those that may be lost at once
+MAX_REPORTED_CONTROLLERS = 64  # control processes that other proxies tell of
+CONNECTION_SHARE = 0.9  # of what an upstream accepts, this sidecar opens; it is the only one that can
+DEFAULT_MAX_CONNECTIONS = 100  # where the operator does not say
+OPERATOR_KINDS = frozenset({INPUT_LIMITS, PLANT, ROUTE})
+SESSION_MEMORY_SHARE = 1 / 32  # of the memory, for ends that may be asked after
 
 
-def budget_of(bounds: Bounds) -> tuple[float, float, float]:
+def retry_budget_of(bounds: Bounds) -> tuple[float, float, float]:
     """The budget of further tries: ratio, window in milliseconds and slack."""
     return bounds.retry_ratio, bounds.retry_window_s * 1000.0, bounds.retry_slack
 
@@ -74,37 +74,39 @@
         self.peer_address = (settings.ip, settings.port_range[0])
         self.incarnation = f"{settings.node}.{os.urandom(4).hex()}"
         self.charter, self.roll = (
-            Store(self.incarnation, MOST_CHARTER, decided=True),
-            Store(self.incarnation, MOST_ROLL),
+            Store(self.incarnation, MAX_CHARTER_ITEMS, decided=True),
+            Store(self.incarnation, MAX_ROLL_ITEMS),
         )
         self.reports = Store(self.incarnation, 2)  # this sidecar's own reports only
-        self.membership, self.routes, self.tombs = Membership(), Routes(), Tombstones()
-        self._dropped = Tombstones()  # of the charter
+        self.membership, self.routes, self.tombstones = Membership(), Routes(), Tombstones()
+        self._charter_tombstones = Tombstones()  # of the charter
         bounds = settings.bounds
         self.upstream = Upstream(settings.node, settings.zone, settings.beat_period_ms, bounds.drain_ms)
         assert settings.upstream is not None
         self.upstream_connections = UpstreamConnectionPool(
-            settings.upstream, TAP_MOST, event_log, bounds.drain_ms
+            settings.upstream, DEFAULT_MAX_CONNECTIONS, event_log, bounds.drain_ms
         )
         self.upstream_dispatch = UpstreamDispatch(
             self.upstream, self.upstream_connections, event_log, lambda told: self.registry.publish(told)
         )
         self.peer_links = PeerLinks(
-            settings.node, self.upstream_dispatch, event_log, self._reached, self.incarnation
+            settings.node, self.upstream_dispatch, event_log, self._on_reachable, self.incarnation
         )
         self.peer_links.core = lambda: self.membership.controllers()
-        self._heard_of: dict[str, Address] = {}  # control processes that other proxies told of
-        self.sessions: CallSessions[End] = CallSessions(int(HELD_SHARE * settings.limits.memory_mb * 1e6))
+        self._reported_controllers: dict[str, Address] = {}  # control processes that other proxies told of
+        self.sessions: CallSessions[End] = CallSessions(
+            int(SESSION_MEMORY_SHARE * settings.limits.memory_mb * 1e6)
+        )
         self.balancers = ServiceBalancers(
             self.peer_links,
             self.membership,
             self.membership.node_of,
             settings.zone,
-            budget_of(bounds),
+            retry_budget_of(bounds),
             zlib.crc32(self.incarnation.encode()),
             event_log,
         )
-        self.stages = Stages(
+        self.staged_routes = StagedRoutes(
             settings,
             self.charter,
             self.reports,
@@ -116,8 +118,11 @@
             event_log,
         )
         self.key_holds = self._make_key_holds()
-        self.balancers.on_request_end, self.balancers.on_newer_item = (self.stages.ended, self._renew)
-        self.upstream_dispatch.find_newer_item = self.stages.newer
+        self.balancers.on_request_end, self.balancers.on_newer_item = (
+            self.staged_routes.record_request,
+            self._on_newer_route,
+        )
+        self.upstream_dispatch.find_newer_item = self.staged_routes.find_newer_item
         self.request_dispatcher = RequestDispatcher(
             self.balancers,
             settings.plant,
@@ -125,22 +130,22 @@
             self.routes.find,
             self.configured,
             lambda service: self.balancers.by_service[service].update_instances(
-                self.membership.of(service), full=True
+                self.membership.instances_of(service), full=True
             ),
         )
-        self._join_hops()
+        self._share_between_hops()
         self.registry = Registry(
             self.upstream,
             self.roll,
             self.membership,
             event_log,
             self.balancers.now,
-            lambda items: self._changed("roll", items),
-            self.key_holds.answer,
+            lambda items: self._on_items("roll", items),
+            self.key_holds.answer_heartbeat,
         )
         most = max((settings.limits.file_handles - SPARE_FILES) // 2, 16)
         self.client_listener = ClientListener(self.request_dispatcher, most)
-        self.client_listener.rest(rest_s(bounds.grace_s))
+        self.client_listener.set_max_idle(max_idle_s(bounds.grace_s))
         self.control = HttpServer(self.registry.handle)
         self.readiness = HttpServer(self._ready)
         self.channels = Channels(
@@ -153,24 +158,26 @@
                 "role": PROXY,
             },
             {"charter": self.charter, "roll": self.roll, REPORTS: self.reports},
-            settings.tolerance.machines + ASKED_BEYOND,
+            settings.tolerance.machines + EXTRA_CONTROLLERS,
             event_log,
-            self._changed,
-            extra=lambda channel, head, _: self._told(channel, head),
+            self._on_items,
+            extra=lambda channel, head, _: self._on_control_frame(channel, head),
             up=(REPORTS,),
             ranks=True,
         )
         self.channels.silent = lambda role: ("charter",)  # an old copy here brings back nothing
         self.control_contact = ControlContact(bounds.contact_ms, self.channels, event_log)
-        self.questions = Questions(answers_of(self, time.time))
+        self.questions = Questions(operator_handlers(self, time.time))
         self.ending = False
         self.incoming_links: set[Link] = set()  # with calls from other sidecars
         self._server: asyncio.Server | None = None
-        self._touched = self.loop.time()  # when there was last a link with news
-        self._doubted_at: float | None = None  # what is held of the charter is to be told anew since then
+        self._linked_at = self.loop.time()  # when there was last a link with news
+        self._unconfirmed_since: float | None = (
+            None  # what is held of the charter is to be told anew since then
+        )
         self._node_version = int(time.time() * 1000)
 
-    def _join_hops(self) -> None:
+    def _share_between_hops(self) -> None:
         """What the clients' side and the upstream's have together: memory, and which runs are repeats."""
         self.upstream_dispatch.use_buffers(self.request_dispatcher.buffers)
         self.request_dispatcher.repeats = self.upstream_dispatch.repeats
@@ -186,7 +193,7 @@
             self.reports,
             int(time.time() * 1000),
             lambda: self.channels,
-            lambda: self.membership.at(settings.node),
+            lambda: self.membership.instances_at(settings.node),
         )
         self.upstream_dispatch.holds_key = holds.may_run
         return holds
@@ -200,8 +207,8 @@
         self.client_listener.listen(ports.outbound)
         await self.control.listen(ports.control)
         await self.readiness.listen(ports.readiness)
-        self._say_node()
-        self._know()
+        self._publish_node()
+        self._update_channels()
         self.loop.call_later(TICK_S, self._tick)
         self.event_log.tell(events.STARTED, role=ROLE_NAMES[PROXY])
         if self.event_log.writes(events.CALL_AT_FIRST_HOP):
@@ -210,9 +217,11 @@
             CallTrace(self).start()
 
     def _new_link(self) -> Link:
-        return Link(lambda _: None, self._met, self._unmet, self.request_dispatcher.buffers.frames)
+        return Link(
+            lambda _: None, self._on_frame, self._on_link_lost, self.request_dispatcher.buffers.frames
+        )
 
-    def _say_node(self) -> None:
+    def _publish_node(self) -> None:
         settings = self.settings
         self._node_version = version_above(self.roll.items.get((NODE, settings.node)), self._node_version + 1)
         told = self.roll.write(
@@ -227,58 +236,58 @@
             },
         )
         if isinstance(told, Item):
-            self._changed("roll", [told])
+            self._on_items("roll", [told])
 
-    def _say_again(self) -> None:
+    def _republish(self) -> None:
         """The others gave this sidecar up while they heard nothing of it, and may have forgotten that."""
-        self._say_node()
+        self._publish_node()
         self.registry.republish()
-        self.stages.again()
-        self.key_holds.again()
+        self.staged_routes.supersede_report()
+        self.key_holds.supersede_report()
 
     def _tick(self) -> None:
         self.loop.call_later(TICK_S, self._tick)  # first: signs of life go on whatever is raised below
         now = self.loop.time()
         self.channels.tick(now)
         self.control_contact.tick(now)
-        self.stages.tick(now)
+        self.staged_routes.tick(now)
         self.key_holds.tick(now)
         self.peer_links.tick(now)
         self.upstream_connections.close_expired()
         self.sessions.sweep(now)
         for link in list(self.incoming_links):
             link.tick(now)
-        for key in self.tombs.pop_expired(now):
+        for key in self.tombstones.pop_expired(now):
             self.roll.remove_tombstone(key)
-        for key in self._dropped.pop_expired(now):
+        for key in self._charter_tombstones.pop_expired(now):
             self.charter.remove_tombstone(key)
-        self._doubts(now)
-        if now - self._touched > RESYNC_AFTER_S:  # looked at before the links: they outlast standing still
-            self._touched = now
-            self._changed("roll", self.roll.clear_remote_items())
-            self._say_again()
+        self._check_unconfirmed(now)
+        if now - self._linked_at > RESYNC_AFTER_S:  # looked at before the links: they outlast standing still
+            self._linked_at = now
+            self._on_items("roll", self.roll.clear_remote_items())
+            self._republish()
         elif self.channels.open:
-            self._touched = now
+            self._linked_at = now
         if was_dropped(self.roll.items.get((NODE, self.settings.node))):
-            self._say_again()
+            self._republish()
         self.registry.reconcile()
 
-    def _doubts(self, now: float) -> None:
+    def _check_unconfirmed(self, now: float) -> None:
         """Who heard of no whole control process for long may hold what was dropped, and forgotten since. It
         goes on with what it has, asks for all anew, and lets go what the first whole answer did not name."""
-        if self._doubted_at is not None:
-            if self.channels.whole_at > self._doubted_at:
-                self._doubted_at = None
-                self._changed("charter", self.charter.remove_unconfirmed())
+        if self._unconfirmed_since is not None:
+            if self.channels.whole_at > self._unconfirmed_since:
+                self._unconfirmed_since = None
+                self._on_items("charter", self.charter.remove_unconfirmed())
         elif self.configured() and not self.channels.fresh(RESYNC_AFTER_S):
-            self._doubted_at = now
+            self._unconfirmed_since = now
             self.charter.mark_unconfirmed()
             for channel in list(self.channels.open):
                 channel.link.close("asks for all anew")
 
     def configured(self) -> bool:
         """Whether all of the operators' configuration is here; the members come before there is any."""
-        known = any(kind in OPERATORS_KINDS for kind, _ in self.charter.items)
+        known = any(kind in OPERATOR_KINDS for kind, _ in self.charter.items)
         return known and self.channels.whole_at > 0.0
 
     async def _ready(self, message: http.Message) -> Answer:
@@ -298,64 +307,66 @@
     def open_calls(self) -> int:
         """Of clients on this machine, and of other proxies at the upstream beside it."""
         return (
-            self.request_dispatcher.in_hand
+            self.request_dispatcher.open_requests
             + len(self.upstream_dispatch.running)
             + len(self.upstream_dispatch.queue)
         )
 
     # News
 
-    def _changed(self, name: str, items: list[Item]) -> None:
+    def _on_items(self, name: str, items: list[Item]) -> None:
         if name == "charter":
-            self._dropped.note(self.loop.time(), items)
+            self._charter_tombstones.note(self.loop.time(), items)
             for item in items:
-                self._configure(item)
-            self.stages.changed()
+                self._apply_item(item)
+            self.staged_routes.schedule_report()
             newest = max((item.version for item in items), default=0)
             self.event_log.tell(events.IN_FORCE, items=len(items), version=newest)
         else:
-            self.tombs.note(self.loop.time(), items)
-            for service, entries in self.membership.take(items).items():
+            self.tombstones.note(self.loop.time(), items)
+            for service, entries in self.membership.apply(items).items():
                 table = self.balancers.by_service.get(service)
                 if table is not None:
                     table.update_instances(entries)
             if any(item.kind == NODE for item in items):
-                self._know()
+                self._update_channels()
                 for item in items:
                     if item.kind == NODE and item.value is None:
                         self.peer_links.forget(item.name)
-            self.balancers.set_fleet_size(self.membership.proxies(), self.membership.zones())
+            self.balancers.set_fleet_size(self.membership.proxy_count(), self.membership.zone_count())
         self.channels.poke()
 
-    def _told(self, channel: Channel, head: Any) -> None:
+    def _on_control_frame(self, channel: Channel, head: Any) -> None:
         """A frame of a control process beside news. Raises KeyError, TypeError or ValueError."""
-        if not self.key_holds.frame(head):
-            self.stages.told(head, channel.whole)
+        if not self.key_holds.handle_frame(head):
+            self.staged_routes.handle_frame(head, channel.whole)
 
-    def _reached(self, node: str, up: bool) -> None:
+    def _on_reachable(self, node: str, up: bool) -> None:
         """What cannot be reached from here takes no calls from here, whatever others say of it."""
         self.event_log.tell(events.REACHED if up else events.UNREACHED, peer=node)
-        for instance in self.membership.at(node):
+        for instance in self.membership.instances_at(node):
             value = self.membership.instances[instance]
             table = self.balancers.by_service.get(str(value["plant"]))
             if table is not None:
                 table.update_instances([(instance, value)])
 
-    def _configure(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         if item.kind in (PLANT, OWNERSHIP):
-            self.key_holds.take(item)
+            self.key_holds.apply_item(item)
             table = self.balancers.by_service.get(item.name)
             if item.kind == PLANT and table is not None:
                 table.update_sharding()
         if item.kind == ROUTE:
-            self.stages.route(item)
+            self.staged_routes.receive_route(item)
         elif item.kind == INPUT_LIMITS:
-            self.client_listener.keep_to(read_limits(item.value))
+            self.client_listener.apply_limits(read_limits(item.value))
         elif item.kind == PLANT and item.name == self.settings.plant and item.value is not None:
             most = item.value.get("conn_saturation")
-            self.upstream_connections.max_connections = max(int(TAP_SHARE * most), 1) if most else TAP_MOST
+            self.upstream_connections.max_connections = (
+                max(int(CONNECTION_SHARE * most), 1) if most else DEFAULT_MAX_CONNECTIONS
+            )
 
-    def _renew(self, packed: list[Any] | None) -> None:
+    def _on_newer_route(self, packed: list[Any] | None) -> None:
         """A second hop goes by a newer version of a route, which it sent along."""
         try:
             item = unpack(packed) if packed is not None else None
@@ -364,39 +375,39 @@
         if item is not None and item.kind == ROUTE:
             changed = self.charter.merge([item], {})
             if not isinstance(changed, StoreFull) and changed:
-                self.stages.route(item, late=True)
-                self.stages.changed()
+                self.staged_routes.receive_route(item, late=True)
+                self.staged_routes.schedule_report()
 
-    def _know(self) -> None:
+    def _update_channels(self) -> None:
         port = self.settings.port_range[0]
         known = {host: (host, port) for host, _ in self.settings.seeds}
         controllers = self.membership.controllers()
-        known.update(controllers or self._heard_of)
+        known.update(controllers or self._reported_controllers)
         self.channels.know(known)
 
-    def _hear_of(self, told: Any) -> None:
+    def _on_reported_controllers(self, told: Any) -> None:
         """Another proxy says which control processes there are: of use to one that has just started, and
         cannot have its seeds. What a controller says of them takes its place."""
         if self.membership.controllers() or not isinstance(told, list):
             return
         for address in map(read_address, told[:MAX_CORE_ADDRESSES]):
-            if address is not None and len(self._heard_of) < MOST_HEARD:
-                self._heard_of.setdefault(address[0], address)
-        self._know()
+            if address is not None and len(self._reported_controllers) < MAX_REPORTED_CONTROLLERS:
+                self._reported_controllers.setdefault(address[0], address)
+        self._update_channels()
 
     def retune(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, other bounds."""
         self.settings = settings
-        self.balancers.set_retry_budget(budget_of(settings.bounds))
+        self.balancers.set_retry_budget(retry_budget_of(settings.bounds))
         self.upstream.drain_ms = settings.bounds.drain_ms
-        self.client_listener.rest(rest_s(settings.bounds.grace_s))
-        self.stages.tune(settings)
-        self.control_contact.tune(settings.bounds.contact_ms)
-        self._know()
+        self.client_listener.set_max_idle(max_idle_s(settings.bounds.grace_s))
+        self.staged_routes.apply_settings(settings)
+        self.control_contact.set_contact_bound(settings.bounds.contact_ms)
+        self._update_channels()
 
     # Links that others open
 
-    def _met(self, link: Link, head: Any, body: bytes) -> None:
+    def _on_frame(self, link: Link, head: Any, body: bytes) -> None:
         if isinstance(link.peer, IncomingCalls):
             try:
                 link.peer.handle_frame(head, body)
@@ -417,13 +428,13 @@
             self.incoming_links.add(link)
             if session is not None:
                 link.send(GreetingReply(incarnation=self.incarnation, window=WINDOW_BYTES))
-            self._hear_of(head.get("core"))
+            self._on_reported_controllers(head.get("core"))
         elif head.get("t") == "hello" and head.get("for") == "news" and "source" in head and "node" in head:
             self.channels.adopt(link, head)
         else:
             link.close("no hello")
 
-    def _unmet(self, link: Link, why: str) -> None:
+    def _on_link_lost(self, link: Link, why: str) -> None:
         self.incoming_links.discard(link)
         self.questions.lost(link)
         if isinstance(link.peer, Channel):
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -15,25 +15,25 @@
 from mesh.configuration.routes import Route, pick
 from mesh.data_plane.call_messages import BodyBytes, UpstreamResponse
 from mesh.data_plane.call_state import ClientRequest, ClientResult, Failed, Refused, RouteChanged, Served
-from mesh.data_plane.key_maps import KEY
+from mesh.data_plane.key_maps import KEY_HEADER
 from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.data_plane.upstream_dispatch import REWRITTEN_HEADERS
 from mesh.ownership.key_map import read_key
 
-UNREADY_S = 0.3  # after which a client may come back while no configuration is here
-OTHERS_S = 0.2  # and where nothing better is known
-ID = re.compile(rb"[!-~]{1,128}")
-WHOLE = re.compile(rb"[0-9]{1,9}")
+NO_CONFIGURATION_RETRY_S = 0.3  # after which a client may come back while no configuration is here
+DEFAULT_RETRY_S = 0.2  # and where nothing better is known
+ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
+TIME_REMAINING = re.compile(rb"[0-9]{1,9}")
 Reply = Callable[[int, http.Headers, BodyBytes], None]
 
-ONCE = frozenset({b"host", b"attempt-id", b"time-remaining", KEY})
+SINGLE_HEADERS = frozenset({b"host", b"attempt-id", b"time-remaining", KEY_HEADER})
 
 
-def fields_of(message: http.Message) -> dict[bytes, bytes] | None:
+def read_single_headers(message: http.Message) -> dict[bytes, bytes] | None:
     """The headers that decide; None where one stands twice."""
     found: dict[bytes, bytes] = {}
     for name, value in message.headers:
-        if name in ONCE:
+        if name in SINGLE_HEADERS:
             if name in found:
                 return None
             found[name] = value
@@ -53,7 +53,13 @@
         fill: Callable[[str], None],
     ) -> None:
         """``known``: whether a configuration is here at all. ``fill`` tells a new table its instances."""
-        self.balancers, self.caller, self._find, self._known, self._fill = (tables, caller, find, known, fill)
+        self.balancers, self.caller, self._find, self._configured, self._load_instances = (
+            tables,
+            caller,
+            find,
+            known,
+            fill,
+        )
         self.budget = Budget(memory_mb)
         self.buffers = BufferBudget(self.budget.total)
         self.bodies = self.buffers.bodies
@@ -61,26 +67,26 @@
         self.limits = InputLimits()  # a request keeps to those that hold when it begins
         self.closed = False  # at an end: there is no time left for what comes now
         self._count = 0
-        self._asks: dict[str, ClientRequest] = {}
+        self._requests: dict[str, ClientRequest] = {}
 
     def now(self) -> float:
         return self.balancers.now()
 
     @property
-    def in_hand(self) -> int:
-        return len(self._asks)
+    def open_requests(self) -> int:
+        return len(self._requests)
 
     def client_gone(self, request: str) -> None:
-        ask = self._asks.pop(request, None)
+        ask = self._requests.pop(request, None)
         if ask is not None:
             self.balancers.by_service[ask.service].client_gone(ask)
 
-    def give_up(self) -> int:
+    def abandon_all(self) -> int:
         """The end of the process is here. What no upstream has, and none ever will, is refused, so that its
         client learns that; the rest has no answer. Gives how many those are."""
-        for ask in list(self._asks.values()):
+        for ask in list(self._requests.values()):
             self.balancers.by_service[ask.service].abandon(ask)
-        return len(self._asks)
+        return len(self._requests)
 
     def route_of(self, message: http.Message) -> Route | None:
         """Where a whole request goes, as things stand now."""
@@ -90,27 +96,31 @@
     def begin(self, taken: float, message: http.Message, reply: Reply) -> str | None:
         """Takes a request; gives the id by which its client's leaving is told, or None where the answer has
         been given already. Raises http.BadMessage for what cannot be read as a request at all."""
-        fields = fields_of(message)
+        fields = read_single_headers(message)
         if fields is None or not TARGET.fullmatch(message.target):
             raise http.BadMessage(HTTPStatus.BAD_REQUEST)
         attempt, left = fields.get(b"attempt-id", b""), fields.get(b"time-remaining")
-        if not ID.fullmatch(attempt) or left is not None and not WHOLE.fullmatch(left):
+        if not ATTEMPT_ID.fullmatch(attempt) or left is not None and not TIME_REMAINING.fullmatch(left):
             reply(HTTPStatus.BAD_REQUEST, [], b"")
             return None
         if self.closed:
-            reply(HTTPStatus.SERVICE_UNAVAILABLE, [(b"retry-after", b"%.3f" % OTHERS_S)], b"")
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, [(b"retry-after", b"%.3f" % DEFAULT_RETRY_S)], b"")
             return None
         route = self.route_of(message)
         if route is None:
-            if self._known():
+            if self._configured():
                 reply(HTTPStatus.NOT_FOUND, [], b"")
             else:
-                reply(HTTPStatus.SERVICE_UNAVAILABLE, [(b"retry-after", b"%.3f" % UNREADY_S)], b"")
+                reply(
+                    HTTPStatus.SERVICE_UNAVAILABLE,
+                    [(b"retry-after", b"%.3f" % NO_CONFIGURATION_RETRY_S)],
+                    b"",
+                )
             return None
         self._count += 1
-        return self._take(str(self._count), route, taken, message, reply)
+        return self._submit(str(self._count), route, taken, message, reply)
 
-    def _take(
+    def _submit(
         self,
         number: str,
         route: Route,
@@ -122,7 +132,7 @@
         left = message.get(b"time-remaining")
         waits = min(float(left), route.horizon_ms) if left is not None else route.horizon_ms
         service = pick(route, self.balancers.random_fraction())
-        key = read_key(message.get(KEY)) if self.balancers.keys.divided(service) else None
+        key = read_key(message.get(KEY_HEADER)) if self.balancers.keys.is_sharded(service) else None
         if key is not None:
             self.balancers.keys.count(service, key)
         ask = ClientRequest(
@@ -140,21 +150,21 @@
             repeat=left is not None and self.repeats.may_have_made(taken + float(left)),
             key=key,
         )
-        self._asks[ask.id] = ask
+        self._requests[ask.id] = ask
         table, new = self.balancers.get_or_create(service, route)
         if new:
-            self._fill(service)
+            self._load_instances(service)
         table.submit(ask)
-        return ask.id if ask.id in self._asks else None
+        return ask.id if ask.id in self._requests else None
 
     def _answer(self, reply: Reply, ask: ClientRequest, final: ClientResult) -> None:
-        self._asks.pop(ask.id, None)
+        self._requests.pop(ask.id, None)
         if isinstance(final, RouteChanged):
             route = self.route_of(ask.message)
             if route is None:
                 reply(HTTPStatus.NOT_FOUND, [], b"")
             else:
-                self._take(ask.id, route, ask.received_ms, ask.message, reply, anyway=True)
+                self._submit(ask.id, route, ask.received_ms, ask.message, reply, anyway=True)
         elif isinstance(final, Served):
             answer: UpstreamResponse = final.answer
             if answer.status in http.STATUS_LINES:
@@ -162,7 +172,7 @@
             else:
                 reply(HTTPStatus.BAD_GATEWAY, [], b"")
         elif isinstance(final, Refused):
-            wait = final.retry_after_ms / 1000.0 if final.retry_after_ms > 0.0 else OTHERS_S
+            wait = final.retry_after_ms / 1000.0 if final.retry_after_ms > 0.0 else DEFAULT_RETRY_S
             reply(HTTPStatus.SERVICE_UNAVAILABLE, [(b"retry-after", b"%.3f" % wait)], b"")
         else:
             assert isinstance(final, Failed)
--- a/mesh/data_plane/route_preparation.py
+++ b/mesh/data_plane/route_preparation.py
@@ -18,7 +18,7 @@
     dry = []
     for service, _ in route.split:
         table, new = tables.get_or_create(service, route)
-        known = membership.of(service)
+        known = membership.instances_of(service)
         live = [value for _, value in known if value is not None and value["state"] == SETTLED]
         if new:
             table.update_instances(known, full=True)
--- a/mesh/data_plane/service_balancers.py
+++ b/mesh/data_plane/service_balancers.py
@@ -96,7 +96,7 @@
 
     def _new_balancer(self) -> Balancer | KeyedBalancer:
         seed = self.context.seed()
-        if self.context.keys.divided(self.service):
+        if self.context.keys.is_sharded(self.service):
             return KeyedBalancer(self._settings(), self._key_holder)
         return Balancer(self._settings(), seed)
 
@@ -112,7 +112,7 @@
     def update_sharding(self) -> None:
         """Applies a change of the service's item: from now on its requests are routed by key, or no longer
         are. Open requests end by their open attempts or at their deadlines."""
-        if self.sharded is not self.context.keys.divided(self.service):
+        if self.sharded is not self.context.keys.is_sharded(self.service):
             self.balancer = self._new_balancer()
             self.handle(api.ServerList(ListKind.FULL, 0, tuple(self._entries.values())))
 
--- a/mesh/data_plane/shutdown.py
+++ b/mesh/data_plane/shutdown.py
@@ -35,8 +35,8 @@
 NOTICE_SHARE = 0.4  # of the grace, at the most
 # The other sidecars' links are waited for so long, each to have read the last word: seconds, and as a share
 # of what is left until the kill; the lesser counts.
-LEAVE_S, LEAVE_SHARE = 0.2, 0.5
-LOOK_S = 0.02  # between two looks at what is in hand
+GO_AWAY_WAIT_S, GO_AWAY_WAIT_SHARE = 0.2, 0.5
+POLL_S = 0.02  # between two looks at what is in hand
 
 
 class ShutdownTimes(Struct, frozen=True):
@@ -57,7 +57,7 @@
     )
 
 
-def rest_s(grace_s: float) -> float:
+def max_idle_s(grace_s: float) -> float:
     """For how many seconds a client's connection may rest: an end can wait for so long without holding the
     process up, since new connections are taken meanwhile."""
     return max(shutdown_times(grace_s).notice_s, 1.0)
@@ -102,11 +102,11 @@
             proxy.client_listener.stop(accept_s=times.notice_s, exit_s=times.exit_s)
         )
         while self._loop.time() < began + times.exit_s and not (clients.done() and self._all_answered()):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         await clients
         late.cancel()
-        self._tell_given_up()
-        await self._leave_links()
+        self._log_unfinished()
+        await self._close_links()
         proxy.control.stop()
         proxy.readiness.stop()
 
@@ -118,27 +118,27 @@
         proxy = self._proxy
         if proxy.upstream_dispatch.running or len(proxy.upstream_dispatch.queue):
             return False
-        return not any(self._owes(link.peer) or link.unsent for link in proxy.incoming_links)
+        return not any(self._is_receiving(link.peer) or link.unsent for link in proxy.incoming_links)
 
     @staticmethod
-    def _owes(peer: object) -> bool:
+    def _is_receiving(peer: object) -> bool:
         return isinstance(peer, IncomingCalls) and peer.receiving
 
-    def _tell_given_up(self) -> None:
+    def _log_unfinished(self) -> None:
         proxy = self._proxy
-        requests, calls = proxy.request_dispatcher.in_hand, len(proxy.upstream_dispatch.running)
+        requests, calls = proxy.request_dispatcher.open_requests, len(proxy.upstream_dispatch.running)
         if requests or calls:
             proxy.event_log.tell(events.GIVEN_UP, requests=requests, calls=calls)
 
-    async def _leave_links(self) -> None:
+    async def _close_links(self) -> None:
         """Each other end closes its link on the last word here, which it then has read. It finds nobody to
         open the next one to."""
         proxy, left_s = self._proxy, self._grace_s - self._times.exit_s
-        until = self._loop.time() + min(LEAVE_S, LEAVE_SHARE * left_s)
+        until = self._loop.time() + min(GO_AWAY_WAIT_S, GO_AWAY_WAIT_SHARE * left_s)
         proxy.stop_listening()
         proxy.upstream_dispatch.reject_queued()
         for link in list(proxy.incoming_links):
             if isinstance(link.peer, IncomingCalls):
                 link.peer.leave()
         while proxy.incoming_links and self._loop.time() < until:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
--- a/mesh/data_plane/upstream_registration.py
+++ b/mesh/data_plane/upstream_registration.py
@@ -22,20 +22,20 @@
 PATH = b"/instances/"
 
 
-class Unknown(Struct, frozen=True):
+class UnknownRequest(Struct, frozen=True):
     """No call of ours."""
 
     status: int
 
 
-Command = Heartbeat | Leave | InvalidCommand | Unknown
+Command = Heartbeat | Leave | InvalidCommand | UnknownRequest
 
 
 def decode(message: http.Message) -> Command:
     """The command of a call to the control address."""
     path = message.target.partition(b"?")[0]
     if not path.startswith(PATH):
-        return Unknown(404)
+        return UnknownRequest(404)
     try:
         instance = path[len(PATH) :].decode("ascii")
     except UnicodeDecodeError:
@@ -44,7 +44,7 @@
         return read_heartbeat(instance, message.body)
     if message.method == b"DELETE":
         return Leave(instance)
-    return Unknown(405)
+    return UnknownRequest(405)
 
 
 class Registry:
@@ -65,13 +65,13 @@
         self._upstream, self._roll, self._membership = upstream, roll, membership
         self._event_log, self._now, self._changed = event_log, now, changed
         self._began = now()
-        self._keys = keys if keys is not None else _no_keys
+        self._key_fields = keys if keys is not None else _no_keys
 
     async def handle(self, message: http.Message) -> Answer:
         """The answer to a call of the upstream: whatever the others know of it, and at once but where keys of
         a divided service are on their way."""
         command = decode(message)
-        if isinstance(command, Unknown):
+        if isinstance(command, UnknownRequest):
             return Answer(command.status)
         if isinstance(command, InvalidCommand):
             return Answer(400, msgspec.json.encode({"error": command.line()}))
@@ -85,18 +85,18 @@
             self.publish(self._upstream.leave(command.instance))
             return Answer(200, b"{}")
         known = self._upstream.heartbeat
-        self.publish(self._upstream.on_heartbeat(self._now(), command, self._is_over(command.instance)))
+        self.publish(self._upstream.on_heartbeat(self._now(), command, self._has_ended(command.instance)))
         if self._upstream.contender == command.instance:  # what is not taken is not acknowledged
             return Answer(503)
-        self._tell(known, command)
-        return Answer(200, msgspec.json.encode(await self._keys(command)))
+        self._log_change(known, command)
+        return Answer(200, msgspec.json.encode(await self._key_fields(command)))
 
-    def _is_over(self, instance: str) -> bool:
+    def _has_ended(self, instance: str) -> bool:
         """Whether this machine has said so, in an earlier life of this process too."""
         item = self._roll.items.get((INSTANCE, instance))
         return item is not None and item.value is None and item.version >= FINAL_VERSION
 
-    def _tell(self, known: Heartbeat | None, beat: Heartbeat) -> None:
+    def _log_change(self, known: Heartbeat | None, beat: Heartbeat) -> None:
         """What a beat has changed, for the log. ``known``: the newest before it."""
         if self._upstream.instance != beat.instance:
             return
@@ -129,7 +129,7 @@
         ended while this sidecar was down."""
         mine = self._upstream.instance
         if not mine:
-            here = self._membership.at(self._upstream.node)
+            here = self._membership.instances_at(self._upstream.node)
             states = {name: self._membership.instances[name].get("state") for name in here}
             self._upstream.published_decaying = frozenset(name for name in here if states[name] == DECAYING)
         silent = self._now() - self._began > SILENT_HEARTBEATS * self._upstream.heartbeat_ms
@@ -137,7 +137,7 @@
         item = self._roll.items.get((INSTANCE, mine))  # dropped, it may be, and then not in the membership
         if item is not None and item.version > self._upstream.version:
             told += self._upstream.republish(item.version)
-        for instance in self._membership.at(self._upstream.node):
+        for instance in self._membership.instances_at(self._upstream.node):
             if instance != mine and (mine or silent):
                 # above what was said of it once more while it was taken for the one that is here
                 version = max(FINAL_VERSION, self._roll.items[INSTANCE, instance].version + 1)
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -231,7 +231,7 @@
         for machine, program in self.programs(core=False):
             changed = program.roll.merge(items, {})
             if changed:
-                machine.life.context.run(program._changed, "roll", changed)  # type: ignore[union-attr]
+                machine.life.context.run(program._on_items, "roll", changed)  # type: ignore[union-attr]
 
     def request(self, machine: Machine, route: Route, attempt: str, left_ms: int) -> None:
         program = machine.program
@@ -327,7 +327,7 @@
     found = []
     if program.upstream_dispatch.running or len(program.upstream_dispatch.queue):
         found.append(f"{name}: calls at the upstream or in the line")
-    if program.request_dispatcher.in_hand or len(program.peer_links.turns):
+    if program.request_dispatcher.open_requests or len(program.peer_links.turns):
         found.append(f"{name}: requests in hand")
     for node, one in program.peer_links._links.items():
         expects = one.link.expects if one.link is not None else 0
--- a/rigs/lost_links/hop.py
+++ b/rigs/lost_links/hop.py
@@ -77,7 +77,7 @@
 
 def _without_ends() -> Replaced:
     """Now and then an answer is not given."""
-    say = client_connection.PipelinedConnection._say
+    say = client_connection.PipelinedConnection._reply
     count = 0
 
     def seldom_not(self: client_connection.PipelinedConnection, *said: Any) -> None:
@@ -86,7 +86,7 @@
         if count % 50:
             say(self, *said)
 
-    return [(client_connection.PipelinedConnection, "_say", seldom_not)]
+    return [(client_connection.PipelinedConnection, "_reply", seldom_not)]
 
 
 GUARDS: dict[str, Callable[[], Replaced]] = {
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -91,7 +91,7 @@
         store = self.proxy.roll if name == "roll" else self.proxy.charter
         changed = store.merge(items, {})
         if isinstance(changed, list) and changed:
-            self.proxy._changed(name, changed)
+            self.proxy._on_items(name, changed)
 
     def close(self) -> None:
         """Lets go of all that it holds of the system."""
--- a/rigs/soak/faults.py
+++ b/rigs/soak/faults.py
@@ -10,7 +10,7 @@
 from mesh.control_plane import operator_api
 from mesh.control_plane.operator_api import OperatorApi
 from mesh.data_plane.shutdown import Shutdown
-from mesh.data_plane.staged_routes import Stages
+from mesh.data_plane.staged_routes import StagedRoutes
 from mesh.replication.items import Item
 from mesh.replication.proposer import Conflict, Decided
 from mesh.storage.lmdb_store import Keeper, Kept
@@ -26,26 +26,26 @@
 
 def _ignores_changes() -> None:
     """A proxy lets some versions of routes pass by."""
-    route = Stages.route
+    route = StagedRoutes.receive_route
 
-    def seldom_not(self: Stages, item: Item, late: bool = False) -> None:
+    def seldom_not(self: StagedRoutes, item: Item, late: bool = False) -> None:
         if item.version % SELDOM:
             route(self, item, late)
 
-    replace(Stages, "route", seldom_not)
+    replace(StagedRoutes, "receive_route", seldom_not)
 
 
 def _goes_back() -> None:
     """A proxy puts an older version into force again."""
-    use = Stages._use
+    use = StagedRoutes._put_in_force
 
-    def use_and_go_back(self: Stages, now: float, one: Any) -> None:
+    def use_and_go_back(self: StagedRoutes, now: float, one: Any) -> None:
         before = self._routes.named(one.key[1])
         use(self, now, one)
         if before is not None and one.version % SELDOM == 0:
             asyncio.get_running_loop().call_later(BACK_S, self._routes.put, before)
 
-    replace(Stages, "_use", use_and_go_back)
+    replace(StagedRoutes, "_put_in_force", use_and_go_back)
 
 
 def _takes_what_is_invalid() -> None:
--- a/rigs/stage_model.py
+++ b/rigs/stage_model.py
@@ -218,7 +218,7 @@
         return side._replace(status=status, touched=now)
 
     def _know(self, now: int, at: int, side: Side, item: int, version: int) -> Side:
-        """As `proxy.stages.Stages.route` does it."""
+        """As `StagedRoutes.receive_route` does it."""
         kind = next(c.kind for c in self.size.changes if (c.item, c.version) == (item, version))
         chamber, first = _chamber(side), at == self._first(item, version)
         behind = _contact(side).is_behind(float(now))
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -36,7 +36,7 @@
         """An item comes, as news would bring it; no value: it is dropped."""
         self._version += 1
         item = self.proxy.charter.write(kind, name, self._version, value)
-        self.proxy._changed("charter", [item])  # type: ignore[list-item]
+        self.proxy._on_items("charter", [item])  # type: ignore[list-item]
 
     async def client(self) -> Client:
         """A connection of a client."""
--- a/simulation/mesh/key_seeds.py
+++ b/simulation/mesh/key_seeds.py
@@ -30,13 +30,13 @@
 
 def any_answer_is_current() -> Patch:
     """Clause 1: a question counts as answered when it is asked."""
-    ask = KeyHolds._ask
+    ask = KeyHolds._query
 
     def asks(self: KeyHolds, now: float, first_only: bool) -> None:
         ask(self, now, first_only)
         self.holds._confirmed_at = now
 
-    return mock.patch.object(KeyHolds, "_ask", asks)
+    return mock.patch.object(KeyHolds, "_query", asks)
 
 
 def nothing_is_read() -> Patch:
--- a/simulation/mesh/key_troubles.py
+++ b/simulation/mesh/key_troubles.py
@@ -147,7 +147,7 @@
 def map_withheld(world: OwnersWorld) -> Script:
     """A proxy is told which map holds, and does not get it; its upstream drains and hears no answer."""
     program = world.machines["s1"].program
-    program.key_holds.take = lambda _: None
+    program.key_holds.apply_item = lambda _: None
     world.servers["s1"].state = "decaying"
     yield world.env.timeout(LONG_CUT_S)
 
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -8,7 +8,7 @@
 from mesh.admission.final_check import RejectReason
 from mesh.configuration.routes import read_route
 from mesh.data_plane.call_messages import Call, End, NotExecuted
-from mesh.data_plane.staged_routes import Stages
+from mesh.data_plane.staged_routes import StagedRoutes
 from mesh.data_plane.upstream_dispatch import DispatchedCall, UpstreamDispatch
 from mesh.rollout import bounds as rollout_bounds
 from mesh.rollout.canary_selection import CanarySelection
@@ -22,7 +22,7 @@
 
 def hold_beyond_the_bound(patch: Patch) -> None:
     patch.setattr(rollout_bounds, "HOLD_SHARE", 0.5)
-    patch.setattr(Stages, "told", lambda self, head: None)  # a good word would end it sooner
+    patch.setattr(StagedRoutes, "handle_frame", lambda self, head: None)  # a good word would end it sooner
     patch.setattr(
         StagedActivation,
         "next_due",
@@ -50,13 +50,13 @@
             self.held.setdefault((args[1][0], args[1][1]), before)
         return one
 
-    def use(self: Stages, now: float, one: ItemActivation) -> None:
+    def use(self: StagedRoutes, now: float, one: ItemActivation) -> None:
         item = self._charter.items[one.key]
         assert item.value is not None
         self._routes.put(read_route(item.name, one.version, dict(item.value)))
 
     patch.setattr(StagedActivation, "receive", receive)
-    patch.setattr(Stages, "_use", use)
+    patch.setattr(StagedRoutes, "_put_in_force", use)
 
 
 def first_part_is_empty(patch: Patch) -> None:
@@ -74,14 +74,14 @@
 
 
 def names_any_eight_with_a_new_vector(patch: Patch) -> None:
-    real = Stages._say
+    real = StagedRoutes._report
 
-    def say(self: Stages) -> None:
-        held, self.chamber.held = self.chamber.held, dict(list(self.chamber.held.items())[:8])
+    def say(self: StagedRoutes) -> None:
+        held, self.activation.held = self.activation.held, dict(list(self.activation.held.items())[:8])
         real(self)
-        self.chamber.held = held
+        self.activation.held = held
 
-    patch.setattr(Stages, "_say", say)
+    patch.setattr(StagedRoutes, "_report", say)
 
 
 def second_hop_turns_away_too_early(patch: Patch) -> None:
--- a/tests/mesh/test_answer_world.py
+++ b/tests/mesh/test_answer_world.py
@@ -58,7 +58,7 @@
 
     def answer(self: Any, reply: Any, ask: ClientRequest, final: ClientResult) -> None:
         if isinstance(final, Served) and final.answer.status == 520:
-            self._asks.pop(ask.id, None)
+            self._requests.pop(ask.id, None)
             reply(502, final.answer.headers, final.answer.body)
         else:
             real(self, reply, ask, final)
--- a/tests/mesh/test_benchmarks_worth.py
+++ b/tests/mesh/test_benchmarks_worth.py
@@ -150,10 +150,10 @@
     ask: Any = SimpleNamespace(
         attempt="a",
         service="s",
-        taken=100.0,
-        sent=[101.0, 180.0],
+        received_ms=100.0,
+        sent_ms=[101.0, 180.0],
         route=SimpleNamespace(name="r-1", aim_ms=500.0),
-        tried=[("i-1", "turned away: full", 79.0), ("i-2", "out", 0.0)],
+        tries=[("i-1", "turned away: full", 79.0), ("i-2", "out", 0.0)],
     )
     for _ in range(2 * MOST_A_SECOND):
         trace.first_hop(300.0, ask, 200)
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -74,10 +74,10 @@
 def test_what_is_held_back_is_let_go(mesh: Mesh) -> None:
     confirmed(mesh)
     for side in mesh.sides:
-        side.stages.chamber.hold_s = 20.0
+        side.staged_routes.activation.hold_s = 20.0
     try:
         version = move(mesh)
-        mesh.wait(lambda: any(side.stages.chamber.held for side in mesh.sides))
+        mesh.wait(lambda: any(side.staged_routes.activation.held for side in mesh.sides))
         mesh.wait(lambda: len(mesh.cores[0].rollouts.rollouts[-1].missing) == 1)
         showing = run(mesh, "rollout", "show")
         assert showing.exit_code == 1 and "1 of 2" in showing.output
@@ -87,7 +87,7 @@
         assert all(side.routes.named("read").version == version for side in mesh.sides)
     finally:
         for side in mesh.sides:
-            side.stages.chamber.hold_s = 0.6
+            side.staged_routes.activation.hold_s = 0.6
 
 
 def test_answers_of_other_versions_are_shown_as_far_as_they_go() -> None:
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -23,7 +23,14 @@
     route = SimpleNamespace(name="r" * 256, version=1, aim_ms=100.0)
     tried = [("i" * 128, describe_end(Unclear("w" * 9000)), 1.0) for _ in range(tries)]
     return SimpleNamespace(
-        **{"attempt": attempt, "taken": taken, "route": route, "service": "s" * 256, "tried": tried, **fields}
+        **{
+            "attempt": attempt,
+            "received_ms": taken,
+            "route": route,
+            "service": "s" * 256,
+            "tries": tried,
+            **fields,
+        }
     )
 
 
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -202,10 +202,10 @@
 @pytest.mark.parametrize("contact", [True, False])
 def test_a_go_word_of_one_without_contact_is_passed_over(contact: bool) -> None:
     def script(world: Cuts) -> Script:
-        stages: Any = world.machines["s1"].program.stages
+        stages: Any = world.machines["s1"].program.staged_routes
         taken: list[Any] = []
-        stages.chamber.approve = lambda *args: taken.append(args)
-        stages.told({"t": "go", "items": [["route", "last", 2]]}, contact)
+        stages.activation.approve = lambda *args: taken.append(args)
+        stages.handle_frame({"t": "go", "items": [["route", "last", 2]]}, contact)
         assert bool(taken) is contact
         yield world.env.timeout(0.0)
 
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -13,9 +13,9 @@
 from anisestair.http.frontend import unread
 from mesh.configuration.limits import InputLimits
 from mesh.configuration.routes import Routes, read_route
-from mesh.data_plane.client_connection import AT_ONCE, ClientListener, PipelinedConnection
+from mesh.data_plane.client_connection import MAX_PIPELINED, ClientListener, PipelinedConnection
 from mesh.data_plane.peer_links import PeerLinks
-from mesh.data_plane.request_dispatch import OTHERS_S, RequestDispatcher
+from mesh.data_plane.request_dispatch import DEFAULT_RETRY_S, RequestDispatcher
 from mesh.data_plane.service_balancers import DEADLINE_SLACK_MS
 from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.data_plane.upstream_connections import UpstreamConnectionPool
@@ -198,7 +198,7 @@
         assert answer and answer.status == status, answer
         assert (answer.get(b"retry-after") is not None) is (status == 503)
         assert sidecar.upstream.runs["a1"] == (status == 502)
-        assert float(answer.get(b"retry-after") or OTHERS_S) > 0.0
+        assert float(answer.get(b"retry-after") or DEFAULT_RETRY_S) > 0.0
 
     beside(test, by_path)
 
@@ -280,7 +280,7 @@
 
 def test_a_body_beyond_the_bound_is_413_and_runs_nowhere() -> None:
     async def test(sidecar: Sidecar) -> None:
-        sidecar.client_listener.keep_to(InputLimits(body=10))
+        sidecar.client_listener.apply_limits(InputLimits(body=10))
         client = await sidecar.client()
         assert (await client.ask("a1", body=b"x" * 10)).status == 200
         assert (await client.ask("a2", body=b"x" * 11)).status == 413
@@ -333,15 +333,17 @@
 def test_so_many_of_one_connection_are_in_hand_and_no_more() -> None:
     async def test(sidecar: Sidecar) -> None:
         client = await sidecar.client()
-        for at in range(AT_ONCE + 4):
+        for at in range(MAX_PIPELINED + 4):
             client.send(f"a{at}", "/read/hold")
-        assert {await sidecar.came() for _ in range(AT_ONCE)} == {f"a{at}" for at in range(AT_ONCE)}
+        assert {await sidecar.came() for _ in range(MAX_PIPELINED)} == {
+            f"a{at}" for at in range(MAX_PIPELINED)
+        }
         await turns()
-        assert sidecar.upstream.comes.empty() and sidecar.request_dispatcher.in_hand == AT_ONCE
+        assert sidecar.upstream.comes.empty() and sidecar.request_dispatcher.open_requests == MAX_PIPELINED
         sidecar.upstream.release.set()
-        answers = [await client.read() for _ in range(AT_ONCE + 4)]
+        answers = [await client.read() for _ in range(MAX_PIPELINED + 4)]
         assert [answer and answer.get(b"attempt-id") for answer in answers] == [
-            f"a{at}" for at in range(AT_ONCE + 4)
+            f"a{at}" for at in range(MAX_PIPELINED + 4)
         ]
 
     beside(test, by_path)
@@ -376,7 +378,7 @@
         assert answer and answer.get(b"attempt-id") == "a1" and answer.get(b"connection") == "close"
         assert await client.read() is None
         await turns()
-        assert set(sidecar.upstream.runs) == {"a1"} and not sidecar.request_dispatcher.in_hand
+        assert set(sidecar.upstream.runs) == {"a1"} and not sidecar.request_dispatcher.open_requests
 
     beside(test, by_path)
 
@@ -423,7 +425,7 @@
         other.send("b", "/read/hold")
         assert {await sidecar.came() for _ in range(3)} == {"a1", "a2", "b"}
         client.leave()
-        await until(lambda: sidecar.request_dispatcher.in_hand == 1 and sidecar.upstream.open == 1)
+        await until(lambda: sidecar.request_dispatcher.open_requests == 1 and sidecar.upstream.open == 1)
         sidecar.upstream.release.set()
         answer = await other.read()
         assert answer and answer.status == 200
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -28,7 +28,7 @@
 )
 from mesh.data_plane.call_state import MIN_QUERY_SHARE, Event, OutgoingCall, State
 from mesh.data_plane.incoming_calls import IncomingCalls
-from mesh.data_plane.paced_turns import AT_ONCE, PACE_S
+from mesh.data_plane.paced_turns import BATCH_SIZE, PAUSE_S
 from mesh.data_plane.peer_calls import INCARNATION_WAIT_S, MAX_SILENT_LINKS
 from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.program import TICK_S
@@ -426,17 +426,17 @@
 def test_second_tries_after_a_loss_of_all_links_come_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
-        ends = [bench.send(far, call(f"a{at}", effectful=False))[1] for at in range(3 * AT_ONCE)]
+        ends = [bench.send(far, call(f"a{at}", effectful=False))[1] for at in range(3 * BATCH_SIZE)]
         await until(lambda: len(far.second.taken) == 1 + len(ends))
         far.links[0].close("reset")
         await until(lambda: any(end.done() for end in ends))
         seen = [sum(end.done() for end in ends)]
         while seen[-1] < len(ends):
-            move(PACE_S)
+            move(PAUSE_S)
             await turns()
             seen.append(sum(end.done() for end in ends))
         steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
-        assert max(steps) <= AT_ONCE, seen
+        assert max(steps) <= BATCH_SIZE, seen
         assert not bench.peer_links.turns
 
     over(test)
--- a/tests/mesh/test_data_plane_membership.py
+++ b/tests/mesh/test_data_plane_membership.py
@@ -19,21 +19,25 @@
 
 def test_instances_are_found_at_the_node_that_they_are_at_now() -> None:
     known = Membership()
-    known.take([at("i1", 1, "n1"), at("i2", 1, "n1"), at("i3", 1, "n2")])
-    assert (known.at("n1"), known.at("n2"), known.at("n3")) == (["i1", "i2"], ["i3"], [])
-    known.take([at("i1", 2, "n2"), gone("i2", 2)])
-    assert (known.at("n1"), known.at("n2")) == ([], ["i3", "i1"])
-    known.take([gone("i9", 1)])  # of one that was never known here
-    assert known.at("n2") == ["i3", "i1"]
+    known.apply([at("i1", 1, "n1"), at("i2", 1, "n1"), at("i3", 1, "n2")])
+    assert (known.instances_at("n1"), known.instances_at("n2"), known.instances_at("n3")) == (
+        ["i1", "i2"],
+        ["i3"],
+        [],
+    )
+    known.apply([at("i1", 2, "n2"), gone("i2", 2)])
+    assert (known.instances_at("n1"), known.instances_at("n2")) == ([], ["i3", "i1"])
+    known.apply([gone("i9", 1)])  # of one that was never known here
+    assert known.instances_at("n2") == ["i3", "i1"]
 
 
 def test_one_that_changes_its_service_is_gone_from_the_one_before() -> None:
     known = Membership()
-    known.take([at("i1", 1, "n1", "red")])
-    told = known.take([at("i1", 2, "n1", "blue")])
+    known.apply([at("i1", 1, "n1", "red")])
+    told = known.apply([at("i1", 2, "n1", "blue")])
     assert told["red"] == [("i1", None)]
     assert [name for name, _ in told["blue"]] == ["i1"]
-    assert known.of("red") == [] and known.at("n1") == ["i1"]
+    assert known.instances_of("red") == [] and known.instances_at("n1") == ["i1"]
 
 
 def test_what_is_found_by_node_is_what_a_search_of_all_finds() -> None:
@@ -41,18 +45,18 @@
     for version in range(1, 2000):
         name = f"i{luck.randrange(40)}"
         node = f"n{luck.randrange(8)}"
-        known.take([gone(name, version) if luck.random() < 0.3 else at(name, version, node)])
+        known.apply([gone(name, version) if luck.random() < 0.3 else at(name, version, node)])
         if version % 50 == 0:
             for number in range(8):
                 one = f"n{number}"
                 searched = [i for i, value in known.instances.items() if value["node"] == one]
-                assert known.at(one) == searched
+                assert known.instances_at(one) == searched
 
 
 def test_addresses_are_those_of_nodes_that_stand() -> None:
     known = Membership()
     value: dict[str, Any] = {"address": "10.0.0.1:7000", "role": PROXY, "zone": "z", "region": "r"}
-    known.take([Item(NODE, "n1", 1, value)])
-    assert known.address("n1") == ("10.0.0.1", 7000) and known.proxies() == 1
-    known.take([Item(NODE, "n1", 2, None)])
-    assert known.address("n1") is None and known.proxies() == 0
+    known.apply([Item(NODE, "n1", 1, value)])
+    assert known.address("n1") == ("10.0.0.1", 7000) and known.proxy_count() == 1
+    known.apply([Item(NODE, "n1", 2, None)])
+    assert known.address("n1") is None and known.proxy_count() == 0
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -485,13 +485,13 @@
         beat = read_heartbeat(upstream.instance, upstream.beat())
         assert isinstance(beat, Heartbeat)
         proxy.upstream.on_heartbeat(proxy.balancers.now(), beat)
-        link = Link(lambda _: None, proxy._met, proxy._unmet)
-        proxy._met(link, {"t": "hello", "node": "n2", "for": "calls"}, b"")
+        link = Link(lambda _: None, proxy._on_frame, proxy._on_link_lost)
+        proxy._on_frame(link, {"t": "hello", "node": "n2", "for": "calls"}, b"")
         for number in range(3):
             head = replace(call(f"a{number}"), target=b"/x", max_wait_ms=500.0).head(number)
-            proxy._met(link, head, b"")
+            proxy._on_frame(link, head, b"")
         await until(lambda: len(upstream.seen) == 2)
-        proxy._unmet(link, "cut")
+        proxy._on_link_lost(link, "cut")
         try:
             assert not proxy.upstream_dispatch.running and not len(proxy.upstream_dispatch.queue)
         finally:
--- a/tests/mesh/test_data_plane_request_dispatch.py
+++ b/tests/mesh/test_data_plane_request_dispatch.py
@@ -29,12 +29,15 @@
 
 def test_what_the_second_hop_writes_anew_does_not_go_between_the_hops() -> None:
     taken: list[Any] = []
-    table = SimpleNamespace(take=taken.append)
-    tables: Any = SimpleNamespace(
-        draw=lambda: 0.5, now=lambda: 0.0, of=lambda *_: (table, False), keys=KeyMaps()
+    balancer = SimpleNamespace(submit=taken.append)
+    balancers: Any = SimpleNamespace(
+        random_fraction=lambda: 0.5,
+        now=lambda: 0.0,
+        get_or_create=lambda *_: (balancer, False),
+        keys=KeyMaps(),
     )
     request_dispatcher = RequestDispatcher(
-        tables, "caller", 256.0, lambda *_: ROUTE, lambda: True, lambda *_: None
+        balancers, "caller", 256.0, lambda *_: ROUTE, lambda: True, lambda *_: None
     )
     message = http.Message(method=b"GET", target=b"/r/1", body=b"")
     message.headers = list(SENT)
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -18,10 +18,10 @@
     UpstreamResponse,
     decode_from_second_hop,
 )
-from mesh.data_plane.client_connection import CROSSING_S, FIRST_REQUEST_S, REST_SHARE
+from mesh.data_plane.client_connection import FIRST_REQUEST_S, IDLE_SHARE, TRANSIT_S
 from mesh.data_plane.incoming_calls import IncomingCalls
-from mesh.data_plane.request_dispatch import OTHERS_S
-from mesh.data_plane.shutdown import NOTICE_S, Shutdown, rest_s, shutdown_times
+from mesh.data_plane.request_dispatch import DEFAULT_RETRY_S
+from mesh.data_plane.shutdown import NOTICE_S, Shutdown, max_idle_s, shutdown_times
 from mesh.event_log import events
 from mesh.runtime.grace import EXIT_S, EXIT_SHARE, exit_after_s
 from mesh.transport.frames import frame
@@ -57,7 +57,7 @@
     assert grace_s * 5 / 6 < times.exit_s < grace_s
     assert times.notice_s <= times.last_request_s <= grace_s / 2.0
     assert times.exit_s == exit_after_s(grace_s) == grace_s - min(EXIT_S, EXIT_SHARE * grace_s)
-    assert rest_s(grace_s) >= 1.0
+    assert max_idle_s(grace_s) >= 1.0
 
 
 # Connections of clients
@@ -101,8 +101,8 @@
         client.write(b"attempt-id: a1\r\n\r\n")
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (503, "close")
-        assert answer.get(b"retry-after") == f"{OTHERS_S:.3f}"
-        assert there.upstream.seen == [] and not there.proxy.request_dispatcher.in_hand
+        assert answer.get(b"retry-after") == f"{DEFAULT_RETRY_S:.3f}"
+        assert there.upstream.seen == [] and not there.proxy.request_dispatcher.open_requests
         client.leave()
         await soon(ends)
 
@@ -158,16 +158,16 @@
         await late.ask("a2", "/read/ok")
         bounds = replace(there.proxy.settings.bounds, grace_s=2.5)
         there.proxy.retune(replace(there.proxy.settings, bounds=bounds))  # clients are told less from now on
-        assert there.proxy.client_listener.rest_s == 1
+        assert there.proxy.client_listener.idle_s == 1
         bounds = replace(there.proxy.settings.bounds, grace_s=GRACE_S)
         there.proxy.settings = replace(there.proxy.settings, bounds=bounds)
         at, ends = loop.time(), ending(there)
         await passed(NOTICE_S + 0.02)
         assert await early.read() is None and not ends.done()
-        await passed(CROSSING_S + 0.1)
+        await passed(TRANSIT_S + 0.1)
         assert await late.read() is None
         await soon(ends)
-        assert loop.time() - at < NOTICE_S + CROSSING_S + 1.0
+        assert loop.time() - at < NOTICE_S + TRANSIT_S + 1.0
 
     beside(tmp_path, test, grace_s=GRACE_S)
 
@@ -175,9 +175,9 @@
 def test_what_is_told_keeps_within_the_operators_limit_and_follows_it(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
         client_listener = there.proxy.client_listener
-        for quiescent_ms, told in (15_000, 2), (2000, int(REST_SHARE * 2.25)), (500, 0):
+        for quiescent_ms, told in (15_000, 2), (2000, int(IDLE_SHARE * 2.25)), (500, 0):
             there.take("input_limits", "input_limits", {"quiescent_ms": quiescent_ms})
-            assert client_listener.rest_s == told
+            assert client_listener.idle_s == told
             client = await there.client()
             answer = await client.ask("a1", "/read/ok")
             assert answer.get(b"keep-alive") == (f"timeout={told}" if told else None)
@@ -185,7 +185,7 @@
         bounds = replace(there.proxy.settings.bounds, grace_s=20.0)
         there.take("input_limits", "input_limits", {"quiescent_ms": 15_000})
         there.proxy.retune(replace(there.proxy.settings, bounds=bounds))
-        assert client_listener.rest_s == 2
+        assert client_listener.idle_s == 2
 
     beside(tmp_path, test, grace_s=GRACE_S)
 
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -20,7 +20,7 @@
 def told(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
     """The others say so of an instance."""
     item = proxy.roll.write(INSTANCE, instance, version, value)
-    proxy._changed("roll", [item])  # type: ignore[list-item]
+    proxy._on_items("roll", [item])  # type: ignore[list-item]
 
 
 def value(node: str = "n1", state: str = SETTLED) -> dict[str, Any]:
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -449,7 +449,7 @@
         value = {"plant": "s", "node": "n1", "zone": "z", "epoch": "", "capacity": 8, "state": "decaying"}
         item = proxy.roll.write("instance", "i-9", 5000, {**value, "cold_ms": 0.0})
         proxy.upstream.heartbeat = None  # as it is before the first beat
-        proxy._changed("roll", [item])  # type: ignore[list-item]
+        proxy._on_items("roll", [item])  # type: ignore[list-item]
         proxy.registry.reconcile()
         ended: list[End] = []
         proxy.upstream_dispatch.accept(replace(passing("b1", "/read/ok"), instance="i-9"), ended.append)
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -78,7 +78,7 @@
         self.took(taken)
 
     def took(self, items: list[Item]) -> None:
-        self.membership.take(items)
+        self.membership.apply(items)
         self.reaping.items_changed(items)
 
     def go_on(self, until: float, hear: Callable[[], None] = lambda: None) -> None:
--- a/tests/mesh/test_large_orders_world.py
+++ b/tests/mesh/test_large_orders_world.py
@@ -210,7 +210,7 @@
 
 def test_who_is_heard_and_does_not_confirm_holds_an_acknowledgement_up_to_its_bound() -> None:
     def day(world: World, orders: Orders) -> Script:
-        linked(world).program.stages._say = lambda: None  # it never reports again
+        linked(world).program.staged_routes._report = lambda: None  # it never reports again
         began = float(world.env.now)
         yield from orders.send(large(1))
         took.append(float(world.env.now) - began)
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -82,7 +82,7 @@
         for one in sides:
             program = one.program
             assert program.balancers.sidecars == 4 and "s1" not in program.peer_links._links
-            assert program.membership.at("s1") == [] and program.membership.address("s1") is None
+            assert program.membership.instances_at("s1") == [] and program.membership.address("s1") is None
             assert not program.peer_links._retiring
         for core in world.controllers():
             assert core.program.reports.items[REPORT, "s1"].value is None
--- a/tests/mesh/test_shutdown_world.py
+++ b/tests/mesh/test_shutdown_world.py
@@ -55,7 +55,7 @@
 Seen = Callable[[Result], bool]
 FAULTS: dict[str, tuple[str, Callable[..., bool], Seen]] = {
     "no answer ends its connection": (
-        *("_ends_with", _keeps_open),
+        *("_closes_after", _keeps_open),
         lambda result: bool(result.findings) or result.took_s > 5.0,
     ),
     "connections that rest are closed at once": (
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -85,7 +85,9 @@
         yield world.env.timeout(max(began + 0.25 - world.env.now, 0.0))
         assert versions(world).count(2) == 1, versions(world)  # the first part: a tenth, one at least
         first = [m.name for m, v in zip(sides(world), versions(world), strict=True) if v == 2]
-        assert first == list(world.controllers()[0].program.membership.draw().canaries("route", "a", 2))
+        assert first == list(
+            world.controllers()[0].program.membership.canary_selection().canaries("route", "a", 2)
+        )
         yield world.env.timeout(began + HOLD_S + 0.1 - world.env.now)
         assert set(versions(world)) == {2}
         yield world.env.timeout(0.5)
@@ -96,7 +98,10 @@
             assert rollout.done is not None and not rollout.missing
             assert machine.program.rollouts.unconfirmed(("route", "a")) == []
         told = [
-            p.state.value for m in sides(world) for p in m.program.stages.chamber.history if p.version == 2
+            p.state.value
+            for m in sides(world)
+            for p in m.program.staged_routes.activation.history
+            if p.version == 2
         ]
         assert set(told) == {"confirmed"}
 
@@ -125,7 +130,12 @@
         yield from moves(world, 2)
         yield world.env.timeout(began + 0.8 * HOLD_S - world.env.now)
         assert set(versions(world)) == {2}
-        whys = {p.reason for m in sides(world) for p in m.program.stages.chamber.history if p.version == 2}
+        whys = {
+            p.reason
+            for m in sides(world)
+            for p in m.program.staged_routes.activation.history
+            if p.version == 2
+        }
         assert "the first part's word is good" in whys
 
     assert played(staged(then, traffic_s=0.008, count=4)) == []
@@ -156,16 +166,16 @@
 def test_an_operators_go_and_hold_are_obeyed_while_there_is_time() -> None:
     def then(world: Staged) -> Script:
         for machine in sides(world):
-            machine.program.stages.order("a", activation_module.RolloutCommand.GO, True)
+            machine.program.staged_routes.apply_command("a", activation_module.RolloutCommand.GO, True)
         began = float(world.env.now)
         yield from moves(world, 2)
         yield world.env.timeout(began + 0.1 - world.env.now)
         assert set(versions(world)) == {2} and versions(world, "b").count(2) == 1
         for machine in sides(world):
-            machine.program.stages.order("b", activation_module.RolloutCommand.GO, False)
+            machine.program.staged_routes.apply_command("b", activation_module.RolloutCommand.GO, False)
         assert set(versions(world, "b")) == {2}
         assert all(
-            m.program.stages.order("a", activation_module.RolloutCommand.HOLD, False) is None
+            m.program.staged_routes.apply_command("a", activation_module.RolloutCommand.HOLD, False) is None
             for m in sides(world)
         )
 
@@ -204,7 +214,7 @@
     def then(world: Staged) -> Script:
         one = sides(world)[0]
         for version, service in ((2, "q"), (3, "p"), (4, "q")):
-            one.program.stages.order("b", activation_module.RolloutCommand.GO, True)
+            one.program.staged_routes.apply_command("b", activation_module.RolloutCommand.GO, True)
             for _ in range(4):
                 world.ask_for(one, "b", True)
             before = one.program.routes.named("b").split[0][0]
@@ -280,7 +290,7 @@
     """Before the change, while the news is out, while the others wait, as they take it."""
 
     def then(world: Staged) -> Script:
-        draw = sides(world)[0].program.membership.draw()
+        draw = sides(world)[0].program.membership.canary_selection()
         (name,) = draw.canaries("route", "a", 2)
         first = world.machines[name]
         rest = next(m for m in sides(world) if m is not first)
@@ -343,7 +353,7 @@
     def look() -> Script:
         """Also before the order is acknowledged: so large a one is only once it is in force."""
         while True:
-            most[0] = max(most[0], *(len(m.program.stages.chamber.held) for m in sides(world)))
+            most[0] = max(most[0], *(len(m.program.staged_routes.activation.held) for m in sides(world)))
             yield world.env.timeout(0.02)
 
     world.env.process(look())
@@ -391,7 +401,11 @@
     world.heal()
     yield world.env.timeout(1.5)
     at = [when for when, life, name, v in world.changes if life is lone.life and (name, v) == ("a", 2)]
-    known = [p.known_at for p in lone.program.stages.chamber.history if p.version == 2 and p.key[1] == "a"]
+    known = [
+        p.known_at
+        for p in lone.program.staged_routes.activation.history
+        if p.version == 2 and p.key[1] == "a"
+    ]
     assert at == known, (at, known)
 
 
