--- a/mesh/replication/__init__.py
+++ b/mesh/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated state without I/O: items with versions, merge, vectors, digests, ballots, quorums."""
+"""Replicated state without I/O: versioned items, merging, version vectors, digests, ballots and quorums."""
--- a/mesh/replication/acceptor.py
+++ b/mesh/replication/acceptor.py
@@ -1,8 +1,8 @@
-"""The vote on one number: of all contents sent under a (kind, name, version) one is chosen. No I/O.
+"""The acceptor: for each (kind, name, version) one of the proposed values is chosen. No I/O.
 
-Single-decree Paxos for each number (Lamport, "The part-time parliament", 1998), kept as a register for each
-key without leader or log (Rystsov, "CASPaxos", 2018). An order of several items is voted on under one ballot,
-all or nothing at each acceptor. docs/design/control.md has the argument, and the ways weighed.
+Single-decree Paxos for each slot (Lamport, "The part-time parliament", 1998), kept as a register for each key
+without leader or log (Rystsov, "CASPaxos", 2018). A batch of several items is voted on under one ballot, all
+or nothing at each acceptor. docs/design/control.md has the argument and the alternatives.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from mesh.replication.quorum import Tolerance
 
 Slot = tuple[str, str, int]  # kind, name, version
-Value = Mapping[str, Any] | None  # None: the item is dropped
+Value = Mapping[str, Any] | None  # None: the item is deleted
 
-ROUND_BLOCK = 1 << 16  # rounds by which the ceiling on disk is raised
+ROUND_BLOCK = 1 << 16  # rounds by which the ceiling on disk rises
 MAX_ROUND = 1 << 52
-MAX_PROMISES = 40_000  # numbers; twice what one order can hold
+MAX_PROMISES = 40_000  # slots; twice the size of the largest batch
 MAX_VOTES = 40_000
-MAX_PAST_DIGESTS = 64  # overtaken versions of one key whose contents are known
+MAX_PAST_DIGESTS = 64  # superseded versions of one key whose digests are kept
 
 
 class Ballot(Struct, frozen=True, order=True):
-    """``proposer``: one life of one process, which uses a round once."""
+    """``proposer``: one incarnation of one process, which uses each round once."""
 
     round: int
     proposer: str
 
 
 class Vote(Struct, frozen=True):
-    """Accepted here, not known to be decided. ``tag``: of the order of several items that it came with."""
+    """Accepted here, not known to be decided. ``tag``: of the batch of several items that it belongs to."""
 
     ballot: Ballot
     value: Value
@@ -44,8 +44,8 @@
 
 
 class Decision(Struct, frozen=True):
-    """Decided, by the digest of its content. ``has``: and ``value`` is the content, which stands there.
-    ``tag``: of the order of several items that it came with, where not all of them were decided with it."""
+    """A decided value, by its digest. ``has_value``: ``value`` is the decided content. ``tag``: of the batch
+    of several items that it came with, if not all of them were decided with it."""
 
     digest: str
     has_value: bool = False
@@ -54,14 +54,14 @@
 
 
 class Forgotten(Struct, frozen=True):
-    """Older than all that is known of its key: it may have been decided."""
+    """The slot is older than everything known of its key: it may have been decided."""
 
 
 SlotState = Vote | Decision | Forgotten
 
 
 class Promised(Struct, frozen=True):
-    """No lower ballot is accepted here any more. ``states``: of the numbers of which anything is known;
+    """No lower ballot is accepted here any more. ``states``: of the slots with any known state;
     ``generation``: how often this acceptor's disk has been lost."""
 
     states: Mapping[Slot, SlotState]
@@ -69,8 +69,8 @@
 
 
 class Refusal(Struct, frozen=True):
-    """``round``: a ballot above it may pass; 0 where it is not for its round. ``contended``: another proposer
-    is at work, or the next ballot fares no better at once."""
+    """``round``: a higher ballot may succeed; 0 if the round is not the reason. ``contended``: another
+    proposer is active, or an immediate retry would fare no better."""
 
     round: int
     reason: str
@@ -78,40 +78,37 @@
 
 
 def digest_of(value: Value) -> str:
-    """Of a content: 32 hex digits over its canonical bytes, as `items.content` has them."""
+    """The digest of a value: 32 hex digits over its canonical encoding, as in `items.canonical_content`."""
     return blake2b(msgspec.json.encode(value, order="deterministic"), digest_size=16).hexdigest()
 
 
 class Acceptor:
-    """One member's part. What it says counts once ``votes``, ``past``, ``ceiling`` and ``generations`` are on
-    disk as they were then; promises are kept in memory alone.
+    """One member's acceptor. Its answers count once ``votes``, ``past_digests``, ``ceiling`` and
+    ``generations`` are on disk as they were at that time; promises are kept in memory only.
 
-    A round above ``ceiling`` may be promised only after a higher ceiling is on disk; the next life refuses
-    all rounds up to it, and so all that this one has refused.
+    A round above ``ceiling`` may be promised only after a higher ceiling is on disk; the next incarnation
+    refuses all rounds up to it, and thus everything that this one refused.
     """
 
     def __init__(
         self, name: str, floor: int = 0, collected_up_to: Callable[[Key], int] = lambda key: -1
     ) -> None:
-        """``floor``: the ceiling as it was on disk; ``forgotten_to``: the highest version of a key whose drop
-        is forgotten, or -1."""
+        """``floor``: the ceiling as read from disk; ``collected_up_to``: the highest version of a key whose
+        tombstone was collected, or -1."""
         self.name, self.floor, self.ceiling = name, floor, floor
-        self.generations: dict[str, int] = {}  # by member: how often its disk was lost, as far as is known
+        self.generations: dict[str, int] = {}  # by member: known losses of its disk
         self.promises: dict[Slot, Ballot] = {}
         self.votes: dict[Slot, Vote] = {}
         self.decided: dict[Key, tuple[int, Value]] = {}  # the highest version decided, by key
-        self.past_digests: dict[
-            Key, dict[int, str]
-        ] = {}  # digests of decided versions below that, with /tag if any
-        self.tags: dict[Slot, str] = {}  # of what stands, see Settled
-        self.unknown_up_to: dict[
-            Key, int
-        ] = {}  # versions up to this may have been decided, and nobody can say
+        self.past_digests: dict[Key, dict[int, str]] = {}  # digests of lower decided versions, with /tag
+        self.tags: dict[Slot, str] = {}  # of latest decisions, see Decision
+        self.unknown_up_to: dict[Key, int] = {}  # versions up to this may have been decided
         self._collected_up_to = collected_up_to
 
-    # What is known
+    # State
 
     def state(self, slot: Slot) -> SlotState | None:
+        """The known state of that slot; None if nothing is known."""
         kind, name, version = slot
         key = (kind, name)
         latest = self.decided.get(key)
@@ -133,18 +130,18 @@
         rounds += [vote.ballot.round for vote in self.votes.values()]
         return max([self.floor, *rounds])
 
-    # The vote
+    # Votes
 
     def required_ceiling(self, round: int) -> int:
-        """The ceiling to be written before that round may be promised; 0 where none is needed."""
+        """The ceiling that must be on disk before that round may be promised; 0 if none is needed."""
         return 0 if round <= self.ceiling else (round // ROUND_BLOCK + 1) * ROUND_BLOCK
 
     def set_ceiling(self, ceiling: int) -> None:
-        """That ceiling is on disk."""
+        """Records that this ceiling is on disk."""
         self.ceiling = max(ceiling, self.ceiling)
 
     def promise(self, ballot: Ballot, slots: Iterable[Slot]) -> Promised | Refusal:
-        """All numbers or none. The caller has seen to ``wants``."""
+        """Promises all slots or none. The caller has ensured ``required_ceiling``."""
         requested = list(slots)
         refusal = self._refusal(ballot, requested)
         if refusal is not None:
@@ -168,8 +165,9 @@
         writes: Mapping[Slot, Value],
         tags: Mapping[Slot, str] | None = None,
     ) -> list[Slot] | Refusal:
-        """The numbers whose votes are to be on disk before this is said. ``by``: the generations of those
-        whose promises the proposer goes by: the promise of a disk that was lost since binds nobody."""
+        """Accepts all writes or none; returns the slots whose votes must be on disk before the acceptance is
+        sent. ``generations``: those of the promises that the proposer relies on; the promise of a disk that
+        has been lost since is void."""
         tags = tags or {}
         refusal = self._refusal(ballot, writes)
         if refusal is not None:
@@ -189,7 +187,7 @@
             return Refusal(0, f"{MAX_VOTES} votes are open")
         for slot in changed:
             self.votes[slot] = Vote(ballot, writes[slot], tags.get(slot, ""))
-            self.promises.pop(slot, None)  # the vote refuses what is below it
+            self.promises.pop(slot, None)  # the vote refuses lower ballots
         return changed
 
     def _refusal(self, ballot: Ballot, slots: Iterable[Slot]) -> Refusal | None:
@@ -209,12 +207,12 @@
     # Decisions
 
     def votes_under(self, ballot: Ballot) -> dict[Slot, Value]:
-        """What was accepted under that ballot and is still open."""
+        """The values accepted under that ballot that are still undecided."""
         return {slot: vote.value for slot, vote in self.votes.items() if vote.ballot == ballot}
 
     def learn(self, slot: Slot, value: Value, complete: bool = False) -> bool:
-        """It is known to be decided; whether there is more to be put on disk than the item. ``whole``: all of
-        the order that it came with is."""
+        """Records a decision; returns whether more than the item has to be written to disk. ``complete``: the
+        whole batch of the item is decided."""
         kind, name, version = slot
         key = (kind, name)
         vote = self.votes.pop(slot, None)
@@ -229,9 +227,9 @@
         return (version < latest[0] and self._record_past(key, version, digest_of(value))) or voted
 
     def learn_state(self, slot: Slot, state: Decision | Forgotten) -> bool:
-        """Another acceptor knows it to be settled, or has forgotten it; whether there is something to be put
-        on disk. A content that is held here and settled so is for `settle`; one that is lacking here comes as
-        an item, unless a higher version stands here already."""
+        """Records that another acceptor holds a decision or has forgotten the slot; returns whether something
+        has to be written to disk. A decided value that is held here is passed to `learn`; one that is missing
+        arrives as an item, unless a higher version is already decided here."""
         kind, name, version = slot
         key = (kind, name)
         latest, held = self.decided.get(key), self.state(slot)
@@ -257,14 +255,15 @@
         return True
 
     def forget(self, key: Key) -> None:
-        """Its drop is forgotten, up to ``forgotten_to``."""
+        """Discards the state of a key whose tombstone was collected, up to ``collected_up_to``."""
         for table in (self.decided, self.past_digests, self.unknown_up_to):
             table.pop(key, None)
         for slot in [slot for slot in self.tags if slot[:2] == key]:
             del self.tags[slot]
 
     def reset(self) -> None:
-        """What this disk held counts for nothing: all is to be read anew, under a fence, before it votes."""
+        """Discards everything that this disk held; it is read again, under a fence, before this acceptor
+        votes."""
         for table in (
             self.promises,
             self.votes,
@@ -275,21 +274,22 @@
         ):
             table.clear()
 
-    # A disk that was lost
+    # Lost disks
 
     def fence(self, round: int, member: str, generation: int) -> None:
-        """Every round up to this is refused from now on, and what ``member`` said before that generation of
-        its disk counts no more. The caller has the ceiling and the generations on disk before it says so."""
+        """Refuses every round up to this from now on, and voids what ``member`` promised before that
+        generation of its disk. The caller writes the ceiling and the generations to disk before it confirms
+        the fence."""
         self.floor, self.ceiling = max(self.floor, round), max(self.ceiling, round)
         self.generations[member] = max(generation, self.generations.get(member, 0))
 
 
 def can_fence(view: View, responders: Collection[str], member: str, tolerance: Tolerance) -> bool:
-    """Whether these others of the view are enough to fence a member whose disk was lost. They are a durable
-    set, so that they meet every quorum that promised, be it half of an even view; where no set of the others
-    is durable, all of them: then every ballot needs the member itself, which knows its generation. Each
-    quorum of a joint view holds one of the view before, so those of that are enough: who joins may wait for
-    this one itself."""
+    """Whether these responders are enough to fence a member whose disk was lost. They must be a durable set
+    of the other members, so that they overlap every quorum that promised, even half of an even view. If no
+    set of the others is durable, all of them are needed: then every ballot needs the member itself, which
+    knows its generation. Every quorum of a joint view contains one of the previous view, so those of the
+    previous view are enough: a joining member may be waiting for this one."""
     if view.previous_members is not None:
         view = View(view.epoch, view.previous_members)
     others = view.names - {member}
--- a/mesh/replication/anti_entropy.py
+++ b/mesh/replication/anti_entropy.py
@@ -1,9 +1,10 @@
-"""How two copies find where they differ, and who gives what to whom. No I/O.
+"""How two copies find their differences, and which side sends which items. No I/O.
 
-One side tells its roots; where they differ the other answers with the digests of the tree's first level, and
-each answers the next level of what differs, until the leaves: there one side tells its items, takes what the
-other has newer, and the other takes what is newer here. With DEPTH 3 that is six messages, three round trips.
-What differs beyond MOST_RANGES prefixes of a level, or MOST_LEAVES leaves, is left to the next comparison.
+One side sends its root digests; where they differ the other answers with the digests of the first level of
+the tree, and each answers with the next level of the differing ranges, down to the leaves. There one side
+sends its items, the other takes those that are newer and returns those that are newer at its own side. With
+DEPTH 3 that is six messages, three round trips. Differences beyond MAX_RANGES prefixes of a level, or
+MAX_LEAVES leaves, are left to the next comparison.
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 from mesh.replication.items import Item, canonical_content
 from mesh.replication.store import Store
 
-MAX_RANGES = 16  # prefixes of one level that are gone into
+MAX_RANGES = 16  # prefixes of one level that are compared further
 MAX_LEAVES = 64
-MAX_REPAIR_ITEMS = 2000  # that a peer may send at once; more is no answer to what it was told
+MAX_REPAIR_ITEMS = 2000  # in one message of a peer; more cannot be an answer to this side's request
 
 
 class DifferingRanges(Struct, frozen=True):
-    """Digests of the children of each prefix that differs, to be told to the other side."""
+    """Digests of the children of each prefix that differs, to be sent to the other side."""
 
     ranges: dict[str, dict[str, str]]
 
 
 class DifferingLeaves(Struct, frozen=True):
-    """Leaves that differ, with this side's digest of each ("" where it holds nothing there)."""
+    """Leaves that differ, with this side's digest of each ("" for an empty one)."""
 
     digests: dict[str, str]
 
 
 class RepairPlan(Struct, frozen=True):
-    """``take``: newer at the other side; ``give``: newer here, or not there at all; ``split``: of those,
-    items whose versions are equal and contents are not. ``odd``: leaves whose items are alike on both sides
-    and whose digests are not: one side's tree is wrong."""
+    """``fetch``: newer at the other side; ``send``: newer here, or missing there; ``conflicting``: items of
+    equal version and different content. ``inconsistent_leaves``: leaves with equal items and different
+    digests, so that one side's tree is wrong."""
 
     fetch: list[Item]
     send: list[Item]
@@ -48,8 +49,8 @@
 def compare(
     digests: DigestTree, ranges: Mapping[str, Mapping[str, str]], turn: int
 ) -> DifferingRanges | DifferingLeaves | None:
-    """The other side's digests by prefix against this side's; None where nothing differs (any more).
-    ``turn``: any number; where not all can be gone into, other ones are with another number."""
+    """Compares the other side's digests by prefix with this side's; None if nothing differs. ``turn``: any
+    number; selects other ranges each time when not all can be compared."""
     found = [
         child
         for prefix in sorted(ranges)
@@ -71,19 +72,19 @@
 
 
 def items_under(store: Store, leaves: Iterable[str]) -> list[Item]:
-    """All that lies there, dropped items too."""
+    """All items under these leaves, tombstones included."""
     return [store.items[key] for leaf in leaves for key in store.digests.keys(leaf)]
 
 
 def plan_repair(
     store: Store, leaves: Mapping[str, str], items: Iterable[Item], tombstones_expire: bool
 ) -> RepairPlan:
-    """``leaves``: the other side's digests; ``items``: all that it holds there. ``forgets``: drops of this
-    store are forgotten in time, each process by its own clock, so one that only one side still has is neither
-    given nor taken: they would bring it back to each other for ever."""
+    """``leaves``: the other side's digests; ``items``: all that it holds there. ``tombstones_expire``: each
+    process removes tombstones by its own clock, so one that only one side still has is neither sent nor
+    taken: otherwise both would return it to each other forever."""
     theirs = {item.key: item for item in items}
     fetch, send, conflicting = [], [], []
-    unpaired_tombstone = False  # a drop that only one side still has
+    unpaired_tombstone = False  # a tombstone that only one side still has
     for item in theirs.values():
         held = store.items.get(item.key)
         if held is None and (
@@ -113,12 +114,12 @@
 
 
 def leaf_digest(digests: DigestTree, leaf: str) -> str:
-    """Of one leaf; "" where nothing lies there."""
+    """The digest of one leaf; "" for an empty one."""
     return digests.children(leaf[:-1]).get(leaf, "")
 
 
 def read_ranges(value: Any) -> dict[str, dict[str, str]]:
-    """A peer's digests by prefix. Raises ValueError for what is none."""
+    """Decodes a peer's digests by prefix. Raises ValueError for anything else."""
     if not isinstance(value, dict) or not 0 < len(value) <= MAX_RANGES:
         raise ValueError(f"digests of 1 to {MAX_RANGES} prefixes")
     for prefix, children in value.items():
@@ -132,7 +133,7 @@
 
 
 def read_leaves(value: Any) -> dict[str, str]:
-    """A peer's leaves. Raises ValueError for what are none."""
+    """Decodes a peer's leaves. Raises ValueError for anything else."""
     if not isinstance(value, dict) or len(value) > MAX_LEAVES:
         raise ValueError(f"at most {MAX_LEAVES} leaves")
     if any(len(leaf) != DEPTH or set(leaf) - set(HEX) for leaf in value):
--- a/mesh/replication/digest.py
+++ b/mesh/replication/digest.py
@@ -1,4 +1,4 @@
-"""Digests over ranges of keys, by which two copies find in three steps where they differ."""
+"""Digests over ranges of keys, by which two copies find their differences in three steps."""
 
 from collections.abc import Mapping
 from hashlib import blake2b
@@ -7,15 +7,15 @@
 
 from mesh.replication.items import Item, Key
 
-DEPTH = 3  # hex digits of a leaf's prefix: 4,096 leaves, the bound of the tree
+DEPTH = 3  # hex digits of a leaf's prefix: 4,096 leaves
 HEX = "0123456789abcdef"
 
 
 class DigestTree:
     """A tree of fan-out 16 over the hashes of keys; a node's digest is the xor of its items' 64-bit hashes.
 
-    Xor lets one item change in three steps, without its neighbours. Stamps do not count: copies that reached
-    two stores by different ways are equal. A node without items is absent.
+    With xor, one item changes in three steps without reading its neighbours. Stamps are excluded: copies that
+    reached two stores on different paths are equal. A node without items is absent.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._leaves: dict[str, set[Key]] = {}
 
     def update(self, old: Item | None, new: Item | None) -> None:
-        """``old`` (None: there was none) has been replaced by ``new`` (None: forgotten) of the same key."""
+        """Replaces ``old`` (None: there was none) by ``new`` (None: removed) of the same key."""
         if old is not None:
             self._toggle(_leaf_prefix(old.key), item_hash(old))
         if new is not None:
@@ -39,7 +39,7 @@
         """Digests (16 hex digits) of the up to 16 children of ``prefix`` ("" to 2 hex digits), by child
         prefix.
 
-        Empty where nothing lies below, and for what is no inner node's prefix.
+        Empty if nothing lies below, and for a prefix that is no inner node.
         """
         return {
             prefix + digit: f"{self._sums[prefix + digit]:016x}"
@@ -48,20 +48,20 @@
         }
 
     def root(self) -> str:
-        """One digest (16 hex digits) of all; equal where two hold the same, whatever way it came."""
+        """One digest (16 hex digits) of the whole store; equal stores have equal digests."""
         total = 0
         for digest in self.children("").values():
             total ^= int(digest, 16)
         return f"{total:016x}"
 
     def keys(self, prefix: str) -> list[Key]:
-        """The keys under a leaf's prefix (3 hex digits), sorted; empty where there are none."""
+        """The keys under a leaf's prefix (3 hex digits), sorted."""
         return sorted(self._leaves.get(prefix, ()))
 
-    def _toggle(self, leaf: str, bits: int) -> None:
+    def _toggle(self, leaf: str, item_bits: int) -> None:
         for length in range(1, DEPTH + 1):
             node = leaf[:length]
-            remaining = self._sums.get(node, 0) ^ bits
+            remaining = self._sums.get(node, 0) ^ item_bits
             if remaining:
                 self._sums[node] = remaining
             else:
@@ -78,6 +78,6 @@
 
 
 def item_hash(item: Item) -> int:
-    """64 bits over all of an item but its stamp."""
+    """A 64-bit hash of an item without its stamp."""
     encoded = msgspec.json.encode([item.kind, item.name, item.version, item.value], order="deterministic")
     return int.from_bytes(blake2b(encoded, digest_size=8).digest())
--- a/mesh/replication/items.py
+++ b/mesh/replication/items.py
@@ -1,4 +1,4 @@
-"""One item of control state, its canonical bytes and the law by which two copies of it merge."""
+"""The replicated item, its canonical encoding and the total order by which copies are merged."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,11 +10,12 @@
 
 
 class Item(Struct, frozen=True):
-    """What a store holds under ``(kind, name)``: a mapping of JSON values, or None where it was dropped.
+    """The value stored under ``(kind, name)``: a mapping of JSON values, or None for a tombstone.
 
-    A dropped item stays as a tombstone, since only its version outlives the older copies of the set one.
-    ``(source, number)`` is the stamp: this was the ``number``-th item (from 1) that ``source``, one life of
-    one process, took. It says where copies are to be looked for and counts neither in rank nor in content.
+    A deleted item is kept as a tombstone because its version must outrank older copies of the item.
+    ``(source, number)`` is the stamp: the item was the ``number``-th (from 1) that ``source``, one
+    incarnation of one process, accepted. The stamp locates copies and is ignored when items are ordered or
+    compared.
     """
 
     kind: str
@@ -26,31 +27,32 @@
 
     @property
     def key(self) -> Key:
+        """The key of the item: its kind and name."""
         return (self.kind, self.name)
 
 
 def canonical_content(item: Item) -> bytes:
-    """The value as JSON with sorted keys, the same bytes in every process; ``null`` for a dropped item.
+    """Encodes the value as JSON with sorted keys, identical in every process; ``null`` for a tombstone.
 
-    Raises TypeError where the value holds what JSON cannot say.
+    Raises TypeError for a value that JSON cannot represent.
     """
     return msgspec.json.encode(item.value, order="deterministic")
 
 
 def same_content(a: Item, b: Item) -> bool:
-    """Whether version and value are equal, whatever the stamps.
+    """Whether version and value are equal, ignoring the stamps.
 
-    Values are compared as canonical bytes, as ``outranks`` does: Python takes 1, 1.0 and True for equal.
+    Values are compared by their canonical encoding, as in ``outranks``, because Python treats 1, 1.0 and True
+    as equal.
     """
     return a.version == b.version and canonical_content(a) == canonical_content(b)
 
 
 def outranks(a: Item, b: Item) -> bool:
-    """Whether ``a`` replaces ``b`` (of the same key) where both are known: a total order on version and
-    content.
+    """Whether ``a`` replaces ``b`` of the same key; a total order on version and content.
 
-    The higher version wins; at the same version a dropped item wins over a set one, then the greater
-    canonical bytes. False for equal content.
+    The higher version wins; at equal versions a tombstone wins over a value, then the greater canonical
+    encoding. False for equal content.
     """
     if a.version != b.version:
         return a.version > b.version
--- a/mesh/replication/membership_epochs.py
+++ b/mesh/replication/membership_epochs.py
@@ -1,10 +1,10 @@
-"""Views: who counts, under an epoch, and the quorums of a view. No I/O.
+"""Views: the voting members under an epoch, and the quorums of a view. No I/O.
 
-A view is the item (VIEW, MEMBERS) of the charter; its version is the epoch, and it is agreed on like any
-other number (docs/design/control.md). A change goes by joint consensus (Ongaro and Ousterhout, "In search of
-an understandable consensus algorithm", 2014, section 6): the first epoch of a change has the members
-``before`` and ``now`` and wants each quorum in both; the second, once the new ones are level, has ``now``
-alone.
+A view is the item (VIEW, MEMBERS) of the configuration store; its version is the epoch, and it is agreed on
+like any other slot (docs/design/control.md). A change uses joint consensus (Ongaro and Ousterhout, "In search
+of an understandable consensus algorithm", 2014, section 6): the first epoch of a change has the members
+``before`` and ``now`` and requires each quorum in both; the second, once the new members have caught up, has
+``now`` alone.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 VIEW, MEMBERS = "view", "members"  # kind and name of the one item that holds it
 MAX_EPOCH = 1 << 52
 MAX_MEMBERS = 64
-MAX_CACHED_CHECKS = 512  # of one view; its members hear of each other in far fewer combinations
+MAX_CACHED_CHECKS = 512  # of one view; far fewer combinations of responders occur
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """``now``: members by address, with their places; ``before``: the members of the view before while the
-    change is not over, else None. Epoch 0 and nobody: none is known."""
+    """``members`` by address, with their places; ``previous_members``: those of the view before while a
+    change is in progress, else None. Epoch 0 without members: no view is known."""
 
     epoch: int
     members: Mapping[str, Place]
@@ -35,24 +35,25 @@
 
     @property
     def joint(self) -> bool:
+        """Whether a change is in progress."""
         return self.previous_members is not None
 
     @property
     def names(self) -> frozenset[str]:
-        """All whose answers can count."""
+        """The addresses of all members whose answers can count."""
         return frozenset(self.members) | frozenset(self.previous_members or ())
 
     def durable(self, holders: Collection[str], tolerance: Tolerance) -> bool:
-        """Whether what ``have`` hold is agreed on and outlives what is tolerated: a quorum to accept."""
+        """Whether a write held by ``holders`` is chosen and survives a tolerated loss: an accept quorum."""
         return self._check(True, holders, tolerance)
 
     def overlaps(self, responders: Collection[str], tolerance: Tolerance) -> bool:
-        """Whether every set that may have been durable under this view meets ``heard``: a quorum to prepare,
-        and to read. False where nobody is known."""
+        """Whether every set that may have been durable under this view overlaps ``responders``: a prepare and
+        read quorum. False without members."""
         return self._check(False, responders, tolerance)
 
     def _check(self, to_accept: bool, members_in: Collection[str], tolerance: Tolerance) -> bool:
-        """Kept, since it is asked for the same sets many times a second."""
+        """Cached, because the same sets are checked many times a second."""
         key = (to_accept, frozenset(members_in), tolerance)
         found = self._cached_checks.get(key)
         if found is None:
@@ -75,7 +76,7 @@
 
 
 def write_view(view: View) -> dict[str, Any]:
-    """The item's value; its version is the epoch."""
+    """Encodes the value of the view's item; the item's version is the epoch."""
     value: dict[str, Any] = {"now": _write(view.members)}
     if view.previous_members is not None:
         value["before"] = _write(view.previous_members)
@@ -83,7 +84,7 @@
 
 
 def read_view(epoch: object, value: Mapping[str, Any] | None) -> View:
-    """Raises ValueError for what is no view."""
+    """Decodes a view. Raises ValueError for anything else."""
     if not isinstance(epoch, int) or not 0 < epoch < MAX_EPOCH or value is None:
         raise ValueError("a view has an epoch from 1, and members")
     before = value.get("before")
--- a/mesh/replication/proposer.py
+++ b/mesh/replication/proposer.py
@@ -1,6 +1,7 @@
-"""The proposer of one order: what it asks, what it takes up, and when it is decided. No I/O.
+"""The proposer of one batch of writes: what it requests, which votes it adopts, and when it is decided. No
+I/O.
 
-The other half of `replication/acceptor.py`, which has the vote's terms and the acceptor.
+The counterpart of `replication/acceptor.py`, which defines the terms of the protocol.
 """
 
 from __future__ import annotations
@@ -27,12 +28,16 @@
 
 
 class Prepare(Struct, frozen=True):
+    """Phase 1 request: asks for promises for the slots."""
+
     ballot: Ballot
     epoch: int
     slots: tuple[Slot, ...]
 
 
 class Accept(Struct, frozen=True):
+    """Phase 2 request. ``generations``: those of the promising members."""
+
     ballot: Ballot
     epoch: int
     generations: Mapping[str, int]
@@ -41,7 +46,7 @@
 
 
 class Chosen(Struct, frozen=True):
-    """Decided by this proposer, and not told yet. ``whole``: with it, all of the order is."""
+    """Decided by this proposer and not yet announced. ``complete``: the whole batch is decided with it."""
 
     ballot: Ballot
     writes: Mapping[Slot, Value]
@@ -49,8 +54,8 @@
 
 
 class Retry(Struct, frozen=True):
-    """This ballot leads no further; a new one, of a round above ``round``, may. ``at_once``: there is nobody
-    to make room for."""
+    """This ballot cannot succeed; a new one of a round above ``round`` may. ``at_once``: no other proposer
+    needs time to finish."""
 
     round: int
     reason: str
@@ -58,27 +63,27 @@
 
 
 class Decided(Struct, frozen=True):
-    """Every item of the order stands, or was overtaken after it stood."""
+    """Every item of the batch is decided as proposed, or was superseded after it was."""
 
 
 class Conflict(Struct, frozen=True):
-    """Another order has that number, and nothing of this one ever comes into force."""
+    """Another value is decided for that slot, and no part of this batch will ever be decided."""
 
     slot: Slot
 
 
 class Unresolved(Struct, frozen=True):
-    """It may be in force, in part, or come into it."""
+    """The batch may be decided, in part, or may be decided later."""
 
     reason: str
 
 
 class Proposer:
-    """One order, or (``adopts``) open votes, by their numbers alone, that are to be brought to their
-    decision, whatever it is.
+    """Proposes one batch, or (``adopts``) brings open votes, given by their slots alone, to whatever
+    decision.
 
-    The host sends what `prepare` and `promised` give to all members of the view, feeds what they answer, and
-    begins a ballot anew where it is told `Again`, after a drawn pause; it gives up when its time is over.
+    The host sends the results of `prepare` and `promised` to all members of the view, passes their answers
+    in, and starts a new ballot after a random delay when it gets `Retry`; it stops when its time is over.
     """
 
     def __init__(
@@ -86,40 +91,40 @@
     ) -> None:
         self._incarnation, self._tolerance, self.adopts = incarnation, tolerance, adopts
         self.writes = dict(writes)
-        self.decided_digests: dict[Slot, str] = {}  # numbers that are decided, by digest
-        self.decided_values: dict[Slot, Value] = {}  # of those, as far as it was told
-        self.forgotten: set[Slot] = set()  # of which nobody can know
+        self.decided_digests: dict[Slot, str] = {}  # of decided slots
+        self.decided_values: dict[Slot, Value] = {}  # of those, as far as reported
+        self.forgotten: set[Slot] = set()  # outcome cannot be determined
         self.view = View(0, {})
         self.ballot = Ballot(0, "")
         self._digests = {} if adopts else {slot: digest_of(value) for slot, value in writes.items()}
         self._tag = _batch_tag(self._digests) if len(self._digests) > 1 else ""
-        self._own_decided: set[Slot] = set()  # numbers that were decided as a part of this order
-        self._highest_round_seen = 0  # highest round told of
-        self._conflict_was_known = False  # this ballot began with a rival known to be decided
+        self._own_decided: set[Slot] = set()  # slots decided as a part of this batch
+        self._highest_round_seen = 0  # in refusals
+        self._conflict_was_known = False  # when this ballot began
         self._promises: dict[str, int] = {}  # by member: its generation
         self._refused_by: set[str] = set()
-        self._votes: dict[Slot, Vote] = {}  # the highest of each, as promisers told
-        self._empty_slots: set[Slot] = set()  # of what it adopts: nobody of a quorum holds anything
-        self._own_vote_found = False  # somebody holds a vote that came with this order
+        self._votes: dict[Slot, Vote] = {}  # the highest reported of each
+        self._empty_slots: set[Slot] = set()  # adopting: no member of a quorum holds a vote
+        self._own_vote_found = False  # a member holds a vote of this batch
         self._accept: Accept | None = None
         self._accepted_by: set[str] = set()
 
     def prepare(self, round: int, view: View) -> Prepare:
-        """A new ballot. ``round``: above all that this life has used."""
+        """Starts a ballot. ``round``: above all that this incarnation has used."""
         self.view, self.ballot = view, Ballot(round, self._incarnation)
         self._conflict_was_known = self._first_conflict() is not None
         self._promises, self._refused_by, self._votes, self._accepted_by = {}, set(), {}, set()
         self._accept = None
         self._empty_slots = set()
-        # Once a rival is known all are asked anew: of what is settled, too, each may tell with which order it
-        # came.
+        # After a conflict all slots are requested again, because the answers also tell with which batch a
+        # decided slot came.
         slots = list(self.writes) if self._conflict_was_known else self._open_slots()
         return Prepare(self.ballot, view.epoch, tuple(slots))
 
     def promised(
         self, member: str, epoch: int, ballot: Ballot, promised: Promised
     ) -> Accept | Retry | Decided | Conflict | Unresolved | None:
-        """One answer; None: more are needed."""
+        """Handles one promise; None if more are needed."""
         if ballot != self.ballot or epoch != self.view.epoch or self._accept is not None:
             return None
         self._promises[member] = promised.generation
@@ -150,7 +155,7 @@
 
     def _after_promises(self) -> Accept | Retry | Decided | Conflict | Unresolved | None:
         if self.adopts:
-            # Where a quorum holds nothing, nothing was chosen, and there is nothing to be brought to an end.
+            # If a quorum holds no vote, nothing was chosen and there is nothing to complete.
             self._empty_slots = {slot for slot in self._open_slots() if slot not in self._votes}
             adopted = {slot: self._votes[slot].value for slot in self._open_slots()}
             return self._propose(adopted, self._reported_tags(adopted)) if adopted else Decided()
@@ -159,12 +164,12 @@
             return self._after_conflict(conflict)
         votes = {slot: v.value for slot, v in self._votes.items() if slot not in self.decided_digests}
         others = {slot: value for slot, value in votes.items() if not self._matches_own(slot, value)}
-        if others:  # alone: nothing of this order may be accepted while it may lose
+        if others:  # alone: nothing of this batch may be accepted while it may conflict
             return self._propose(others, self._reported_tags(others))
         own = {slot: self.writes[slot] for slot in self._open_slots()}
         if not own:
             return Decided()
-        # What another order has brought here before keeps that one's tag: it may have been chosen with it.
+        # A value that another batch proposed before keeps the tag of that batch: it may be chosen with it.
         tags = {slot: self._votes[slot].tag if slot in self._votes else self._tag for slot in own}
         return self._propose(own, {slot: tag for slot, tag in tags.items() if tag})
 
@@ -178,9 +183,9 @@
             )
         if not self._conflict_was_known:
             return Retry(0, "another order has a number of this one")
-        # All have promised a ballot that began when the rival was decided, and hold no vote of this order:
-        # whoever proposes the order hereafter meets the rival before it can send an accept. What is decided
-        # as it was sent came with other orders.
+        # All members promised a ballot that began after the conflicting decision, and hold no vote of this
+        # batch: any later proposer of it finds the conflict before it can send an accept. Slots that are
+        # decided as proposed came with other batches.
         return Conflict(conflict) if self.view.names <= self._promises.keys() else None
 
     def _reported_tags(self, slots: Iterable[Slot]) -> dict[Slot, str]:
@@ -191,7 +196,8 @@
         return self._accept
 
     def accepted(self, member: str, epoch: int, ballot: Ballot) -> Chosen | None:
-        """One more has it on disk. Once what is chosen is told, `outcome` says whether that was all."""
+        """Handles one acceptance that is on disk. Once the chosen writes are announced, `outcome` tells
+        whether the batch is done."""
         if self._accept is None or ballot != self.ballot or epoch != self.view.epoch:
             return None
         if self.view.durable(self._accepted_by, self._tolerance):
@@ -205,14 +211,14 @@
         return Chosen(self.ballot, writes, not self.adopts and isinstance(self.outcome(), Decided))
 
     def refused(self, member: str, ballot: Ballot, refusal: Refusal) -> Retry | None:
-        """``Again`` once so many have refused that this ballot can't go through."""
+        """Handles a refusal; ``Retry`` once too many members have refused for this ballot to succeed."""
         self._highest_round_seen = max(self._highest_round_seen, refusal.round)
         if ballot != self.ballot:
             return None
         self._refused_by.add(member)
         remaining = self.view.names - self._refused_by
         if self._conflict_was_known and self._accept is None:
-            possible = False  # all are needed
+            possible = False  # all members are needed
         elif self._accept is not None:
             possible = self.view.durable(remaining, self._tolerance)
         else:
@@ -220,7 +226,7 @@
         return None if possible else Retry(self._highest_round_seen, refusal.reason, not refusal.contended)
 
     def outcome(self) -> Decided | Conflict | None:
-        """Where all is decided, as it was sent, all otherwise, or (``adopts``) in whatever way."""
+        """`Decided` if all slots are decided as proposed (``adopts``: in any way), `Conflict` if none is."""
         if self._open_slots():
             return None
         conflict = self._first_conflict()
@@ -229,7 +235,7 @@
         return Conflict(conflict) if len(self._conflicting_slots()) == len(self.writes) else None
 
     def timed_out(self) -> Unresolved:
-        """Its time is over."""
+        """The outcome when the time is over."""
         conflict = self._first_conflict()
         if conflict is not None:
             return Unresolved(
@@ -258,11 +264,11 @@
 
 
 def _batch_tag(digests: Mapping[Slot, str]) -> str:
-    """Of an order: the same whoever is sent it."""
+    """The tag of a batch, the same for every proposer of it."""
     encoded = msgspec.json.encode(sorted(digests.items()))
     return blake2b(encoded, digest_size=8).hexdigest()
 
 
 def format_slot(slot: Slot) -> str:
-    """For people."""
+    """Formats a slot for texts."""
     return f"{slot[0]} {slot[1][:60]!r} r{slot[2]}"
--- a/mesh/replication/quorum.py
+++ b/mesh/replication/quorum.py
@@ -1,8 +1,8 @@
-"""Which sets of machines make a write durable, and which hear of every durable write.
+"""Which sets of machines make a write durable, and which sets overlap every durable set.
 
 A write is durable once more than half of the members hold it and every tolerated loss leaves a holder. The
-half makes any two durable sets of one view meet; the rest makes a holder outlive the loss. A loss strikes
-machines, or zones, or regions, not several kinds at once.
+majority makes any two durable sets of one view overlap; the other condition lets a holder survive the loss. A
+loss affects machines, or zones, or regions, not several kinds at once.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,14 +11,14 @@
 
 
 class Place(Struct, frozen=True):
-    """Where a machine stands, "" where that is unknown. Zones are told apart by name alone."""
+    """The location of a machine, "" where unknown. Zones are distinguished by name alone."""
 
     zone: str
     region: str
 
 
 class Tolerance(Struct, frozen=True):
-    """What may be lost at once: so many machines, or zones, or regions; 0 asks nothing of that kind."""
+    """How many machines, zones or regions may be lost at once; 0 requires nothing of that kind."""
 
     machines: int
     zones: int
@@ -26,22 +26,23 @@
 
 
 def durable(holders: Collection[str], members: Mapping[str, Place], tolerance: Tolerance) -> bool:
-    """Whether what the machines ``have`` hold is durable among ``members``; others do not count.
+    """Whether a write held by ``holders`` is durable among ``members``; other machines are ignored.
 
-    An unknown zone or region may be any, so also one of the lost: it adds nothing. Where all members together
-    could not bear a kind of loss (a single member and one machine lost, all members in one zone and one zone
-    lost), that kind asks for all members instead, so that a small mesh still takes writes and loses them only
-    with a loss that nobody could have borne. Nothing is durable without members.
+    An unknown zone or region adds nothing, because it may be a lost one. If all members together could not
+    survive a kind of loss (a single member and one lost machine, all members in one zone and one lost zone),
+    that kind requires all members instead, so that a small mesh still accepts writes. Nothing is durable
+    without members.
     """
     return _durable(holders, members, tolerance, count_unknown=False)
 
 
 def overlaps(responders: Collection[str], members: Mapping[str, Place], tolerance: Tolerance) -> bool:
-    """Whether every set that may have been durable meets ``heard``, machines whose disks are whole.
+    """Whether every set that may have been durable overlaps ``responders``, machines whose disks are
+    complete.
 
-    That is so when the members not heard can't have been durable. Whoever called them durable may have known
-    the places that are unknown here: each unknown zone or region is taken for one of its own. Monotone in
-    ``heard``.
+    That holds if the other members cannot have been durable. The process that considered them durable may
+    have known places that are unknown here, so each unknown zone or region counts as one of its own. Monotone
+    in ``responders``.
     """
     return not _durable(members.keys() - set(responders), members, tolerance, count_unknown=True)
 
--- a/mesh/replication/quorum_contact.py
+++ b/mesh/replication/quorum_contact.py
@@ -1,9 +1,9 @@
-"""Whether a control process has contact: answers, of enough members, to what it asked lately. No I/O.
+"""Whether a control process has contact: recent replies of enough members to its probes. No I/O.
 
-All instants are seconds of one steady clock, this process's own. What counts is when an answered question was
-*asked*: an answer proves that its sender was there, and heard, at some moment after that and no more. So a
-process that was frozen and wakes has none, whatever answers lie in its sockets, and a path that is open one
-way proves nothing to either end. Argument and bounds: docs/design/control.md, Contact.
+All times are seconds of this process's monotonic clock. A reply counts from the time its probe was *sent*: it
+proves only that its sender was there and receiving at some moment after that. A process that was frozen and
+resumes therefore has no contact, whatever replies wait in its sockets, and a path that works in one direction
+proves nothing to either end. Argument and bounds: docs/design/control.md, Contact.
 """
 
 from __future__ import annotations
@@ -16,37 +16,38 @@
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Tolerance
 
-REPLY_VALID_SHARE = 1 / 3  # of contact_ms, for which an answer counts from its question on
-PROBE_INTERVAL_SHARE = 1 / 8  # of contact_ms, between two questions: two may be lost and contact stands
-OPEN_VOTE_SHARE = 1 / 2  # of the bound, after which an open vote may be one that was acknowledged elsewhere
-MAX_PROBES = 8  # whose instants are kept; an answer to an older one is beyond the bound
-CLOCK_STEP_SHARE = 1 / 4  # of the bound, by which the two clocks may part between two looks
+REPLY_VALID_SHARE = 1 / 3  # of contact_ms, for which a reply counts, from the sending of its probe
+PROBE_INTERVAL_SHARE = 1 / 8  # of contact_ms, between two probes: contact survives the loss of two
+OPEN_VOTE_SHARE = 1 / 2  # of the reply validity, after which an open vote may be acknowledged elsewhere
+MAX_PROBES = 8  # probes whose send times are kept; replies to older ones are no longer valid
+CLOCK_STEP_SHARE = 1 / 4  # of the reply validity, by which the clocks may diverge between two checks
 
 
 class Proof(IntEnum):
-    """What the answers of late prove, each with what stands before it."""
+    """What the recent replies prove; each level is stated below its value."""
 
     NONE = 0
-    """Others may have acknowledged what is not known here."""
+    """Others may have acknowledged writes that are not known here."""
     READS = 1
-    """Nothing can have been acknowledged without one of those heard: reads are served."""
+    """Nothing can have been acknowledged without one of the responders: reads are served."""
     ORDERS = 2
-    """Those heard can acknowledge by themselves: orders are taken. Half of an even view never can."""
+    """The responders alone can acknowledge writes: writes are accepted. Half of an even view never can."""
 
 
 class ProbeReply(Struct, frozen=True):
-    """One member's answer to the latest question that it has answered."""
+    """One member's reply to the latest probe that it has answered."""
 
     number: int
     sent_at: float
-    disk_complete: bool  # its disk
-    epoch: int  # of the view that it goes by
-    contact: bool  # it has contact itself
-    no_open_votes: bool = True  # it knows of no vote that has long been open
+    disk_complete: bool
+    epoch: int  # of the view that it uses
+    contact: bool  # the member has contact itself
+    no_open_votes: bool = True  # it knows of no vote that has been open for long
 
 
 class QuorumContact:
-    """``bound_s``: seconds for which an answer counts, from its question on."""
+    """The probes and replies of one process. ``reply_valid_s``: how long a reply counts, from the sending of
+    its probe."""
 
     def __init__(self, reply_valid_s: float) -> None:
         self.reply_valid_s = reply_valid_s
@@ -56,12 +57,12 @@
         self._last_clocks: tuple[float, float] | None = None
 
     def check_clocks(self, now: float, wall_time: float) -> bool:
-        """Called several times a second with both clocks; ``day``: seconds of the time of day.
+        """Called several times a second with the monotonic clock and the time of day, both in seconds.
 
-        Where a machine is suspended its steady clock may stand still, and an old answer look fresh. The time
-        of day goes on meanwhile, or is set; so where the two have parted since the last look, nothing counts
-        that was asked before. A step of the time of day alone costs the same: one round of questions. True
-        where that was so.
+        While a machine is suspended its monotonic clock may stand still and an old reply look recent. The
+        time of day advances meanwhile, or is set. If the two have diverged since the last check, all earlier
+        probes are void and the result is True. A step of the time of day alone costs the same: one round of
+        probes.
         """
         before, self._last_clocks = self._last_clocks, (now, wall_time)
         if (
@@ -74,7 +75,7 @@
         return True
 
     def start_probe(self, now: float) -> int:
-        """A question goes out now, to all: its number."""
+        """Records that a probe is sent to all members now; returns its number."""
         self._count += 1
         self._sent[self._count] = now
         while len(self._sent) > MAX_PROBES:
@@ -90,18 +91,19 @@
         contact: bool,
         no_open_votes: bool = True,
     ) -> None:
-        """An answer has come. One to an older question than the last that ``who`` answered changes nothing,
-        nor does one to a question that was not asked, or is forgotten."""
+        """Records a reply. Replies to older probes than the last one that ``member`` answered, and to unknown
+        or discarded probes, change nothing."""
         sent_at, known = self._sent.get(number), self._replies.get(member)
         if sent_at is not None and (known is None or number > known.number):
             self._replies[member] = ProbeReply(number, sent_at, disk_complete, epoch, contact, no_open_votes)
 
     def forget(self, member: str) -> None:
-        """The link to it is lost: it may come back as another life, with another disk."""
+        """Discards the reply of a member whose link is lost: it may return as another incarnation, with
+        another disk."""
         self._replies.pop(member, None)
 
     def valid_replies(self, now: float) -> dict[str, ProbeReply]:
-        """By member: its answer, where that still counts."""
+        """The replies that still count, by member."""
         return {
             member: reply
             for member, reply in self._replies.items()
@@ -117,15 +119,14 @@
         synced: Collection[str],
         no_open_votes: bool = False,
     ) -> Proof:
-        """``own``: this member, None while its disk is not whole; ``flowing``: members from whom all that
-        they held has come by the link that stands now, so that news of theirs is known here.
+        """``own``: this member, None while its disk is not complete; ``synced``: members that have sent
+        everything they held over the current link, so that their updates are known here.
 
-        An answer counts under the view's own epoch alone: one of an older epoch may rest on a majority that
-        is none any more. Who lately heard of a newer epoch does not know who counts, and has no contact.
+        A reply counts only under the epoch of this view: one of an older epoch may rest on a majority that no
+        longer exists. A process that received a newer epoch does not know the members, and has no contact.
 
-        ``settled``: only those count who know of no vote that has long been open, so that what is held here
-        is all that was acknowledged. A vote stays open where half of an even view is heard, which can't
-        bring it to its end.
+        ``no_open_votes``: count only members without votes that have been open for long, so that the state
+        here includes all acknowledged writes. A vote stays open while only half of an even view responds.
         """
         replies = self.valid_replies(now)
         if any(reply.epoch > view.epoch for reply in replies.values()):
@@ -145,8 +146,8 @@
         return Proof.ORDERS if view.durable(counts, tolerance) else Proof.READS
 
     def members_with_contact(self, now: float) -> list[str]:
-        """Those that have said within the bound that they have contact, the latest first: where a caller may
-        be sent."""
+        """Members that reported contact within the bound, the latest first: callers may be redirected to
+        them."""
         found = [
             (reply.sent_at, member) for member, reply in self.valid_replies(now).items() if reply.contact
         ]
--- a/mesh/replication/restore.py
+++ b/mesh/replication/restore.py
@@ -1,8 +1,7 @@
-"""After more losses than are borne: whose word leads when an operator has the rest begin anew. No I/O.
+"""Which processes lead when an operator restores the mesh after more losses than are tolerated. No I/O.
 
-Nothing here can bring back what only the lost ones held. What can be seen to is that no older state leads:
-not against a quorum that is there, not against a member that may yet come back, not against a disk that still
-counts.
+State that only lost processes held cannot be recovered. What is prevented is that an older state leads while
+a quorum is present, while a member may still return, or while a disk still counts.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from mesh.replication.membership_epochs import MAX_EPOCH, View
 from mesh.replication.quorum import Place, Tolerance
 
-EPOCH_STEP = 16  # epochs above the newest known: changes that only the lost ones had come to know lie below
+EPOCH_STEP = 16  # epochs above the newest known one; later changes that only lost members knew lie below
 
 
 def restored_view(
@@ -23,13 +22,14 @@
     copy: View | None,
     tolerance: Tolerance,
 ) -> View | str:
-    """The view to begin anew with, at the process ``me``, or why not, in one line.
+    """The view to begin with again at the process ``me``, or in one line why it is refused.
 
     ``view``: the newest that is known here; ``reached``: by address, whether the disk counts of each control
-    process that answers, this one with them; ``lost``: addresses that an operator gives up; ``copy``: the
-    view of the copy that is to be put back, epoch 0 where it has none, or None where there is no copy.
+    process that answers, including this one; ``lost``: addresses that an operator gives up; ``copy``: the
+    view of the backup to restore, epoch 0 if it has none, or None without a backup.
     """
-    complete = {address for address, whole in reached.items() if whole}
+    complete = {address for address, disk_counts in reached.items() if disk_counts}
+
     if view.overlaps(complete & view.names, tolerance):
         return "enough of those who count are here: nothing is to be restored; wait, or look at status"
     for address in sorted(lost):
--- a/mesh/replication/store.py
+++ b/mesh/replication/store.py
@@ -1,4 +1,4 @@
-"""One node's copy of the control state: the items it holds, and what a peer with some vector lacks."""
+"""One node's copy of the control state, and the computation of what a peer with a given vector lacks."""
 
 from bisect import bisect_left, bisect_right, insort
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -21,86 +21,80 @@
 
 Write = tuple[str, str, int, Mapping[str, Any] | None]  # kind, name, version, value
 
-MAX_UNREFERENCED_SOURCES = (
-    64  # entries of the vector that no item bears; each costs its bytes in every question
-)
-MAX_PAGED_ANSWERS = 16  # answers that may be under way in pages at once
-PAGE_BYTES = 1 << 20  # of one answer as JSON, about; a single item may have more
-PAGE_PREFIX = "page:"  # before a source's name: an entry that counts pages of that source's answer, see Store
+MAX_UNREFERENCED_SOURCES = 64  # vector entries without items; each is sent with every request
+MAX_PAGED_ANSWERS = 16  # paged answers in progress at once
+PAGE_BYTES = 1 << 20  # approximate JSON size of one answer; a single larger item is sent alone
+PAGE_PREFIX = "page:"  # marks a vector entry that counts the pages of a source's answer, see Store
 
 
 class Store:
-    """Items by key, and a vector by source.
+    """Items by key, and a version vector by source.
 
     Invariant P: for each source s and each n <= vector[s], the store holds an item of the key that was
-    stamped (s, n), at that item's rank or higher; tombstones that were forgotten excepted. So a peer that
-    asks with its vector needs only the items whose stamps lie above it, and merging a whole answer raises the
-    vector safely. An item may bear a stamp above the vector (it came in a page, or by repair): it is
-    answered, not claimed.
-
-    Pages. A number that no item bears was replaced by an item whose stamp may lie anywhere, of the same
-    source or another. A page that raised entries of sources would thus claim what comes only in later pages;
-    if its sender were lost in between, the asker would never ask anyone for it again. So a page is cut by the
-    order in which the items came to its sender, and bears a single entry, "page:" and the sender's source:
-    the asker holds whatever the sender still holds of its first n arrivals. An item replaced meanwhile
-    arrives anew, past the page. Only the sender heeds that entry, the last page ends it, and nobody passes it
-    on.
-
-    Where a peer lacks most of what is held, and takes them, the pages are those of a snapshot instead
-    (`replication.snapshot`): its entry is heeded by whoever holds the same, and ends with the last page too.
+    stamped (s, n), at the rank of that item or higher, except for collected tombstones. A peer that sends its
+    vector thus needs only items stamped above it, and merging a complete answer may raise the vector. An item
+    stamped above the vector (from a page or repair) is sent to peers, but not covered by the vector.
+
+    Pages: an item that replaced a missing number may be stamped by any source. A page that raised the entries
+    of sources would claim items of later pages, and if the sender were lost in between, they would never be
+    requested again. Pages are instead cut by the order of arrival at the sender and carry one entry, "page:"
+    and the sender's source: the receiver holds whatever the sender still holds of its first n arrivals. An
+    item replaced meanwhile arrives again, after the page. Only the sender uses that entry, the last page
+    removes it, and it is never forwarded.
+
+    A peer that lacks most items and supports snapshots gets the pages of a snapshot instead
+    (`replication.snapshot`): any holder of the same state can continue it, and its last page removes the
+    entry.
     """
 
     def __init__(self, source: str, max_items: int, decided: bool = False) -> None:
-        """``source`` names this life of this process; writes fill up to ``most`` items, with tombstones.
-        ``decided``: what comes has been agreed on, so of one version there is one content, and one that is
-        held is never turned over for another.
+        """``source`` names this incarnation of this process; writes fill the store up to ``max_items``,
+        tombstones included. ``decided``: received items were agreed on, so one version has one content and a
+        held item is never replaced by another of the same version.
 
-        Raises ValueError for a source that is empty or looks like a page's entry.
+        Raises ValueError for a source that is empty or looks like a page entry.
         """
         if not source or is_page_entry(source):
             raise ValueError(
-                f"source {source!r}: the name must not begin with {PAGE_PREFIX!r} or {SNAPSHOT_PREFIX!r}"
+                f"source {source!r} is empty or begins with {PAGE_PREFIX!r} or {SNAPSHOT_PREFIX!r}"
             )
         self.source = source
         self.max_items, self._decided = max_items, decided
         self.items: dict[Key, Item] = {}
         self.vector: dict[str, int] = {}
         self.digests = DigestTree()
-        self.collected_tombstones = (
-            CollectedTombstones()
-        )  # of drops that all who count have held; empty where drops go by time
+        # Tombstones that all members have held; empty where tombstones expire by time.
+        self.collected_tombstones = CollectedTombstones()
         self._outgoing, self._incoming = OutgoingSnapshots(), IncomingSnapshots()
         self._stamped: dict[str, list[tuple[int, Key]]] = {}  # by source: its items by number
         self._arrived: dict[Key, int] = {}
         self._arrivals = 0
-        self._unconfirmed: set[Key] = set()  # what is to be told anew
-        self._unreferenced: dict[str, None] = {}  # sources in the vector that no item bears, oldest first
+        self._unconfirmed: set[Key] = set()  # items that a peer has to send again
+        self._unreferenced: dict[str, None] = {}  # sources in the vector without items, oldest first
 
     def write(
         self, kind: str, name: str, version: int, value: Mapping[str, Any] | None
     ) -> Item | StoreFull | None:
-        """A write at this node, stamped with its source; None where the held item is not outranked."""
-        taken = self.write_all([(kind, name, version, value)])
-        if isinstance(taken, StoreFull):
-            return taken
-        return taken[0] if taken else None
+        """Applies a local write, stamped with this source; None if the held item is not outranked."""
+        applied = self.write_all([(kind, name, version, value)])
+        if isinstance(applied, StoreFull):
+            return applied
+        return applied[0] if applied else None
 
     def write_all(self, writes: Sequence[Write]) -> list[Item] | StoreFull:
-        """Writes in their order, all or (past the bound) none; the items that changed something."""
-        if (
-            full := self._check_capacity({(kind, name) for kind, name, _, _ in writes}, self.max_items)
-        ) is not None:
+        """Applies writes in order, all or (beyond the capacity) none; returns the items that were changed."""
+        if (full := self._full({(kind, name) for kind, name, _, _ in writes}, self.max_items)) is not None:
             return full
-        taken = []
+        applied = []
         for write in writes:
             item = Item(*write, self.source, self.vector.get(self.source, 0) + 1)
             if self._put(item):
                 self.vector[self.source] = item.number
-                taken.append(item)
-        return taken
+                applied.append(item)
+        return applied
 
     def merge(self, items: Iterable[Item], vector: Mapping[str, int]) -> list[Item] | StoreFull:
-        """As `hear`, for what is no page of a snapshot."""
+        """As `merge_answer`, for answers that are not snapshot pages."""
         changed = self.merge_answer(items, vector)
         assert not isinstance(changed, DigestMismatch)
         return changed
@@ -108,64 +102,65 @@
     def merge_answer(
         self, items: Iterable[Item], vector: Mapping[str, int]
     ) -> list[Item] | StoreFull | DigestMismatch:
-        """A peer's answer, whole or a page, to a question that this store asked; the items that changed it.
+        """Merges a peer's answer to this store's request, complete or one page; returns the changed items.
 
-        Items from elsewhere (repair) come with an empty vector. An item of equal content keeps the stamp it
-        has here. Merges may fill the store to twice ``most``, since nodes apart from each other take writes
-        up to ``most`` each; past that nothing of the answer is merged.
+        Items from repair come with an empty vector. An item of equal content keeps its local stamp. Merging
+        may fill the store to twice ``max_items``, because partitioned nodes each accept writes up to that;
+        beyond it nothing of the answer is merged.
         """
-        told = list(items)
-        if (full := self._check_capacity({item.key for item in told}, 2 * self.max_items)) is not None:
+        received = list(items)
+        if (full := self._full({item.key for item in received}, 2 * self.max_items)) is not None:
             return full
-        self._unconfirmed.difference_update(item.key for item in told)
-        changed = {item.key: item for item in told if self._put(item)}
-        for entry, place in vector.items():
-            if entry.startswith(SNAPSHOT_PREFIX) and place:
-                return self._merge_snapshot_page(entry, place, told, vector) or list(changed.values())
+        self._unconfirmed.difference_update(item.key for item in received)
+        changed = {item.key: item for item in received if self._put(item)}
+        for entry, position in vector.items():
+            if entry.startswith(SNAPSHOT_PREFIX) and position:
+                return self._merge_snapshot_page(entry, position, received, vector) or list(changed.values())
         self._raise_vector(vector)
         if any(source != self.source and not is_page_entry(source) for source in vector):
-            self._end_snapshots()  # a whole answer: nothing is lacking that a snapshot has
+            self._end_snapshots()  # a complete answer contains everything that a snapshot has
         return list(changed.values())
 
     def _merge_snapshot_page(
-        self, entry: str, place: int, told: Sequence[Item], vector: Mapping[str, int]
+        self, entry: str, position: int, page: Sequence[Item], vector: Mapping[str, int]
     ) -> DigestMismatch | None:
-        """A page of one has come; the last one (its place is told below 0) has more in its vector."""
+        """Handles a snapshot page; the last one has a negative position and further vector entries."""
         root = entry.removeprefix(SNAPSHOT_PREFIX)
-        if place > 0:
-            reached = self._incoming.add_page(root, place, told)
+        if position > 0:
+            reached = self._incoming.add_page(root, position, page)
             if reached:
                 self.vector[entry] = reached
             for old in [old for old in self.vector if old.startswith(SNAPSHOT_PREFIX)]:
                 if not self._incoming.has_begun(old.removeprefix(SNAPSHOT_PREFIX)):
                     del self.vector[old]
             return None
-        ends = self._incoming.finish(root, -place, told)
-        if ends is None:
+        matches = self._incoming.finish(root, -position, page)
+        if matches is None:
             return None
         self.vector.pop(entry, None)
-        if not ends:
+        if not matches:
             return DigestMismatch(f"snapshot {root}: what came has another digest")
         self._raise_vector({source: number for source, number in vector.items() if source != entry})
         self._end_snapshots()
         return None
 
     def _end_snapshots(self) -> None:
+        """Discards the progress of all incoming snapshots."""
         for entry in [entry for entry in self.vector if entry.startswith(SNAPSHOT_PREFIX)]:
             del self.vector[entry]
         self._incoming.clear()
 
     def repair(self, items: Iterable[Item]) -> list[Item] | StoreFull:
-        """Merges copies that repair found to be newer elsewhere. What changed by them is stamped anew, as
-        this store's own: its stamp may be within this vector already, and it would be news to nobody."""
+        """Merges newer copies that repair found. What changed is stamped again by this store: the original
+        stamp may lie within this vector already, so peers would never receive the item as an update."""
         changed = self.merge(items, {})
         return changed if isinstance(changed, StoreFull) else [self._restamp(item.key) for item in changed]
 
     def restamp_above_vector(self, source: str | None = None) -> list[Item]:
-        """Stamps anew, as this store's own, what it holds above its vector: of that source, or of any.
+        """Stamps again, as this store's own, the items above its vector: of ``source``, or of any source.
 
-        Such items came by a write's own way or in a page, and whoever stamped them may be gone before its
-        vector was told: unclaimed they would be news to nobody. Content is unchanged; the items as they are.
+        Such items came with a write or in a page, and the process that stamped them may be gone before it
+        sent its vector, so no peer would receive them as updates. Content is unchanged; returns the items.
         """
         keys = []
         for stamped_by in [source] if source is not None else list(self._stamped):
@@ -177,15 +172,14 @@
         return [self._restamp(key) for key in keys]
 
     def contiguous_vector(self, source: str, first: int, count: int) -> dict[str, int]:
-        """The vector that may be raised with ``count`` items which that source stamped from ``first`` on:
-        they follow what this store claims of it already, or nothing may be claimed by them.
-
-        Without this who holds a large order would be told all of it once more, for its vector's sake."""
+        """The vector to merge with ``count`` items that ``source`` stamped from ``first`` on; empty if they
+        do not follow the entry held here. Without it the holder of a large write batch would be sent all of
+        it again."""
         return {source: first + count - 1} if self.vector.get(source, 0) >= first - 1 else {}
 
     def clear_remote_items(self) -> list[Item]:
-        """Forgets all that others stamped, so that it is asked for anew; what has gone, as tombstones. For a
-        process that was out of touch for so long that tombstones it never heard of may be forgotten."""
+        """Removes all items that other sources stamped, so that they are requested again, and returns them as
+        tombstones. For a process that was out of contact for longer than tombstones are kept."""
         gone = [item for item in self.items.values() if item.source != self.source]
         for item in gone:
             self._remove(item)
@@ -197,22 +191,21 @@
     def delta_for(
         self, vector: Mapping[str, int], max_items: int, max_bytes: int = PAGE_BYTES, snapshots: bool = False
     ) -> Delta:
-        """What a peer with this vector lacks: at most ``most`` (>= 1) items and so many bytes, one item at
-        least, then ``more``. ``snapshots``: it takes them.
+        """What a peer with this vector lacks: at most ``max_items`` (>= 1) items and about ``max_bytes``, at
+        least one item, then ``more`` is set. ``snapshots``: the peer supports them.
 
-        hear(lack.items, lack.vector) is right for pages and whole answers alike, also late or doubled. The
-        cost is that of all that is lacking and of the sources, not of the store, but where a snapshot is
-        begun.
+        merge_answer(delta.items, delta.vector) is correct for all answers, also late or duplicated. The cost
+        grows with missing items and sources, not with the store, unless a snapshot is started.
         """
         if snapshots:
-            for entry, place in vector.items():
-                moment = (
+            for entry, position in vector.items():
+                snapshot = (
                     self._find_snapshot(entry.removeprefix(SNAPSHOT_PREFIX))
                     if entry.startswith(SNAPSHOT_PREFIX)
                     else None
                 )
-                if moment is not None and 0 < place < len(moment.items):
-                    return self._snapshot_page(moment, place, vector, max_items, max_bytes)
+                if snapshot is not None and 0 < position < len(snapshot.items):
+                    return self._snapshot_page(snapshot, position, vector, max_items, max_bytes)
         page = PAGE_PREFIX + self.source
         after = vector.get(page, 0)
         found = []
@@ -221,29 +214,29 @@
                 if self._arrived[key] > after:
                     found.append((self._arrived[key], key))
         if snapshots and len(found) > max_items and SNAPSHOT_DIVISOR * len(found) > len(self.items):
-            moment = self._useful_snapshot([key for _, key in found], max_items)
-            if moment is not None:
-                return self._snapshot_page(moment, 0, vector, max_items, max_bytes)
+            snapshot = self._useful_snapshot([key for _, key in found], max_items)
+            if snapshot is not None:
+                return self._snapshot_page(snapshot, 0, vector, max_items, max_bytes)
         first = nsmallest(max_items, found)
         items = limit_bytes((self.items[key] for _, key in first), max_bytes)
         if len(found) > len(items):
             return Delta(items, {page: first[len(items) - 1][0]}, True)
-        risen = {source: self.vector[source] for source in self._advanced_sources(vector)}
-        return Delta(items, risen | ({page: 0} if page in vector else {}), False)
-
-    def _useful_snapshot(self, lacked: Sequence[Key], most: int) -> Snapshot | None:
-        """A moment after which its taker lacks no more than ``most`` of these. A moment holds items above
-        its vector, too: whoever took it would lack them as before, and be told it again for ever."""
-        for moment in (self._outgoing.latest(self._arrivals, most), None):
-            moment = moment or self._take_snapshot()
-            vector = moment.vector
-            items = (self.items[key] for key in lacked)
-            if sum(item.number > vector.get(item.source, 0) for item in items) <= most:
-                return moment
+        advanced = {source: self.vector[source] for source in self._advanced_sources(vector)}
+        return Delta(items, advanced | ({page: 0} if page in vector else {}), False)
+
+    def _useful_snapshot(self, missing: Sequence[Key], max_items: int) -> Snapshot | None:
+        """A snapshot after which the peer lacks at most ``max_items`` of these items, else None: a snapshot
+        may hold items above its vector, which the peer would lack as before and be sent forever."""
+        for snapshot in (self._outgoing.latest(self._arrivals, max_items), None):
+            snapshot = snapshot or self._take_snapshot()
+            vector = snapshot.vector
+            items = (self.items[key] for key in missing)
+            if sum(item.number > vector.get(item.source, 0) for item in items) <= max_items:
+                return snapshot
         return None
 
     def _find_snapshot(self, root: str) -> Snapshot | None:
-        """A moment with that root: one that is kept, or now."""
+        """The snapshot with that root digest: one that is kept, or the current state."""
         return self._outgoing.find(root) or (self._take_snapshot() if root == self.digests.root() else None)
 
     def _take_snapshot(self) -> Snapshot:
@@ -253,40 +246,41 @@
             if source == self.source or source in self._stamped
         }
         items = tuple(self.items[key] for key in sorted(self.items))
-        moment = Snapshot(self.digests.root(), items, vector, self._arrivals)
-        self._outgoing.add(moment)
-        return moment
+        snapshot = Snapshot(self.digests.root(), items, vector, self._arrivals)
+        self._outgoing.add(snapshot)
+        return snapshot
 
     def _snapshot_page(
-        self, moment: Snapshot, place: int, vector: Mapping[str, int], most: int, most_bytes: int
+        self, snapshot: Snapshot, position: int, vector: Mapping[str, int], max_items: int, max_bytes: int
     ) -> Delta:
-        items, entry = moment.page(place, most, most_bytes), SNAPSHOT_PREFIX + moment.root
-        place += len(items)
-        if place < len(moment.items):
-            return Delta(items, {entry: place}, True)
-        risen = {source: number for source, number in moment.vector.items() if number > vector.get(source, 0)}
-        # What came since is asked for next.
-        return Delta(items, {entry: -place, **risen}, self.has_updates({**vector, **risen}))
+        items, entry = snapshot.page(position, max_items, max_bytes), SNAPSHOT_PREFIX + snapshot.root
+        position += len(items)
+        if position < len(snapshot.items):
+            return Delta(items, {entry: position}, True)
+        advanced = {
+            source: number for source, number in snapshot.vector.items() if number > vector.get(source, 0)
+        }
+        # Later arrivals are requested next.
+        return Delta(items, {entry: -position, **advanced}, self.has_updates({**vector, **advanced}))
 
     def replaces(self, item: Item, held: Item) -> bool:
-        """Whether the one takes the place of the other, of the same key."""
+        """Whether ``item`` replaces ``held`` of the same key."""
         return item.version > held.version if self._decided else outranks(item, held)
 
     def has_updates(self, vector: Mapping[str, int]) -> bool:
-        """Whether an answer to this vector would raise it, by the cost of the sources.
+        """Whether an answer would raise this vector; costs the number of sources.
 
-        Items above this store's own vector go out with any answer but are no news: the asker's vector would
-        not rise by them and it would be sent them for ever. Alone, they spread with the next answer or by
-        repair.
+        Items above this store's own vector are included in any answer but are not updates: the peer's vector
+        would not rise by them and they would be sent forever. They spread with the next answer or by repair.
         """
         return next(self._advanced_sources(vector), None) is not None
 
     def remove_tombstone(self, key: Key) -> None:
-        """Drops a tombstone whose time is over: no store that may come back holds an older copy of it.
+        """Removes an expired tombstone: no store that may return holds an older copy of the item.
 
-        Nothing happens where the key is absent or has been set again. Entries of sources that no item bears
-        any more stay in the vector up to SPARE_SOURCES of them, the oldest leave first: an entry that left at
-        once would let peers that have not yet forgotten bring the tombstone back.
+        Nothing happens if the key is absent or set again. Vector entries of sources without items are kept up
+        to MAX_UNREFERENCED_SOURCES, the oldest are removed first: if an entry were removed at once, peers
+        that still hold the tombstone would send it back.
         """
         held = self.items.get(key)
         if held is None or held.value is not None:
@@ -294,7 +288,7 @@
         self._remove(held)
 
     def collect_tombstones(self, drops: Iterable[tuple[Key, int]]) -> tuple[list[str], list[Key]]:
-        """As `forget_all`, of these keys and versions."""
+        """As `merge_collected`, for these keys and versions."""
         buckets, stale = set(), []
         for key, version in drops:
             buckets.add(self.collected_tombstones.add(key, version))
@@ -305,24 +299,24 @@
         return sorted(buckets), stale
 
     def mark_unconfirmed(self) -> None:
-        """What others stamped is to be told anew, and stands until `settle`. For a process that was out of
-        touch for so long that drops it never heard of may be forgotten."""
+        """Requests all items stamped by others again and keeps them until `remove_unconfirmed`. For a process
+        that was out of contact for so long that deletions it never received may have been collected."""
         self._unconfirmed = {key for key, item in self.items.items() if item.source != self.source}
         self.vector = {self.source: self.vector[self.source]} if self.source in self.vector else {}
         self._unreferenced.clear()
         self._incoming.clear()
 
     def remove_unconfirmed(self) -> list[Item]:
-        """A whole answer has come since: what nobody told anew is gone with this, and given as drops."""
-        doubted, self._unconfirmed = sorted(self._unconfirmed), set()
-        gone = [self.items[key] for key in doubted if key in self.items]
+        """After a complete answer, removes the items that no peer sent again; returns them as tombstones."""
+        unconfirmed, self._unconfirmed = sorted(self._unconfirmed), set()
+        gone = [self.items[key] for key in unconfirmed if key in self.items]
         for item in gone:
             self._remove(item)
         return [Item(item.kind, item.name, item.version, None) for item in gone]
 
     def merge_collected(self, rows: Mapping[str, BucketRow]) -> tuple[list[str], list[Key]]:
-        """Drops that are forgotten (`forgotten.Forgotten`): the buckets that changed, and the keys of what
-        was held of them here, or of older copies, and is gone with this."""
+        """Merges collected tombstones (`CollectedTombstones`); returns the buckets that changed, and the keys
+        of the tombstones and older copies that were removed here."""
         buckets = self.collected_tombstones.merge(rows)
         changed = set(buckets)
         stale = []
@@ -336,11 +330,12 @@
         return buckets, [item.key for item in stale]
 
     def reset(self, source: str) -> list[Key]:
-        """Forgets all that it holds, this store's own too, and its record of drops; the keys that are gone.
-        For a process that is told that its copy counts for nothing.
+        """Removes all items, its own too, and the collected tombstones; returns the removed keys. For a
+        process whose copy is no longer valid.
 
-        It goes on as ``source``, never used before: what it stamped until now it lacks like all else, and
-        under the old name its vector would have to claim it, or its peers would take it for held."""
+        It continues as ``source``, a name never used before: it lacks its earlier items as well, and under
+        the old name its vector would have to claim them, or its peers would assume that it holds them.
+        """
         gone = list(self.items.values())
         for item in gone:
             self._remove(item)
@@ -351,21 +346,21 @@
         return [item.key for item in gone]
 
     def restore(self, items: Iterable[Item], vector: Mapping[str, int]) -> None:
-        """What an earlier life of this process kept on disk, items and vector of one moment; stamps are kept.
+        """Loads items and vector that an earlier incarnation kept on disk at one moment; stamps are kept.
 
-        No bound: what was acknowledged is held, and a lowered ``most`` refuses but new writes. Pages under
-        way are begun anew.
+        No capacity check: acknowledged items are kept, and a lowered ``max_items`` refuses only new writes.
+        Paged answers in progress start again.
         """
         for item in items:
             self._put(item)
         self._raise_vector({source: number for source, number in vector.items() if not is_page_entry(source)})
 
-    def _check_capacity(self, keys: set[Key], most: int) -> StoreFull | None:
+    def _full(self, keys: set[Key], limit: int) -> StoreFull | None:
         count = len(self.items) + sum(key not in self.items for key in keys)
-        if count <= most or count == len(self.items):  # what is held may change at the bound, too
+        if count <= limit or count == len(self.items):  # held items may change at the bound
             return None
         return StoreFull(
-            f"state: {count} items with these, at most {most}: drop some and wait till they are forgotten"
+            f"state: {count} items with these, at most {limit}: drop some and wait till they are forgotten"
         )
 
     def _remove(self, held: Item) -> None:
@@ -425,8 +420,8 @@
         if number == 0:
             return
         self.vector[entry] = max(held, number)  # at the end, as the latest in use
-        pagings = [entry for entry in self.vector if entry.startswith(PAGE_PREFIX)]
-        for oldest in pagings[:-MAX_PAGED_ANSWERS]:
+        page_entries = [entry for entry in self.vector if entry.startswith(PAGE_PREFIX)]
+        for oldest in page_entries[:-MAX_PAGED_ANSWERS]:
             del self.vector[oldest]
 
     def _note_unreferenced(self, source: str) -> None:
@@ -439,10 +434,10 @@
             del self.vector[oldest]
 
     def _advanced_sources(self, vector: Mapping[str, int]) -> Iterator[str]:
-        """Sources whose entries here exceed ``vector``'s and are worth telling.
+        """Sources whose entries here exceed those of ``vector`` and are worth sending.
 
-        An entry that no item bears is told only to those who know the source, and by the source itself, who
-        may wait for it to be confirmed: otherwise sources long dead would go round for ever.
+        An entry without items is sent only to peers that know the source, and by the source itself, which may
+        wait for it to be confirmed; otherwise entries of ended sources would circulate forever.
         """
         for source, number in self.vector.items():
             if number > vector.get(source, 0) and not is_page_entry(source):
@@ -451,5 +446,5 @@
 
 
 def is_page_entry(entry: str) -> bool:
-    """Whether that entry of a vector counts pages, of whatever kind."""
+    """Whether that entry of a vector counts pages, of a paged answer or of a snapshot."""
     return entry.startswith((PAGE_PREFIX, SNAPSHOT_PREFIX))
--- a/mesh/replication/store_answers.py
+++ b/mesh/replication/store_answers.py
@@ -1,4 +1,4 @@
-"""What a store answers: what a peer lacks of it, and why something was not taken. No I/O."""
+"""The results of a store: what a peer lacks, and why something was refused. No I/O."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class StoreFull(Struct, frozen=True):
-    """Nothing was taken, for the store would pass its bound; ``reason`` is one line."""
+    """Nothing was applied because the store would exceed its capacity; ``reason`` is one line."""
 
     reason: str
 
 
 class DigestMismatch(Struct, frozen=True):
-    """A snapshot's items do not have the digest that it was told with: its vector was not taken."""
+    """The items of a snapshot do not match its root digest; its vector was not merged."""
 
     reason: str
 
 
 class Delta(Struct, frozen=True):
-    """What a peer lacks: items in the order of their arrival here, and what its vector may rise to with them.
+    """What a peer lacks: items in order of arrival here, and the vector entries to merge with them.
 
-    With ``more`` this is a page: the vector holds but the page's own entry, and the peer is to ask again.
+    With ``more`` this is a page: the vector holds only the page's own entry, and the peer has to ask again.
     """
 
     items: list[Item]
--- a/mesh/replication/tombstones.py
+++ b/mesh/replication/tombstones.py
@@ -1,11 +1,10 @@
-"""What is left of drops that are forgotten: so much that an older copy which comes back is known to be older.
-No I/O.
-
-A drop may be forgotten once all who count hold it on disk. What is left of it is a digest of its key and its
-version, LEFT of them in each of BUCKETS buckets; beyond that the lowest version leaves, and raises the
-bucket's watermark. A copy of the digests' own keys is refused by what is left; the watermark, which may be
-above versions of keys that were never dropped, tells only of an *order* for a key that nothing is known of
-that it may be older than a drop.
+"""The record of collected tombstones, by which an older copy that returns is recognised as older. No I/O.
+
+A tombstone may be collected once all members hold it on disk. A digest of its key and its version are kept,
+ENTRIES_PER_BUCKET of them in each of BUCKETS buckets; beyond that the lowest version is evicted and raises
+the watermark of the bucket. A copy of a recorded key is rejected by its entry. The watermark may be above
+versions of keys that were never deleted, so it only says of a *write* for an otherwise unknown key that it
+may be older than a deletion.
 """
 
 from __future__ import annotations
@@ -21,24 +20,26 @@
 BUCKETS = 256
 ENTRIES_PER_BUCKET = 32
 
-BucketRow = tuple[int, dict[str, int]]  # watermark, and versions by key's digest
+BucketRow = tuple[int, dict[str, int]]  # watermark, and versions by key digest
 
 
 class CollectedTombstones:
+    """Versions of collected tombstones by key digest, in buckets with a watermark each."""
+
     def __init__(self) -> None:
         self._rows: dict[str, BucketRow] = {}  # by bucket, two hex digits
 
     def version(self, key: Key) -> int:
-        """The highest forgotten version of that key, as far as it is left; -1 where none is."""
+        """The highest recorded version of that key; -1 if none is."""
         digest = key_digest(key)
         return self._rows.get(digest[:2], (-1, {}))[1].get(digest, -1)
 
     def watermark(self, key: Key) -> int:
-        """Versions of that key up to this may have been dropped and forgotten; -1 where that cannot be."""
+        """Versions of that key up to this may have been deleted and collected; -1 if none can have been."""
         return max(self.version(key), self._rows.get(key_digest(key)[:2], (-1, {}))[0])
 
     def add(self, key: Key, version: int) -> str:
-        """That drop is forgotten; its bucket."""
+        """Records a collected tombstone; returns its bucket."""
         digest = key_digest(key)
         self._merge(digest[:2], -1, {digest: version})
         return digest[:2]
@@ -48,18 +49,18 @@
         return self._rows.get(bucket, (-1, {}))
 
     def rows(self) -> dict[str, BucketRow]:
-        """All, by bucket."""
+        """All rows by bucket."""
         return dict(self._rows)
 
     def merge(self, rows: Mapping[str, BucketRow]) -> list[str]:
-        """What another holds, or a disk held; the buckets that changed. In any order, also doubled: two that
-        have told each other hold the same."""
+        """Merges the rows of another process or of a disk; returns the buckets that changed. Commutative and
+        idempotent: two processes that have exchanged rows hold the same."""
         return [
             bucket for bucket, (watermark, entries) in rows.items() if self._merge(bucket, watermark, entries)
         ]
 
     def root(self) -> str:
-        """One digest of all, "" where nothing is held."""
+        """One digest of everything, "" if nothing is held."""
         if not self._rows:
             return ""
         rows = {bucket: [watermark, entries] for bucket, (watermark, entries) in self._rows.items()}
@@ -81,12 +82,12 @@
 
 
 def key_digest(key: Key) -> str:
-    """Of a key: 16 hex digits."""
+    """The digest of a key: 16 hex digits."""
     return blake2b(msgspec.json.encode(key), digest_size=8).hexdigest()
 
 
 def read_rows(value: Any) -> dict[str, BucketRow]:
-    """A peer's rows. Raises ValueError for what are none."""
+    """Decodes a peer's rows. Raises ValueError for anything else."""
     if not isinstance(value, dict) or len(value) > BUCKETS:
         raise ValueError(f"rows of up to {BUCKETS} buckets")
     found: dict[str, BucketRow] = {}
