--- a/mesh/admission/buffer_budget.py
+++ b/mesh/admission/buffer_budget.py
@@ -1,68 +1,69 @@
-"""How many bytes of messages a process may hold, all together, by what they are. No I/O.
+"""Budget of the memory that the messages of a process may take, by kind of message. No I/O.
 
-Requests' bodies, upstreams' answers, heads and frames that are being read share one pool, of which a part is
-kept for each. Whoever wants more than its own part takes of what is nobody's. So uploads never leave answers
-without room, nor the other way round; whatever finds none is refused before it is read.
+Request bodies, upstream answers, heads and frames that are being read share one pool, with a reserved part
+for each kind. A kind that needs more than its reserved part uses the unreserved rest. So uploads never leave
+answers without memory, nor the reverse; a message without memory is refused before it is read.
 
-A body is in memory about twice while it goes on: as it came, and as it is written. What is kept free of long
-ones is for the short ones, so that a few uploads do not shut out everybody else's requests.
+A body is in memory about twice while it is forwarded: as received, and as written. Long bodies may fill only
+a part of their quota, so that a few uploads do not block all other requests.
 """
 
 from __future__ import annotations
 
-BODY_COPIES = 2  # of a body that is in hand
-SHORT_BODY_BYTES = 64 * 1024  # bytes of a body that may use all of the room
-LONG_BODY_SHARE = 0.75  # of the room that longer ones may fill
-# Of the pool, kept for each. The rest, a fifth, is nobody's.
+BODY_COPIES = 2  # copies of a body while it is forwarded
+SHORT_BODY_BYTES = 64 * 1024  # up to this size a body may use the total quota
+LONG_BODY_SHARE = 0.75  # of the quota, for longer bodies
+# Reserved shares of the pool. The rest, a fifth, is shared by all kinds.
 RESERVED_BODIES, RESERVED_ANSWERS, RESERVED_HEADS, RESERVED_FRAMES = 0.3, 0.3, 0.1, 0.1
 
 
 class BufferPool:
-    """The memory that several holdings share, in bytes."""
+    """The memory that several quotas share; ``capacity`` is in bytes."""
 
-    def __init__(self, room: int) -> None:
-        """Nobody holds anything of ``room`` yet."""
-        self.capacity = room
+    def __init__(self, capacity: int) -> None:
+        """Nothing is in use yet."""
+        self.capacity = capacity
         self.quotas: list[BufferQuota] = []
 
-    def has_room(self, holding: BufferQuota, size: int) -> bool:
-        """Whether that holding may have so many bytes of memory more."""
-        others = sum(max(one.memory, one.reserved) for one in self.quotas if one is not holding)
-        return holding.memory + size + others <= self.capacity
+    def has_room(self, quota: BufferQuota, size: int) -> bool:
+        """Whether a quota may use ``size`` more bytes of memory."""
+        others = sum(max(one.memory, one.reserved) for one in self.quotas if one is not quota)
+        return quota.memory + size + others <= self.capacity
 
 
 class BufferQuota:
-    """Bytes of one kind. ``room`` is the memory for all of them, ``longest`` one's bound, both in bytes; each
-    is there ``copies`` times. ``kept`` is the part of the ``pool`` that nobody else gets."""
+    """The memory of one kind of message, in bytes. ``capacity`` bounds all messages together with their
+    ``copies``, ``max_message_bytes`` a single one without them. ``reserved`` is the part of the ``pool`` that
+    no other kind can use."""
 
     def __init__(
         self,
-        room: int,
-        longest: int,
+        capacity: int,
+        max_message_bytes: int,
         copies: int = BODY_COPIES,
         pool: BufferPool | None = None,
-        kept: int = 0,
+        reserved: int = 0,
     ) -> None:
-        """Nothing is in hand yet."""
-        self.max_bytes, self.max_message_bytes = room // copies, longest
-        self.copies, self.reserved = copies, kept
-        self.held_bytes = 0  # bytes in hand
+        """Nothing is in use yet."""
+        self.max_bytes, self.max_message_bytes = capacity // copies, max_message_bytes
+        self.copies, self.reserved = copies, reserved
+        self.held_bytes = 0  # without copies
         self._pool = pool
         if pool is not None:
             pool.quotas.append(self)
 
     @property
     def memory(self) -> int:
-        """What all in hand take."""
+        """Bytes of memory in use, with copies."""
         return self.held_bytes * self.copies
 
     def acquire(self, size: int, before: int = 0) -> bool:
-        """Whether so many bytes more find room, and are held; ``before``: of the same body, held already."""
-        whole = before + size
-        most = self.max_bytes if whole <= SHORT_BODY_BYTES else self.max_bytes * LONG_BODY_SHARE
-        if whole > self.max_message_bytes or self.held_bytes + size > most:
+        """Takes ``size`` bytes if there is room; ``before``: bytes held for the same message already."""
+        total = before + size
+        limit = self.max_bytes if total <= SHORT_BODY_BYTES else self.max_bytes * LONG_BODY_SHARE
+        if total > self.max_message_bytes or self.held_bytes + size > limit:
             return False
-        # What is kept for this kind is there, whatever the others have: most calls need ask no further.
+        # The reserved part is available whatever the other kinds use, so most calls need not check the pool.
         if self._pool is not None and (self.held_bytes + size) * self.copies > self.reserved:
             if not self._pool.has_room(self, size * self.copies):
                 return False
@@ -70,63 +71,65 @@
         return True
 
     def charge(self, size: int) -> None:
-        """So many are here already, and count against those to come."""
+        """Counts bytes that are in memory already, without a check."""
         self.held_bytes += size
 
     def release(self, size: int) -> None:
-        """So many are in hand no more."""
+        """Gives ``size`` bytes back."""
         self.held_bytes -= size
 
 
 class Reservation:
-    """Room for one message that grows as it comes. It is given back once, at the latest when nothing refers
-    to it any more."""
+    """The memory of one message, which grows while the message is received. It is released once, at the
+    latest when the reservation is garbage-collected."""
 
     __slots__ = ("_quota", "size")
 
-    def __init__(self, holding: BufferQuota) -> None:
-        """Nothing of ``holding`` is taken yet."""
-        self._quota = holding
+    def __init__(self, quota: BufferQuota) -> None:
+        """Nothing of ``quota`` is taken yet."""
+        self._quota = quota
         self.size = 0  # bytes
 
     def grow(self, size: int) -> bool:
-        """Whether there is room for so many bytes more, which are then taken."""
+        """Takes ``size`` more bytes if there is room for them."""
         if not self._quota.acquire(size, self.size):
             return False
         self.size += size
         return True
 
     def release(self) -> None:
-        """Gives all of it back."""
+        """Gives all bytes back."""
         size, self.size = self.size, 0
         if size:
             self._quota.release(size)
 
     def __del__(self) -> None:
-        """Nobody refers to its message any more."""
+        """Releases what is still held."""
         self.release()
 
 
 class BufferBudget:
-    """All of a process: ``room`` is the memory for messages, in bytes."""
+    """The quotas of a process; ``capacity`` is the memory for all messages, in bytes."""
 
-    def __init__(self, room: int) -> None:
-        """Divides ``room`` among the kinds."""
-        self.pool = BufferPool(room)
-        free = room - int((RESERVED_BODIES + RESERVED_ANSWERS + RESERVED_HEADS + RESERVED_FRAMES) * room)
+    def __init__(self, capacity: int) -> None:
+        """Divides ``capacity`` among the kinds."""
+        self.pool = BufferPool(capacity)
+        free = capacity - int(
+            (RESERVED_BODIES + RESERVED_ANSWERS + RESERVED_HEADS + RESERVED_FRAMES) * capacity
+        )
 
-        def holding(share: float, copies: int) -> BufferQuota:
-            kept = int(share * room)
-            most = kept + free
-            return BufferQuota(most, most // copies, copies, self.pool, kept)
+        def quota(share: float, copies: int) -> BufferQuota:
+            reserved = int(share * capacity)
+            limit = reserved + free
+            return BufferQuota(limit, limit // copies, copies, self.pool, reserved)
 
-        self.bodies = holding(RESERVED_BODIES, BODY_COPIES)
-        self.answers = holding(RESERVED_ANSWERS, BODY_COPIES)
-        self.heads = holding(RESERVED_HEADS, 1)
-        self.frames = holding(RESERVED_FRAMES, 1)
+        self.bodies = quota(RESERVED_BODIES, BODY_COPIES)
+        self.answers = quota(RESERVED_ANSWERS, BODY_COPIES)
+        self.heads = quota(RESERVED_HEADS, 1)
+        self.frames = quota(RESERVED_FRAMES, 1)
 
     def usage(self) -> dict[str, dict[str, int]]:
-        """Bytes of memory of each kind: in hand, kept for it, and what it can have at the most."""
+        """For each kind its bytes of memory: in use, reserved, and the maximum."""
         kinds = {
             "bodies": self.bodies,
             "answers": self.answers,
--- a/mesh/admission/fair_share.py
+++ b/mesh/admission/fair_share.py
@@ -1,7 +1,7 @@
-"""How often calls of each kind are passed on here, against all of them. No I/O; instants in milliseconds.
+"""Fair share of dispatches among calls of different rank. No I/O; times in milliseconds.
 
-A kind is told by its rank. Places go by rank (`mesh.admission.wait_queue`), so in a long overload the least
-would get none at all; one that falls far behind has the next place, whatever else waits.
+The wait queue dispatches by rank (`mesh.admission.wait_queue`), so in a long overload the lowest rank would
+starve. A rank that falls far behind the average rate of dispatches gets the next slot, whatever else waits.
 """
 
 from __future__ import annotations
@@ -10,19 +10,17 @@
 
 from msgspec import Struct
 
-# Of how often all are passed on. A kind may be served a quarter as often as all requests are; the rest is for
-# those of its calls that are lost behind this.
+# Least rate of dispatches of a rank, as a share of the average rate. The requirement is a quarter; the rest
+# covers calls that are lost after their dispatch.
 MIN_RELATIVE_SHARE = 0.4
-HALVING_PERIOD_MS = 5_000.0  # counts are halved so often: what was long ago says little
-RARE_RETENTION_MS = (
-    60_000.0  # a kind of which too few come for that is remembered so long after its last call
-)
-MIN_CALLS = 6.0  # calls of a kind, from which its share says something
-MAX_RANKS = 64  # that are counted at once; one more takes the place of the rarest
+HALVING_PERIOD_MS = 5_000.0  # between two halvings of the counts, so that recent calls weigh most
+RARE_RETENTION_MS = 60_000.0  # since the last call, for ranks with too few calls to be halved
+MIN_CALLS = 6.0  # of a rank, from which on its rate is meaningful
+MAX_RANKS = 64  # counted at once; a further one replaces the rarest
 
 
 class RankCounts(Struct):
-    """What became of one kind's calls; ``last`` is when one came."""
+    """Calls of one rank; ``last_arrival`` is a time in milliseconds."""
 
     arrived: float = 0.0
     dispatched: float = 0.0
@@ -30,47 +28,47 @@
 
     @property
     def share(self) -> float:
-        """How often they are passed on."""
+        """The share of calls that were dispatched."""
         return self.dispatched / self.arrived
 
 
 class FairShare:
-    """Of the calls for one upstream."""
+    """Counts the calls for one upstream by rank."""
 
     def __init__(self) -> None:
-        """No call has come."""
+        """No call has arrived."""
         self._counts: dict[float, RankCounts] = {}  # by rank
         self._halved_at = -math.inf
 
     def record_arrival(self, now: float, rank: float) -> None:
-        """A call of that kind has come."""
+        """Counts the arrival of a call."""
         if now - self._halved_at > HALVING_PERIOD_MS:
             self._halved_at = now
             self._halve_counts(now)
         if rank not in self._counts and len(self._counts) >= MAX_RANKS:
-            del self._counts[min(self._counts, key=lambda kind: self._counts[kind].arrived)]
-        kind = self._counts.setdefault(rank, RankCounts())
-        kind.arrived += 1.0
-        kind.last_arrival = now
+            del self._counts[min(self._counts, key=lambda other: self._counts[other].arrived)]
+        counts = self._counts.setdefault(rank, RankCounts())
+        counts.arrived += 1.0
+        counts.last_arrival = now
 
     def _halve_counts(self, now: float) -> None:
-        """Of a kind that comes seldom nothing is halved, or it would never have come often enough to be seen
-        as starved: where there are many upstreams, each sees few of it."""
-        for rank, kind in list(self._counts.items()):
-            if kind.arrived >= 2.0 * MIN_CALLS:
-                kind.arrived, kind.dispatched = kind.arrived / 2.0, kind.dispatched / 2.0
-            elif now - kind.last_arrival > RARE_RETENTION_MS:
+        """Counts of rare ranks are not halved: they would never reach MIN_CALLS, and starvation would stay
+        unnoticed where many upstreams each receive few of the calls."""
+        for rank, counts in list(self._counts.items()):
+            if counts.arrived >= 2.0 * MIN_CALLS:
+                counts.arrived, counts.dispatched = counts.arrived / 2.0, counts.dispatched / 2.0
+            elif now - counts.last_arrival > RARE_RETENTION_MS:
                 del self._counts[rank]
 
     def record_dispatch(self, rank: float) -> None:
-        """A call of that kind goes to the upstream."""
+        """Counts the dispatch of a call to the upstream."""
         if rank in self._counts:
             self._counts[rank].dispatched += 1.0
 
     def starved_ranks(self) -> list[float]:
-        """The ranks whose calls are passed on less than LEAST as often as all, the least often first."""
-        came = sum(kind.arrived for kind in self._counts.values())
-        passed = sum(kind.dispatched for kind in self._counts.values())
-        shares = {rank: kind.share for rank, kind in self._counts.items() if kind.arrived >= MIN_CALLS}
-        found = [rank for rank, share in shares.items() if share * came < MIN_RELATIVE_SHARE * passed]
+        """Ranks dispatched at less than MIN_RELATIVE_SHARE of the average rate, the lowest rate first."""
+        arrived = sum(counts.arrived for counts in self._counts.values())
+        dispatched = sum(counts.dispatched for counts in self._counts.values())
+        shares = {rank: counts.share for rank, counts in self._counts.items() if counts.arrived >= MIN_CALLS}
+        found = [rank for rank, share in shares.items() if share * arrived < MIN_RELATIVE_SHARE * dispatched]
         return sorted(found, key=lambda rank: (shares[rank], rank))
--- a/mesh/admission/final_check.py
+++ b/mesh/admission/final_check.py
@@ -1,6 +1,6 @@
-"""The second hop's last word: whether a call goes on to the upstream beside this sidecar. No I/O.
+"""Final check of the second hop: whether a call may be dispatched to the upstream beside this sidecar.
 
-What is turned away here has not run and never will; the first hop may send it elsewhere.
+No I/O. A rejected call has not run and never will; the first hop may send it to another upstream.
 """
 
 from __future__ import annotations
@@ -11,42 +11,46 @@
 
 from mesh.membership.instance_lifecycle import Upstream
 
-DRAIN_SHARE = 0.5  # of drain_ms from the acknowledgement of a drain, calls still pass; then none does
-# Calls at the upstream beyond its slots, as a share of these: one is there when a slot gets free. The others
-# wait here, where the next can be chosen.
+DRAIN_SHARE = 0.5  # of drain_ms, from the acknowledgement of a drain; after it no call is admitted
+# Calls dispatched beyond the upstream's slots, as a share of the slots, so that a call is there when a slot
+# gets free. Further calls wait here, where the next one can be selected.
 OVERCOMMIT_SHARE, MIN_OVERCOMMIT = 0.1, 1
-QUEUE_FACTOR = 4  # calls that wait here, as a multiple of the slots
-DEFAULT_SLOTS = 8  # before the upstream has said how many it has
+QUEUE_FACTOR = 4  # waiting calls, as a multiple of the slots
+DEFAULT_SLOTS = 8  # until the upstream has reported its capacity
 
 
 class RejectReason(str, Enum):
-    """Why a call was turned away."""
+    """Why a call was rejected."""
 
-    FULL = "full"  # at its bound; others may have room
-    OTHER = "other"  # another instance is here now
-    LEAVING = "leaving"  # draining, or this sidecar ends
-    DOWN = "down"  # nothing is there
-    LATE = "late"  # no time is left
-    OLD = "old"  # by a version of its route that a newer one has followed
-    LOST = "lost"  # it had not been passed on when its lost link was asked after, and never will be
+    FULL = "full"  # at the limit of calls; other upstreams may have room
+    OTHER = "other"  # another instance runs here now
+    LEAVING = "leaving"  # the upstream is draining, or this sidecar shuts down
+    DOWN = "down"  # no upstream is running
+    LATE = "late"  # the deadline has passed
+    OLD = "old"  # routed by an outdated version of its route
+    LOST = "lost"  # not dispatched when it was queried after the loss of its link, and never will be
 
 
 class Rejected(Struct, frozen=True):
+    """The call is not dispatched, and never will be."""
+
     reason: RejectReason
 
 
 class Admitted(Struct, frozen=True):
-    """It goes on, or waits for a place."""
+    """The call is dispatched, or waits for a slot."""
 
 
-def check_admission(now: float, upstream: Upstream, instance: str, left_ms: float) -> Admitted | Rejected:
-    """``instance``: whom the first hop chose."""
-    beat = upstream.heartbeat
-    if left_ms <= 0.0:
+def check_admission(
+    now: float, upstream: Upstream, instance: str, remaining_ms: float
+) -> Admitted | Rejected:
+    """Checks a call; ``instance`` is the one that the first hop selected."""
+    heartbeat = upstream.heartbeat
+    if remaining_ms <= 0.0:
         return Rejected(RejectReason.LATE)
-    if beat is None:  # a start without a beat yet: the upstream itself tells whether it is the one
+    if heartbeat is None:  # no heartbeat since the start: the upstream checks the instance itself
         return Rejected(RejectReason.LEAVING) if instance in upstream.published_decaying else Admitted()
-    if beat.instance != instance:
+    if heartbeat.instance != instance:
         return Rejected(RejectReason.OTHER)
     if upstream.gone:
         return Rejected(RejectReason.DOWN)
@@ -57,6 +61,6 @@
 
 
 def call_limits(upstream: Upstream) -> tuple[int, int]:
-    """How many calls may be at the upstream, and how many may wait for it here."""
+    """How many calls may be dispatched at once, and how many may wait."""
     slots = upstream.heartbeat.capacity if upstream.heartbeat is not None else DEFAULT_SLOTS
     return slots + max(int(OVERCOMMIT_SHARE * slots), MIN_OVERCOMMIT), QUEUE_FACTOR * slots
--- a/mesh/admission/retry_budget.py
+++ b/mesh/admission/retry_budget.py
@@ -1,38 +1,37 @@
-"""The budget of further tries, one for all sidecars, kept without talk. No I/O.
+"""Retry budget of a service, shared by all sidecars without coordination. No I/O.
 
-The rule: in any window, arrivals at a service beyond the first of each request stay under ``ratio`` times the
-requests for it plus ``slack``, over all sidecars. Each keeps to ``ratio`` of its own requests and to its part
-of the slack, so the sum keeps to the whole. Half of both is left free: calls that a repeated run makes count
-as repeats where they arrive, and are known by their deadline alone (`mesh.admission.repeat_runs`); and one
-that starts anew has forgotten what it spent.
+The rule: in any window, arrivals at a service beyond the first of each request stay below ``ratio`` times the
+requests for it plus ``slack``, over all sidecars. Each sidecar keeps to ``ratio`` times its own requests plus
+its part of the slack, so the sum satisfies the rule. Half of both stays unused: calls made on behalf of a
+repeat count as repeats where they arrive and are recognised only by their deadline
+(`mesh.admission.repeat_runs`), and a restarted sidecar has lost its count of spent retries.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-USED_SHARE = 0.5  # of what the rule gives is used here
-WINDOW_SLOTS = 20  # the window is counted in so many parts
+USED_SHARE = 0.5  # of the budget that the rule allows
+WINDOW_SLOTS = 20  # parts in which the window is counted
 
 
 class RetryBudget:
-    """Of one service at one sidecar. Instants in milliseconds."""
+    """The retry budget of one service at one sidecar. Times are milliseconds."""
 
     def __init__(self, ratio: float, window_ms: float, slack: float) -> None:
-        """Nothing has been asked for, and nothing spent."""
+        """Nothing has been requested or spent."""
         self._ratio, self._window, self._slack = ratio, max(window_ms, 1.0), slack
-        self._slots: deque[list[float]] = deque(maxlen=WINDOW_SLOTS + 1)  # [index, requests, further]
+        self._slots: deque[list[float]] = deque(maxlen=WINDOW_SLOTS + 1)  # [index, requests, retries]
         self.spent = self.denied = self.charged = 0
 
     def tune(self, now: float, ratio: float, window_ms: float, slack: float) -> None:
-        """The rule is another from now on. What counted by the one before counts as if it were of this
-        moment: nothing that was spent is forgotten."""
+        """Changes the rule. What was counted before counts as of now, so that no spent retry is forgotten."""
         requests = sum(item[1] for item in self._slots)
-        further = sum(item[2] for item in self._slots)
+        retries = sum(item[2] for item in self._slots)
         self._ratio, self._window, self._slack = ratio, max(window_ms, 1.0), slack
         self._slots.clear()
         slot = self._slot(now)
-        slot[1], slot[2] = requests, further
+        slot[1], slot[2] = requests, retries
 
     def _slot(self, now: float) -> list[float]:
         index = now // (self._window / WINDOW_SLOTS)
@@ -43,21 +42,20 @@
         return self._slots[-1]
 
     def record_request(self, now: float) -> None:
-        """A client's request for this service."""
+        """Counts a client's request for this service."""
         self._slot(now)[1] += 1.0
 
     def withdraw_request(self, now: float) -> None:
-        """One of those requests is taken anew, and counted anew where it goes then."""
+        """Takes a counted request back: it is routed again, and counted for the service that it goes to."""
         self._slot(now)[1] -= 1.0
 
     def try_spend(self, now: float, sidecars: int) -> bool:
-        """Whether one more arrival beyond the first may be caused now; if so it is counted. ``sidecars``: how
-        many share the budget, as far as is known."""
+        """Spends one retry if the budget allows it. ``sidecars``: how many are known to share the budget."""
         slot = self._slot(now)
         requests = sum(item[1] for item in self._slots)
-        further = sum(item[2] for item in self._slots)
-        most = USED_SHARE * (self._ratio * requests + self._slack / max(sidecars, 1))
-        if further + 1.0 > most:
+        retries = sum(item[2] for item in self._slots)
+        limit = USED_SHARE * (self._ratio * requests + self._slack / max(sidecars, 1))
+        if retries + 1.0 > limit:
             self.denied += 1
             return False
         slot[2] += 1.0
@@ -65,6 +63,6 @@
         return True
 
     def charge(self, now: float) -> None:
-        """A first arrival that counts as one beyond it: it is not refused, and leaves less to others."""
+        """Counts a first arrival as a retry: it is not refused, but leaves less for others."""
         self._slot(now)[2] += 1.0
         self.charged += 1
--- a/tests/mesh/test_admission_buffer_budget.py
+++ b/tests/mesh/test_admission_buffer_budget.py
@@ -1,4 +1,4 @@
-"""The memory of messages: shares that are kept, one pool for all, and room that comes back."""
+"""The memory budget of messages: reserved shares, one pool for all kinds, and memory that is released."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
     Reservation,
 )
 
-ROOM = 100 * 1024 * 1024
+CAPACITY = 100 * 1024 * 1024
 
 
-def fill(holding: BufferQuota, size: int = SHORT_BODY_BYTES) -> int:
-    """Takes until there is no room; gives the bytes of memory."""
-    before = holding.memory
-    while holding.acquire(size):
+def fill(quota: BufferQuota, size: int = SHORT_BODY_BYTES) -> int:
+    """Acquires until there is no room; returns the bytes of memory taken."""
+    before = quota.memory
+    while quota.acquire(size):
         pass
-    return holding.memory - before
+    return quota.memory - before
 
 
 def test_what_is_kept_for_answers_is_there_when_bodies_have_taken_all_they_can() -> None:
-    budget = BufferBudget(ROOM)
+    budget = BufferBudget(CAPACITY)
     bodies = fill(budget.bodies)
     free = 1.0 - 0.8
-    assert abs(bodies - (RESERVED_BODIES + free) * ROOM) <= BODY_COPIES * SHORT_BODY_BYTES
+    assert abs(bodies - (RESERVED_BODIES + free) * CAPACITY) <= BODY_COPIES * SHORT_BODY_BYTES
     answers = fill(budget.answers)
-    assert abs(answers - RESERVED_ANSWERS * ROOM) <= BODY_COPIES * SHORT_BODY_BYTES
+    assert abs(answers - RESERVED_ANSWERS * CAPACITY) <= BODY_COPIES * SHORT_BODY_BYTES
     fill(budget.heads)
     fill(budget.frames)
     kinds = budget.bodies, budget.answers, budget.heads, budget.frames
-    assert ROOM * 0.99 < sum(kind.memory for kind in kinds) <= ROOM
+    assert CAPACITY * 0.99 < sum(kind.memory for kind in kinds) <= CAPACITY
     budget.bodies.release(budget.bodies.held_bytes)
-    assert fill(budget.answers) > 0.15 * ROOM
+    assert fill(budget.answers) > 0.15 * CAPACITY
 
 
 def test_a_long_body_leaves_its_quarter_to_short_ones_of_its_kind() -> None:
-    budget = BufferBudget(ROOM)
+    budget = BufferBudget(CAPACITY)
     most = int(budget.bodies.max_bytes * LONG_BODY_SHARE)
     assert (
         budget.bodies.acquire(most)
@@ -58,8 +58,8 @@
     budget = BufferBudget(8 << 20)
     kinds = budget.bodies, budget.answers, budget.heads, budget.frames
     taken: list[tuple[BufferQuota, int]] = []
-    for at, size, gives in steps:
-        if gives and taken:
+    for at, size, releases in steps:
+        if releases and taken:
             kind, size = taken.pop(0)
             kind.release(size)
         elif kinds[at].acquire(size):
@@ -69,12 +69,12 @@
 
 
 def test_a_reservation_grows_with_its_message_and_is_given_back_once() -> None:
-    holding = BufferQuota(BODY_COPIES * 1000, 900)
-    hold = Reservation(holding)
-    assert hold.grow(600) and hold.grow(300) and not hold.grow(1)
-    assert not Reservation(holding).grow(200)
-    hold.release()
-    hold.release()
-    assert holding.held_bytes == 0 and hold.grow(100)
-    del hold  # nobody refers to it any more
-    assert holding.held_bytes == 0
+    quota = BufferQuota(BODY_COPIES * 1000, 900)
+    reservation = Reservation(quota)
+    assert reservation.grow(600) and reservation.grow(300) and not reservation.grow(1)
+    assert not Reservation(quota).grow(200)
+    reservation.release()
+    reservation.release()
+    assert quota.held_bytes == 0 and reservation.grow(100)
+    del reservation  # the last reference
+    assert quota.held_bytes == 0
--- a/tests/mesh/test_admission_call_sessions.py
+++ b/tests/mesh/test_admission_call_sessions.py
@@ -1,4 +1,4 @@
-"""What a second hop keeps of a first hop's calls over the loss of their link, and its bounds."""
+"""Sessions: the state of calls that a second hop retains beyond the loss of a link, and its bounds."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 )
 
 
-def opened(most_bytes: int = 100) -> tuple[CallSessions[str], Session[str]]:
-    sessions: CallSessions[str] = CallSessions(most_bytes)
+def opened(max_bytes: int = 100) -> tuple[CallSessions[str], Session[str]]:
+    sessions: CallSessions[str] = CallSessions(max_bytes)
     session = sessions.open("f1")
     assert session is not None
     return sessions, session
 
 
-def begun(session: Session[str], number: int, waits: bool = False) -> SessionCall[str]:
+def begun(session: Session[str], number: int, waiting: bool = False) -> SessionCall[str]:
     assert session.accept(number)
-    kept: SessionCall[str] = SessionCall(f"a{number}", run=object(), waiting=waits)
-    session.calls[number] = kept
-    return kept
+    call: SessionCall[str] = SessionCall(f"a{number}", run=object(), waiting=waiting)
+    session.calls[number] = call
+    return call
 
 
 def test_a_number_is_taken_once_and_none_below_it() -> None:
@@ -34,33 +34,33 @@
     assert session.accept(5) and not session.accept(5) and not session.accept(3) and session.accept(6)
 
 
-@pytest.mark.parametrize("first", ["the question", "the call"])
+@pytest.mark.parametrize("first", ["the query", "the call"])
 def test_the_question_and_the_call_may_cross(first: str) -> None:
     _, session = opened()
-    if first == "the question":
+    if first == "the query":
         assert session.ask(7, "a7") == (Verdict.NO, None)
         assert not session.accept(7)
     else:
-        kept = begun(session, 7)
-        assert session.ask(7, "a7") == (Verdict.PASSED, kept)
+        call = begun(session, 7)
+        assert session.ask(7, "a7") == (Verdict.PASSED, call)
 
 
 def test_what_waits_is_barred_and_what_has_run_is_told() -> None:
     sessions, session = opened()
-    waits, runs = begun(session, 1, waits=True), begun(session, 2)
-    assert session.ask(1, "a1") == (Verdict.NO, waits)
+    waiting, running = begun(session, 1, waiting=True), begun(session, 2)
+    assert session.ask(1, "a1") == (Verdict.NO, waiting)
     assert session.ask(1, "a1") == (Verdict.NO, None)
     sessions.record_end(session, 2, "served", 6, 0.0)
-    assert session.ask(2, "a2") == (Verdict.DONE, runs) and runs.end == "served"
+    assert session.ask(2, "a2") == (Verdict.DONE, running) and running.end == "served"
     assert session.ask(2, "another") == (Verdict.UNKNOWN, None)
 
 
 def test_a_lost_link_withdraws_what_waits_alone() -> None:
     sessions, session = opened()
-    waits, _ = begun(session, 1, waits=True), begun(session, 2)
+    waiting, _ = begun(session, 1, waiting=True), begun(session, 2)
     begun(session, 3)
     sessions.record_end(session, 3, "served", 6, 0.0)
-    assert session.on_link_lost(1) is waits
+    assert session.on_link_lost(1) is waiting
     assert (
         session.on_link_lost(2) is None
         and session.on_link_lost(3) is None
@@ -83,7 +83,7 @@
 
 
 def test_an_end_beyond_the_bytes_is_not_held_and_still_known_to_be() -> None:
-    sessions, session = opened(most_bytes=10)
+    sessions, session = opened(max_bytes=10)
     for number, size in ((1, 8), (2, 3), (3, 2)):
         begun(session, number)
         sessions.record_end(session, number, "served", size, float(number))
@@ -111,7 +111,7 @@
     assert sessions.open("f1") is session
     assert sessions.open("f2") is not None and sessions.open("f3") is None
     sessions.close(session, 10.0)
-    sessions.sweep(10.0 + 2 * SESSION_RETENTION_S)  # it has a link still
+    sessions.sweep(10.0 + 2 * SESSION_RETENTION_S)  # it still has a link
     sessions.close(session, 20.0 + SESSION_RETENTION_S)
     sessions.sweep(20.0 + 2 * SESSION_RETENTION_S)
     assert sessions.open("f3") is None
--- a/tests/mesh/test_admission_fair_share.py
+++ b/tests/mesh/test_admission_fair_share.py
@@ -1,4 +1,4 @@
-"""No kind of call is starved at the line, and where there is room for all the shares change nothing."""
+"""Fair share: no rank starves in the wait queue, and without an overload the dispatch order is unchanged."""
 
 import pytest
 
@@ -15,42 +15,42 @@
 HIGH, MID, LOW = 2.0, 1.0, 0.25
 
 
-def overloaded(kinds: dict[float, int], places: int, guarded: bool, rounds: int = 600) -> dict[float, float]:
-    """Each round of 10 ms so many calls of each kind come and so many places get free; how often each kind
-    was passed on. Patience is three rounds, and eight wait."""
-    line, shares, passed = WaitQueue(), FairShare(), dict.fromkeys(kinds, 0)
+def overloaded(ranks: dict[float, int], slots: int, guarded: bool, rounds: int = 600) -> dict[float, float]:
+    """In each round of 10 ms the given number of calls of each rank arrives and ``slots`` get free; returns
+    the share of dispatched calls by rank. Calls wait at most three rounds, and eight can wait."""
+    queue, shares, dispatched = WaitQueue(), FairShare(), dict.fromkeys(ranks, 0)
     number = 0
     for now in range(0, 10 * rounds, 10):
-        line.pop_expired(now)
-        for rank, count in kinds.items():
+        queue.pop_expired(now)
+        for rank, count in ranks.items():
             for _ in range(count):
                 number += 1
                 shares.record_arrival(now, rank)
-                line.add((number, rank), rank, now + 30.0, 8, shares.starved_ranks() if guarded else ())
-        for _ in range(places):
-            call = line.pop_next(shares.starved_ranks() if guarded else ())
+                queue.add((number, rank), rank, now + 30.0, 8, shares.starved_ranks() if guarded else ())
+        for _ in range(slots):
+            call = queue.pop_next(shares.starved_ranks() if guarded else ())
             if call is not None:
                 _, rank = call  # type: ignore[misc]
                 shares.record_dispatch(rank)
-                passed[rank] += 1
-    return {rank: passed[rank] / (count * rounds) for rank, count in kinds.items()}
+                dispatched[rank] += 1
+    return {rank: dispatched[rank] / (count * rounds) for rank, count in ranks.items()}
 
 
-@pytest.mark.parametrize(("kinds", "places"), [({HIGH: 8, LOW: 2}, 5), ({HIGH: 9, MID: 3, LOW: 1}, 6)])
+@pytest.mark.parametrize(("ranks", "slots"), [({HIGH: 8, LOW: 2}, 5), ({HIGH: 9, MID: 3, LOW: 1}, 6)])
 def test_in_a_long_overload_no_kind_is_passed_on_less_than_a_third_as_often_as_all(
-    kinds: dict[float, int], places: int
+    ranks: dict[float, int], slots: int
 ) -> None:
-    whole = places / sum(kinds.values())
-    assert min(overloaded(kinds, places, guarded=False).values()) < 0.05 * whole
-    found = overloaded(kinds, places, guarded=True)
+    whole = slots / sum(ranks.values())
+    assert min(overloaded(ranks, slots, guarded=False).values()) < 0.05 * whole
+    found = overloaded(ranks, slots, guarded=True)
     assert min(found.values()) > whole / 3.0
     assert found[HIGH] == max(found.values())
-    assert sum(found[rank] * count for rank, count in kinds.items()) == pytest.approx(places, rel=0.01)
+    assert sum(found[rank] * count for rank, count in ranks.items()) == pytest.approx(slots, rel=0.01)
 
 
 def test_where_the_least_has_its_part_places_go_by_rank_as_ever() -> None:
-    kinds = {HIGH: 3, LOW: 6}
-    assert overloaded(kinds, 6, guarded=True) == overloaded(kinds, 6, guarded=False)
+    ranks = {HIGH: 3, LOW: 6}
+    assert overloaded(ranks, 6, guarded=True) == overloaded(ranks, 6, guarded=False)
 
 
 def test_a_kind_is_behind_only_when_enough_of_it_came_and_is_forgotten_when_it_comes_no_more() -> None:
@@ -86,19 +86,19 @@
 
 @pytest.mark.parametrize("every", [10, 100, 200, 500])
 def test_a_kind_of_which_each_upstream_sees_few_is_not_starved_either(every: int) -> None:
-    """Of the least in rank one call comes each ``every`` rounds of 10 ms: at 500 one in five seconds."""
-    line, shares, rounds, passed = WaitQueue(), FairShare(), 12_000, 0
+    """One call of the lowest rank arrives every ``every`` rounds of 10 ms: at 500 one in five seconds."""
+    queue, shares, rounds, dispatched = WaitQueue(), FairShare(), 12_000, 0
     for number in range(rounds):
         now = 10.0 * number
-        line.pop_expired(now)
+        queue.pop_expired(now)
         for rank in [HIGH, HIGH, LOW][: 2 + (number % every == 0)]:
             shares.record_arrival(now, rank)
-            line.add((number, rank, object()), rank, now + 30.0, 8, shares.starved_ranks())
-        call = line.pop_next(shares.starved_ranks())
+            queue.add((number, rank, object()), rank, now + 30.0, 8, shares.starved_ranks())
+        call = queue.pop_next(shares.starved_ranks())
         if call is not None:
             shares.record_dispatch(call[1])  # type: ignore[index]
-            passed += call[1] == LOW  # type: ignore[index]
-    assert passed / (rounds / every) > 0.5 / 4.0
+            dispatched += call[1] == LOW  # type: ignore[index]
+    assert dispatched / (rounds / every) > 0.5 / 4.0
 
 
 def test_so_many_kinds_are_counted_and_no_more() -> None:
--- a/tests/mesh/test_admission_retry_budget.py
+++ b/tests/mesh/test_admission_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget that nobody talks about: in every sliding window all sidecars together keep to the rule."""
+"""The retry budget without coordination: in every sliding window all sidecars together keep to the rule."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,17 +11,15 @@
 
 WINDOW_MS = 1000.0
 RATIO, SLACK = 0.3, 12.0
-COUNTED_MS = (
-    WINDOW_MS * (WINDOW_SLOTS + 1) / WINDOW_SLOTS
-)  # the first slot that counts may have begun so long ago
+COUNTED_MS = WINDOW_MS * (WINDOW_SLOTS + 1) / WINDOW_SLOTS  # the greatest age of the first counted slot
 
-Events = list[tuple[float, int, str]]  # milliseconds since the one before, sidecar, what
+Events = list[tuple[float, int, str]]  # milliseconds since the previous event, sidecar, kind of event
 
 
 def excess(events: Events, sidecars: int, share: float, make: Callable[[], RetryBudget]) -> list[str]:
-    """Windows in which all of them together spent more than ``share`` of the rule."""
+    """Windows in which all sidecars together spent more than ``share`` of what the rule allows."""
     budgets = [make() for _ in range(sidecars)]
-    now, requests, further, found = 0.0, [], [], []
+    now, requests, retries, found = 0.0, [], [], []
     for wait, which, what in events:
         now += wait
         budget = budgets[which % sidecars]
@@ -31,11 +29,11 @@
             budget.record_request(now)
             requests.append(now)
         elif budget.try_spend(now, sidecars):
-            further.append(now)
-            spent = sum(at > now - WINDOW_MS for at in further)
-            most = share * (RATIO * sum(at > now - COUNTED_MS for at in requests) + SLACK)
-            if spent > most + 1e-9:
-                found.append(f"{spent} within the window that ends at {now:g}, at most {most:g}")
+            retries.append(now)
+            spent = sum(at > now - WINDOW_MS for at in retries)
+            limit = share * (RATIO * sum(at > now - COUNTED_MS for at in requests) + SLACK)
+            if spent > limit + 1e-9:
+                found.append(f"{spent} within the window that ends at {now:g}, at most {limit:g}")
     return found
 
 
@@ -58,9 +56,9 @@
 @given(EVENTS, st.integers(1, 4), st.sets(st.integers(0, 3)), st.integers(0, 119))
 @settings(max_examples=150)
 def test_each_may_start_anew_and_the_whole_rule_still_holds(
-    events: Events, sidecars: int, anew: set[int], at: int
+    events: Events, sidecars: int, restarted: set[int], at: int
 ) -> None:
-    restarts = [(0.0, which, "restart") for which in anew if which < sidecars]
+    restarts = [(0.0, which, "restart") for which in restarted if which < sidecars]
     assert not excess(events[:at] + restarts + events[at:], sidecars, 1.0, budget)
 
 
--- a/tests/mesh/test_admission_wait_queue.py
+++ b/tests/mesh/test_admission_wait_queue.py
@@ -1,4 +1,4 @@
-"""The line at the second hop against a list that is searched through each time."""
+"""The wait queue of the second hop compared with a list that is searched each time."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 
 
 class Model:
-    """Entries are (rank, number, until); the number is the call."""
+    """Entries are (rank, number, end of wait); the number identifies the call."""
 
     def __init__(self) -> None:
         self.waiting: list[tuple[float, int, float]] = []
@@ -52,34 +52,34 @@
 @given(OPS)
 @settings(max_examples=200)
 def test_a_line_serves_worth_then_the_last_come_and_ends_patience_as_the_model_does(ops: list[Any]) -> None:
-    line, model, now = WaitQueue(), Model(), 0.0
+    queue, model, now = WaitQueue(), Model(), 0.0
     for op in ops:
         if op[0] == "over":
             now += op[1]
         expected = model.step(op, now)
         match op:
             case ("add", rank, patience, most):
-                found: Any = line.add(model.count, rank, now + patience, most)
+                found: Any = queue.add(model.count, rank, now + patience, most)
             case ("next",):
-                found = line.pop_next()
+                found = queue.pop_next()
             case ("drop", call):
-                found = line.remove(call)
+                found = queue.remove(call)
             case ("over", _):
-                found = line.pop_expired(now)
+                found = queue.pop_expired(now)
             case _:
-                found = line.clear()
+                found = queue.clear()
         assert found == expected, op
-        assert len(line) == len(model.waiting)
-        assert line.next_expiry() == min((until for _, _, until in model.waiting), default=None)
+        assert len(queue) == len(model.waiting)
+        assert queue.next_expiry() == min((until for _, _, until in model.waiting), default=None)
 
 
 def test_the_line_has_its_bound_and_the_least_in_rank_that_waits_longest_makes_room() -> None:
-    line = WaitQueue()
-    assert [line.add(call, rank, 9.0, 2) for call, rank in (("a", 1.0), ("b", 1.0), ("c", 2.0))] == [
+    queue = WaitQueue()
+    assert [queue.add(call, rank, 9.0, 2) for call, rank in (("a", 1.0), ("b", 1.0), ("c", 2.0))] == [
         None,
         None,
         "a",
     ]
-    assert line.add("d", 0.5, 9.0, 2) == "d"
-    assert line.add("e", 9.0, 9.0, 0) == "b"
-    assert len(line) == 2
+    assert queue.add("d", 0.5, 9.0, 2) == "d"
+    assert queue.add("e", 9.0, 9.0, 0) == "b"
+    assert len(queue) == 2
