--- a/mesh/data_plane/__init__.py
+++ b/mesh/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: a program beside each upstream that carries calls."""
+"""The data plane: a sidecar beside each upstream that carries calls."""
--- a/mesh/data_plane/client_connection.py
+++ b/mesh/data_plane/client_connection.py
@@ -1,7 +1,7 @@
-"""A client's connection: requests sent one behind another run at once, and are answered in their order.
+"""Client connections: pipelined requests run concurrently, and their responses are sent in order.
 
-An effectful one waits until it is the first: behind an answer that closes the connection it counts as not
-read and is sent again, so it must not have run.
+An effectful request waits until it is the first one. Behind a response that closes the connection it would
+count as unread and be sent again, so it must not have run.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.request_dispatch import DEFAULT_RETRY_S, RequestDispatcher
 
-MAX_PIPELINED = 8  # requests of one connection that are in hand
-POLL_S = 0.02  # between two looks at what is open, at an end
-FIRST_REQUEST_S = 0.5  # after which a connection that was opened shortly before an end brings no request
-TRANSIT_S = 0.3  # a request may be so long on its way, from a client that began it in time
-IDLE_SHARE = 0.8  # of the time that a connection may rest by the operators' limits
+MAX_PIPELINED = 8  # concurrent requests per connection
+POLL_S = 0.02  # polling interval while shutting down
+FIRST_REQUEST_S = 0.5  # an unused connection may close this long after it was opened
+TRANSIT_S = 0.3  # longest transit of a request that its client sent within the announced idle time
+IDLE_SHARE = 0.8  # of the idle limit that operators set
 
 
 class RequestReader(http.Reader):
-    """The requests of one connection, whole: 413 or 431 beyond the operators' limits, 503 where this
-    machine's memory does not bear a body, as soon as its length is known."""
+    """Reads the requests of one connection. Responds 413 or 431 beyond the operators' limits, and 503 if
+    there is no memory for a body, as soon as its length is known."""
 
     def __init__(self, request_dispatcher: RequestDispatcher) -> None:
         super().__init__(httptools.HttpRequestParser, request_dispatcher.limits.body)
         self._dispatcher = request_dispatcher
-        self.held = 0  # bytes of the body being read; a whole one's are its message's
-        self._head = Reservation(request_dispatcher.buffers.heads)  # of the head being read, where it is long
+        self.held = 0  # bytes of the incomplete body; those of a complete one belong to its message
+        self._head = Reservation(request_dispatcher.buffers.heads)  # of an incomplete long head
 
     def feed(self, data: bytes) -> None:
         super().feed(data)
@@ -72,14 +72,14 @@
         self.held += size
 
     def let_go(self) -> None:
-        """Of the message that was being read."""
+        """Releases the memory of the incomplete message."""
         self._head.release()
         self._dispatcher.bodies.release(self.held)
         self.held = 0
 
 
 class Response(Struct, frozen=True):
-    """An answer. Whether it ends its connection is known only when its turn comes."""
+    """A response. Whether it closes the connection is decided when it is sent."""
 
     status: int
     headers: http.Headers
@@ -87,15 +87,15 @@
 
 
 class Slot:
-    """One request, in its place among those of its connection."""
+    """A request in its position on the connection."""
 
     __slots__ = ("closes", "id", "message", "ready_at", "reply", "received_ms")
 
-    def __init__(self, taken: float, message: http.Message) -> None:
-        self.received_ms, self.message = taken, message
-        self.id: str | None = None  # while it is in hand
-        self.reply: Response | None = None  # until those before it have theirs; its body counts as held
-        self.ready_at = 0.0  # since when, where that is traced; seconds of the loop's clock
+    def __init__(self, received_ms: float, message: http.Message) -> None:
+        self.received_ms, self.message = received_ms, message
+        self.id: str | None = None  # until it has a response
+        self.reply: Response | None = None  # waits for the responses before it; its body is charged
+        self.ready_at = 0.0  # loop time in seconds, if traced
         self.closes = not message.keep_alive
 
 
@@ -107,36 +107,37 @@
         self.reader = self._inflow = RequestReader(self._dispatcher)
         self._slots: deque[Slot] = deque()
         self._advancing = False
-        self._unsent_bytes = 0  # bytes of answers that the client had not taken at the last look
-        self._charged_bytes = 0  # and those of them that count as held
-        self.idle_since = self._client_listener.loop.time()  # its start, or its last answer
-        self._announced_idle_s = 0  # by its last answer, whatever later ones are told
+        self._unsent_bytes = 0  # bytes of responses that the client had not read at the last sweep
+        self._charged_bytes = 0  # the part of them charged as memory
+        self.idle_since = self._client_listener.loop.time()  # since the start or the last response
+        self._announced_idle_s = 0  # by the last response, even if another time is announced later
 
     def may_close(self, now: float) -> bool:
-        """Whether its client sends nothing more on it, as far as can be known: it has rested for longer than
-        its client was told that it may, or has brought no request for long after it was opened."""
-        rest_s = self._announced_idle_s + TRANSIT_S if self.asked else FIRST_REQUEST_S
-        return now - self.idle_since >= rest_s and self.idle()
+        """Whether the client sends nothing more on it, as far as can be known: it has been idle for longer
+        than announced, or has sent no request for some time after it was opened."""
+        idle_s = self._announced_idle_s + TRANSIT_S if self.asked else FIRST_REQUEST_S
+        return now - self.idle_since >= idle_s and self.idle()
 
     def reads(self) -> bool:
-        """Whether its client has taken some of its answers since the last look."""
+        """Whether the client has read some of its responses since the last sweep."""
         assert self.transport is not None
         before, self._unsent_bytes = self._unsent_bytes, self.transport.get_write_buffer_size()
         self._charge_unsent(self._unsent_bytes)
         return self._unsent_bytes < before
 
     def _charge_unsent(self, unsent: int) -> None:
-        """Answers that wait for their client are in hand. A few bytes are the kernel's affair."""
-        held = unsent if unsent > SHORT_BODY_BYTES else 0
-        self._dispatcher.buffers.answers.charge(held - self._charged_bytes)
-        self._charged_bytes = held
+        """Charges responses that wait for the client. Short ones fit in the kernel's buffer and are not
+        charged."""
+        charged_bytes = unsent if unsent > SHORT_BODY_BYTES else 0
+        self._dispatcher.buffers.answers.charge(charged_bytes - self._charged_bytes)
+        self._charged_bytes = charged_bytes
 
     def resume_writing(self) -> None:
         self._charge_unsent(0)
         super().resume_writing()
 
     def advance(self) -> None:
-        if self._advancing:  # an answer was given while a request was being taken
+        if self._advancing:  # a response was given while a request was being dispatched
             return
         self._advancing = True
         try:
@@ -148,21 +149,21 @@
         if self.transport is None or self.transport.is_closing() or self.refused:
             return
         if not (self._dispatcher.closed and (self._slots or self.waiting)):
-            self.parse()  # once there is no time for more, nothing is read behind what has been read
+            self.parse()  # late in a shutdown nothing more is read
         self.pace()
         while self.waiting and len(self._slots) < MAX_PIPELINED and not self.choked and self._may_begin():
-            taken, message = self.waiting.popleft()
-            slot = Slot(taken, message)
+            received_ms, message = self.waiting.popleft()
+            slot = Slot(received_ms, message)
             self._slots.append(slot)
             self.current = self._slots[0].message
             try:
                 slot.id = self._dispatcher.begin(
-                    taken, message, lambda *said, slot=slot: self._reply(slot, *said)
+                    received_ms, message, lambda *response, slot=slot: self._reply(slot, *response)
                 )
-            except http.BadMessage as fault:
+            except http.BadMessage as error:
                 self._release_message(self._slots.pop().message)
                 self.current = self._slots[0].message if self._slots else None
-                self.fault = fault
+                self.fault = error
                 self._drop_waiting()
                 break
             self._flush()
@@ -194,11 +195,12 @@
             self.advance()
 
     def _closes_after(self, slot: Slot) -> bool:
-        """Whether the connection ends with that answer, the slot being out of its place already. Asked when
-        the answer leaves: each of two that are ready one behind the other would take the other for the last.
+        """Whether that response closes the connection; its slot is already removed. Decided when the response
+        is sent: otherwise each of two responses that are ready together would take the other for the last.
 
-        At an end, what has come behind a request is answered first, also what the kernel still has. Once
-        there is no time for more, what has not been read counts as not taken: its client sends it again."""
+        During a shutdown, requests that have arrived are answered first, also those still in the kernel. Late
+        in a shutdown, unread requests count as not received: the client sends them again.
+        """
         if slot.closes or not self.frontend.closing:
             return slot.closes
         if self._slots or self.waiting:
@@ -212,7 +214,7 @@
         return unread(self.transport.get_extra_info("socket"))
 
     def _flush(self) -> None:
-        """The answers whose turn it is."""
+        """Sends the responses whose turn it is."""
         if self.transport is None or self.transport.is_closing():
             return
         while self._slots and (reply := self._slots[0].reply) is not None:
@@ -232,7 +234,7 @@
                 self._drop_slots()
                 self._drop_waiting()
                 if self.frontend.closing:
-                    self.linger()  # its client did not know, and may have sent more
+                    self.linger()  # the client did not know, and may have sent more
                 else:
                     self.transport.close()
                 return
@@ -274,7 +276,7 @@
         super().refuse(fault)
 
     def answer(self, status: int, headers: http.Headers, body: bytes | Body) -> None:
-        raise AssertionError("answers go by their slot")
+        raise AssertionError("responses are sent through their slots")
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._drop_slots()
@@ -288,34 +290,35 @@
 class ClientListener(Frontend):
     connection = PipelinedConnection
 
-    def __init__(self, request_dispatcher: RequestDispatcher, most: int) -> None:
+    def __init__(self, request_dispatcher: RequestDispatcher, max_connections: int) -> None:
         self.request_dispatcher = request_dispatcher
-        self.idle_s = 0  # whole seconds for which clients are told that a connection may rest
-        self.keep_alive: http.Headers = []  # the header that tells them
+        self.idle_s = 0  # idle time announced to clients, whole seconds
+        self.keep_alive: http.Headers = []  # the header that announces it
         self._max_idle_s = 0.0
-        # Where calls are traced: told for each answer how many seconds it stood ready before it left.
+        # If calls are traced: called for each response with the seconds that it waited to be sent.
         self.trace: Callable[[str, float], None] | None = None
-        super().__init__(request_dispatcher, most)
+        super().__init__(request_dispatcher, max_connections)
 
     def _sweep(self) -> None:
-        """A client may read as slowly as it likes, as long as it reads: an answer may be long."""
+        """Clients may read slowly, as long as they read: a response may be long."""
         for connection in self._connections:
             if connection.choked and isinstance(connection, PipelinedConnection) and connection.reads():
                 connection.since = self.loop.time()
         super()._sweep()
 
     def apply_limits(self, limits: InputLimits) -> None:
-        """The operators' limits from now on: of bytes for what begins now, of times for all."""
+        """Applies the operators' limits: sizes for new requests, times for all."""
         self.request_dispatcher.limits = limits
         self.request_s, self.quiescent_s = limits.request_s, limits.quiescent_s
-        # A change that leaves clients less time to send cuts off none that reads its answer slowly.
+        # A shorter time for sending requests must not cut off clients that read their responses slowly.
         self.choked_s = max(self.choked_s, limits.request_s)
         self._update_keep_alive()
 
-    def set_max_idle(self, most_s: float) -> None:
-        """Clients are told that a connection may rest for ``most_s`` seconds, or less where the operators'
-        limits say so: an orderly end can wait for so long, and close what rests under no request."""
-        self._max_idle_s = most_s
+    def set_max_idle(self, max_idle_s: float) -> None:
+        """Announces that a connection may be idle for ``max_idle_s`` seconds, or less if the operators'
+        limits say so. A shutdown can wait that long and then close idle connections without losing a
+        request."""
+        self._max_idle_s = max_idle_s
         self._update_keep_alive()
 
     def _update_keep_alive(self) -> None:
@@ -324,14 +327,15 @@
         self.keep_alive = [(b"keep-alive", b"timeout=%d" % self.idle_s)] if self.idle_s else []
 
     async def stop(self, accept_s: float = ACCEPT_S, exit_s: float | None = None) -> None:
-        """Ends in order. From now on each connection ends with its next answer. New ones are taken for
-        ``accept_s`` seconds; then each ends once its client sends nothing more on it. What is still open
-        ``exit_s`` seconds from now, or EXIT_S, is given up; what has not been sent on is refused before."""
-        ends = self.loop.time() + (EXIT_S if exit_s is None else exit_s)
+        """Shuts down. From now on each connection closes with its next response. New connections are accepted
+        for ``accept_s`` seconds; then each is closed once its client sends nothing more on it. Connections
+        that are still open ``exit_s`` seconds from now, or EXIT_S, are given up after requests that were not
+        passed on have been refused."""
+        deadline = self.loop.time() + (EXIT_S if exit_s is None else exit_s)
         self.stopping = self.closing = True
         await asyncio.sleep(accept_s)
         self._stop_listening()
-        while self._connections and self.loop.time() < ends:
+        while self._connections and self.loop.time() < deadline:
             now = self.loop.time()
             for connection in list(self._connections):
                 if isinstance(connection, PipelinedConnection) and connection.may_close(now):
@@ -339,13 +343,13 @@
             await asyncio.sleep(POLL_S)
         if self._connections:
             self.request_dispatcher.abandon_all()
-            await asyncio.sleep(POLL_S)  # the answers leave
+            await asyncio.sleep(POLL_S)  # the responses are sent
         if self._sweeper is not None:
             self._sweeper.cancel()
 
     def _stop_listening(self) -> None:
-        """Takes what has come, and nothing more, in one turn: what would come between the two would be
-        reset."""
+        """Accepts what has arrived and closes the listener in one step, because a connection arriving in
+        between would be reset."""
         self._accept()
         if self._listener is not None:
             self._pause()
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -1,4 +1,4 @@
-"""What a sidecar shows of itself to operators: plain dicts out of its state, which stays as it is. No I/O."""
+"""What a sidecar shows to operators: plain dictionaries made from its state, which is not changed. No I/O."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 if TYPE_CHECKING:
     from mesh.data_plane.program import Proxy
 
-MAX_SHOWN = 2000  # upstreams, services or routes of one answer
+MAX_SHOWN = 2000  # upstreams, services or routes in one answer
 
 
 def operator_handlers(proxy: Proxy, clock: Callable[[], float]) -> dict[str, Handler]:
-    """The questions that a sidecar answers. ``clock`` gives seconds since 1970."""
+    """The handlers of operators' questions. ``clock`` returns seconds since 1970."""
     stores = {"charter": proxy.charter, "roll": proxy.roll}
     return {
         "status": lambda head: status(proxy, clock()),
@@ -39,11 +39,11 @@
 
 
 def status(proxy: Proxy, clock: float) -> Told:
-    """How it stands. Times in milliseconds; ``whole_ms``: since one that holds all that was acknowledged was
-    last heard, null where none has been; ``control``: as `ControlContact.status`."""
+    """The state of the sidecar. Times in milliseconds. ``whole_ms``: since a process with all acknowledged
+    items was last heard from, null if never. ``control``: see `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
-    tables = list(proxy.balancers.by_service.items())[:MAX_SHOWN]
-    proxy.channels.fresh(0.0)  # brings whole_at up to now
+    balancers = list(proxy.balancers.by_service.items())[:MAX_SHOWN]
+    proxy.channels.fresh(0.0)  # updates whole_at
     whole_at = proxy.channels.whole_at
     return {
         **common(settings, proxy.charter, proxy.roll, clock),
@@ -60,17 +60,17 @@
         "upstream": _upstream(proxy),
         "services": {
             service: {
-                "open": len(table.requests),
-                "further": table.budget.spent,
-                "denied": table.budget.denied,
+                "open": len(balancer.requests),
+                "further": balancer.budget.spent,
+                "denied": balancer.budget.denied,
             }
-            for service, table in tables
+            for service, balancer in balancers
         },
     }
 
 
 def _upstream(proxy: Proxy) -> Told | None:
-    """The upstream beside it; None before its first beat."""
+    """The upstream beside it; None before its first heartbeat."""
     upstream, beat = proxy.upstream, proxy.upstream.heartbeat
     if beat is None:
         return None
@@ -90,35 +90,35 @@
 
 
 def upstreams(proxy: Proxy, service: str) -> Told | Refusal:
-    """All of one service that it knows, and how each stands in its own picks."""
-    table = proxy.balancers.by_service.get(service)
+    """All known upstreams of a service, and how the balancer here rates each."""
+    balancer = proxy.balancers.by_service.get(service)
     known = dict(proxy.membership.instances_of(service)[:MAX_SHOWN])
-    if table is None and not known:
+    if balancer is None and not known:
         return Refusal(f"service {service[:80]!r}: no upstream of it is known, and none was asked for here")
-    return {"service": service, "used": table is not None, "upstreams": _standings(proxy, table, known)}
+    return {"service": service, "used": balancer is not None, "upstreams": _standings(proxy, balancer, known)}
 
 
-def _standings(proxy: Proxy, table: ServiceBalancer | None, known: dict[str, Any]) -> list[Told]:
-    balancer = table.balancer if table is not None else None
+def _standings(proxy: Proxy, service_balancer: ServiceBalancer | None, known: dict[str, Any]) -> list[Told]:
+    balancer = service_balancer.balancer if service_balancer is not None else None
     servers = balancer.servers if isinstance(balancer, Balancer) else {}
-    told = []
+    entries = []
     for instance in sorted({*known, *list(servers)[:MAX_SHOWN]}):
         value, server = known.get(instance) or {}, servers.get(instance)
-        one: Told = {
+        entry: Told = {
             "instance": instance,
             "node": value.get("node", ""),
             "zone": value.get("zone", ""),
             "state": value.get("state", "gone"),
         }
-        if table is not None and server is not None:
+        if service_balancer is not None and server is not None:
             assert isinstance(balancer, Balancer)
-            one |= _standing(proxy, balancer, server)
+            entry |= _standing(proxy, balancer, server)
             if value and not proxy.peer_links.reaches(str(value.get("node"))):
-                one["why"] = "its node cannot be reached from here"
+                entry["why"] = "its node cannot be reached from here"
         else:
-            one["why"] = "nothing was sent to this service from here yet"
-        told.append(one)
-    return told
+            entry["why"] = "nothing was sent to this service from here yet"
+        entries.append(entry)
+    return entries
 
 
 def _standing(proxy: Proxy, balancer: Balancer, server: Server) -> Told:
@@ -133,7 +133,7 @@
 
 
 def why(now: float, server: Server, in_set: bool) -> str:
-    """Why it is sent to, or not. ``in_set``: it is in the working set, as that was last drawn."""
+    """Why a server is picked or not. ``in_set``: it is in the working set, as last drawn."""
     if not server.listed:
         return f"takes nothing new: {server.entry.state.value}"
     if not in_set:
@@ -154,14 +154,14 @@
 
 
 def route(proxy: Proxy, host: str, path: str) -> Told:
-    """Where a request would go. ``route`` is null where it would be answered 404."""
+    """Where a request would go. ``route`` is null if the response would be 404."""
     found = proxy.routes.find(host, path.partition("?")[0])
     if found is None:
         return {"route": None, "configured": proxy.configured(), "services": []}
     services = []
     for service, share in found.split[:MAX_SHOWN]:
-        told = upstreams(proxy, service)
-        known = [] if isinstance(told, Refusal) else told["upstreams"]
+        result = upstreams(proxy, service)
+        known = [] if isinstance(result, Refusal) else result["upstreams"]
         services.append({"service": service, "share": round(share, 6), "upstreams": known})
     return {"route": _route(found), "configured": proxy.configured(), "services": services}
 
@@ -180,109 +180,119 @@
     }
 
 
-# Calls of late
+# Latest calls
 
 
 def trace(proxy: Proxy, attempt: str) -> Told:
-    """What is kept of calls with that id, on either hop; ``ago_ms`` tells when each began, from now."""
+    """The entries of calls with that id at either hop. ``ago_ms``: time since each began."""
     now = proxy.balancers.now()
     first, second = proxy.balancers.traces, proxy.upstream_dispatch.traces
-    told = [_first(now, one) for ring in (first.ordinary, first.notable) for one in ring if one[0] == attempt]
-    told += [
-        _second(now, one) for ring in (second.ordinary, second.notable) for one in ring if one[0] == attempt
+    entries = [
+        _first(now, entry)
+        for ring in (first.ordinary, first.notable)
+        for entry in ring
+        if entry[0] == attempt
+    ]
+    entries += [
+        _second(now, entry)
+        for ring in (second.ordinary, second.notable)
+        for entry in ring
+        if entry[0] == attempt
     ]
-    return {"node": proxy.settings.node, "entries": told}
+    return {"node": proxy.settings.node, "entries": entries}
 
 
 def _first(now: float, entry: FirstHopEntry) -> Told:
-    attempt, taken, over, name, version, aim, service, tried, count, told = entry
-    if isinstance(told, int):
-        end = f"{told}, the upstream's own answer"
-    elif told is None:
+    attempt, received_ms, ended_ms, name, version, aim, service, tries, count, result = entry
+    if isinstance(result, int):
+        end = f"{result}, the upstream's own answer"
+    elif result is None:
         end = "its client left"
-    elif isinstance(told, Refused):
+    elif isinstance(result, Refused):
         end = "refused: it has not run and never will"
     else:
-        assert isinstance(told, Failed)
-        end = "failed: it may have run" + ("; its time was over" if told.late else "")
+        assert isinstance(result, Failed)
+        end = "failed: it may have run" + ("; its time was over" if result.late else "")
     return {
         "hop": 1,
         "attempt": attempt,
-        "ago_ms": round(now - taken, 1),
-        "took_ms": round(over - taken, 1),
+        "ago_ms": round(now - received_ms, 1),
+        "took_ms": round(ended_ms - received_ms, 1),
         "route": name,
         "version": version,
         "aim_ms": aim,
         "service": service,
-        "tries": [{"instance": who, "end": how, "took_ms": round(took, 1)} for who, how, took in tried],
-        "further": count - len(tried),
+        "tries": [{"instance": who, "end": how, "took_ms": round(took, 1)} for who, how, took in tries],
+        "further": count - len(tries),
         "end": end,
     }
 
 
 def _second(now: float, entry: SecondHopEntry) -> Told:
-    attempt, came, began, over, instance, caller, end = entry
+    attempt, received_ms, started_ms, ended_ms, instance, caller, end = entry
     return {
         "hop": 2,
         "attempt": attempt,
-        "ago_ms": round(now - came, 1),
-        "waited_ms": round((began or over) - came, 1),
-        "ran_ms": round(over - began, 1) if began else None,
+        "ago_ms": round(now - received_ms, 1),
+        "waited_ms": round((started_ms or ended_ms) - received_ms, 1),
+        "ran_ms": round(ended_ms - started_ms, 1) if started_ms else None,
         "instance": instance,
         "caller": caller,
         "end": end,
     }
 
 
-# Stages
+# Rollouts
 
 
 def rollout(proxy: Proxy, name: str) -> Told:
-    """How the versions of a route of late went here, the oldest first; ``after_ms``: from the news until it
-    was in force or overtaken, null while it is held back; ``word``: what its first calls came to, if this
-    sidecar is of its first part."""
+    """How the latest versions of a route came into force here, the oldest first. ``after_ms``: from receipt
+    until in force or superseded, null while held. ``word``: the results of its first calls, if this sidecar
+    is a canary."""
     now, stages = proxy.loop.time(), proxy.staged_routes
     standing, watched = proxy.routes.named(name), stages.monitor.watched.get(name)
-    told = []
-    for one in stages.activation.history:
-        if one.key != (ROUTE, name):
+    passes = []
+    for activation in stages.activation.history:
+        if activation.key != (ROUTE, name):
             continue
         entry: Told = {
-            "version": one.version,
-            "kind": one.kind.value,
-            "first": one.canary,
-            "state": one.state.value,
-            "ago_ms": round((now - one.known_at) * 1000.0),
-            "after_ms": round((one.finished_at - one.known_at) * 1000.0, 1) if one.finished_at else None,
-            "latest_ms": round((one.deadline - one.known_at) * 1000.0),
-            "why": one.reason,
+            "version": activation.version,
+            "kind": activation.kind.value,
+            "first": activation.canary,
+            "state": activation.state.value,
+            "ago_ms": round((now - activation.known_at) * 1000.0),
+            "after_ms": round((activation.finished_at - activation.known_at) * 1000.0, 1)
+            if activation.finished_at
+            else None,
+            "latest_ms": round((activation.deadline - activation.known_at) * 1000.0),
+            "why": activation.reason,
         }
-        if watched is not None and watched.version == one.version:
+        if watched is not None and watched.version == activation.version:
             entry["word"] = [watched.new.calls, watched.new.failures, watched.old.calls, watched.old.failures]
-        told.append(entry)
+        passes.append(entry)
     return {
         "node": proxy.settings.node,
         "in_force": standing.version if standing is not None else None,
         "behind": stages.contact.is_behind(now),
         "dry": stages.unserved.get(name, ""),
-        "passes": told,
+        "passes": passes,
     }
 
 
-def order(proxy: Proxy, name: str, word: str, at_next: bool) -> Told:
-    """An operator's hold or go. ``obeyed``: that version was held back here; null where nothing was."""
-    one = proxy.staged_routes.apply_command(name, RolloutCommand(word), at_next)
+def order(proxy: Proxy, name: str, command: str, at_next: bool) -> Told:
+    """Applies an operator's hold or go. ``obeyed``: the version held here, null if there was none."""
+    activation = proxy.staged_routes.apply_command(name, RolloutCommand(command), at_next)
     standing = proxy.routes.named(name)
     return {
         "node": proxy.settings.node,
-        "obeyed": one.version if one is not None else None,
+        "obeyed": activation.version if activation is not None else None,
         "in_force": standing.version if standing is not None else None,
     }
 
 
 def answers(proxy: Proxy) -> Told:
-    """How long upstreams' own answers below 500 took of late, in milliseconds from the request's arrival, by
-    route and by service: how many are kept, the least and the median."""
+    """How long upstream responses below 500 took lately, in milliseconds from the request's arrival, by route
+    and by service: their number, the least and the median."""
     rings = proxy.balancers.traces
     kept = [
         e for ring in (rings.ordinary, rings.notable) for e in ring if isinstance(e[9], int) and e[9] < 500
@@ -294,7 +304,7 @@
 
 
 def _times(pairs: Iterable[tuple[str, float]]) -> Told:
-    from statistics import median  # 0.3 MB that only a process of which this is asked needs
+    from statistics import median  # 0.3 MB that only a queried process needs
 
     found: dict[str, list[float]] = {}
     for name, took in pairs:
--- a/mesh/data_plane/key_holds.py
+++ b/mesh/data_plane/key_holds.py
@@ -1,6 +1,5 @@
-"""A proxy's part in keys: it asks control processes which map holds, answers its upstream's beats by it, and
-tells what was let go and how much traffic there is. The decisions are `mesh.ownership`'s.
-"""
+"""A proxy's part in key ownership: asks control processes for the current map version, answers the heartbeats
+of its upstream by it, and reports released keys and traffic. The decisions are in `mesh.ownership`."""
 
 from __future__ import annotations
 
@@ -22,16 +21,16 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-QUERY_S = 0.8  # between two questions for the map that holds
-QUERY_RETRY_S = 0.35  # an unanswered one goes to all control processes that are linked
-REPORT_S = 1.5  # between two reports
-POLL_S = 0.02  # between two looks for another map, while a beat waits for it
-DRAIN_WAIT_S = 0.3  # a first beat that drains waits so long for a map without its keys
-NEXT_KEYS_WAIT_S = 0.7  # a beat waits so long for keys that are to come; it must be answered within a second
+QUERY_S = 0.8  # interval of queries for the current map version
+QUERY_RETRY_S = 0.35  # after which an unanswered query is sent to all linked control processes
+REPORT_S = 1.5  # interval of reports
+POLL_S = 0.02  # polling interval while a heartbeat waits for another map
+DRAIN_WAIT_S = 0.3  # longest wait of a first draining heartbeat for a map without its keys
+NEXT_KEYS_WAIT_S = 0.7  # longest wait of a heartbeat for keys; it must be answered within a second
 
 
 class KeyHolds:
-    """Of one proxy."""
+    """Key ownership of one proxy."""
 
     def __init__(
         self,
@@ -43,16 +42,16 @@
         reports: Store,
         version: int,
         channels: Callable[[], Channels],
-        known_here: Callable[[], list[str]],
+        instances_here: Callable[[], list[str]],
     ) -> None:
-        """``service``: of the upstream beside it; ``version``: above those of its earlier lives' reports;
-        ``known_here`` gives the upstreams that the membership has at this machine."""
-        self._instances_here = known_here
+        """``service``: of the upstream beside it. ``version``: above the report versions of earlier
+        incarnations. ``instances_here`` returns the upstreams at this machine, from the membership."""
+        self._instances_here = instances_here
         self._loop = asyncio.get_running_loop()
         self._node, self._service, self._beat_s = node, service, beat_ms / 1000.0
         self._maps, self._reports, self._version, self._channels = maps, reports, version, channels
         self.holds = ServerHolds(lease_terms_for(hold_max_ms), self._loop.time())
-        self._queries: dict[int, float] = {}  # when each was sent, the newest last
+        self._queries: dict[int, float] = {}  # time sent, by number, the latest last
         self._number = 0
         self._query_at = self._retry_at = 0.0
         self._report_at = 0.0
@@ -63,10 +62,10 @@
     def _map(self) -> KeyMap | None:
         return self._maps.by_service.get(self._service)
 
-    # The configuration
+    # Configuration
 
     def apply_item(self, item: Item) -> None:
-        """An item of the configuration has come."""
+        """Applies a configuration item."""
         if item.kind == PLANT:
             self._maps.apply_service(item.name, item.value)
         elif item.kind == OWNERSHIP:
@@ -75,7 +74,7 @@
                 self.holds.map_changed(self._map)
                 self._report_at = 0.0
 
-    # Which map holds
+    # Current map version
 
     def tick(self, now: float) -> None:
         """Called several times a second."""
@@ -90,7 +89,7 @@
             self._report(now)
 
     def _holders_here(self) -> list[str]:
-        """Upstreams that held keys beside this proxy, by the map."""
+        """Upstreams that hold keys beside this proxy, by the map."""
         key_map = self._map
         return [name for name, node in key_map.nodes.items() if node == self._node] if key_map else []
 
@@ -100,13 +99,18 @@
         while len(self._queries) > 16:
             del self._queries[next(iter(self._queries))]
         self._query_at, self._retry_at = now + QUERY_S, now + QUERY_RETRY_S
-        linked = [one for one in self._channels().open if one.opened_here and one.link.up and one.told]
-        linked.sort(key=lambda one: (not one.whole, one.rank, one.name))
+        linked = [
+            channel
+            for channel in self._channels().open
+            if channel.opened_here and channel.link.up and channel.told
+        ]
+        linked.sort(key=lambda channel: (not channel.whole, channel.rank, channel.name))
         for channel in linked[:1] if first_only else linked:
             channel.link.send({"t": "keys", "n": self._number})
 
     def handle_frame(self, head: Head) -> bool:
-        """Whether it was an answer. Raises KeyError, TypeError or ValueError for what cannot be read."""
+        """Handles a frame; returns False if it is not for this class. Raises KeyError, TypeError or
+        ValueError if it is malformed."""
         if head["t"] != "keys_at":
             return False
         number = int(head["n"])
@@ -117,25 +121,25 @@
             self.holds.confirm_version(asked_at, int(head["v"][self._service]), self._map)
         return True
 
-    # Beats
+    # Heartbeats
 
-    async def answer_heartbeat(self, beat: Heartbeat) -> dict[str, Any]:
-        """The answer's fields. May wait a moment for a map that is on its way."""
-        if not self._maps.is_sharded(beat.plant) or beat.plant != self._service:
+    async def answer_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
+        """The fields of the response to a heartbeat. May wait shortly for a map that is on its way."""
+        if not self._maps.is_sharded(heartbeat.plant) or heartbeat.plant != self._service:
             return {}
-        if beat.state == DECAYING:
-            await self._wait(DRAIN_WAIT_S, lambda: self._all_keys_leaving(beat.instance))
+        if heartbeat.state == DECAYING:
+            await self._wait(DRAIN_WAIT_S, lambda: self._all_keys_leaving(heartbeat.instance))
         else:
-            await self._wait(NEXT_KEYS_WAIT_S, lambda: not self._awaits_keys(beat.instance))
-        told = BeatKeys(beat.instance, beat.sample_count, beat.holds, beat.released)
-        grant = self.holds.answer_beat(self._loop.time(), told, self._map)
-        if beat.released or beat.holds:
+            await self._wait(NEXT_KEYS_WAIT_S, lambda: not self._awaits_keys(heartbeat.instance))
+        reported = BeatKeys(heartbeat.instance, heartbeat.sample_count, heartbeat.holds, heartbeat.released)
+        grant = self.holds.answer_beat(self._loop.time(), reported, self._map)
+        if heartbeat.released or heartbeat.holds:
             self._report_soon()
         return grant.answer_fields() if grant is not None else {}
 
-    async def _wait(self, most_s: float, done: Callable[[], bool]) -> None:
-        until = self._loop.time() + most_s
-        while not done() and self._loop.time() < until:
+    async def _wait(self, max_wait_s: float, done: Callable[[], bool]) -> None:
+        deadline = self._loop.time() + max_wait_s
+        while not done() and self._loop.time() < deadline:
             await asyncio.sleep(POLL_S)
 
     def _all_keys_leaving(self, instance: str) -> bool:
@@ -147,31 +151,33 @@
         return key_map is not None and key_map.is_next_holder(instance)
 
     def may_run(self, call: Call) -> bool:
-        """Whether the upstream here may run that call, as far as keys go and as far as is known here."""
+        """Whether the upstream here may run that call by its key, as far as is known here."""
         key_map = self._map
         if key_map is None or not self._maps.is_sharded(self._service):
             return True
-        told = next((value for name, value in call.headers if name == KEY_HEADER), None)
-        key = read_key(told.decode("latin-1")) if told is not None else None
+        header = next((value for name, value in call.headers if name == KEY_HEADER), None)
+        key = read_key(header.decode("latin-1")) if header is not None else None
         return key is None or self.holds.may_hold(key_map, key)
 
-    # The word to the control processes
+    # Reports to the control processes
 
     def _report_soon(self) -> None:
-        words = self.holds.releases(self._loop.time(), self._map)
-        if words and (self._last_report is None or len(words) != len(self._last_report.get("w", []))):
+        releases = self.holds.releases(self._loop.time(), self._map)
+        if releases and (self._last_report is None or len(releases) != len(self._last_report.get("w", []))):
             self._report(self._loop.time())
 
     def _report(self, now: float) -> None:
         self._report_at = now + REPORT_S
-        words = self.holds.releases(now, self._map)
-        told = write_report(words, self.holds.silent_upstream(now, self._beat_s), self._maps.take_counts())
-        self._last_report = told
+        releases = self.holds.releases(now, self._map)
+        report = write_report(
+            releases, self.holds.silent_upstream(now, self._beat_s), self._maps.take_counts()
+        )
+        self._last_report = report
         self._version += 1
-        self._reports.write(KEY_REPORT, self._node, self._version, told)
+        self._reports.write(KEY_REPORT, self._node, self._version, report)
         self._channels().poke()
 
     def supersede_report(self) -> None:
-        """The others gave this proxy up and dropped its report by its next version: this is above."""
+        """Reports again above the version with which the others dropped this proxy's report."""
         self._version += 1
         self._report_at = 0.0
--- a/mesh/data_plane/key_maps.py
+++ b/mesh/data_plane/key_maps.py
@@ -1,4 +1,4 @@
-"""The maps of divided services as they are here, and what the first hop counts by key. No I/O."""
+"""The key maps of sharded services, and the counts of requests by key at the first hop. No I/O."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from mesh.ownership.key_map import BUCKET, KeyMap, read_map
 from mesh.replication.items import Item
 
-KEY_HEADER = b"shard-key"  # the header that names a request's key
-MAX_COUNTED = 4096  # requests between two reports that are counted
+KEY_HEADER = b"shard-key"  # names a request's key
+MAX_COUNTED = 4096  # requests counted between two reports
 
 
 class KeyMaps:
-    """Of all services of this proxy."""
+    """Key maps of all services of this proxy."""
 
     def __init__(self) -> None:
-        """None yet."""
+        """Starts without maps."""
         self._sharded: set[str] = set()
         self.by_service: dict[str, KeyMap] = {}
         self._counts: dict[str, Counter[int]] = {}
 
     def apply_service(self, name: str, value: Mapping[str, Any] | None) -> None:
-        """A service's item has come."""
+        """Applies a service's item."""
         if value is not None and value.get("sharded") is True:
             self._sharded.add(name)
         else:
             self._sharded.discard(name)
 
     def apply_map(self, item: Item) -> None:
-        """A map has come; one that cannot be read is of a later program and changes nothing."""
+        """Applies a map. An unreadable one is from a newer release and is ignored."""
         if item.value is None:
             self.by_service.pop(item.name, None)
             return
@@ -40,16 +40,16 @@
             return
 
     def is_sharded(self, service: str) -> bool:
-        """Whether that service is divided by key."""
+        """Whether that service is sharded by key."""
         return service in self._sharded
 
     def holder(self, service: str, key: int) -> str:
-        """The upstream that holds the key, as far as is known here; "" where nobody does."""
+        """The upstream that holds the key, as far as is known here; "" if none does."""
         key_map = self.by_service.get(service)
         return key_map.row_for_key(key).holder if key_map is not None else ""
 
     def count(self, service: str, key: int) -> None:
-        """A client's request on that key."""
+        """Counts a client's request for that key."""
         counts = self._counts.setdefault(service, Counter())
         if counts.total() < MAX_COUNTED:
             counts[key // BUCKET] += 1
--- a/mesh/data_plane/membership.py
+++ b/mesh/data_plane/membership.py
@@ -1,4 +1,4 @@
-"""Who there is, as the items pulled so far say: nodes, instances, and where each instance is."""
+"""The nodes and instances known from replicated items, and the node of each instance."""
 
 from __future__ import annotations
 
@@ -11,10 +11,9 @@
 from mesh.transport.link import Address
 
 NODE, INSTANCE = "node", "instance"
-# As protocol version 1 writes the roles, in the greeting and in items: earlier releases compare these
-# strings.
+# The role names of protocol version 1, in the greeting and in items. Earlier releases compare these strings.
 PROXY, CONTROLLER = "sluice", "reservoir"
-ROLE_NAMES = {PROXY: "proxy", CONTROLLER: "controller"}  # as people read them
+ROLE_NAMES = {PROXY: "proxy", CONTROLLER: "controller"}  # for logs and operators
 
 
 class Membership:
@@ -23,33 +22,33 @@
         self.instances: dict[str, Mapping[str, Any]] = {}
         self._addresses: dict[str, Address] = {}
         self.instances_by_service: dict[str, set[str]] = {}
-        self._instances_by_node: dict[str, dict[str, None]] = {}  # instances, in the order in which they came
+        self._instances_by_node: dict[str, dict[str, None]] = {}  # instances in order of arrival
         self._canary_selection: CanarySelection | None = None
 
     def apply(self, items: Iterable[Item]) -> dict[str, list[tuple[str, Mapping[str, Any] | None]]]:
-        """Takes items that have changed; gives the instances among them, by service."""
-        told: dict[str, list[tuple[str, Mapping[str, Any] | None]]] = {}
+        """Applies changed items and returns the instances among them, by service."""
+        changes: dict[str, list[tuple[str, Mapping[str, Any] | None]]] = {}
         self._canary_selection = None
         for item in items:
             if item.kind == NODE:
                 self._apply_node(item)
             elif item.kind == INSTANCE:
-                known = self.instances.pop(item.name, None)
-                if known is not None:
-                    self._remove_from_node(item.name, str(known.get("node", "")))
-                    service = str(known["plant"])
+                previous = self.instances.pop(item.name, None)
+                if previous is not None:
+                    self._remove_from_node(item.name, str(previous.get("node", "")))
+                    service = str(previous["plant"])
                     self.instances_by_service[service].discard(item.name)
                     if not self.instances_by_service[service]:
                         del self.instances_by_service[service]
                     if item.value is None or item.value["plant"] != service:
-                        told.setdefault(service, []).append((item.name, None))
+                        changes.setdefault(service, []).append((item.name, None))
                 if item.value is not None:
                     service = str(item.value["plant"])
                     self.instances[item.name] = item.value
                     self._instances_by_node.setdefault(str(item.value.get("node", "")), {})[item.name] = None
                     self.instances_by_service.setdefault(service, set()).add(item.name)
-                    told.setdefault(service, []).append((item.name, item.value))
-        return told
+                    changes.setdefault(service, []).append((item.name, item.value))
+        return changes
 
     def _remove_from_node(self, instance: str, node: str) -> None:
         del self._instances_by_node[node][instance]
@@ -77,11 +76,11 @@
         return [(name, self.instances[name]) for name in sorted(self.instances_by_service.get(service, ()))]
 
     def instances_at(self, node: str) -> list[str]:
-        """The instances that are said to be there. Asked at every tick: never a search of all."""
+        """The instances at a node. Called at every tick, so it must not search all instances."""
         return list(self._instances_by_node.get(node, ()))
 
     def controllers(self) -> dict[str, Address]:
-        """Control processes by the host of their address."""
+        """Addresses of the control processes, by host."""
         found = {}
         for name, value in self.nodes.items():
             address = self._addresses.get(name)
@@ -90,8 +89,8 @@
         return found
 
     def canary_selection(self) -> CanarySelection:
-        """Who takes changed items first, of the sidecars that have an upstream: those without one have ended,
-        or carry next to nothing."""
+        """Selects the sidecars that apply changed items first, among those with an upstream: the others have
+        ended or carry almost no traffic."""
         if self._canary_selection is None:
             nodes = {str(value["node"]) for value in self.instances.values()}
             self._canary_selection = CanarySelection(
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -341,7 +341,7 @@
             link.expects -= 1
             self._mark_verified()
         for outgoing in list(self.to_query.values()):
-            self.context.turns.submit(partial(self._query, outgoing), question=True)
+            self.context.turns.submit(partial(self._query, outgoing), query=True)
 
     def _query(self, outgoing: OutgoingCall) -> None:
         link = self.link
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -1,5 +1,5 @@
-"""The data plane: a sidecar beside one upstream. It takes the clients' requests of its machine, picks the
-upstream for each, and passes on what other sidecars send to its own."""
+"""The data plane: a sidecar beside one upstream. It accepts the requests of clients on its machine, picks the
+upstream of each, and passes calls of other sidecars to its own upstream."""
 
 from __future__ import annotations
 
@@ -53,17 +53,17 @@
 MAX_CHARTER_ITEMS = 40_000
 MAX_ROLL_ITEMS = 20_000
 TICK_S = 0.1
-SPARE_FILES = 64  # descriptors that are neither clients', links' nor the upstream's
-EXTRA_CONTROLLERS = 2  # control processes asked for news beyond those that may be lost at once
-MAX_REPORTED_CONTROLLERS = 64  # control processes that other proxies tell of
-CONNECTION_SHARE = 0.9  # of what an upstream accepts, this sidecar opens; it is the only one that can
-DEFAULT_MAX_CONNECTIONS = 100  # where the operator does not say
+SPARE_FILES = 64  # file descriptors not used by clients, links or the upstream
+EXTRA_CONTROLLERS = 2  # pulled from, beyond those that may be lost at once
+MAX_REPORTED_CONTROLLERS = 64  # learned from other proxies
+CONNECTION_SHARE = 0.9  # of the connections that an upstream accepts; no other sidecar uses it
+DEFAULT_MAX_CONNECTIONS = 100  # where the operator sets no limit
 OPERATOR_KINDS = frozenset({INPUT_LIMITS, PLANT, ROUTE})
-SESSION_MEMORY_SHARE = 1 / 32  # of the memory, for ends that may be asked after
+SESSION_MEMORY_SHARE = 1 / 32  # of the memory, for ends that may be queried
 
 
 def retry_budget_of(bounds: Bounds) -> tuple[float, float, float]:
-    """The budget of further tries: ratio, window in milliseconds and slack."""
+    """The retry budget: ratio, window in milliseconds and slack."""
     return bounds.retry_ratio, bounds.retry_window_s * 1000.0, bounds.retry_slack
 
 
@@ -93,7 +93,7 @@
             settings.node, self.upstream_dispatch, event_log, self._on_reachable, self.incarnation
         )
         self.peer_links.core = lambda: self.membership.controllers()
-        self._reported_controllers: dict[str, Address] = {}  # control processes that other proxies told of
+        self._reported_controllers: dict[str, Address] = {}  # learned from other proxies
         self.sessions: CallSessions[End] = CallSessions(
             int(SESSION_MEMORY_SHARE * settings.limits.memory_mb * 1e6)
         )
@@ -143,8 +143,8 @@
             lambda items: self._on_items("roll", items),
             self.key_holds.answer_heartbeat,
         )
-        most = max((settings.limits.file_handles - SPARE_FILES) // 2, 16)
-        self.client_listener = ClientListener(self.request_dispatcher, most)
+        max_clients = max((settings.limits.file_handles - SPARE_FILES) // 2, 16)
+        self.client_listener = ClientListener(self.request_dispatcher, max_clients)
         self.client_listener.set_max_idle(max_idle_s(bounds.grace_s))
         self.control = HttpServer(self.registry.handle)
         self.readiness = HttpServer(self._ready)
@@ -165,20 +165,18 @@
             up=(REPORTS,),
             ranks=True,
         )
-        self.channels.silent = lambda role: ("charter",)  # an old copy here brings back nothing
+        self.channels.silent = lambda role: ("charter",)  # an old copy here must not restore dropped items
         self.control_contact = ControlContact(bounds.contact_ms, self.channels, event_log)
         self.questions = Questions(operator_handlers(self, time.time))
         self.ending = False
         self.incoming_links: set[Link] = set()  # with calls from other sidecars
         self._server: asyncio.Server | None = None
-        self._linked_at = self.loop.time()  # when there was last a link with news
-        self._unconfirmed_since: float | None = (
-            None  # what is held of the charter is to be told anew since then
-        )
+        self._linked_at = self.loop.time()  # when there was last a link for updates
+        self._unconfirmed_since: float | None = None  # resynchronizing the charter since then
         self._node_version = int(time.time() * 1000)
 
     def _share_between_hops(self) -> None:
-        """What the clients' side and the upstream's have together: memory, and which runs are repeats."""
+        """Shares memory and the detection of repeats between the client side and the upstream side."""
         self.upstream_dispatch.use_buffers(self.request_dispatcher.buffers)
         self.request_dispatcher.repeats = self.upstream_dispatch.repeats
 
@@ -198,7 +196,7 @@
         self.upstream_dispatch.holds_key = holds.may_run
         return holds
 
-    # Start and end
+    # Start and shutdown
 
     async def start(self) -> None:
         ports = self.settings.ports
@@ -224,7 +222,7 @@
     def _publish_node(self) -> None:
         settings = self.settings
         self._node_version = version_above(self.roll.items.get((NODE, settings.node)), self._node_version + 1)
-        told = self.roll.write(
+        item = self.roll.write(
             NODE,
             settings.node,
             self._node_version,
@@ -235,18 +233,18 @@
                 "region": settings.region,
             },
         )
-        if isinstance(told, Item):
-            self._on_items("roll", [told])
+        if isinstance(item, Item):
+            self._on_items("roll", [item])
 
     def _republish(self) -> None:
-        """The others gave this sidecar up while they heard nothing of it, and may have forgotten that."""
+        """Publishes this sidecar's items again after the others have dropped it."""
         self._publish_node()
         self.registry.republish()
         self.staged_routes.supersede_report()
         self.key_holds.supersede_report()
 
     def _tick(self) -> None:
-        self.loop.call_later(TICK_S, self._tick)  # first: signs of life go on whatever is raised below
+        self.loop.call_later(TICK_S, self._tick)  # first: keep-alives go on whatever is raised
         now = self.loop.time()
         self.channels.tick(now)
         self.control_contact.tick(now)
@@ -262,7 +260,7 @@
         for key in self._charter_tombstones.pop_expired(now):
             self.charter.remove_tombstone(key)
         self._check_unconfirmed(now)
-        if now - self._linked_at > RESYNC_AFTER_S:  # looked at before the links: they outlast standing still
+        if now - self._linked_at > RESYNC_AFTER_S:  # before the links, which outlast a freeze
             self._linked_at = now
             self._on_items("roll", self.roll.clear_remote_items())
             self._republish()
@@ -273,8 +271,9 @@
         self.registry.reconcile()
 
     def _check_unconfirmed(self, now: float) -> None:
-        """Who heard of no whole control process for long may hold what was dropped, and forgotten since. It
-        goes on with what it has, asks for all anew, and lets go what the first whole answer did not name."""
+        """Resynchronizes after a long time without a complete control process: items held here may have been
+        dropped, and their tombstones collected. Continues with the held items, requests everything again, and
+        removes what the first complete answer does not contain."""
         if self._unconfirmed_since is not None:
             if self.channels.whole_at > self._unconfirmed_since:
                 self._unconfirmed_since = None
@@ -283,10 +282,10 @@
             self._unconfirmed_since = now
             self.charter.mark_unconfirmed()
             for channel in list(self.channels.open):
-                channel.link.close("asks for all anew")
+                channel.link.close("resynchronizing")
 
     def configured(self) -> bool:
-        """Whether all of the operators' configuration is here; the members come before there is any."""
+        """Whether the operators' complete configuration is here; the members are known earlier."""
         known = any(kind in OPERATOR_KINDS for kind, _ in self.charter.items)
         return known and self.channels.whole_at > 0.0
 
@@ -294,25 +293,25 @@
         return Answer(200 if self.configured() and not self.ending else 503)
 
     async def stop(self) -> None:
-        """An orderly end."""
-        self.ending = True  # readiness says so from now on
+        """Shuts down gracefully."""
+        self.ending = True  # readiness fails from now on
         await Shutdown(self).run()
         self.event_log.tell(events.ENDED)
 
     def stop_listening(self) -> None:
-        """Other processes open no more links to this one; those that stand go on."""
+        """Accepts no more links from other processes; open ones continue."""
         if self._server is not None:
             self._server.close()
 
     def open_calls(self) -> int:
-        """Of clients on this machine, and of other proxies at the upstream beside it."""
+        """Open requests of clients on this machine, and calls of other proxies at the upstream beside it."""
         return (
             self.request_dispatcher.open_requests
             + len(self.upstream_dispatch.running)
             + len(self.upstream_dispatch.queue)
         )
 
-    # News
+    # Updates
 
     def _on_items(self, name: str, items: list[Item]) -> None:
         if name == "charter":
@@ -325,9 +324,9 @@
         else:
             self.tombstones.note(self.loop.time(), items)
             for service, entries in self.membership.apply(items).items():
-                table = self.balancers.by_service.get(service)
-                if table is not None:
-                    table.update_instances(entries)
+                balancer = self.balancers.by_service.get(service)
+                if balancer is not None:
+                    balancer.update_instances(entries)
             if any(item.kind == NODE for item in items):
                 self._update_channels()
                 for item in items:
@@ -337,37 +336,41 @@
         self.channels.poke()
 
     def _on_control_frame(self, channel: Channel, head: Any) -> None:
-        """A frame of a control process beside news. Raises KeyError, TypeError or ValueError."""
+        """Handles a frame of a control process that is not an update. Raises KeyError, TypeError or
+        ValueError."""
         if not self.key_holds.handle_frame(head):
             self.staged_routes.handle_frame(head, channel.whole)
 
     def _on_reachable(self, node: str, up: bool) -> None:
-        """What cannot be reached from here takes no calls from here, whatever others say of it."""
+        """Updates the balancers: instances at an unreachable node get no calls from here, whatever others
+        report."""
         self.event_log.tell(events.REACHED if up else events.UNREACHED, peer=node)
         for instance in self.membership.instances_at(node):
             value = self.membership.instances[instance]
-            table = self.balancers.by_service.get(str(value["plant"]))
-            if table is not None:
-                table.update_instances([(instance, value)])
+            balancer = self.balancers.by_service.get(str(value["plant"]))
+            if balancer is not None:
+                balancer.update_instances([(instance, value)])
 
     def _apply_item(self, item: Item) -> None:
         if item.kind in (PLANT, OWNERSHIP):
             self.key_holds.apply_item(item)
-            table = self.balancers.by_service.get(item.name)
-            if item.kind == PLANT and table is not None:
-                table.update_sharding()
+            balancer = self.balancers.by_service.get(item.name)
+            if item.kind == PLANT and balancer is not None:
+                balancer.update_sharding()
         if item.kind == ROUTE:
             self.staged_routes.receive_route(item)
         elif item.kind == INPUT_LIMITS:
             self.client_listener.apply_limits(read_limits(item.value))
         elif item.kind == PLANT and item.name == self.settings.plant and item.value is not None:
-            most = item.value.get("conn_saturation")
+            conn_saturation = item.value.get("conn_saturation")
             self.upstream_connections.max_connections = (
-                max(int(CONNECTION_SHARE * most), 1) if most else DEFAULT_MAX_CONNECTIONS
+                max(int(CONNECTION_SHARE * conn_saturation), 1)
+                if conn_saturation
+                else DEFAULT_MAX_CONNECTIONS
             )
 
     def _on_newer_route(self, packed: list[Any] | None) -> None:
-        """A second hop goes by a newer version of a route, which it sent along."""
+        """Applies a newer version of a route that a second hop has sent."""
         try:
             item = unpack(packed) if packed is not None else None
         except (TypeError, ValueError):
@@ -385,18 +388,18 @@
         known.update(controllers or self._reported_controllers)
         self.channels.know(known)
 
-    def _on_reported_controllers(self, told: Any) -> None:
-        """Another proxy says which control processes there are: of use to one that has just started, and
-        cannot have its seeds. What a controller says of them takes its place."""
-        if self.membership.controllers() or not isinstance(told, list):
+    def _on_reported_controllers(self, addresses: Any) -> None:
+        """Learns control processes from another proxy, which helps after a start if no seed is reachable. The
+        membership replaces them."""
+        if self.membership.controllers() or not isinstance(addresses, list):
             return
-        for address in map(read_address, told[:MAX_CORE_ADDRESSES]):
+        for address in map(read_address, addresses[:MAX_CORE_ADDRESSES]):
             if address is not None and len(self._reported_controllers) < MAX_REPORTED_CONTROLLERS:
                 self._reported_controllers.setdefault(address[0], address)
         self._update_channels()
 
     def retune(self, settings: Settings) -> None:
-        """The settings file has changed: other seeds, other bounds."""
+        """Applies a changed settings file."""
         self.settings = settings
         self.balancers.set_retry_budget(retry_budget_of(settings.bounds))
         self.upstream.drain_ms = settings.bounds.drain_ms
@@ -405,14 +408,14 @@
         self.control_contact.set_contact_bound(settings.bounds.contact_ms)
         self._update_channels()
 
-    # Links that others open
+    # Links opened by others
 
     def _on_frame(self, link: Link, head: Any, body: bytes) -> None:
         if isinstance(link.peer, IncomingCalls):
             try:
                 link.peer.handle_frame(head, body)
-            except (KeyError, TypeError, ValueError, AttributeError) as fault:
-                link.close(f"unreadable {type(head).__name__}: {fault!r}")
+            except (KeyError, TypeError, ValueError, AttributeError) as error:
+                link.close(f"unreadable {type(head).__name__}: {error!r}")
         elif isinstance(link.peer, Channel):
             self.channels.frame(link.peer, head, body)
         elif isinstance(link.peer, Asker):
@@ -420,9 +423,9 @@
         elif head.get("t") == "hello" and head.get("for") == "operate":
             self.questions.adopt(link)
         elif head.get("t") == "hello" and head.get("for") == "calls":
-            life = head.get("life")  # none from a program that cannot ask back
-            session = self.sessions.open(str(life)) if life else None
-            window = int(head.get("window") or 0)  # none from a program that takes no pieces
+            incarnation = head.get("life")  # missing from a release without status queries
+            session = self.sessions.open(str(incarnation)) if incarnation else None
+            window = int(head.get("window") or 0)  # missing from a release without bodies in pieces
             link.peer = IncomingCalls(link, self.upstream_dispatch, self.sessions, session, window)
             link.node = str(head.get("node", ""))
             self.incoming_links.add(link)
--- a/mesh/data_plane/route_preparation.py
+++ b/mesh/data_plane/route_preparation.py
@@ -1,4 +1,4 @@
-"""Before the services of a route are used: tables for those that are new here, and a link to one upstream."""
+"""Prepares for the services of a route: balancers for new ones, and a link to one upstream."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 def prepare(
-    route: Route, node: str, tables: ServiceBalancers, membership: Membership, passage: PeerLinks
+    route: Route, node: str, balancers: ServiceBalancers, membership: Membership, peer_links: PeerLinks
 ) -> list[str]:
-    """Makes ready for the services of a route at this ``node``; gives those without a live upstream. Of each
-    new one a link to one upstream's sidecar is opened where there is none."""
-    dry = []
+    """Prepares for the services of a route at this ``node``; returns those without a live upstream. For each
+    new service a link to the sidecar of one upstream is opened, if there is none."""
+    unserved = []
     for service, _ in route.split:
-        table, new = tables.get_or_create(service, route)
-        known = membership.instances_of(service)
-        live = [value for _, value in known if value is not None and value["state"] == SETTLED]
-        if new:
-            table.update_instances(known, full=True)
+        balancer, created = balancers.get_or_create(service, route)
+        instances = membership.instances_of(service)
+        live = [value for _, value in instances if value is not None and value["state"] == SETTLED]
+        if created:
+            balancer.update_instances(instances, full=True)
             for other in select_top(node, {str(value["node"]) for value in live}, 1):
                 address = membership.address(other)
                 if address is not None:
-                    passage.open_early(other, address)
+                    peer_links.open_early(other, address)
         if not live:
-            dry.append(service)
-    return dry
+            unserved.append(service)
+    return unserved
--- a/mesh/data_plane/shutdown.py
+++ b/mesh/data_plane/shutdown.py
@@ -1,13 +1,13 @@
-"""The orderly end of a proxy, from SIGTERM to its exit: nothing that was taken is lost, and what is not taken
-is told so.
-
-1. At once the platform and the other sidecars are told that nothing new is to come here, and each answer to a
-   client ends its connection. Until they know, what comes is taken as before.
-2. After ``notice_s`` no new connection is taken, and each that rests ends once its client may not use it
-   again.
-3. After ``last_request_s`` a request that still comes is refused: it could be cut off at the exit.
-4. Once nothing is in hand, or at ``exit_s``, what no upstream has is refused, the other sidecars learn which
-   of their calls were taken, and the process ends.
+"""Graceful shutdown of a proxy, from SIGTERM to its exit: no accepted request is lost, and refused ones are
+answered.
+
+1. At once the platform and the other sidecars are notified, and each response to a client closes its
+   connection. Until they know, requests are accepted as before.
+2. After ``notice_s`` no new connection is accepted, and idle ones are closed once their clients may not use
+   them any more.
+3. After ``last_request_s`` new requests are refused, because they could be cut off at the exit.
+4. Once nothing is open, or at ``exit_s``, requests that no upstream has are refused, the other sidecars learn
+   which of their calls were accepted, and the process exits.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 from mesh.transport.http_calls import HttpServer
 from mesh.transport.link import Link
 
-NOTICE_S = 2.2  # the platform has missed two looks at readiness by then, and sends its clients elsewhere
-NOTICE_SHARE = 0.4  # of the grace, at the most
-# The other sidecars' links are waited for so long, each to have read the last word: seconds, and as a share
-# of what is left until the kill; the lesser counts.
+NOTICE_S = 2.2  # by then the platform has seen two failed readiness checks and sends its clients elsewhere
+NOTICE_SHARE = 0.4  # of the grace period, at most
+# Longest wait for the other sidecars to read GoAway: seconds, or this share of the time left until the kill,
+# whichever is less.
 GO_AWAY_WAIT_S, GO_AWAY_WAIT_SHARE = 0.2, 0.5
-POLL_S = 0.02  # between two looks at what is in hand
+POLL_S = 0.02  # polling interval while calls are open
 
 
 class ShutdownTimes(Struct, frozen=True):
-    """Seconds since SIGTERM."""
+    """Times of the steps, in seconds since SIGTERM."""
 
     notice_s: float
     last_request_s: float
@@ -48,7 +48,7 @@
 
 
 def shutdown_times(grace_s: float) -> ShutdownTimes:
-    """``grace_s``: seconds from SIGTERM to the kill."""
+    """The times for ``grace_s`` seconds from SIGTERM to the kill."""
     notice_s = min(NOTICE_S, NOTICE_SHARE * grace_s)
     return ShutdownTimes(
         notice_s=notice_s,
@@ -58,13 +58,13 @@
 
 
 def max_idle_s(grace_s: float) -> float:
-    """For how many seconds a client's connection may rest: an end can wait for so long without holding the
-    process up, since new connections are taken meanwhile."""
+    """How long a client's connection may be idle, in seconds. A shutdown can wait that long without holding
+    the process up, since new connections are accepted meanwhile."""
     return max(shutdown_times(grace_s).notice_s, 1.0)
 
 
 class RunningProxy(Protocol):
-    """What an end needs of a proxy."""
+    """What a shutdown uses of a proxy."""
 
     loop: asyncio.AbstractEventLoop
     settings: Settings
@@ -80,14 +80,14 @@
     readiness: HttpServer
 
     def stop_listening(self) -> None:
-        """Other processes open no more links to this one."""
+        """Accepts no more links from other processes."""
 
 
 class Shutdown:
-    """Of one proxy, once."""
+    """Shuts one proxy down, once."""
 
     def __init__(self, proxy: RunningProxy) -> None:
-        """Nothing has been told yet."""
+        """Nothing is announced yet."""
         self._proxy = proxy
         self._loop = proxy.loop
         self._grace_s = proxy.settings.bounds.grace_s
@@ -95,16 +95,18 @@
 
     async def run(self) -> None:
         """Returns when the process may exit."""
-        proxy, times, began = self._proxy, self._times, self._loop.time()
+        proxy, times, started_at = self._proxy, self._times, self._loop.time()
         proxy.registry.publish(proxy.upstream.shut_down(proxy.balancers.now()))
-        late = self._loop.call_later(times.last_request_s, self._refuse_requests)
-        clients = self._loop.create_task(
+        refusal_timer = self._loop.call_later(times.last_request_s, self._refuse_requests)
+        listener = self._loop.create_task(
             proxy.client_listener.stop(accept_s=times.notice_s, exit_s=times.exit_s)
         )
-        while self._loop.time() < began + times.exit_s and not (clients.done() and self._all_answered()):
+        while self._loop.time() < started_at + times.exit_s and not (
+            listener.done() and self._all_answered()
+        ):
             await asyncio.sleep(POLL_S)
-        await clients
-        late.cancel()
+        await listener
+        refusal_timer.cancel()
         self._log_unfinished()
         await self._close_links()
         proxy.control.stop()
@@ -114,7 +116,7 @@
         self._proxy.request_dispatcher.closed = True
 
     def _all_answered(self) -> bool:
-        """Nothing is in hand here for other sidecars, and what they were answered has left."""
+        """Whether no call of another sidecar is open and all ends have been sent."""
         proxy = self._proxy
         if proxy.upstream_dispatch.running or len(proxy.upstream_dispatch.queue):
             return False
@@ -131,14 +133,14 @@
             proxy.event_log.tell(events.GIVEN_UP, requests=requests, calls=calls)
 
     async def _close_links(self) -> None:
-        """Each other end closes its link on the last word here, which it then has read. It finds nobody to
-        open the next one to."""
-        proxy, left_s = self._proxy, self._grace_s - self._times.exit_s
-        until = self._loop.time() + min(GO_AWAY_WAIT_S, GO_AWAY_WAIT_SHARE * left_s)
+        """Sends GoAway over all links. Each peer closes its link after reading it, and cannot open a new
+        one."""
+        proxy, remaining_s = self._proxy, self._grace_s - self._times.exit_s
+        deadline = self._loop.time() + min(GO_AWAY_WAIT_S, GO_AWAY_WAIT_SHARE * remaining_s)
         proxy.stop_listening()
         proxy.upstream_dispatch.reject_queued()
         for link in list(proxy.incoming_links):
             if isinstance(link.peer, IncomingCalls):
                 link.peer.leave()
-        while proxy.incoming_links and self._loop.time() < until:
+        while proxy.incoming_links and self._loop.time() < deadline:
             await asyncio.sleep(POLL_S)
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -1,5 +1,5 @@
-"""A sidecar's part in stages: when a changed route is in force here, what its first calls say of it, and the
-word of both to the control processes. The decisions are `mesh.rollout`'s."""
+"""A sidecar's part in staged rollouts: when a changed route comes into force here, how its first calls do,
+and the reports of both to the control processes. The decisions are in `mesh.rollout`."""
 
 from __future__ import annotations
 
@@ -28,10 +28,8 @@
 from mesh.runtime.settings import Settings
 from mesh.transport.frames import Head
 
-REPORT_S, REPORT_SOON_S = (
-    0.2,
-    0.02,
-)  # what changes within this is told at once; the first part's word is waited for
+# Changes within this time share a report. Others wait for the canaries' reports, which are sent sooner.
+REPORT_S, REPORT_SOON_S = 0.2, 0.02
 
 
 class StagedRoutes:
@@ -47,8 +45,8 @@
         version: int,
         event_log: EventLog,
     ) -> None:
-        """``prepare`` makes ready for a route and gives its services without a live upstream; ``version``:
-        above those of all reports of earlier lives."""
+        """``prepare`` prepares for a route and returns its services without a live upstream. ``version``:
+        above the report versions of earlier incarnations."""
         self._loop = asyncio.get_running_loop()
         self._node, self._charter, self._reports = settings.node, charter, reports
         self._routes, self._membership, self._prepare = routes, membership, prepare
@@ -56,20 +54,18 @@
         times = derive_rollout_times(settings.bounds.settle_ms, settings.bounds.ack_ms)
         self.activation, self.contact = StagedActivation(times.hold_s), UpdateContact(times.propagation_s)
         self._version_check, self.monitor = VersionCheck(times.adoption_s), CanaryMonitor()
-        self.unserved: dict[
-            str, str
-        ] = {}  # services without a live upstream when a route was to use them, by route
+        # By route: a service that had no live upstream when the route was to use it.
+        self.unserved: dict[str, str] = {}
         self._activation_timer: asyncio.TimerHandle | None = None
         self._report_timer: asyncio.TimerHandle | None = None
-        self._reported_vector: dict[
-            str, int
-        ] = {}  # the last vector that was told with all that was held back
+        # The last vector that was reported together with all held items.
+        self._reported_vector: dict[str, int] = {}
         self._reported_held: tuple[Key, ...] = ()
         self._reported_at = 0.0
         self._last_report: dict[str, Any] | None = None
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings file has changed: other bounds hold for what comes from now on."""
+        """Applies a changed settings file; it holds for later changes only."""
         times = derive_rollout_times(settings.bounds.settle_ms, settings.bounds.ack_ms)
         self.activation.hold_s, self.contact.propagation_s = times.hold_s, times.propagation_s
         self._version_check.grace_s = times.adoption_s
@@ -77,36 +73,36 @@
     # Items
 
     def receive_route(self, item: Item, late: bool = False) -> None:
-        """A route's item has come that is newer than all before. ``late``: others have known it for long."""
+        """Handles a route item that is newer than all before. ``late``: others have known it for long."""
         now = self._loop.time()
         new = _read(item)
         self._version_check.note(now, item.name, item.version)
         kind = kind_of(self._routes.named(item.name), new)
-        first = kind in STAGED and self._node in self._membership.canary_selection().canaries(
+        canary = kind in STAGED and self._node in self._membership.canary_selection().canaries(
             ROUTE, item.name, item.version
         )
-        one = self.activation.receive(
-            now, item.key, item.version, kind, first, late or self.contact.is_behind(now)
+        activation = self.activation.receive(
+            now, item.key, item.version, kind, canary, late or self.contact.is_behind(now)
         )
         self.unserved.pop(item.name, None)
         if kind is ChangeKind.MOVED and new is not None:
-            dry = self._prepare(new)
-            self.activation.mark_prepared(one)
-            for service in dry:
+            unserved = self._prepare(new)
+            self.activation.mark_prepared(activation)
+            for service in unserved:
                 self.unserved[item.name] = service
                 self._event_log.tell(events.ROUTE_DRY, route=item.name, version=item.version, service=service)
-        if one.state is State.IN_FORCE:
-            self._put_in_force(now, one)
+        if activation.state is State.IN_FORCE:
+            self._put_in_force(now, activation)
         self._set_activation_timer()
 
-    def _put_in_force(self, now: float, one: ItemActivation) -> None:
-        item = self._charter.items.get(one.key)
-        new, old = _read(item) if item is not None else None, self._routes.named(one.key[1])
+    def _put_in_force(self, now: float, activation: ItemActivation) -> None:
+        item = self._charter.items.get(activation.key)
+        new, old = _read(item) if item is not None else None, self._routes.named(activation.key[1])
         if item is None or new is None:
-            self._routes.drop(one.key[1])
+            self._routes.drop(activation.key[1])
             return
         self._routes.put(new)
-        if one.canary and one.kind in STAGED:
+        if activation.canary and activation.kind in STAGED:
             aim = max(new.aim_ms, old.aim_ms) if old is not None else new.aim_ms
             self.monitor.start(now, item.name, item.version, aim)
 
@@ -119,49 +115,51 @@
     def _activate_due(self) -> None:
         self._activation_timer = None
         now = self._loop.time()
-        for one in self.activation.activate_due(now):
-            self._put_in_force(now, one)
+        for activation in self.activation.activate_due(now):
+            self._put_in_force(now, activation)
         self._set_activation_timer()
         self.schedule_report()
 
     def handle_frame(self, head: Head, contact: bool) -> None:
-        """A control process says of which items the first part's word is good. ``contact``: it has that with
-        most others; one that has not is not listened to, for it may not know of a newer version, and what it
-        would let pass passes by itself in time. Raises KeyError, TypeError or ValueError."""
+        """Handles a control process's approval of items. ``contact``: it has contact with
+        a majority. One without is ignored, because it may not know of a newer version; what it approves comes
+        into force by itself in time. Raises KeyError, TypeError or ValueError."""
         if head["t"] != "go" or not contact:
             return
         now = self._loop.time()
         for kind, name, version in head["items"]:
-            one = self.activation.approve(now, (str(kind), str(name)), int(version))
-            if one is not None:
-                self._put_in_force(now, one)
+            activation = self.activation.approve(now, (str(kind), str(name)), int(version))
+            if activation is not None:
+                self._put_in_force(now, activation)
                 self.schedule_report()
         self._set_activation_timer()
 
-    def apply_command(self, name: str, order: RolloutCommand, at_next: bool) -> ItemActivation | None:
-        """An operator's word for a route: for what is held back, or (``at_next``) for its next version. None
-        where nothing is held back."""
+    def apply_command(self, name: str, command: RolloutCommand, at_next: bool) -> ItemActivation | None:
+        """Applies an operator's command to a route's held version, or with ``at_next`` to its next version.
+        Returns None if no version is held."""
         now, key = self._loop.time(), (ROUTE, name)
         if at_next:
-            self.activation.apply_command_to_next(now, key, order)
+            self.activation.apply_command_to_next(now, key, command)
             return None
-        one = self.activation.apply_command(now, key, order)
-        if one is not None:
-            self._event_log.tell(events.ROLLOUT_ORDERED, order=order.value, route=name, version=one.version)
-            if one.state is State.IN_FORCE:
-                self._put_in_force(now, one)
+        activation = self.activation.apply_command(now, key, command)
+        if activation is not None:
+            self._event_log.tell(
+                events.ROLLOUT_ORDERED, command=command.value, route=name, version=activation.version
+            )
+            if activation.state is State.IN_FORCE:
+                self._put_in_force(now, activation)
                 self._set_activation_timer()
                 self.schedule_report()
-        return one
+        return activation
 
     # Calls
 
-    def record_request(self, ask: ClientRequest, told: int | Refused | Failed) -> None:
-        """A client's call is over."""
-        now, route = self._loop.time(), ask.route
-        failed = not isinstance(told, int) or told >= 500
-        took = now * 1000.0 - ask.received_ms
-        watched = self.monitor.record(now, route.name, route.version, failed, took, route.aim_ms)
+    def record_request(self, request: ClientRequest, result: int | Refused | Failed) -> None:
+        """Records the result of a client's request."""
+        now, route = self._loop.time(), request.route
+        failed = not isinstance(result, int) or result >= 500
+        took_ms = now * 1000.0 - request.received_ms
+        watched = self.monitor.record(now, route.name, route.version, failed, took_ms, route.aim_ms)
         if watched is None:
             return
         new, old = watched.new, watched.old
@@ -177,8 +175,8 @@
         self._report_within(REPORT_SOON_S)
 
     def find_newer_item(self, call: Call) -> list[Any] | None:
-        """For the second hop: the item by which that call should have come, packed, where it came by one that
-        no sidecar in touch goes by any more."""
+        """For the second hop: the packed current item of a call's route, if the call used a version that no
+        sidecar in contact uses any more."""
         if not self._version_check.outdated(
             self._loop.time(), call.route, call.version, call.age_ms / 1000.0
         ):
@@ -186,18 +184,18 @@
         item = self._charter.items.get((ROUTE, call.route))
         return pack_item(item) if item is not None else None
 
-    # The word to the control processes
+    # Reports to the control processes
 
     def schedule_report(self) -> None:
-        """Something was taken in, or is in force now."""
-        first = any(
+        """Schedules a report after an item was received or came into force."""
+        canary = any(
             one.canary and one.state is State.IN_FORCE
             for one in list(self.activation.history)[-MAX_NAMED_ITEMS:]
         )
-        self._report_within(REPORT_SOON_S if first else REPORT_S)
+        self._report_within(REPORT_SOON_S if canary else REPORT_S)
 
     def supersede_report(self) -> None:
-        """The others gave this sidecar up and dropped its report by its next version: this is above."""
+        """Reports again above the version with which the others dropped this sidecar's report."""
         self._last_report = None
         self._version += 1
         self.schedule_report()
@@ -231,7 +229,7 @@
         held = self.activation.held
         if len(held) <= MAX_NAMED_ITEMS:
             self._reported_vector, self._reported_held = self._vector(), tuple(held)
-        # Those that were named with the vector come first: they are within it.
+        # Items reported with the vector come first, because the vector includes them.
         keys = dict.fromkeys([key for key in self._reported_held if key in held] + list(held))
         named = {key: held[key].version for key in list(keys)[:MAX_NAMED_ITEMS]}
         counts = [
@@ -241,12 +239,12 @@
             for w in list(self.monitor.watched.values())[-MAX_NAMED_ITEMS:]
             if w.new.calls and w.until >= self._loop.time()
         ]
-        told = pack(RolloutReport(self._reported_vector, named, len(held) - len(named), tuple(counts)))
-        if told == self._last_report:
+        report = pack(RolloutReport(self._reported_vector, named, len(held) - len(named), tuple(counts)))
+        if report == self._last_report:
             return
-        self._last_report, self._reported_at = told, self._loop.time()
+        self._last_report, self._reported_at = report, self._loop.time()
         self._version += 1
-        self._reports.write(REPORT, self._node, self._version, told)
+        self._reports.write(REPORT, self._node, self._version, report)
         self._channels().poke()
 
     def _vector(self) -> dict[str, int]:
--- a/mesh/data_plane/upstream_registration.py
+++ b/mesh/data_plane/upstream_registration.py
@@ -1,5 +1,4 @@
-"""What the upstream beside this sidecar tells it, decoded into commands and run here; and what follows for
-the items that speak of it."""
+"""Decodes and runs the commands of the upstream beside this sidecar, and keeps the items about it correct."""
 
 from __future__ import annotations
 
@@ -23,7 +22,7 @@
 
 
 class UnknownRequest(Struct, frozen=True):
-    """No call of ours."""
+    """A request for none of the commands."""
 
     status: int
 
@@ -32,7 +31,7 @@
 
 
 def decode(message: http.Message) -> Command:
-    """The command of a call to the control address."""
+    """Decodes a request to the control address."""
     path = message.target.partition(b"?")[0]
     if not path.startswith(PATH):
         return UnknownRequest(404)
@@ -48,7 +47,7 @@
 
 
 class Registry:
-    """Runs the upstream's commands, and keeps what the others are told of this machine's instances true."""
+    """Runs the upstream's commands and publishes the state of this machine's instances."""
 
     def __init__(
         self,
@@ -57,19 +56,19 @@
         membership: Membership,
         event_log: EventLog,
         now: Callable[[], float],
-        changed: Callable[[list[Item]], None],
-        keys: Callable[[Heartbeat], Awaitable[dict[str, Any]]] | None = None,
+        on_items: Callable[[list[Item]], None],
+        key_fields: Callable[[Heartbeat], Awaitable[dict[str, Any]]] | None = None,
     ) -> None:
-        """``now`` gives milliseconds; ``changed`` is told of items written here; ``keys`` gives the fields of
-        a beat's answer that say which keys its upstream is to hold."""
+        """``now`` returns milliseconds. ``on_items`` is called with the items written here. ``key_fields``
+        returns the fields of a heartbeat's response that say which keys the upstream may hold."""
         self._upstream, self._roll, self._membership = upstream, roll, membership
-        self._event_log, self._now, self._changed = event_log, now, changed
+        self._event_log, self._now, self._changed = event_log, now, on_items
         self._began = now()
-        self._key_fields = keys if keys is not None else _no_keys
+        self._key_fields = key_fields if key_fields is not None else _no_keys
 
     async def handle(self, message: http.Message) -> Answer:
-        """The answer to a call of the upstream: whatever the others know of it, and at once but where keys of
-        a divided service are on their way."""
+        """The response to a request of the upstream. It does not wait for other processes, except for a key
+        map that is on its way."""
         command = decode(message)
         if isinstance(command, UnknownRequest):
             return Answer(command.status)
@@ -84,68 +83,70 @@
             )
             self.publish(self._upstream.leave(command.instance))
             return Answer(200, b"{}")
-        known = self._upstream.heartbeat
+        previous = self._upstream.heartbeat
         self.publish(self._upstream.on_heartbeat(self._now(), command, self._has_ended(command.instance)))
-        if self._upstream.contender == command.instance:  # what is not taken is not acknowledged
+        if self._upstream.contender == command.instance:  # not accepted, so not acknowledged
             return Answer(503)
-        self._log_change(known, command)
+        self._log_change(previous, command)
         return Answer(200, msgspec.json.encode(await self._key_fields(command)))
 
     def _has_ended(self, instance: str) -> bool:
-        """Whether this machine has said so, in an earlier life of this process too."""
+        """Whether this machine has published its end, also in an earlier incarnation of this process."""
         item = self._roll.items.get((INSTANCE, instance))
         return item is not None and item.value is None and item.version >= FINAL_VERSION
 
-    def _log_change(self, known: Heartbeat | None, beat: Heartbeat) -> None:
-        """What a beat has changed, for the log. ``known``: the newest before it."""
-        if self._upstream.instance != beat.instance:
+    def _log_change(self, previous: Heartbeat | None, heartbeat: Heartbeat) -> None:
+        """Logs what a heartbeat has changed. ``previous``: the latest heartbeat before it."""
+        if self._upstream.instance != heartbeat.instance:
             return
-        if known is None or known.instance != beat.instance:
+        if previous is None or previous.instance != heartbeat.instance:
             self._event_log.tell(
                 events.INSTANCE_NEW,
-                service=beat.plant,
-                instance=beat.instance,
-                address=f"{beat.address[0]}:{beat.address[1]}",
+                service=heartbeat.plant,
+                instance=heartbeat.instance,
+                address=f"{heartbeat.address[0]}:{heartbeat.address[1]}",
             )
-        elif known.state != beat.state:
+        elif previous.state != heartbeat.state:
             self._event_log.tell(
-                events.INSTANCE_DECAYING if beat.state == DECAYING else events.INSTANCE_SETTLED,
-                service=beat.plant,
-                instance=beat.instance,
+                events.INSTANCE_DECAYING if heartbeat.state == DECAYING else events.INSTANCE_SETTLED,
+                service=heartbeat.plant,
+                instance=heartbeat.instance,
             )
 
-    def publish(self, told: list[InstanceUpdate]) -> None:
-        """Makes what the others are to be told items of the roll."""
+    def publish(self, updates: list[InstanceUpdate]) -> None:
+        """Writes updates as items of the roll."""
         items = []
-        for one in told:
-            item = self._roll.write(INSTANCE, one.instance, one.version, one.value)
+        for update in updates:
+            item = self._roll.write(INSTANCE, update.instance, update.version, update.value)
             if isinstance(item, Item):
                 items.append(item)
         if items:
             self._changed(items)
 
     def reconcile(self) -> None:
-        """What the membership says of this machine and is not so: of earlier lives, and of an upstream that
-        ended while this sidecar was down."""
-        mine = self._upstream.instance
-        if not mine:
-            here = self._membership.instances_at(self._upstream.node)
-            states = {name: self._membership.instances[name].get("state") for name in here}
-            self._upstream.published_decaying = frozenset(name for name in here if states[name] == DECAYING)
+        """Corrects items about this machine that no longer hold: those of earlier incarnations, and of an
+        upstream that ended while this sidecar was down."""
+        current = self._upstream.instance
+        if not current:
+            known_here = self._membership.instances_at(self._upstream.node)
+            states = {name: self._membership.instances[name].get("state") for name in known_here}
+            self._upstream.published_decaying = frozenset(
+                name for name in known_here if states[name] == DECAYING
+            )
         silent = self._now() - self._began > SILENT_HEARTBEATS * self._upstream.heartbeat_ms
-        told = []
-        item = self._roll.items.get((INSTANCE, mine))  # dropped, it may be, and then not in the membership
+        updates = []
+        item = self._roll.items.get((INSTANCE, current))  # a dropped one is not in the membership
         if item is not None and item.version > self._upstream.version:
-            told += self._upstream.republish(item.version)
+            updates += self._upstream.republish(item.version)
         for instance in self._membership.instances_at(self._upstream.node):
-            if instance != mine and (mine or silent):
-                # above what was said of it once more while it was taken for the one that is here
+            if instance != current and (current or silent):
+                # above later versions published while it counted as the current instance
                 version = max(FINAL_VERSION, self._roll.items[INSTANCE, instance].version + 1)
-                told.append(InstanceUpdate(instance, version, None))
-        self.publish(told)
+                updates.append(InstanceUpdate(instance, version, None))
+        self.publish(updates)
 
     def republish(self) -> None:
-        """Says what holds once more, above what the roll has."""
+        """Publishes the current state again, above the version in the roll."""
         item = self._roll.items.get((INSTANCE, self._upstream.instance))
         self.publish(self._upstream.republish(item.version if item is not None else 0))
 
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -80,9 +80,9 @@
     def _watch(self) -> None:
         begin = self.proxy.request_dispatcher.begin
 
-        def noted(taken: float, message: http.Message, reply: Reply) -> str | None:
+        def noted(received_ms: float, message: http.Message, reply: Reply) -> str | None:
             self.began.add(message.get(b"attempt-id") or "")
-            return begin(taken, message, reply)
+            return begin(received_ms, message, reply)
 
         self.proxy.request_dispatcher.begin = noted  # type: ignore[method-assign]
 
