--- a/mesh/control_plane/__init__.py
+++ b/mesh/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: a program that holds the configuration and hands it on."""
+"""The control plane: a program that holds the configuration and distributes it."""
--- a/mesh/control_plane/__main__.py
+++ b/mesh/control_plane/__main__.py
@@ -6,7 +6,7 @@
 ignore_hangup()
 keep_out()
 
-from mesh.control_plane.program import Controller  # noqa: E402  (after what it must not load)
+from mesh.control_plane.program import Controller  # noqa: E402  (imported after the exclusions above)
 from mesh.runtime.startup import run  # noqa: E402
 
 if __name__ == "__main__":
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -141,14 +141,14 @@
 
     # Decided items
 
-    def apply(self, items: Sequence[Item], vector: Mapping[str, int], whole: bool = False) -> None:
-        """Merges decided items of any source. ``whole``: they are all the items of their order."""
+    def apply(self, items: Sequence[Item], vector: Mapping[str, int], complete: bool = False) -> None:
+        """Merges decided items of any source. ``complete``: they are all the items of their order."""
         changed = self._charter.merge(items, vector)
         if isinstance(changed, StoreFull):
             self._event_log.tell(events.STATE_FULL, reason=changed.reason)
             return
-        # Forgotten items are not settled.
-        self._learn([item for item in items if item.key in self._charter.items], whole)
+        # Items that are forgotten already are skipped.
+        self._learn([item for item in items if item.key in self._charter.items], complete)
         if changed:
             self._on_change(changed)
 
@@ -174,10 +174,10 @@
         if self.acceptor.learn_state(slot, state):
             self._disk_writer.mark_decided([slot])
 
-    def _learn(self, items: Iterable[Item], whole: bool) -> None:
+    def _learn(self, items: Iterable[Item], complete: bool) -> None:
         slots = [((item.kind, item.name, item.version), item.value) for item in items]
         self._disk_writer.mark_decided(
-            [slot for slot, value in slots if self.acceptor.learn(slot, value, whole)]
+            [slot for slot, value in slots if self.acceptor.learn(slot, value, complete)]
         )
 
     # Frames
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -59,11 +59,10 @@
         self._channels, self._acceptor_host, self._event_log = channels, acceptor_host, event_log
         # Of the process, and of the store: the count rises each time that the store starts over.
         self._incarnation, self._incarnation_count = charter.source, 1
-        self._is_reader = (
-            False  # the disk belongs to a reader: its view may be older than this machine's joining
-        )
+        # The disk belongs to a reader: its view may be older than this machine's joining.
+        self._is_reader = False
         self._start_recorded = False  # this start is on disk
-        self._had_contact = False  # there has been contact in this life
+        self._had_contact = False  # since the store started (over)
         self._view = member_set.view()
         self._next_compaction_at = self._loop.time() + COMPACTION_CHECK_S
         self._compaction: asyncio.Task[None] | None = None
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -34,13 +34,13 @@
 POLL_S = 0.02  # between two checks for confirmations
 MAX_ORDERS_KEPT = 64  # latest orders whose confirmation is tracked
 
-Needs = Mapping[str, int]  # by source, the lowest number of a vector that includes all of an order
+RequiredVector = Mapping[str, int]  # by source, the lowest number of a vector that includes all of an order
 
 
 class DecidedOrder(Struct, frozen=True):
     """A decided order: the vector that confirms it, and when it became known here, in loop time."""
 
-    needs: Needs
+    required_vector: RequiredVector
     known_at: float
 
 
@@ -107,12 +107,12 @@
             and now - self._incarnations.get(channel.node, ("", now))[1] >= self._contact_s
         }
 
-    def _lacking(self, nodes: Collection[str], needs: Needs) -> set[str]:
+    def _lacking(self, nodes: Collection[str], required: RequiredVector) -> set[str]:
         return {
             node
             for node in nodes
             if (report := self._reports.get(node)) is None
-            or any(report.vector.get(source, 0) < number for source, number in needs.items())
+            or any(report.vector.get(source, 0) < number for source, number in required.items())
         }
 
     def _waited_for(self, now: float, decided_at: float) -> set[str]:
@@ -127,7 +127,7 @@
         now = self._loop.time()
         live = self._live_proxies(now)
         overdue = [order for order in self._orders if OVERDUE_S < now - order.known_at < 2.0 * self._ack_s]
-        return sorted(set().union(*(self._lacking(live, order.needs) for order in overdue)))[
+        return sorted(set().union(*(self._lacking(live, order.required_vector) for order in overdue)))[
             :MAX_BEHIND_NAMES
         ]
 
@@ -143,7 +143,7 @@
     def has_overdue(self, now: float) -> bool:
         """Whether a proxy in contact has not confirmed an overdue order."""
         return any(
-            now - order.known_at > OVERDUE_S and self._lacking(self._in_touch(now), order.needs)
+            now - order.known_at > OVERDUE_S and self._lacking(self._in_touch(now), order.required_vector)
             for order in self._orders
             if now - order.known_at < 2.0 * self._ack_s
         )
@@ -156,7 +156,7 @@
     def _known_at(self, item: Item) -> float:
         """When that item became known here; the time of the oldest kept order if it is older."""
         for order in self._orders:
-            if order.needs.get(item.source, 0) >= item.number:
+            if order.required_vector.get(item.source, 0) >= item.number:
                 return order.known_at
         return self._orders[0].known_at if len(self._orders) == MAX_ORDERS_KEPT else self._started_at
 
@@ -165,8 +165,8 @@
         started_at = now = self._loop.time()
         if len(items) < LARGE_ORDER_ITEMS and not self.has_overdue(now):
             return True
-        needs, decided_at = required_vector(items), self._decided_at(items)
-        while lacking := self._lacking(self._waited_for(now, decided_at), needs):
+        required, decided_at = required_vector(items), self._decided_at(items)
+        while lacking := self._lacking(self._waited_for(now, decided_at), required):
             if now - decided_at >= self.bound_s(len(items)):
                 waited_ms = round((now - decided_at) * 1000.0)
                 self._event_log.tell(
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -51,7 +51,7 @@
         oldest_open_vote_s: Callable[[], float],
         event_log: EventLog,
     ) -> None:
-        """``take`` receives a newer view that an answer carries; ``oldest_open_vote_s`` returns the age in
+        """``apply`` receives a newer view that an answer carries; ``oldest_open_vote_s`` returns the age in
         seconds of the oldest open vote here."""
         self._channels, self._member_set, self._disk_writer = channels, member_set, disk_writer
         self._apply, self._oldest_open_vote_s, self._event_log = apply, oldest_open_vote_s, event_log
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -21,7 +21,7 @@
 from mesh.runtime.introspection_calls import Handler, Refusal, Told, common, items
 from mesh.runtime.settings import Settings
 
-MAX_SHOWN = 20  # rollouts, or sidecars of a first part, in one answer
+MAX_SHOWN = 20  # rollouts, or canaries, in one answer
 
 
 class IntrospectionSources(Struct):
@@ -71,7 +71,7 @@
 
 def rollouts(sources: IntrospectionSources) -> Told:
     """The latest rollouts, newest first: the number of items, the number of sidecars that have not confirmed
-    all of them, some of their names, and the verdict of the first part; and the votes."""
+    all of them, some of their names, and the verdict on the canaries; and the votes."""
     now, known = sources.steady(), sources.rollouts
     rows = []
     for rollout in list(known.rollouts)[: -MAX_SHOWN - 1 : -1]:
@@ -99,7 +99,7 @@
 
 def rollout(sources: IntrospectionSources, kind: str, name: str) -> Told | Refusal:
     """The rollout of one item: which sidecars have not confirmed it. ``word``: calls and failures of the
-    first part with the new version, and with the old one."""
+    canaries with the new version, and with the old one."""
     item = sources.charter.items.get((kind, name))
     if item is None or kind == VIEW:
         return Refusal(f"{kind} {name[:80]!r}: no such item; config get shows all")
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -78,9 +78,8 @@
         # Kinds of which fewer losses are tolerable than configured, as last logged.
         self._kinds_below: tuple[str, ...] = ()
         self._below_since: float | None = None
-        self._borne: tuple[View, frozenset[str], LossMargin] | None = (
-            None  # the latest result with its arguments
-        )
+        # The latest loss margin with the arguments that it was computed from.
+        self._loss_margin: tuple[View, frozenset[str], LossMargin] | None = None
 
     # The lease
 
@@ -172,22 +171,24 @@
 
     # Tolerable losses
 
-    def borne(self) -> LossMargin:
+    def loss_margin(self) -> LossMargin:
+        """How many more losses of each kind are tolerable, with the members that respond and are complete."""
         view = self._member_set.view()
         there = responding_complete(self.joining.known_members({}), view.names)
-        if self._borne is None or self._borne[:2] != (view, there):  # asked for at every tick
-            self._borne = view, there, loss_margin(view, there, self._member_set.tolerance)
-        return self._borne[2]
+        if self._loss_margin is None or self._loss_margin[:2] != (view, there):  # asked for at every tick
+            self._loss_margin = view, there, loss_margin(view, there, self._member_set.tolerance)
+        return self._loss_margin[2]
 
     def losses(self) -> Told:
-        found = self.borne()
+        """The loss margin, for operators and the log."""
+        found = self.loss_margin()
         return {"machines": found.machines, "zones": found.zones, "regions": found.regions}
 
     def _log_losses(self, now: float, view: View) -> None:
         """Each process logs a change by itself, once it has lasted: a link that reconnects is no loss."""
         if self._member_set.own_address not in view.names:
             return
-        below = self.borne().below(self._member_set.tolerance)
+        below = self.loss_margin().below(self._member_set.tolerance)
         if below == self._kinds_below:
             self._below_since = None
         elif self._below_since is None:
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -77,7 +77,7 @@
         self._assessed_at = -1e18
 
     def tick(self, now: float, view: View) -> None:
-        """Notes which members have been heard; to be called at least every GAP_S."""
+        """Notes which members have been heard; to be called at least every MAX_POLL_GAP_S."""
         self.tracker.poll(now, view.names | {self._member_set.own_address})
         self.tracker.note_link_contact(now, self._member_set.own_address, self._started_at)
         for address, channel in self._member_set.peers().items():
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -137,12 +137,12 @@
             return self._answer_refused(invalid)
         if not writes:
             return Answer(200, b"{}")
-        hurting = self._rollouts.staged_writes(change.writes, self._current)
+        staged = self._rollouts.staged_writes(change.writes, self._current)
         outcome = await self._proposer_host.decide(writes, until - self._loop.time())
         if isinstance(outcome, Decided):
             self._event_log.tell(events.CHANGE_TAKEN, items=len(writes))
-            if hurting:
-                await self._rollouts.wait_for_first_part(hurting, until - self._loop.time())
+            if staged:
+                await self._rollouts.wait_for_canaries(staged, until - self._loop.time())
             return await self._acknowledge(writes, until - self._loop.time())
         if isinstance(outcome, Conflict):
             kind, name, version = outcome.slot
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -33,10 +33,10 @@
 from mesh.transport.frames import Head
 
 ORDER_TIMEOUT_S = 3.0  # an order is pursued for this long, whether or not its caller still waits
-# Upper bound of the random delay between two ballots that rivals may have cut short.
+# Bounds of the random delay after a ballot that another proposer may have interrupted.
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.4
 MAX_IMMEDIATE_BALLOTS = 3  # consecutive ballots without a backoff
-# An open vote is left to its proposer for the timeout, and to each member of a lower rank for the delay.
+# An open vote is recovered after the timeout, plus the delay times the rank of this member for it.
 OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = 1.0, 0.3
 READ_GRACE_S = 0.03  # a read leaves an open vote to its proposer for this long
 MAX_PENDING_ORDERS = 256  # concurrent orders; further ones are answered as busy
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -1,5 +1,5 @@
-"""Follows each rollout by the sidecars' reports: which sidecars use it, which lack it, and the verdict of its
-first part.
+"""Follows each rollout by the sidecars' reports: which sidecars use it, which lack it, and the verdict on its
+canaries.
 
 Every control process does this by itself with the reports that it has. There is no holder to be lost, and two
 that differ do no harm: a good verdict only makes the others activate earlier what they would activate anyway.
@@ -27,7 +27,7 @@
 from mesh.rollout.report import CanaryCounts, RolloutReport, read, required_vector
 
 MAX_ROLLOUTS = 64  # each with the items that changed together
-COUNT_PERIOD_S = 60.0  # for which counts of the first part are pooled
+COUNT_PERIOD_S = 60.0  # for which the counts of the canaries are pooled
 LOG_DELAY_S = 1.0  # beyond the settling time, until missing confirmations are logged
 MAX_NAMES = 8  # sidecars named in one log line or answer
 
@@ -35,11 +35,11 @@
 
 
 class Rollout(Struct, eq=False):
-    """One rollout. ``needs``: by source, the lowest number of a vector that includes all of it."""
+    """One rollout. ``required_vector``: by source, the lowest number of a vector that includes all of it."""
 
     known_at: float
     versions: dict[Key, int]
-    needs: dict[str, int]
+    required_vector: dict[str, int]
     missing: set[str]  # sidecars that have not confirmed all of it
     done: float | None = None
     logged: bool = False
@@ -103,7 +103,9 @@
         keys = {item.key for item in items}
         for rollout in self.rollouts:
             if rollout.done is None and keys & rollout.versions.keys():
-                rollout.needs = required_vector(self._charter.items[key] for key in rollout.versions)
+                rollout.required_vector = required_vector(
+                    self._charter.items[key] for key in rollout.versions
+                )
 
     def reports_changed(self, items: Iterable[Item]) -> None:
         """Reads reports of sidecars; an item without a value drops the report of a sidecar that is gone."""
@@ -126,11 +128,11 @@
             for count in report.counts:
                 self._count(item.name, count)
         for wait in list(self._waits):
-            if not wait.done.done() and self._first_part_confirmed(wait.items):
+            if not wait.done.done() and self._canaries_confirmed(wait.items):
                 wait.done.set_result(None)
 
     def _count(self, node: str, count: CanaryCounts) -> None:
-        """Pools the counts of the first part, and sends or logs a verdict."""
+        """Pools the counts of the canaries, and sends or logs a verdict."""
         rollout = next(
             (r for r in reversed(self.rollouts) if r.versions.get(count.key) == count.version), None
         )
@@ -197,11 +199,11 @@
                 found.append((write.kind, write.name))
         return found
 
-    async def wait_for_first_part(self, keys: Sequence[Key], within_s: float) -> None:
-        """Waits until the first part of each of these items uses it, for ``within_s`` at most."""
+    async def wait_for_canaries(self, keys: Sequence[Key], within_s: float) -> None:
+        """Waits until the canaries of each of these items use it, for ``within_s`` at most."""
         wait_s = min(self.wait_s, within_s)
         items = [self._charter.items[key] for key in keys if key in self._charter.items]
-        if wait_s <= 0.0 or not items or self._first_part_confirmed(items):
+        if wait_s <= 0.0 or not items or self._canaries_confirmed(items):
             return
         wait = _Wait(items, self._loop.create_future())
         self._waits.add(wait)
@@ -213,7 +215,7 @@
         finally:
             self._waits.discard(wait)
 
-    def _first_part_confirmed(self, items: Sequence[Item]) -> bool:
+    def _canaries_confirmed(self, items: Sequence[Item]) -> bool:
         draw = self._membership.canary_selection()
         for item in items:
             for node in draw.canaries(item.kind, item.name, item.version):
@@ -234,7 +236,7 @@
         )
 
     def canary_tallies(self, key: Key) -> tuple[Tally, Tally]:
-        """Calls and failures of the first part: with the current version, and with the old one."""
+        """Calls and failures of the canaries: with the current version, and with the old one."""
         item = self._charter.items.get(key)
         same = [
             c for c in self._counts.get(key, {}).values() if item is not None and c.version == item.version
@@ -246,6 +248,6 @@
 
 
 def _is_confirmed(report: RolloutReport, rollout: Rollout) -> bool:
-    return all(report.vector.get(s, 0) >= n for s, n in rollout.needs.items()) and not any(
+    return all(report.vector.get(s, 0) >= n for s, n in rollout.required_vector.items()) and not any(
         key in rollout.versions for key in report.held
     )
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -2,8 +2,8 @@
 epoch, answered after a sync. Then no member holds an older version, and the remaining record
 (`replication.tombstones`) is sent to processes that connect later.
 
-Tombstones are kept for KEPT_S before that, as those of the roll are: a sidecar that was disconnected for half
-of it requests everything again.
+Tombstones are kept for RETENTION_S before that, as those of the roll are: a sidecar that was disconnected for
+half of it requests everything again.
 """
 
 from __future__ import annotations
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -69,7 +69,7 @@
         return all(
             new.ip in program.member_set.view().members
             and not program.member_set.view().joint
-            and not program.member_changes.borne().below(self.tolerance)
+            and not program.member_changes.loss_margin().below(self.tolerance)
             for program in programs
         )
 
