--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -128,7 +128,7 @@
 def test_names_that_come_and_go_are_taken_without_end() -> None:
     with (
         mock.patch("mesh.control_plane.program.MAX_CHARTER_ITEMS", 60),
-        mock.patch("mesh.data_plane.program.MOST_CHARTER", 60),
+        mock.patch("mesh.data_plane.program.MAX_CHARTER_ITEMS", 60),
     ):
         assert played(names_without_end) == []
 
@@ -315,7 +315,7 @@
 def test_the_checks_see_what_comes_back(fault: str) -> None:
     if fault == "doubts":
         with (
-            mock.patch("mesh.data_plane.program.Proxy._doubts"),
+            mock.patch("mesh.data_plane.program.Proxy._check_unconfirmed"),
             pytest.raises(AssertionError, match="'x'"),
         ):
             test_a_sidecar_that_was_cut_off_lets_go_what_was_dropped_and_forgotten(4 * KEPT_S)
