--- a/mesh/ownership/__init__.py
+++ b/mesh/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream holds which keys of a divided service: the map, its leases, the plan. No I/O."""
+"""Which upstream owns which keys of a sharded service: the map, its leases and its assignment. No I/O."""
--- a/mesh/ownership/assignment.py
+++ b/mesh/ownership/assignment.py
@@ -1,5 +1,7 @@
-"""The next version of a service's map: what was let go is given on, what has no holder is given out, what
-drains leaves, and the busiest give keys to the least busy. No I/O; the caller votes on what comes out.
+"""Computes the next version of a service's key map. No I/O; the caller proposes the result.
+
+Released rows go to their next holders, vacant rows are granted, unavailable upstreams lose their rows, and
+the busiest upstreams pass keys to the least busy.
 """
 
 from __future__ import annotations
@@ -12,22 +14,22 @@
 
 from mesh.ownership.key_map import BUCKET, KEYS, MAX_ROWS, KeyMap, Row
 
-MAX_IMBALANCE = 1.25  # times its share, beyond which the busiest gives keys away
-MOVES_SHARE, MIN_MOVES = 0.35, 6  # rows in motion for the load's sake, by upstreams
-MIN_MOVE_SHARE = 0.08  # of an upstream's share of the load; a smaller piece stays
-MAX_ROWS_PER_UPSTREAM = 12  # rows by upstreams; beyond that nothing is split
-MAX_PIECE_SHARE = 1.5  # times its share of the keys: a vacant row that is longer is given out in pieces
+MAX_IMBALANCE = 1.25  # times its share, above which the busiest upstream passes keys on
+MOVES_SHARE, MIN_MOVES = 0.35, 6  # rows that move at once to balance load, per upstream
+MIN_MOVE_SHARE = 0.08  # of an upstream's share of the load; a smaller piece is not moved
+MAX_ROWS_PER_UPSTREAM = 12  # beyond that no row is split
+MAX_PIECE_SHARE = 1.5  # times an upstream's share of the keys; a longer vacant row is granted in pieces
 
 
 class Candidate(Struct, frozen=True):
-    """An upstream of the service. ``stays``: it may be given keys and keeps what it has."""
+    """An upstream of the service. ``eligible``: it may be granted keys and keeps those it has."""
 
     capacity: float
     eligible: bool
 
 
 class Release(Struct, frozen=True):
-    """An upstream has let those keys go, which it held under that fence."""
+    """The report that an upstream has released those keys, which it held under that fence."""
 
     instance: str
     first: int
@@ -36,7 +38,7 @@
     handover: str
 
     def covers(self, row: Row) -> bool:
-        """Whether the row is free by this."""
+        """Whether the row is free because of this release."""
         return (
             row.leaving
             and self.instance == row.holder
@@ -47,59 +49,61 @@
 
 
 class Assignment:
-    """One version in the making."""
+    """One version of the map under construction."""
 
     def __init__(
         self, key_map: KeyMap, candidates: Mapping[str, Candidate], cumulative_load: Sequence[float]
     ) -> None:
-        """``sums``: shares of the traffic up to each bucket (`KeyLoad.sums`)."""
+        """``cumulative_load``: shares of the traffic up to each bucket (`KeyLoad.cumulative_shares`)."""
         self.rows, self.last_fence = list(key_map.rows), key_map.last_fence
         self._candidates = candidates
         self._eligible = sorted(name for name, one in candidates.items() if one.eligible)
         self._cumulative_load = cumulative_load
         capacity = sum(candidates[name].capacity for name in self._eligible)
         self._share = {name: candidates[name].capacity / capacity for name in self._eligible}
-        self._loads = dict.fromkeys(self._eligible, 0.0)  # of what each has or is to have
+        self._loads = dict.fromkeys(self._eligible, 0.0)  # of the rows that each will finally hold
         for row in self.rows:
             if row.final_holder in self._loads:
                 self._loads[row.final_holder] += self.load(row)
 
     def load(self, row: Row) -> float:
-        """Share of the service's traffic."""
+        """The row's share of the service's traffic."""
         return self._cumulative_load[(row.last + 1) // BUCKET] - self._cumulative_load[row.first // BUCKET]
 
-    # What was let go
+    # Released rows
 
     def transfer_released(self, releases: Collection[Release], lease_expired: Callable[[Row], bool]) -> None:
-        """Rows that their holders have let go, or must have by now, go on to the next."""
+        """Passes rows on that their holders have released, or whose leases have expired."""
         by_holder: dict[str, list[Release]] = {}
         for release in releases:
             by_holder.setdefault(release.instance, []).append(release)
-        for at, row in enumerate(self.rows):
+        for index, row in enumerate(self.rows):
             if not row.leaving:
                 continue
             found = [release for release in by_holder.get(row.holder, ()) if release.covers(row)]
             if not found and not lease_expired(row):
                 continue
             freed = replace(row, holder="", next_holder=None, handover=found[0].handover if found else "")
-            self.rows[at] = self._granted(freed, row.next_holder) if row.next_holder in self._share else freed
+            self.rows[index] = (
+                self._granted(freed, row.next_holder) if row.next_holder in self._share else freed
+            )
 
     def _granted(self, row: Row, instance: str | None) -> Row:
         assert instance is not None
         self.last_fence += 1
         return replace(row, holder=instance, fence=self.last_fence, next_holder=None)
 
-    # Who cannot keep what it has
+    # Unavailable upstreams
 
     def vacate_unavailable(self) -> None:
-        """Rows of upstreams that drain, are gone or silent leave; so does what was meant for such a one."""
-        for at, row in enumerate(self.rows):
+        """Starts the removal of rows from upstreams that drain, are gone or silent, also as next holders."""
+        for index, row in enumerate(self.rows):
             if row.vacant:
                 continue
             if row.next_holder is None and row.holder not in self._share:
-                self.rows[at] = self._with_next_holder(row)
+                self.rows[index] = self._with_next_holder(row)
             elif row.leaving and row.next_holder not in self._share:
-                self.rows[at] = self._with_next_holder(row)
+                self.rows[index] = self._with_next_holder(row)
 
     def _with_next_holder(self, row: Row) -> Row:
         holder = self._least_busy()
@@ -108,13 +112,13 @@
         return replace(row, next_holder=holder)
 
     def _least_busy(self) -> str:
-        """By what it has for its capacity; "" where there is none."""
+        """The upstream with the least load for its capacity; "" if there is none."""
         return min(self._eligible, key=lambda name: (self._loads[name] / self._share[name], name), default="")
 
-    # What nobody has
+    # Vacant rows
 
     def grant_vacant(self) -> None:
-        """Vacant rows are given out, long or busy ones in pieces."""
+        """Grants vacant rows, long or busy ones in pieces."""
         if not self._eligible:
             return
         rows: list[Row] = []
@@ -129,7 +133,7 @@
         self.rows = rows
 
     def _pieces(self, row: Row, room: int) -> list[Row]:
-        """Of about the same load, and not over `PIECE_KEYS` of an upstream's share of the keys."""
+        """Pieces of about equal load, none above `MAX_PIECE_SHARE` of an upstream's share of the keys."""
         count = len(self._eligible)
         by_load = self.load(row) * count
         by_keys = (
@@ -148,7 +152,8 @@
         return [*pieces, left]
 
     def _cut_after(self, row: Row, load: float) -> int | None:
-        """The first key of the bucket before which the row has about that load; None where it is one."""
+        """The first key of the bucket before which the row has about that load; None if it is a single
+        bucket."""
         first, last = row.first // BUCKET, (row.last + 1) // BUCKET
         if last - first < 2:
             return None
@@ -164,11 +169,11 @@
             low -= 1
         return low * BUCKET
 
-    # The load
+    # Load balancing
 
     def balance(self) -> None:
-        """The busiest gives the piece with the fewest keys that helps to the least busy, again and again, as
-        far as moves may be under way at once."""
+        """Moves the piece with the fewest keys that helps from the busiest to the least busy upstream,
+        repeatedly, as long as further moves may be in progress."""
         if len(self._eligible) < 2:
             return
         moving = sum(row.leaving for row in self.rows)
@@ -196,7 +201,7 @@
         if wanted < MIN_MOVE_SHARE * self._share[busy]:
             return False
         found: tuple[float, int, Row] | None = None
-        for at, row in enumerate(self.rows):
+        for index, row in enumerate(self.rows):
             if row.holder != busy or row.leaving:
                 continue
             for piece in self._movable_parts(row, wanted):
@@ -207,23 +212,23 @@
                     continue
                 cost = piece.key_count / KEYS + 0.05 * self._share[busy] * (load < 0.4 * wanted)
                 if found is None or cost / load < found[0]:
-                    found = (cost / load, at, piece)
+                    found = (cost / load, index, piece)
         if found is None:
             return False
-        _, at, piece = found
-        self._move(at, piece, idle)
+        _, index, piece = found
+        self._move(index, piece, idle)
         return True
 
     def _movable_parts(self, row: Row, load: float) -> list[Row]:
-        """The row, or its beginning and its end with about that load."""
+        """The row itself, or its beginning and its end with about that load."""
         if self.load(row) <= 1.1 * load or len(self.rows) >= MAX_ROWS_PER_UPSTREAM * len(self._eligible):
             return [row]
         head, tail = self._cut_after(row, load), self._cut_after(row, self.load(row) - load)
-        edges = [replace(row, last=head - 1)] if head is not None else []
-        return edges + ([replace(row, first=tail)] if tail is not None else [])
+        parts = [replace(row, last=head - 1)] if head is not None else []
+        return parts + ([replace(row, first=tail)] if tail is not None else [])
 
-    def _move(self, at: int, piece: Row, target: str) -> None:
-        row, load = self.rows[at], self.load(piece)
+    def _move(self, index: int, piece: Row, target: str) -> None:
+        row, load = self.rows[index], self.load(piece)
         self._loads[row.holder] -= load
         self._loads[target] += load
         parts = [replace(piece, next_holder=target)]
@@ -231,11 +236,11 @@
             parts.insert(0, replace(row, last=piece.first - 1))
         if piece.last < row.last:
             parts.append(replace(row, first=piece.last + 1))
-        self.rows[at : at + 1] = parts
+        self.rows[index : index + 1] = parts
 
 
 def empty_map() -> KeyMap:
-    """Before anybody holds anything."""
+    """The map before any upstream holds a key."""
     return KeyMap(0, 0, [Row(0, KEYS - 1)])
 
 
@@ -247,9 +252,9 @@
     lease_expired: Callable[[Row], bool],
     balanced: bool,
 ) -> tuple[int, list[Row]] | None:
-    """The counter of fences and the rows of the next version; None where nothing is to change.
-    ``waited``: a row that is leaving has been known to for so long that nobody can hold it any more.
-    ``balanced``: the load is known and may move keys."""
+    """The highest fence and the rows of the next version; None if nothing changes. ``lease_expired``: a
+    leaving row has been known for so long that no upstream can hold it any more. ``balanced``: the load is
+    known and may move keys."""
     assignment = Assignment(key_map, candidates, cumulative_load)
     assignment.transfer_released(releases, lease_expired)
     assignment.vacate_unavailable()
--- a/mesh/ownership/key_report.py
+++ b/mesh/ownership/key_report.py
@@ -1,4 +1,5 @@
-"""What a proxy tells the control processes of keys: words, a silent upstream, counts of requests. No I/O."""
+"""What a proxy reports to the control processes about keys: releases, a silent upstream, request counts. No
+I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +11,14 @@
 
 from mesh.ownership.assignment import Release
 
-KEY_REPORT = "keys"  # the kind of its items in the store of reports; the name is the node's
-MAX_REPORTED_BUCKETS = 96  # the fullest, of one service
+KEY_REPORT = "keys"  # kind of its items in the report store; they are named after the node
+MAX_REPORTED_BUCKETS = 96  # of one service, those with the most requests
 MAX_REPORTED_RELEASES = 64
 
 
 class KeyReport(Struct, frozen=True):
-    """``silent``: the upstream beside the proxy, where its beats have ceased; ``counts``: requests since the
-    last report, by service and bucket."""
+    """``silent_upstream``: the upstream beside the proxy if its beats have ceased; ``counts``: requests since
+    the last report, by service and bucket."""
 
     releases: Sequence[Release]
     silent_upstream: str
@@ -27,7 +28,7 @@
 def write_report(
     releases: Sequence[Release], silent_upstream: str, counts: Mapping[str, Counter[int]]
 ) -> dict[str, Any]:
-    """As the item's value."""
+    """Encodes the value of the item."""
     value: dict[str, Any] = {}
     if releases:
         value["w"] = [
@@ -44,7 +45,7 @@
 
 
 def read_report(value: Mapping[str, Any]) -> KeyReport:
-    """Raises KeyError, TypeError or ValueError for what is no report."""
+    """Decodes a report. Raises KeyError, TypeError or ValueError for anything else."""
     releases = [
         Release(str(instance), int(first), int(last), int(fence), str(handover))
         for instance, first, last, fence, handover in value.get("w", [])[:MAX_REPORTED_RELEASES]
--- a/mesh/ownership/server_holds.py
+++ b/mesh/ownership/server_holds.py
@@ -1,6 +1,5 @@
-"""What the proxy beside an upstream of a divided service answers to its beats, and the word that it gives of
-keys that were let go. No I/O; instants are seconds of the proxy's steady clock.
-"""
+"""The holds that a proxy grants to the upstream beside it in answers to its beats, and the releases that it
+reports. No I/O; times are seconds of the proxy's monotonic clock."""
 
 from __future__ import annotations
 
@@ -14,11 +13,13 @@
 from mesh.ownership.lease_terms import UPSTREAM_CLOCK_ERROR, LeaseTerms
 
 RowKey = tuple[str, int, int, int]  # holder, first and last key, fence
-SILENT_AFTER_BEATS = 2.2  # periods without a beat after which an upstream is told to be silent
+SILENT_AFTER_BEATS = 2.2  # beat periods after which an upstream is reported as silent
 MAX_RELEASES = 512
-CONFIRMING_BEATS = 2  # by which a life is known to be the one that is here, and
-MIN_CONFIRMING_GAP_S = 1.0  # the least time between these: late beats of a dead one are read at one moment
-MAX_GRANT_ROWS = 56  # an answer to a beat holds 4 KiB at most
+CONFIRMING_BEATS = 2  # beats that confirm an instance as the running one
+MIN_CONFIRMING_GAP_S = (
+    1.0  # least time between these, because late beats of an ended instance are read together
+)
+MAX_GRANT_ROWS = 56  # an answer to a beat has at most 4 KiB
 
 
 class HeldRow(Struct, frozen=True, array_like=True):
@@ -38,7 +39,7 @@
 
 
 class BeatKeys(Struct, frozen=True):
-    """What a beat says of keys; ``count`` is its sample_count."""
+    """The key fields of a beat."""
 
     instance: str
     sample_count: int
@@ -47,42 +48,43 @@
 
 
 class Grant(Struct, frozen=True):
-    """The answer's part: all that the upstream is to hold, for so long from the sending of its beat."""
+    """The key fields of the answer: all rows that the upstream holds, and how long, from sending its beat."""
 
     rows: Sequence[Row]
     hold_ms: int
 
     def answer_fields(self) -> dict[str, Any]:
-        """As it stands in the answer."""
+        """Encodes the grant as fields of the answer."""
         rows = [[row.first, row.last, row.fence, row.handover] for row in self.rows]
         return {"holds": rows, "hold_ms": self.hold_ms}
 
 
 class ServerHolds:
-    """Of the upstream beside this proxy, over its lives."""
+    """The holds of the upstream beside this proxy, over its instances."""
 
     def __init__(self, terms: LeaseTerms, started_at: float) -> None:
-        """What an earlier life of this proxy granted has ended a lease after ``began``."""
+        """Everything that an earlier incarnation of this proxy granted ends a lease after ``started_at``."""
         self.terms = terms
-        self._confirmed_at: float | None = None  # of the newest question whose answer is held here
-        self._pending: list[tuple[int, float]] = []  # versions that are not here yet, and their questions
-        self._granted_until = started_at + terms.lease_s  # when all that was granted has ended, by any clock
+        self._confirmed_at: float | None = None  # when the request was sent that confirmed the map held here
+        self._pending: list[tuple[int, float]] = []  # confirmed versions not received yet, and when
+        self._granted_until = started_at + terms.lease_s  # end of all grants, by any clock
         self._instance, self._beat_at = "", started_at
-        self._sample_counts: dict[str, int] = {}  # by life, of its newest beat
-        self._ended: set[str] = set()  # lives that are over
-        self._ending: set[str] = set()  # that were here, and that are over if another one beats on
-        self._beats_in_a_row = 0  # beats of this life that were heard here with no other life's between
-        self._counted_beat_at = started_at  # when the last of them came
-        self._omitted: dict[RowKey, int] = {}  # rows left out, by the beat that was first answered so
+        self._sample_counts: dict[str, int] = {}  # by instance, of its newest beat
+        self._ended: set[str] = set()  # instances that have ended
+        self._ending: set[str] = set()  # earlier instances that have ended if another one continues to beat
+        self._beats_in_a_row = 0  # beats of this instance without another's in between
+        self._counted_beat_at = started_at  # when the last of them was counted
+        self._omitted: dict[RowKey, int] = {}  # omitted rows, by the first beat answered without them
         self._releases: dict[RowKey, Release] = {}
 
     def confirm_version(self, asked_at: float, version: int, key_map: KeyMap | None) -> None:
-        """A control process has answered a question sent then: that version held when it came."""
+        """A control process has answered a request sent at ``asked_at``: that version was current when it
+        arrived."""
         self._pending = [*self._pending[-8:], (version, asked_at)]
         self.map_changed(key_map)
 
     def map_changed(self, key_map: KeyMap | None) -> None:
-        """Another version of the map may be here."""
+        """Updates the confirmation and the open releases after a possible change of the map."""
         held = key_map.version if key_map is not None else 0
         for version, asked_at in self._pending:
             if version <= held and (self._confirmed_at is None or asked_at > self._confirmed_at):
@@ -95,7 +97,7 @@
         self._releases = {key: release for key, release in self._releases.items() if key in leaving}
 
     def answer_beat(self, now: float, beat: BeatKeys, key_map: KeyMap | None) -> Grant | None:
-        """The grant with which a beat is answered now; None: the answer renews nothing."""
+        """The grant in the answer to this beat; None if the answer renews nothing."""
         if beat.instance in self._ended or beat.sample_count <= self._sample_counts.get(beat.instance, -1):
             return None
         self._sample_counts[beat.instance], self._beat_at = beat.sample_count, now
@@ -117,8 +119,8 @@
         return Grant(rows[:MAX_GRANT_ROWS], int(hold_s * 1000.0))
 
     def _track_instance(self, now: float, instance: str) -> None:
-        """That life beats here. The one before it is over once this one has beaten on: beats may be read in
-        another order than they were sent in, and a late one of the dead must not end the living."""
+        """Records a beat of that instance. An earlier instance has ended once this one has continued to beat:
+        beats may be read out of order, and a late beat of an ended instance must not end the running one."""
         if instance != self._instance:
             if self._instance:
                 self._ending.add(self._instance)
@@ -131,7 +133,7 @@
             self._ending.clear()
 
     def _detect_releases(self, beat: BeatKeys, key_map: KeyMap) -> None:
-        """Rows that an earlier answer left out, and that it has no more."""
+        """Adds releases for rows that an earlier answer omitted and that the upstream no longer holds."""
         for row in key_map.rows_held_by(beat.instance):
             key = _row_key(row)
             omitted = self._omitted.get(key)
@@ -148,8 +150,8 @@
             self._releases[_row_key(row)] = release
 
     def releases(self, now: float, key_map: KeyMap | None) -> list[Release]:
-        """All that can be said now of rows that are leaving; those of lives that are over, and of one whose
-        holds have run out, too."""
+        """All releases of leaving rows that can be reported now, including those of ended instances and of
+        one whose holds have expired."""
         if key_map is None:
             return []
         for instance in (*self._ended, *self._ending, self._instance):
@@ -160,17 +162,17 @@
         return list(self._releases.values())
 
     def note_earlier_instance(self, instance: str) -> None:
-        """Others know of that life at this machine, from before this proxy started."""
+        """Records an instance of this machine that others know from before this proxy started."""
         if instance not in (self._instance, *self._ended):
             self._ending.add(instance)
 
     def silent_upstream(self, now: float, beat_s: float) -> str:
-        """The upstream that has not been heard for some beats; "" where there is none."""
+        """The upstream that has missed several beats; "" if there is none."""
         return self._instance if self._instance and now - self._beat_at > SILENT_AFTER_BEATS * beat_s else ""
 
     def may_hold(self, key_map: KeyMap, key: int) -> bool:
-        """Whether the upstream beside this proxy may run a request on that key, as far as is known here; one
-        whose beats have not come here yet is let judge by itself."""
+        """Whether the upstream beside this proxy may run a request for that key, as far as known here; before
+        its first beat it decides by itself."""
         if not self._instance:
             return True
         row = key_map.row_for_key(key)
--- a/mesh/replication/acceptor.py
+++ b/mesh/replication/acceptor.py
@@ -192,7 +192,7 @@
 
     def _refusal(self, ballot: Ballot, slots: Iterable[Slot]) -> Refusal | None:
         if not 0 < ballot.round < MAX_ROUND:
-            return Refusal(0, f"a round is 1 to {MAX_ROUND}")
+            return Refusal(0, f"a round must be 1 to {MAX_ROUND}")
         if ballot.round <= self.floor:
             return Refusal(self.floor, "below the floor", False)
         highest = ballot
--- a/mesh/replication/anti_entropy.py
+++ b/mesh/replication/anti_entropy.py
@@ -121,14 +121,14 @@
 def read_ranges(value: Any) -> dict[str, dict[str, str]]:
     """Decodes a peer's digests by prefix. Raises ValueError for anything else."""
     if not isinstance(value, dict) or not 0 < len(value) <= MAX_RANGES:
-        raise ValueError(f"digests of 1 to {MAX_RANGES} prefixes")
+        raise ValueError(f"expected digests of 1 to {MAX_RANGES} prefixes")
     for prefix, children in value.items():
         if len(prefix) >= DEPTH or set(prefix) - set(HEX) or not isinstance(children, dict):
-            raise ValueError(f"{prefix[:8]!r} is no prefix of a range")
+            raise ValueError(f"{prefix[:8]!r} is not the prefix of a range")
         if any(child[:-1] != prefix or child[-1:] not in HEX or not child for child in children):
-            raise ValueError(f"digests under {prefix!r} that lie elsewhere")
+            raise ValueError(f"digests under {prefix!r} have other prefixes")
     if len({len(prefix) for prefix in value}) > 1:
-        raise ValueError("prefixes of several levels")
+        raise ValueError("the prefixes are of several levels")
     return value
 
 
@@ -137,5 +137,5 @@
     if not isinstance(value, dict) or len(value) > MAX_LEAVES:
         raise ValueError(f"at most {MAX_LEAVES} leaves")
     if any(len(leaf) != DEPTH or set(leaf) - set(HEX) for leaf in value):
-        raise ValueError("a leaf's prefix has three hex digits")
+        raise ValueError("a leaf's prefix must have three hex digits")
     return value
--- a/mesh/replication/membership_epochs.py
+++ b/mesh/replication/membership_epochs.py
@@ -86,7 +86,7 @@
 def read_view(epoch: object, value: Mapping[str, Any] | None) -> View:
     """Decodes a view. Raises ValueError for anything else."""
     if not isinstance(epoch, int) or not 0 < epoch < MAX_EPOCH or value is None:
-        raise ValueError("a view has an epoch from 1, and members")
+        raise ValueError("a view needs an epoch of at least 1, and members")
     before = value.get("before")
     return View(epoch, _read(value.get("now")), None if before is None else _read(before))
 
@@ -97,10 +97,10 @@
 
 def _read(value: object) -> dict[str, Place]:
     if not isinstance(value, dict) or not 0 < len(value) <= MAX_MEMBERS:
-        raise ValueError(f"a view names 1 to {MAX_MEMBERS} members")
+        raise ValueError(f"a view needs 1 to {MAX_MEMBERS} members")
     found = {}
     for name, place in value.items():
         if not (isinstance(name, str) and isinstance(place, list) and len(place) == 2):
-            raise ValueError("a member is an address with zone and region")
+            raise ValueError("a member must be an address with a zone and a region")
         found[name] = Place(str(place[0]), str(place[1]))
     return found
--- a/mesh/replication/reconfiguration.py
+++ b/mesh/replication/reconfiguration.py
@@ -98,13 +98,15 @@
     present = responding_complete(statuses, view.names)
     synced = frozenset(name for name in present if statuses[name].synced_epoch >= view.epoch)
     if not final.durable(synced, tolerance):
-        return ChangePlan(None, {}, f"level with epoch {view.epoch}: {_listed(synced & view.members.keys())}")
+        return ChangePlan(
+            None, {}, f"caught up with epoch {view.epoch}: {_listed(synced & view.members.keys())}"
+        )
     # A leaving member need not catch up; a remaining one refuses the vote until it has.
     if not view.durable(synced | (present - view.members.keys()), tolerance):
         return ChangePlan(
             None,
             {},
-            f"of the view before only {_listed(present & (view.previous_members or {}).keys())} are heard",
+            f"of the previous view only {_listed(present & (view.previous_members or {}).keys())} respond",
         )
     return ChangePlan(final, {})
 
@@ -157,9 +159,7 @@
             and _only_silent(statuses[name])
             and not _raises_loss_margin(view, wanted, rest, statuses, tolerance)
         ):
-            reason = (
-                "it has been silent for the shorter bound alone, and no more losses were borne without it"
-            )
+            reason = "it has been silent for the shorter bound only, and its removal tolerates no more losses"
         if reason:
             retained[name] = reason
         else:
@@ -192,7 +192,7 @@
 def _blocking_members(view: View, statuses: Mapping[str, MemberStatus]) -> str:
     """Names the silent members that joining members wait for."""
     silent = {name for name in view.members if name in statuses and not statuses[name].responding}
-    return f"who joins waits until these are heard or taken out: {_listed(silent)}" if silent else ""
+    return f"joining members wait until these respond or are removed: {_listed(silent)}" if silent else ""
 
 
 def _leaving_members(view: View, statuses: Mapping[str, MemberStatus]) -> list[str]:
@@ -239,12 +239,12 @@
 ) -> str:
     """Why a change to these members is not safe to begin; "" if it is."""
     if not wanted:
-        return "nobody would count"
+        return "no members would be left"
     present = responding_complete(statuses, wanted)
     if not View(1, view.members).durable(present, tolerance):
-        return f"of the view in force only {_listed(present & view.members.keys())} would be heard and stay"
+        return f"of the view in force only {_listed(present & view.members.keys())} would respond and stay"
     if not View(1, wanted).durable(present, tolerance):
-        return f"of the new view only {_listed(present)} would be heard"
+        return f"of the new view only {_listed(present)} would respond"
     for what, before, after, tolerated in (
         ("members", len(view.members), len(wanted), tolerance.machines),
         ("zones", _count_areas(view.members, "zone"), _count_areas(wanted, "zone"), tolerance.zones),
--- a/mesh/replication/store.py
+++ b/mesh/replication/store.py
@@ -139,7 +139,7 @@
             return None
         self.vector.pop(entry, None)
         if not matches:
-            return DigestMismatch(f"snapshot {root}: what came has another digest")
+            return DigestMismatch(f"snapshot {root}: the received items have another digest")
         self._raise_vector({source: number for source, number in vector.items() if source != entry})
         self._end_snapshots()
         return None
--- a/mesh/replication/tombstones.py
+++ b/mesh/replication/tombstones.py
@@ -89,23 +89,23 @@
 def read_rows(value: Any) -> dict[str, BucketRow]:
     """Decodes a peer's rows. Raises ValueError for anything else."""
     if not isinstance(value, dict) or len(value) > BUCKETS:
-        raise ValueError(f"rows of up to {BUCKETS} buckets")
+        raise ValueError(f"expected rows of up to {BUCKETS} buckets")
     found: dict[str, BucketRow] = {}
     for bucket, row in value.items():
         watermark, entries = _row(row)
         if len(bucket) != 2 or any(digest[:2] != bucket for digest in entries):
-            raise ValueError(f"{bucket[:8]!r} is no bucket of its digests")
+            raise ValueError(f"{bucket[:8]!r} is not the bucket of its digests")
         found[bucket] = (watermark, entries)
     return found
 
 
 def _row(value: Any) -> BucketRow:
     if not (isinstance(value, list | tuple) and len(value) == 2 and isinstance(value[0], int)):
-        raise ValueError("a row is a watermark and versions by digest")
+        raise ValueError("a row must be a watermark and versions by digest")
     entries: Iterable[tuple[Any, Any]] = value[1].items() if isinstance(value[1], dict) else [("", None)]
     versions = dict(entries)
     if len(versions) > ENTRIES_PER_BUCKET or any(
         not isinstance(version, int) for version in versions.values()
     ):
-        raise ValueError(f"up to {ENTRIES_PER_BUCKET} versions by digest")
+        raise ValueError(f"expected up to {ENTRIES_PER_BUCKET} versions by digest")
     return value[0], versions
--- a/tests/mesh/test_replication_reconfiguration.py
+++ b/tests/mesh/test_replication_reconfiguration.py
@@ -79,13 +79,13 @@
     found = plan_change(view("abcde"), known("abc", d=leaving, e=leaving), ONE)
     assert wanted(found.view) == "abc" and not found.retained
     found = plan_change(view("abcd"), known("ab", c=leaving, d=leaving), ONE)
-    assert wanted(found.view) == "abd" and "only a, b would be heard and stay" in found.retained["d"]
+    assert wanted(found.view) == "abd" and "only a, b would respond and stay" in found.retained["d"]
 
 
 def test_silence_takes_nobody_out_of_less_than_a_majority_of_the_view_before() -> None:
     told = known("ab", c=away(gone=True), d=away(gone=True), e=away(gone=True))
     found = plan_change(view("abcde"), told | known("xyz"), ONE)
-    assert found.view is None and "would be heard and stay" in found.blocked_by
+    assert found.view is None and "would respond and stay" in found.blocked_by
 
 
 def test_one_that_is_silent_for_the_shorter_bound_goes_only_where_more_is_borne_without_it() -> None:
