--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -27,7 +27,7 @@
 from msgspec.structs import asdict
 
 from anisestair.http import codec as http
-from mesh.configuration.routes import Route, Routes
+from mesh.configuration.routes import Route, RouteTable
 from mesh.data_plane.membership import Membership
 from mesh.replication.items import Item
 from mesh.replication.store import Store
@@ -172,7 +172,7 @@
         membership = Membership()
         membership.apply(items("instance"))
     with _traced(found, "routes"):
-        routes = Routes()
+        routes = RouteTable()
         for at in range(ENTRIES):
             routes.put(_route(at))
     return found
--- a/mesh/cli/bearing.py
+++ b/mesh/cli/bearing.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from mesh.cli.mesh_snapshot import Told, number, part
-from mesh.configuration.commands import PLANT, ROUTE, ConfigurationWrite, ItemWrite, label
+from mesh.configuration.commands import PLANT, ROUTE, ConfigurationWrite, ItemWrite, item_label
 from mesh.configuration.routes import Route, read_route
-from mesh.configuration.validation import check
+from mesh.configuration.validation import check_change
 from mesh.replication.items import Item, Key, same_content
 
 FEW = 5  # answers; of fewer nothing is concluded
@@ -49,7 +49,7 @@
         return item.version, dict(item.value) if item.value is not None else None
 
     found = []
-    refused = check(change, stands)
+    refused = check_change(change, stands)
     if refused is not None:
         what, _, mend = refused.reason.partition("; ")
         found.append(Fault(refused.item, refused.field, what, mend))
@@ -70,7 +70,7 @@
         item = standing.get((write.kind, write.name))
         if item is None or write.version > item.version:
             continue
-        name = label(write.kind, write.name)
+        name = item_label(write.kind, write.name)
         if write.version < item.version:
             what = f"is r{write.version} and r{item.version} stands: it changes nothing"
         elif not same_content(_as_item(write), item):
@@ -107,7 +107,7 @@
         for route in under:
             if route.name in named or over.name in named:
                 what = f"{prefix} at {host} is never reached: {over.name} r{over.version} outranks it"
-                yield Fault(label(ROUTE, route.name), "predicate.prefix", what, "drop one of the two")
+                yield Fault(item_label(ROUTE, route.name), "predicate.prefix", what, "drop one of the two")
 
 
 def _services(route: Route, facts: Facts) -> Iterator[Fault]:
@@ -116,7 +116,9 @@
             split = f"gives {share:.0%} to" if len(route.split) > 1 else "goes to"
             where = "response.distribution" if len(route.split) > 1 else "response.plant"
             what = f"{split} {service}, which has no upstream that takes calls"
-            yield Fault(label(ROUTE, route.name), where, what, "start one first, or name another service")
+            yield Fault(
+                item_label(ROUTE, route.name), where, what, "start one first, or name another service"
+            )
 
 
 def _aim(route: Route, facts: Facts) -> Iterator[Fault]:
@@ -129,7 +131,7 @@
     if count >= FEW and least > route.aim_ms:
         what = f"is {route.aim_ms:g}: none of {whose} last {count} answers met it, the best took {least:g} ms"
         mend = "give a longer aim, or more or quicker upstreams"
-        yield Fault(label(ROUTE, route.name), "setpoint_ms", what, mend)
+        yield Fault(item_label(ROUTE, route.name), "setpoint_ms", what, mend)
 
 
 def _least(facts: Facts, part_of: str, names: set[str]) -> tuple[int, float]:
@@ -141,7 +143,9 @@
 def _trials(route: Route, facts: Facts) -> Iterator[Fault]:
     if route.trials > 1 and facts.ratios and min(facts.ratios) <= 0.0:
         what = f"is {route.trials}, and the budget for further tries grows by nothing (retry_ratio 0)"
-        yield Fault(label(ROUTE, route.name), "response.trials", what, "give 1, or a retry_ratio above 0")
+        yield Fault(
+            item_label(ROUTE, route.name), "response.trials", what, "give 1, or a retry_ratio above 0"
+        )
 
 
 # Against what stands
@@ -163,7 +167,7 @@
     """For each item of the change, in the order of kinds and names."""
     found = []
     for write in sorted(change.writes, key=lambda write: (write.kind, write.name)):
-        name, item = label(write.kind, write.name), standing.get((write.kind, write.name))
+        name, item = item_label(write.kind, write.name), standing.get((write.kind, write.name))
         fields: tuple[str, ...] = ()
         stands = item.version if item is not None else None
         if item is not None and write.version < item.version:
--- a/mesh/cli/config.py
+++ b/mesh/cli/config.py
@@ -33,7 +33,7 @@
     tell,
 )
 from mesh.cli.text import wrapped
-from mesh.configuration.commands import INPUT_LIMITS, ConfigurationWrite, Invalid, decode_change, label
+from mesh.configuration.commands import INPUT_LIMITS, ConfigurationWrite, Invalid, decode_change, item_label
 from mesh.configuration.read_back import render
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.membership.instance_commands import read_address
@@ -245,7 +245,7 @@
     if not isinstance(outcome, write_client.Accepted):
         _unclear(outcome, "it may be in force: send the same file again", as_json)
     else:
-        names = [label(write.kind, write.name) for write in change.writes]
+        names = [item_label(write.kind, write.name) for write in change.writes]
         host, port = outcome.address
         value = {"items": len(names), "by": f"{host}:{port}", "tries": outcome.tries}
         tell(value, [f"taken by {host}:{port}: {len(names)} items are in force and kept"], as_json)
--- a/mesh/configuration/commands.py
+++ b/mesh/configuration/commands.py
@@ -19,22 +19,22 @@
 PLANT = "plant"
 INPUT_LIMITS = "input_limits"  # the kind, and the name of the only item of that kind
 
-ITEMS_MOST = 20_000
-NAME_MOST = 256
-HOST_MOST = 255
-PATH_MOST = 4096
-SPLIT_MOST = 1000
-DEPTH_MOST = 64  # far below what rendering or comparing a value could take before the stack ends
-NUMBER_MOST = 2**53  # beyond it, programs that read numbers as floats would not agree on it
-HORIZON_MOST_MS = 600_000
-SETPOINT_BEYOND_MS = 60_000
+MAX_ITEMS = 20_000
+MAX_NAME_LENGTH = 256
+MAX_HOST_LENGTH = 255
+MAX_PATH_LENGTH = 4096
+MAX_SPLIT_ENTRIES = 1000
+MAX_DEPTH = 64  # far below what rendering or comparing a value could take before the stack ends
+MAX_NUMBER = 2**53  # beyond it, programs that read numbers as floats would not agree on it
+MAX_HORIZON_MS = 600_000
+MAX_SETPOINT_EXCESS_MS = 60_000
 
 _EPOCH = re.compile(r"r[0-9]{1,18}")
 _HEALTH_PATH = re.compile(r"/[!-~]*")
-_SHOWN_MOST = 60
-_LIMITS = ("header_bytes", "body_bytes", "header_lag_ms", "quiescent_ms")
+_MAX_SHOWN_LENGTH = 60
+_LIMIT_FIELDS = ("header_bytes", "body_bytes", "header_lag_ms", "quiescent_ms")
 # What `remove` may call a kind: `apply` has services under another name than the page's text does.
-_REMOVED = (("routes", ROUTE), ("plants", PLANT), ("plant_groups", PLANT))
+_REMOVABLE = (("routes", ROUTE), ("plants", PLANT), ("plant_groups", PLANT))
 
 
 class ItemWrite(Struct, frozen=True):
@@ -75,45 +75,43 @@
     except msgspec.DecodeError as error:
         return Invalid("call", "body", f"is not whole JSON: {error}; send it again in full")
     except RecursionError:
-        return Invalid("call", "body", f"is nested too deep; give at most {DEPTH_MOST} levels")
+        return Invalid("call", "body", f"is nested too deep; give at most {MAX_DEPTH} levels")
     if not isinstance(call, dict):
         return Invalid("call", "body", "is not a JSON object; give an object with apply and remove")
     if _too_deep(call):
-        return Invalid("call", "body", f"is nested too deep; give at most {DEPTH_MOST} levels")
-    gathered = _Gathered()
+        return Invalid("call", "body", f"is nested too deep; give at most {MAX_DEPTH} levels")
+    gathered = _WriteCollector()
     fault = _read_apply(call.get("apply"), gathered) or _read_remove(call.get("remove"), gathered)
     return fault or ConfigurationWrite(tuple(gathered.writes.values()))
 
 
-def shown(value: object) -> str:
+def printable(value: object) -> str:
     """``value``, which may be anything out of a call, as a short printable piece of a line."""
     text = value if isinstance(value, str) and value.isprintable() and value else ascii(value)
-    return text if len(text) <= _SHOWN_MOST else text[:_SHOWN_MOST] + "..."
+    return text if len(text) <= _MAX_SHOWN_LENGTH else text[:_MAX_SHOWN_LENGTH] + "..."
 
 
-def label(kind: str, name: str) -> str:
+def item_label(kind: str, name: str) -> str:
     """What a fault calls an item."""
-    return INPUT_LIMITS if kind == INPUT_LIMITS else f"{kind} {shown(name)}"
+    return INPUT_LIMITS if kind == INPUT_LIMITS else f"{kind} {printable(name)}"
 
 
-class _Gathered:
+class _WriteCollector:
     """The writes of one call, the higher version of each name."""
 
     def __init__(self) -> None:
         self.writes: dict[tuple[str, str], ItemWrite] = {}
-        self.taken = 0
+        self.item_count = 0
 
-    def take(
-        self, kind: str, name: str, sent: dict[str, Any], value: dict[str, Any] | None
-    ) -> Invalid | None:
+    def add(self, kind: str, name: str, sent: dict[str, Any], value: dict[str, Any] | None) -> Invalid | None:
         """Adds the item ``sent``, whose ``epoch`` is read here, with ``value`` as what it sets."""
-        self.taken += 1
-        if self.taken > ITEMS_MOST:
-            return Invalid("call", "body", f"holds over {ITEMS_MOST} items; send them in several calls")
-        item = label(kind, name)
+        self.item_count += 1
+        if self.item_count > MAX_ITEMS:
+            return Invalid("call", "body", f"holds over {MAX_ITEMS} items; send them in several calls")
+        item = item_label(kind, name)
         epoch = sent.get("epoch")
         if not isinstance(epoch, str) or not _EPOCH.fullmatch(epoch):
-            return Invalid(item, "epoch", _instead(epoch, "r and a number, such as r12"))
+            return Invalid(item, "epoch", _correction(epoch, "r and a number, such as r12"))
         write = ItemWrite(kind, name, int(epoch[1:]), value)
         other = self.writes.get((kind, name))
         if other is None or write.version > other.version:
@@ -125,14 +123,14 @@
         return None
 
 
-def _read_apply(apply: object, gathered: _Gathered) -> Invalid | None:
+def _read_apply(apply: object, gathered: _WriteCollector) -> Invalid | None:
     if apply is None:
         return None
     if not isinstance(apply, dict):
-        return Invalid("call", "apply", _instead(apply, "an object"))
+        return Invalid("call", "apply", _correction(apply, "an object"))
     limits = apply.get("input_limits")
     if limits is not None:
-        fault = _limits_fault(limits) or gathered.take(INPUT_LIMITS, INPUT_LIMITS, limits, limits)
+        fault = _limits_fault(limits) or gathered.add(INPUT_LIMITS, INPUT_LIMITS, limits, limits)
         if fault:
             return fault
     for where, entry in _entries(apply.get("input_ports"), "input_ports"):
@@ -140,42 +138,42 @@
         if fault:
             return fault
     for where, plant in _entries(apply.get("plant_groups"), "plant_groups"):
-        fault = _name_fault(where, plant) or _plant_fault(label(PLANT, plant["name"]), plant)
-        fault = fault or gathered.take(PLANT, plant["name"], plant, plant)
+        fault = _name_fault(where, plant) or _plant_fault(item_label(PLANT, plant["name"]), plant)
+        fault = fault or gathered.add(PLANT, plant["name"], plant, plant)
         if fault:
             return fault
     return None
 
 
-def _read_host(where: str, entry: object, gathered: _Gathered) -> Invalid | None:
+def _read_host(where: str, entry: object, gathered: _WriteCollector) -> Invalid | None:
     if not isinstance(entry, dict):
-        return Invalid(where, "entry", _instead(entry, "a list of objects with host and control_law"))
+        return Invalid(where, "entry", _correction(entry, "a list of objects with host and control_law"))
     host = entry.get("host")
-    if not isinstance(host, str) or len(host) > HOST_MOST or not fold_host(host):
-        return Invalid(where, "host", _instead(host, f"a host of 1 to {HOST_MOST} characters"))
+    if not isinstance(host, str) or len(host) > MAX_HOST_LENGTH or not fold_host(host):
+        return Invalid(where, "host", _correction(host, f"a host of 1 to {MAX_HOST_LENGTH} characters"))
     for at, rule in _entries(entry.get("control_law"), f"{where}.control_law"):
-        fault = _name_fault(at, rule) or _route_fault(label(ROUTE, rule["name"]), rule)
-        fault = fault or gathered.take(ROUTE, rule["name"], rule, {**rule, "host": host})
+        fault = _name_fault(at, rule) or _route_fault(item_label(ROUTE, rule["name"]), rule)
+        fault = fault or gathered.add(ROUTE, rule["name"], rule, {**rule, "host": host})
         if fault:
             return fault
     return None
 
 
-def _read_remove(remove: object, gathered: _Gathered) -> Invalid | None:
+def _read_remove(remove: object, gathered: _WriteCollector) -> Invalid | None:
     if remove is None:
         return None
     if not isinstance(remove, dict):
-        return Invalid("call", "remove", _instead(remove, "an object"))
-    for part, kind in _REMOVED:
+        return Invalid("call", "remove", _correction(remove, "an object"))
+    for part, kind in _REMOVABLE:
         for where, named in _entries(remove.get(part), f"remove.{part}"):
-            fault = _name_fault(where, named) or gathered.take(kind, named["name"], named, None)
+            fault = _name_fault(where, named) or gathered.add(kind, named["name"], named, None)
             if fault:
                 return fault
     for where, limits in _entries(remove.get(INPUT_LIMITS), f"remove.{INPUT_LIMITS}"):
         # There is but one, so it needs no name.
         if not isinstance(limits, dict):
-            return Invalid(where, "entry", _instead(limits, "a list of objects with epoch"))
-        fault = gathered.take(INPUT_LIMITS, INPUT_LIMITS, limits, None)
+            return Invalid(where, "entry", _correction(limits, "a list of objects with epoch"))
+        fault = gathered.add(INPUT_LIMITS, INPUT_LIMITS, limits, None)
         if fault:
             return fault
     return None
@@ -195,31 +193,33 @@
 
 def _name_fault(where: str, entry: object) -> Invalid | None:
     if not isinstance(entry, dict):
-        return Invalid(where, "entry", _instead(entry, "a list of objects with name and epoch"))
+        return Invalid(where, "entry", _correction(entry, "a list of objects with name and epoch"))
     name = entry.get("name")
     if not _is_name(name):
-        return Invalid(where, "name", _instead(name, f"a name of 1 to {NAME_MOST} characters"))
+        return Invalid(where, "name", _correction(name, f"a name of 1 to {MAX_NAME_LENGTH} characters"))
     return None
 
 
 def _limits_fault(limits: object) -> Invalid | None:
     if not isinstance(limits, dict):
-        return Invalid(INPUT_LIMITS, "entry", _instead(limits, "an object with epoch"))
-    for field in _LIMITS:
+        return Invalid(INPUT_LIMITS, "entry", _correction(limits, "an object with epoch"))
+    for field in _LIMIT_FIELDS:
         if limits.get(field) is not None and not _is_number(limits[field], above=0):
-            return Invalid(INPUT_LIMITS, field, _instead(limits[field], "a number above 0"))
+            return Invalid(INPUT_LIMITS, field, _correction(limits[field], "a number above 0"))
     return None
 
 
 def _plant_fault(item: str, plant: dict[str, Any]) -> Invalid | None:
     most = plant.get("conn_saturation")
     if most is not None and not _is_number(most, above=0):
-        return Invalid(item, "conn_saturation", _instead(most, "a number above 0"))
+        return Invalid(item, "conn_saturation", _correction(most, "a number above 0"))
     path = plant.get("health_path")
     if path is not None:
         # It is sent in a request line, where a space or a line's end would make another request of it.
-        if not isinstance(path, str) or len(path) > PATH_MOST or not _HEALTH_PATH.fullmatch(path):
-            return Invalid(item, "health_path", _instead(path, "a path that begins with /, without spaces"))
+        if not isinstance(path, str) or len(path) > MAX_PATH_LENGTH or not _HEALTH_PATH.fullmatch(path):
+            return Invalid(
+                item, "health_path", _correction(path, "a path that begins with /, without spaces")
+            )
     return None
 
 
@@ -228,35 +228,35 @@
         # The stored value has the entry's host in this place, and could not be read back as it was sent.
         return Invalid(item, "host", "stands in the rule; give it in the entry of input_ports alone")
     if rule.get("kind") not in ("idempotent", "effectful"):
-        return Invalid(item, "kind", _instead(rule.get("kind"), "idempotent or effectful"))
+        return Invalid(item, "kind", _correction(rule.get("kind"), "idempotent or effectful"))
     priority = rule.get("priority")
     if priority is not None and not _is_whole(priority, least=0):
-        return Invalid(item, "priority", _instead(priority, "a whole number from 0"))
+        return Invalid(item, "priority", _correction(priority, "a whole number from 0"))
     predicate = rule.get("predicate")
     if not isinstance(predicate, dict):
-        return Invalid(item, "predicate", _instead(predicate, "an object with prefix"))
+        return Invalid(item, "predicate", _correction(predicate, "an object with prefix"))
     prefix = predicate.get("prefix")
     if not isinstance(prefix, str) or not (prefix.startswith("/") and prefix.endswith("/")):
-        return Invalid(item, "predicate.prefix", _instead(prefix, "a path that begins and ends with /"))
-    if len(prefix) > PATH_MOST:
-        return Invalid(item, "predicate.prefix", f"is too long; give at most {PATH_MOST} characters")
+        return Invalid(item, "predicate.prefix", _correction(prefix, "a path that begins and ends with /"))
+    if len(prefix) > MAX_PATH_LENGTH:
+        return Invalid(item, "predicate.prefix", f"is too long; give at most {MAX_PATH_LENGTH} characters")
     response = rule.get("response")
     if not isinstance(response, dict):
-        return Invalid(item, "response", _instead(response, "an object with plant or distribution"))
+        return Invalid(item, "response", _correction(response, "an object with plant or distribution"))
     return _target_fault(item, response) or _bounds_fault(item, response, rule.get("setpoint_ms"))
 
 
 def _bounds_fault(item: str, response: dict[str, Any], setpoint: Any) -> Invalid | None:
     horizon: Any = response.get("horizon_ms")
-    if not _is_number(horizon, above=0) or horizon > HORIZON_MOST_MS:
-        return Invalid(item, "response.horizon_ms", _instead(horizon, f"1 to {HORIZON_MOST_MS}"))
+    if not _is_number(horizon, above=0) or horizon > MAX_HORIZON_MS:
+        return Invalid(item, "response.horizon_ms", _correction(horizon, f"1 to {MAX_HORIZON_MS}"))
     trials = response.get("trials")
     if trials is not None and not _is_whole(trials, least=1):
-        return Invalid(item, "response.trials", _instead(trials, "a whole number from 1"))
+        return Invalid(item, "response.trials", _correction(trials, "a whole number from 1"))
     if setpoint is not None:
-        if not _is_number(setpoint) or setpoint >= horizon + SETPOINT_BEYOND_MS:
-            mend = f"0 to less than horizon_ms + {SETPOINT_BEYOND_MS}"
-            return Invalid(item, "setpoint_ms", _instead(setpoint, mend))
+        if not _is_number(setpoint) or setpoint >= horizon + MAX_SETPOINT_EXCESS_MS:
+            mend = f"0 to less than horizon_ms + {MAX_SETPOINT_EXCESS_MS}"
+            return Invalid(item, "setpoint_ms", _correction(setpoint, mend))
     return None
 
 
@@ -264,31 +264,35 @@
     plant, split = response.get("plant"), response.get("distribution")
     if split is None:
         if not _is_name(plant):
-            return Invalid(item, "response.plant", _instead(plant, "a service's name, or a distribution"))
+            return Invalid(item, "response.plant", _correction(plant, "a service's name, or a distribution"))
         return None
     field = "response.distribution"
     if plant is not None:
         return Invalid(item, field, "stands beside response.plant; give one of the two")
-    if not isinstance(split, list) or not 0 < len(split) <= SPLIT_MOST:
-        return Invalid(item, field, f"is no list of 1 to {SPLIT_MOST} entries; give plant and gain in each")
+    if not isinstance(split, list) or not 0 < len(split) <= MAX_SPLIT_ENTRIES:
+        return Invalid(
+            item, field, f"is no list of 1 to {MAX_SPLIT_ENTRIES} entries; give plant and gain in each"
+        )
     for index, part in enumerate(split):
         if not isinstance(part, dict):
-            return Invalid(item, f"{field}[{index}]", _instead(part, "an object with plant and gain"))
+            return Invalid(item, f"{field}[{index}]", _correction(part, "an object with plant and gain"))
         if not _is_name(part.get("plant")):
-            return Invalid(item, f"{field}[{index}].plant", _instead(part.get("plant"), "a service's name"))
+            return Invalid(
+                item, f"{field}[{index}].plant", _correction(part.get("plant"), "a service's name")
+            )
         if not _is_number(part.get("gain")):
-            return Invalid(item, f"{field}[{index}].gain", _instead(part.get("gain"), "a number from 0"))
+            return Invalid(item, f"{field}[{index}].gain", _correction(part.get("gain"), "a number from 0"))
     if not any(part["gain"] for part in split):
         return Invalid(item, field, "has no gain above 0; give one to a service")
     return None
 
 
-def _instead(value: object, wanted: str) -> str:
-    return f"is missing; give {wanted}" if value is None else f"is {shown(value)}; give {wanted}"
+def _correction(value: object, wanted: str) -> str:
+    return f"is missing; give {wanted}" if value is None else f"is {printable(value)}; give {wanted}"
 
 
 def _is_name(value: object) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= NAME_MOST
+    return isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH
 
 
 def _is_number(value: Any, above: float | None = None) -> bool:
@@ -296,7 +300,7 @@
     what would overflow to one."""
     if type(value) not in (int, float):  # true and false are no numbers, though Python counts them as such
         return False
-    return bool((value >= 0 if above is None else value > above) and value <= NUMBER_MOST)
+    return bool((value >= 0 if above is None else value > above) and value <= MAX_NUMBER)
 
 
 def _is_whole(value: Any, least: int) -> bool:
@@ -306,7 +310,7 @@
 def _too_deep(call: dict[str, Any]) -> bool:
     """Whether values stand over DEPTH_MOST levels deep; level by level, so that depth costs no stack."""
     level: list[Any] = [call]
-    for _ in range(DEPTH_MOST):
+    for _ in range(MAX_DEPTH):
         within: list[Any] = []
         for value in level:
             within += value.values() if isinstance(value, dict) else value
--- a/mesh/configuration/limits.py
+++ b/mesh/configuration/limits.py
@@ -11,19 +11,19 @@
 
 from msgspec import Struct
 
-MOST_HEAD = 1024 * 1024  # bytes of a head that are read at the most, whatever the operators say
-HEAD_BESIDE = 4096  # of the request's line and of a body's framing, which count here as its head
-LAG_BESIDE_S = 0.25  # the way from a client, and between two looks at the times
+MAX_HEAD_BYTES = 1024 * 1024  # bytes of a head that are read at the most, whatever the operators say
+EXTRA_HEAD_BYTES = 4096  # of the request's line and of a body's framing, which count here as its head
+EXTRA_LAG_S = 0.25  # the way from a client, and between two looks at the times
 
 
 class InputLimits(Struct, frozen=True):
     """What a figure that the operators do not give is, in bytes and seconds; no ``quiescent_s``: connections
     may rest as long as there is room for them."""
 
-    head: int = 16 * 1024
-    body: int = 8 * 1024 * 1024
+    head_bytes: int = 16 * 1024
+    body_bytes: int = 8 * 1024 * 1024
     request_s: float = 2.5
-    quiescent_s: float | None = None
+    idle_s: float | None = None
 
 
 def read_limits(value: Mapping[str, Any] | None) -> InputLimits:
@@ -32,10 +32,10 @@
     none = InputLimits()
     head, body, lag, rest = (told.get(field) for field in _FIELDS)
     return InputLimits(
-        min(int(head), MOST_HEAD) + HEAD_BESIDE if head else none.head,
-        int(body) if body else none.body,
-        lag / 1000.0 + LAG_BESIDE_S if lag else none.request_s,
-        rest / 1000.0 if rest else none.quiescent_s,
+        min(int(head), MAX_HEAD_BYTES) + EXTRA_HEAD_BYTES if head else none.head_bytes,
+        int(body) if body else none.body_bytes,
+        lag / 1000.0 + EXTRA_LAG_S if lag else none.request_s,
+        rest / 1000.0 if rest else none.idle_s,
     )
 
 
--- a/mesh/configuration/routes.py
+++ b/mesh/configuration/routes.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, field
 
-ROUTES_MOST = 100_000
+MAX_ROUTES = 100_000
 
 
 class RoutesFullError(Exception):
@@ -71,7 +71,7 @@
     )
 
 
-def pick(route: Route, u: float) -> str:
+def pick_service(route: Route, u: float) -> str:
     """The service that ``u``, in [0, 1), falls to, each by its share."""
     for service, share in route.split:
         u -= share
@@ -81,58 +81,58 @@
 
 
 class _Node(Struct):
-    within: dict[str, _Node] = field(default_factory=dict)
+    children: dict[str, _Node] = field(default_factory=dict)
     routes: list[Route] = field(default_factory=list)  # of this very prefix; the last is the one in force
 
 
-class Routes:
+class RouteTable:
     """The routes in force, at most ``most``. Of those with the same host and prefix, the one of the higher
     version, then of the greater name, is found; when it goes, the other comes back."""
 
-    def __init__(self, most: int = ROUTES_MOST) -> None:
-        self._most = most
-        self._named: dict[str, Route] = {}
+    def __init__(self, most: int = MAX_ROUTES) -> None:
+        self._max_routes = most
+        self._by_name: dict[str, Route] = {}
         self._hosts: dict[str, _Node] = {}
 
     def __len__(self) -> int:
-        return len(self._named)
+        return len(self._by_name)
 
     def names(self) -> KeysView[str]:
         """The names of all routes, a view."""
-        return self._named.keys()
+        return self._by_name.keys()
 
-    def named(self, name: str) -> Route | None:
+    def get(self, name: str) -> Route | None:
         """The route of that name, as it is in force."""
-        return self._named.get(name)
+        return self._by_name.get(name)
 
     def put(self, route: Route) -> None:
         """Adds ``route`` in place of the one of its name, wherever that stood. Raises RoutesFullError on a
         new name when there is no room."""
-        if route.name not in self._named and len(self._named) >= self._most:
+        if route.name not in self._by_name and len(self._by_name) >= self._max_routes:
             raise RoutesFullError(
-                f"route {route.name!r}: the table holds {self._most} routes; drop some first"
+                f"route {route.name!r}: the table holds {self._max_routes} routes; drop some first"
             )
-        self.drop(route.name)
-        self._named[route.name] = route
+        self.remove(route.name)
+        self._by_name[route.name] = route
         node = self._hosts.setdefault(route.host, _Node())
         for segment in _segments(route.prefix):
-            node = node.within.setdefault(segment, _Node())
+            node = node.children.setdefault(segment, _Node())
         insort(node.routes, route, key=_rank)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Takes the route away; a name that is not there changes nothing."""
-        route = self._named.pop(name, None)
+        route = self._by_name.pop(name, None)
         if route is None:
             return
         node = self._hosts[route.host]
         above: list[tuple[dict[str, _Node], str]] = [(self._hosts, route.host)]
         for segment in _segments(route.prefix):
-            above.append((node.within, segment))
-            node = node.within[segment]
+            above.append((node.children, segment))
+            node = node.children[segment]
         node.routes.remove(route)
         # Nodes that lead nowhere go, or routes that come and go would leave their paths behind.
         for nodes, key in reversed(above):
-            if nodes[key].routes or nodes[key].within:
+            if nodes[key].routes or nodes[key].children:
                 break
             del nodes[key]
 
@@ -144,11 +144,11 @@
             return None
         found = node.routes[-1] if node.routes else None
         start = 1
-        while node.within:
+        while node.children:
             end = path.find("/", start)
             if end < 0:
                 break
-            below = node.within.get(path[start:end])
+            below = node.children.get(path[start:end])
             if below is None:
                 break
             node = below
--- a/mesh/configuration/validation.py
+++ b/mesh/configuration/validation.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from mesh.configuration.commands import PLANT, ROUTE, ConfigurationWrite, Invalid, label, shown
+from mesh.configuration.commands import PLANT, ROUTE, ConfigurationWrite, Invalid, item_label, printable
 
 
-def check(
+def check_change(
     change: ConfigurationWrite, standing: Callable[[str, str], tuple[int, dict[str, Any] | None] | None]
 ) -> Invalid | None:
     """The first route of ``change`` that would come into force naming an unknown service, or None.
@@ -42,8 +42,8 @@
             if service not in judged:
                 judged[service] = known(service)
             if not judged[service]:
-                reason = f"names the unknown service {shown(service)}; set it in plant_groups"
-                return Invalid(label(ROUTE, write.name), field, reason)
+                reason = f"names the unknown service {printable(service)}; set it in plant_groups"
+                return Invalid(item_label(ROUTE, write.name), field, reason)
     return None
 
 
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -9,9 +9,9 @@
 from msgspec import Struct
 
 from anisestair.http import codec as http
-from mesh.configuration.commands import ConfigurationWrite, Invalid, decode_change, label
+from mesh.configuration.commands import ConfigurationWrite, Invalid, decode_change, item_label
 from mesh.configuration.read_back import render
-from mesh.configuration.validation import check
+from mesh.configuration.validation import check_change
 from mesh.control_plane.confirmations import Confirmations
 from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.proposals import ProposerHost
@@ -125,12 +125,12 @@
     async def _change(self, change: ConfigurationWrite, within_s: float) -> Answer:
         until = self._loop.time() + within_s
         writes = {(w.kind, w.name, w.version): w.value for w in change.writes}
-        invalid = check(change, self._current)
+        invalid = check_change(change, self._current)
         if invalid is not None:
             # This copy may be out of date, so a valid change must not be refused because of it: read first.
             if not await self._proposer_host.read(READ_TIMEOUT_S):
                 return self._answer_unresolved("too few control processes answer")
-            invalid = check(change, self._current)
+            invalid = check_change(change, self._current)
             if invalid is not None and any(isinstance(self._acceptor.state(slot), Vote) for slot in writes):
                 return self._answer_unresolved("a part of it is being decided")
         if invalid is not None:
@@ -146,7 +146,9 @@
             return await self._acknowledge(writes, until - self._loop.time())
         if isinstance(outcome, Conflict):
             kind, name, version = outcome.slot
-            message = f"{label(kind, name)}: another order has r{version}; send it under a higher version"
+            message = (
+                f"{item_label(kind, name)}: another order has r{version}; send it under a higher version"
+            )
             self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
             return Answer(409, error_body(message))
         return self._answer_unresolved(outcome.reason)
--- a/mesh/data_plane/client_connection.py
+++ b/mesh/data_plane/client_connection.py
@@ -35,7 +35,7 @@
     there is no memory for a body, as soon as its length is known."""
 
     def __init__(self, request_dispatcher: RequestDispatcher) -> None:
-        super().__init__(httptools.HttpRequestParser, request_dispatcher.limits.body)
+        super().__init__(httptools.HttpRequestParser, request_dispatcher.limits.body_bytes)
         self._dispatcher = request_dispatcher
         self.held = 0  # bytes of the incomplete body; those of a complete one belong to its message
         self._head = Reservation(request_dispatcher.buffers.heads)  # of an incomplete long head
@@ -47,7 +47,7 @@
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
-        self.max_body, self.max_head = self._dispatcher.limits.body, self._dispatcher.limits.head
+        self.max_body, self.max_head = self._dispatcher.limits.body_bytes, self._dispatcher.limits.head_bytes
 
     def on_headers_complete(self) -> None:
         super().on_headers_complete()
@@ -309,7 +309,7 @@
     def apply_limits(self, limits: InputLimits) -> None:
         """Applies the operators' limits: sizes for new requests, times for all."""
         self.request_dispatcher.limits = limits
-        self.request_s, self.quiescent_s = limits.request_s, limits.quiescent_s
+        self.request_s, self.quiescent_s = limits.request_s, limits.idle_s
         # A shorter time for sending requests must not cut off clients that read their responses slowly.
         self.choked_s = max(self.choked_s, limits.request_s)
         self._update_keep_alive()
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -250,7 +250,7 @@
     until in force or superseded, null while held. ``word``: the results of its first calls, if this sidecar
     is a canary."""
     now, stages = proxy.loop.time(), proxy.staged_routes
-    standing, watched = proxy.routes.named(name), stages.monitor.watched.get(name)
+    standing, watched = proxy.routes.get(name), stages.monitor.watched.get(name)
     passes = []
     for activation in stages.activation.history:
         if activation.key != (ROUTE, name):
@@ -282,7 +282,7 @@
 def order(proxy: Proxy, name: str, command: str, at_next: bool) -> Told:
     """Applies an operator's hold or go. ``obeyed``: the version held here, null if there was none."""
     activation = proxy.staged_routes.apply_command(name, RolloutCommand(command), at_next)
-    standing = proxy.routes.named(name)
+    standing = proxy.routes.get(name)
     return {
         "node": proxy.settings.node,
         "obeyed": activation.version if activation is not None else None,
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -13,7 +13,7 @@
 from mesh.admission.call_sessions import CallSessions
 from mesh.configuration.commands import INPUT_LIMITS, PLANT, ROUTE
 from mesh.configuration.limits import read_limits
-from mesh.configuration.routes import Routes
+from mesh.configuration.routes import RouteTable
 from mesh.data_plane.call_messages import End, GreetingReply
 from mesh.data_plane.client_connection import ClientListener
 from mesh.data_plane.control_contact import ControlContact
@@ -78,7 +78,7 @@
             Store(self.incarnation, MAX_ROLL_ITEMS),
         )
         self.reports = Store(self.incarnation, 2)  # this sidecar's own reports only
-        self.membership, self.routes, self.tombstones = Membership(), Routes(), Tombstones()
+        self.membership, self.routes, self.tombstones = Membership(), RouteTable(), Tombstones()
         self._charter_tombstones = Tombstones()  # of the charter
         bounds = settings.bounds
         self.upstream = Upstream(settings.node, settings.zone, settings.beat_period_ms, bounds.drain_ms)
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -13,7 +13,7 @@
 from mesh.admission.buffer_budget import BufferBudget
 from mesh.admission.repeat_runs import RepeatRuns
 from mesh.configuration.limits import InputLimits
-from mesh.configuration.routes import Route, pick
+from mesh.configuration.routes import Route, pick_service
 from mesh.data_plane.call_messages import BodyBytes, UpstreamResponse
 from mesh.data_plane.call_state import ClientRequest, ClientResult, Failed, Refused, RouteChanged, Served
 from mesh.data_plane.key_maps import KEY_HEADER
@@ -139,7 +139,7 @@
         deadline_ms = (
             min(float(time_remaining), route.horizon_ms) if time_remaining is not None else route.horizon_ms
         )
-        service = pick(route, self.balancers.random_fraction())
+        service = pick_service(route, self.balancers.random_fraction())
         key = read_key(message.get(KEY_HEADER)) if self.balancers.keys.is_sharded(service) else None
         if key is not None:
             self.balancers.keys.count(service, key)
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from mesh.configuration.commands import ROUTE
-from mesh.configuration.routes import Route, Routes, read_route
+from mesh.configuration.routes import Route, RouteTable, read_route
 from mesh.data_plane.call_messages import Call
 from mesh.data_plane.call_state import ClientRequest, Failed, Refused
 from mesh.data_plane.membership import Membership
@@ -38,7 +38,7 @@
         settings: Settings,
         charter: Store,
         reports: Store,
-        routes: Routes,
+        routes: RouteTable,
         membership: Membership,
         prepare: Callable[[Route], list[str]],
         channels: Callable[[], Channels],
@@ -77,7 +77,7 @@
         now = self._loop.time()
         new = _read(item)
         self._version_check.note(now, item.name, item.version)
-        kind = kind_of(self._routes.named(item.name), new)
+        kind = kind_of(self._routes.get(item.name), new)
         canary = kind in STAGED and self._node in self._membership.canary_selection().canaries(
             ROUTE, item.name, item.version
         )
@@ -97,9 +97,9 @@
 
     def _put_in_force(self, now: float, activation: ItemActivation) -> None:
         item = self._charter.items.get(activation.key)
-        new, old = _read(item) if item is not None else None, self._routes.named(activation.key[1])
+        new, old = _read(item) if item is not None else None, self._routes.get(activation.key[1])
         if item is None or new is None:
-            self._routes.drop(activation.key[1])
+            self._routes.remove(activation.key[1])
             return
         self._routes.put(new)
         if activation.canary and activation.kind in STAGED:
--- a/rigs/soak/faults.py
+++ b/rigs/soak/faults.py
@@ -40,7 +40,7 @@
     use = StagedRoutes._put_in_force
 
     def use_and_go_back(self: StagedRoutes, now: float, one: Any) -> None:
-        before = self._routes.named(one.key[1])
+        before = self._routes.get(one.key[1])
         use(self, now, one)
         if before is not None and one.version % SELDOM == 0:
             asyncio.get_running_loop().call_later(BACK_S, self._routes.put, before)
@@ -49,7 +49,7 @@
 
 
 def _takes_what_is_invalid() -> None:
-    replace(operator_api, "check", lambda *_: None)
+    replace(operator_api, "check_change", lambda *_: None)
 
 
 def _acknowledges_rivals() -> None:
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -108,7 +108,7 @@
 
 
 def unknown_service_is_taken(patch: Patch) -> None:
-    patch.setattr(operator_api_module, "check", lambda change, standing: None)
+    patch.setattr(operator_api_module, "check_change", lambda change, standing: None)
 
 
 def tombstone_is_forgotten_at_once(patch: Patch) -> None:
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -91,7 +91,7 @@
             return
         program = life.program
         program.upstream_connections = program.upstream_dispatch.connections = FakeTap(self, life)
-        put, drop, routes = program.routes.put, program.routes.drop, program.routes
+        put, drop, routes = program.routes.put, program.routes.remove, program.routes
 
         def puts(route: Route) -> None:
             self._goes(life, route.name, route.version)
@@ -110,7 +110,7 @@
             self._said(life)
             return told
 
-        routes.put, routes.drop, program.reports.write = puts, drops, takes
+        routes.put, routes.remove, program.reports.write = puts, drops, takes
 
     def _goes(self, life: Life, name: str, version: int) -> None:
         before = [v for _, source, n, v in self.changes if source is life and n == name]
@@ -165,7 +165,7 @@
             return
         self._count += 1
         attempt = f"{self._count:016x}"
-        standing = life.program.routes.named(rule)
+        standing = life.program.routes.get(rule)
         called = Called(attempt, float(self.env.now), life, rule, effectful)
         called.version = standing.version if standing is not None else None
         self.calls[attempt] = called
@@ -226,7 +226,7 @@
         for _, controller in self.programs(core=True):
             for one in controller.charter.items.values():
                 if one.kind == "route" and one.value is not None and report.confirms(one):
-                    standing = program.routes.named(one.name)
+                    standing = program.routes.get(one.name)
                     if standing is None or standing.version < one.version:
                         self.witness._say(f"{life.machine.name} confirms {one.name} r{one.version} too early")
 
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -288,7 +288,7 @@
     file = write(mesh, change(route("read", "/read/", "red", 4, trials=3)))
     result = run(mesh, "config", "apply", file)
     assert result.exit_code == 0 and "1 items are in force" in result.stdout
-    mesh.wait(lambda: all(side.routes._named["read"].version == 4 for side in mesh.sides))
+    mesh.wait(lambda: all(side.routes._by_name["read"].version == 4 for side in mesh.sides))
     result = run(mesh, "config", "apply", write(mesh, {"apply": {"input_ports": 3}}))
     assert result.exit_code == 1
 
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -21,7 +21,7 @@
         found.beat()
         at = write(found, change(route("read", "/read/", "red"), services=("red", "blue")))
         told(found, "config", "apply", at)
-        found.wait(lambda: all(side.routes.named("read") for side in found.sides))
+        found.wait(lambda: all(side.routes.get("read") for side in found.sides))
         time.sleep(2.0)  # real programs: who was not in contact for so long takes all at once
         yield found
     finally:
@@ -65,7 +65,7 @@
     assert run(mesh, "rollout", "explain", "nowhere").exit_code == 4
     assert f"{PENDING_COMMAND_S:.0f} s" in run(mesh, "rollout", "go", "read", "--next").output
     version = move(mesh)
-    mesh.wait(lambda: all(side.routes.named("read").version == version for side in mesh.sides))
+    mesh.wait(lambda: all(side.routes.get("read").version == version for side in mesh.sides))
     confirmed(mesh)
     last = [one["passes"][-1] for one in told(mesh, "rollout", "explain", "read")["sidecars"]]
     assert {p["version"] for p in last} == {version} and all(p["after_ms"] == 0.0 for p in last)
@@ -84,7 +84,7 @@
         assert "held" in run(mesh, "rollout", "explain", "read").output
         assert "1 of 2 sidecars still held it back" in run(mesh, "rollout", "hold", "read").output
         assert "1 of 2 sidecars still held it back" in run(mesh, "rollout", "go", "read").output
-        assert all(side.routes.named("read").version == version for side in mesh.sides)
+        assert all(side.routes.get("read").version == version for side in mesh.sides)
     finally:
         for side in mesh.sides:
             side.staged_routes.activation.hold_s = 0.6
--- a/tests/mesh/test_configuration_commands.py
+++ b/tests/mesh/test_configuration_commands.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from mesh.configuration.commands import (
-    DEPTH_MOST,
-    ITEMS_MOST,
+    MAX_DEPTH,
+    MAX_ITEMS,
     ConfigurationWrite,
     Invalid,
     ItemWrite,
@@ -252,8 +252,8 @@
             value = [value]
         return {"apply": {"plant_groups": [{"name": "p", "epoch": "r1", "x": value}]}}
 
-    assert isinstance(decoded(nested(DEPTH_MOST - 1)), ConfigurationWrite)
-    fault = decoded(nested(DEPTH_MOST))
+    assert isinstance(decoded(nested(MAX_DEPTH - 1)), ConfigurationWrite)
+    fault = decoded(nested(MAX_DEPTH))
     assert isinstance(fault, Invalid) and "deep" in fault.line()
 
 
@@ -282,9 +282,9 @@
 
 
 def test_a_call_holds_as_many_items_as_the_bound_and_no_more() -> None:
-    names = [{"name": f"r{index}", "epoch": "r1"} for index in range(ITEMS_MOST)]
+    names = [{"name": f"r{index}", "epoch": "r1"} for index in range(MAX_ITEMS)]
     whole = decoded({"remove": {"routes": names}})
-    assert isinstance(whole, ConfigurationWrite) and len(whole.writes) == ITEMS_MOST == 20_000
+    assert isinstance(whole, ConfigurationWrite) and len(whole.writes) == MAX_ITEMS == 20_000
     fault = decoded({"remove": {"routes": names, "plants": names[:1]}})
     assert isinstance(fault, Invalid) and "20000 items" in fault.line()
 
--- a/tests/mesh/test_configuration_read_back.py
+++ b/tests/mesh/test_configuration_read_back.py
@@ -11,8 +11,8 @@
 
 from mesh.configuration.commands import ConfigurationWrite, ItemWrite, decode_change
 from mesh.configuration.read_back import render
-from mesh.configuration.routes import Routes, read_route
-from mesh.configuration.validation import check
+from mesh.configuration.routes import RouteTable, read_route
+from mesh.configuration.validation import check_change
 
 NAMES = st.text(min_size=1, max_size=6)
 EPOCHS = st.integers(0, 10**18 - 1).map(lambda version: f"r{version}")
@@ -140,8 +140,8 @@
     ports = [{"host": f"h{at}.example", "control_law": rules[at * 400 : at * 400 + 400]} for at in range(10)]
     plants = [{"name": f"p{index}", "epoch": "r1"} for index in range(40)]
     change = decode_change(json.dumps({"apply": {"input_ports": ports, "plant_groups": plants}}).encode())
-    assert isinstance(change, ConfigurationWrite) and check(change, lambda kind, name: None) is None
-    routes = Routes()
+    assert isinstance(change, ConfigurationWrite) and check_change(change, lambda kind, name: None) is None
+    routes = RouteTable()
     for write in change.writes:
         if write.kind == "route" and write.value:
             routes.put(read_route(write.name, write.version, write.value))
--- a/tests/mesh/test_configuration_routes.py
+++ b/tests/mesh/test_configuration_routes.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.configuration.routes import Route, Routes, RoutesFullError, fold_host, pick, read_route
+from mesh.configuration.routes import Route, RoutesFullError, RouteTable, fold_host, pick_service, read_route
 
 
 def route(name: str, prefix: str, version: int = 1, host: str = "a.example") -> Route:
@@ -36,24 +36,24 @@
 def test_the_tree_finds_what_a_search_of_all_routes_finds(
     steps: list[str | Route], asked: list[tuple[str, str]]
 ) -> None:
-    routes, plain = Routes(), dict[str, Route]()
+    routes, plain = RouteTable(), dict[str, Route]()
     for step in steps:
         if isinstance(step, Route):
             routes.put(step)
             plain[step.name] = step
         else:
-            routes.drop(step)
+            routes.remove(step)
             plain.pop(step, None)
         assert len(routes) == len(plain) and routes.names() == plain.keys()
         for host, path in [*asked, *((one.host, one.prefix) for one in plain.values())]:
             assert routes.find(host, path) == searched(plain, host, path)
     for name in list(plain):
-        routes.drop(name)
+        routes.remove(name)
     assert not routes._hosts, "a tree without routes keeps no nodes"
 
 
 def test_a_prefix_wants_its_last_slash_and_the_root_takes_every_path() -> None:
-    routes = Routes()
+    routes = RouteTable()
     routes.put(route("a", "/a/"))
     assert routes.find("a.example", "/a") is None
     assert routes.find("a.example", "/ab/") is None
@@ -79,25 +79,25 @@
 )
 def test_hosts_are_found_whatever_their_case_and_port(host: str, folded: str) -> None:
     assert fold_host(host) == folded
-    routes = Routes()
+    routes = RouteTable()
     routes.put(route("r", "/", host=folded))
     assert routes.find(host, "/x") is not None
 
 
 def test_of_equal_prefixes_the_newer_then_the_greater_name_holds_and_the_other_comes_back() -> None:
-    routes = Routes()
+    routes = RouteTable()
     for one in (route("b", "/a/", 9), route("c", "/a/", 10), route("a", "/a/", 10)):
         routes.put(one)
     order = []
     while found := routes.find("a.example", "/a/"):
         order.append(found.name)
-        routes.drop(found.name)
+        routes.remove(found.name)
     assert order == ["c", "a", "b"]
 
 
 def test_a_lookup_costs_by_depth_and_not_by_the_number_of_routes() -> None:
     def calls(count: int) -> int:
-        routes, made = Routes(), 0
+        routes, made = RouteTable(), 0
         for index in range(count):
             routes.put(route(f"r{index}", f"/s{index}/t/"))
 
@@ -118,7 +118,7 @@
 
 
 def test_the_table_has_a_bound_and_takes_new_versions_when_full() -> None:
-    routes = Routes(most=2)
+    routes = RouteTable(most=2)
     routes.put(route("a", "/a/"))
     routes.put(route("b", "/b/"))
     with pytest.raises(RoutesFullError, match="drop some"):
@@ -154,7 +154,7 @@
         "r", 1, {"kind": "idempotent", "host": "h", "predicate": {"prefix": "/"}, "response": response}
     )
     steps = 500
-    picked = [pick(made, step / steps) for step in range(steps)] + [pick(made, 1 - 2**-53)]
+    picked = [pick_service(made, step / steps) for step in range(steps)] + [pick_service(made, 1 - 2**-53)]
     for index, gain in enumerate(gains):
         assert abs(picked.count(str(index)) - steps * gain / sum(gains)) <= 2
         assert gain or str(index) not in picked
@@ -162,4 +162,11 @@
 
 def test_a_share_ends_before_its_bound_and_the_last_service_has_what_rounding_leaves() -> None:
     made = Route("r", 1, "h", "/", False, 1.0, 1.0, 1, 0, (("p", 0.5), ("q", 0.25)))
-    assert [pick(made, u) for u in (0.0, 0.49, 0.5, 0.74, 0.75, 0.99)] == ["p", "p", "q", "q", "q", "q"]
+    assert [pick_service(made, u) for u in (0.0, 0.49, 0.5, 0.74, 0.75, 0.99)] == [
+        "p",
+        "p",
+        "q",
+        "q",
+        "q",
+        "q",
+    ]
--- a/tests/mesh/test_configuration_validation.py
+++ b/tests/mesh/test_configuration_validation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mesh.configuration.commands import ConfigurationWrite, Invalid, ItemWrite
-from mesh.configuration.validation import check
+from mesh.configuration.validation import check_change
 
 Standing = dict[tuple[str, str], tuple[int, dict[str, Any] | None]]
 
@@ -27,7 +27,7 @@
 
 
 def judged(standing: Standing, *writes: ItemWrite) -> Invalid | None:
-    return check(ConfigurationWrite(writes), lambda kind, name: standing.get((kind, name)))
+    return check_change(ConfigurationWrite(writes), lambda kind, name: standing.get((kind, name)))
 
 
 STANDS: Standing = {("plant", "p"): (5, {"name": "p"})}
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -12,7 +12,7 @@
 from anisestair.http import codec as http
 from anisestair.http.frontend import unread
 from mesh.configuration.limits import InputLimits
-from mesh.configuration.routes import Routes, read_route
+from mesh.configuration.routes import RouteTable, read_route
 from mesh.data_plane.client_connection import MAX_PIPELINED, ClientListener, PipelinedConnection
 from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.request_dispatch import DEFAULT_RETRY_S, RequestDispatcher
@@ -45,7 +45,7 @@
         beat = read_heartbeat(upstream.instance, upstream.beat())
         assert isinstance(beat, Heartbeat)
         life.on_heartbeat(0.0, beat)
-        self.upstream, self.routes, self.known = upstream, Routes(), True
+        self.upstream, self.routes, self.known = upstream, RouteTable(), True
         self.connections = UpstreamConnectionPool(upstream.address, 40, event_log)
         self.upstream_dispatch = UpstreamDispatch(life, self.connections, event_log, lambda _: None)
         peer_links = PeerLinks("n1", self.upstream_dispatch, event_log, lambda node, up: None)
@@ -228,7 +228,7 @@
         answer = await client.ask("a2", "/other/x")
         assert answer.status == 503 and float(answer.get(b"retry-after") or "0") > 0.0
         assert (await client.ask("a3", "/read/x")).status == 200  # what is known is served
-        sidecar.routes.drop("read")
+        sidecar.routes.remove("read")
         assert (await client.ask("a4", "/read/x")).status == 503
 
     beside(test)
@@ -280,7 +280,7 @@
 
 def test_a_body_beyond_the_bound_is_413_and_runs_nowhere() -> None:
     async def test(sidecar: Sidecar) -> None:
-        sidecar.client_listener.apply_limits(InputLimits(body=10))
+        sidecar.client_listener.apply_limits(InputLimits(body_bytes=10))
         client = await sidecar.client()
         assert (await client.ask("a1", body=b"x" * 10)).status == 200
         assert (await client.ask("a2", body=b"x" * 11)).status == 413
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -14,7 +14,7 @@
 from anisestair.http.frontend import EXIT_S, IDLE_S
 from mesh.admission.buffer_budget import LONG_BODY_SHARE, SHORT_BODY_BYTES, BufferQuota
 from mesh.admission.final_check import DRAIN_SHARE, RejectReason
-from mesh.configuration.limits import HEAD_BESIDE, MOST_HEAD, InputLimits, read_limits
+from mesh.configuration.limits import EXTRA_HEAD_BYTES, MAX_HEAD_BYTES, InputLimits, read_limits
 from mesh.data_plane.call_messages import End, NotExecuted, UpstreamResponse
 from mesh.data_plane.shutdown import NOTICE_S
 from mesh.replication.membership_epochs import MEMBERS, VIEW
@@ -27,8 +27,8 @@
 
 def test_figures_that_are_missing_have_their_defaults_and_none_is_taken_beyond_its_bound() -> None:
     assert read_limits(None) == read_limits({"header_bytes": None}) == InputLimits()
-    assert read_limits(TOLD) == InputLimits(65536 + HEAD_BESIDE, 12 << 20, 3.25, 15.0)
-    assert read_limits({"header_bytes": 1e12}).head == MOST_HEAD + HEAD_BESIDE
+    assert read_limits(TOLD) == InputLimits(65536 + EXTRA_HEAD_BYTES, 12 << 20, 3.25, 15.0)
+    assert read_limits({"header_bytes": 1e12}).head_bytes == MAX_HEAD_BYTES + EXTRA_HEAD_BYTES
 
 
 def test_a_head_may_be_as_long_as_the_operators_say_now(tmp_path: Path) -> None:
@@ -395,7 +395,7 @@
     async def test(there: Beside) -> None:
         proxy = there.proxy
         proxy.charter.reset("n1.again")
-        proxy.routes.drop("read")
+        proxy.routes.remove("read")
         there.take(VIEW, MEMBERS, {"members": {}})
         proxy.channels.whole_at = asyncio.get_running_loop().time()
         client = await there.client()
--- a/tests/mesh/test_large_orders_world.py
+++ b/tests/mesh/test_large_orders_world.py
@@ -59,7 +59,7 @@
         for machine, program in self.world.programs(core=False):
             if self.world.env.now - self.started(machine) < CONTACT_S:
                 continue
-            route = program.routes.named(self.routes[version])
+            route = program.routes.get(self.routes[version])
             if route is None or route.version < version:
                 self.late_proxies.append(
                     f"{machine.name} lacks r{version} {SETTLE_S:g} s after it was acknowledged"
@@ -183,7 +183,7 @@
         began = float(world.env.now)
         yield from orders.send(large(1))
         elapsed_s.append(orders.acked[orders.version] - began)
-        assert choked.program.routes.named(orders.routes[orders.version]) is not None
+        assert choked.program.routes.get(orders.routes[orders.version]) is not None
 
     elapsed_s: list[float] = []
     assert run_day(day) == []
@@ -196,7 +196,7 @@
         world.env.process(orders.send(large(1)))
         yield world.env.timeout(0.9)
         yield from orders.send(["small"])
-        assert choked.program.routes.named("small") is not None
+        assert choked.program.routes.get("small") is not None
 
     assert run_day(day) == []
 
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -29,7 +29,7 @@
 
 def in_force(world: World, version: int) -> bool:
     programs = [program for _, program in world.programs(core=False)]
-    routes = [program.routes.named("r1") for program in programs]
+    routes = [program.routes.get("r1") for program in programs]
     return all(route is not None and route.version == version for route in routes)
 
 
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -30,7 +30,7 @@
     """In force at each sidecar."""
     found = []
     for machine in sides(world):
-        route = machine.program.routes.named(name) if machine.program is not None else None
+        route = machine.program.routes.get(name) if machine.program is not None else None
         found.append(route.version if route is not None else None)
     return found
 
@@ -190,13 +190,13 @@
         yield from world.commits(2, rule("a", "q", 2), rule("b", "q", 2, effectful=True))
         lone.program.membership.nodes = dict(lone.program.membership.nodes)
         yield world.env.timeout(7.0)
-        assert lone.program.routes.named("a").version == 1
+        assert lone.program.routes.get("a").version == 1
         before = len(world.calls)
         for _ in range(6):
             world.ask_for(lone, "a")
             world.ask_for(lone, "b", True)
             yield world.env.timeout(0.1)
-        assert lone.program.routes.named("a").version == 2 == lone.program.routes.named("b").version
+        assert lone.program.routes.get("a").version == 2 == lone.program.routes.get("b").version
         mine = [c for c in list(world.calls.values())[before:] if c.life is lone.life]
         assert len(mine) == 12 and all(c.status == 200 and c.runs == ["q"] for c in mine), mine
         world.trouble()  # the plain witness holds a sidecar for in touch that is cut off alone
@@ -217,7 +217,7 @@
             one.program.staged_routes.apply_command("b", activation_module.RolloutCommand.GO, True)
             for _ in range(4):
                 world.ask_for(one, "b", True)
-            before = one.program.routes.named("b").split[0][0]
+            before = one.program.routes.get("b").split[0][0]
             yield world.env.timeout(0.0005)  # begun, and out
             yield from moves(world, version, service)
             yield world.env.timeout(0.3)
@@ -343,7 +343,7 @@
     world.kill(rest)
     world.start(rest)
     yield world.env.timeout(0.1)
-    assert rest.program.routes.named("a").version == 2
+    assert rest.program.routes.get("a").version == 2
 
 
 def many(world: Staged) -> Script:
@@ -361,7 +361,7 @@
         yield from world.commits(version, *(rule(f"m{n}", service, version) for n in range(count)))
         yield world.env.timeout(1.1)
     assert most[0] == activation_module.MAX_HELD
-    assert all(m.program.routes.named(f"m{n}").version == 2 for m in sides(world) for n in range(count))
+    assert all(m.program.routes.get(f"m{n}").version == 2 for m in sides(world) for n in range(count))
 
 
 def wide(world: Staged) -> Script:
