--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -218,9 +218,9 @@
         if verdict is Verdict.PASSED and entry is not None:
             dispatched, previous = entry.run
             if previous is not None and previous is not self:
-                previous._leave(number)
+                previous._release(number)
             entry.run, self._running[number] = (dispatched, self), dispatched
-            dispatched.on(Event.ASKED_BACK)
+            dispatched.apply(Event.ASKED_BACK)
             self._link.send(InProgress(number=number))
             return
         if entry is not None and entry.run is not None:  # not at the upstream yet
@@ -229,7 +229,7 @@
                 previous._withdraw(number, Event.ASKED_BACK)
             else:
                 if previous is not None:
-                    previous._leave(number)
+                    previous._release(number)
                 self._drop(waiting, Event.ASKED_BACK)
         if verdict is Verdict.NO:
             self._send_end(number, NotExecuted(RejectReason.LOST))
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -333,9 +333,9 @@
         move(INCARNATION_WAIT_S + 0.01)
         await turns()
         outgoing = bench.peer_links._links["there"]
-        assert outgoing.known and outgoing.life is None
+        assert outgoing.incarnation_known and outgoing.peer_incarnation is None
         far.hear()
-        await until(lambda: outgoing.life == far.life)
+        await until(lambda: outgoing.peer_incarnation == far.life)
         far.second.end(0, SERVED)
         assert await soon(end) == SERVED
         await served(bench, far)
