--- a/rigs/call_hosts.py
+++ b/rigs/call_hosts.py
@@ -211,9 +211,9 @@
             open=one.told == "open" and not self.open_tries(call),
             streaming=False,
             attempts=[
-                SimpleNamespace(may_have_run=item.outcome not in NEVER_RAN, sent=0.0) for item in one.tries
+                SimpleNamespace(may_have_run=item.outcome not in NEVER_RAN, sent_at=0.0) for item in one.tries
             ],
-            most=TRIES,
+            max_attempts=TRIES,
             klass=SimpleNamespace(effect=Effect.UNSAFE),
         )
         settings = SimpleNamespace(limits=None)
