--- a/mesh/configuration/__init__.py
+++ b/mesh/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration without I/O: decoding, validation, routes."""
+"""The operators' configuration, without I/O: decoding, validation, routes."""
--- a/mesh/configuration/commands.py
+++ b/mesh/configuration/commands.py
@@ -1,7 +1,7 @@
-"""The operator's call, read and judged as far as it can be with no view of what stands.
+"""Decodes a configuration call of an operator and validates it without regard to the current items.
 
-A ``PATCH /configuration`` becomes a ``ConfigurationWrite``, one item write for each name in it, or the first
-fault found. Fields that this program does not use are kept, as an item must read back exactly as it was sent.
+A ``PATCH /configuration`` becomes a ``ConfigurationWrite``, with one item write for each name in it, or the
+first error found. Unknown fields are kept, since an item must read back exactly as it was sent.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 MAX_HOST_LENGTH = 255
 MAX_PATH_LENGTH = 4096
 MAX_SPLIT_ENTRIES = 1000
-MAX_DEPTH = 64  # far below what rendering or comparing a value could take before the stack ends
-MAX_NUMBER = 2**53  # beyond it, programs that read numbers as floats would not agree on it
+MAX_DEPTH = 64  # far below the depth at which rendering or comparing a value would overflow the stack
+MAX_NUMBER = 2**53  # programs that read numbers as floats would not agree on greater ones
 MAX_HORIZON_MS = 600_000
 MAX_SETPOINT_EXCESS_MS = 60_000
 
@@ -33,13 +33,13 @@
 _HEALTH_PATH = re.compile(r"/[!-~]*")
 _MAX_SHOWN_LENGTH = 60
 _LIMIT_FIELDS = ("header_bytes", "body_bytes", "header_lag_ms", "quiescent_ms")
-# What `remove` may call a kind: `apply` has services under another name than the page's text does.
+# Names of the kinds in `remove`; services have two, that of `apply` and that of the reference text.
 _REMOVABLE = (("routes", ROUTE), ("plants", PLANT), ("plant_groups", PLANT))
 
 
 class ItemWrite(Struct, frozen=True):
-    """One item set or dropped. ``value`` is the item as sent, a route's with its ``host`` added; None says
-    that the item is dropped."""
+    """Sets or drops one item. ``value`` is the item as sent, for a route with its ``host`` added; None drops
+    the item."""
 
     kind: str
     name: str
@@ -48,27 +48,27 @@
 
 
 class ConfigurationWrite(Struct, frozen=True):
-    """A call that can be read whole: at most one write for each kind and name, at most ITEMS_MOST."""
+    """A valid call: at most one write for each kind and name, at most MAX_ITEMS in all."""
 
     writes: tuple[ItemWrite, ...]
 
 
 class Invalid(Struct, frozen=True):
-    """Why nothing of a call comes into force: the item, its field, and what to mend."""
+    """Why a call is refused as a whole: the item, its field, and how to correct it."""
 
     item: str
     field: str
     reason: str
 
     def line(self) -> str:
-        """The fault as one line of printable text, for the answer's body and the log."""
+        """The error as one line of printable text, for the body of the answer and the log."""
         return f"{self.item}: {self.field} {self.reason}"
 
 
 def decode_change(body: bytes) -> ConfigurationWrite | Invalid:
-    """The change that ``body`` asks for, or the first fault in it. Raises nothing, whatever the bytes.
+    """Decodes ``body`` into a change or the first error in it. Never raises, whatever the bytes.
 
-    Of one name given twice, the higher version holds; the same version with two contents is a fault.
+    If a name occurs twice, the higher version holds; the same version with different content is an error.
     """
     try:
         call = msgspec.json.decode(body)
@@ -80,31 +80,31 @@
         return Invalid("call", "body", "is not a JSON object; give an object with apply and remove")
     if _too_deep(call):
         return Invalid("call", "body", f"is nested too deep; give at most {MAX_DEPTH} levels")
-    gathered = _WriteCollector()
-    fault = _read_apply(call.get("apply"), gathered) or _read_remove(call.get("remove"), gathered)
-    return fault or ConfigurationWrite(tuple(gathered.writes.values()))
+    collector = _WriteCollector()
+    invalid = _read_apply(call.get("apply"), collector) or _read_remove(call.get("remove"), collector)
+    return invalid or ConfigurationWrite(tuple(collector.writes.values()))
 
 
 def printable(value: object) -> str:
-    """``value``, which may be anything out of a call, as a short printable piece of a line."""
+    """Any value of a call as short printable text."""
     text = value if isinstance(value, str) and value.isprintable() and value else ascii(value)
     return text if len(text) <= _MAX_SHOWN_LENGTH else text[:_MAX_SHOWN_LENGTH] + "..."
 
 
 def item_label(kind: str, name: str) -> str:
-    """What a fault calls an item."""
+    """The name of an item in an error."""
     return INPUT_LIMITS if kind == INPUT_LIMITS else f"{kind} {printable(name)}"
 
 
 class _WriteCollector:
-    """The writes of one call, the higher version of each name."""
+    """Collects the writes of one call, the higher version of each name."""
 
     def __init__(self) -> None:
         self.writes: dict[tuple[str, str], ItemWrite] = {}
         self.item_count = 0
 
     def add(self, kind: str, name: str, sent: dict[str, Any], value: dict[str, Any] | None) -> Invalid | None:
-        """Adds the item ``sent``, whose ``epoch`` is read here, with ``value`` as what it sets."""
+        """Adds a write of ``value`` for the item ``sent``, whose ``epoch`` is parsed here."""
         self.item_count += 1
         if self.item_count > MAX_ITEMS:
             return Invalid("call", "body", f"holds over {MAX_ITEMS} items; send them in several calls")
@@ -123,75 +123,75 @@
         return None
 
 
-def _read_apply(apply: object, gathered: _WriteCollector) -> Invalid | None:
+def _read_apply(apply: object, collector: _WriteCollector) -> Invalid | None:
     if apply is None:
         return None
     if not isinstance(apply, dict):
         return Invalid("call", "apply", _correction(apply, "an object"))
     limits = apply.get("input_limits")
     if limits is not None:
-        fault = _limits_fault(limits) or gathered.add(INPUT_LIMITS, INPUT_LIMITS, limits, limits)
-        if fault:
-            return fault
+        invalid = _limits_error(limits) or collector.add(INPUT_LIMITS, INPUT_LIMITS, limits, limits)
+        if invalid:
+            return invalid
     for where, entry in _entries(apply.get("input_ports"), "input_ports"):
-        fault = _read_host(where, entry, gathered)
-        if fault:
-            return fault
+        invalid = _read_host(where, entry, collector)
+        if invalid:
+            return invalid
     for where, plant in _entries(apply.get("plant_groups"), "plant_groups"):
-        fault = _name_fault(where, plant) or _plant_fault(item_label(PLANT, plant["name"]), plant)
-        fault = fault or gathered.add(PLANT, plant["name"], plant, plant)
-        if fault:
-            return fault
+        invalid = _name_error(where, plant) or _plant_error(item_label(PLANT, plant["name"]), plant)
+        invalid = invalid or collector.add(PLANT, plant["name"], plant, plant)
+        if invalid:
+            return invalid
     return None
 
 
-def _read_host(where: str, entry: object, gathered: _WriteCollector) -> Invalid | None:
+def _read_host(where: str, entry: object, collector: _WriteCollector) -> Invalid | None:
     if not isinstance(entry, dict):
         return Invalid(where, "entry", _correction(entry, "a list of objects with host and control_law"))
     host = entry.get("host")
     if not isinstance(host, str) or len(host) > MAX_HOST_LENGTH or not fold_host(host):
         return Invalid(where, "host", _correction(host, f"a host of 1 to {MAX_HOST_LENGTH} characters"))
     for at, rule in _entries(entry.get("control_law"), f"{where}.control_law"):
-        fault = _name_fault(at, rule) or _route_fault(item_label(ROUTE, rule["name"]), rule)
-        fault = fault or gathered.add(ROUTE, rule["name"], rule, {**rule, "host": host})
-        if fault:
-            return fault
+        invalid = _name_error(at, rule) or _route_error(item_label(ROUTE, rule["name"]), rule)
+        invalid = invalid or collector.add(ROUTE, rule["name"], rule, {**rule, "host": host})
+        if invalid:
+            return invalid
     return None
 
 
-def _read_remove(remove: object, gathered: _WriteCollector) -> Invalid | None:
+def _read_remove(remove: object, collector: _WriteCollector) -> Invalid | None:
     if remove is None:
         return None
     if not isinstance(remove, dict):
         return Invalid("call", "remove", _correction(remove, "an object"))
     for part, kind in _REMOVABLE:
         for where, named in _entries(remove.get(part), f"remove.{part}"):
-            fault = _name_fault(where, named) or gathered.add(kind, named["name"], named, None)
-            if fault:
-                return fault
+            invalid = _name_error(where, named) or collector.add(kind, named["name"], named, None)
+            if invalid:
+                return invalid
     for where, limits in _entries(remove.get(INPUT_LIMITS), f"remove.{INPUT_LIMITS}"):
-        # There is but one, so it needs no name.
+        # There is only one, so it needs no name.
         if not isinstance(limits, dict):
             return Invalid(where, "entry", _correction(limits, "a list of objects with epoch"))
-        fault = gathered.add(INPUT_LIMITS, INPUT_LIMITS, limits, None)
-        if fault:
-            return fault
+        invalid = collector.add(INPUT_LIMITS, INPUT_LIMITS, limits, None)
+        if invalid:
+            return invalid
     return None
 
 
 def _entries(part: object, where: str) -> Iterator[tuple[str, Any]]:
-    """Each entry of a list and where it stands. A part that is missing or null has none; what is no list is
-    handed on as an entry, for the reader of entries to refuse."""
+    """Yields each entry of a list with its location. A missing or null part has none; a part that is not a
+    list is yielded as an entry, which the parser of entries refuses."""
     if part is None:
         return
     if not isinstance(part, list):
-        yield where, [part]  # a list is never a fit entry, whatever the part was
+        yield where, [part]  # a list is never a valid entry, whatever the part was
         return
     for index, entry in enumerate(part):
         yield f"{where}[{index}]", entry
 
 
-def _name_fault(where: str, entry: object) -> Invalid | None:
+def _name_error(where: str, entry: object) -> Invalid | None:
     if not isinstance(entry, dict):
         return Invalid(where, "entry", _correction(entry, "a list of objects with name and epoch"))
     name = entry.get("name")
@@ -200,7 +200,7 @@
     return None
 
 
-def _limits_fault(limits: object) -> Invalid | None:
+def _limits_error(limits: object) -> Invalid | None:
     if not isinstance(limits, dict):
         return Invalid(INPUT_LIMITS, "entry", _correction(limits, "an object with epoch"))
     for field in _LIMIT_FIELDS:
@@ -209,13 +209,13 @@
     return None
 
 
-def _plant_fault(item: str, plant: dict[str, Any]) -> Invalid | None:
-    most = plant.get("conn_saturation")
-    if most is not None and not _is_number(most, above=0):
-        return Invalid(item, "conn_saturation", _correction(most, "a number above 0"))
+def _plant_error(item: str, plant: dict[str, Any]) -> Invalid | None:
+    saturation = plant.get("conn_saturation")
+    if saturation is not None and not _is_number(saturation, above=0):
+        return Invalid(item, "conn_saturation", _correction(saturation, "a number above 0"))
     path = plant.get("health_path")
     if path is not None:
-        # It is sent in a request line, where a space or a line's end would make another request of it.
+        # It is sent in a request line, where a space or a line break would change the request.
         if not isinstance(path, str) or len(path) > MAX_PATH_LENGTH or not _HEALTH_PATH.fullmatch(path):
             return Invalid(
                 item, "health_path", _correction(path, "a path that begins with /, without spaces")
@@ -223,9 +223,9 @@
     return None
 
 
-def _route_fault(item: str, rule: dict[str, Any]) -> Invalid | None:
+def _route_error(item: str, rule: dict[str, Any]) -> Invalid | None:
     if "host" in rule:
-        # The stored value has the entry's host in this place, and could not be read back as it was sent.
+        # The stored value has the host of the entry in this field, so this one could not be read back.
         return Invalid(item, "host", "stands in the rule; give it in the entry of input_ports alone")
     if rule.get("kind") not in ("idempotent", "effectful"):
         return Invalid(item, "kind", _correction(rule.get("kind"), "idempotent or effectful"))
@@ -243,10 +243,10 @@
     response = rule.get("response")
     if not isinstance(response, dict):
         return Invalid(item, "response", _correction(response, "an object with plant or distribution"))
-    return _target_fault(item, response) or _bounds_fault(item, response, rule.get("setpoint_ms"))
+    return _target_error(item, response) or _bounds_error(item, response, rule.get("setpoint_ms"))
 
 
-def _bounds_fault(item: str, response: dict[str, Any], setpoint: Any) -> Invalid | None:
+def _bounds_error(item: str, response: dict[str, Any], setpoint: Any) -> Invalid | None:
     horizon: Any = response.get("horizon_ms")
     if not _is_number(horizon, above=0) or horizon > MAX_HORIZON_MS:
         return Invalid(item, "response.horizon_ms", _correction(horizon, f"1 to {MAX_HORIZON_MS}"))
@@ -255,12 +255,12 @@
         return Invalid(item, "response.trials", _correction(trials, "a whole number from 1"))
     if setpoint is not None:
         if not _is_number(setpoint) or setpoint >= horizon + MAX_SETPOINT_EXCESS_MS:
-            mend = f"0 to less than horizon_ms + {MAX_SETPOINT_EXCESS_MS}"
-            return Invalid(item, "setpoint_ms", _correction(setpoint, mend))
+            wanted = f"0 to less than horizon_ms + {MAX_SETPOINT_EXCESS_MS}"
+            return Invalid(item, "setpoint_ms", _correction(setpoint, wanted))
     return None
 
 
-def _target_fault(item: str, response: dict[str, Any]) -> Invalid | None:
+def _target_error(item: str, response: dict[str, Any]) -> Invalid | None:
     plant, split = response.get("plant"), response.get("distribution")
     if split is None:
         if not _is_name(plant):
@@ -296,9 +296,9 @@
 
 
 def _is_number(value: Any, above: float | None = None) -> bool:
-    """Whether it is a number from 0, or over ``above``. JSON has no infinities, and the decoder refuses
-    what would overflow to one."""
-    if type(value) not in (int, float):  # true and false are no numbers, though Python counts them as such
+    """Whether ``value`` is a number from 0 on, or above ``above``. JSON has no infinities, and the decoder
+    refuses numbers that would overflow to one."""
+    if type(value) not in (int, float):  # excludes bool, a subclass of int
         return False
     return bool((value >= 0 if above is None else value > above) and value <= MAX_NUMBER)
 
@@ -308,13 +308,13 @@
 
 
 def _too_deep(call: dict[str, Any]) -> bool:
-    """Whether values stand over DEPTH_MOST levels deep; level by level, so that depth costs no stack."""
+    """Whether values are nested over MAX_DEPTH levels; checked by level, without recursion."""
     level: list[Any] = [call]
     for _ in range(MAX_DEPTH):
-        within: list[Any] = []
+        nested: list[Any] = []
         for value in level:
-            within += value.values() if isinstance(value, dict) else value
-        level = [value for value in within if isinstance(value, (dict, list))]
+            nested += value.values() if isinstance(value, dict) else value
+        level = [value for value in nested if isinstance(value, (dict, list))]
         if not level:
             return False
     return True
--- a/mesh/configuration/limits.py
+++ b/mesh/configuration/limits.py
@@ -1,7 +1,8 @@
-"""What clients may send and how long they may take or rest, by the operators' `input_limits`. No I/O.
+"""Limits on the requests and connections of clients, from the operators' `input_limits`. No I/O.
 
-A proper request is never answered 413 or 431, nor is a connection closed under it: each bound here lies at
-the operators' figure or a little above it, since theirs may leave out what is counted here.
+A request within the operators' limits is never answered 413 or 431, and its connection is never closed early:
+each limit here equals the configured one or lies slightly above it, since that may leave out bytes or delays
+that are counted here.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 
 from msgspec import Struct
 
-MAX_HEAD_BYTES = 1024 * 1024  # bytes of a head that are read at the most, whatever the operators say
-EXTRA_HEAD_BYTES = 4096  # of the request's line and of a body's framing, which count here as its head
-EXTRA_LAG_S = 0.25  # the way from a client, and between two looks at the times
+MAX_HEAD_BYTES = 1024 * 1024  # bytes, whatever the operators configure
+EXTRA_HEAD_BYTES = 4096  # bytes for the request line and the framing of a body, which count as head here
+EXTRA_LAG_S = 0.25  # transfer from the client, and the interval between two checks
 
 
 class InputLimits(Struct, frozen=True):
-    """What a figure that the operators do not give is, in bytes and seconds; no ``quiescent_s``: connections
-    may rest as long as there is room for them."""
+    """Limits in bytes and seconds, with the defaults of those that are not configured. Without ``idle_s``
+    connections may be idle as long as there is room for them."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 8 * 1024 * 1024
@@ -27,15 +28,17 @@
 
 
 def read_limits(value: Mapping[str, Any] | None) -> InputLimits:
-    """Of the item as it stands, or None where there is none; its figures are numbers above 0 or missing."""
-    told = {field: float(number) for field, number in (value or {}).items() if field in _FIELDS and number}
-    none = InputLimits()
-    head, body, lag, rest = (told.get(field) for field in _FIELDS)
+    """The limits of an item's value, None if there is no item; its fields are numbers above 0 or missing."""
+    configured = {
+        field: float(number) for field, number in (value or {}).items() if field in _FIELDS and number
+    }
+    default = InputLimits()
+    head, body, lag, idle = (configured.get(field) for field in _FIELDS)
     return InputLimits(
-        min(int(head), MAX_HEAD_BYTES) + EXTRA_HEAD_BYTES if head else none.head_bytes,
-        int(body) if body else none.body_bytes,
-        lag / 1000.0 + EXTRA_LAG_S if lag else none.request_s,
-        rest / 1000.0 if rest else none.idle_s,
+        min(int(head), MAX_HEAD_BYTES) + EXTRA_HEAD_BYTES if head else default.head_bytes,
+        int(body) if body else default.body_bytes,
+        lag / 1000.0 + EXTRA_LAG_S if lag else default.request_s,
+        idle / 1000.0 if idle else default.idle_s,
     )
 
 
--- a/mesh/configuration/routes.py
+++ b/mesh/configuration/routes.py
@@ -1,7 +1,8 @@
-"""Which route a request takes: for each host a tree over the segments of prefixes.
+"""The route table: for each host a tree over the path segments of the prefixes.
 
-A prefix begins and ends with a slash, so it begins a path exactly if its segments are the first of those
-that the path closes with a slash; a lookup costs by the depth of the tree, not by the number of routes.
+A prefix begins and ends with a slash, so it matches a path exactly if its segments are the first of those
+that the path terminates with a slash. A lookup takes time by the depth of the tree, not by the number of
+routes.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 
 
 class RoutesFullError(Exception):
-    """A route more than the table may hold: whoever accepts routes has to refuse them first."""
+    """The table is full; the code that accepts routes has to refuse them before."""
 
 
 class Route(Struct, frozen=True):
-    """A rule, ready to route by. ``horizon_ms`` is the longest a request is held, ``aim_ms`` the time within
-    which an answer earns its full worth; ``priority`` 0 is the highest; ``split`` holds services and their
-    shares, all above 0, which sum to 1 but for rounding."""
+    """A routing rule. ``horizon_ms`` is the longest time that a request is held, ``aim_ms`` the time within
+    which an answer has its full value; ``priority`` 0 is the highest; ``split`` holds services and their
+    shares, all above 0, with the sum 1 up to rounding."""
 
     name: str
     version: int
@@ -37,15 +38,15 @@
 
 
 def fold_host(host: str) -> str:
-    """A ``Host`` as routes are found by: lower case, without spaces around it or a port."""
+    """Normalises a ``Host`` for lookups: lower case, without surrounding spaces and without the port."""
     folded = host.strip().lower()
     name, colon, port = folded.rpartition(":")
-    # After the last colon of an IPv6 address without a port there stands a bracket too, so it is no number.
+    # In an IPv6 address without a port the last colon is followed by a bracket too, so not by a number.
     return name if colon and (port.isdecimal() or not port) else folded
 
 
 def read_route(name: str, version: int, value: dict[str, Any]) -> Route:
-    """The route of a stored value, which ``decode_change`` has judged; what it leaves out has its default."""
+    """Parses a stored value, which ``decode_change`` has validated; missing fields get their defaults."""
     response = value["response"]
     horizon_ms = float(response["horizon_ms"])
     aim_ms = value.get("setpoint_ms")
@@ -54,8 +55,8 @@
     if split is None:
         shares: tuple[tuple[str, float], ...] = ((response["plant"], 1.0),)
     else:
-        whole = float(sum(part["gain"] for part in split))
-        parts = ((part["plant"], part["gain"] / whole) for part in split)
+        total = float(sum(part["gain"] for part in split))
+        parts = ((part["plant"], part["gain"] / total) for part in split)
         shares = tuple((service, share) for service, share in parts if share > 0)
     return Route(
         name=name,
@@ -72,25 +73,25 @@
 
 
 def pick_service(route: Route, u: float) -> str:
-    """The service that ``u``, in [0, 1), falls to, each by its share."""
+    """Selects a service by the shares of the route; ``u`` is uniform in [0, 1)."""
     for service, share in route.split:
         u -= share
         if u < 0:
             return service
-    return route.split[-1][0]  # shares that were rounded may sum to a little under 1
+    return route.split[-1][0]  # rounded shares may sum to slightly less than 1
 
 
 class _Node(Struct):
     children: dict[str, _Node] = field(default_factory=dict)
-    routes: list[Route] = field(default_factory=list)  # of this very prefix; the last is the one in force
+    routes: list[Route] = field(default_factory=list)  # of exactly this prefix; the last one is in force
 
 
 class RouteTable:
-    """The routes in force, at most ``most``. Of those with the same host and prefix, the one of the higher
-    version, then of the greater name, is found; when it goes, the other comes back."""
+    """The routes in force, at most ``max_routes``. Of routes with the same host and prefix, the one with the
+    higher version, then with the greater name, is found; when it is removed, the other one is found again."""
 
-    def __init__(self, most: int = MAX_ROUTES) -> None:
-        self._max_routes = most
+    def __init__(self, max_routes: int = MAX_ROUTES) -> None:
+        self._max_routes = max_routes
         self._by_name: dict[str, Route] = {}
         self._hosts: dict[str, _Node] = {}
 
@@ -98,16 +99,16 @@
         return len(self._by_name)
 
     def names(self) -> KeysView[str]:
-        """The names of all routes, a view."""
+        """A view of the names of all routes."""
         return self._by_name.keys()
 
     def get(self, name: str) -> Route | None:
-        """The route of that name, as it is in force."""
+        """The route of that name in force, or None."""
         return self._by_name.get(name)
 
     def put(self, route: Route) -> None:
-        """Adds ``route`` in place of the one of its name, wherever that stood. Raises RoutesFullError on a
-        new name when there is no room."""
+        """Adds ``route``, replacing the one of its name under any prefix. Raises RoutesFullError for a new
+        name if the table is full."""
         if route.name not in self._by_name and len(self._by_name) >= self._max_routes:
             raise RoutesFullError(
                 f"route {route.name!r}: the table holds {self._max_routes} routes; drop some first"
@@ -120,25 +121,25 @@
         insort(node.routes, route, key=_rank)
 
     def remove(self, name: str) -> None:
-        """Takes the route away; a name that is not there changes nothing."""
+        """Removes a route; an unknown name has no effect."""
         route = self._by_name.pop(name, None)
         if route is None:
             return
         node = self._hosts[route.host]
-        above: list[tuple[dict[str, _Node], str]] = [(self._hosts, route.host)]
+        ancestors: list[tuple[dict[str, _Node], str]] = [(self._hosts, route.host)]
         for segment in _segments(route.prefix):
-            above.append((node.children, segment))
+            ancestors.append((node.children, segment))
             node = node.children[segment]
         node.routes.remove(route)
-        # Nodes that lead nowhere go, or routes that come and go would leave their paths behind.
-        for nodes, key in reversed(above):
+        # Empty nodes are removed, so that the table does not grow with routes that are gone.
+        for nodes, key in reversed(ancestors):
             if nodes[key].routes or nodes[key].children:
                 break
             del nodes[key]
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of ``host``, as the header gives it, with the longest prefix that begins ``path``, which
-        has no query; None if there is none."""
+        """The route of ``host``, a header value, with the longest prefix of ``path``, which has no query;
+        None if there is none."""
         node = self._hosts.get(fold_host(host))
         if node is None or not path.startswith("/"):
             return None
@@ -148,10 +149,10 @@
             end = path.find("/", start)
             if end < 0:
                 break
-            below = node.children.get(path[start:end])
-            if below is None:
+            child = node.children.get(path[start:end])
+            if child is None:
                 break
-            node = below
+            node = child
             if node.routes:
                 found = node.routes[-1]
             start = end + 1
--- a/tests/mesh/test_configuration_commands.py
+++ b/tests/mesh/test_configuration_commands.py
@@ -1,4 +1,4 @@
-"""A call of the operator: what it asks for, and each fault that makes the whole of it invalid."""
+"""A configuration call of an operator: its writes, and each error that makes the whole call invalid."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """CALL with one place, given by keys and indices with dots between, set or taken out."""
+    """CALL with one value, given by a dotted path of keys and indices, replaced or removed."""
     call = copy.deepcopy(CALL)
     *above, last = [int(key) if key.isdigit() else key for key in path.split(".")]
     place: Any = call
@@ -248,7 +248,7 @@
 def test_nesting_has_a_bound() -> None:
     def nested(levels: int) -> dict[str, Any]:
         value: Any = {}
-        for _ in range(levels - 4):  # the call, apply, the list and the item are four
+        for _ in range(levels - 4):  # the call, apply, the list and the item are four levels
             value = [value]
         return {"apply": {"plant_groups": [{"name": "p", "epoch": "r1", "x": value}]}}
 
--- a/tests/mesh/test_configuration_read_back.py
+++ b/tests/mesh/test_configuration_read_back.py
@@ -1,4 +1,4 @@
-"""What is read back is what was sent."""
+"""The configuration reads back as it was sent."""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_configuration_routes.py
+++ b/tests/mesh/test_configuration_routes.py
@@ -1,4 +1,4 @@
-"""The tree of routes against a plain search, and the shares of services."""
+"""The route table compared with a linear search, and the shares of services."""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_configuration_validation.py
+++ b/tests/mesh/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""Routes that name services: known by the call or by what stands, and not judged when they change nothing."""
+"""Services of routes: known from the call or the current items; routes without effect are not checked."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
         (STANDS, [route(1, "p")]),
         (STANDS, [route(1, "p", "q"), plant(1, "q")]),
         (STANDS, [route(1, "p"), drop(5)]),  # the drop changes nothing
-        (DROPPED, [route(1, "p"), plant(4)]),  # whole in itself, though it comes late
+        (DROPPED, [route(1, "p"), plant(4)]),  # complete in itself, although it arrives late
         (DROPPED, [route(1, "p"), plant(6)]),
         (DROPPED | {("route", "r"): (3, {})}, [route(3, "p")]),  # changes nothing
         (DROPPED | {("route", "r"): (3, None)}, [route(2, "p")]),
         ({}, [ItemWrite("route", "r", 1, None), drop(2)]),
-        (STANDS | {("route", "r"): (3, route(3, "p").value)}, [drop(6)]),  # routes outside of the call stay
+        (STANDS | {("route", "r"): (3, route(3, "p").value)}, [drop(6)]),  # routes outside the call stay
     ],
 )
 def test_routes_that_lead_somewhere_or_change_nothing_are_taken(
@@ -59,7 +59,7 @@
     ("standing", "writes"),
     [
         ({}, [route(1, "p")]),
-        ({("route", "p"): (1, {})}, [route(1, "p")]),  # a route of that name is no service
+        ({("route", "p"): (1, {})}, [route(1, "p")]),  # a route of that name is not a service
         ({}, [ItemWrite("route", "p", 1, route(1, "p").value), route(1, "p")][::-1]),
         (DROPPED, [route(1, "p")]),
         (STANDS, [route(1, "p"), drop(6)]),
