--- a/tests/mesh/test_configuration_routes.py
+++ b/tests/mesh/test_configuration_routes.py
@@ -118,7 +118,7 @@
 
 
 def test_the_table_has_a_bound_and_takes_new_versions_when_full() -> None:
-    routes = RouteTable(most=2)
+    routes = RouteTable(max_routes=2)
     routes.put(route("a", "/a/"))
     routes.put(route("b", "/b/"))
     with pytest.raises(RoutesFullError, match="drop some"):
