--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -167,10 +167,10 @@
     ends: list[End] = []
     assert other.life is not None and caller.life is not None
 
-    def take(call: Call, ended: Callable[[End], None]) -> None:
+    def accept(call: Call, ended: Callable[[End], None]) -> None:
         ended(UpstreamResponse(200, [], call.instance.encode(), True))
 
-    other.program.upstream_dispatch.take = take
+    other.program.upstream_dispatch.accept = accept
     instance = f"i-{other.name}"
     call = Call("a-1", b"GET", b"/x", [], b"", instance, "s", 900.0)
     membership = caller.program.membership
