--- a/tests/mesh/test_ballot.py
+++ b/tests/mesh/test_ballot.py
@@ -1,10 +1,10 @@
-"""The vote on a number: what an acceptor refuses and keeps, what a proposer makes of what it is told."""
+"""The acceptor and the proposer of one slot: refusals, kept votes, and outcomes."""
 
 from __future__ import annotations
 
 import pytest
 
-from mesh.replication import acceptor as ballot_module
+from mesh.replication import acceptor as acceptor_module
 from mesh.replication.acceptor import (
     MAX_PAST_DIGESTS,
     ROUND_BLOCK,
@@ -44,30 +44,30 @@
     return {name: acceptor(name) for name in "abcde"[:count]}
 
 
-def play(proposer: Proposer, acceptors: dict[str, Acceptor], among: View, round: int = 1) -> object:
-    """Ballots until it is over; all that is chosen is settled at all that have accepted it."""
+def play(proposer: Proposer, acceptors: dict[str, Acceptor], members: View, round: int = 1) -> object:
+    """Runs ballots until there is an outcome; chosen values are learned by all that accepted them."""
     for number in range(round, round + 4):
         step: object = None
-        told = proposer.prepare(number, among)
+        request = proposer.prepare(number, members)
         for name, one in acceptors.items():
-            answer = one.promise(told.ballot, told.slots)
+            answer = one.promise(request.ballot, request.slots)
             step = (
-                proposer.refused(name, told.ballot, answer)
+                proposer.refused(name, request.ballot, answer)
                 if isinstance(answer, Refusal)
-                else proposer.promised(name, told.epoch, told.ballot, answer)
+                else proposer.promised(name, request.epoch, request.ballot, answer)
             )
             if step is not None:
                 break
         if isinstance(step, Accept):
-            have = [
+            accepted = [
                 name
                 for name, one in acceptors.items()
                 if not isinstance(one.accept(step.ballot, step.generations, step.writes, step.tags), Refusal)
             ]
-            if any([proposer.accepted(name, step.epoch, step.ballot) for name in have]):
-                for held in acceptors.values():
-                    for settled, value in held.votes_under(step.ballot).items():
-                        held.learn(settled, value)
+            if any([proposer.accepted(name, step.epoch, step.ballot) for name in accepted]):
+                for learner in acceptors.values():
+                    for slot, value in learner.votes_under(step.ballot).items():
+                        learner.learn(slot, value)
             step = proposer.outcome()
         if step is not None and not isinstance(step, Retry):
             return step
@@ -96,7 +96,7 @@
     one.learn(TWO, Y)
     assert one.accept(Ballot(9, "q"), {}, {ONE: X, TWO: X}) == Refusal(0, "decided otherwise")
     assert not one.votes
-    assert one.accept(Ballot(9, "q"), {}, {ONE: X, TWO: Y}) == [ONE]  # what is decided so needs no vote
+    assert one.accept(Ballot(9, "q"), {}, {ONE: X, TWO: Y}) == [ONE]  # an equal decision needs no vote
 
 
 def test_a_round_above_the_ceiling_is_not_promised_and_the_next_life_refuses_all_up_to_it() -> None:
@@ -116,7 +116,7 @@
 
 
 def test_a_full_table_of_promises_raises_the_floor(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ballot_module, "MAX_PROMISES", 3)
+    monkeypatch.setattr(acceptor_module, "MAX_PROMISES", 3)
     one = acceptor()
     for round in range(1, 6):
         one.promise(Ballot(round, "p"), [("route", f"r{round}", 1)])
@@ -126,7 +126,7 @@
 
 
 def test_a_full_table_of_votes_takes_no_more_until_one_is_decided(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ballot_module, "MAX_VOTES", 1)
+    monkeypatch.setattr(acceptor_module, "MAX_VOTES", 1)
     one = acceptor()
     one.accept(Ballot(1, "p"), {}, {ONE: X})
     assert one.accept(Ballot(2, "p"), {}, {TWO: X}) == Refusal(0, "1 votes are open")
@@ -158,7 +158,7 @@
 def test_what_others_know_ends_a_vote_that_came_to_nothing() -> None:
     one = acceptor()
     one.accept(Ballot(1, "p"), {}, {ONE: Y, TWO: Y})
-    assert not one.learn_state(ONE, Decision("d"))  # its item is still to come
+    assert not one.learn_state(ONE, Decision("d"))  # its item has not arrived yet
     one.learn(("route", "a", 7), X)
     assert one.learn_state(ONE, Decision("d")) and one.state(ONE) == Decision("d")
     assert one.learn_state(TWO, Forgotten()) and one.state(TWO) == Forgotten()
@@ -197,119 +197,121 @@
 
 
 def test_the_same_order_sent_again_is_decided_and_another_content_is_rivalled() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
-    assert play(Proposer("p", {ONE: X}, LOSS), acceptors, among) == Decided()
-    assert play(Proposer("q", {ONE: X}, LOSS), acceptors, among, 2) == Decided()
-    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, among, 3) == Conflict(ONE)
-    assert play(Proposer("q", {ONE: None}, LOSS), acceptors, among, 4) == Conflict(ONE)
-    assert play(Proposer("q", {("route", "a", 6): Y}, LOSS), acceptors, among, 5) == Decided()
-    assert play(Proposer("q", {ONE: X}, LOSS), acceptors, among, 6) == Decided()  # overtaken after it stood
-    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, among, 7) == Conflict(ONE)
+    acceptors, members = cores(3), view("a", "b", "c")
+    assert play(Proposer("p", {ONE: X}, LOSS), acceptors, members) == Decided()
+    assert play(Proposer("q", {ONE: X}, LOSS), acceptors, members, 2) == Decided()
+    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, members, 3) == Conflict(ONE)
+    assert play(Proposer("q", {ONE: None}, LOSS), acceptors, members, 4) == Conflict(ONE)
+    assert play(Proposer("q", {("route", "a", 6): Y}, LOSS), acceptors, members, 5) == Decided()
+    assert (
+        play(Proposer("q", {ONE: X}, LOSS), acceptors, members, 6) == Decided()
+    )  # superseded after it was decided
+    assert play(Proposer("q", {ONE: Y}, LOSS), acceptors, members, 7) == Conflict(ONE)
 
 
 def test_a_proposer_takes_up_the_content_of_the_highest_ballot() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
+    acceptors, members = cores(3), view("a", "b", "c")
     acceptors["a"].accept(Ballot(3, "o"), {}, {ONE: X})
     acceptors["b"].accept(Ballot(2, "o"), {}, {ONE: Y})
-    assert play(Proposer("p", {ONE: Y}, LOSS), acceptors, among, 4) == Conflict(ONE)
+    assert play(Proposer("p", {ONE: Y}, LOSS), acceptors, members, 4) == Conflict(ONE)
     assert all(one.decided["route", "a"] == (5, X) for one in acceptors.values())
 
 
 def test_a_rival_that_is_open_is_decided_alone() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
+    acceptors, members = cores(3), view("a", "b", "c")
     acceptors["a"].accept(Ballot(1, "o"), {}, {ONE: X})
     proposer = Proposer("p", {ONE: Y, TWO: Y}, LOSS)
-    assert play(proposer, acceptors, among, 2) == Conflict(ONE)
+    assert play(proposer, acceptors, members, 2) == Conflict(ONE)
     assert all(("route", "b") not in one.decided and not one.votes for one in acceptors.values())
 
 
 def test_an_order_of_several_is_rivalled_only_once_all_say_that_they_hold_none_of_it() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
+    acceptors, members = cores(3), view("a", "b", "c")
     for one in acceptors.values():
         one.learn(ONE, X)
     some = {name: acceptors[name] for name in "ab"}
     proposer = Proposer("p", {ONE: Y, TWO: Y}, LOSS)
-    assert play(proposer, some, among) is None
+    assert play(proposer, some, members) is None
     assert isinstance(proposer.timed_out(), Unresolved)
-    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 9) == Conflict(ONE)
+    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, members, 9) == Conflict(ONE)
     tag = Proposer("o", {ONE: Y, TWO: Y}, LOSS)._tag
-    acceptors["c"].accept(Ballot(20, "o"), {}, {TWO: Y})  # with another order
-    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 30) == Conflict(ONE)
+    acceptors["c"].accept(Ballot(20, "o"), {}, {TWO: Y})  # in another batch
+    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, members, 30) == Conflict(ONE)
     acceptors["c"].accept(Ballot(40, "o"), {}, {TWO: Y}, {TWO: tag})
-    outcome = play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among, 50)
+    outcome = play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, members, 50)
     assert isinstance(outcome, Unresolved) and "route 'a' r5" in outcome.reason
 
 
 def test_a_part_that_was_decided_with_an_order_stays_known_and_one_of_another_order_does_not_count() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
-    order = {ONE: Y, TWO: Y}
-    tag = Proposer("o", order, LOSS)._tag
-    acceptors["a"].accept(Ballot(1, "o"), {}, order, dict.fromkeys(order, tag))
+    acceptors, members = cores(3), view("a", "b", "c")
+    batch = {ONE: Y, TWO: Y}
+    tag = Proposer("o", batch, LOSS)._tag
+    acceptors["a"].accept(Ballot(1, "o"), {}, batch, dict.fromkeys(batch, tag))
     for one in acceptors.values():
         one.learn(ONE, X)
-    assert play(Proposer("a", {TWO: None}, LOSS, adopts=True), acceptors, among, 2) == Decided()
-    assert isinstance(play(Proposer("p", order, LOSS), acceptors, among, 3), Unresolved)
+    assert play(Proposer("a", {TWO: None}, LOSS, adopts=True), acceptors, members, 2) == Decided()
+    assert isinstance(play(Proposer("p", batch, LOSS), acceptors, members, 3), Unresolved)
     for one in acceptors.values():
-        one.learn(("route", "b", 2), X)  # overtaken, and known still
-    assert isinstance(play(Proposer("p", order, LOSS), acceptors, among, 5), Unresolved)
+        one.learn(("route", "b", 2), X)  # superseded and still known
+    assert isinstance(play(Proposer("p", batch, LOSS), acceptors, members, 5), Unresolved)
     other = {ONE: Y, ("route", "b", 2): X}
-    assert play(Proposer("p", other, LOSS), acceptors, among, 7) == Conflict(ONE)
+    assert play(Proposer("p", other, LOSS), acceptors, members, 7) == Conflict(ONE)
 
 
 def test_an_order_that_lost_all_its_numbers_is_rivalled() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
+    acceptors, members = cores(3), view("a", "b", "c")
     for one in acceptors.values():
         one.learn(ONE, X)
         one.learn(TWO, X)
-    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, among) == Conflict(ONE)
+    assert play(Proposer("p", {ONE: Y, TWO: Y}, LOSS), acceptors, members) == Conflict(ONE)
 
 
 def test_a_forgotten_version_is_left_without_a_clear_answer() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
+    acceptors, members = cores(3), view("a", "b", "c")
     acceptors["a"].unknown_up_to["route", "a"] = 5
-    assert isinstance(play(Proposer("p", {ONE: Y}, LOSS), acceptors, among), Unresolved)
+    assert isinstance(play(Proposer("p", {ONE: Y}, LOSS), acceptors, members), Unresolved)
 
 
 def test_open_votes_are_brought_to_their_decision_whatever_it_is() -> None:
-    acceptors, among = cores(3), view("a", "b", "c")
+    acceptors, members = cores(3), view("a", "b", "c")
     acceptors["a"].accept(Ballot(2, "o"), {}, {ONE: X, TWO: X})
     acceptors["b"].accept(Ballot(3, "q"), {}, {ONE: Y})
-    opened = dict.fromkeys([*acceptors["a"].votes, ("route", "c", 9)])  # of the last nobody knows anything
-    assert play(Proposer("a", opened, LOSS, adopts=True), acceptors, among, 4) == Decided()
+    opened = dict.fromkeys([*acceptors["a"].votes, ("route", "c", 9)])  # nothing is known of the last
+    assert play(Proposer("a", opened, LOSS, adopts=True), acceptors, members, 4) == Decided()
     for one in acceptors.values():
         assert one.decided == {("route", "a"): (5, Y), ("route", "b"): (1, X)} and not one.votes
 
 
 def test_answers_of_another_epoch_or_ballot_count_for_nothing() -> None:
-    among = view("a", "b", "c")
+    members = view("a", "b", "c")
     proposer = Proposer("p", {ONE: X}, LOSS)
-    told = proposer.prepare(3, among)
+    request = proposer.prepare(3, members)
     assert proposer.promised("a", 1, Ballot(2, "p"), Promised({}, 0)) is None
-    assert proposer.promised("b", 0, told.ballot, Promised({}, 0)) is None
-    assert proposer.promised("d", 1, told.ballot, Promised({}, 0)) is None  # no member
-    assert proposer.promised("a", 1, told.ballot, Promised({}, 0)) is None
-    step = proposer.promised("b", 1, told.ballot, Promised({}, 2))
+    assert proposer.promised("b", 0, request.ballot, Promised({}, 0)) is None
+    assert proposer.promised("d", 1, request.ballot, Promised({}, 0)) is None  # not a member
+    assert proposer.promised("a", 1, request.ballot, Promised({}, 0)) is None
+    step = proposer.promised("b", 1, request.ballot, Promised({}, 2))
     assert isinstance(step, Accept) and step.generations == {"d": 0, "a": 0, "b": 2}
-    assert proposer.accepted("a", 1, told.ballot) is None
-    assert proposer.accepted("a", 1, told.ballot) is None
-    assert proposer.accepted("b", 0, told.ballot) is None
-    assert proposer.accepted("c", 1, told.ballot) == Chosen(told.ballot, {ONE: X}, True)
+    assert proposer.accepted("a", 1, request.ballot) is None
+    assert proposer.accepted("a", 1, request.ballot) is None
+    assert proposer.accepted("b", 0, request.ballot) is None
+    assert proposer.accepted("c", 1, request.ballot) == Chosen(request.ballot, {ONE: X}, True)
 
 
 def test_a_ballot_ends_once_too_many_refuse_and_the_next_goes_above() -> None:
     proposer = Proposer("p", {ONE: X}, LOSS)
-    told = proposer.prepare(3, view("a", "b", "c"))
-    assert proposer.refused("a", told.ballot, Refusal(70, "")) is None
-    assert proposer.refused("b", told.ballot, Refusal(50, "why")) == Retry(70, "why", False)
+    request = proposer.prepare(3, view("a", "b", "c"))
+    assert proposer.refused("a", request.ballot, Refusal(70, "")) is None
+    assert proposer.refused("b", request.ballot, Refusal(50, "why")) == Retry(70, "why", False)
 
 
 def test_half_of_an_even_view_may_prepare_and_not_accept() -> None:
-    acceptors, among = cores(4), view("a", "b", "c", "d")
+    acceptors, members = cores(4), view("a", "b", "c", "d")
     half = {name: acceptors[name] for name in "ab"}
     proposer = Proposer("p", {ONE: X}, LOSS)
-    assert play(proposer, half, among) is None
+    assert play(proposer, half, members) is None
     assert all(one.votes for one in half.values())
-    assert play(Proposer("p", {ONE: X}, LOSS), acceptors, among, 9) == Decided()
+    assert play(Proposer("p", {ONE: X}, LOSS), acceptors, members, 9) == Decided()
 
 
 def test_a_joint_view_wants_quorums_of_both() -> None:
--- a/tests/mesh/test_key_model.py
+++ b/tests/mesh/test_key_model.py
@@ -1,4 +1,4 @@
-"""Holds of keys in the small, explored whole, and the clauses of the argument taken out in turn."""
+"""A small model of key holds, explored completely, and with each clause of the argument removed in turn."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     key_seeds.a_restart_forgets_grants,
     key_seeds.a_lease_counts_from_its_answer,
 )
-"""Those whose clause the model has; the others are about whole programs (test_owners_world.py)."""
+"""Faults whose clause is in the model; the others need complete programs (test_owners_world.py)."""
 
 
 def test_no_range_is_decided_to_be_anothers_while_it_is_held() -> None:
--- a/tests/mesh/test_member_model.py
+++ b/tests/mesh/test_member_model.py
@@ -50,7 +50,7 @@
         view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
     ) -> reconfiguration.ChangePlan:
         level = {
-            name: reconfiguration.MemberStatus(one.place, one.heard, one.whole, 99)
+            name: reconfiguration.MemberStatus(one.place, one.responding, one.disk_complete, 99)
             for name, one in known.items()
         }
         return finish(view, level, tolerance)
--- a/tests/mesh/test_ownership_assignment.py
+++ b/tests/mesh/test_ownership_assignment.py
@@ -1,4 +1,4 @@
-"""The plan of keys: all are covered, fences rise, moves are few, and the busy ones are spread."""
+"""The assignment of keys: all are covered, fences rise, moves are few, and busy keys are spread."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 def stepped(
     key_map: KeyMap,
     candidates: dict[str, Candidate],
-    sums: Sequence[float] = EVENLY,
-    words: Sequence[Release] = (),
+    cumulative: Sequence[float] = EVENLY,
+    releases: Sequence[Release] = (),
     balanced: bool = False,
-    waited: bool = False,
+    lease_expired: bool = False,
 ) -> KeyMap:
-    """The next version; the same where nothing is to change."""
-    found = next_map(key_map, candidates, sums, words, lambda _: waited, balanced)
+    """The next version; the same if nothing changes."""
+    found = next_map(key_map, candidates, cumulative, releases, lambda _: lease_expired, balanced)
     if found is None:
         return key_map
-    return read_map(key_map.version + 1, write_map(*found))  # which also checks that all keys are covered
+    return read_map(key_map.version + 1, write_map(*found))  # also checks that all keys are covered
 
 
-def loads(key_map: KeyMap, sums: Sequence[float]) -> dict[str, float]:
-    told: dict[str, float] = {}
+def loads(key_map: KeyMap, cumulative: Sequence[float]) -> dict[str, float]:
+    shares: dict[str, float] = {}
     for row in key_map.rows:
-        share = sums[(row.last + 1) // BUCKET] - sums[row.first // BUCKET]
-        told[row.final_holder] = told.get(row.final_holder, 0.0) + share
-    return told
+        share = cumulative[(row.last + 1) // BUCKET] - cumulative[row.first // BUCKET]
+        shares[row.final_holder] = shares.get(row.final_holder, 0.0) + share
+    return shares
 
 
-def let_go(key_map: KeyMap) -> list[Release]:
+def released(key_map: KeyMap) -> list[Release]:
     return [
         Release(row.holder, row.first, row.last, row.fence, "handed") for row in key_map.rows if row.leaving
     ]
@@ -63,7 +63,7 @@
         before = {(row.first, row.last): row.fence for row in key_map.rows}
         candidates = names(5)
         candidates[f"i-{draw.randrange(5)}"] = Candidate(4.0, eligible=False)
-        key_map = stepped(key_map, candidates, words=let_go(key_map))
+        key_map = stepped(key_map, candidates, releases=released(key_map))
         assert key_map.last_fence >= highest
         for row in key_map.rows:
             if row.fence not in before.values():
@@ -78,21 +78,21 @@
     leaving = stepped(key_map, gone)
     (row,) = leaving.rows_held_by("i-1")
     assert row.leaving and row.next_holder in gone
-    back = stepped(leaving, candidates)  # it is known again: too late
+    back = stepped(leaving, candidates)  # it returns too late
     assert back.rows_held_by("i-1")[0].leaving
     wrong = Release("i-1", row.first, row.last, row.fence - 1, "")
-    assert stepped(leaving, gone, words=[wrong]).rows_held_by("i-1")
+    assert stepped(leaving, gone, releases=[wrong]).rows_held_by("i-1")
     short = Release("i-1", row.first, row.last - BUCKET, row.fence, "")
-    assert stepped(leaving, gone, words=[short]).rows_held_by("i-1")
-    moved = stepped(leaving, gone, words=let_go(leaving))
+    assert stepped(leaving, gone, releases=[short]).rows_held_by("i-1")
+    moved = stepped(leaving, gone, releases=released(leaving))
     assert not moved.rows_held_by("i-1") and moved.row_for_key(row.first).holder == row.next_holder
     assert moved.row_for_key(row.first).handover == "handed"
-    assert not stepped(leaving, gone, waited=True).rows_held_by("i-1")
+    assert not stepped(leaving, gone, lease_expired=True).rows_held_by("i-1")
 
 
 def test_with_nobody_left_rows_are_nobodys_and_the_next_one_has_them() -> None:
-    key_map = stepped(stepped(empty_map(), names(2)), {}, waited=True)
-    key_map = stepped(key_map, {}, waited=True)
+    key_map = stepped(stepped(empty_map(), names(2)), {}, lease_expired=True)
+    key_map = stepped(key_map, {}, lease_expired=True)
     assert all(row.vacant for row in key_map.rows)
     assert stepped(key_map, names(1)).row_for_key(0).holder == "i-0"
 
@@ -102,26 +102,26 @@
     load, draw = KeyLoad(), random.Random(2)
     keys = [min(hot + int(2000 * draw.random() ** 2), KEYS - 1) for _ in range(5000)]
     load.add(0.0, [(key // BUCKET, 1.0) for key in keys])
-    sums, candidates = load.cumulative_shares(), names(10)
+    cumulative, candidates = load.cumulative_shares(), names(10)
     key_map = stepped(empty_map(), candidates)
     moved = 0
     for _ in range(40):
-        after = stepped(key_map, candidates, sums, let_go(key_map), balanced=True)
+        after = stepped(key_map, candidates, cumulative, released(key_map), balanced=True)
         moved += sum(row.key_count for row in after.rows if row.leaving)
         key_map = after
     assert not any(row.leaving for row in key_map.rows)
-    assert max(loads(key_map, sums).values()) <= 0.1 * MAX_IMBALANCE + 0.05
+    assert max(loads(key_map, cumulative).values()) <= 0.1 * MAX_IMBALANCE + 0.05
     assert moved <= 0.2 * KEYS
 
 
 def test_one_hot_key_is_not_moved_to_and_fro() -> None:
     load = KeyLoad()
     load.add(0.0, [(100, 4000.0), (2000, 500.0)])
-    candidates, sums = names(4), load.cumulative_shares()
+    candidates, cumulative = names(4), load.cumulative_shares()
     key_map = stepped(empty_map(), candidates)
     for _ in range(20):
-        key_map = stepped(key_map, candidates, sums, let_go(key_map), balanced=True)
-    assert stepped(key_map, candidates, sums, balanced=True) is key_map
+        key_map = stepped(key_map, candidates, cumulative, released(key_map), balanced=True)
+    assert stepped(key_map, candidates, cumulative, balanced=True) is key_map
     assert key_map.row_for_key(2000 * BUCKET).holder != key_map.row_for_key(100 * BUCKET).holder
 
 
@@ -130,10 +130,10 @@
     steps: list[tuple[int, bool, bool]], draw: random.Random
 ) -> None:
     candidates, key_map = names(3), stepped(empty_map(), names(3))
-    for number, stays, waited in steps:
-        candidates[f"i-{number}"] = Candidate(1.0 + number, stays)
-        words = [word for word in let_go(key_map) if draw.random() < 0.5]
-        after = stepped(key_map, candidates, words=words, waited=waited)
+    for number, eligible, lease_expired in steps:
+        candidates[f"i-{number}"] = Candidate(1.0 + number, eligible)
+        releases = [release for release in released(key_map) if draw.random() < 0.5]
+        after = stepped(key_map, candidates, releases=releases, lease_expired=lease_expired)
         for row in key_map.rows:
             if row.holder and not row.leaving and candidates[row.holder].eligible:
                 assert after.row_for_key(row.first).holder == row.holder
@@ -141,8 +141,8 @@
 
 
 def test_what_is_no_map_is_refused() -> None:
-    whole = write_map(3, [Row(0, KEYS - 1, "i-1", 3)])
-    assert read_map(1, whole).row_for_key(77).holder == "i-1"
+    valid = write_map(3, [Row(0, KEYS - 1, "i-1", 3)])
+    assert read_map(1, valid).row_for_key(77).holder == "i-1"
     for rows in (
         [],
         [[0, 10, "", 0, None, ""]],
@@ -150,7 +150,7 @@
         [[0, KEYS, "", 0, None, ""]],
     ):
         with pytest.raises((KeyError, TypeError, ValueError)):
-            read_map(1, {**whole, "rows": rows})
+            read_map(1, {**valid, "rows": rows})
 
 
 @pytest.mark.parametrize(
--- a/tests/mesh/test_replication_digest.py
+++ b/tests/mesh/test_replication_digest.py
@@ -1,4 +1,4 @@
-"""Digests of ranges: one differing item is found in three steps, whatever way the copies came about."""
+"""Digests of ranges: one differing item is found in three steps, however the copies were made."""
 
 import json
 import random
@@ -10,8 +10,8 @@
 from mesh.replication.items import Item, Key
 
 
-def found(mine: DigestTree, theirs: DigestTree) -> tuple[list[Key], int, int]:
-    """The keys under differing leaves, the steps and the bytes of their answers in JSON."""
+def compared(mine: DigestTree, theirs: DigestTree) -> tuple[list[Key], int, int]:
+    """The keys under differing leaves, the number of steps and the JSON size of their answers."""
     prefixes, steps, size = [""], 0, 0
     while prefixes and len(prefixes[0]) < 3:
         answers = [theirs.children(prefix) for prefix in prefixes]
@@ -31,14 +31,14 @@
     for item in items:
         mine.update(None, item)
         theirs.update(None, item)
-    assert found(mine, theirs)[0] == []
+    assert compared(mine, theirs)[0] == []
     for change in (Item("k", "name-77", 2, {"weight": 77}), Item("k", "name-77", 1, {"weight": 78}), None):
         theirs.update(items[77], change)
-        keys, steps, size = found(mine, theirs)
+        keys, steps, size = compared(mine, theirs)
         assert ("k", "name-77") in keys and len(keys) < 12
         assert steps == 3 and size < 1500
         theirs.update(change, items[77])
-        assert found(mine, theirs)[0] == []
+        assert compared(mine, theirs)[0] == []
 
 
 @settings(max_examples=60)
@@ -62,7 +62,7 @@
     rng.shuffle(held)
     for item in held:
         fresh.update(None, Item(item.kind, item.name, item.version, item.value, "other", 1))
-    assert mine.children("") == fresh.children("") and found(mine, fresh)[0] == []
+    assert mine.children("") == fresh.children("") and compared(mine, fresh)[0] == []
     every = [key for leaf in range(16**3) for key in mine.keys(f"{leaf:03x}")]
     assert sorted(every) == sorted(moved)
 
--- a/tests/mesh/test_replication_exchange.py
+++ b/tests/mesh/test_replication_exchange.py
@@ -1,4 +1,4 @@
-"""Stores that pull from each other through losses, doubles, delays, restarts: invariant P, convergence."""
+"""Stores that pull from each other across losses, duplicates, delays and restarts: they keep invariant P."""
 
 import random
 from collections.abc import Mapping
@@ -13,21 +13,21 @@
 from mesh.replication.store_answers import Delta
 
 NODES = 3
-Taken = dict[tuple[str, int], Item]
+Written = dict[tuple[str, int], Item]
 
 
-def broken_claims(store: Store, taken: Taken) -> list[str]:
-    """Where invariant P does not hold: what the vector claims and the store lacks."""
+def broken_claims(store: Store, written: Written) -> list[str]:
+    """Violations of invariant P: items that the vector covers and the store lacks."""
     broken = []
-    for (source, number), item in taken.items():
+    for (source, number), item in written.items():
         held = store.items.get(item.key)
         if number <= store.vector.get(source, 0) and (held is None or outranks(item, held)):
             broken.append(f"{store.source} claims {source}:{store.vector[source]}, lacks {source}:{number}")
     return broken
 
 
-class ClaimsWhatThePageBears(Store):
-    """The fault: a page raises each source to its last number in it, past gaps whose items come later."""
+class RaisesVectorByPage(Store):
+    """Fault: a page raises each source to its last number in it, past gaps whose items come later."""
 
     def delta_for(self, vector: Mapping[str, int], max_items: int) -> Delta:
         stamps = sorted(
@@ -41,17 +41,17 @@
         return Delta([by_stamp[stamp] for stamp in stamps[:max_items]], dict(stamps[:max_items]), True)
 
 
-class HidesWhatItDoesNotClaim(Store):
-    """The fault: items above the own vector are not answered, though they may have replaced claimed ones."""
+class OmitsUnclaimedItems(Store):
+    """Fault: items above the own vector are not sent, though they may have replaced covered ones."""
 
     def delta_for(self, vector: Mapping[str, int], max_items: int) -> Delta:
-        lack = super().delta_for(vector, max_items)
-        claimed = [item for item in lack.items if item.number <= self.vector.get(item.source, 0)]
-        return Delta(claimed, lack.vector, lack.more)
+        delta = super().delta_for(vector, max_items)
+        claimed = [item for item in delta.items if item.number <= self.vector.get(item.source, 0)]
+        return Delta(claimed, delta.vector, delta.more)
 
 
-class PageForgetsWhatMoved(Store):
-    """The fault: an item that replaces another keeps its place in the order of arrival."""
+class KeepsArrivalOfReplacedItems(Store):
+    """Fault: an item that replaces another keeps its place in the order of arrival."""
 
     def _put(self, item: Item) -> bool:
         before = self._arrived.get(item.key)
@@ -62,37 +62,37 @@
 
 
 class Mesh:
-    """Nodes, what they ever stamped, and the answers under way."""
+    """Nodes, all items that they ever stamped, and the answers in transit."""
 
-    def __init__(self, kind: type[Store]) -> None:
-        self.kind = kind
-        self.lives = 0
-        self.taken: Taken = {}
+    def __init__(self, store_class: type[Store]) -> None:
+        self.store_class = store_class
+        self.incarnations = 0
+        self.written: Written = {}
         self.stores = [self.begin() for _ in range(NODES)]
         self.disks: list[tuple[list[Item], dict[str, int]]] = [([], {}) for _ in range(NODES)]
         self.answers: list[tuple[Store, Delta]] = []
 
     def begin(self) -> Store:
-        self.lives += 1
-        return self.kind(f"s{self.lives}", 1000)
+        self.incarnations += 1
+        return self.store_class(f"s{self.incarnations}", 1000)
 
     def step(self, op: tuple[Any, ...]) -> None:
         match op:
-            case ("take", node, name, newer, value):
+            case ("write", node, name, newer, value):
                 held = self.stores[node].items.get(("k", str(name)))
                 version = newer + (held.version if held is not None else 1)
                 item = self.stores[node].write("k", str(name), version, value)
                 if isinstance(item, Item):
-                    self.taken[(item.source, item.number)] = item
-            case ("ask", node, peer, most):
+                    self.written[(item.source, item.number)] = item
+            case ("request", node, peer, most):
                 store = self.stores[node]
                 self.answers.append((store, self.stores[peer].delta_for(store.vector, most)))
             case ("deliver", which, keep) if self.answers:
-                store, lack = self.answers[which % len(self.answers)]
+                store, delta = self.answers[which % len(self.answers)]
                 if not keep:
                     del self.answers[which % len(self.answers)]
-                if any(store is one for one in self.stores):  # else its asker has died
-                    store.merge(lack.items, lack.vector)
+                if any(store is one for one in self.stores):  # else its receiver has died
+                    store.merge(delta.items, delta.vector)
             case ("persist", node):
                 self.disks[node] = (list(self.stores[node].items.values()), dict(self.stores[node].vector))
             case ("restart", node):
@@ -100,9 +100,9 @@
                 self.stores[node].restore(*self.disks[node])
 
     def broken(self) -> list[str]:
-        return [claim for store in self.stores for claim in broken_claims(store, self.taken)]
+        return [claim for store in self.stores for claim in broken_claims(store, self.written)]
 
-    def settle(self, most: int, only_news: bool) -> int:
+    def settle(self, most: int, only_updates: bool) -> int:
         """Pulls in rounds until none changes anything; the rounds it took, over 200 meaning that it never
         ends.
         """
@@ -110,12 +110,12 @@
             busy = False
             for store in self.stores:
                 for peer in self.stores:
-                    if peer is store or (only_news and not peer.has_updates(store.vector)):
+                    if peer is store or (only_updates and not peer.has_updates(store.vector)):
                         continue
                     before = dict(store.vector)
-                    lack = peer.delta_for(store.vector, most)
-                    changed = store.merge(lack.items, lack.vector)
-                    busy = busy or bool(changed) or store.vector != before or lack.more or only_news
+                    delta = peer.delta_for(store.vector, most)
+                    changed = store.merge(delta.items, delta.vector)
+                    busy = busy or bool(changed) or store.vector != before or delta.more or only_updates
             if not busy:
                 return rounds
         return 201
@@ -124,13 +124,13 @@
 NODE = st.integers(0, NODES - 1)
 OP = st.one_of(
     st.tuples(
-        st.just("take"),
+        st.just("write"),
         NODE,
         st.integers(0, 3),
         st.integers(1, 4),
         st.sampled_from([None, {}, {"a": 1}, {"a": 2}]),
     ),
-    st.tuples(st.just("ask"), NODE, NODE, st.integers(1, 3)),
+    st.tuples(st.just("request"), NODE, NODE, st.integers(1, 3)),
     st.tuples(st.just("deliver"), st.integers(0, 5), st.booleans()),
     st.tuples(st.just("persist"), NODE),
     st.tuples(st.just("restart"), NODE),
@@ -144,41 +144,43 @@
     for op in ops:
         mesh.step(op)
         assert mesh.broken() == []
-    assert mesh.settle(most, only_news=False) < 200
+    assert mesh.settle(most, only_updates=False) < 200
     assert mesh.broken() == []
     first, *others = mesh.stores
     for other in others:
         assert other.items.keys() == first.items.keys()
         assert all(same_content(item, first.items[key]) for key, item in other.items.items())
         assert other.digests.children("") == first.digests.children("")
-    assert mesh.settle(most, only_news=True) < 200  # nobody claims news to another for ever
+    assert mesh.settle(most, only_updates=True) < 200  # no store offers updates forever
 
 
-def drawn(rng: random.Random) -> tuple[Any, ...]:
+def random_operation(rng: random.Random) -> tuple[Any, ...]:
     node, peer = rng.randrange(NODES), rng.randrange(NODES)
-    takes = ("take", node, rng.randrange(4), rng.randint(0, 2), rng.choice([None, {}, {"a": 1}]))
-    return rng.choice([takes, ("ask", node, peer, rng.randint(1, 3)), ("deliver", rng.randrange(3), False)])
+    write = ("write", node, rng.randrange(4), rng.randint(0, 2), rng.choice([None, {}, {"a": 1}]))
+    return rng.choice(
+        [write, ("request", node, peer, rng.randint(1, 3)), ("deliver", rng.randrange(3), False)]
+    )
 
 
-def caught(kind: type[Store]) -> bool:
+def detects(store_class: type[Store]) -> bool:
     for seed in range(100):
-        rng, mesh = random.Random(seed), Mesh(kind)
+        rng, mesh = random.Random(seed), Mesh(store_class)
         for _ in range(80):
-            mesh.step(drawn(rng))
+            mesh.step(random_operation(rng))
             if mesh.broken():
                 return True
     return False
 
 
-@pytest.mark.parametrize("fault", [ClaimsWhatThePageBears, HidesWhatItDoesNotClaim, PageForgetsWhatMoved])
+@pytest.mark.parametrize("fault", [RaisesVectorByPage, OmitsUnclaimedItems, KeepsArrivalOfReplacedItems])
 def test_the_property_sees_each_fault_and_none_without(fault: type[Store]) -> None:
-    assert caught(fault)
-    assert not caught(Store)
+    assert detects(fault)
+    assert not detects(Store)
 
 
 def test_a_claim_past_a_gap_loses_an_item_for_ever() -> None:
-    for kind, reached in ((ClaimsWhatThePageBears, False), (Store, True)):
-        sender, third, asker = kind("sender", 10), Store("third", 10), Store("asker", 10)
+    for store_class, reached in ((RaisesVectorByPage, False), (Store, True)):
+        sender, third, receiver = store_class("sender", 10), Store("third", 10), Store("receiver", 10)
         sender.write("k", "a", 1, {})
         old = sender.delta_for({}, 10)
         third.merge(old.items, old.vector)
@@ -186,10 +188,10 @@
         sender.write("k", "a", 2, {})
         page = sender.delta_for({}, 1)
         assert [item.name for item in page.items] == ["b"] and page.more
-        asker.merge(page.items, page.vector)  # and the sender is lost, with the newer "a"
-        rest = third.delta_for(asker.vector, 10)
-        asker.merge(rest.items, rest.vector)
-        assert (("k", "a") in asker.items) == reached
+        receiver.merge(page.items, page.vector)  # the sender is lost, with the newer "a"
+        rest = third.delta_for(receiver.vector, 10)
+        receiver.merge(rest.items, rest.vector)
+        assert (("k", "a") in receiver.items) == reached
 
 
 KEYS = st.sampled_from(["a", "b"])
@@ -220,23 +222,23 @@
     first = data.draw(st.lists(st.sampled_from(copies))) if copies else []
     shuffled = copies + first
     rng.shuffle(shuffled)
-    whole = end([copies])
-    assert end([first, shuffled]) == whole
-    assert end([[item] for item in shuffled]) == whole
-    assert end([copies, copies]) == whole
+    expected = end([copies])
+    assert end([first, shuffled]) == expected
+    assert end([[item] for item in shuffled]) == expected
+    assert end([copies, copies]) == expected
 
 
 def test_pages_end_while_writes_go_on_and_leave_no_entry() -> None:
-    sender, asker = Store("sender", 1000), Store("asker", 1000)
+    sender, receiver = Store("sender", 1000), Store("receiver", 1000)
     for number in range(100):
         sender.write("k", str(number), 1, {})
     pages = 0
-    while (lack := sender.delta_for(asker.vector, 10)).more:
-        assert set(lack.vector) == {PAGE_PREFIX + "sender"} and len(lack.items) == 10
-        asker.merge(lack.items, lack.vector)
+    while (delta := sender.delta_for(receiver.vector, 10)).more:
+        assert set(delta.vector) == {PAGE_PREFIX + "sender"} and len(delta.items) == 10
+        receiver.merge(delta.items, delta.vector)
         pages += 1
-        for number in range(5):  # replaced before and behind the page
+        for number in range(5):  # replaces items before and after the page
             sender.write("k", str(number * 20), pages + 1, {})
-    asker.merge(lack.items, lack.vector)
-    assert asker.items == sender.items and asker.vector == sender.vector
+    receiver.merge(delta.items, delta.vector)
+    assert receiver.items == sender.items and receiver.vector == sender.vector
     assert 10 <= pages <= 20
--- a/tests/mesh/test_replication_items.py
+++ b/tests/mesh/test_replication_items.py
@@ -1,4 +1,4 @@
-"""The merge law: a total order on version and content, the same in every process."""
+"""The order of items: total on version and content, and the same in every process."""
 
 from itertools import permutations
 
@@ -23,10 +23,10 @@
 
 
 def test_dropped_wins_at_its_version_only_and_stamps_count_for_nothing() -> None:
-    dropped, empty, newer = Item("k", "n", 2, None), Item("k", "n", 2, {}), Item("k", "n", 3, {})
-    assert outranks(dropped, empty) and outranks(newer, dropped) and not outranks(empty, dropped)
+    tombstone, empty, newer = Item("k", "n", 2, None), Item("k", "n", 2, {}), Item("k", "n", 3, {})
+    assert outranks(tombstone, empty) and outranks(newer, tombstone) and not outranks(empty, tombstone)
     assert same_content(empty, Item("k", "n", 2, {}, "s", 9))
-    assert not same_content(dropped, empty)
+    assert not same_content(tombstone, empty)
 
 
 def test_canonical_bytes_ignore_the_order_of_keys_at_every_depth() -> None:
--- a/tests/mesh/test_replication_membership_epochs.py
+++ b/tests/mesh/test_replication_membership_epochs.py
@@ -1,4 +1,4 @@
-"""Views: quorums of neighbouring epochs meet, and what is no view is told."""
+"""Views: quorums of neighbouring epochs overlap, and anything that is not a view is refused."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 def subsets(names: frozenset[str]) -> list[frozenset[str]]:
-    drawn = chain.from_iterable(combinations(sorted(names), size) for size in range(len(names) + 1))
-    return [frozenset(one) for one in drawn]
+    combined = chain.from_iterable(combinations(sorted(names), size) for size in range(len(names) + 1))
+    return [frozenset(one) for one in combined]
 
 
 @settings(max_examples=150, deadline=None)
@@ -35,22 +35,22 @@
 def test_quorums_of_neighbouring_epochs_meet(
     before: dict[str, Place], now: dict[str, Place], tolerance: Tolerance
 ) -> None:
-    """What one accepts by, the other hears of before it proposes or reads; each way between neighbours."""
+    """Every accept quorum of one overlaps every prepare quorum of the other, in both directions."""
     views = [View(1, before), View(2, now, before), View(3, now)]
     everybody = subsets(frozenset(before) | frozenset(now))
     for one, other in ((0, 1), (1, 0), (1, 1), (1, 2), (2, 1)):
         accepts = [some for some in everybody if views[one].durable(some, tolerance)]
-        hears = [some for some in everybody if views[other].overlaps(some, tolerance)]
-        assert accepts and hears and all(some & another for some in accepts for another in hears)
+        prepares = [some for some in everybody if views[other].overlaps(some, tolerance)]
+        assert accepts and prepares and all(some & another for some in accepts for another in prepares)
 
 
 def test_verdicts_are_kept_up_to_a_bound_and_are_of_one_tolerance() -> None:
     view = View(1, {str(number): Place("", "") for number in range(12)})
     few, many = Tolerance(1, 0, 0), Tolerance(9, 0, 0)
-    for have in subsets(view.names)[:: 4096 // (2 * MAX_CACHED_CHECKS)]:
-        assert view.durable(have, few) is (len(have) > 6)
-        assert view.durable(have, many) is (len(have) > 9)
-        assert view.overlaps(have, few) is (len(have) > 5)
+    for holders in subsets(view.names)[:: 4096 // (2 * MAX_CACHED_CHECKS)]:
+        assert view.durable(holders, few) is (len(holders) > 6)
+        assert view.durable(holders, many) is (len(holders) > 9)
+        assert view.overlaps(holders, few) is (len(holders) > 5)
         assert len(view._cached_checks) <= MAX_CACHED_CHECKS
     assert view == View(1, dict(view.members))
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    ("epoch", "told"),
+    ("epoch", "value"),
     [
         (0, {"now": {"a": ["z", "r"]}}),
         (MAX_EPOCH, {"now": {"a": ["z", "r"]}}),
@@ -84,6 +84,6 @@
         (1, {"now": {str(n): ["z", "r"] for n in range(MAX_MEMBERS + 1)}}),
     ],
 )
-def test_what_is_no_view_is_told(epoch: Any, told: Any) -> None:
+def test_what_is_no_view_is_told(epoch: Any, value: Any) -> None:
     with pytest.raises(ValueError, match="view|member"):
-        read_view(epoch, told)
+        read_view(epoch, value)
--- a/tests/mesh/test_replication_quorum.py
+++ b/tests/mesh/test_replication_quorum.py
@@ -1,4 +1,4 @@
-"""Durable sets meet, outlive every tolerated loss, and are met by whoever is said to overlap."""
+"""Durable sets overlap, survive every tolerated loss, and overlap every set that `overlaps` accepts."""
 
 from itertools import chain, combinations, product
 
@@ -21,12 +21,12 @@
 
 
 def subsets(names: set[str]) -> list[set[str]]:
-    drawn = chain.from_iterable(combinations(sorted(names), size) for size in range(len(names) + 1))
-    return [set(one) for one in drawn]
+    combined = chain.from_iterable(combinations(sorted(names), size) for size in range(len(names) + 1))
+    return [set(one) for one in combined]
 
 
 def losses(members: Members, tolerance: Tolerance) -> list[set[str]]:
-    """Every tolerated loss, by the words of the rule; members of unknown place may be in any."""
+    """Every tolerated loss as the rule defines it; members of unknown place may be in any area."""
     lost = [set(some) for some in combinations(members, min(tolerance.machines, len(members)))]
     for part, most in (("zone", tolerance.zones), ("region", tolerance.regions)):
         names = {getattr(place, part) for place in members.values()} - {""}
@@ -53,12 +53,12 @@
 @given(KNOWN, TOLERANCE)
 def test_nothing_more_than_the_rule_is_asked(members: Members, tolerance: Tolerance) -> None:
     every = set(members)
-    borne = [lost for lost in losses(members, tolerance) if lost != every]
-    if len(borne) < len(losses(members, tolerance)):
-        return  # some loss can't be borne: all members are asked, which the other test sees
-    for have in subsets(every):
-        assert durable(have, members, tolerance) == (
-            2 * len(have) > len(every) and all(have - lost for lost in borne)
+    tolerable = [lost for lost in losses(members, tolerance) if lost != every]
+    if len(tolerable) < len(losses(members, tolerance)):
+        return  # some loss is not tolerable: all members are needed, see the other test
+    for holders in subsets(every):
+        assert durable(holders, members, tolerance) == (
+            2 * len(holders) > len(every) and all(holders - lost for lost in tolerable)
         )
 
 
@@ -67,16 +67,18 @@
 def test_after_a_loss_whoever_overlaps_meets_what_is_left(members: Members, tolerance: Tolerance) -> None:
     every = set(members)
     unknown = [name for name, place in members.items() if not place.zone]
-    hearing = [one for one in subsets(every) if overlaps(one, members, tolerance)]
-    for zones in product("abc", repeat=min(len(unknown), 2)):  # the writer may know what the hearer does not
-        told = members | {name: Place(zone, AREA[zone]) for name, zone in zip(unknown, zones, strict=False)}
-        sets = [one for one in subsets(every) if durable(one, told, tolerance)]
-        for lost in losses(told, tolerance):
-            for heard in hearing:
-                if not heard & lost:
-                    assert all(heard & (kept - lost) for kept in sets)
-    for heard in hearing:
-        assert all(overlaps(heard | {name}, members, tolerance) for name in every)
+    overlapping = [one for one in subsets(every) if overlaps(one, members, tolerance)]
+    for zones in product(
+        "abc", repeat=min(len(unknown), 2)
+    ):  # the writer may know places that the reader does not
+        placed = members | {name: Place(zone, AREA[zone]) for name, zone in zip(unknown, zones, strict=False)}
+        sets = [one for one in subsets(every) if durable(one, placed, tolerance)]
+        for lost in losses(placed, tolerance):
+            for responders in overlapping:
+                if not responders & lost:
+                    assert all(responders & (kept - lost) for kept in sets)
+    for responders in overlapping:
+        assert all(overlaps(responders | {name}, members, tolerance) for name in every)
 
 
 @settings(max_examples=60, deadline=None)
@@ -109,6 +111,6 @@
     assert durable({"0", "1"}, members_of("aaa"), Tolerance(1, 0, 0))
     assert not durable({"0", "1"}, members_of("aab"), Tolerance(1, 1, 0))
     assert not durable({"0", "1"}, members_of("a b"), Tolerance(1, 1, 0))  # "1" may be in "a"
-    assert durable({"0", "1"}, members_of("   "), Tolerance(1, 0, 0))  # places that nobody asks for
+    assert durable({"0", "1"}, members_of("   "), Tolerance(1, 0, 0))  # places without a requirement
     assert not durable(set(), {}, one) and not durable({"0"}, {}, one)
     assert not durable({"x", "y", "0"}, members_of("abc"), Tolerance(0, 0, 0))
--- a/tests/mesh/test_replication_snapshot.py
+++ b/tests/mesh/test_replication_snapshot.py
@@ -1,5 +1,5 @@
-"""Snapshots: whoever takes one over any giver, with links lost at any page, ends with the copy it was of; and
-a store refuses one whose items are not those of its root."""
+"""Snapshots: a receiver ends with the copy of the sender, whichever links are lost, and a store refuses a
+snapshot whose items do not match its root digest."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -26,58 +26,60 @@
 
 
 def copied(source: str, of: Store) -> Store:
-    """The same content, by repair: another life's stamps, and a vector that claims nothing."""
+    """The same content by repair: stamps of another incarnation, and a vector without entries for it."""
     store = Store(source, 10_000)
     store.repair(of.items.values())
     return store
 
 
-def asks(taker: Store, giver: Store, most: int = PAGE) -> bool:
-    """One question and its answer; whether there is more."""
-    lack = giver.delta_for(taker.vector, most, snapshots=True)
-    changed = taker.merge_answer(lack.items, lack.vector)
+def pull_page(receiver: Store, sender: Store, most: int = PAGE) -> bool:
+    """Requests one answer and merges it; returns whether there is more."""
+    delta = sender.delta_for(receiver.vector, most, snapshots=True)
+    changed = receiver.merge_answer(delta.items, delta.vector)
     assert isinstance(changed, list)
-    return lack.more
+    return delta.more
 
 
-def snaps(store: Store) -> list[str]:
+def snapshot_entries(store: Store) -> list[str]:
     return [entry for entry in store.vector if entry.startswith(SNAPSHOT_PREFIX)]
 
 
 def test_who_lacks_most_gets_pages_by_key_and_the_vector_with_the_last() -> None:
-    giver, taker = filled("g", 40), Store("t", 100)
+    sender, receiver = filled("g", 40), Store("t", 100)
     seen = []
-    while asks(taker, giver):
-        seen.append(taker.vector)
-        assert "g" not in taker.vector and snaps(taker)
-        assert [item.name for item in taker.items.values()] == sorted(i.name for i in taker.items.values())
-    assert len(seen) == 5 and taker.items == giver.items and taker.vector == {"g": 40}
-    assert not giver.has_updates(taker.vector)
+    while pull_page(receiver, sender):
+        seen.append(receiver.vector)
+        assert "g" not in receiver.vector and snapshot_entries(receiver)
+        assert [item.name for item in receiver.items.values()] == sorted(
+            i.name for i in receiver.items.values()
+        )
+    assert len(seen) == 5 and receiver.items == sender.items and receiver.vector == {"g": 40}
+    assert not sender.has_updates(receiver.vector)
 
 
 def test_who_lacks_little_or_takes_none_gets_news() -> None:
-    giver, taker = filled("g", 40), Store("t", 100)
-    while asks(taker, giver):
+    sender, receiver = filled("g", 40), Store("t", 100)
+    while pull_page(receiver, sender):
         pass
     for number in range(15):
-        giver.write("k", f"{number:04}", 2, {})
-    lack = giver.delta_for(taker.vector, PAGE, snapshots=True)
-    assert len(lack.items) == PAGE and not any(entry.startswith(SNAPSHOT_PREFIX) for entry in lack.vector)
-    assert not any(entry.startswith(SNAPSHOT_PREFIX) for entry in giver.delta_for({}, PAGE).vector)
+        sender.write("k", f"{number:04}", 2, {})
+    delta = sender.delta_for(receiver.vector, PAGE, snapshots=True)
+    assert len(delta.items) == PAGE and not any(entry.startswith(SNAPSHOT_PREFIX) for entry in delta.vector)
+    assert not any(entry.startswith(SNAPSHOT_PREFIX) for entry in sender.delta_for({}, PAGE).vector)
 
 
 def test_what_the_giver_holds_and_does_not_claim_is_not_told_as_a_snapshot_again_and_again() -> None:
-    giver, taker, author = filled("g", 5), Store("t", 100), filled("a", 60)
-    giver.merge(author.items.values(), {})  # all of it, by another way than news
-    giver.write("k", "last", 1, {"v": "last"})
+    sender, receiver, author = filled("g", 5), Store("t", 100), filled("a", 60)
+    sender.merge(author.items.values(), {})  # all items, but not as updates
+    sender.write("k", "last", 1, {"v": "last"})
     for _ in range(2 * len(author.items) // PAGE):
-        if not asks(taker, giver):
+        if not pull_page(receiver, sender):
             break
-    assert ("k", "last") in taker.items and taker.vector["g"] == giver.vector["g"]
-    giver.write("k", "later", 1, {})
+    assert ("k", "last") in receiver.items and receiver.vector["g"] == sender.vector["g"]
+    sender.write("k", "later", 1, {})
     asked = 0
-    while ("k", "later") not in taker.items:
-        asks(taker, giver)
+    while ("k", "later") not in receiver.items:
+        pull_page(receiver, sender)
         asked += 1
         assert asked < 2 * len(author.items) // PAGE
 
@@ -95,126 +97,128 @@
 
 
 def test_what_changes_meanwhile_comes_after_the_moment() -> None:
-    giver, taker = filled("g", 40), Store("t", 100)
+    sender, receiver = filled("g", 40), Store("t", 100)
     number = 0
-    while asks(taker, giver):
+    while pull_page(receiver, sender):
         number += 1
-        giver.write("k", "0000", 1 + number, {})
-        giver.write("k", f"new{number}", 1, {})
-        giver.write("k", "0039", 1 + number, None)
+        sender.write("k", "0000", 1 + number, {})
+        sender.write("k", f"new{number}", 1, {})
+        sender.write("k", "0039", 1 + number, None)
         assert number < 20
-    assert taker.items == giver.items and taker.vector == giver.vector and not snaps(taker)
+    assert (
+        receiver.items == sender.items and receiver.vector == sender.vector and not snapshot_entries(receiver)
+    )
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.data())
 def test_any_giver_with_that_root_goes_on_whatever_is_lost_or_comes_twice(data: st.DataObject) -> None:
     first = filled("g", data.draw(st.integers(PAGE + 1, 60)))
-    givers = [first, copied("h", first), copied("i", first)]
-    taker = Store("t", 1000)
+    senders = [first, copied("h", first), copied("i", first)]
+    receiver = Store("t", 1000)
     late: list[tuple[list[Item], dict[str, int]]] = []
     pages = 0
     for _ in range(200):
-        giver = data.draw(st.sampled_from(givers))
+        sender = data.draw(st.sampled_from(senders))
         what = data.draw(st.sampled_from(("well", "lost", "twice", "late", "changed")))
         if what == "changed":
-            version = 1 + max(item.version for item in givers[0].items.values())
-            for one in givers:
+            version = 1 + max(item.version for item in senders[0].items.values())
+            for one in senders:
                 one.merge([Item("k", "0003", version, {}, "w", version)], {"w": version})
-        lack = giver.delta_for(taker.vector, PAGE, snapshots=True)
-        pages += bool(lack.items)
-        late.append((lack.items, lack.vector))
+        delta = sender.delta_for(receiver.vector, PAGE, snapshots=True)
+        pages += bool(delta.items)
+        late.append((delta.items, delta.vector))
         if what == "lost":
             continue
         for _ in range(1 + (what == "twice")):
-            assert isinstance(taker.merge_answer(lack.items, lack.vector), list)
+            assert isinstance(receiver.merge_answer(delta.items, delta.vector), list)
         if what == "late":
-            assert isinstance(taker.merge_answer(*data.draw(st.sampled_from(late))), list)
-        if taker.digests.root() == giver.digests.root() and not lack.more:
+            assert isinstance(receiver.merge_answer(*data.draw(st.sampled_from(late))), list)
+        if receiver.digests.root() == sender.digests.root() and not delta.more:
             break
-    assert taker.digests.root() == giver.digests.root()
-    for one in givers:  # what the vector claims is held
-        told = Store("u", 1000)
-        told.merge(taker.items.values(), {})
-        lack = one.delta_for(taker.vector, 1000)
-        assert isinstance(told.merge_answer(lack.items, lack.vector), list)
-        assert told.digests.root() == one.digests.root()
+    assert receiver.digests.root() == sender.digests.root()
+    for one in senders:  # everything that the vector covers is held
+        other = Store("u", 1000)
+        other.merge(receiver.items.values(), {})
+        delta = one.delta_for(receiver.vector, 1000)
+        assert isinstance(other.merge_answer(delta.items, delta.vector), list)
+        assert other.digests.root() == one.digests.root()
 
 
 def test_a_link_lost_midway_costs_no_page_again() -> None:
-    giver, taker = filled("g", 70), Store("t", 100)
-    other = copied("h", giver)
+    sender, receiver = filled("g", 70), Store("t", 100)
+    other = copied("h", sender)
     for _ in range(5):
-        asks(taker, giver)
+        pull_page(receiver, sender)
     rest = 0
     while True:
-        lack = other.delta_for(taker.vector, PAGE, snapshots=True)
-        taker.merge_answer(lack.items, lack.vector)
-        rest += len(lack.items)
-        if not lack.more:
+        delta = other.delta_for(receiver.vector, PAGE, snapshots=True)
+        receiver.merge_answer(delta.items, delta.vector)
+        rest += len(delta.items)
+        if not delta.more:
             break
-    assert rest == 35 and taker.digests.root() == giver.digests.root() and taker.vector == other.vector
+    assert rest == 35 and receiver.digests.root() == sender.digests.root() and receiver.vector == other.vector
 
 
 def test_a_life_that_ends_midway_begins_anew_and_a_moment_that_is_gone_too() -> None:
-    giver, taker = filled("g", 70), Store("t", 100)
+    sender, receiver = filled("g", 70), Store("t", 100)
     for _ in range(4):
-        asks(taker, giver)
+        pull_page(receiver, sender)
     again = Store("t2", 100)
-    again.restore(taker.items.values(), taker.vector)
-    assert not snaps(again) and len(again.items) == 4 * PAGE
-    while asks(again, giver):
+    again.restore(receiver.items.values(), receiver.vector)
+    assert not snapshot_entries(again) and len(again.items) == 4 * PAGE
+    while pull_page(again, sender):
         pass
-    assert again.items == giver.items
-    for number in range(MAX_OUTGOING_SNAPSHOTS + 1):  # that others ask for, each another
+    assert again.items == sender.items
+    for number in range(MAX_OUTGOING_SNAPSHOTS + 1):  # each requested by another receiver
         for name in range(PAGE + 1):
-            giver.write("k", f"{name:04}", 2 + number, {})
-        asks(Store(f"o{number}", 100), giver)
-    while asks(taker, giver):
+            sender.write("k", f"{name:04}", 2 + number, {})
+        pull_page(Store(f"o{number}", 100), sender)
+    while pull_page(receiver, sender):
         pass
-    assert taker.items == giver.items and not snaps(taker)
+    assert receiver.items == sender.items and not snapshot_entries(receiver)
 
 
 def test_what_does_not_have_its_root_is_told_and_its_vector_not_taken() -> None:
-    giver, taker = filled("g", 3 * PAGE), Store("t", 100)
-    asks(taker, giver)
-    asks(taker, giver)
-    last = giver.delta_for(taker.vector, PAGE, snapshots=True)
+    sender, receiver = filled("g", 3 * PAGE), Store("t", 100)
+    pull_page(receiver, sender)
+    pull_page(receiver, sender)
+    last = sender.delta_for(receiver.vector, PAGE, snapshots=True)
     harmed = [*last.items[:-1], Item("k", last.items[-1].name, 1, {"v": "?"}, "g", 3 * PAGE)]
-    assert isinstance(taker.merge_answer(harmed, last.vector), DigestMismatch)
-    assert "g" not in taker.vector and not snaps(taker)
-    assert giver.has_updates(taker.vector)
+    assert isinstance(receiver.merge_answer(harmed, last.vector), DigestMismatch)
+    assert "g" not in receiver.vector and not snapshot_entries(receiver)
+    assert sender.has_updates(receiver.vector)
 
 
 def test_pages_are_bounded_in_bytes_and_one_item_goes_whatever_its_size() -> None:
-    giver = filled("g", 30, size=1000)
-    assert len(giver.delta_for({}, 100, max_bytes=5000).items) == 4
-    assert len(giver.delta_for({}, 5, max_bytes=3000, snapshots=True).items) == 2
-    assert len(limit_bytes(giver.items.values(), 1)) == 1
+    sender = filled("g", 30, size=1000)
+    assert len(sender.delta_for({}, 100, max_bytes=5000).items) == 4
+    assert len(sender.delta_for({}, 5, max_bytes=3000, snapshots=True).items) == 2
+    assert len(limit_bytes(sender.items.values(), 1)) == 1
     for snapshots in (False, True):
-        taker = Store("t", 100)
+        receiver = Store("t", 100)
         for _ in range(100):
-            lack = giver.delta_for(taker.vector, 5, 3000, snapshots)
-            taker.merge_answer(lack.items, lack.vector)
-            if not lack.more:
+            delta = sender.delta_for(receiver.vector, 5, 3000, snapshots)
+            receiver.merge_answer(delta.items, delta.vector)
+            if not delta.more:
                 break
-        assert taker.items == giver.items and taker.vector == giver.vector
+        assert receiver.items == sender.items and receiver.vector == sender.vector
 
 
 def test_moments_and_takings_are_bounded() -> None:
-    giver = filled("g", 2 * PAGE)
+    sender = filled("g", 2 * PAGE)
     for number in range(5):
         for name in range(PAGE + 1):
-            giver.write("k", f"{name:04}", 2 + number, {})
-        asks(Store("t", 100), giver)
-    assert len(giver._outgoing.roots()) == MAX_OUTGOING_SNAPSHOTS
+            sender.write("k", f"{name:04}", 2 + number, {})
+        pull_page(Store("t", 100), sender)
+    assert len(sender._outgoing.roots()) == MAX_OUTGOING_SNAPSHOTS
     for _ in range(9):
-        asks(Store("t", 100), giver)  # of one moment, for all that come
-    assert len(giver._outgoing.roots()) == MAX_OUTGOING_SNAPSHOTS
-    taking, taker = IncomingSnapshots(), Store("t", 100)
+        pull_page(Store("t", 100), sender)  # one snapshot for all receivers
+    assert len(sender._outgoing.roots()) == MAX_OUTGOING_SNAPSHOTS
+    incoming, receiver = IncomingSnapshots(), Store("t", 100)
     items = [Item("k", "a", 1, {})]
     for number in range(MAX_INCOMING_SNAPSHOTS + 3):
-        taking.add_page(f"{number:016x}", 1, items)
-        taker.merge_answer(items, {f"{SNAPSHOT_PREFIX}{number:016x}": 1})
-    assert not taking.has_begun(f"{0:016x}") and taking.has_begun(f"{MAX_INCOMING_SNAPSHOTS + 2:016x}")
-    assert len(snaps(taker)) == MAX_INCOMING_SNAPSHOTS
+        incoming.add_page(f"{number:016x}", 1, items)
+        receiver.merge_answer(items, {f"{SNAPSHOT_PREFIX}{number:016x}": 1})
+    assert not incoming.has_begun(f"{0:016x}") and incoming.has_begun(f"{MAX_INCOMING_SNAPSHOTS + 2:016x}")
+    assert len(snapshot_entries(receiver)) == MAX_INCOMING_SNAPSHOTS
--- a/tests/mesh/test_replication_store.py
+++ b/tests/mesh/test_replication_store.py
@@ -1,13 +1,13 @@
-"""One store: what writes and merges change, what is answered, and every bound."""
+"""One store: the effects of writes and merges, the answers, and the bounds."""
 
 from mesh.replication.items import Item
 from mesh.replication.store import MAX_PAGED_ANSWERS, MAX_UNREFERENCED_SOURCES, PAGE_PREFIX, Store
 from mesh.replication.store_answers import Delta, StoreFull
 
 
-def pull(asker: Store, sender: Store) -> list[Item]:
-    lack = sender.delta_for(asker.vector, 100)
-    changed = asker.merge(lack.items, lack.vector)
+def pull(receiver: Store, sender: Store) -> list[Item]:
+    delta = sender.delta_for(receiver.vector, 100)
+    changed = receiver.merge(delta.items, delta.vector)
     assert isinstance(changed, list)
     return changed
 
@@ -16,9 +16,9 @@
     store = Store("s", 10)
     assert store.write("k", "a", 1, {"x": 1}) == Item("k", "a", 1, {"x": 1}, "s", 1)
     assert store.write("k", "a", 1, {"x": 1}) is None
-    taken = store.write_all([("k", "b", 1, {}), ("k", "a", 1, {"x": 1}), ("k", "b", 2, {})])
-    assert isinstance(taken, list)
-    assert [(item.name, item.number) for item in taken] == [("b", 2), ("b", 3)]
+    written = store.write_all([("k", "b", 1, {}), ("k", "a", 1, {"x": 1}), ("k", "b", 2, {})])
+    assert isinstance(written, list)
+    assert [(item.name, item.number) for item in written] == [("b", 2), ("b", 3)]
     assert store.vector == {"s": 3}
 
 
@@ -66,7 +66,7 @@
     assert set(store.items) == {("k", "a")} and store.vector == {"s": 1}
     assert isinstance(store.write_all([("k", "b", 1, {}), ("k", "b", 2, {})]), list)
     assert isinstance(store.write("k", "c", 1, {}), StoreFull)
-    assert isinstance(store.write("k", "b", 3, None), Item)  # what is held may change
+    assert isinstance(store.write("k", "b", 3, None), Item)  # held items may change
 
     others = [Item("k", name, 1, {}, "t", number) for number, name in enumerate("cdef", 1)]
     full = store.merge(others, {"t": 4})
@@ -110,11 +110,11 @@
         a.merge([Item("k", "x", number, {}, f"life{number}", 1)], {f"life{number}": 1})
     assert len(a.vector) == MAX_UNREFERENCED_SOURCES + 1 and "life4" not in a.vector and "life5" in a.vector
     pull(b, a)
-    assert set(b.vector) == {f"life{lives}"}  # the one that an item bears
+    assert set(b.vector) == {f"life{lives}"}  # the only one with an item
     assert not a.has_updates(b.vector) and not b.has_updates(a.vector)
     a.write("k", "x", lives + 1, {})
     a.merge([Item("k", "x", lives + 2, {}, "z", 1)], {"z": 1})
-    assert a.vector["a"] == 1 and a.has_updates(b.vector)  # its own it keeps and tells, for it waits for it
+    assert a.vector["a"] == 1 and a.has_updates(b.vector)  # it sends its own entry, since it waits for it
     pull(b, a)
     assert b.vector["a"] == 1 and not a.has_updates(b.vector)
 
@@ -123,7 +123,7 @@
     store = Store("s", 10)
     store.write("k", "own", 1, {})
     store.merge([Item("k", "own", 2, {}, "t", 1)], {"t": 1, "back": 3})
-    store.merge([Item("k", "x", 1, {}, "back", 4)], {"back": 4})  # borne again
+    store.merge([Item("k", "x", 1, {}, "back", 4)], {"back": 4})  # has an item again
     for number in range(MAX_UNREFERENCED_SOURCES + 5):
         store.merge([], {f"life{number}": 1})
     assert {"s", "t", "back"} <= store.vector.keys() and len(store.vector) == MAX_UNREFERENCED_SOURCES + 3
@@ -155,7 +155,7 @@
     for number in range(MAX_PAGED_ANSWERS):
         store.merge([], {f"{PAGE_PREFIX}{number}": 1})
     store.merge([], {f"{PAGE_PREFIX}0": 5})
-    store.merge([], {f"{PAGE_PREFIX}0": 3, f"{PAGE_PREFIX}more": 1})  # the first one late and doubled
+    store.merge([], {f"{PAGE_PREFIX}0": 3, f"{PAGE_PREFIX}more": 1})  # the first one is late and duplicated
     assert len(store.vector) == MAX_PAGED_ANSWERS
     assert store.vector[f"{PAGE_PREFIX}0"] == 5 and f"{PAGE_PREFIX}1" not in store.vector
     store.merge([], {f"{PAGE_PREFIX}0": 0})
@@ -194,7 +194,7 @@
     for number in range(5_000):
         store.write("k", str(number), 1, {})
     for version in range(2, 500):
-        store.write("k", "hot", version, {})  # replaced stamps leave nothing to be walked past
+        store.write("k", "hot", version, {})  # replaced stamps leave no entries behind
     asked = {"s": store.vector["s"] - 400}
     counted = store.items = Counted(store.items)
     assert [item.name for item in store.delta_for(asked, 100).items] == ["hot"]
