--- a/tests/mesh/test_answer_world.py
+++ b/tests/mesh/test_answer_world.py
@@ -19,7 +19,8 @@
 from rigs.call_world import TROUBLES
 from simulation.mesh.seeds import Patch
 
-# HTTP's own, those that promise, and some that HTTP does not know; with 421 no upstream has run a request.
+# Statuses of HTTP, those that promise that nothing has run, and some unknown to HTTP. With 421 no upstream
+# has run a request.
 STATUSES = (200, 204, 299, 302, 400, 404, 408, 429, 499, 500, 502, 503, 504, 520, 599)
 OWN = UpstreamAnswer(200)
 
@@ -50,7 +51,7 @@
     assert world.played() == [], world.struck
 
 
-# Seeded faults in the shipped code, each with the word by which it is found
+# Seeded faults in the shipped code, each with the text by which it is found
 
 
 def passes_headers_on_with_a_status_of_its_own(patch: Patch) -> None:
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -328,7 +328,7 @@
     mesh: Mesh, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(mesh.cores[0].disk_writer, "last_refusal", "no space left")
-    monkeypatch.setattr(mesh.sides[1].upstream, "heard", -1e9)
+    monkeypatch.setattr(mesh.sides[1].upstream, "heartbeat_at", -1e9)
     found = {one["kind"]: one for one in told(mesh, "doctor", code=1)}
     assert found["disk refuses"]["subject"] == "core-0" and found["no beats"]["subject"] == "side-1"
     assert all(one["mend"] for one in found.values())
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -1,4 +1,4 @@
-"""The rings of the last calls: bounded in number and in bytes, and free of what the calls carried."""
+"""The rings of the latest calls: bounded in number and in bytes, without the bodies of the calls."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mesh.data_plane.introspection import why
 from mesh.data_plane.traces import MAX_TRIES, RING_SIZE, FirstHopTraces, Ring, SecondHopTraces, describe_end
 
-MOST_BYTES = 6000  # of the largest entry, with all that it alone holds
+MOST_BYTES = 6000  # of the largest entry, with everything that only it refers to
 
 
 def asked(attempt: str, tries: int = 1, taken: float = 0.0, **fields: Any) -> Any:
@@ -39,7 +39,7 @@
 
 
 def weight(thing: Any) -> int:
-    """Bytes of it and of all that it refers to, types and classes left out."""
+    """Bytes of an object and of all that it refers to, except types and classes."""
     seen: dict[int, int] = {}
     todo = [thing]
     while todo:
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -1,4 +1,4 @@
-"""Clients' connections and what becomes of their requests: one whole sidecar, beside a stand-in."""
+"""Client connections and their requests: one complete sidecar beside a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Sidecar:
-    """Of the service "me", beside an upstream of the service "s"."""
+    """A sidecar of the service "me", beside an upstream of the service "s"."""
 
     def __init__(self, upstream: Upstream, rules: tuple[dict[str, Any], ...]) -> None:
         event_log = EventLog("t", io.StringIO())
@@ -107,7 +107,7 @@
     return message.target.rpartition(b"/")[2].decode()
 
 
-# What goes on, and what comes back
+# Requests passed on, and their responses
 
 
 def test_requests_and_answers_are_passed_on_unchanged_with_our_own_headers_whatever_was_sent() -> None:
@@ -193,7 +193,7 @@
         client.send("a1", path)
         await sidecar.came()
         await until(lambda: not sidecar.upstream_dispatch.running)
-        move(6.0)  # where it may be tried again, it waits for somebody that has room
+        move(6.0)  # an idempotent request waits for an upstream with room
         answer = await client.read()
         assert answer and answer.status == status, answer
         assert (answer.get(b"retry-after") is not None) is (status == 503)
@@ -216,7 +216,7 @@
     beside(test, by_path)
 
 
-# Requests that are answered here
+# Requests answered by the sidecar
 
 
 def test_no_route_is_404_with_a_configuration_and_503_without() -> None:
@@ -227,7 +227,7 @@
         sidecar.known = False
         answer = await client.ask("a2", "/other/x")
         assert answer.status == 503 and float(answer.get(b"retry-after") or "0") > 0.0
-        assert (await client.ask("a3", "/read/x")).status == 200  # what is known is served
+        assert (await client.ask("a3", "/read/x")).status == 200  # a known route is served
         sidecar.routes.remove("read")
         assert (await client.ask("a4", "/read/x")).status == 503
 
@@ -291,7 +291,7 @@
     beside(test)
 
 
-# Requests one behind another
+# Pipelined requests
 
 
 def test_idempotent_requests_run_at_once_and_are_answered_in_their_order() -> None:
@@ -301,9 +301,7 @@
         for attempt in ("a2", "a3", "a4"):
             client.send(attempt, "/read/ok")
         assert {await sidecar.came() for _ in range(4)} == {"a1", "a2", "a3", "a4"}
-        await until(
-            lambda: len(sidecar.upstream_dispatch.running) == 1
-        )  # the others have been answered to us
+        await until(lambda: len(sidecar.upstream_dispatch.running) == 1)  # the others are answered
         (connection,) = sidecar.client_listener._connections
         assert len(connection._slots) == 4  # type: ignore[attr-defined]
         sidecar.upstream.release.set()
@@ -452,7 +450,7 @@
 
 
 def test_at_an_end_what_stands_in_the_kernel_behind_an_answer_is_read_and_answered_too() -> None:
-    """Closing on unread input would reset the connection, and the answer with it."""
+    """Closing a connection with unread input would reset it and lose the response."""
 
     async def test(sidecar: Sidecar) -> None:
         client = await sidecar.client()
@@ -462,7 +460,7 @@
         await until(lambda: sidecar.client_listener._listener is None)
         (connection,) = sidecar.client_listener._connections
         assert connection.transport is not None
-        connection.transport.pause_reading()  # as if it came in the same turn of the loop as the answer
+        connection.transport.pause_reading()  # as if it arrived in the same step as the response
         client.send("a2", "/read/ok")
         await until(lambda: unread(connection.transport.get_extra_info("socket")))  # type: ignore[union-attr]
         sidecar.upstream.release.set()
--- a/tests/mesh/test_data_plane_membership.py
+++ b/tests/mesh/test_data_plane_membership.py
@@ -1,4 +1,5 @@
-"""Who there is, as items say: found by node and by service, without a search of all."""
+"""The membership from items: nodes and instances are found by node and by service, without a search of
+all."""
 
 from __future__ import annotations
 
@@ -27,7 +28,7 @@
     )
     known.apply([at("i1", 2, "n2"), gone("i2", 2)])
     assert (known.instances_at("n1"), known.instances_at("n2")) == ([], ["i3", "i1"])
-    known.apply([gone("i9", 1)])  # of one that was never known here
+    known.apply([gone("i9", 1)])  # of an instance that was never known here
     assert known.instances_at("n2") == ["i3", "i1"]
 
 
--- a/tests/mesh/test_data_plane_request_dispatch.py
+++ b/tests/mesh/test_data_plane_request_dispatch.py
@@ -1,4 +1,4 @@
-"""What the first hop sends on of a request."""
+"""Which parts of a request the first hop passes on."""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_data_plane_rollouts.py
+++ b/tests/mesh/test_data_plane_rollouts.py
@@ -1,5 +1,5 @@
-"""LOST around planned work on live traffic: each request that was read whole gets a whole answer, whatever is
-changed and told meanwhile."""
+"""No request is lost during planned changes on live traffic: each complete request gets a complete response,
+whatever is changed meanwhile."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Traffic:
-    """Clients that send on until they are told to stop or no connection is taken; some send ahead. Where an
-    answer ends their connection they open the next."""
+    """Clients that send until they are stopped or no connection is accepted; some pipeline. When a response
+    closes their connection they open the next one."""
 
     def __init__(self, there: Beside, paths: tuple[str, ...]) -> None:
         self.there, self.paths = there, paths
         self.stopped = False
         self.sent = self.answered = 0
-        self.lost: list[str] = []  # ran, and its connection ended without its answer
+        self.lost: list[str] = []  # ran, but the connection closed without a response
         self.failed: list[tuple[str, int]] = []
 
     async def client(self, name: str, ahead: int) -> None:
@@ -48,7 +48,7 @@
                 connection = None
 
     async def _answers(self, connection: Client, burst: list[str]) -> bool:
-        """Whether the connection goes on."""
+        """Whether the connection stays open."""
         for at, attempt in enumerate(burst):
             try:
                 answer = await connection.read()
@@ -69,7 +69,7 @@
 
 
 def change(there: Beside, number: int) -> None:
-    """One change of everything that a configuration holds, and the settings told anew."""
+    """Changes each kind of configuration item once and applies the settings again."""
     rule = route(
         "read", "/read/", "s", horizon_ms=30_000 - number, setpoint_ms=500 + number, trials=1 + number % 3
     )
@@ -134,11 +134,11 @@
         before = traffic.answered
         await until(lambda: traffic.answered > before + 50)
         move(NOTICE_S)
-        await soon(asyncio.gather(*clients))  # no connection is taken any more
+        await soon(asyncio.gather(*clients))  # no connection is accepted any more
         move(2.0)
         await soon(ends)
         assert traffic.lost == []
-        assert {status for _, status in traffic.failed} <= {503}  # its own upstream takes nothing new
+        assert {status for _, status in traffic.failed} <= {503}  # its own upstream accepts nothing new
 
     beside(tmp_path, test)
 
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -1,4 +1,4 @@
-"""From SIGTERM to the exit: each way on which a request, a call or a connection ends, at its points."""
+"""From SIGTERM to the exit: how requests, calls and connections end at each step."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 
 def ending(there: Beside) -> asyncio.Task[None]:
-    """The end, begun."""
+    """Starts the shutdown."""
     return asyncio.get_running_loop().create_task(there.proxy.stop())
 
 
 async def passed(seconds: float) -> None:
-    """So much time, in steps in which what is due happens."""
+    """Lets time pass in steps, running what is due."""
     for _ in range(max(round(seconds / 0.05), 1)):
         move(0.05)
         await turns()
 
 
 def keep(there: Beside) -> None:
-    """Its own upstream takes calls on, as another sidecar's would: the clients' side alone ends."""
+    """Its own upstream accepts calls, like another sidecar's: only the client side shuts down."""
     there.proxy.upstream.shut_down = lambda _: []  # type: ignore[method-assign]
 
 
-# When
+# Times
 
 
 @pytest.mark.parametrize("grace_s", [0.5, 2.5, 6.0, 20.0, 600.0])
@@ -60,11 +60,12 @@
     assert max_idle_s(grace_s) >= 1.0
 
 
-# Connections of clients
+# Client connections
 
 
 def test_two_answers_that_are_ready_one_behind_the_other_end_their_connection(tmp_path: Path) -> None:
-    """The fault behind docs/incidents/cut-long-after-sigterm.md: each took the other one for the last."""
+    """Guards against the fault of docs/incidents/cut-long-after-sigterm.md: of two ready responses each took
+    the other for the last one."""
 
     async def test(there: Beside) -> None:
         keep(there)
@@ -93,7 +94,7 @@
     async def test(there: Beside) -> None:
         keep(there)
         client = await there.client()
-        client.write(b"GET /read/ok HTTP/1.1\r\nhost: h.example\r\n")  # half of it
+        client.write(b"GET /read/ok HTTP/1.1\r\nhost: h.example\r\n")  # a part of it
         (connection,) = there.proxy.client_listener._connections
         await until(lambda: connection.reader.partial)
         ends = ending(there)
@@ -140,7 +141,7 @@
         await turns()
         await passed(1.9)
         assert there.proxy.client_listener.held() == 1
-        answer = await client.ask("a2", "/read/ok")  # in time, and served; its connection ends with it
+        answer = await client.ask("a2", "/read/ok")  # in time, so it is served; its connection closes with it
         assert (answer.status, answer.get(b"connection"), answer.get(b"keep-alive")) == (200, "close", None)
         client.leave()
         await passed(NOTICE_S)
@@ -157,7 +158,7 @@
         await passed(2.0)
         await late.ask("a2", "/read/ok")
         bounds = replace(there.proxy.settings.bounds, grace_s=2.5)
-        there.proxy.retune(replace(there.proxy.settings, bounds=bounds))  # clients are told less from now on
+        there.proxy.retune(replace(there.proxy.settings, bounds=bounds))  # announces a shorter time
         assert there.proxy.client_listener.idle_s == 1
         bounds = replace(there.proxy.settings.bounds, grace_s=GRACE_S)
         there.proxy.settings = replace(there.proxy.settings, bounds=bounds)
@@ -195,7 +196,7 @@
         keep(there)
         ends = ending(there)
         await passed(NOTICE_S - 0.1)
-        connection = socket.create_connection(there.outbound)  # stands in the backlog
+        connection = socket.create_connection(there.outbound)  # waits in the backlog
         move(0.2)
         await until(lambda: there.proxy.client_listener._listener is None)
         assert there.proxy.client_listener.held() == 1
@@ -250,9 +251,9 @@
         await turns()
         there.upstream.release.set()
         (connection,) = there.proxy.client_listener._connections
-        await until(lambda: connection.refused)  # written, and not taken by the kernel
+        await until(lambda: connection.refused)  # written, but not accepted by the kernel
         assert connection.transport is not None and connection.transport.get_write_buffer_size()
-        await passed(NOTICE_S + 0.5)  # longer than what a client that has its answer is waited for
+        await passed(NOTICE_S + 0.5)  # longer than the wait for a client that has its response
         assert not ends.done()
         answer = await client.read()
         assert answer is not None and answer.body.endswith(body)
@@ -274,11 +275,11 @@
             monitored(event, **values),
         )
         clients = [await there.client() for _ in range(10)]
-        for at, client in enumerate(clients):  # of nine places at an upstream of eight
+        for at, client in enumerate(clients):  # nine for an upstream with eight slots
             client.send(f"a{at}", "/read/hold", left_ms=30_000)
         await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         (waiting,) = (call for _, _, call in proxy.upstream_dispatch.queue._waiting)
-        proxy.upstream_dispatch.queue._expiries.clear()  # its patience lasts
+        proxy.upstream_dispatch.queue._expiries.clear()  # its wait does not end
         shutdown = Shutdown(proxy)
         shutdown._times = replace(shutdown._times, notice_s=0.1, exit_s=0.3)
         ends = asyncio.get_running_loop().create_task(shutdown.run())
@@ -288,9 +289,7 @@
         assert answer is not None and (answer.status, answer.get(b"connection")) == (503, "close")
         await soon(ends)
         assert (events.GIVEN_UP, {"requests": 9, "calls": 9}) in told
-        assert (
-            proxy.client_listener.held() >= 9
-        )  # the kernel ends them at the exit, without an answer of ours
+        assert proxy.client_listener.held() >= 9  # the kernel closes them at the exit, without a response
 
     beside(tmp_path, test, grace_s=GRACE_S)
 
@@ -299,7 +298,7 @@
 
 
 async def last_words(other: Other) -> list[object]:
-    """The heads that come until the link ends or nothing more does."""
+    """The heads received until the link ends or nothing more arrives."""
     found: list[object] = []
     while True:
         try:
@@ -327,7 +326,7 @@
         assert [one.last for one in words if isinstance(one, GoAway)] == [2]
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(there.peers)
-        other.send(3, "/read/ok")  # crosses it
+        other.send(3, "/read/ok")  # crosses GoAway
         await turns()
         assert len(there.upstream.seen) == 2 and link.owes == 0
         other.writer.close()
@@ -364,7 +363,7 @@
         assert isinstance(link.peer, IncomingCalls)
         link.peer.leave()
         assert await other.end() == NotExecuted(RejectReason.LEAVING)
-        other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest, too late
+        other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest arrives too late
         await turns()
         assert there.upstream.seen == [] and not link.peer.receiving and link.owes == 0
         assert there.proxy.request_dispatcher.bodies.held_bytes == 0
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -1,4 +1,4 @@
-"""What a sidecar says of the instances at its machine, beside what the others have of them."""
+"""What a sidecar publishes about the instances at its machine, compared with what the others have."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def told(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
-    """The others say so of an instance."""
+    """The others publish this about an instance."""
     item = proxy.roll.write(INSTANCE, instance, version, value)
     proxy._on_items("roll", [item])  # type: ignore[list-item]
 
@@ -36,7 +36,7 @@
 
 
 def state(proxy: Proxy, instance: str) -> str | None:
-    """As this sidecar's roll has it; None: it is gone."""
+    """The value in this sidecar's roll; None: removed."""
     found = proxy.roll.items[INSTANCE, instance].value
     return None if found is None else str(found["state"])
 
@@ -62,7 +62,7 @@
     async def test(there: Beside) -> None:
         proxy = there.proxy
         there.upstream.instance = "i-late"
-        proxy.upstream.heartbeat = None  # as it is before the first beat
+        proxy.upstream.heartbeat = None  # as before the first heartbeat
         told(proxy, "i-1", proxy.upstream.version + 1, value())
         told(proxy, "i-drains", 5000, value(state=DECAYING))
         proxy.registry.reconcile()
@@ -117,10 +117,10 @@
         await turns()
         assert told_in_turn and told_in_turn[-1] == DECAYING
         assert (await call(there.readiness, b"GET", b"/"))[0] == 503
-        for attempt in ("a1", "a2"):  # new connections are taken, and end with their answer
+        for attempt in ("a1", "a2"):  # new connections are accepted, and close with their response
             client = await there.client()
             answer = await client.ask(attempt, "/read/ok")
-            # its own upstream takes nothing new, and there is no other
+            # its own upstream accepts nothing new, and there is no other
             assert (answer.status, answer.get(b"connection")) == (503, "close")
             assert await client.read() is None
         assert proxy.client_listener._listener is not None
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -1,5 +1,5 @@
-"""What clients may send, how long they may rest, and how long they are waited for at an end: by the
-operators' item and the settings, on one whole sidecar."""
+"""Limits for clients on one complete sidecar, by the operators' item and the settings: sizes of requests,
+idle times, and waits during a shutdown."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
             else:
                 assert told.startswith(b"HTTP/1.1 503") and b"retry-after" in told
             assert bodies.held_bytes == 600
-        client = await there.client()  # one that does not say its length, and finds no more room on its way
+        client = await there.client()  # a body without a length, for which memory runs out midway
         assert (await client.ask("a3", "/read/ok", chunks=[b"x" * 300, b"x" * 101])).status == 503
         there.upstream.release.set()
         answer = await held.read()
@@ -203,7 +203,7 @@
         there.take("input_limits", "input_limits", TOLD)
         client_listener._most, client_listener._crowd = 10, 5.0
         clients = [await there.client() for _ in range(8)]
-        for at, client in enumerate(clients[:7]):  # beyond all shares of the room; one has not asked yet
+        for at, client in enumerate(clients[:7]):  # beyond all shares; one has sent no request yet
             assert (await client.ask(f"a{at}", "/read/ok")).status == 200
         await there.open(8)
         for _ in range(6):
@@ -211,7 +211,7 @@
             client_listener._sweep()
             await turns()
         late = await there.client()
-        await there.open(8)  # room is short: the one that never asked has gone for it, no other has
+        await there.open(8)  # connections are short: only the one that never sent a request was closed
         for at, client in enumerate(clients[:7]):
             assert (await client.ask(f"b{at}", "/read/ok")).status == 200
         assert (await late.ask("c", "/read/ok")).status == 200
@@ -235,7 +235,7 @@
         move(0.8 * 15.0)
         client_listener._sweep()
         assert (await early.ask("a1", "/read/ok")).status == 200
-        there.take("input_limits", "input_limits", None)  # without a word of theirs it may not
+        there.take("input_limits", "input_limits", None)  # without operators' limits it may not
         silent = await there.client()
         await there.open(2)
         move(IDLE_S + 0.1)
@@ -260,7 +260,7 @@
         async def noted(accept_s: float, exit_s: float | None = None) -> None:
             given.append((accept_s, exit_s))
             await stop(accept_s, exit_s)
-            given.append((-1.0, None))  # no more is waited
+            given.append((-1.0, None))  # the waiting ends
 
         monkeypatch.setattr(proxy.client_listener, "stop", noted)
         ends = loop.create_task(proxy.stop())
@@ -303,7 +303,7 @@
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
         writer.write(HEAD % (b"ok", b"a1", b"content-length: %d\r\n" % len(body)) + body)
         await until(lambda: connection.choked)
-        for _ in range(4):  # each longer than it is waited for without a byte
+        for _ in range(4):  # each longer than the wait without a byte
             client_listener._sweep()
             before = transport.get_write_buffer_size()
             while reads and transport.get_write_buffer_size() == before:
@@ -320,7 +320,7 @@
     beside(tmp_path, test)
 
 
-# Ends, and what changes under requests in hand
+# Shutdown, and changes while requests are open
 
 
 def test_at_an_end_calls_of_other_sidecars_are_waited_for_until_their_answers_have_left(
@@ -334,7 +334,7 @@
         ends = loop.create_task(proxy.stop())
         await turns()
         move(NOTICE_S)
-        await until(lambda: proxy.client_listener._listener is None)  # its clients' side has ended
+        await until(lambda: proxy.client_listener._listener is None)  # its client side has shut down
         assert not ends.done()
         there.upstream.release.set()
         await until(lambda: not proxy.upstream_dispatch.running)
@@ -374,7 +374,7 @@
         async def ready() -> bool:
             return (await call(there.readiness, b"GET", b"/"))[0] == 200
 
-        assert not await ready()  # it has a route, and nobody that is whole has told it all
+        assert not await ready()  # it has a route, but no complete control process has sent everything
         there.proxy.channels.whole_at = asyncio.get_running_loop().time()
         assert await ready()
         ends = asyncio.get_running_loop().create_task(there.proxy.stop())
@@ -387,10 +387,9 @@
 
 
 def test_who_knows_the_members_alone_has_no_configuration_yet(tmp_path: Path) -> None:
-    """Seen: in seed 39 of the soak a proxy refused the first routes with 404 as they were added. How: in a
-    first start the members come before the operators' first call is decided. Cause: any item counted as the
-    configuration, that of the members too. Proof: that proxy's log has one item in force before the first
-    six."""
+    """At a first start the members' items arrive before the operators' first configuration. If any item
+    counted as configuration, the proxy would be ready too early and refuse the first routes with 404 while
+    they are added (seen in seed 39 of the soak)."""
 
     async def test(there: Beside) -> None:
         proxy = there.proxy
@@ -408,7 +407,7 @@
     beside(tmp_path, test)
 
 
-# What the upstream beside it is told
+# Commands of the upstream
 
 
 def test_a_drain_and_a_leave_are_acknowledged_at_once_and_calls_pass_for_a_part_of_its_time(
@@ -427,7 +426,7 @@
             proxy.upstream_dispatch.accept(passing(attempt, "/read/ok"), ended.set_result)
             return await soon(ended)
 
-        assert await told(b"PUT", b"no beat") == 400  # and nothing of it is taken
+        assert await told(b"PUT", b"no beat") == 400  # and nothing of it is applied
         assert await told(b"PUT", upstream.beat("decaying")) == 200
         assert isinstance(await passes("b1"), UpstreamResponse)
         move(0.9 * DRAIN_SHARE * 2.0)
@@ -437,7 +436,7 @@
         assert await passes("b3") == NotExecuted(RejectReason.LEAVING)
         assert await told(b"DELETE") == 200 and await told(b"DELETE") == 200
         assert await passes("b4") == NotExecuted(RejectReason.DOWN)
-        assert await told(b"PUT", upstream.beat()) == 200  # late: that life is over
+        assert await told(b"PUT", upstream.beat()) == 200  # late: that incarnation has ended
         assert await passes("b5") == NotExecuted(RejectReason.DOWN)
 
     beside(tmp_path, test)
@@ -448,7 +447,7 @@
         proxy = there.proxy
         value = {"plant": "s", "node": "n1", "zone": "z", "epoch": "", "capacity": 8, "state": "decaying"}
         item = proxy.roll.write("instance", "i-9", 5000, {**value, "cold_ms": 0.0})
-        proxy.upstream.heartbeat = None  # as it is before the first beat
+        proxy.upstream.heartbeat = None  # as before the first heartbeat
         proxy._on_items("roll", [item])  # type: ignore[list-item]
         proxy.registry.reconcile()
         ended: list[End] = []
