--- a/mesh/replication/acceptor.py
+++ b/mesh/replication/acceptor.py
@@ -100,7 +100,7 @@
         self.promises: dict[Slot, Ballot] = {}
         self.votes: dict[Slot, Vote] = {}
         self.decided: dict[Key, tuple[int, Value]] = {}  # the highest version decided, by key
-        self.past_digests: dict[Key, dict[int, str]] = {}  # digests of lower decided versions, with /tag
+        self.past_digests: dict[Key, dict[int, str]] = {}  # of lower decided versions, with any /tag
         self.tags: dict[Slot, str] = {}  # of latest decisions, see Decision
         self.unknown_up_to: dict[Key, int] = {}  # versions up to this may have been decided
         self._collected_up_to = collected_up_to
--- a/mesh/replication/membership_epochs.py
+++ b/mesh/replication/membership_epochs.py
@@ -52,21 +52,21 @@
         read quorum. False without members."""
         return self._check(False, responders, tolerance)
 
-    def _check(self, to_accept: bool, members_in: Collection[str], tolerance: Tolerance) -> bool:
+    def _check(self, to_accept: bool, names: Collection[str], tolerance: Tolerance) -> bool:
         """Cached, because the same sets are checked many times a second."""
-        key = (to_accept, frozenset(members_in), tolerance)
-        found = self._cached_checks.get(key)
-        if found is None:
-            found = all(
-                durable(members_in, members, tolerance)
+        key = (to_accept, frozenset(names), tolerance)
+        satisfied = self._cached_checks.get(key)
+        if satisfied is None:
+            satisfied = all(
+                durable(names, members, tolerance)
                 if to_accept
-                else bool(members) and overlaps(members_in, members, tolerance)
+                else bool(members) and overlaps(names, members, tolerance)
                 for members in self._member_sets()
             )
             if len(self._cached_checks) >= MAX_CACHED_CHECKS:
                 self._cached_checks.clear()
-            self._cached_checks[key] = found
-        return found
+            self._cached_checks[key] = satisfied
+        return satisfied
 
     def _member_sets(self) -> list[Mapping[str, Place]]:
         return [self.members] if self.previous_members is None else [self.previous_members, self.members]
--- a/mesh/replication/proposer.py
+++ b/mesh/replication/proposer.py
@@ -73,14 +73,13 @@
 
 
 class Unresolved(Struct, frozen=True):
-    """The batch may be decided, in part, or may be decided later."""
+    """The batch may be decided, also in part, now or later."""
 
     reason: str
 
 
 class Proposer:
-    """Proposes one batch, or (``adopts``) brings open votes, given by their slots alone, to whatever
-    decision.
+    """Proposes one batch, or (``adopts``) completes open votes, given by their slots alone, with any value.
 
     The host sends the results of `prepare` and `promised` to all members of the view, passes their answers
     in, and starts a new ballot after a random delay when it gets `Retry`; it stops when its time is over.
@@ -242,10 +241,10 @@
                 f"another order has {format_slot(conflict)}, and some members may hold votes of this one"
             )
         step = "accept" if self._accept is not None else "prepare"
-        responders = (
+        members = (
             ", ".join(sorted(self._accepted_by if self._accept is not None else self._promises)) or "none"
         )
-        return Unresolved(f"{step}: answered by {responders} of {len(self.view.names)}")
+        return Unresolved(f"{step}: answered by {members} of {len(self.view.names)}")
 
     def _open_slots(self) -> list[Slot]:
         closed = self.decided_digests.keys() | self.forgotten | self._empty_slots
--- a/mesh/replication/quorum.py
+++ b/mesh/replication/quorum.py
@@ -50,20 +50,20 @@
 def _durable(
     holders: Collection[str], members: Mapping[str, Place], tolerance: Tolerance, *, count_unknown: bool
 ) -> bool:
-    held = members.keys() & set(holders)
-    if 2 * len(held) <= len(members):
+    holding = members.keys() & set(holders)
+    if 2 * len(holding) <= len(members):
         return False
-    if len(held) == len(members):
+    if len(holding) == len(members):
         return True
     zones = {name: place.zone for name, place in members.items()}
     regions = {name: place.region for name, place in members.items()}
     return (
-        len(held) > tolerance.machines
-        and (tolerance.zones == 0 or _distinct(held, zones, count_unknown) > tolerance.zones)
-        and (tolerance.regions == 0 or _distinct(held, regions, count_unknown) > tolerance.regions)
+        len(holding) > tolerance.machines
+        and (tolerance.zones == 0 or _distinct(holding, zones, count_unknown) > tolerance.zones)
+        and (tolerance.regions == 0 or _distinct(holding, regions, count_unknown) > tolerance.regions)
     )
 
 
-def _distinct(held: Collection[str], areas: Mapping[str, str], count_unknown: bool) -> int:
-    known = {areas[name] for name in held if areas[name]}
-    return len(known) + (sum(not areas[name] for name in held) if count_unknown else 0)
+def _distinct(holding: Collection[str], area_by_name: Mapping[str, str], count_unknown: bool) -> int:
+    known = {area_by_name[name] for name in holding if area_by_name[name]}
+    return len(known) + (sum(not area_by_name[name] for name in holding) if count_unknown else 0)
--- a/mesh/replication/restore.py
+++ b/mesh/replication/restore.py
@@ -29,7 +29,6 @@
     view of the backup to restore, epoch 0 if it has none, or None without a backup.
     """
     complete = {address for address, disk_counts in reached.items() if disk_counts}
-
     if view.overlaps(complete & view.names, tolerance):
         return "enough of those who count are here: nothing is to be restored; wait, or look at status"
     for address in sorted(lost):
--- a/mesh/replication/snapshot.py
+++ b/mesh/replication/snapshot.py
@@ -17,9 +17,7 @@
 from mesh.replication.digest import item_hash
 from mesh.replication.items import Item
 
-SNAPSHOT_PREFIX = (
-    "snap:"  # before a root: a vector entry that counts the items of that snapshot, in key order
-)
+SNAPSHOT_PREFIX = "snap:"  # before a root: a vector entry that counts the items of that snapshot
 SNAPSHOTS_FEATURE = "snapshots"  # announced by a process that supports them
 SNAPSHOT_DIVISOR = 2  # a snapshot is sent when more than one in this many of all items is missing
 MAX_OUTGOING_SNAPSHOTS = 3  # kept for peers; the least recently requested is evicted
--- a/mesh/replication/store.py
+++ b/mesh/replication/store.py
@@ -208,18 +208,18 @@
                     return self._snapshot_page(snapshot, position, vector, max_items, max_bytes)
         page = PAGE_PREFIX + self.source
         after = vector.get(page, 0)
-        found = []
+        missing = []
         for source, stamped in self._stamped.items():
             for _, key in stamped[bisect_right(stamped, vector.get(source, 0), key=itemgetter(0)) :]:
                 if self._arrived[key] > after:
-                    found.append((self._arrived[key], key))
-        if snapshots and len(found) > max_items and SNAPSHOT_DIVISOR * len(found) > len(self.items):
-            snapshot = self._useful_snapshot([key for _, key in found], max_items)
+                    missing.append((self._arrived[key], key))
+        if snapshots and len(missing) > max_items and SNAPSHOT_DIVISOR * len(missing) > len(self.items):
+            snapshot = self._useful_snapshot([key for _, key in missing], max_items)
             if snapshot is not None:
                 return self._snapshot_page(snapshot, 0, vector, max_items, max_bytes)
-        first = nsmallest(max_items, found)
+        first = nsmallest(max_items, missing)
         items = limit_bytes((self.items[key] for _, key in first), max_bytes)
-        if len(found) > len(items):
+        if len(missing) > len(items):
             return Delta(items, {page: first[len(items) - 1][0]}, True)
         advanced = {source: self.vector[source] for source in self._advanced_sources(vector)}
         return Delta(items, advanced | ({page: 0} if page in vector else {}), False)
--- a/mesh/replication/tombstones.py
+++ b/mesh/replication/tombstones.py
@@ -75,7 +75,7 @@
         evicted, kept = by_version[:-ENTRIES_PER_BUCKET], by_version[-ENTRIES_PER_BUCKET:]
         if evicted:
             watermark = evicted[-1][0]
-            kept = [one for one in kept if one[0] > watermark]
+            kept = [entry for entry in kept if entry[0] > watermark]
         after = (watermark, {digest: version for version, digest in kept})
         self._rows[bucket] = after
         return after != before
