--- a/mesh/replication/reconfiguration.py
+++ b/mesh/replication/reconfiguration.py
@@ -2,7 +2,7 @@
 
 The proposing process (docs/design/control.md, "Members") passes in what it knows of each machine; the rest
 comes from the view in force. Safety comes from the votes on the two epochs of a change. This module only
-decides which change keeps the mesh present and meets the tolerance of the settings.
+decides which change keeps the mesh available and meets the tolerance of the settings.
 """
 
 from __future__ import annotations
--- a/mesh/replication/store.py
+++ b/mesh/replication/store.py
@@ -56,8 +56,9 @@
         """
         if not source or is_page_entry(source):
             raise ValueError(
-                f"source {source!r} is empty or begins with {PAGE_PREFIX!r} or {SNAPSHOT_PREFIX!r}"
+                f"source {source!r}: empty, or begins with {PAGE_PREFIX!r} or {SNAPSHOT_PREFIX!r}"
             )
+
         self.source = source
         self.max_items, self._decided = max_items, decided
         self.items: dict[Key, Item] = {}
@@ -145,7 +146,6 @@
         return None
 
     def _end_snapshots(self) -> None:
-        """Discards the progress of all incoming snapshots."""
         for entry in [entry for entry in self.vector if entry.startswith(SNAPSHOT_PREFIX)]:
             del self.vector[entry]
         self._incoming.clear()
@@ -173,8 +173,7 @@
 
     def contiguous_vector(self, source: str, first: int, count: int) -> dict[str, int]:
         """The vector to merge with ``count`` items that ``source`` stamped from ``first`` on; empty if they
-        do not follow the entry held here. Without it the holder of a large write batch would be sent all of
-        it again."""
+        do not follow the entry held here. Without it a large batch would be sent again to its holders."""
         return {source: first + count - 1} if self.vector.get(source, 0) >= first - 1 else {}
 
     def clear_remote_items(self) -> list[Item]:
--- a/tests/mesh/test_ownership_server_holds.py
+++ b/tests/mesh/test_ownership_server_holds.py
@@ -4,14 +4,7 @@
 
 from mesh.ownership.key_map import KEYS, KeyMap, Row
 from mesh.ownership.lease_terms import MIN_HOLD_S, lease_terms_for
-from mesh.ownership.server_holds import (
-    MAX_GRANT_ROWS,
-    BeatKeys,
-    Grant,
-    HeldRow,
-    ReleasedRow,
-    ServerHolds,
-)
+from mesh.ownership.server_holds import MAX_GRANT_ROWS, BeatKeys, Grant, HeldRow, ReleasedRow, ServerHolds
 
 TERMS = lease_terms_for(10_000.0)
 HALF = KEYS // 2
