--- a/hareloom/host.py
+++ b/hareloom/host.py
@@ -42,29 +42,29 @@
 
     def read_line(self, line: str) -> list[str] | None:
         """Reads one line; returns the reply's lines at the end of a batch. Raises WireError."""
-        word = line.partition(" ")[0]
+        keyword = line.partition(" ")[0]
         if self.missing_entries:
-            if word != "ITEM":
+            if keyword != "ITEM":
                 raise WireError(f"list {self.list_ref} is short of {self.missing_entries} entries")
             self.pending.append(line)
             self.missing_entries -= 1
             if not self.missing_entries:
                 self.store_list()
             return None
-        if word == "FRAME":
+        if keyword == "FRAME":
             if self.now is not None:
                 raise WireError("a batch begins inside a batch")
             self.now = wire.number(wire.required(wire.fields_of(line), "now-ms"), "now-ms")
             return None
         if self.now is None:
-            raise WireError(f"{word!r} outside a batch")
-        if word == "END":
+            raise WireError(f"{keyword!r} outside a batch")
+        if keyword == "END":
             replies, self.replies = self.replies, []
             self.now = self.instance = self.reply_instance = None
             return [*replies, "READY"]
-        if word == "FOR":
+        if keyword == "FOR":
             self.instance = wire.integer(wire.required(wire.fields_of(line), "who"), "who")
-        elif word == "MANIFEST":
+        elif keyword == "MANIFEST":
             fields = wire.fields_of(line)
             self.list_ref = wire.integer(wire.required(fields, "ref"), "ref")
             self.missing_entries = wire.integer(wire.required(fields, "entries"), "entries")
@@ -74,7 +74,7 @@
             if not self.missing_entries:
                 self.store_list()
         else:
-            self.handle_instance_line(word, line)
+            self.handle_instance_line(keyword, line)
         return None
 
     def store_list(self) -> None:
@@ -82,23 +82,23 @@
         self.lists[self.list_ref] = tuple(wire.parse_entry(item) for item in self.pending)
         self.pending = []
 
-    def handle_instance_line(self, word: str, line: str) -> None:
+    def handle_instance_line(self, keyword: str, line: str) -> None:
         """Handles a line that is addressed to an instance."""
         if self.instance is None or self.now is None:
-            raise WireError(f"{word!r} names no instance")
-        if word == "DOWN":
+            raise WireError(f"{keyword!r} names no instance")
+        if keyword == "DOWN":
             self.instances.pop(self.instance, None)
             return
-        if word == "NEW_INSTANCE":
+        if keyword == "NEW_INSTANCE":
             fields = wire.fields_of(line, text_field="config")
             seed = wire.integer(wire.required(fields, "entropy"), "entropy")
             settings = replace(wire.parse_settings(wire.required(fields, "config")), costs=COSTS)
             self.instances[self.instance] = Balancer(settings, seed)
             return
-        event = wire.parse_event(word, line, self.lists)
+        event = wire.parse_event(keyword, line, self.lists)
         balancer = self.instances.get(self.instance)
         if balancer is None:
-            raise WireError(f"{word!r} for instance {self.instance}, which is not running")
+            raise WireError(f"{keyword!r} for instance {self.instance}, which is not running")
         if event is None:
             return
         try:
--- a/hareloom/rules.py
+++ b/hareloom/rules.py
@@ -120,8 +120,8 @@
             self.governor.on_delay(event.delay_ms)
         if self.queue.waiting:
             self.send_queued()
-        if alarm := self.schedule.next_timer(now):
-            self.actions.append(alarm)
+        if timer := self.schedule.next_timer(now):
+            self.actions.append(timer)
         return self.actions
 
     def spend_for_event(self, now: float, event: api.Event) -> None:
--- a/hareloom/wire.py
+++ b/hareloom/wire.py
@@ -101,10 +101,10 @@
     )
 
 
-def parse_event(word: str, line: str, lists: dict[int, tuple[api.ServerEntry, ...]]) -> api.Event | None:
+def parse_event(keyword: str, line: str, lists: dict[int, tuple[api.ServerEntry, ...]]) -> api.Event | None:
     """Parses an event; returns None for a kind of event that the Balancer does not use."""
     fields = fields_of(line)
-    if word == "ASK":
+    if keyword == "ASK":
         hint = fields.get("work-ms")
         return api.Request(
             request=required(fields, "msg-id"),
@@ -113,7 +113,7 @@
             cost_ms=None if hint is None else number(hint, "work-ms"),
             retry=boolean(fields.get("is-retry", FALSE), "is-retry"),
         )
-    if word == "RETURNED":
+    if keyword == "RETURNED":
         return api.AttemptEnded(
             request=required(fields, "msg-id"),
             attempt=integer(required(fields, "copy"), "copy"),
@@ -121,31 +121,31 @@
             latency_ms=number(fields.get("took-ms", "0"), "took-ms"),
             closed=boolean(fields.get("no-more", FALSE), "no-more"),
         )
-    if word == "WAKE":
+    if keyword == "WAKE":
         return api.Timer(integer(required(fields, "tag"), "tag"))
-    if word == "SYNC":
+    if keyword == "SYNC":
         kind = lookup(LIST_KINDS, required(fields, "kind"), "kind")
         version = integer(fields.get("index", "0"), "index")
         if kind is api.ListKind.LOST:
             return api.ServerList(kind, version)
         return api.ServerList(kind, version, lookup(lists, integer(required(fields, "ref"), "ref"), "ref"))
-    if word == "ABANDONED":
+    if keyword == "ABANDONED":
         return api.ClientGone(required(fields, "msg-id"))
-    if word == "FIRST":
+    if keyword == "FIRST":
         return api.StreamStarted(
             request=required(fields, "msg-id"),
             attempt=integer(required(fields, "copy"), "copy"),
             latency_ms=number(fields.get("took-ms", "0"), "took-ms"),
         )
-    if word == "PROBED":
+    if keyword == "PROBED":
         return api.ProbeEnded(
             server=required(fields, "upstream"),
             outcome=lookup(OUTCOMES, required(fields, "status"), "status"),
             latency_ms=number(fields.get("took-ms", "0"), "took-ms"),
         )
-    if word == "FROM_PEER":
+    if keyword == "FROM_PEER":
         return None
-    raise WireError(f"unknown message {word!r}")
+    raise WireError(f"unknown message {keyword!r}")
 
 
 def format_action(item: api.Action) -> str:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -13,7 +13,7 @@
 
 
 def test_a_repeat_whose_aim_has_passed_is_refused_at_once() -> None:
-    """The remaining time of a last try tells when the client sent the request first."""
+    """The remaining time of a last try shows when the client sent the request first."""
     driver = Driver(READ)
     driver.listed("a", "b")
     for _ in range(5):
