--- a/mesh/admission/buffer_budget.py
+++ b/mesh/admission/buffer_budget.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 BODY_COPIES = 2  # copies of a body while it is forwarded
-SHORT_BODY_BYTES = 64 * 1024  # up to this size a body may use the total quota
+SHORT_BODY_BYTES = 64 * 1024  # up to this size a body may use the whole quota
 LONG_BODY_SHARE = 0.75  # of the quota, for longer bodies
 # Reserved shares of the pool. The rest, a fifth, is shared by all kinds.
 RESERVED_BODIES, RESERVED_ANSWERS, RESERVED_HEADS, RESERVED_FRAMES = 0.3, 0.3, 0.1, 0.1
--- a/mesh/membership/failure_detection.py
+++ b/mesh/membership/failure_detection.py
@@ -4,11 +4,11 @@
 A node is gone when it has been silent for `SilenceThresholds.gone_s` to every control process that answers,
 and these include more than half of the members. Silence counts only while the listener itself was running.
 
-A network partition silences a whole zone at once, and no node of it is heard afterwards; machines that fail
-one by one leave others of their zone reachable. So a silent node is gone only if some node of its zone was
-heard `partition_window_s` after it, over a link of the listener's own that had been up for RECONNECT_S,
-because the nodes of a zone reconnect one by one when a partition heals. Otherwise the zone may be
-partitioned, and the node is kept until such contact or until `zone_gone_s`. The number of dead nodes still
+A network partition silences a whole zone at once, and no node of it can be reached afterwards; machines that
+fail one by one leave others of their zone reachable. So a silent node is gone only if the last contact with
+some node of its zone is `partition_window_s` later, over a link of the listener's own that had been up for
+RECONNECT_S, because the nodes of a zone reconnect one by one when a partition heals. Otherwise the zone may
+be partitioned, and the node is kept until such contact or until `zone_gone_s`. The number of dead nodes still
 in the store makes no difference (docs/design/duties.md). A drop takes the item's next version; a node that
 returns publishes itself above that version.
 """
@@ -55,8 +55,8 @@
 
 
 class SilenceReport(Struct, frozen=True):
-    """One control process's view, in seconds by node: how long the node has been silent there, and how long
-    ago it was heard over an established link of that process's own (absent: never)."""
+    """One control process's view, in seconds by node: how long the node has been silent there, and the time
+    since its last message over an established link of that process's own (absent: never)."""
 
     silent_s: Mapping[str, float]
     linked_s: Mapping[str, float] = {}
@@ -87,7 +87,7 @@
 
     def poll(self, now: float, names: Collection[str]) -> None:
         """Must be called at least every MAX_POLL_GAP_S with all nodes of the membership store. A new node
-        counts as heard now; a node that is not in ``names`` is forgotten."""
+        counts as in contact now; a node that is not in ``names`` is forgotten."""
         if now - self._polled_at > MAX_POLL_GAP_S:
             self._listening_since = now
         self._polled_at = now
@@ -107,23 +107,23 @@
         return 0.0 if now - self._polled_at > MAX_POLL_GAP_S else now - self._listening_since
 
     def note_contact(self, at: float, name: str) -> None:
-        """Records that a node was heard. Names outside the membership store are ignored."""
+        """Records a message from a node. Names outside the membership store are ignored."""
         if name in self._contacts:
             self._contacts[name] = max(at, self._contacts[name])
 
     def note_link_contact(self, at: float, name: str, since: float) -> None:
-        """Records that a node was heard over an own link that has been up since ``since``."""
+        """Records a message from a node over an own link that has been up since ``since``."""
         self.note_contact(at, name)
         if name in self._contacts and at - since >= RECONNECT_S:
             self._link_contacts[name] = max(at, self._link_contacts.get(name, at))
 
     def note_reported_contact(self, at: float, name: str) -> None:
-        """Records that another process heard a node. Saves a query; never reported on as an own contact."""
+        """Records a contact of another process with a node. Saves a query; never reported on as own."""
         if name in self._contacts:
             self._reported_contacts[name] = max(at, self._reported_contacts.get(name, at))
 
     def note_reported_link_contact(self, at: float, name: str) -> None:
-        """Records that another process heard a node over a link of its own."""
+        """Records a contact of another process with a node over a link of its own."""
         if name in self._contacts:
             self._reported_link_contacts[name] = max(at, self._reported_link_contacts.get(name, at))
 
@@ -138,7 +138,7 @@
         return min(self.silent_s(now, name), now - self._reported_contacts.get(name, -1e18))
 
     def linked_s(self, now: float, name: str) -> float | None:
-        """How long ago a node was heard over an own link that had been up for RECONNECT_S; None: never."""
+        """Time since the last message over an own link that had been up for RECONNECT_S; None: never."""
         return now - self._link_contacts[name] if name in self._link_contacts else None
 
     def linked_anywhere_s(self, now: float, name: str) -> float | None:
--- a/mesh/rollout/contact.py
+++ b/mesh/rollout/contact.py
@@ -18,10 +18,10 @@
         self._since: float | None = None  # start of the uninterrupted contact
         self._polled_at = float("-inf")
 
-    def poll(self, now: float, heard: bool) -> None:
-        """Called several times a second. ``heard``: a process that holds all acknowledged items was heard
-        just now."""
-        if not heard:
+    def poll(self, now: float, in_contact: bool) -> None:
+        """Called several times a second. ``in_contact``: a process that holds all acknowledged items
+        has just sent a message."""
+        if not in_contact:
             self._since = None
         elif self._since is None or now - self._polled_at > self.max_poll_gap_s:
             self._since = now
--- a/tests/mesh/test_reaping_judge.py
+++ b/tests/mesh/test_reaping_judge.py
@@ -37,7 +37,7 @@
 
 
 def report(**seconds: float) -> SilenceReport:
-    """The report of a process with a link to each node, over which it heard the node that long ago."""
+    """The report of a process with a link to each node, whose last message came that long ago."""
     return SilenceReport(silences(**seconds), silences(**seconds))
 
 
@@ -53,7 +53,7 @@
     assert assess_silence(NODES, [report(a0=GONE), report(a0=GONE - 0.1)], THRESHOLDS) == Verdict((), ())
     assert assess_silence(NODES, [report(a0=GONE), SilenceReport({})], THRESHOLDS) == Verdict(
         (), ()
-    )  # an omitted node counts as heard
+    )  # an omitted node counts as in contact
     assert assess_silence(NODES, [], THRESHOLDS) == Verdict((), ())
 
 
@@ -88,7 +88,7 @@
 
 
 def test_only_a_link_tells_that_a_zone_can_be_reached() -> None:
-    """A process that has just learned of a node, or does not know it, has not heard it."""
+    """A process that has just learned of a node, or does not know it, has had no contact with it."""
     cut = dict.fromkeys(("a0", "a1", "a2", "a3"), GONE)
     learned = SilenceReport(silences(**cut | {"a3": 0.5}), {"b0": 0.0})
     assert assess_silence(NODES, [report(**cut), learned], THRESHOLDS) == Verdict((), ("a",))
@@ -105,7 +105,7 @@
     assert alone(True) == Verdict(("m",), ()) and alone(False) == Verdict((), ("z",))
     assert alone(True, s=GONE + WINDOW - 0.1) == Verdict((), ("z",))
     assert alone(True, s=GONE + WINDOW) == Verdict(("m", "s"), ())
-    # A node that no responder ever heard may have been alive until the last moment.
+    # A node that no responder ever had contact with may have been alive until the last moment.
     nodes = {"m": NodeInfo("z", member=True), "s": NodeInfo("z")}
     silent = {"m": GONE, "s": 2 * GONE}
     assert assess_silence(nodes, [SilenceReport(silent, {"m": GONE})] * 2, THRESHOLDS) == Verdict(
@@ -146,7 +146,7 @@
     for name in verdict.gone:
         assert least[name] >= GONE
         zone = [other for other in NODES if NODES[other].zone == NODES[name].zone]
-        if least[name] < ZONE_GONE:  # a node of its zone was heard later: it was not lost with its zone
+        if least[name] < ZONE_GONE:  # later contact with its zone: it was not lost with the zone
             assert any(least[other] <= least[name] - WINDOW for other in zone)
     for name in NODES.keys() - set(verdict.gone):
         assert least[name] < GONE or NODES[name].zone in verdict.kept_zones
