--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -88,10 +88,10 @@
 
     def _update_hello(self) -> None:
         hello = self._channels.hello
-        lives = dict(self._disk_writer.incarnations)
+        records = dict(self._disk_writer.incarnations)
         if not self._start_recorded:
-            del lives[self._member_set.own_address]  # the next incarnation may use the same number
-        hello["view"], hello["lives"] = self._member_set.view_item(), lives
+            del records[self._member_set.own_address]  # the next incarnation may use the same number
+        hello["view"], hello["lives"] = self._member_set.view_item(), records
         hello["complete"] = self._disk_writer.complete
 
     def _record_start(self, member: str, starts: int, incarnation: str) -> None:
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -104,7 +104,7 @@
     if item is None or kind == VIEW:
         return Refusal(f"{kind} {name[:80]!r}: no such item; config get shows all")
     lack, now = sources.rollouts.unconfirmed(item.key), sources.steady()
-    heard = sources.rollouts.reported_at
+    reported_at = sources.rollouts.reported_at
     draw = sources.membership.canary_selection()
     new, old = sources.rollouts.canary_tallies(item.key)
     return {
@@ -113,7 +113,7 @@
         "sidecars": len(draw.nodes),
         "missing": len(lack),
         "lack": [
-            [node, round((now - heard[node]) * 1000.0) if node in heard else None]
+            [node, round((now - reported_at[node]) * 1000.0) if node in reported_at else None]
             for node in lack[:MAX_NAMES]
         ],
         "first": sorted(draw.canaries(kind, name, item.version))[:MAX_SHOWN],
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -206,7 +206,7 @@
             key_map,
             candidates,
             load.cumulative_shares(),
-            self._words(),
+            self._releases(),
             lambda row: self._waited(now, service, row),
             balanced,
         )
@@ -256,8 +256,8 @@
         """Whether that proxy has reported recently, or this process started too recently to know."""
         return now - max(self._reported_at.get(node, 0.0), self._awake_since) < REPORT_TIMEOUT_S
 
-    def _words(self) -> list[Release]:
-        return [word for report in self._reports.values() for word in report.releases]
+    def _releases(self) -> list[Release]:
+        return [release for report in self._reports.values() for release in report.releases]
 
     def _waited(self, now: float, service: str, row: Row) -> bool:
         since = self._leaving.get(_key(service, row))
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -43,7 +43,7 @@
 
 
 def encode_link_ages(seconds: Iterable[float | None]) -> list[float | None]:
-    """Encodes how many seconds ago each node was heard over a link."""
+    """Encodes for each node the age in seconds of the last contact over a link."""
     return [None if linked_s is None else round(linked_s, 1) for linked_s in seconds]
 
 
@@ -54,8 +54,8 @@
     linked = head.get("linked", [None] * len(nodes))
     if len(silent) != len(nodes) or len(linked) != len(nodes):
         raise ValueError("an answer to another number of nodes")
-    heard = {name: float(heard_s) for name, heard_s in zip(nodes, linked, strict=True) if heard_s is not None}
-    return failure_detection.SilenceReport(dict(zip(nodes, silent, strict=True)), heard)
+    linked_s = {name: float(age_s) for name, age_s in zip(nodes, linked, strict=True) if age_s is not None}
+    return failure_detection.SilenceReport(dict(zip(nodes, silent, strict=True)), linked_s)
 
 
 class ReapingDuty:
@@ -94,7 +94,7 @@
     # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Notes signs of life and leases in roll items that have changed."""
+        """Notes updates of nodes, and the lease, in roll items that have changed."""
         now = self._loop.time()
         for item in items:
             if item.kind == NODE and item.value is not None:
@@ -106,7 +106,7 @@
                     self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
 
     def link_closed(self, channel: Channel) -> None:
-        """Notes when the node was last heard on a link that closed."""
+        """Notes the last contact with the node on a link that closed."""
         self._note_link(channel)
 
     def _note_link(self, channel: Channel) -> None:
@@ -209,7 +209,7 @@
         self._conclude(now)
 
     def _conclude(self, now: float) -> None:
-        """Drops nodes that none of the queried processes has heard, once all have answered."""
+        """Drops nodes with which no queried process had contact, once all have answered."""
         round = self._round
         if round is None or round.awaiting or now - round.started_at > ANSWER_TIMEOUT_S:
             return
@@ -230,10 +230,10 @@
             self._drop(name, own.silent_s[name])
 
     def _own_report(self, now: float, names: Iterable[str]) -> failure_detection.SilenceReport:
-        heard = {name: self.tracker.linked_anywhere_s(now, name) for name in names}
+        linked_s = {name: self.tracker.linked_anywhere_s(now, name) for name in names}
         return failure_detection.SilenceReport(
             {name: self.tracker.silent_s(now, name) for name in names},
-            {name: heard_s for name, heard_s in heard.items() if heard_s is not None},
+            {name: age_s for name, age_s in linked_s.items() if age_s is not None},
         )
 
     def _drop(self, name: str, silent_s: float) -> None:
@@ -298,8 +298,8 @@
         round.reports.append(report)
         for name, silent_s in report.silent_s.items():
             self.tracker.note_reported_contact(round.started_at - silent_s, name)
-        for name, heard_s in report.linked_s.items():
-            self.tracker.note_reported_link_contact(round.started_at - heard_s, name)
+        for name, age_s in report.linked_s.items():
+            self.tracker.note_reported_link_contact(round.started_at - age_s, name)
         self._conclude(now)
 
     def status(self) -> dict[str, Any]:
--- a/mesh/control_plane/member_messages.py
+++ b/mesh/control_plane/member_messages.py
@@ -20,7 +20,7 @@
 
 
 class SilenceAnswer(msgspec.Struct, frozen=True, tag_field="t", tag="silences"):
-    """Seconds of silence, in the order of the query. ``linked``: how long ago each was heard over a link of
+    """Seconds of silence, in the order of the query. ``linked``: age of the last contact over a link of
     the sender itself, None for never; earlier releases omit this field."""
 
     n: int
@@ -32,8 +32,8 @@
         linked = self.linked or [None] * len(nodes)
         if len(self.silent) != len(nodes) or len(linked) != len(nodes):
             raise ValueError("an answer to another number of nodes")
-        heard = {name: heard_s for name, heard_s in zip(nodes, linked, strict=True) if heard_s is not None}
-        return SilenceReport(dict(zip(nodes, self.silent, strict=True)), heard)
+        linked_s = {name: age_s for name, age_s in zip(nodes, linked, strict=True) if age_s is not None}
+        return SilenceReport(dict(zip(nodes, self.silent, strict=True)), linked_s)
 
 
 class ClaimSuperseded(msgspec.Struct, frozen=True, tag_field="t", tag="outdone"):
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -1,5 +1,5 @@
-"""Finds members that a majority has not heard: the holder of the duty `members` queries the others. The
-answers are assessed by `membership.failure_detection` together with other nodes of the zone;
+"""Finds members with which a majority has no contact: the holder of the duty `members` queries the others.
+The answers are assessed by `membership.failure_detection` together with other nodes of the zone;
 `replication.reconfiguration` decides what follows."""
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
         self._assessed_at = -1e18
 
     def tick(self, now: float, view: View) -> None:
-        """Notes which members have been heard; to be called at least every MAX_POLL_GAP_S."""
+        """Notes which members had contact; to be called at least every MAX_POLL_GAP_S."""
         self.tracker.poll(now, view.names | {self._member_set.own_address})
         self.tracker.note_link_contact(now, self._member_set.own_address, self._started_at)
         for address, channel in self._member_set.peers().items():
@@ -107,7 +107,7 @@
             return
         self._queried_at = now
         self._count += 1
-        names = [*silent, *self._unheard_neighbors(now, view, silent)][:MAX_QUERIED_NODES]
+        names = [*silent, *self._silent_zone_nodes(now, view, silent)][:MAX_QUERIED_NODES]
         self._round = query = _QueryRound(self._count, now, names, set(), {self._member_set.own_address})
         question = member_messages.encode(SilenceQuery(self._count, epoch, self._node, names))
         for address, channel in self._member_set.peers().items():
@@ -115,7 +115,7 @@
             channel.link.send(question)
         self._conclude(now)
 
-    def _unheard_neighbors(self, now: float, view: View, silent: Iterable[str]) -> list[str]:
+    def _silent_zone_nodes(self, now: float, view: View, silent: Iterable[str]) -> list[str]:
         """Unheard nodes that are no members, in the zones of silent members: if another process hears one of
         them, the member is gone, otherwise the zone may be cut off."""
         zones = {_place(view, address).zone for address in silent}
@@ -164,14 +164,14 @@
         self._assessed_at = now
 
     def _own_report(self, now: float, names: Iterable[str]) -> SilenceReport:
-        silent, heard = {}, {}
+        silent_s, linked_s = {}, {}
         for name in names:
-            watch = self._tracker_of(name)
-            silent[name] = watch.silent_s(now, name)
-            heard_s = watch.linked_s(now, name)
-            if heard_s is not None:
-                heard[name] = heard_s
-        return SilenceReport(silent, heard)
+            tracker = self._tracker_of(name)
+            silent_s[name] = tracker.silent_s(now, name)
+            age_s = tracker.linked_s(now, name)
+            if age_s is not None:
+                linked_s[name] = age_s
+        return SilenceReport(silent_s, linked_s)
 
     # Operators
 
@@ -227,7 +227,7 @@
         answer = SilenceAnswer(
             question.n,
             [round(report.silent_s[name], 1) for name in question.of],
-            [None if heard_s is None else round(heard_s, 1) for heard_s in linked],
+            [None if age_s is None else round(age_s, 1) for age_s in linked],
         )
         channel.link.send(member_messages.encode(answer))
 
