--- a/mesh/data_plane/call_state.py
+++ b/mesh/data_plane/call_state.py
@@ -20,7 +20,7 @@
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import Call, End, NotExecuted, UpstreamResponse
 
-# These reasons come from queueing or from a lost link and say nothing about the upstream's health.
+# Waiting in vain or a lost message says nothing about the upstream's speed, which the balancer's w measures.
 NOT_CONNECT_FAILURES = frozenset({RejectReason.FULL, RejectReason.LATE, RejectReason.LOST, RejectReason.OLD})
 
 
@@ -76,6 +76,8 @@
 
 
 class Hop(Enum):
+    """Where an edge applies."""
+
     FIRST = "first hop"
     SECOND = "second hop"
     TAP = "upstream's connection"
@@ -269,7 +271,7 @@
 class Served(Struct, frozen=True):
     """The upstream's response, passed on unchanged."""
 
-    answer: UpstreamResponse
+    response: UpstreamResponse
 
 
 class Refused(Struct, frozen=True):
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -123,10 +123,10 @@
         self.opened_at = self.context.loop.time()
         self.connecting = self.context.loop.create_task(self._connect())
 
-    def _reject(self, outgoing: OutgoingCall, why: RejectReason = RejectReason.DOWN) -> None:
+    def _reject(self, outgoing: OutgoingCall, reason: RejectReason = RejectReason.DOWN) -> None:
         """Ends a call of which nothing was sent."""
         if outgoing.apply(Event.LINK_DOWN):
-            outgoing.on_end(NotExecuted(why))
+            outgoing.on_end(NotExecuted(reason))
 
     def _reject_waiting(self) -> None:
         """Rejects the calls that still wait for the first link."""
--- a/mesh/data_plane/request_dispatch.py
+++ b/mesh/data_plane/request_dispatch.py
@@ -177,7 +177,7 @@
                     request.id, route, request.received_ms, request.message, reply, accept_stale_route=True
                 )
         elif isinstance(result, Served):
-            response: UpstreamResponse = result.answer
+            response: UpstreamResponse = result.response
             if response.status in http.STATUS_LINES:
                 reply(response.status, response.headers, response.body)
             else:
--- a/mesh/data_plane/service_balancers.py
+++ b/mesh/data_plane/service_balancers.py
@@ -162,7 +162,7 @@
         """Handles a client that has disconnected."""
         if not request.finished:
             self._close(request)
-            self.context.traces.ended(self.context.now(), request, None)
+            self.context.traces.record(self.context.now(), request, None)
             self.handle(api.ClientGone(request.id))
             self._cancel(request, Outcome.CANCELLED)
 
@@ -217,8 +217,8 @@
         if not request.finished:
             self._close(request)
             assert not isinstance(result, RouteChanged)
-            outcome = result.answer.status if isinstance(result, Served) else result
-            self.context.traces.ended(self.context.now(), request, outcome)
+            outcome = result.response.status if isinstance(result, Served) else result
+            self.context.traces.record(self.context.now(), request, outcome)
             self.context.on_request_end(request, outcome)
             request.reply(result)
 
--- a/mesh/data_plane/traces.py
+++ b/mesh/data_plane/traces.py
@@ -69,7 +69,7 @@
         self.ordinary, self.notable = Ring[FirstHopEntry](), Ring[FirstHopEntry]()
         self.trace: Callable[[float, ClientRequest, int | Refused | Failed | None], None] | None = None
 
-    def ended(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
+    def record(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
         """``result``: the status passed on, this sidecar's own result, or None if the client disconnected."""
         tries, route = request.tries, request.route
         count = len(tries)
@@ -104,7 +104,7 @@
         self.ordinary, self.notable = Ring[SecondHopEntry](), Ring[SecondHopEntry]()
         self.trace: Callable[[float, Call, float, float, End], None] | None = None
 
-    def ended(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
+    def record(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
         """``received_ms``: when it arrived; ``started_ms``: when it was passed on, 0 if never."""
         ordinary = isinstance(end, UpstreamResponse) and end.status < 500
         (self.ordinary if ordinary else self.notable).add(
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -126,14 +126,14 @@
             and (newer_item := self.find_newer_item(call)) is not None
         ):
             end = NotExecuted(RejectReason.OLD, newer_item=newer_item)
-            self.traces.ended(now, call, now, 0.0, end)
+            self.traces.record(now, call, now, 0.0, end)
             on_end(end)
             return None
         verdict = check_admission(now, self.upstream, call.instance, call.remaining_ms)
         if isinstance(verdict, Admitted) and not self.holds_key(call):
             verdict = Rejected(RejectReason.OTHER)
         if isinstance(verdict, Rejected):
-            self.traces.ended(now, call, now, 0.0, NotExecuted(verdict.reason))
+            self.traces.record(now, call, now, 0.0, NotExecuted(verdict.reason))
             on_end(NotExecuted(verdict.reason))
             return None
         dispatched = DispatchedCall(call, on_end, now)
@@ -143,7 +143,7 @@
         if len(self.running) < max_running:
             self._start(dispatched)
         elif wait_ms <= 0.0:
-            self.traces.ended(now, call, now, 0.0, NotExecuted(RejectReason.FULL))
+            self.traces.record(now, call, now, 0.0, NotExecuted(RejectReason.FULL))
             on_end(NotExecuted(RejectReason.FULL))
             return None
         else:
@@ -173,10 +173,10 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _reject(self, dispatched: DispatchedCall, why: RejectReason) -> None:
+    def _reject(self, dispatched: DispatchedCall, reason: RejectReason) -> None:
         if dispatched.apply(Event.TURNED_AWAY):
-            self.traces.ended(self.now(), dispatched.call, dispatched.received_ms, 0.0, NotExecuted(why))
-            dispatched.on_end(NotExecuted(why))
+            self.traces.record(self.now(), dispatched.call, dispatched.received_ms, 0.0, NotExecuted(reason))
+            dispatched.on_end(NotExecuted(reason))
 
     def _start_queued(self) -> None:
         """Starts queued calls while there are free slots."""
@@ -275,7 +275,9 @@
         if state is not None:
             dispatched.state = state
             self._free_slot(dispatched)
-            self.traces.ended(self.now(), dispatched.call, dispatched.received_ms, dispatched.started_ms, end)
+            self.traces.record(
+                self.now(), dispatched.call, dispatched.received_ms, dispatched.started_ms, end
+            )
             dispatched.on_end(end)
 
     def _on_exchange_end(self, dispatched: DispatchedCall, outcome: ExchangeOutcome) -> None:
--- a/tests/mesh/test_answer_world.py
+++ b/tests/mesh/test_answer_world.py
@@ -58,9 +58,9 @@
     real = request_dispatch.RequestDispatcher._answer
 
     def answer(self: Any, reply: Any, ask: ClientRequest, final: ClientResult) -> None:
-        if isinstance(final, Served) and final.answer.status == 520:
+        if isinstance(final, Served) and final.response.status == 520:
             self._requests.pop(ask.id, None)
-            reply(502, final.answer.headers, final.answer.body)
+            reply(502, final.response.headers, final.response.body)
         else:
             real(self, reply, ask, final)
 
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -60,10 +60,10 @@
 
 def test_entries_are_bounded_whatever_was_in_the_call() -> None:
     first, second = FirstHopTraces(), SecondHopTraces()
-    first.ended(1.0, asked("a" * 128, tries=500), Failed(True))
+    first.record(1.0, asked("a" * 128, tries=500), Failed(True))
     (entry,) = first.notable
     assert entry[8] == 500 and len(entry[7]) == MAX_TRIES and weight(entry) < MOST_BYTES
-    second.ended(1.0, call("a" * 100_000, "i" * 100_000, "c" * 100_000), 0.0, 0.5, Unclear("w" * 100_000))
+    second.record(1.0, call("a" * 100_000, "i" * 100_000, "c" * 100_000), 0.0, 0.5, Unclear("w" * 100_000))
     (other,) = second.notable
     assert weight(other) < MOST_BYTES
 
@@ -72,13 +72,13 @@
     first, second = FirstHopTraces(), SecondHopTraces()
     ok = UpstreamResponse(200, [], b"", True)
     for at, told in enumerate((500, Refused(1.0), Failed(False), None)):
-        first.ended(1.0, asked(f"odd-{at}"), told)
-    first.ended(1.0, asked("twice", tries=2), 200)
-    first.ended(101.0, asked("late"), 200)
-    second.ended(1.0, call("full"), 0.0, 0.0, NotExecuted(RejectReason.FULL))
+        first.record(1.0, asked(f"odd-{at}"), told)
+    first.record(1.0, asked("twice", tries=2), 200)
+    first.record(101.0, asked("late"), 200)
+    second.record(1.0, call("full"), 0.0, 0.0, NotExecuted(RejectReason.FULL))
     for at in range(3 * RING_SIZE):
-        first.ended(1.0, asked(f"{at}"), 200)
-        second.ended(1.0, call(f"{at}"), 0.0, 0.5, ok)
+        first.record(1.0, asked(f"{at}"), 200)
+        second.record(1.0, call(f"{at}"), 0.0, 0.5, ok)
     assert [one[0] for one in first.notable] == ["odd-0", "odd-1", "odd-2", "odd-3", "twice", "late"]
     assert [one[0] for one in second.notable] == ["full"]
     assert [one[0] for one in second.ordinary][-1] == f"{3 * RING_SIZE - 1}"
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -256,7 +256,7 @@
         _, final = bench.ask(PAY)
         bench.end(UpstreamResponse(status, [], b"", True))
         told = final.result()
-        assert not (isinstance(told, Served) and told.answer.status in (408, 429, 503))
+        assert not (isinstance(told, Served) and told.response.status in (408, 429, 503))
 
     with_balancer(test)
 
