--- a/rigs/answer_world.py
+++ b/rigs/answer_world.py
@@ -15,7 +15,7 @@
 from mesh.configuration.routes import Route
 from mesh.data_plane.call_messages import BodyBytes
 from mesh.data_plane.upstream_connections import ExchangeOutcome, ResponseReceived
-from rigs.call_world import READ, TROUBLES, WRITE, Asked, CallWorld, Tap, Work, token_of
+from rigs.call_world import READ, TROUBLES, WRITE, Asked, CallWorld, StubConnections, Work, token_of
 from simulation.mesh.wire import End
 from simulation.mesh.world import Life, Machine
 
@@ -35,7 +35,7 @@
     silent: bool = False  # it begins the request and says nothing
 
 
-class AnsweringTap(Tap):
+class AnsweringConnections(StubConnections):
     """Stands in for the connections to an upstream that gives the world's answers in turn."""
 
     async def send(
@@ -84,9 +84,9 @@
         self._given += 1
         return self.answers[self._given % len(self.answers)]
 
-    def tap(self, machine: Machine) -> Tap:
+    def connections(self, machine: Machine) -> StubConnections:
         """Stands in for the connections to that machine's upstream."""
-        return AnsweringTap(self, machine)
+        return AnsweringConnections(self, machine)
 
     def draw_route(self) -> Route:
         """Any, each as often."""
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -4,7 +4,7 @@
 
     python -m rigs.call_world [PLAYS] [FIRST SEED]
 
-Only the connections to upstreams are a stand-in (`Tap` has tests and a model of its own).
+Only the connections to upstreams are a stand-in (`UpstreamConnectionPool` has tests and a model of its own).
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
             ended(outcome)
 
 
-class Tap:
+class StubConnections:
     """Stands in for the connections to the upstream beside one sidecar."""
 
     def __init__(self, world: CallWorld, machine: Machine) -> None:
@@ -143,9 +143,9 @@
     def service(self, machine: Machine) -> str:
         return SERVICE if machine.name.startswith("s") else "clients"
 
-    def tap(self, machine: Machine) -> Tap:
+    def connections(self, machine: Machine) -> StubConnections:
         """What stands in for the connections to that machine's upstream."""
-        return Tap(self, machine)
+        return StubConnections(self, machine)
 
     def begin(self, token: str, upstream: str) -> None:
         """An upstream begins a request."""
@@ -154,7 +154,7 @@
 
     def dress(self, life: Life) -> None:
         program = life.program
-        program.upstream_connections = program.upstream_dispatch.connections = self.tap(life.machine)
+        program.upstream_connections = program.upstream_dispatch.connections = self.connections(life.machine)
         if not self.asks_back:
             program.peer_links.incarnation = ""
         for route in self.routes:
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -48,7 +48,7 @@
     runs: list[str] = field(default_factory=list)  # services
 
 
-class FakeTap:
+class FakeConnections:
     """Stands for the connections to the upstream beside a sidecar."""
 
     def __init__(self, world: Staged, life: Life) -> None:
@@ -90,7 +90,7 @@
         if life.machine.core:
             return
         program = life.program
-        program.upstream_connections = program.upstream_dispatch.connections = FakeTap(self, life)
+        program.upstream_connections = program.upstream_dispatch.connections = FakeConnections(self, life)
         put, drop, routes = program.routes.put, program.routes.remove, program.routes
 
         def puts(route: Route) -> None:
