--- a/benchmarks/contact_cost.py
+++ b/benchmarks/contact_cost.py
@@ -29,7 +29,7 @@
     """A channel, as far as contact looks at one."""
 
     peer_source: str
-    extra: dict[str, str]
+    peer_hello: dict[str, str]
     link: Any
     exchange: Any
 
@@ -42,7 +42,7 @@
     member_set: Any = SimpleNamespace(own_address=names[0], tolerance=Tolerance(1, 0, 0), view=lambda: view)
     sent: list[bytes] = []
     link = SimpleNamespace(send=lambda head: sent.append(frame(head)))
-    pulled = SimpleNamespace(pulled=True)
+    pulled = SimpleNamespace(pull_complete=True)
     channels: list[Any] = [_Link(name, {"ip": name, "role": CONTROLLER}, link, pulled) for name in names[1:]]
     owner: Any = SimpleNamespace(loop=loop, open=channels)
     disk_writer: Any = SimpleNamespace(complete=True)
--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -293,7 +293,9 @@
 
 def ready(machines: Sequence[Machine]) -> bool:
     programs = [one.program for one in machines]
-    return all(one is not None and len(one.routes) > 0 and one.channels.whole_at > 0.0 for one in programs)
+    return all(
+        one is not None and len(one.routes) > 0 and one.channels.last_complete_at > 0.0 for one in programs
+    )
 
 
 def knows(machines: Sequence[Machine], others: Sequence[Machine]) -> bool:
@@ -308,7 +310,7 @@
 def askers(controller: Any) -> set[str]:
     """The proxies that ask it for news."""
     channels = controller.channels.open
-    return {one.node for one in channels if one.link.up and one.extra.get("role") == PROXY}
+    return {one.node for one in channels if one.link.up and one.peer_hello.get("role") == PROXY}
 
 
 def exponent(sizes: Sequence[float], values: Sequence[float]) -> float | None:
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -98,7 +98,7 @@
             (
                 channel
                 for channel in self._channels.open
-                if channel.extra.get("role") == CONTROLLER and channel.link.up
+                if channel.peer_hello.get("role") == CONTROLLER and channel.link.up
             ),
             key=lambda channel: (channel.node, channel.opened_here),
         )
@@ -117,7 +117,7 @@
     def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was a frame of repair. Raises KeyError, TypeError or ValueError if it is malformed."""
         kind = head["t"]
-        if kind not in FRAMES or channel.extra.get("role") != CONTROLLER:
+        if kind not in FRAMES or channel.peer_hello.get("role") != CONTROLLER:
             return False
         if kind == "digest":
             self._count += 1
@@ -198,8 +198,8 @@
         have."""
         update = {name: {"items": [pack(item) for item in items], "v": {}}}
         for channel in list(self._channels.open):
-            if channel.extra.get("role") == PROXY and channel.said_whole is not None:
-                channel.link.send({"t": "news", "n": update, "more": True, "whole": channel.said_whole})
+            if channel.peer_hello.get("role") == PROXY and channel.sent_complete is not None:
+                channel.link.send({"t": "news", "n": update, "more": True, "whole": channel.sent_complete})
 
     # The disk
 
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -117,7 +117,7 @@
     def peer_greeted(self, channel: Channel) -> None:
         """Checks the hello of another control process, before any later frame of it is read. Raises KeyError,
         TypeError or ValueError if it is malformed."""
-        hello, member = channel.extra, address_of(channel)
+        hello, member = channel.peer_hello, address_of(channel)
         for fields in hello.get("view", ()):
             item = unpack(fields)
             self._check_view(read_view(item.version, item.value))
@@ -187,7 +187,7 @@
         """Notes the first contact, and starts compactions; called several times a second."""
         if not self._had_contact and self._member_set.has_contact():
             self._had_contact = True
-            self._channels.poke()
+            self._channels.schedule_answers()
         if now >= self._next_compaction_at and self._compaction is None:
             self._next_compaction_at = now + COMPACTION_CHECK_S
             self._compaction = self._loop.create_task(self._compact())
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -82,7 +82,7 @@
     def tick(self, now: float) -> None:
         """Notes new incarnations of linked proxies; called several times a second."""
         for channel in self._channels.open:
-            if channel.extra.get("role") != PROXY:
+            if channel.peer_hello.get("role") != PROXY:
                 continue
             incarnation = self._incarnations.get(channel.node)
             if incarnation is None or incarnation[0] != channel.peer_source:
@@ -101,7 +101,7 @@
         return {
             channel.node
             for channel in self._channels.open
-            if channel.extra.get("role") == PROXY
+            if channel.peer_hello.get("role") == PROXY
             and channel.link.up
             and now - channel.link.heard_at <= LINK_ALIVE_S
             and now - self._incarnations.get(channel.node, ("", now))[1] >= self._contact_s
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -75,7 +75,7 @@
 
     def proof(self, settled: bool = False) -> Proof:
         """What recent answers prove; ``settled``: only answers of members without a stale open vote count."""
-        pulled = {address_of(channel) for channel in self._links if channel.exchange.pulled}
+        pulled = {address_of(channel) for channel in self._links if channel.exchange.pull_complete}
         own = (
             self._member_set.own_address
             if self._disk_writer.complete and not (settled and self._has_stale_vote())
@@ -103,7 +103,9 @@
     def redirect_address(self) -> str:
         """The control address of a member that reported contact within the bound, for redirects; "" if there
         is none."""
-        addresses = {address_of(channel): str(channel.extra.get("control", "")) for channel in self._links}
+        addresses = {
+            address_of(channel): str(channel.peer_hello.get("control", "")) for channel in self._links
+        }
         for member in self.contact.members_with_contact(self._loop.time()):
             if ADDRESS_PATTERN.fullmatch(addresses.get(member, "")):
                 return addresses[member]
@@ -133,7 +135,7 @@
         links: dict[str, Channel] = {}
         for channel in self._links:
             link = links.get(address_of(channel))
-            if link is None or (channel.exchange.pulled and not link.exchange.pulled):
+            if link is None or (channel.exchange.pull_complete and not link.exchange.pull_complete):
                 links[address_of(channel)] = channel
         return list(links.values())
 
@@ -173,7 +175,7 @@
         """Probes a new link soon. Its peer may be another incarnation than before, with another disk, so
         answers of the earlier one are dropped."""
         address = address_of(channel)
-        if channel.extra.get("role") != CONTROLLER or address == self._member_set.own_address:
+        if channel.peer_hello.get("role") != CONTROLLER or address == self._member_set.own_address:
             return
         self._links[channel] = None
         if self._incarnations.get(address) != channel.peer_source:
@@ -194,7 +196,7 @@
         """Whether it was a probe or its answer. Raises KeyError, TypeError or ValueError if it is
         malformed."""
         kind = head["t"]
-        if kind not in ("probe", "probed") or channel.extra.get("role") != CONTROLLER:
+        if kind not in ("probe", "probed") or channel.peer_hello.get("role") != CONTROLLER:
             return False
         if kind == "probe":
             epoch = self._member_set.view().epoch
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -158,8 +158,8 @@
         live = {
             channel.node
             for channel in self._channels.open
-            if channel.extra.get("role") == CONTROLLER
-            and channel.whole
+            if channel.peer_hello.get("role") == CONTROLLER
+            and channel.peer_complete
             and now - channel.link.heard_at <= LINK_ALIVE_S
         }
         if self._has_contact() and self.tracker.listening_s(now) >= min_awake_s:
@@ -203,7 +203,9 @@
             "e": self._member_set.view().epoch,
         }
         for channel in list(self._channels.open):
-            if channel.extra.get("role") == CONTROLLER and channel.node not in round.awaiting | {self.node}:
+            if channel.peer_hello.get("role") == CONTROLLER and channel.node not in round.awaiting | {
+                self.node
+            }:
                 round.awaiting.add(channel.node)
                 channel.link.send(question)
         self._conclude(now)
@@ -255,7 +257,7 @@
         """Whether it was a frame of this duty. Raises KeyError, TypeError or ValueError if it is
         malformed."""
         kind = head["t"]
-        if kind not in ("heard", "hears", "overtaken") or channel.extra.get("role") != CONTROLLER:
+        if kind not in ("heard", "hears", "overtaken") or channel.peer_hello.get("role") != CONTROLLER:
             return False
         now = self._loop.time()
         if kind == "heard":
@@ -294,7 +296,7 @@
             return
         report = decode_report(round.nodes, head)
         round.awaiting.discard(channel.node)
-        round.answered.add(str(channel.extra.get("ip", "")))
+        round.answered.add(str(channel.peer_hello.get("ip", "")))
         round.reports.append(report)
         for name, silent_s in report.silent_s.items():
             self.tracker.note_reported_contact(round.started_at - silent_s, name)
--- a/mesh/control_plane/member_set.py
+++ b/mesh/control_plane/member_set.py
@@ -52,7 +52,11 @@
         links: dict[str, Channel] = {}
         for channel in self._channels.open:
             address = address_of(channel)
-            if channel.extra.get("role") == CONTROLLER and channel.link.up and address != self.own_address:
+            if (
+                channel.peer_hello.get("role") == CONTROLLER
+                and channel.link.up
+                and address != self.own_address
+            ):
                 if address not in links or (channel.opened_here, channel.node) > (
                     links[address].opened_here,
                     links[address].node,
@@ -68,4 +72,4 @@
 
 def address_of(channel: Channel) -> str:
     """The address of the peer as a member; "" before its hello."""
-    return str(channel.extra.get("ip", ""))
+    return str(channel.peer_hello.get("ip", ""))
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -85,12 +85,12 @@
             MAX_PEERS,
             event_log,
             self._changed,
-            whole=lambda: self.contact_probes.holds_all(),
-            extra=lambda channel, head, _: self._handle_channel_frame(channel, head),
-            opened=self._channel_opened,
-            closed=self._channel_closed,
-            up=(REPORTS,),
-            greeted=self._channel_greeted,
+            is_complete=lambda: self.contact_probes.holds_all(),
+            on_frame=lambda channel, head, _: self._handle_channel_frame(channel, head),
+            on_open=self._channel_opened,
+            on_close=self._channel_closed,
+            one_way=(REPORTS,),
+            on_hello=self._channel_greeted,
         )
         self.member_set = MemberSet(
             self.own_address, self.charter, self.disk_writer, self.channels, settings.tolerance
@@ -120,7 +120,7 @@
             self.acceptor_host,
             event_log,
         )
-        self.channels.silent = self.catch_up.withheld_stores
+        self.channels.withheld_stores = self.catch_up.withheld_stores
         bounds = settings.bounds
         self.contact_probes = ContactProbes(
             bounds.contact_ms,
@@ -372,7 +372,7 @@
             if any(item.kind == NODE for item in items):
                 self._update_known_peers()
                 self._drop_reports([item.name for item in items if item.kind == NODE and item.value is None])
-        self.channels.poke()
+        self.channels.schedule_answers()
 
     def _drop_reports(self, nodes: list[str]) -> None:
         """Drops the reports of sidecars that left the membership."""
@@ -391,7 +391,7 @@
             self.reaping.handle_frame,
             self.anti_entropy.handle_frame,
         )
-        if any(handle(channel, head) for handle in handlers) or channel.extra.get("role") != CONTROLLER:
+        if any(handle(channel, head) for handle in handlers) or channel.peer_hello.get("role") != CONTROLLER:
             return
         if head["t"] == "complete":
             self._resend_pending(address_of(channel), True)
@@ -415,11 +415,11 @@
         }
 
     def _channel_greeted(self, channel: Channel) -> None:
-        if channel.extra.get("role") == CONTROLLER:
+        if channel.peer_hello.get("role") == CONTROLLER:
             self.catch_up.peer_greeted(channel)
 
     def _channel_opened(self, channel: Channel) -> None:
-        if channel.extra.get("role") == CONTROLLER:
+        if channel.peer_hello.get("role") == CONTROLLER:
             self.tombstone_collection.link_opened(channel)
             self.contact_probes.link_opened(channel)
             self._resend_pending(address_of(channel))
@@ -434,13 +434,13 @@
         self.contact_probes.link_closed(channel)
         self.reaping.link_closed(channel)
         self.anti_entropy.link_closed(channel)
-        if channel.extra.get("role") == CONTROLLER:
+        if channel.peer_hello.get("role") == CONTROLLER:
             self._resend_pending(address_of(channel))
         claimed = self.charter.restamp_above_vector(channel.peer_source) if channel.peer_source else []
         if claimed:
             self.disk_writer.mark_items(claimed)
             self.rollouts.items_restamped(claimed)
-            self.channels.poke()
+            self.channels.schedule_answers()
 
     def _update_known_peers(self) -> None:
         """The other control processes: the seeds of the settings, and those known from the membership."""
@@ -448,11 +448,11 @@
         known = {host: (host, port) for host, _ in self.settings.seeds}
         known.update(self.membership.controllers())
         known.pop(self.own_address, None)
-        self.channels.know(known)
+        self.channels.set_candidates(known)
 
     def _handle_frame(self, link: Link, head: Head, body: bytes) -> None:
         if isinstance(link.peer, Channel):
-            self.channels.frame(link.peer, head, body)
+            self.channels.handle_frame(link.peer, head, body)
         elif isinstance(link.peer, Asker):
             link.peer.frame(head)
         elif head.get("t") == "hello" and head.get("for") == "operate":
@@ -465,7 +465,7 @@
     def _link_lost(self, link: Link, reason: str) -> None:
         self.questions.lost(link)
         if isinstance(link.peer, Channel):
-            self.channels.lost(link.peer, reason)
+            self.channels.handle_lost(link.peer, reason)
 
     def retune(self, settings: Settings) -> None:
         """Applies a changed settings file: seeds, and the bounds of rollouts and contact."""
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -164,7 +164,7 @@
         elif is_sound(new, old) and count.key not in rollout.sound and count.key not in rollout.worse:
             rollout.sound.add(count.key)
             for channel in list(self._channels.open):
-                if channel.extra.get("role") == PROXY:
+                if channel.peer_hello.get("role") == PROXY:
                     channel.link.send({"t": "go", "items": [[*count.key, count.version]]})
 
     def tick(self, now: float) -> None:
--- a/mesh/data_plane/control_contact.py
+++ b/mesh/data_plane/control_contact.py
@@ -33,8 +33,8 @@
 
     def _last_contact(self) -> float | None:
         """When a control process with contact that had sent everything was last heard from; None if never."""
-        self._channels.fresh(0.0)  # updates whole_at
-        return self._channels.whole_at if self._channels.whole_at > 0.0 else None
+        self._channels.complete_within(0.0)  # updates last_complete_at
+        return self._channels.last_complete_at if self._channels.last_complete_at > 0.0 else None
 
     def staleness_s(self, now: float) -> float | None:
         """How old the configuration here may be, in seconds: the control process had its contact proven
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -43,8 +43,8 @@
     items was last heard from, null if never. ``control``: see `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
     balancers = list(proxy.balancers.by_service.items())[:MAX_SHOWN]
-    proxy.channels.fresh(0.0)  # updates whole_at
-    whole_at = proxy.channels.whole_at
+    proxy.channels.complete_within(0.0)  # updates last_complete_at
+    whole_at = proxy.channels.last_complete_at
     return {
         **common(settings, proxy.charter, proxy.roll, clock),
         "role": PROXY,
--- a/mesh/data_plane/key_holds.py
+++ b/mesh/data_plane/key_holds.py
@@ -102,9 +102,9 @@
         linked = [
             channel
             for channel in self._channels().open
-            if channel.opened_here and channel.link.up and channel.told
+            if channel.opened_here and channel.link.up and channel.answered
         ]
-        linked.sort(key=lambda channel: (not channel.whole, channel.rank, channel.name))
+        linked.sort(key=lambda channel: (not channel.peer_complete, channel.rank, channel.name))
         for channel in linked[:1] if first_only else linked:
             channel.link.send({"t": "keys", "n": self._number})
 
@@ -175,7 +175,7 @@
         self._last_report = report
         self._version += 1
         self._reports.write(KEY_REPORT, self._node, self._version, report)
-        self._channels().poke()
+        self._channels().schedule_answers()
 
     def supersede_report(self) -> None:
         """Reports again above the version with which the others dropped this proxy's report."""
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -161,11 +161,13 @@
             settings.tolerance.machines + EXTRA_CONTROLLERS,
             event_log,
             self._on_items,
-            extra=lambda channel, head, _: self._on_control_frame(channel, head),
-            up=(REPORTS,),
-            ranks=True,
+            on_frame=lambda channel, head, _: self._on_control_frame(channel, head),
+            one_way=(REPORTS,),
+            ranked=True,
         )
-        self.channels.silent = lambda role: ("charter",)  # an old copy here must not restore dropped items
+        self.channels.withheld_stores = lambda role: (
+            "charter",
+        )  # an old copy here must not restore dropped items
         self.control_contact = ControlContact(bounds.contact_ms, self.channels, event_log)
         self.questions = Questions(operator_handlers(self, time.time))
         self.ending = False
@@ -275,10 +277,10 @@
         dropped, and their tombstones collected. Continues with the held items, requests everything again, and
         removes what the first complete answer does not contain."""
         if self._unconfirmed_since is not None:
-            if self.channels.whole_at > self._unconfirmed_since:
+            if self.channels.last_complete_at > self._unconfirmed_since:
                 self._unconfirmed_since = None
                 self._on_items("charter", self.charter.remove_unconfirmed())
-        elif self.configured() and not self.channels.fresh(RESYNC_AFTER_S):
+        elif self.configured() and not self.channels.complete_within(RESYNC_AFTER_S):
             self._unconfirmed_since = now
             self.charter.mark_unconfirmed()
             for channel in list(self.channels.open):
@@ -287,7 +289,7 @@
     def configured(self) -> bool:
         """Whether the operators' complete configuration is here; the members are known earlier."""
         known = any(kind in OPERATOR_KINDS for kind, _ in self.charter.items)
-        return known and self.channels.whole_at > 0.0
+        return known and self.channels.last_complete_at > 0.0
 
     async def _ready(self, message: http.Message) -> Answer:
         return Answer(200 if self.configured() and not self.ending else 503)
@@ -333,13 +335,13 @@
                     if item.kind == NODE and item.value is None:
                         self.peer_links.forget(item.name)
             self.balancers.set_fleet_size(self.membership.proxy_count(), self.membership.zone_count())
-        self.channels.poke()
+        self.channels.schedule_answers()
 
     def _on_control_frame(self, channel: Channel, head: Any) -> None:
         """Handles a frame of a control process that is not an update. Raises KeyError, TypeError or
         ValueError."""
         if not self.key_holds.handle_frame(head):
-            self.staged_routes.handle_frame(head, channel.whole)
+            self.staged_routes.handle_frame(head, channel.peer_complete)
 
     def _on_reachable(self, node: str, up: bool) -> None:
         """Updates the balancers: instances at an unreachable node get no calls from here, whatever others
@@ -386,7 +388,7 @@
         known = {host: (host, port) for host, _ in self.settings.seeds}
         controllers = self.membership.controllers()
         known.update(controllers or self._reported_controllers)
-        self.channels.know(known)
+        self.channels.set_candidates(known)
 
     def _on_reported_controllers(self, addresses: Any) -> None:
         """Learns control processes from another proxy, which helps after a start if no seed is reachable. The
@@ -417,7 +419,7 @@
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 link.close(f"unreadable {type(head).__name__}: {error!r}")
         elif isinstance(link.peer, Channel):
-            self.channels.frame(link.peer, head, body)
+            self.channels.handle_frame(link.peer, head, body)
         elif isinstance(link.peer, Asker):
             link.peer.frame(head)
         elif head.get("t") == "hello" and head.get("for") == "operate":
@@ -441,6 +443,6 @@
         self.incoming_links.discard(link)
         self.questions.lost(link)
         if isinstance(link.peer, Channel):
-            self.channels.lost(link.peer, why)
+            self.channels.handle_lost(link.peer, why)
         elif isinstance(link.peer, IncomingCalls):
             link.peer.link_lost()
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -204,7 +204,7 @@
         """Called several times a second."""
         channels = self._channels()
         self.contact.poll(
-            now, any(one.complete and now - one.link.heard_at <= MAX_POLL_GAP_S for one in channels.open)
+            now, any(one.received_all and now - one.link.heard_at <= MAX_POLL_GAP_S for one in channels.open)
         )
         if (
             self._vector() != self._reported_vector
@@ -213,7 +213,9 @@
         ):
             self.schedule_report()  # a vector may rise without an item
         number = self._reports.vector.get(self._reports.source, 0)
-        if number and any(one.exchange.has(REPORTS, self._reports.source) >= number for one in channels.open):
+        if number and any(
+            one.exchange.peer_number(REPORTS, self._reports.source) >= number for one in channels.open
+        ):
             self.activation.confirm(self._reported_at)
 
     def _report_within(self, seconds: float) -> None:
@@ -245,7 +247,7 @@
         self._last_report, self._reported_at = report, self._loop.time()
         self._version += 1
         self._reports.write(REPORT, self._node, self._version, report)
-        self._channels().poke()
+        self._channels().schedule_answers()
 
     def _vector(self) -> dict[str, int]:
         return {s: n for s, n in self._charter.vector.items() if not is_page_entry(s)}
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -19,7 +19,7 @@
     """How it was: who has a link that stands, and has told all by it once, counts."""
 
     def proof(self: ContactProbes, settled: bool = False) -> Proof:
-        heard = {address_of(channel) for channel in self._links if channel.exchange.pulled}
+        heard = {address_of(channel) for channel in self._links if channel.exchange.pull_complete}
         heard |= {self._member_set.own_address} if self._disk_writer.complete else set()
         view, tolerance = self._member_set.view(), self._member_set.tolerance
         return Proof.ORDERS if view.overlaps(heard, tolerance) else Proof.NONE
@@ -69,11 +69,11 @@
 
 
 def ready_by_whoever_answers(patch: Patch) -> None:
-    def heard(self: Channels, channel: Any) -> None:
-        if channel.exchange.pulled:
-            self.whole_at = self.loop.time()
+    def record_answer(self: Channels, channel: Any) -> None:
+        if channel.exchange.pull_complete:
+            self.last_complete_at = self.loop.time()
 
-    patch.setattr(Channels, "heard", heard)
+    patch.setattr(Channels, "record_answer", record_answer)
 
 
 def ready_without_a_word(patch: Patch) -> None:
@@ -81,15 +81,15 @@
 
 
 def the_next_is_not_asked(patch: Patch) -> None:
-    real = Channels._choose
+    real = Channels._choose_peers
 
-    def choose(self: Channels) -> None:
-        for asked in self._asked.values():
+    def choose_peers(self: Channels) -> None:
+        for asked in self._candidates.values():
             if asked.channel is not None:
-                asked.channel.told = False
+                asked.channel.answered = False
         real(self)
 
-    patch.setattr(Channels, "_choose", choose)
+    patch.setattr(Channels, "_choose_peers", choose_peers)
 
 
 def open_votes_are_not_heeded(patch: Patch) -> None:
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -139,8 +139,8 @@
         if was and not is_ready:
             self.say(f"{machine.name} is not ready any more")
         self.ready[machine.name] = (life, is_ready)
-        program.channels.fresh(0.0)
-        if (is_ready and not was) or now - program.channels.whole_at <= LOOK_S:
+        program.channels.complete_within(0.0)
+        if (is_ready and not was) or now - program.channels.last_complete_at <= LOOK_S:
             what = "begins with" if not was else "is told that it has all, with"
             for key, acked in self.history.items():
                 held = program.charter.items.get(key)
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -143,13 +143,13 @@
 
 
 def questions_are_not_asked_again(patch: Patch) -> None:
-    real = Exchange.question
+    real = Exchange.pull_request
 
-    def question(self: Exchange) -> Any:
+    def pull_request(self: Exchange) -> Any:
         told = real(self)
-        return told if not self.pulled else {"t": "pulled"}
+        return told if not self.pull_complete else {"t": "pulled"}
 
-    patch.setattr(Exchange, "question", question)
+    patch.setattr(Exchange, "pull_request", pull_request)
 
 
 def a_gap_is_counted(patch: Patch) -> None:
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -369,7 +369,7 @@
         yield from world.joined([taker])
         yield from ends(world, gone=False)
 
-    with mock.patch("mesh.dissemination.pull_exchange.PAGE", 50):
+    with mock.patch("mesh.dissemination.pull_exchange.PAGE_ITEMS", 50):
         assert played(script) == []
 
 
--- a/tests/mesh/test_contact_probing.py
+++ b/tests/mesh/test_contact_probing.py
@@ -28,8 +28,8 @@
     sent: list[Any] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.extra = {"ip": self.ip, "role": self.role, "control": self.control}
-        self.exchange = SimpleNamespace(pulled=True)
+        self.peer_hello = {"ip": self.ip, "role": self.role, "control": self.control}
+        self.exchange = SimpleNamespace(pull_complete=True)
         self.link = SimpleNamespace(send=self.sent.append)
 
 
--- a/tests/mesh/test_control_confirmations.py
+++ b/tests/mesh/test_control_confirmations.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.link = SimpleNamespace(up=True, heard_at=self.loop.time())
-        channel = SimpleNamespace(node="p", peer_source="p.1", extra={"role": PROXY}, link=self.link)
+        channel = SimpleNamespace(node="p", peer_source="p.1", peer_hello={"role": PROXY}, link=self.link)
         channels = cast(Channels, SimpleNamespace(open=[channel]))
         self.confirmations = Confirmations(ACK_MS, CONTACT_MS, {}, channels, EventLog("c", io.StringIO()))
         self.confirmations.tick(self.loop.time())  # the proxy's incarnation is known from now on
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -112,7 +112,7 @@
     async def test(there: Beside) -> None:
         proxy, loop = there.proxy, asyncio.get_running_loop()
         told_in_turn: list[str | None] = []
-        proxy.channels.poke = lambda: told_in_turn.append(state(proxy, "i-1"))  # type: ignore[method-assign]
+        proxy.channels.schedule_answers = lambda: told_in_turn.append(state(proxy, "i-1"))  # type: ignore[method-assign]
         ends = loop.create_task(proxy.stop())
         await turns()
         assert told_in_turn and told_in_turn[-1] == DECAYING
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -375,7 +375,7 @@
             return (await call(there.readiness, b"GET", b"/"))[0] == 200
 
         assert not await ready()  # it has a route, but no complete control process has sent everything
-        there.proxy.channels.whole_at = asyncio.get_running_loop().time()
+        there.proxy.channels.last_complete_at = asyncio.get_running_loop().time()
         assert await ready()
         ends = asyncio.get_running_loop().create_task(there.proxy.stop())
         await turns()
@@ -396,7 +396,7 @@
         proxy.charter.reset("n1.again")
         proxy.routes.remove("read")
         there.take(VIEW, MEMBERS, {"members": {}})
-        proxy.channels.whole_at = asyncio.get_running_loop().time()
+        proxy.channels.last_complete_at = asyncio.get_running_loop().time()
         client = await there.client()
         assert (await call(there.readiness, b"GET", b"/"))[0] == 503
         assert (await client.ask("a1", "/read/ok")).status == 503
--- a/tests/mesh/test_dissemination_peers.py
+++ b/tests/mesh/test_dissemination_peers.py
@@ -10,8 +10,8 @@
 import pytest
 
 from mesh.data_plane.membership import PROXY
-from mesh.dissemination.peers import RANK_S, Channel, Channels
-from mesh.dissemination.pull_exchange import PAGE, Exchange
+from mesh.dissemination.peers import RANK_DELAY_S, Channel, Channels
+from mesh.dissemination.pull_exchange import PAGE_ITEMS, Exchange
 from mesh.event_log.log import EventLog
 from mesh.replication.store import Store
 from mesh.rollout.report import REPORTS
@@ -68,7 +68,7 @@
         hello = {"t": "hello", "node": "c1", "source": "c1", "takes": [REPORTS]}
         event_log = EventLog("c1", io.StringIO())
         self.channels = Channels(
-            "c1", hello, self.stores, 3, event_log, lambda name, items: None, up=(REPORTS,)
+            "c1", hello, self.stores, 3, event_log, lambda name, items: None, one_way=(REPORTS,)
         )
         self.lines = [Line() for _ in range(LINKS)]
         self.peers: list[Channel] = []
@@ -82,7 +82,7 @@
             line.told()
 
     def ask(self, peer: Channel, **vectors: dict[str, int]) -> None:
-        self.channels.frame(peer, {"t": "pull", "v": vectors}, b"")
+        self.channels.handle_frame(peer, {"t": "pull", "v": vectors}, b"")
 
     def ticks(self, count: int) -> int:
         """How often a store was asked what somebody lacks."""
@@ -154,14 +154,14 @@
         now = 0.0
         monkeypatch.setattr(middle.channels, "loop", cast(Any, Clock(lambda: now)))
         for peer in middle.peers:
-            middle.channels.frame(peer, {"t": "rank", "r": 1}, b"")
+            middle.channels.handle_frame(peer, {"t": "rank", "r": 1}, b"")
         middle.charter.write("route", "r1", 1, {"a": 1})
         middle.ticks(3)
         assert all(line.told() == [] for line in middle.lines)
-        now = RANK_S - 0.01
+        now = RANK_DELAY_S - 0.01
         middle.ticks(1)
         assert all(line.told() == [] for line in middle.lines)
-        now = RANK_S + 0.01
+        now = RANK_DELAY_S + 0.01
         middle.ticks(1)
         assert all(line.told() == ["r1"] for line in middle.lines)
 
@@ -190,38 +190,38 @@
         )
         channel = channels.adopt(cast(Link, line), {"node": "c1", "source": "c1.1"})
         giver_charter, giver_roll = Store("c1.1", 5000), Store("c1.1", 100)
-        for at in range(2 * PAGE + 1):
+        for at in range(2 * PAGE_ITEMS + 1):
             giver_charter.write("route", f"r{at}", 1, {})
         giver_roll.write("node", "c1", 1, {})
         giver = Exchange({"charter": giver_charter, "roll": giver_roll})
-        giver.met("p.1", ())
+        giver.set_peer("p.1", ())
 
         def tell(whole: bool, among: set[str]) -> bool:
             """Answers the open question; whether there is more."""
-            giver.asked([head for head in line.sent if head["t"] == "pull"][-1], "p.1")
+            giver.record_pull([head for head in line.sent if head["t"] == "pull"][-1], "p.1")
             told = giver.answer(whole, among)
             assert told is not None
-            channels.frame(channel, told, b"")
+            channels.handle_frame(channel, told, b"")
             return bool(told["more"])
 
         assert not tell(False, {"roll"})
-        assert channels.whole_at <= 0.0
+        assert channels.last_complete_at <= 0.0
         pages = 1
         while tell(True, {"charter"}):
             pages += 1
-            assert channels.whole_at <= 0.0 and not channels.fresh(60.0), len(charter.items)
-        assert pages == 3 and len(charter.items) == 2 * PAGE + 1
-        assert channels.whole_at > 0.0
+            assert channels.last_complete_at <= 0.0 and not channels.complete_within(60.0), len(charter.items)
+        assert pages == 3 and len(charter.items) == 2 * PAGE_ITEMS + 1
+        assert channels.last_complete_at > 0.0
 
     asyncio.run(run())
 
 
 def test_who_leaves_a_store_out_does_not_say_that_it_tells_all() -> None:
     def script(middle: Middle) -> None:
-        middle.channels.whole = lambda: True
+        middle.channels.is_complete = lambda: True
         said = []
         for version, silent in enumerate((("charter",), ()), 1):
-            middle.channels.silent = lambda _, silent=silent: silent  # type: ignore[misc]
+            middle.channels.withheld_stores = lambda _, silent=silent: silent  # type: ignore[misc]
             middle.roll.write("node", "n", version, {})
             middle.channels.tick(0.0)
             said.append([head["whole"] for head in middle.lines[0].sent if head["t"] == "news"][-1])
--- a/tests/mesh/test_dissemination_pull_exchange.py
+++ b/tests/mesh/test_dissemination_pull_exchange.py
@@ -38,10 +38,10 @@
     def reconnect(self, one: int, other: int) -> None:
         for here, there in ((one, other), (other, one)):
             end = self.ends[here, there] = Exchange(self.stores[here])
-            end.met(f"s{there}", self.takes)
+            end.set_peer(f"s{there}", self.takes)
             self.under_way[here, there] = deque()
         for here, there in ((one, other), (other, one)):
-            self.send(here, there, self.ends[here, there].question())
+            self.send(here, there, self.ends[here, there].pull_request())
 
     def send(self, here: int, there: int, head: Head | None) -> None:
         if head is None:
@@ -55,11 +55,11 @@
         """The oldest frame from ``here`` arrives, and is done with as a channel does."""
         head, end = self.under_way[here, there].popleft(), self.ends[there, here]
         if head["t"] == "pull":
-            end.asked(head, f"s{here}")
+            end.record_pull(head, f"s{here}")
             self.send(there, here, end.answer(False))
             return
-        end.answered(head)
-        self.send(there, here, end.question())
+        end.merge_answer(head)
+        self.send(there, here, end.pull_request())
         self.tell(there)
 
     def take(self, node: int, store: str, name: int, version: int, value: dict[str, int] | None) -> None:
@@ -128,7 +128,7 @@
 
 @pytest.fixture(autouse=True)
 def small_pages(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pull_exchange, "PAGE", PAGE)
+    monkeypatch.setattr(pull_exchange, "PAGE_ITEMS", PAGE)
 
 
 @given(st.integers(2, 5), OPS)
@@ -179,7 +179,7 @@
     pages = -(-items // PAGE)
     assert mesh.frames - before == 2 * pages  # a page, a question; the last page ends the paging
     assert mesh.stores[1]["roll"].vector == {"s0": items}
-    assert mesh.ends[1, 0].pulled
+    assert mesh.ends[1, 0].pull_complete
 
 
 class ClaimsPastGaps(Store):
@@ -248,7 +248,7 @@
     end = Exchange(stores)
     good = {"items": [["k", "n", 1, {}, "s0", 1]], "v": {"s0": 1}}
     try:
-        changed = end.answered(
+        changed = end.merge_answer(
             {"t": "news", "n": {"charter": good, "roll": {"items": [["k"]], "v": {}}}, "more": False}
         )
     except ValueError:
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -66,7 +66,9 @@
     def channel(self, node: str, role: str) -> Any:
         sent = self.sent.setdefault(node, [])
         link = SimpleNamespace(heard_at=0.0, since=0.0, send=sent.append)
-        return SimpleNamespace(node=node, extra={"role": role, "ip": f"ip-{node}"}, whole=True, link=link)
+        return SimpleNamespace(
+            node=node, peer_hello={"role": role, "ip": f"ip-{node}"}, peer_complete=True, link=link
+        )
 
     def node(self, name: str, role: str, host: str, version: int = 1) -> None:
         value = {"address": f"{host}:7660", "role": role, "zone": "z"}
@@ -284,7 +286,7 @@
         alone.reaping.lease._node = second
         alone.channels.open = [alone.channel(ME, CONTROLLER)]
         if why == "not whole":
-            alone.channels.open[0].whole = False
+            alone.channels.open[0].peer_complete = False
             alone.go_on(8.0)
         else:
             while alone.now < 8.0:
--- a/tests/mesh/test_repair_copies.py
+++ b/tests/mesh/test_repair_copies.py
@@ -96,12 +96,12 @@
     lacking = filled("b", items[:2], {"w": 3})
     reader = filled("s", items[:2], {"w": 3})
     asks, answers = Exchange({"charter": reader}), Exchange({"charter": lacking})
-    answers.asked(asks.question(), "s")
+    answers.record_pull(asks.pull_request(), "s")
     assert answers.answer(True) is None
     repaired(filled("a", items), lacking, KEEPS)
     told = answers.answer(True)
     assert told is not None
-    asks.answered(told)
+    asks.merge_answer(told)
     assert items[2].key in reader.items
 
 
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -173,7 +173,7 @@
 def test_a_control_process_takes_no_repair_from_a_sidecar() -> None:
     def sidecar(world: Drops) -> Script:
         core, side = world.machines["c1"].program, world.machines["s1"].program
-        (channel, *_) = [one for one in side.channels.open if one.extra["ip"] == "10.0.0.1"]
+        (channel, *_) = [one for one in side.channels.open if one.peer_hello["ip"] == "10.0.0.1"]
         item = altered(core.charter.items[R1], 9)
         packed = [item.kind, item.name, item.version, item.value, "x", 1]
         for frame in (
--- a/tests/mesh/test_stages_frames.py
+++ b/tests/mesh/test_stages_frames.py
@@ -49,10 +49,10 @@
     """Exchanges until neither end has updates left; returns the number of frames."""
     for here, there in ((one, other), (other, one)):
         if not here.old:
-            here.exchange.met(there.name, there.takes)
+            here.exchange.set_peer(there.name, there.takes)
     frames = 0
     for here, there in ((one, other), (other, one)):
-        there.exchange.asked(here.exchange.question(), here.name)
+        there.exchange.record_pull(here.exchange.pull_request(), here.name)
     while frames < most:
         sent = False
         for here, there in ((one, other), (other, one)):
@@ -60,8 +60,8 @@
             if answer is not None:
                 frames += 2
                 here.sent += 1
-                there.exchange.answered(answer)
-                here.exchange.asked(there.exchange.question(), there.name)
+                there.exchange.merge_answer(answer)
+                here.exchange.record_pull(there.exchange.pull_request(), there.name)
                 sent = True
         if not sent:
             return frames
@@ -79,13 +79,13 @@
     for end in (core, other):
         assert {name for _, name in end.stores[REPORTS].items} == {"s1", "s2"}
     core.exchange, side.exchange = Exchange(core.stores, UP, TAKES), Exchange(side.stores, UP)
-    core.exchange.met("s1", ())
-    assert core.exchange.question()["v"] == {REPORTS: {"s1": 1}}  # not the vector of all sidecars
-    assert REPORTS not in side.exchange.question()["v"]
+    core.exchange.set_peer("s1", ())
+    assert core.exchange.pull_request()["v"] == {REPORTS: {"s1": 1}}  # not the vector of all sidecars
+    assert REPORTS not in side.exchange.pull_request()["v"]
     core.exchange, side.exchange = Exchange(core.stores, UP, TAKES), Exchange(side.stores, UP)
     exchange_all(core, side)
     assert {name for _, name in side.stores[REPORTS].items} == {"s1"} and core.sent == 1
-    assert side.exchange.has(REPORTS, "s1") == 1
+    assert side.exchange.peer_number(REPORTS, "s1") == 1
 
 
 def test_what_nobody_asked_for_is_not_taken_from_above() -> None:
@@ -97,7 +97,7 @@
         "more": False,
         "whole": True,
     }
-    assert side.exchange.answered(answer) == {} and not side.stores[REPORTS].items
+    assert side.exchange.merge_answer(answer) == {} and not side.stores[REPORTS].items
 
 
 @pytest.mark.parametrize("takes", [(), TAKES])
