--- a/mesh/dissemination/__init__.py
+++ b/mesh/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Updates: what a process lacks, pulled by version vectors from the few peers that it knows."""
+"""Dissemination of replicated items: processes pull what they lack from a few peers by version vectors."""
--- a/mesh/dissemination/peers.py
+++ b/mesh/dissemination/peers.py
@@ -1,8 +1,8 @@
-"""News over links: which few others this process asks, and what it does with what they tell. Both programs
-have it; only how many it asks, and what it keeps on disk, differs between them.
+"""Pull exchange over links: which peers this process pulls from, and how it applies their answers.
+Controllers and sidecars share it; they differ in the number of peers and in what they keep on disk.
 
-A sidecar names the few control processes that it asks by rendezvous over all that it knows. One that cannot
-be had, or says that it is cut off from most others, makes room for the next in that order for a while.
+A process chooses its peers by rendezvous hashing over all candidates. A peer that is unreachable, or reports
+that it lacks contact with a quorum, is replaced by the next one in that order until it recovers.
 """
 
 from __future__ import annotations
@@ -25,56 +25,57 @@
 from mesh.transport.link import Address, Link, connect
 
 RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.15, 1.5
-BATCH_DELAY_S = 0.01  # what changes within this goes out together
-# Each but the first of those that a process asks holds its news back by this for its rank, counted from the
-# last question that told of something new: while the first tells, the question is renewed with each page.
-# It costs this where the first is slow but not silent.
+BATCH_DELAY_S = 0.01  # changes within this time share one answer
+# Each peer after the first delays its answer by this for each rank, counted from the last pull request that
+# reported progress: while the first peer answers, the request is renewed with each page. The delay is the
+# price where the first peer is slow but still responds.
 RANK_DELAY_S = 0.35
-COMPRESS_FROM_ITEMS = 24  # items of one answer, from which it goes packed: routes are much alike
-MAX_DECOMPRESSED_BYTES = 32 * 1024 * 1024  # bytes of one answer unpacked
-COMPRESSED_CACHE_SIZE = 4  # the last of them, since many ask for the same
+COMPRESS_FROM_ITEMS = 24  # an answer with as many items is compressed; routes resemble each other
+MAX_DECOMPRESSED_BYTES = 32 * 1024 * 1024  # of one answer
+COMPRESSED_CACHE_SIZE = 4  # most recent answers; many peers lack the same items
 
 ItemsChanged = Callable[[str, list[Item]], None]
 
 
 class Channel:
-    """One link with news on it, whoever opened it."""
+    """A link that carries the pull exchange, whichever side opened it."""
 
     def __init__(self, channels: Channels, link: Link, name: str, opened_here: bool) -> None:
         self.channels, self.link, self.name, self.opened_here = channels, link, name, opened_here
         self.exchange = Exchange(channels.stores, channels.one_way, channels.hello.get("takes", ()))
-        self.node = self.peer_source = ""  # the peer's, once it has said so
-        self.peer_hello: Head = {}  # all that it has said of itself
-        self.sent_complete: bool | None = None  # as we told it last
-        self.peer_complete = False  # as the peer told us last
-        self.answered = False  # the peer has told us anything
-        self.received_all = False  # the peer has told us all, as one that holds all that was acknowledged
-        self.rank = 0  # of the peer among those that we ask, as it knows; 0 is the first
-        self.peer_rank = 0  # of us among those that it asks
+        self.node = self.peer_source = ""  # the peer's, from its hello
+        self.peer_hello: Head = {}  # empty until it arrives
+        self.sent_complete: bool | None = None  # last reported to the peer
+        self.peer_complete = False  # last reported by the peer: it holds every acknowledged write
+        self.answered = False  # the peer has answered at least once
+        self.received_all = False  # a complete peer has sent everything that it holds
+        self.rank = 0  # of the peer among those this process pulls from, as last sent to it; 0 is the first
+        self.peer_rank = 0  # of this process among those that the peer pulls from
         self._peer_lacking_since: float | None = None
-        self._due = set(channels.stores)  # stores to be looked at for an answer
+        self._due = set(channels.stores)  # stores to check for the next answer
         link.steady = True
         link.peer = self
 
     def start(self, rank: int = 0) -> None:
-        """Its first words; ``rank`` comes before the question, which would be answered at once."""
+        """Sends the hello, then the rank, then the first pull request, which is answered at once."""
         self.link.send({**self.channels.hello, "for": "news"})
         self.set_rank(rank)
         self.link.send(self.exchange.pull_request())
 
     def handle_frame(self, head: Head) -> bool:
-        """Whether it was one of news. Raises KeyError, TypeError, ValueError for what cannot be read."""
+        """Handles a frame of the exchange; returns False for any other kind. Raises KeyError, TypeError or
+        ValueError for a malformed frame."""
         kind = head["t"]
         if kind == "rank":
             self.peer_rank = max(int(head["r"]), 0)
         elif kind == "pull":
             if head["v"]:
-                self._peer_lacking_since = None  # it has been told something, here or by another
+                self._peer_lacking_since = None  # the peer made progress, on this link or another
             self._due.update(self.exchange.record_pull(head, self.peer_source))
             self.answer(self.channels.is_complete())
         elif kind == "news":
             self.peer_complete, self.answered = bool(head["whole"]), True
-            # Not by any earlier answer: one that did not hold all may have told nothing of a store.
+            # Answers of a peer that was not complete do not count: it may have withheld a store.
             self.received_all = self.peer_complete and (self.received_all or not head["more"])
             changed = self.exchange.merge_answer(head)
             for name, items in changed.items():
@@ -86,33 +87,34 @@
                 return True
             self.link.send(self.exchange.pull_request())
             self.channels.record_answer(self)
-            self.channels.schedule_answers()  # the vector may have risen with nothing new in it
+            self.channels.schedule_answers()  # the vector may have advanced without new items
         else:
             return False
         return True
 
-    def answer(self, whole: bool) -> None:
-        """``whole``: this process holds all that was acknowledged, as far as can be known now."""
-        silent = self.channels.withheld_stores(str(self.peer_hello.get("role", "")))
-        whole = whole and not silent  # who leaves something out does not tell all
-        if self.peer_rank and self._waits_for_rank(silent):
+    def answer(self, complete: bool) -> None:
+        """Answers an open pull request. ``complete``: this process holds every acknowledged write, as far as
+        it can know now."""
+        withheld = self.channels.withheld_stores(str(self.peer_hello.get("role", "")))
+        complete = complete and not withheld  # an answer without these stores is not complete
+        if self.peer_rank and self._waits_for_rank(withheld):
             return
         self._peer_lacking_since = None
-        among = self._due - set(silent)  # what is told nothing of now stays to be looked at
-        told = self.exchange.answer(whole, among) if among else None
-        if told is not None:
-            self._due -= among - told["n"].keys()  # of the others nothing was lacked
+        checked = self._due - set(withheld)  # withheld stores stay due
+        answer = self.exchange.answer(complete, checked) if checked else None
+        if answer is not None:
+            self._due -= checked - answer["n"].keys()  # the peer lacks nothing of the others
         elif self.exchange.pull_open:
-            self._due -= among
-        if told is None and self.exchange.pull_open and whole is not self.sent_complete:
-            told = self.exchange.empty_answer(whole)
-        if told is not None:
-            self.sent_complete = whole
-            self.channels.send(self.link, told)
-
-    def _waits_for_rank(self, silent: Collection[str]) -> bool:
-        among = self._due - set(silent)
-        if not among or not self.exchange.peer_lacks_updates(among):
+            self._due -= checked
+        if answer is None and self.exchange.pull_open and complete is not self.sent_complete:
+            answer = self.exchange.empty_answer(complete)
+        if answer is not None:
+            self.sent_complete = complete
+            self.channels.send(self.link, answer)
+
+    def _waits_for_rank(self, withheld: Collection[str]) -> bool:
+        checked = self._due - set(withheld)
+        if not checked or not self.exchange.peer_lacks_updates(checked):
             return False
         now = self.channels.loop.time()
         if self._peer_lacking_since is None:
@@ -120,36 +122,36 @@
         return now - self._peer_lacking_since < self.peer_rank * RANK_DELAY_S
 
     def mark_due(self, stores: Iterable[str]) -> None:
-        """The vectors of these may have risen."""
+        """Marks stores whose vectors may have advanced."""
         self._due.update(stores)
 
     def set_rank(self, rank: int) -> None:
-        """Its peer is to know where it stands among those that are asked here."""
+        """Reports to the peer its rank among those that this process pulls from."""
         if rank != self.rank:
             self.rank = rank
             self.link.send({"t": "rank", "r": rank})
 
     def renew_pull(self) -> None:
-        """What has come by another link is not asked for on this one."""
+        """Renews the open pull request, so that items received over another link are not sent again."""
         if self.opened_here and (head := self.exchange.renewed_pull()) is not None:
             self.link.send(head)
 
 
 def decompress_parts(body: bytes) -> dict[str, Any]:
-    """The parts of a packed answer. Raises ValueError for what is none, or too long."""
+    """Decompresses the stores' parts of an answer. Raises ValueError for malformed or oversized data."""
     inflate = zlib.decompressobj()
     try:
         text = inflate.decompress(body, MAX_DECOMPRESSED_BYTES)
         if not inflate.eof:
-            raise ValueError("a packed answer that does not end, or is too long")
+            raise ValueError("compressed answer is truncated or too long")
         parts: dict[str, Any] = msgspec.json.decode(text, type=dict[str, Any])
-    except (zlib.error, msgspec.DecodeError, RecursionError) as fault:
-        raise ValueError(str(fault)) from None
+    except (zlib.error, msgspec.DecodeError, RecursionError) as error:
+        raise ValueError(str(error)) from None
     return parts
 
 
 class Candidate:
-    """A peer that this process opens a link to."""
+    """A process that this one may pull from."""
 
     __slots__ = ("address", "channel", "connecting", "name", "not_before", "retry_delay_s")
 
@@ -161,7 +163,7 @@
 
 
 class Channels:
-    """All of them. ``hello`` is what this process says of itself on each; ``most`` is how many it asks."""
+    """All channels of this process. ``hello`` is its hello frame; ``max_peers`` is how many it pulls from."""
 
     def __init__(
         self,
@@ -179,32 +181,28 @@
         ranked: bool = False,
         on_hello: Callable[[Channel], None] | None = None,
     ) -> None:
-        """``greeted`` is told of a peer's hello before anything is said to it, or taken of it.
-        ``ranks``: those that are asked tell in turn, so that nobody is told all by each of them.
-        ``up``: the stores that go only to those whose hello says under ``takes`` that they want them."""
+        """``on_hello`` is called with a peer's hello before any other frame is sent or handled.
+        ``ranked``: peers answer in turn by rank, so that they do not all send the same items.
+        ``one_way``: stores that are sent only to peers whose hello lists them under ``takes``."""
         self.one_way, self.ranked = one_way, ranked
         self.loop = asyncio.get_running_loop()
         self.me, self.stores, self.max_peers, self.event_log = me, stores, max_peers, event_log
         self.hello = {**hello, "takes": [*hello.get("takes", ()), SNAPSHOTS_FEATURE]}
         self.on_change, self.is_complete, self._on_frame = on_change, is_complete, on_frame
         self._on_open, self._on_close, self._on_hello = on_open, on_close, on_hello
-        self.withheld_stores: Callable[[str], Collection[str]] = (
-            lambda role: ()
-        )  # stores not told to that role now
+        self.withheld_stores: Callable[[str], Collection[str]] = lambda role: ()  # from peers of that role
         self.open: set[Channel] = set()
         self._candidates: dict[str, Candidate] = {}
         self._answer_timer: asyncio.TimerHandle | None = None
         self._compressed: dict[tuple[object, ...], bytes] = {}
-        self._order: list[str] | None = None  # of those that could be asked; None: to be worked out
-        self._last_vectors: dict[str, dict[str, int]] = {
-            name: {} for name in stores
-        }  # vectors, at the last look
-        self.last_complete_at = -1e9  # when one that holds all that was acknowledged last answered, or beat
+        self._order: list[str] | None = None  # of the candidates; None: to be recomputed
+        self._last_vectors: dict[str, dict[str, int]] = {name: {} for name in stores}
+        self.last_complete_at = -1e9  # last answer or heartbeat of a complete peer
 
-    # Whom to ask
+    # Choice of peers
 
     def set_candidates(self, candidates: Mapping[str, Address]) -> None:
-        """All that could be asked, by name."""
+        """Replaces the candidates, by name."""
         for name, address in candidates.items():
             known = self._candidates.get(name)
             if known is None or known.address != address:
@@ -216,66 +214,66 @@
         self._choose_peers()
 
     def _remove_candidate(self, name: str) -> None:
-        asked = self._candidates.pop(name, None)
+        candidate = self._candidates.pop(name, None)
         self._order = None
-        if asked is not None and asked.channel is not None:
-            asked.channel.link.close("not one to ask any more")
+        if candidate is not None and candidate.channel is not None:
+            candidate.channel.link.close("peer is no longer a candidate")
 
     def _choose_peers(self) -> None:
-        """Links to the first of this process's order that can be had now. A try that is under way keeps
-        others from being tried, but costs none that stands: a seed that is gone is tried for ever."""
-        now, wanted, standing = self.loop.time(), 0, 0
+        """Keeps links to the first reachable candidates in rendezvous order. An attempt in progress prevents
+        further attempts but closes no established link: a seed that is gone is retried for ever."""
+        now, pending, linked = self.loop.time(), 0, 0
         if self._order is None:
             self._order = rendezvous_order(self.me, self._candidates)
         for name in self._order:
-            asked = self._candidates[name]
-            if asked.channel is not None:
-                if standing >= self.max_peers:
-                    asked.channel.link.close("others come first")
+            candidate = self._candidates[name]
+            if candidate.channel is not None:
+                if linked >= self.max_peers:
+                    candidate.channel.link.close("peers earlier in the order are linked")
                     continue
                 if self.ranked:
-                    asked.channel.set_rank(standing)
-                counts = asked.channel.peer_complete or not asked.channel.answered
-                wanted += counts
-                standing += counts
+                    candidate.channel.set_rank(linked)
+                counts = candidate.channel.peer_complete or not candidate.channel.answered
+                pending += counts
+                linked += counts
                 continue
-            if wanted >= self.max_peers:
+            if pending >= self.max_peers:
                 continue
-            if asked.connecting is not None:
-                wanted += 1
+            if candidate.connecting is not None:
+                pending += 1
                 continue
-            if now >= asked.not_before:
-                asked.connecting = self.loop.create_task(self._connect(asked))
-                wanted += 1
+            if now >= candidate.not_before:
+                candidate.connecting = self.loop.create_task(self._connect(candidate))
+                pending += 1
 
     def _rank_of(self, name: str) -> int:
-        """How many of those that come before it in the order of this process are linked and count."""
+        """The number of linked peers earlier in the order that are complete or have not answered yet."""
         assert self._order is not None
         names = self._order[: self._order.index(name)]
         linked = [self._candidates[other].channel for other in names]
         return sum(one is not None and (one.peer_complete or not one.answered) for one in linked)
 
-    async def _connect(self, asked: Candidate) -> None:
+    async def _connect(self, candidate: Candidate) -> None:
         link = await connect(
-            asked.address, lambda: Link(lambda _: None, self._on_link_frame, self._on_link_lost)
+            candidate.address, lambda: Link(lambda _: None, self._on_link_frame, self._on_link_lost)
         )
-        asked.connecting = None
-        if link is None or not link.up or self._candidates.get(asked.name) is not asked:
-            asked.not_before = self.loop.time() + asked.retry_delay_s
-            asked.retry_delay_s = min(2.0 * asked.retry_delay_s, MAX_RECONNECT_DELAY_S)
+        candidate.connecting = None
+        if link is None or not link.up or self._candidates.get(candidate.name) is not candidate:
+            candidate.not_before = self.loop.time() + candidate.retry_delay_s
+            candidate.retry_delay_s = min(2.0 * candidate.retry_delay_s, MAX_RECONNECT_DELAY_S)
             if link is not None:
-                link.close("not wanted")
+                link.close("link is no longer needed")
             return
-        asked.retry_delay_s = RECONNECT_DELAY_S
-        asked.channel = channel = Channel(self, link, asked.name, True)
+        candidate.retry_delay_s = RECONNECT_DELAY_S
+        candidate.channel = channel = Channel(self, link, candidate.name, True)
         self.open.add(channel)
-        channel.start(self._rank_of(asked.name) if self.ranked else 0)
+        channel.start(self._rank_of(candidate.name) if self.ranked else 0)
         self._choose_peers()
 
-    # Links that others open
+    # Links opened by peers
 
     def adopt(self, link: Link, hello: Head) -> Channel:
-        """A link whose other end wants news. Raises KeyError where it does not say who it is."""
+        """Takes over a link that a peer opened to pull over. Raises KeyError for an incomplete hello."""
         channel = Channel(self, link, str(hello["node"]), False)
         self.open.add(channel)
         self._handle_hello(channel, hello, begins=True)
@@ -295,7 +293,7 @@
             self._on_open(channel)
 
     def handle_frame(self, channel: Channel, head: Head, body: bytes) -> None:
-        """Raises nothing: what cannot be read ends the link."""
+        """Handles a frame; a malformed one closes the link."""
         try:
             if head.get("z"):
                 head["n"] = decompress_parts(body)
@@ -303,63 +301,63 @@
                 self._handle_hello(channel, head)
             elif not channel.handle_frame(head) and self._on_frame is not None:
                 self._on_frame(channel, head, body)
-        except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            channel.link.close(f"unreadable {head.get('t')}: {fault!r}")
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            channel.link.close(f"unreadable {head.get('t')}: {error!r}")
 
     def _on_link_frame(self, link: Link, head: Head, body: bytes) -> None:
         if isinstance(link.peer, Channel):
             self.handle_frame(link.peer, head, body)
 
-    def _on_link_lost(self, link: Link, why: str) -> None:
+    def _on_link_lost(self, link: Link, reason: str) -> None:
         if isinstance(link.peer, Channel):
-            self.handle_lost(link.peer, why)
+            self.handle_lost(link.peer, reason)
 
-    def handle_lost(self, channel: Channel, why: str) -> None:
+    def handle_lost(self, channel: Channel, reason: str) -> None:
         self.open.discard(channel)
-        self.event_log.tell(events.LINK_LOST, peer=channel.node or channel.name, why=why)
+        self.event_log.tell(events.LINK_LOST, peer=channel.node or channel.name, why=reason)
         if self._on_close is not None:
             self._on_close(channel)
-        asked = self._candidates.get(channel.name)
-        if asked is not None and asked.channel is channel:
-            asked.channel = None
-            asked.not_before = self.loop.time() + asked.retry_delay_s
-            asked.retry_delay_s = min(2.0 * asked.retry_delay_s, MAX_RECONNECT_DELAY_S)
+        candidate = self._candidates.get(channel.name)
+        if candidate is not None and candidate.channel is channel:
+            candidate.channel = None
+            candidate.not_before = self.loop.time() + candidate.retry_delay_s
+            candidate.retry_delay_s = min(2.0 * candidate.retry_delay_s, MAX_RECONNECT_DELAY_S)
             self._choose_peers()
 
-    # News
+    # Answers
 
     def record_answer(self, channel: Channel) -> None:
         if channel.received_all:
             self.last_complete_at = self.loop.time()
 
     def schedule_answers(self) -> None:
-        """Something has changed here: who asked is answered."""
+        """Schedules answers to open pull requests after a local change."""
         if self._answer_timer is None:
             self._answer_timer = self.loop.call_later(BATCH_DELAY_S, self._answer_all)
 
     def _answer_all(self) -> None:
         self._answer_timer = None
-        whole = self.is_complete()  # once for all: it looks at every member and every link
-        risen = self._changed_stores()
+        complete = self.is_complete()  # computed once: it visits every member and every link
+        advanced = self._changed_stores()
         for channel in list(self.open):
-            channel.mark_due(risen)
+            channel.mark_due(advanced)
             if channel.rank:
                 channel.renew_pull()
-            channel.answer(whole)
+            channel.answer(complete)
 
     def _changed_stores(self) -> list[str]:
-        """The stores whose vectors have changed since the last call. Compared whole, once for all links: to
-        look at every source for each link would cost the square of the proxies."""
+        """The stores whose vectors have changed since the last call. Compared once for all links: comparing
+        every source for each link would cost the square of the number of proxies."""
         found = [name for name, store in self.stores.items() if store.vector != self._last_vectors[name]]
         for name in found:
             self._last_vectors[name] = dict(self.stores[name].vector)
         return found
 
-    def send(self, link: Link, told: Head) -> None:
-        """An answer, packed where it is long."""
-        parts = told["n"]
+    def send(self, link: Link, answer: Head) -> None:
+        """Sends an answer, compressed where it is long."""
+        parts = answer["n"]
         if sum(len(part["items"]) for part in parts.values()) < COMPRESS_FROM_ITEMS:
-            link.send(told)
+            link.send(answer)
             return
         key = tuple(
             (
@@ -375,10 +373,10 @@
         self._compressed[key] = packed
         while len(self._compressed) > COMPRESSED_CACHE_SIZE:
             del self._compressed[next(iter(self._compressed))]
-        link.send({**told, "n": {}, "z": True}, packed)
+        link.send({**answer, "n": {}, "z": True}, packed)
 
     def complete_within(self, within_s: float) -> bool:
-        """Whether somebody that holds all that was acknowledged has been heard so lately."""
+        """Whether a complete peer has answered or sent a heartbeat within this time."""
         now = self.loop.time()
         for channel in self.open:
             if channel.received_all:
@@ -386,10 +384,10 @@
         return now - self.last_complete_at <= within_s
 
     def tick(self, now: float) -> None:
-        whole, risen = self.is_complete(), self._changed_stores()
+        complete, advanced = self.is_complete(), self._changed_stores()
         for channel in list(self.open):
             channel.link.tick(now)
-            channel.mark_due(risen)
+            channel.mark_due(advanced)
             if channel.link.up:
-                channel.answer(whole)  # where that has changed
+                channel.answer(complete)  # reports a change of ``complete``
         self._choose_peers()
--- a/tests/mesh/test_dissemination_pull_exchange.py
+++ b/tests/mesh/test_dissemination_pull_exchange.py
@@ -1,5 +1,5 @@
-"""Ends of links that tell each other what they lack: over links that are lost and come again all converge,
-nobody is sent what it stamped, and a mesh in which nothing changes falls silent."""
+"""The pull exchange over links that are lost and re-established: all stores converge, no node is sent items
+of its own source, and a mesh without changes sends no frames."""
 
 from collections import deque
 from collections.abc import Collection, Mapping
@@ -20,18 +20,18 @@
 from mesh.transport.frames import Head
 
 PAGE = 3
-FRAMES_MOST = 4000
+MAX_FRAMES = 4000
 
 
 class Mesh:
-    """Nodes with two stores each, a link between each two, frames under way in order on each link."""
+    """Nodes with two stores each and a link between each two; frames in flight keep their order on a link."""
 
     def __init__(self, count: int, kind: type[Store] = Store, takes: Collection[str] = ()) -> None:
         self.takes = takes
         self.stores = [{name: kind(f"s{n}", 500) for name in ("charter", "roll")} for n in range(count)]
         self.ends: dict[tuple[int, int], Exchange] = {}
-        self.under_way: dict[tuple[int, int], deque[Head]] = {}
-        self.frames = self.own = 0
+        self.in_flight: dict[tuple[int, int], deque[Head]] = {}
+        self.frames = self.own_items_sent = 0
         for one, other in combinations(range(count), 2):
             self.reconnect(one, other)
 
@@ -39,7 +39,7 @@
         for here, there in ((one, other), (other, one)):
             end = self.ends[here, there] = Exchange(self.stores[here])
             end.set_peer(f"s{there}", self.takes)
-            self.under_way[here, there] = deque()
+            self.in_flight[here, there] = deque()
         for here, there in ((one, other), (other, one)):
             self.send(here, there, self.ends[here, there].pull_request())
 
@@ -48,37 +48,37 @@
             return
         self.frames += 1
         for part in head.get("n", {}).values():
-            self.own += sum(fields[4] == f"s{there}" for fields in part["items"])
-        self.under_way[here, there].append(msgspec.json.decode(msgspec.json.encode(head)))
+            self.own_items_sent += sum(fields[4] == f"s{there}" for fields in part["items"])
+        self.in_flight[here, there].append(msgspec.json.decode(msgspec.json.encode(head)))
 
     def deliver(self, here: int, there: int) -> None:
-        """The oldest frame from ``here`` arrives, and is done with as a channel does."""
-        head, end = self.under_way[here, there].popleft(), self.ends[there, here]
+        """Delivers the oldest frame from ``here`` and handles it as a channel does."""
+        head, end = self.in_flight[here, there].popleft(), self.ends[there, here]
         if head["t"] == "pull":
             end.record_pull(head, f"s{here}")
             self.send(there, here, end.answer(False))
             return
         end.merge_answer(head)
         self.send(there, here, end.pull_request())
-        self.tell(there)
+        self.answer_peers(there)
 
-    def take(self, node: int, store: str, name: int, version: int, value: dict[str, int] | None) -> None:
+    def write(self, node: int, store: str, name: int, version: int, value: dict[str, int] | None) -> None:
         self.stores[node][store].write("k", str(name), version, value)
-        self.tell(node)
+        self.answer_peers(node)
 
-    def tell(self, node: int) -> None:
+    def answer_peers(self, node: int) -> None:
         for (here, there), end in self.ends.items():
             if here == node:
                 self.send(here, there, end.answer(False))
 
     def settle(self) -> bool:
-        """Until nothing is under way; False where it does not end."""
-        began = self.frames
-        while any(self.under_way.values()):
+        """Delivers frames until none is in flight; returns False where this does not end."""
+        frames_before = self.frames
+        while any(self.in_flight.values()):
             for here, there in self.ends:
-                if self.under_way[here, there]:
+                if self.in_flight[here, there]:
                     self.deliver(here, there)
-            if self.frames - began > FRAMES_MOST:
+            if self.frames - frames_before > MAX_FRAMES:
                 return False
         return True
 
@@ -94,10 +94,10 @@
         return False
 
 
-OPS = st.lists(
+OPERATIONS = st.lists(
     st.one_of(
         st.tuples(
-            st.just("take"),
+            st.just("write"),
             st.integers(0, 4),
             st.sampled_from(["charter", "roll"]),
             st.integers(0, 9),
@@ -105,24 +105,24 @@
             st.sampled_from([None, 1, 2]),
         ),
         st.tuples(st.just("deliver"), st.integers(0, 99)),
-        st.tuples(st.just("lose"), st.integers(0, 99)),
+        st.tuples(st.just("reconnect"), st.integers(0, 99)),
     ),
     max_size=60,
 )
 
 
-def play(mesh: Mesh, ops: list[Any]) -> None:
+def apply_operations(mesh: Mesh, operations: list[Any]) -> None:
     pairs = list(mesh.ends)
-    for op in ops:
-        match op:
-            case ("take", node, store, name, version, value):
-                told = None if value is None else {"v": value}
-                mesh.take(node % len(mesh.stores), store, name, version, told)
+    for operation in operations:
+        match operation:
+            case ("write", node, store, name, version, value):
+                content = None if value is None else {"v": value}
+                mesh.write(node % len(mesh.stores), store, name, version, content)
             case ("deliver", which):
-                waiting = [pair for pair in pairs if mesh.under_way[pair]]
+                waiting = [pair for pair in pairs if mesh.in_flight[pair]]
                 if waiting:
                     mesh.deliver(*waiting[which % len(waiting)])
-            case ("lose", which):
+            case ("reconnect", which):
                 mesh.reconnect(*pairs[which % len(pairs)])
 
 
@@ -131,21 +131,23 @@
     monkeypatch.setattr(pull_exchange, "PAGE_ITEMS", PAGE)
 
 
-@given(st.integers(2, 5), OPS)
+@given(st.integers(2, 5), OPERATIONS)
 @settings(max_examples=120)
-def test_all_converge_fall_silent_and_nobody_is_sent_what_it_stamped(count: int, ops: list[Any]) -> None:
+def test_all_converge_fall_silent_and_nobody_is_sent_what_it_stamped(
+    count: int, operations: list[Any]
+) -> None:
     mesh = Mesh(count)
-    play(mesh, ops)
+    apply_operations(mesh, operations)
     assert mesh.settle(), "frames without an end"
     assert not mesh.differ()
-    assert mesh.own == 0
+    assert mesh.own_items_sent == 0
 
 
-@given(st.integers(2, 5), OPS)
+@given(st.integers(2, 5), OPERATIONS)
 @settings(max_examples=120)
-def test_all_converge_and_fall_silent_where_snapshots_are_taken(count: int, ops: list[Any]) -> None:
+def test_all_converge_and_fall_silent_where_snapshots_are_taken(count: int, operations: list[Any]) -> None:
     mesh = Mesh(count, takes=(SNAPSHOTS_FEATURE,))
-    play(mesh, ops)
+    apply_operations(mesh, operations)
     assert mesh.settle(), "frames without an end"
     assert not mesh.differ()
 
@@ -153,8 +155,8 @@
 def test_a_link_in_which_nothing_changes_carries_two_questions_and_no_more() -> None:
     mesh = Mesh(2)
     assert mesh.settle() and mesh.frames == 2
-    mesh.tell(0)
-    mesh.tell(1)
+    mesh.answer_peers(0)
+    mesh.answer_peers(1)
     assert mesh.frames == 2
 
 
@@ -162,7 +164,7 @@
     mesh = Mesh(2)
     mesh.settle()
     before = mesh.frames
-    mesh.take(0, "charter", 1, 1, {"v": 1})
+    mesh.write(0, "charter", 1, 1, {"v": 1})
     assert mesh.settle() and mesh.frames - before == 2
 
 
@@ -174,24 +176,24 @@
     before = mesh.frames
     for name in range(items):
         mesh.stores[0]["roll"].write("k", str(name), 1, {"v": 1})
-    mesh.tell(0)
+    mesh.answer_peers(0)
     assert mesh.settle() and not mesh.differ()
     pages = -(-items // PAGE)
-    assert mesh.frames - before == 2 * pages  # a page, a question; the last page ends the paging
+    assert mesh.frames - before == 2 * pages  # a page and a pull request each; the last page ends the paging
     assert mesh.stores[1]["roll"].vector == {"s0": items}
     assert mesh.ends[1, 0].pull_complete
 
 
 class ClaimsPastGaps(Store):
-    """The fault: each page raises the vector to all that the sender has."""
+    """Seeded fault: each page raises the vector to all that the sender has."""
 
     def delta_for(self, vector: Mapping[str, int], max_items: int, *_: object, **__: object) -> Delta:
-        lack = super().delta_for(vector, max_items)
-        return Delta(lack.items, dict(self.vector), False) if lack.more else lack
+        delta = super().delta_for(vector, max_items)
+        return Delta(delta.items, dict(self.vector), False) if delta.more else delta
 
 
-class AlwaysNews(Store):
-    """The fault: an answer is given though nothing would rise by it."""
+class AlwaysHasUpdates(Store):
+    """Seeded fault: an answer is sent although the vector of the receiver would not advance."""
 
     def has_updates(self, vector: Mapping[str, int]) -> bool:
         return bool(self.items)
@@ -201,24 +203,24 @@
     mesh = Mesh(2, ClaimsPastGaps)
     for name in range(2 * PAGE):
         mesh.stores[0]["roll"].write("k", str(name), 1, {"v": 1})
-    mesh.tell(0)
+    mesh.answer_peers(0)
     mesh.settle()
     assert mesh.differ()
-    endless = Mesh(2, AlwaysNews)
-    endless.take(0, "roll", 1, 1, {"v": 1})
+    endless = Mesh(2, AlwaysHasUpdates)
+    endless.write(0, "roll", 1, 1, {"v": 1})
     assert not endless.settle()
 
 
 def test_doubled_and_late_answers_of_an_earlier_link_change_nothing_that_holds() -> None:
     mesh = Mesh(2)
     mesh.settle()
-    mesh.take(0, "charter", 1, 1, {"v": 1})
-    old = mesh.under_way[0, 1][0]
+    mesh.write(0, "charter", 1, 1, {"v": 1})
+    earlier_answer = mesh.in_flight[0, 1][0]
     mesh.settle()
-    mesh.take(0, "charter", 1, 2, None)
+    mesh.write(0, "charter", 1, 2, None)
     mesh.settle()
     mesh.reconnect(0, 1)
-    mesh.under_way[0, 1].append(old)
+    mesh.in_flight[0, 1].append(earlier_answer)
     assert mesh.settle() and not mesh.differ()
     assert mesh.stores[1]["charter"].items["k", "1"].version == 2
 
@@ -246,10 +248,10 @@
 def test_an_answer_that_cannot_be_taken_whole_leaves_nothing_untold() -> None:
     stores = {"charter": Store("s1", 500), "roll": Store("s1", 500)}
     end = Exchange(stores)
-    good = {"items": [["k", "n", 1, {}, "s0", 1]], "v": {"s0": 1}}
+    valid = {"items": [["k", "n", 1, {}, "s0", 1]], "v": {"s0": 1}}
     try:
         changed = end.merge_answer(
-            {"t": "news", "n": {"charter": good, "roll": {"items": [["k"]], "v": {}}}, "more": False}
+            {"t": "news", "n": {"charter": valid, "roll": {"items": [["k"]], "v": {}}}, "more": False}
         )
     except ValueError:
         changed = {}
