--- a/benchmarks/contact_cost.py
+++ b/benchmarks/contact_cost.py
@@ -46,7 +46,7 @@
     channels: list[Any] = [_Link(name, {"ip": name, "role": CONTROLLER}, link, pulled) for name in names[1:]]
     owner: Any = SimpleNamespace(loop=loop, open=channels)
     disk_writer: Any = SimpleNamespace(complete=True)
-    event_log: Any = SimpleNamespace(tell=lambda *_, **__: None)
+    event_log: Any = SimpleNamespace(emit=lambda *_, **__: None)
     contact_probes = ContactProbes(
         CONTACT_MS, owner, member_set, disk_writer, lambda *_: None, lambda: 0.0, event_log
     )
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -145,7 +145,7 @@
         """Merges decided items of any source. ``complete``: they are all the items of their order."""
         changed = self._charter.merge(items, vector)
         if isinstance(changed, StoreFull):
-            self._event_log.tell(events.STATE_FULL, reason=changed.reason)
+            self._event_log.emit(events.STATE_FULL, reason=changed.reason)
             return
         # Items that are forgotten already are skipped.
         self._learn([item for item in items if item.key in self._charter.items], complete)
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -154,7 +154,7 @@
         if isinstance(found, DifferingRanges):
             channel.link.send({"t": "range", "s": name, "at": found.ranges})
         elif found is not None:
-            self._event_log.tell(events.REPAIR_BEGUN, peer=channel.node, buckets=len(found.digests))
+            self._event_log.emit(events.REPAIR_STARTED, peer=channel.node, buckets=len(found.digests))
             items = [pack(item) for item in items_under(store, found.digests)]
             channel.link.send(
                 {"t": "mend", "s": name, "leaves": found.digests, "items": items[:MAX_REPAIR_ITEMS]}
@@ -163,8 +163,12 @@
     def _handle_mend(self, channel: Channel, name: str, leaves: dict[str, str], items: list[Item]) -> None:
         found = plan_repair(self._stores[name], leaves, items, name == ROLL)
         for item in found.conflicting:
-            self._event_log.tell(
-                events.COPIES_SPLIT, peer=channel.node, kind=item.kind, name=item.name, version=item.version
+            self._event_log.emit(
+                events.COPIES_DIFFERED,
+                peer=channel.node,
+                kind=item.kind,
+                name=item.name,
+                version=item.version,
             )
         if found.fetch:
             self._apply(channel, name, found.fetch)
@@ -173,8 +177,8 @@
                 {"t": "mended", "s": name, "items": [pack(item) for item in found.send[:MAX_REPAIR_ITEMS]]}
             )
         if found.inconsistent_leaves:
-            self._event_log.tell(
-                events.REPAIR_DIFFERS, peer=channel.node, buckets=len(found.inconsistent_leaves)
+            self._event_log.emit(
+                events.REPAIR_INCOMPLETE, peer=channel.node, buckets=len(found.inconsistent_leaves)
             )
         if not (found.fetch or found.send):
             key = (channel.node, name)
@@ -185,9 +189,9 @@
     def _apply(self, channel: Channel, name: str, items: list[Item]) -> None:
         taken = self._stores[name].repair(items)
         if isinstance(taken, StoreFull):
-            self._event_log.tell(events.STATE_FULL, reason=taken.reason)
+            self._event_log.emit(events.STATE_FULL, reason=taken.reason)
         elif taken:
-            self._event_log.tell(events.REPAIR_DONE, peer=channel.node, items=len(taken))
+            self._event_log.emit(events.REPAIR_DONE, peer=channel.node, items=len(taken))
             self._on_change(name, taken)
             self._push_to_proxies(name, taken)
             self._next_comparison_at = self._loop.time() + RETRY_S
@@ -215,11 +219,11 @@
             items = len(self._stores[CHARTER].items)
             outcome = await self._disk_writer.rewrite()
             if isinstance(outcome, Kept):
-                self._event_log.tell(
-                    events.DISK_MENDED, items=items, findings=len(findings), first=findings[0]
+                self._event_log.emit(
+                    events.DISK_REPAIRED, items=items, findings=len(findings), first=findings[0]
                 )
             else:
-                self._event_log.tell(events.DISK_REFUSED, reason=outcome.reason)
+                self._event_log.emit(events.DISK_WRITE_REFUSED, reason=outcome.reason)
         finally:
             self._disk_check = None
 
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -160,7 +160,7 @@
     # Starting over
 
     def _start_over(self, reason: str) -> None:
-        self._event_log.tell(events.DISK_OLDER, reason=reason, items=len(self._charter.items))
+        self._event_log.emit(events.DISK_OUTDATED, reason=reason, items=len(self._charter.items))
         view = self._charter.items.get((VIEW, MEMBERS))
         self._disk_writer.complete, self._had_contact, self._is_reader = False, False, False
         # A new incarnation of the store: others hold items stamped by the earlier one that are missing here.
@@ -198,7 +198,7 @@
             size = await self._disk_writer.run_between_batches(_size)
             if size is not None and size.file > COMPACT_SPARE_BYTES + COMPACT_RATIO * size.used:
                 await self._disk_writer.rewrite()
-                self._event_log.tell(events.DISK_COMPACTED, before=size.file, used=size.used)
+                self._event_log.emit(events.DISK_COMPACTED, before=size.file, used=size.used)
         finally:
             self._compaction = None
 
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -169,7 +169,7 @@
         while lacking := self._lacking(self._waited_for(now, decided_at), required):
             if now - decided_at >= self.bound_s(len(items)):
                 waited_ms = round((now - decided_at) * 1000.0)
-                self._event_log.tell(
+                self._event_log.emit(
                     events.ACKNOWLEDGED_EARLY, items=len(items), sidecars=len(lacking), waited_ms=waited_ms
                 )
                 return True
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -23,7 +23,7 @@
     folder = Path(settings.state_dir) / "charter"
     outcome = Keeper.open(folder, room(settings.limits.disk_mb))
     if isinstance(outcome, Failed):
-        event_log.tell(events.DISK_FAILED, reason=outcome.reason)
+        event_log.emit(events.DISK_OPEN_FAILED, reason=outcome.reason)
         raise OSError(outcome.reason)
     kept = _restore(settings, charter, event_log, outcome)
     acceptor = restore_acceptor(settings.ip, kept, lambda key: forgotten_to(charter, key))
@@ -43,17 +43,17 @@
 ) -> Held:
     """What the disk held; its items are put into the store."""
     if isinstance(outcome, SetAside):
-        event_log.tell(events.DISK_SET_ASIDE, moved_to=str(outcome.moved_to), reason=outcome.reason)
+        event_log.emit(events.DISK_SET_ASIDE, moved_to=str(outcome.moved_to), reason=outcome.reason)
         return Held()
     if isinstance(outcome, Fresh):
-        event_log.tell(events.DISK_FRESH, first=settings.cold_boot)
+        event_log.emit(events.DISK_EMPTY, first=settings.cold_boot)
         return Held()
     for migration in outcome.notes:
-        event_log.tell(events.DISK_MOVED_ON, note=migration)
+        event_log.emit(events.DISK_MIGRATED, note=migration)
     kept = held(outcome.rows)
     charter.collected_tombstones.merge(kept.forgotten)
     charter.restore(kept.items, kept.vector)
-    event_log.tell(events.DISK_OPENED, items=len(kept.items), whole=kept.whole)
+    event_log.emit(events.DISK_OPENED, items=len(kept.items), whole=kept.whole)
     return kept
 
 
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -142,7 +142,7 @@
             try:
                 await self._step()
             except Exception as fault:  # the task must go on: nothing else restarts it
-                self._event_log.tell(events.FAULT, where="joining", what=repr(fault))
+                self._event_log.emit(events.PROGRAM_ERROR, where="joining", what=repr(fault))
             self.announce()
             await asyncio.sleep(STEP_INTERVAL_S)
 
@@ -182,7 +182,7 @@
         if not founders - {me} <= reachable & self.peer_states.keys():
             return
         first_view = write_view(View(1, dict.fromkeys(founders, Place("", ""))))
-        self._event_log.tell(events.BEGUN_ANEW, founders=", ".join(sorted(founders)))
+        self._event_log.emit(events.FIRST_START_REPEATED, founders=", ".join(sorted(founders)))
         self._acceptor_host.apply(*self._acceptor_host.stamp_items([((VIEW, MEMBERS, 1), first_view)]))
 
     # Announcements
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -112,7 +112,7 @@
         try:
             key_map = read_map(item.version, item.value)
         except (KeyError, TypeError, ValueError) as fault:
-            self._event_log.tell(events.FAULT, where=f"keys of {item.name}", what=str(fault))
+            self._event_log.emit(events.PROGRAM_ERROR, where=f"keys of {item.name}", what=str(fault))
             return
         now = self._loop.time()
         self._maps[item.name] = key_map
@@ -275,7 +275,7 @@
                 {(OWNERSHIP, service, version): value}, DECIDE_TIMEOUT_S
             )
             if isinstance(outcome, Decided):
-                self._event_log.tell(
+                self._event_log.emit(
                     events.KEYS_ASSIGNED, service=service, version=version, rows=len(value["rows"])
                 )
         finally:
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -103,7 +103,7 @@
                 try:
                     self.lease.note(now, read_lease(item.version, item.value))
                 except ValueError as fault:
-                    self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
+                    self._event_log.emit(events.PROGRAM_ERROR, where=f"duty {item.name}", what=str(fault))
 
     def link_closed(self, channel: Channel) -> None:
         """Notes the last contact with the node on a link that closed."""
@@ -135,7 +135,7 @@
         if isinstance(decided, Hold):
             if self._held_epoch != decided.epoch:
                 self._held_epoch = decided.epoch
-                self._event_log.tell(events.DUTY_TAKEN, duty=REAPING, epoch=decided.epoch)
+                self._event_log.emit(events.DUTY_TAKEN, duty=REAPING, epoch=decided.epoch)
             self._query_silence(now, nodes, decided.epoch)
         elif self._held_epoch:
             self._release()
@@ -148,7 +148,7 @@
             why = "no contact with most members"
         else:
             why = "not the first that is live"
-        self._event_log.tell(events.DUTY_LEFT, duty=REAPING, epoch=self._held_epoch, why=why)
+        self._event_log.emit(events.DUTY_RELEASED, duty=REAPING, epoch=self._held_epoch, why=why)
         self._held_epoch, self._round = 0, None
         self._kept_zones.clear()
 
@@ -226,7 +226,7 @@
         own = self._own_report(now, nodes)
         verdict = failure_detection.assess_silence(nodes, [own, *round.reports], self.thresholds)
         for zone in set(verdict.kept_zones) - self._kept_zones:
-            self._event_log.tell(events.ZONE_KEPT, zone=zone)
+            self._event_log.emit(events.ZONE_KEPT, zone=zone)
         self._kept_zones = set(verdict.kept_zones)
         for name in verdict.gone[:MAX_DROPPED_NODES]:
             self._drop(name, own.silent_s[name])
@@ -244,9 +244,9 @@
         held = [self._roll.items[key] for key in keys if key in self._roll.items]
         taken = self._roll.write_all(failure_detection.drop_writes(held))
         if isinstance(taken, StoreFull):
-            self._event_log.tell(events.STATE_FULL, reason=taken.reason)
+            self._event_log.emit(events.STATE_FULL, reason=taken.reason)
             return
-        self._event_log.tell(
+        self._event_log.emit(
             events.NODE_DROPPED, peer=name, silent_s=round(silent_s), instances=len(instances)
         )
         self._on_change(taken)
@@ -281,7 +281,9 @@
         old_view = int(head.get("e", epoch)) < epoch
         if not self.lease.note(now, claim) or old_view:
             newest = self.lease.latest
-            self._event_log.tell(events.EPOCH_OLD, duty=REAPING, epoch=claim.epoch, newest=newest.epoch)
+            self._event_log.emit(
+                events.STALE_EPOCH_REFUSED, duty=REAPING, epoch=claim.epoch, newest=newest.epoch
+            )
             channel.link.send({"t": "overtaken", "epoch": newest.epoch, "holder": newest.holder})
             return
         silent = [round(self.tracker.silent_s(now, str(name)), 1) for name in nodes]
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -90,7 +90,7 @@
                 try:
                     self.lease.note(self._loop.time(), read_lease(item.version, item.value))
                 except ValueError as fault:
-                    self._event_log.tell(events.FAULT, where=f"duty {item.name}", what=str(fault))
+                    self._event_log.emit(events.PROGRAM_ERROR, where=f"duty {item.name}", what=str(fault))
 
     def tick(self, now: float) -> None:
         """Claims, releases or performs the duty; called several times a second."""
@@ -100,7 +100,7 @@
         if view.epoch != self._epoch:
             self._epoch = view.epoch
             counts, before = ", ".join(sorted(view.members)), ", ".join(sorted(view.previous_members or ()))
-            self._event_log.tell(
+            self._event_log.emit(
                 events.MEMBERS_CHANGED, epoch=view.epoch, count=counts, before=before or None
             )
         self._log_losses(now, view)
@@ -114,7 +114,7 @@
                 decided = Hold(decided.epoch)
         if isinstance(decided, Hold) and self._held_epoch != decided.epoch:
             self._held_epoch = decided.epoch
-            self._event_log.tell(events.DUTY_TAKEN, duty=MEMBERS_DUTY, epoch=decided.epoch)
+            self._event_log.emit(events.DUTY_TAKEN, duty=MEMBERS_DUTY, epoch=decided.epoch)
         if self.node in live:
             self._last_live_at = now
         if not self._held_epoch:
@@ -133,7 +133,7 @@
         return {node for address, node in self._nodes().items() if address in view.members}
 
     def _release(self, why: str) -> None:
-        self._event_log.tell(events.DUTY_LEFT, duty=MEMBERS_DUTY, epoch=self._held_epoch, why=why)
+        self._event_log.emit(events.DUTY_RELEASED, duty=MEMBERS_DUTY, epoch=self._held_epoch, why=why)
         self._held_epoch = 0
         self.member_silence.stop()
 
@@ -147,7 +147,7 @@
         for address, reason in planned.retained.items():
             state = self.joining.peer_states.get(address)
             if self._staying.get(address) != reason and state is not None and state.leaving:
-                self._event_log.tell(events.MEMBER_STAYS, member=address, why=reason)
+                self._event_log.emit(events.MEMBER_REMOVAL_BLOCKED, member=address, why=reason)
         self._staying = planned.retained
         if planned.view is not None:
             self._proposal = self._loop.create_task(self._propose(planned.view))
@@ -195,8 +195,8 @@
             self._below_since = now
         elif now - self._below_since >= LINK_ALIVE_S:
             self._kinds_below, self._below_since = below, None
-            event = events.LOSSES_BELOW if below else events.LOSSES_BORNE
-            self._event_log.tell(event, **self.losses())
+            event = events.TOLERANCE_REDUCED if below else events.TOLERANCE_RESTORED
+            self._event_log.emit(event, **self.losses())
 
     # Operators
 
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -218,7 +218,9 @@
         claim = member_messages.lease_record(question)
         if not self._lease.note(now, claim):
             newest = self._lease.latest
-            self._event_log.tell(events.EPOCH_OLD, duty=MEMBERS, epoch=claim.epoch, newest=newest.epoch)
+            self._event_log.emit(
+                events.STALE_EPOCH_REFUSED, duty=MEMBERS, epoch=claim.epoch, newest=newest.epoch
+            )
             refused = ClaimSuperseded(newest.epoch, newest.holder)
             channel.link.send(member_messages.encode(refused))
             return
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -140,7 +140,7 @@
         staged = self._rollouts.staged_writes(change.writes, self._current)
         outcome = await self._proposer_host.decide(writes, until - self._loop.time())
         if isinstance(outcome, Decided):
-            self._event_log.tell(events.CHANGE_TAKEN, items=len(writes))
+            self._event_log.emit(events.CHANGE_DECIDED, items=len(writes))
             if staged:
                 await self._rollouts.wait_for_canaries(staged, until - self._loop.time())
             return await self._acknowledge(writes, until - self._loop.time())
@@ -149,7 +149,7 @@
             message = (
                 f"{item_label(kind, name)}: another order has r{version}; send it under a higher version"
             )
-            self._event_log.tell(events.CHANGE_RIVALLED, kind=kind, name=name, version=version)
+            self._event_log.emit(events.CHANGE_CONFLICT, kind=kind, name=name, version=version)
             return Answer(409, error_body(message))
         return self._answer_unresolved(outcome.reason)
 
@@ -161,11 +161,11 @@
         return self._answer_unresolved("it is decided, but not yet in force at all sidecars")
 
     def _answer_unresolved(self, reason: str) -> Answer:
-        self._event_log.tell(events.NOT_ACKNOWLEDGED, reason=reason)
+        self._event_log.emit(events.NOT_ACKNOWLEDGED, reason=reason)
         return unresolved_answer(reason)
 
     def _answer_refused(self, invalid: Invalid) -> Answer:
-        self._event_log.tell(events.CHANGE_REFUSED, reason=invalid.line())
+        self._event_log.emit(events.CHANGE_REFUSED, reason=invalid.line())
         return Answer(400, error_body(invalid.line()))
 
     def _current(self, kind: str, name: str) -> tuple[int, dict[str, object] | None] | None:
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -277,7 +277,7 @@
         self._update_known_peers()
         self.joining.start()
         self.loop.call_later(TICK_S, self._tick)
-        self.event_log.tell(events.STARTED, role=ROLE_NAMES[CONTROLLER])
+        self.event_log.emit(events.STARTED, role=ROLE_NAMES[CONTROLLER])
 
     def _publish_node(self) -> None:
         settings = self.settings
@@ -341,10 +341,10 @@
             await asyncio.sleep(SHUTDOWN_POLL_S)  # until the answers are sent
         if self._server is not None:
             self._server.close()
-        self.event_log.tell(events.ENDED)
+        self.event_log.emit(events.ENDED)
 
     def _on_disk_complete(self) -> None:
-        self.event_log.tell(events.DISK_WHOLE, items=len(self.charter.items))
+        self.event_log.emit(events.DISK_COMPLETE, items=len(self.charter.items))
         self.member_set.announce_complete()
         self.channels.hello["complete"] = True
 
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -347,7 +347,7 @@
 
     async def _recover_due(self, due: list[Slot]) -> None:
         try:
-            self._event_log.tell(events.VOTES_TAKEN_UP, items=len(due))
+            self._event_log.emit(events.VOTES_COMPLETED, items=len(due))
             await self._recover(due, ORDER_TIMEOUT_S)
             now = self._loop.time()
             self._recovery_since.update((slot, now) for slot in due if slot in self._recovery_since)
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -114,7 +114,7 @@
         await self._disk_writer.flush()
         self._member_set.announce_complete()
         summary = self._summary(new_view)
-        self._event_log.tell(
+        self._event_log.emit(
             events.STATE_RESTORED, epoch=new_view.epoch, items=summary["items"], lost=", ".join(lost)
         )
         return summary
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -152,8 +152,8 @@
         if is_worse(new, old):
             if count.key not in rollout.worse:
                 rollout.worse.add(count.key)
-                self._event_log.tell(
-                    events.ROUTE_WORSE,
+                self._event_log.emit(
+                    events.ROUTE_DEGRADED,
                     route=count.key[1],
                     version=count.version,
                     failed=f"{new.failures}/{new.calls}",
@@ -178,7 +178,7 @@
                 rollout.logged = True
                 if rollout.missing:
                     names = ",".join(sorted(rollout.missing)[:MAX_NAMES])
-                    self._event_log.tell(
+                    self._event_log.emit(
                         events.NOT_CONFIRMED,
                         items=len(rollout.versions),
                         sidecars=len(rollout.missing),
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -131,7 +131,7 @@
             for channel in self._member_set.peers().values():
                 channel.link.send(message)
             self._forget(held_by_all)
-            self._event_log.tell(events.DROPS_FORGOTTEN, items=len(held_by_all))
+            self._event_log.emit(events.TOMBSTONES_COLLECTED, items=len(held_by_all))
 
     # Removal
 
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -154,7 +154,7 @@
                 took_s = self._loop.time() - started_at
                 if not isinstance(outcome, Kept):
                     if self.last_refusal != outcome.reason:
-                        self._event_log.tell(events.DISK_REFUSED, reason=outcome.reason)
+                        self._event_log.emit(events.DISK_WRITE_REFUSED, reason=outcome.reason)
                     self.last_refusal = outcome.reason
                     self._dirty_keys |= keys
                     self._dirty_votes |= votes
@@ -164,7 +164,7 @@
                     continue
                 self.last_refusal = ""
                 if took_s > SLOW_BATCH_S:
-                    self._event_log.tell(events.DISK_SLOW, took_ms=int(took_s * 1000), rows=len(rows))
+                    self._event_log.emit(events.DISK_SLOW, took_ms=int(took_s * 1000), rows=len(rows))
                 self._written_batch = batch
                 waiters, self._waiters = self._waiters, []
                 for wanted_batch, future in waiters:
--- a/mesh/data_plane/call_trace.py
+++ b/mesh/data_plane/call_trace.py
@@ -64,7 +64,7 @@
     def first_hop(self, now: float, request: ClientRequest, result: int | Refused | Failed | None) -> None:
         """Logs the result of a client's request; None: the client has disconnected."""
         ends = {Refused: "refused", Failed: "failed", type(None): "left"}
-        self._event_log.tell(
+        self._event_log.emit(
             events.CALL_AT_FIRST_HOP,
             attempt=request.attempt,
             route=request.route.name,
@@ -86,7 +86,7 @@
     def second_hop(self, now: float, call: Call, received_ms: float, started_ms: float, end: End) -> None:
         """Logs the end of a call for the upstream beside this proxy. ``started_ms`` is 0 if it was never
         passed on."""
-        self._event_log.tell(
+        self._event_log.emit(
             events.CALL_AT_SECOND_HOP,
             attempt=call.attempt,
             instance=call.instance,
@@ -99,7 +99,9 @@
     def response_sent(self, attempt: str, waited_s: float) -> None:
         """Logs a response that waited behind earlier responses on its connection."""
         if waited_s >= MIN_WAIT_S:
-            self._event_log.tell(events.ANSWER_WAITED, attempt=attempt, waited_ms=round(waited_s * 1000.0, 1))
+            self._event_log.emit(
+                events.ANSWER_DELAYED, attempt=attempt, waited_ms=round(waited_s * 1000.0, 1)
+            )
 
     def _count_bytes(self) -> None:
         """Logs the bytes sent over links to other zones. The last second of a link that closes is not
@@ -112,7 +114,7 @@
                 self._totals[kind] += link.sent_bytes - self._counted.get(link, 0)
         self._counted = counted
         sums = self._totals
-        self._event_log.tell(
+        self._event_log.emit(
             events.BYTES_SENT, calls=sums["calls"], answers=sums["answers"], updates=sums["updates"]
         )
         proxy.loop.call_later(BYTES_EVERY_S, self._count_bytes)
--- a/mesh/data_plane/control_contact.py
+++ b/mesh/data_plane/control_contact.py
@@ -48,14 +48,14 @@
         since = last_contact if last_contact is not None else self._began
         if now - since <= self._bound_s:
             if self._lost_since is not None:
-                self._event_log.tell(
-                    events.CONTROL_FOUND, without_ms=round((since - self._lost_since) * 1000.0)
+                self._event_log.emit(
+                    events.CONTROL_REGAINED, without_ms=round((since - self._lost_since) * 1000.0)
                 )
                 self._lost_since = None
         elif self._lost_since is None:
             self._lost_since = since
             staleness_s = self.staleness_s(now)
-            self._event_log.tell(
+            self._event_log.emit(
                 events.CONTROL_LOST,
                 links=sum(one.opened_here and one.link.up for one in self._channels.open),
                 behind_ms=round(staleness_s * 1000.0) if staleness_s is not None else None,
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -377,8 +377,12 @@
         for outgoing in lost_calls.values():
             self._lose_call(outgoing, why)
         if lost_calls:
-            self.context.event_log.tell(
-                events.CALLS_CUT, peer=self.node, calls=len(lost_calls), asked=len(self.to_query), why=why
+            self.context.event_log.emit(
+                events.CALLS_INTERRUPTED,
+                peer=self.node,
+                calls=len(lost_calls),
+                asked=len(self.to_query),
+                why=why,
             )
         if (
             self.to_query
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -210,7 +210,7 @@
         self._publish_node()
         self._update_channels()
         self.loop.call_later(TICK_S, self._tick)
-        self.event_log.tell(events.STARTED, role=ROLE_NAMES[PROXY])
+        self.event_log.emit(events.STARTED, role=ROLE_NAMES[PROXY])
         if self.event_log.writes(events.CALL_AT_FIRST_HOP):
             from mesh.data_plane.call_trace import CallTrace
 
@@ -298,7 +298,7 @@
         """Shuts down gracefully."""
         self.ending = True  # readiness fails from now on
         await Shutdown(self).run()
-        self.event_log.tell(events.ENDED)
+        self.event_log.emit(events.ENDED)
 
     def stop_listening(self) -> None:
         """Accepts no more links from other processes; open ones continue."""
@@ -322,7 +322,7 @@
                 self._apply_item(item)
             self.staged_routes.schedule_report()
             newest = max((item.version for item in items), default=0)
-            self.event_log.tell(events.IN_FORCE, items=len(items), version=newest)
+            self.event_log.emit(events.IN_FORCE, items=len(items), version=newest)
         else:
             self.tombstones.note(self.loop.time(), items)
             for service, entries in self.membership.apply(items).items():
@@ -346,7 +346,7 @@
     def _on_reachable(self, node: str, up: bool) -> None:
         """Updates the balancers: instances at an unreachable node get no calls from here, whatever others
         report."""
-        self.event_log.tell(events.REACHED if up else events.UNREACHED, peer=node)
+        self.event_log.emit(events.PEER_REACHABLE if up else events.PEER_UNREACHABLE, peer=node)
         for instance in self.membership.instances_at(node):
             value = self.membership.instances[instance]
             balancer = self.balancers.by_service.get(str(value["plant"]))
--- a/mesh/data_plane/shutdown.py
+++ b/mesh/data_plane/shutdown.py
@@ -130,7 +130,7 @@
         proxy = self._proxy
         requests, calls = proxy.request_dispatcher.open_requests, len(proxy.upstream_dispatch.running)
         if requests or calls:
-            proxy.event_log.tell(events.GIVEN_UP, requests=requests, calls=calls)
+            proxy.event_log.emit(events.CALLS_ABANDONED, requests=requests, calls=calls)
 
     async def _close_links(self) -> None:
         """Sends GoAway over all links. Each peer closes its link after reading it, and cannot open a new
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -90,7 +90,9 @@
             self.activation.mark_prepared(activation)
             for service in unserved:
                 self.unserved[item.name] = service
-                self._event_log.tell(events.ROUTE_DRY, route=item.name, version=item.version, service=service)
+                self._event_log.emit(
+                    events.ROUTE_WITHOUT_UPSTREAM, route=item.name, version=item.version, service=service
+                )
         if activation.state is State.IN_FORCE:
             self._put_in_force(now, activation)
         self._set_activation_timer()
@@ -143,7 +145,7 @@
             return None
         activation = self.activation.apply_command(now, key, command)
         if activation is not None:
-            self._event_log.tell(
+            self._event_log.emit(
                 events.ROLLOUT_ORDERED, command=command.value, route=name, version=activation.version
             )
             if activation.state is State.IN_FORCE:
@@ -165,8 +167,8 @@
         new, old = watched.new, watched.old
         if not watched.reported_worse and is_worse(new, old):
             watched.reported_worse = True
-            self._event_log.tell(
-                events.ROUTE_WORSE,
+            self._event_log.emit(
+                events.ROUTE_DEGRADED,
                 route=route.name,
                 version=route.version,
                 failed=f"{new.failures}/{new.calls}",
--- a/mesh/data_plane/upstream_registration.py
+++ b/mesh/data_plane/upstream_registration.py
@@ -75,7 +75,7 @@
         if isinstance(command, InvalidCommand):
             return Answer(400, msgspec.json.encode({"error": command.line()}))
         if isinstance(command, Leave):
-            self._event_log.tell(
+            self._event_log.emit(
                 events.INSTANCE_GONE,
                 service=self._upstream.heartbeat.plant if self._upstream.heartbeat is not None else "",
                 instance=command.instance,
@@ -100,14 +100,14 @@
         if self._upstream.instance != heartbeat.instance:
             return
         if previous is None or previous.instance != heartbeat.instance:
-            self._event_log.tell(
+            self._event_log.emit(
                 events.INSTANCE_NEW,
                 service=heartbeat.plant,
                 instance=heartbeat.instance,
                 address=f"{heartbeat.address[0]}:{heartbeat.address[1]}",
             )
         elif previous.state != heartbeat.state:
-            self._event_log.tell(
+            self._event_log.emit(
                 events.INSTANCE_DECAYING if heartbeat.state == DECAYING else events.INSTANCE_SETTLED,
                 service=heartbeat.plant,
                 instance=heartbeat.instance,
--- a/mesh/dissemination/peers.py
+++ b/mesh/dissemination/peers.py
@@ -82,7 +82,7 @@
                 if items:
                     self.channels.on_change(name, items)
             if self.exchange.store_error:
-                self.channels.event_log.tell(events.STATE_FULL, reason=self.exchange.store_error)
+                self.channels.event_log.emit(events.STATE_FULL, reason=self.exchange.store_error)
                 self.link.close(self.exchange.store_error)
                 return True
             self.link.send(self.exchange.pull_request())
@@ -288,7 +288,7 @@
             self._on_hello(channel)
         if begins:
             channel.start()
-        self.event_log.tell(events.LINK_UP, peer=channel.node)
+        self.event_log.emit(events.LINK_UP, peer=channel.node)
         if self._on_open is not None:
             self._on_open(channel)
 
@@ -314,7 +314,7 @@
 
     def handle_lost(self, channel: Channel, reason: str) -> None:
         self.open.discard(channel)
-        self.event_log.tell(events.LINK_LOST, peer=channel.node or channel.name, why=reason)
+        self.event_log.emit(events.LINK_LOST, peer=channel.node or channel.name, why=reason)
         if self._on_close is not None:
             self._on_close(channel)
         candidate = self._candidates.get(channel.name)
--- a/mesh/event_log/events.py
+++ b/mesh/event_log/events.py
@@ -42,56 +42,64 @@
 """Numbers of earlier catalogues that nothing tells any more; they are not given again."""
 
 
-def _event(number: int, level: Level, text: str, *fields: str, limited: bool = True) -> Event:
+def _define_event(number: int, level: Level, text: str, *fields: str, limited: bool = True) -> Event:
     event = Event(number, level, text, fields, limited)
     if number in RETIRED or CATALOGUE.setdefault(number, event) is not event:
         raise ValueError(f"events: {number} is given twice, or retired; take a free number")
     return event
 
 
-STARTED = _event(101, Level.INFO, "started", "role")
-SETTINGS_UNKNOWN = _event(102, Level.INFO, "unknown settings ignored", "names")
-STOPPING = _event(103, Level.INFO, "asked to end", "open_calls")
-ENDED = _event(104, Level.INFO, "ended")
-SETTINGS_TAKEN = _event(106, Level.INFO, "changed settings taken")
-SETTINGS_REFUSED = _event(107, Level.WARNING, "changed settings refused", "findings")
-FAULT = _event(105, Level.ERROR, "fault in the program", "where", "what")
-
-LINK_UP = _event(201, Level.INFO, "link up", "peer")
-REACHED = _event(210, Level.INFO, "reached again", "peer")
-UNREACHED = _event(211, Level.WARNING, "cannot be reached", "peer")
-LINK_LOST = _event(202, Level.WARNING, "link lost", "peer", "why")
-INSTANCE_NEW = _event(203, Level.INFO, "instance new", "service", "instance", "address")
-INSTANCE_SETTLED = _event(204, Level.INFO, "instance settled", "service", "instance")
-INSTANCE_DECAYING = _event(205, Level.INFO, "instance decaying", "service", "instance")
-INSTANCE_GONE = _event(206, Level.INFO, "instance gone", "service", "instance", "why")
-NODE_DROPPED = _event(212, Level.INFO, "node given up", "peer", "silent_s", "instances")
-ZONE_KEPT = _event(213, Level.WARNING, "most of a zone silent, its nodes kept", "zone")
-CONTACT_LOST = _event(220, Level.WARNING, "contact with most members lost", "heard", "of")
-CONTACT_PROVEN = _event(221, Level.INFO, "contact with most members proven", "without_ms")
-CONTROL_LOST = _event(222, Level.WARNING, "no control process with contact in reach", "links", "behind_ms")
-CONTROL_FOUND = _event(223, Level.INFO, "control process with contact in reach again", "without_ms")
-MEMBERS_CHANGED = _event(224, Level.INFO, "members agreed on", "epoch", "count", "before")
-MEMBER_STAYS = _event(225, Level.WARNING, "member that is to leave stays", "member", "why")
-LOSSES_BELOW = _event(226, Level.WARNING, "fewer losses borne than asked for", "machines", "zones", "regions")
-LOSSES_BORNE = _event(227, Level.INFO, "losses borne as asked for", "machines", "zones", "regions")
-BEGUN_ANEW = _event(228, Level.WARNING, "first start begun anew", "founders")
-
-CHANGE_TAKEN = _event(301, Level.INFO, "change decided", "items")
-CHANGE_REFUSED = _event(302, Level.WARNING, "change refused", "reason")
-NOT_ACKNOWLEDGED = _event(303, Level.WARNING, "change not acknowledged in time", "reason")
-IN_FORCE = _event(305, Level.INFO, "configuration in force", "items", "version")
-STATE_FULL = _event(308, Level.ERROR, "control state full", "reason")
-ROUTE_WORSE = _event(
+STARTED = _define_event(101, Level.INFO, "started", "role")
+SETTINGS_UNKNOWN = _define_event(102, Level.INFO, "unknown settings ignored", "names")
+STOPPING = _define_event(103, Level.INFO, "asked to end", "open_calls")
+ENDED = _define_event(104, Level.INFO, "ended")
+SETTINGS_APPLIED = _define_event(106, Level.INFO, "changed settings taken")
+SETTINGS_REFUSED = _define_event(107, Level.WARNING, "changed settings refused", "findings")
+PROGRAM_ERROR = _define_event(105, Level.ERROR, "fault in the program", "where", "what")
+
+LINK_UP = _define_event(201, Level.INFO, "link up", "peer")
+PEER_REACHABLE = _define_event(210, Level.INFO, "reached again", "peer")
+PEER_UNREACHABLE = _define_event(211, Level.WARNING, "cannot be reached", "peer")
+LINK_LOST = _define_event(202, Level.WARNING, "link lost", "peer", "why")
+INSTANCE_NEW = _define_event(203, Level.INFO, "instance new", "service", "instance", "address")
+INSTANCE_SETTLED = _define_event(204, Level.INFO, "instance settled", "service", "instance")
+INSTANCE_DECAYING = _define_event(205, Level.INFO, "instance decaying", "service", "instance")
+INSTANCE_GONE = _define_event(206, Level.INFO, "instance gone", "service", "instance", "why")
+NODE_DROPPED = _define_event(212, Level.INFO, "node given up", "peer", "silent_s", "instances")
+ZONE_KEPT = _define_event(213, Level.WARNING, "most of a zone silent, its nodes kept", "zone")
+CONTACT_LOST = _define_event(220, Level.WARNING, "contact with most members lost", "heard", "of")
+CONTACT_CONFIRMED = _define_event(221, Level.INFO, "contact with most members proven", "without_ms")
+CONTROL_LOST = _define_event(
+    222, Level.WARNING, "no control process with contact in reach", "links", "behind_ms"
+)
+CONTROL_REGAINED = _define_event(223, Level.INFO, "control process with contact in reach again", "without_ms")
+MEMBERS_CHANGED = _define_event(224, Level.INFO, "members agreed on", "epoch", "count", "before")
+MEMBER_REMOVAL_BLOCKED = _define_event(225, Level.WARNING, "member that is to leave stays", "member", "why")
+TOLERANCE_REDUCED = _define_event(
+    226, Level.WARNING, "fewer losses borne than asked for", "machines", "zones", "regions"
+)
+TOLERANCE_RESTORED = _define_event(
+    227, Level.INFO, "losses borne as asked for", "machines", "zones", "regions"
+)
+FIRST_START_REPEATED = _define_event(228, Level.WARNING, "first start begun anew", "founders")
+
+CHANGE_DECIDED = _define_event(301, Level.INFO, "change decided", "items")
+CHANGE_REFUSED = _define_event(302, Level.WARNING, "change refused", "reason")
+NOT_ACKNOWLEDGED = _define_event(303, Level.WARNING, "change not acknowledged in time", "reason")
+IN_FORCE = _define_event(305, Level.INFO, "configuration in force", "items", "version")
+STATE_FULL = _define_event(308, Level.ERROR, "control state full", "reason")
+ROUTE_DEGRADED = _define_event(
     309, Level.ERROR, "route worse by its new version", "route", "version", "failed", "before"
 )
-ROUTE_DRY = _event(310, Level.WARNING, "route leads to no live upstream", "route", "version", "service")
-ROLLOUT_ORDERED = _event(311, Level.INFO, "rollout ordered", "order", "route", "version")
-NOT_CONFIRMED = _event(312, Level.WARNING, "change not confirmed by all", "items", "sidecars", "names")
-CHANGE_RIVALLED = _event(
+ROUTE_WITHOUT_UPSTREAM = _define_event(
+    310, Level.WARNING, "route leads to no live upstream", "route", "version", "service"
+)
+ROLLOUT_ORDERED = _define_event(311, Level.INFO, "rollout ordered", "order", "route", "version")
+NOT_CONFIRMED = _define_event(312, Level.WARNING, "change not confirmed by all", "items", "sidecars", "names")
+CHANGE_CONFLICT = _define_event(
     313, Level.WARNING, "change refused, another has its number", "kind", "name", "version"
 )
-ACKNOWLEDGED_EARLY = _event(
+ACKNOWLEDGED_EARLY = _define_event(
     316,
     Level.WARNING,
     "acknowledged before all confirmed it",
@@ -99,50 +107,60 @@
     "sidecars",
     "waited_ms",
 )
-KEYS_ASSIGNED = _event(315, Level.INFO, "keys assigned", "service", "version", "rows")
-VOTES_TAKEN_UP = _event(314, Level.INFO, "open votes brought to their decision", "items")
-
-DISK_OPENED = _event(401, Level.INFO, "store opened", "items", "whole")
-DISK_FRESH = _event(402, Level.WARNING, "store begun on an empty disk", "first")
-DISK_SET_ASIDE = _event(403, Level.ERROR, "damaged store set aside", "moved_to", "reason")
-DISK_SLOW = _event(404, Level.WARNING, "disk slow", "took_ms", "rows")
-DISK_REFUSED = _event(405, Level.ERROR, "disk refused", "reason")
-DISK_WHOLE = _event(406, Level.INFO, "store whole again", "items")
-DISK_FAILED = _event(407, Level.ERROR, "store cannot be opened", "reason")
-DISK_OLDER = _event(409, Level.WARNING, "what the disk held counts for nothing, read anew", "reason", "items")
-DISK_COMPACTED = _event(410, Level.INFO, "store written anew, smaller", "before", "used")
-STATE_RESTORED = _event(412, Level.WARNING, "begun anew by an operator's word", "epoch", "items", "lost")
-DROPS_FORGOTTEN = _event(411, Level.INFO, "drops forgotten, which all hold", "items")
-DISK_MOVED_ON = _event(408, Level.INFO, "store moved on", "note")
-
-BUDGET_SPENT = _event(502, Level.WARNING, "retry budget spent", "service", "refused")
-CALLS_CUT = _event(503, Level.WARNING, "link lost with calls out", "peer", "calls", "asked", "why")
-WRONG_ANSWER = _event(504, Level.ERROR, "wrong answer dropped", "wanted", "got")
-UNCLEAR = _event(505, Level.WARNING, "effectful call unclear", "attempt", "why")
-GIVEN_UP = _event(506, Level.WARNING, "calls given up at the end", "requests", "calls")
-CALL_AT_FIRST_HOP = _event(
+KEYS_ASSIGNED = _define_event(315, Level.INFO, "keys assigned", "service", "version", "rows")
+VOTES_COMPLETED = _define_event(314, Level.INFO, "open votes brought to their decision", "items")
+
+DISK_OPENED = _define_event(401, Level.INFO, "store opened", "items", "whole")
+DISK_EMPTY = _define_event(402, Level.WARNING, "store begun on an empty disk", "first")
+DISK_SET_ASIDE = _define_event(403, Level.ERROR, "damaged store set aside", "moved_to", "reason")
+DISK_SLOW = _define_event(404, Level.WARNING, "disk slow", "took_ms", "rows")
+DISK_WRITE_REFUSED = _define_event(405, Level.ERROR, "disk refused", "reason")
+DISK_COMPLETE = _define_event(406, Level.INFO, "store whole again", "items")
+DISK_OPEN_FAILED = _define_event(407, Level.ERROR, "store cannot be opened", "reason")
+DISK_OUTDATED = _define_event(
+    409, Level.WARNING, "what the disk held counts for nothing, read anew", "reason", "items"
+)
+DISK_COMPACTED = _define_event(410, Level.INFO, "store written anew, smaller", "before", "used")
+STATE_RESTORED = _define_event(
+    412, Level.WARNING, "begun anew by an operator's word", "epoch", "items", "lost"
+)
+TOMBSTONES_COLLECTED = _define_event(411, Level.INFO, "drops forgotten, which all hold", "items")
+DISK_MIGRATED = _define_event(408, Level.INFO, "store moved on", "note")
+
+BUDGET_SPENT = _define_event(502, Level.WARNING, "retry budget spent", "service", "refused")
+CALLS_INTERRUPTED = _define_event(
+    503, Level.WARNING, "link lost with calls out", "peer", "calls", "asked", "why"
+)
+WRONG_ANSWER = _define_event(504, Level.ERROR, "wrong answer dropped", "wanted", "got")
+CALL_UNCLEAR = _define_event(505, Level.WARNING, "effectful call unclear", "attempt", "why")
+CALLS_ABANDONED = _define_event(506, Level.WARNING, "calls given up at the end", "requests", "calls")
+CALL_AT_FIRST_HOP = _define_event(
     *(510, Level.DEBUG, "call over at its first hop", "attempt", "route", "service", "aim_ms", "took_ms"),
     *("end", "tries"),
     limited=False,
 )
-CALL_AT_SECOND_HOP = _event(
+CALL_AT_SECOND_HOP = _define_event(
     *(511, Level.DEBUG, "call over at its second hop", "attempt", "instance", "caller", "waited_ms"),
     *("ran_ms", "end"),
     limited=False,
 )
-BYTES_SENT = _event(
+BYTES_SENT = _define_event(
     512, Level.DEBUG, "bytes sent to other zones", "calls", "answers", "updates", limited=False
 )
-ANSWER_WAITED = _event(
+ANSWER_DELAYED = _define_event(
     513, Level.DEBUG, "answer waited for those before it", "attempt", "waited_ms", limited=False
 )
 
-DUTY_TAKEN = _event(601, Level.INFO, "duty taken", "duty", "epoch")
-DUTY_LEFT = _event(602, Level.INFO, "duty left", "duty", "epoch", "why")
-EPOCH_OLD = _event(603, Level.WARNING, "order of an old epoch refused", "duty", "epoch", "newest")
+DUTY_TAKEN = _define_event(601, Level.INFO, "duty taken", "duty", "epoch")
+DUTY_RELEASED = _define_event(602, Level.INFO, "duty left", "duty", "epoch", "why")
+STALE_EPOCH_REFUSED = _define_event(
+    603, Level.WARNING, "order of an old epoch refused", "duty", "epoch", "newest"
+)
 
-REPAIR_BEGUN = _event(701, Level.INFO, "repair begun", "peer", "buckets")
-REPAIR_DONE = _event(702, Level.INFO, "repair done", "peer", "items")
-REPAIR_DIFFERS = _event(703, Level.WARNING, "digests differ after repair", "peer", "buckets")
-COPIES_SPLIT = _event(704, Level.WARNING, "copies of one version differed", "peer", "kind", "name", "version")
-DISK_MENDED = _event(705, Level.WARNING, "damaged store written anew", "items", "findings", "first")
+REPAIR_STARTED = _define_event(701, Level.INFO, "repair begun", "peer", "buckets")
+REPAIR_DONE = _define_event(702, Level.INFO, "repair done", "peer", "items")
+REPAIR_INCOMPLETE = _define_event(703, Level.WARNING, "digests differ after repair", "peer", "buckets")
+COPIES_DIFFERED = _define_event(
+    704, Level.WARNING, "copies of one version differed", "peer", "kind", "name", "version"
+)
+DISK_REPAIRED = _define_event(705, Level.WARNING, "damaged store written anew", "items", "findings", "first")
--- a/mesh/event_log/log.py
+++ b/mesh/event_log/log.py
@@ -12,9 +12,9 @@
 
 from mesh.event_log.events import CATALOGUE, Event, Level
 
-MOST_A_SECOND = 20
+MAX_LINES_PER_SECOND = 20
 """Lines of one event in one second; the suppressed are counted and told with the event's next line."""
-MOST_VALUE = 300
+MAX_VALUE_LENGTH = 300
 """Characters of one value."""
 
 _LEVELS = {
@@ -60,18 +60,18 @@
         """Whether an event of that level is written at all."""
         return event.level >= self._level
 
-    def tell(self, event: Event, /, **values: object) -> None:
+    def emit(self, event: Event, /, **values: object) -> None:
         """Write ``HH:MM:SS.mmm W202 link lost peer=... why=...``, the event's fields first and in its order;
-        one that is not given is ``?``. Nothing is formatted below the log's level, or beyond MOST_A_SECOND
-        where the event is limited.
-        Values keep to one line and MOST_VALUE characters. Never raises for a value or a stream."""
+        one that is not given is ``?``. Nothing is formatted below the log's level, or beyond
+        MAX_LINES_PER_SECOND where the event is limited.
+        Values keep to one line and MAX_VALUE_LENGTH characters. Never raises for a value or a stream."""
         if not self.writes(event):
             return
         now = self._clock()
         told = self._told[event.number]
         if told[0] != int(now):
             told[0], told[1] = int(now), 0
-        if event.limited and told[1] >= MOST_A_SECOND:
+        if event.limited and told[1] >= MAX_LINES_PER_SECOND:
             told[2] += 1
             return
         told[1] += 1
@@ -107,8 +107,8 @@
         text = str(value)
     except Exception as error:  # a value that cannot be shown is no reason to lose the line
         return type(error).__name__
-    if len(text) > MOST_VALUE:
-        text = text[: MOST_VALUE - 3] + "..."
+    if len(text) > MAX_VALUE_LENGTH:
+        text = text[: MAX_VALUE_LENGTH - 3] + "..."
     if text and text.isascii() and all(sign.isalnum() or sign in _PLAIN for sign in text):
         return text
     return json.dumps(text)
--- a/mesh/runtime/startup.py
+++ b/mesh/runtime/startup.py
@@ -82,10 +82,10 @@
         self._seen = stamp(os.environ)
         settings = load(os.environ)
         if isinstance(settings, Wrong):
-            self._event_log.tell(events.SETTINGS_REFUSED, findings="; ".join(settings.findings))
+            self._event_log.emit(events.SETTINGS_REFUSED, findings="; ".join(settings.findings))
         elif settings != self._settings:
             self._settings = settings
-            self._event_log.tell(events.SETTINGS_TAKEN)
+            self._event_log.emit(events.SETTINGS_APPLIED)
             self._program.retune(settings)
 
 
@@ -97,11 +97,11 @@
         loop.add_signal_handler(number, ends.set)
     program = make(settings, event_log)
     if settings.unknown:
-        event_log.tell(events.SETTINGS_UNKNOWN, names=", ".join(settings.unknown[:MOST_NAMED]))
+        event_log.emit(events.SETTINGS_UNKNOWN, names=", ".join(settings.unknown[:MOST_NAMED]))
     await program.start()
     following = Following(settings, seen, event_log, program)
     await ends.wait()
-    event_log.tell(events.STOPPING, open_calls=program.open_calls())
+    event_log.emit(events.STOPPING, open_calls=program.open_calls())
     await program.stop()
     del following
 
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -79,10 +79,10 @@
         return settings
 
     def dress(self, life: Life) -> None:
-        def tell(event: Event, /, **values: Any) -> None:
+        def record_event(event: Event, /, **values: Any) -> None:
             self.told.append((float(self.env.now), life.machine.name, event, values))
 
-        life.program.event_log.tell = tell
+        life.program.event_log.emit = record_event
 
     def say(self, line: str) -> None:
         self.witness.broken.append(f"{self.env.now:.3f} {line}")
--- a/simulation/mesh/drops.py
+++ b/simulation/mesh/drops.py
@@ -32,14 +32,14 @@
         return self.zones.get(machine.name, "z")
 
     def dress(self, life: Life) -> None:
-        def tell(event: Event, /, **values: Any) -> None:
+        def record_event(event: Event, /, **values: Any) -> None:
             now = float(self.env.now)
             self.told.append((now, life.machine.name, event, values))
             if event is events.NODE_DROPPED:
                 self.dropped.append((now, life.machine.name, values["peer"]))
                 self._judge(life.machine, values["peer"])
 
-        life.program.event_log.tell = tell
+        life.program.event_log.emit = record_event
 
     def events(self, event: Event) -> list[tuple[float, str, dict[str, Any]]]:
         return [(at, name, values) for at, name, known, values in self.told if known is event]
--- a/tests/mesh/test_benchmarks_worth.py
+++ b/tests/mesh/test_benchmarks_worth.py
@@ -15,7 +15,7 @@
 from mesh.data_plane.call_trace import CallTrace
 from mesh.event_log import events
 from mesh.event_log.events import Level
-from mesh.event_log.log import MOST_A_SECOND, EventLog
+from mesh.event_log.log import MAX_LINES_PER_SECOND, EventLog
 
 PROXY, CORE = "  1.2 side-a-1 11:00:00.000", "  1.2 core-a-1 11:00:00.000"
 
@@ -155,13 +155,13 @@
         route=SimpleNamespace(name="r-1", aim_ms=500.0),
         tries=[("i-1", "turned away: full", 79.0), ("i-2", "out", 0.0)],
     )
-    for _ in range(2 * MOST_A_SECOND):
+    for _ in range(2 * MAX_LINES_PER_SECOND):
         trace.first_hop(300.0, ask, 200)
     call: Any = SimpleNamespace(attempt="a", instance="i-2", caller="s")
     elsewhere: Any = SimpleNamespace(attempt="a", instance="i-1", caller="s")
     trace.second_hop(290.0, call, 181.0, 190.0, UpstreamResponse(200, [], b"", True))
     trace.second_hop(190.0, elsewhere, 150.0, 0.0, NotExecuted(RejectReason.FULL))
     read = read_trace(stream.getvalue().splitlines())
-    assert len(read.calls) == 2 * MOST_A_SECOND and read.calls[0].took_ms == 200.0
+    assert len(read.calls) == 2 * MAX_LINES_PER_SECOND and read.calls[0].took_ms == 200.0
     assert read.calls[0].tries[1] == Try("i-2", 80.0, 120.0, "out")
     assert read.stays == {("a", "i-2"): Stay(9.0, 100.0), ("a", "i-1"): Stay(40.0, 0.0)}
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -32,7 +32,7 @@
         self.told: list[tuple[str, Event]] = []
 
     def dress(self, life: Life) -> None:
-        life.program.event_log.tell = lambda event, /, **_: self.told.append((life.machine.name, event))
+        life.program.event_log.emit = lambda event, /, **_: self.told.append((life.machine.name, event))
 
     def tellers(self, event: Event) -> set[str]:
         return {name for name, known in self.told if known is event}
@@ -177,7 +177,7 @@
         assert {"c1", "c2"} <= set(holders(world))
         world.start(away)
         yield from forgotten(world)
-        assert world.tellers(events.DROPS_FORGOTTEN)
+        assert world.tellers(events.TOMBSTONES_COLLECTED)
         yield from ends(world)
 
     assert played(script) == []
@@ -198,7 +198,7 @@
         yield world.env.timeout(0.5)
         world.start(one)
         yield from world.joined([one])
-        assert world.tellers(events.DISK_OLDER) == {"c3"}
+        assert world.tellers(events.DISK_OUTDATED) == {"c3"}
         yield from ends(world)
 
     assert played(script) == []
@@ -214,7 +214,7 @@
         yield from forgotten(world)
         world.start(spare)
         yield world.env.timeout(3.0)
-        assert world.tellers(events.DISK_OLDER) == {"c4"}
+        assert world.tellers(events.DISK_OUTDATED) == {"c4"}
         assert spare.program.charter.digests.root() == world.controllers()[0].program.charter.digests.root()
         yield from ends(world)
 
@@ -249,13 +249,13 @@
         world.start(one)
         while one.program is None or (VIEW, MEMBERS) not in one.program.charter.items:
             yield world.env.timeout(0.001)
-        while one.program.disk_writer.complete and not world.tellers(events.DISK_OLDER):
+        while one.program.disk_writer.complete and not world.tellers(events.DISK_OUTDATED):
             yield world.env.timeout(0.001)
         while not one.program.disk_writer.complete:
             yield world.env.timeout(0.001)
         held = {item.key for item in one.program.charter.items.values()}
         assert held >= world.witness.acked.keys()
-        assert world.tellers(events.DISK_OLDER) == {"c3"}
+        assert world.tellers(events.DISK_OUTDATED) == {"c3"}
         yield from world.joined([one])
         yield from ends(world, gone=False)
 
@@ -276,7 +276,7 @@
         yield world.env.timeout(1.0)
         yield from taken_out(world, one)
         world.heal()
-        while not world.tellers(events.DISK_OLDER):
+        while not world.tellers(events.DISK_OUTDATED):
             yield world.env.timeout(0.001)
         assert not one.program.disk_writer.complete
         while not one.program.disk_writer.complete:
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -112,7 +112,7 @@
         yield world.env.timeout(1.0)
         assert logged_events(world, "s1", 222, 223) == [
             events.CONTROL_LOST.number,
-            events.CONTROL_FOUND.number,
+            events.CONTROL_REGAINED.number,
         ]
         assert program.control_contact.status(world.env.now)["without_ms"] is None
 
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -269,8 +269,8 @@
     async def test(there: Beside) -> None:
         proxy, told = there.proxy, []
         keep(there)
-        monitored = proxy.event_log.tell
-        proxy.event_log.tell = lambda event, **values: (  # type: ignore[method-assign, assignment]
+        monitored = proxy.event_log.emit
+        proxy.event_log.emit = lambda event, **values: (  # type: ignore[method-assign, assignment]
             told.append((event, values)),
             monitored(event, **values),
         )
@@ -288,7 +288,7 @@
         answer = await refused.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (503, "close")
         await soon(ends)
-        assert (events.GIVEN_UP, {"requests": 9, "calls": 9}) in told
+        assert (events.CALLS_ABANDONED, {"requests": 9, "calls": 9}) in told
         assert proxy.client_listener.held() >= 9  # the kernel closes them at the exit, without a response
 
     beside(tmp_path, test, grace_s=GRACE_S)
--- a/tests/mesh/test_event_log_events.py
+++ b/tests/mesh/test_event_log_events.py
@@ -45,7 +45,7 @@
             if not (
                 isinstance(node, ast.Call)
                 and isinstance(node.func, ast.Attribute)
-                and node.func.attr == "tell"
+                and node.func.attr == "emit"
             ):
                 continue
             if node.args and isinstance(node.args[0], ast.Attribute):
@@ -73,4 +73,4 @@
 def test_a_number_that_is_retired_is_not_given_again() -> None:
     assert events.RETIRED.isdisjoint(CATALOGUE)
     with pytest.raises(ValueError, match="207"):
-        events._event(207, events.Level.INFO, "given again")
+        events._define_event(207, events.Level.INFO, "given again")
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -256,15 +256,15 @@
 def heard(world: World) -> list[tuple[str, dict[str, Any]]]:
     """Events of all processes from here on."""
     found: list[tuple[str, dict[str, Any]]] = []
-    tell = EventLog.tell
+    original_emit = EventLog.emit
 
-    def tells(self: EventLog, event: events.Event, **values: Any) -> None:
+    def emit(self: EventLog, event: events.Event, **values: Any) -> None:
         found.append((event.code, values))
-        tell(self, event, **values)
+        original_emit(self, event, **values)
 
     world._patches.append(patch := pytest.MonkeyPatch())
     patch.start, patch.stop = (lambda: None), patch.undo  # type: ignore[attr-defined]
-    patch.setattr(EventLog, "tell", tells)
+    patch.setattr(EventLog, "emit", emit)
     return found
 
 
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -285,10 +285,10 @@
     lease.latest, lease._claimed, lease._first_since = LeaseRecord(1, holder.name), 1, now
     world.power_off(world.machines["s1"])
     yield world.env.timeout(GONE_S + 1.5)
-    told = [values for _, name, values in world.events(events.EPOCH_OLD) if name != holder.name]
+    told = [values for _, name, values in world.events(events.STALE_EPOCH_REFUSED) if name != holder.name]
     assert told and all((values["epoch"], values["newest"]) == (1, 5) for values in told)
     yield world.env.timeout(1.0)
-    left = [values for _, name, values in world.events(events.DUTY_LEFT) if name == holder.name]
+    left = [values for _, name, values in world.events(events.DUTY_RELEASED) if name == holder.name]
     assert left[0]["epoch"] == 1 and not world.dropped
     yield world.env.timeout(20.0)
     assert drops(world) == ["s1"]
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -86,7 +86,7 @@
     kept = {one.key: one for one in world.machines["c2"].disk.holds().items}
     assert kept[R1].version == 3 and kept[R1].value == item.value
     assert [name for _, name, _ in world.events(events.REPAIR_DONE)] == ["c2"]
-    assert world.events(events.REPAIR_BEGUN) and not world.events(events.COPIES_SPLIT)
+    assert world.events(events.REPAIR_STARTED) and not world.events(events.COPIES_DIFFERED)
 
 
 def test_a_copy_that_went_back_is_mended_and_whoever_asks_it_hears_of_it() -> None:
@@ -109,7 +109,7 @@
         assert {canonical_content(program.charter.items[R1]) for program in sound} == {
             canonical_content(item)
         }
-        told = world.events(events.COPIES_SPLIT)
+        told = world.events(events.COPIES_DIFFERED)
         assert told and all((v["kind"], v["name"], v["version"]) == (*R1, 3) for _, _, v in told)
 
     assert played(split) == []
@@ -124,7 +124,7 @@
             3 * 120 / COMPARE_INTERVAL_S[1] - 3 <= world.wire.sent - before <= 3 * 120 / COMPARE_INTERVAL_S[0]
         )
         assert all(len(end.written) < 100 for end in world.wire.ends if b'"digest"' in end.written)
-        assert not world.events(events.REPAIR_BEGUN)
+        assert not world.events(events.REPAIR_STARTED)
 
     assert played(quiet) == []
 
@@ -153,7 +153,7 @@
     def forgets(world: Drops) -> Script:
         sent = yield from forgotten_drop(world)
         assert sent < 300
-        assert not world.events(events.REPAIR_DIFFERS) and not world.events(events.REPAIR_DONE)
+        assert not world.events(events.REPAIR_INCOMPLETE) and not world.events(events.REPAIR_DONE)
 
     assert played(forgets) == []
 
@@ -163,7 +163,7 @@
         store = world.machines["c2"].program.charter
         store.digests.update(store.items[R1], altered(store.items[R1], 3))
         yield world.env.timeout(300.0)
-        told = world.events(events.REPAIR_DIFFERS)
+        told = world.events(events.REPAIR_INCOMPLETE)
         assert 2 <= len(told) <= 30 and all(values["buckets"] == 1 for _, _, values in told)
         assert not world.events(events.REPAIR_DONE)
 
