--- a/mesh/event_log/events.py
+++ b/mesh/event_log/events.py
@@ -1,6 +1,6 @@
-"""The numbered events of the mesh's log. docs/operate/log_events.md says what each means and what to do.
+"""The numbered events of the mesh's log. docs/operate/log_events.md explains each and how to respond to it.
 
-A number is never used again for anything else. Its hundred is its subject: 1 start and settings, 2
+Numbers are never reused. The hundreds digit gives the subject: 1 start and settings, 2
 membership, 3 configuration, 4 disk, 5 calls, 6 duties, 7 repair.
 """
 
@@ -10,7 +10,7 @@
 
 
 class Level(IntEnum):
-    """How urgent an event is; the initial stands in the line."""
+    """The severity of an event; a log line shows its initial."""
 
     DEBUG = 1
     INFO = 2
@@ -19,19 +19,18 @@
 
 
 class Event(Struct, frozen=True):
-    """A kind of event: its number, its level, what is said, and the names of the values that are told with
-    it."""
+    """A kind of event: its number, level and text, and the names of the values that are logged with it."""
 
     number: int
     level: Level
     text: str
     fields: tuple[str, ...] = ()
     limited: bool = True
-    """At most so many lines a second as the log allows; False for those that are written only where asked."""
+    """Whether the log's rate limit applies; False for events that are written only with --debug."""
 
     @property
     def code(self) -> str:
-        """The level's initial and the number, as in the log: W202."""
+        """The level's initial and the number, as in a log line: W202."""
         return f"{self.level.name[0]}{self.number}"
 
 
@@ -39,13 +38,13 @@
 """All events, by number."""
 
 RETIRED = frozenset({207, 208, 209, 304, 306, 307, 501})
-"""Numbers of earlier catalogues that nothing tells any more; they are not given again."""
+"""Numbers of events that no longer exist; they are not reused."""
 
 
 def _define_event(number: int, level: Level, text: str, *fields: str, limited: bool = True) -> Event:
     event = Event(number, level, text, fields, limited)
     if number in RETIRED or CATALOGUE.setdefault(number, event) is not event:
-        raise ValueError(f"events: {number} is given twice, or retired; take a free number")
+        raise ValueError(f"event number {number} is already used or retired; choose a free one")
     return event
 
 
@@ -53,35 +52,35 @@
 SETTINGS_UNKNOWN = _define_event(102, Level.INFO, "unknown settings ignored", "names")
 STOPPING = _define_event(103, Level.INFO, "asked to end", "open_calls")
 ENDED = _define_event(104, Level.INFO, "ended")
-SETTINGS_APPLIED = _define_event(106, Level.INFO, "changed settings taken")
+SETTINGS_APPLIED = _define_event(106, Level.INFO, "changed settings applied")
 SETTINGS_REFUSED = _define_event(107, Level.WARNING, "changed settings refused", "findings")
-PROGRAM_ERROR = _define_event(105, Level.ERROR, "fault in the program", "where", "what")
+PROGRAM_ERROR = _define_event(105, Level.ERROR, "internal error", "where", "what")
 
 LINK_UP = _define_event(201, Level.INFO, "link up", "peer")
-PEER_REACHABLE = _define_event(210, Level.INFO, "reached again", "peer")
-PEER_UNREACHABLE = _define_event(211, Level.WARNING, "cannot be reached", "peer")
+PEER_REACHABLE = _define_event(210, Level.INFO, "peer reachable again", "peer")
+PEER_UNREACHABLE = _define_event(211, Level.WARNING, "peer unreachable", "peer")
 LINK_LOST = _define_event(202, Level.WARNING, "link lost", "peer", "why")
 INSTANCE_NEW = _define_event(203, Level.INFO, "instance new", "service", "instance", "address")
 INSTANCE_SETTLED = _define_event(204, Level.INFO, "instance settled", "service", "instance")
 INSTANCE_DECAYING = _define_event(205, Level.INFO, "instance decaying", "service", "instance")
 INSTANCE_GONE = _define_event(206, Level.INFO, "instance gone", "service", "instance", "why")
 NODE_DROPPED = _define_event(212, Level.INFO, "node given up", "peer", "silent_s", "instances")
-ZONE_KEPT = _define_event(213, Level.WARNING, "most of a zone silent, its nodes kept", "zone")
+ZONE_KEPT = _define_event(213, Level.WARNING, "most of a zone is silent, its nodes are kept", "zone")
 CONTACT_LOST = _define_event(220, Level.WARNING, "contact with most members lost", "heard", "of")
 CONTACT_CONFIRMED = _define_event(221, Level.INFO, "contact with most members proven", "without_ms")
 CONTROL_LOST = _define_event(
     222, Level.WARNING, "no control process with contact in reach", "links", "behind_ms"
 )
 CONTROL_REGAINED = _define_event(223, Level.INFO, "control process with contact in reach again", "without_ms")
-MEMBERS_CHANGED = _define_event(224, Level.INFO, "members agreed on", "epoch", "count", "before")
-MEMBER_REMOVAL_BLOCKED = _define_event(225, Level.WARNING, "member that is to leave stays", "member", "why")
+MEMBERS_CHANGED = _define_event(224, Level.INFO, "member set decided", "epoch", "count", "before")
+MEMBER_REMOVAL_BLOCKED = _define_event(225, Level.WARNING, "removal of a member blocked", "member", "why")
 TOLERANCE_REDUCED = _define_event(
-    226, Level.WARNING, "fewer losses borne than asked for", "machines", "zones", "regions"
+    226, Level.WARNING, "fewer losses tolerable than configured", "machines", "zones", "regions"
 )
 TOLERANCE_RESTORED = _define_event(
-    227, Level.INFO, "losses borne as asked for", "machines", "zones", "regions"
+    227, Level.INFO, "losses tolerable as configured", "machines", "zones", "regions"
 )
-FIRST_START_REPEATED = _define_event(228, Level.WARNING, "first start begun anew", "founders")
+FIRST_START_REPEATED = _define_event(228, Level.WARNING, "first start repeated", "founders")
 
 CHANGE_DECIDED = _define_event(301, Level.INFO, "change decided", "items")
 CHANGE_REFUSED = _define_event(302, Level.WARNING, "change refused", "reason")
@@ -89,15 +88,15 @@
 IN_FORCE = _define_event(305, Level.INFO, "configuration in force", "items", "version")
 STATE_FULL = _define_event(308, Level.ERROR, "control state full", "reason")
 ROUTE_DEGRADED = _define_event(
-    309, Level.ERROR, "route worse by its new version", "route", "version", "failed", "before"
+    309, Level.ERROR, "route degraded by its new version", "route", "version", "failed", "before"
 )
 ROUTE_WITHOUT_UPSTREAM = _define_event(
-    310, Level.WARNING, "route leads to no live upstream", "route", "version", "service"
+    310, Level.WARNING, "route has no live upstream", "route", "version", "service"
 )
 ROLLOUT_ORDERED = _define_event(311, Level.INFO, "rollout ordered", "order", "route", "version")
 NOT_CONFIRMED = _define_event(312, Level.WARNING, "change not confirmed by all", "items", "sidecars", "names")
 CHANGE_CONFLICT = _define_event(
-    313, Level.WARNING, "change refused, another has its number", "kind", "name", "version"
+    313, Level.WARNING, "change refused, another one has its version", "kind", "name", "version"
 )
 ACKNOWLEDGED_EARLY = _define_event(
     316,
@@ -108,32 +107,30 @@
     "waited_ms",
 )
 KEYS_ASSIGNED = _define_event(315, Level.INFO, "keys assigned", "service", "version", "rows")
-VOTES_COMPLETED = _define_event(314, Level.INFO, "open votes brought to their decision", "items")
+VOTES_COMPLETED = _define_event(314, Level.INFO, "open votes completed", "items")
 
 DISK_OPENED = _define_event(401, Level.INFO, "store opened", "items", "whole")
 DISK_EMPTY = _define_event(402, Level.WARNING, "store begun on an empty disk", "first")
 DISK_SET_ASIDE = _define_event(403, Level.ERROR, "damaged store set aside", "moved_to", "reason")
 DISK_SLOW = _define_event(404, Level.WARNING, "disk slow", "took_ms", "rows")
-DISK_WRITE_REFUSED = _define_event(405, Level.ERROR, "disk refused", "reason")
-DISK_COMPLETE = _define_event(406, Level.INFO, "store whole again", "items")
+DISK_WRITE_REFUSED = _define_event(405, Level.ERROR, "disk refused a write", "reason")
+DISK_COMPLETE = _define_event(406, Level.INFO, "store complete again", "items")
 DISK_OPEN_FAILED = _define_event(407, Level.ERROR, "store cannot be opened", "reason")
 DISK_OUTDATED = _define_event(
-    409, Level.WARNING, "what the disk held counts for nothing, read anew", "reason", "items"
+    409, Level.WARNING, "outdated store discarded, state fetched again", "reason", "items"
 )
-DISK_COMPACTED = _define_event(410, Level.INFO, "store written anew, smaller", "before", "used")
-STATE_RESTORED = _define_event(
-    412, Level.WARNING, "begun anew by an operator's word", "epoch", "items", "lost"
-)
-TOMBSTONES_COLLECTED = _define_event(411, Level.INFO, "drops forgotten, which all hold", "items")
-DISK_MIGRATED = _define_event(408, Level.INFO, "store moved on", "note")
+DISK_COMPACTED = _define_event(410, Level.INFO, "store compacted", "before", "used")
+STATE_RESTORED = _define_event(412, Level.WARNING, "state restored by an operator", "epoch", "items", "lost")
+TOMBSTONES_COLLECTED = _define_event(411, Level.INFO, "tombstones collected that all members hold", "items")
+DISK_MIGRATED = _define_event(408, Level.INFO, "store layout migrated", "note")
 
 BUDGET_SPENT = _define_event(502, Level.WARNING, "retry budget spent", "service", "refused")
 CALLS_INTERRUPTED = _define_event(
-    503, Level.WARNING, "link lost with calls out", "peer", "calls", "asked", "why"
+    503, Level.WARNING, "link lost with calls in flight", "peer", "calls", "asked", "why"
 )
-WRONG_ANSWER = _define_event(504, Level.ERROR, "wrong answer dropped", "wanted", "got")
-CALL_UNCLEAR = _define_event(505, Level.WARNING, "effectful call unclear", "attempt", "why")
-CALLS_ABANDONED = _define_event(506, Level.WARNING, "calls given up at the end", "requests", "calls")
+WRONG_ANSWER = _define_event(504, Level.ERROR, "mismatched answer dropped", "wanted", "got")
+CALL_UNCLEAR = _define_event(505, Level.WARNING, "outcome of an effectful call unknown", "attempt", "why")
+CALLS_ABANDONED = _define_event(506, Level.WARNING, "calls abandoned at shutdown", "requests", "calls")
 CALL_AT_FIRST_HOP = _define_event(
     *(510, Level.DEBUG, "call over at its first hop", "attempt", "route", "service", "aim_ms", "took_ms"),
     *("end", "tries"),
@@ -157,7 +154,7 @@
     603, Level.WARNING, "order of an old epoch refused", "duty", "epoch", "newest"
 )
 
-REPAIR_STARTED = _define_event(701, Level.INFO, "repair begun", "peer", "buckets")
+REPAIR_STARTED = _define_event(701, Level.INFO, "repair started", "peer", "buckets")
 REPAIR_DONE = _define_event(702, Level.INFO, "repair done", "peer", "items")
 REPAIR_INCOMPLETE = _define_event(703, Level.WARNING, "digests differ after repair", "peer", "buckets")
 COPIES_DIFFERED = _define_event(
--- a/mesh/event_log/log.py
+++ b/mesh/event_log/log.py
@@ -1,7 +1,7 @@
-"""The log: one line an event, on the stream that is given, at most so many a second of each kind.
+"""The event log: one line per event on a given stream, with a rate limit for each kind of event.
 
-Lines go through the standard library's ``logging``, which asyncio loads anyway: ``logbook`` would add 0.7 MB
-to each process.
+Lines are written by the standard library's ``logging``, which asyncio imports anyway: ``logbook`` would add
+0.7 MB to each process.
 """
 
 import json
@@ -13,9 +13,9 @@
 from mesh.event_log.events import CATALOGUE, Event, Level
 
 MAX_LINES_PER_SECOND = 20
-"""Lines of one event in one second; the suppressed are counted and told with the event's next line."""
+"""For each event; suppressed lines are counted and the count is added to the event's next line."""
 MAX_VALUE_LENGTH = 300
-"""Characters of one value."""
+"""In characters."""
 
 _LEVELS = {
     Level.DEBUG: logging.DEBUG,
@@ -23,23 +23,22 @@
     Level.WARNING: logging.WARNING,
     Level.ERROR: logging.ERROR,
 }
-_PLAIN = frozenset("!#$%&()*+,-./:;<>?@[]^_{|}~")  # stands without quotes beside letters and digits
+_UNQUOTED = frozenset("!#$%&()*+,-./:;<>?@[]^_{|}~")  # need no quotes, like letters and digits
 
 
-class _Lines(logging.StreamHandler[TextIO]):
-    """Writes messages as they are. A stream that fails must not end the process that tells what goes on in
-    it."""
+class _LineHandler(logging.StreamHandler[TextIO]):
+    """Writes messages unformatted. A failing stream must not end the process that logs to it."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The message without more."""
+        """Returns the message alone."""
         return str(record.msg)
 
     def handleError(self, record: logging.LogRecord) -> None:  # noqa: N802 - the library's name
-        """Leaves the line out."""
+        """Drops the line."""
 
 
 class EventLog:
-    """The log of one process. ``clock`` gives seconds since 1970, UTC; lines have the time of day by it."""
+    """The log of one process. ``clock`` returns seconds since 1970 UTC; lines show its time of day."""
 
     def __init__(
         self,
@@ -48,53 +47,52 @@
         level: Level = Level.INFO,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self._logger = logging.Logger(node, logging.DEBUG)  # of its own: no process-wide state
-        self._logger.addHandler(_Lines(stream))
+        self._logger = logging.Logger(node, logging.DEBUG)  # not registered: no process-wide state
+        self._logger.addHandler(_LineHandler(stream))
         self._level = level
         self._clock = clock
-        self._told = {
-            number: [0, 0, 0] for number in CATALOGUE
-        }  # second, lines in it, suppressed since a line
+        # Of each event: the current second, lines written in it, lines suppressed since the last line.
+        self._line_counts = {number: [0, 0, 0] for number in CATALOGUE}
 
     def writes(self, event: Event) -> bool:
-        """Whether an event of that level is written at all."""
+        """Whether events of this event's level are written."""
         return event.level >= self._level
 
     def emit(self, event: Event, /, **values: object) -> None:
-        """Write ``HH:MM:SS.mmm W202 link lost peer=... why=...``, the event's fields first and in its order;
-        one that is not given is ``?``. Nothing is formatted below the log's level, or beyond
-        MAX_LINES_PER_SECOND where the event is limited.
-        Values keep to one line and MAX_VALUE_LENGTH characters. Never raises for a value or a stream."""
+        """Writes ``HH:MM:SS.mmm W202 link lost peer=... why=...``, the event's fields first, in its order; a
+        missing one is ``?``. Nothing is formatted below the log's level, or, for a limited event, beyond
+        MAX_LINES_PER_SECOND. A value takes one line; it is cut to MAX_VALUE_LENGTH characters before it is
+        escaped. Never raises for a value or a stream."""
         if not self.writes(event):
             return
         now = self._clock()
-        told = self._told[event.number]
-        if told[0] != int(now):
-            told[0], told[1] = int(now), 0
-        if event.limited and told[1] >= MAX_LINES_PER_SECOND:
-            told[2] += 1
+        counts = self._line_counts[event.number]
+        if counts[0] != int(now):
+            counts[0], counts[1] = int(now), 0
+        if event.limited and counts[1] >= MAX_LINES_PER_SECOND:
+            counts[2] += 1
             return
-        told[1] += 1
-        parts = [f"{_time(now)} {event.code} {event.text}"]
-        parts += [f"{name}={_shown(values.pop(name, _Missing))}" for name in event.fields]
-        parts += [f"{name}={_shown(value)}" for name, value in values.items()]
-        if told[2]:
-            parts.append(f"suppressed={told[2]}")
-            told[2] = 0
+        counts[1] += 1
+        parts = [f"{_time_of_day(now)} {event.code} {event.text}"]
+        parts += [f"{name}={_format_value(values.pop(name, _Missing))}" for name in event.fields]
+        parts += [f"{name}={_format_value(value)}" for name, value in values.items()]
+        if counts[2]:
+            parts.append(f"suppressed={counts[2]}")
+            counts[2] = 0
         self._logger.log(_LEVELS[event.level], " ".join(parts))
 
 
 class _Missing:
-    """Stands for a value that was not given."""
+    """Marks a value that was not given."""
 
 
-def _time(now: float) -> str:
+def _time_of_day(now: float) -> str:
     milliseconds = int(now * 1000)
     seconds = milliseconds // 1000
     return f"{seconds // 3600 % 24:02}:{seconds // 60 % 60:02}:{seconds % 60:02}.{milliseconds % 1000:03}"
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     if value is _Missing:
         return "?"
     if value is None:
@@ -105,10 +103,10 @@
         return f"{value:.6g}"
     try:
         text = str(value)
-    except Exception as error:  # a value that cannot be shown is no reason to lose the line
+    except Exception as error:  # the line is still written
         return type(error).__name__
     if len(text) > MAX_VALUE_LENGTH:
         text = text[: MAX_VALUE_LENGTH - 3] + "..."
-    if text and text.isascii() and all(sign.isalnum() or sign in _PLAIN for sign in text):
+    if text and text.isascii() and all(character.isalnum() or character in _UNQUOTED for character in text):
         return text
     return json.dumps(text)
--- a/tests/mesh/test_event_log_events.py
+++ b/tests/mesh/test_event_log_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events, its page for staff on call, and the places that tell events agree."""
+"""The catalogue of events, the operators' page about it, and the calls that log events agree."""
 
 import ast
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 def page() -> Iterator[tuple[int, list[str]]]:
-    """The page's rows with the hundred of the heading that they stand under."""
+    """The page's rows, each with the hundred that its section heading names."""
     hundred = 0
     for line in (ROOT / "docs/operate/log_events.md").read_text().splitlines():
         if line.startswith("## "):
@@ -27,9 +27,9 @@
 
 
 def test_the_page_has_every_event_as_the_catalogue_has_it() -> None:
-    told = [cells[:3] for _, cells in page()]
-    ours = [[event.code, event.text, ", ".join(event.fields)] for _, event in sorted(CATALOGUE.items())]
-    assert told == ours
+    documented = [cells[:3] for _, cells in page()]
+    defined = [[event.code, event.text, ", ".join(event.fields)] for _, event in sorted(CATALOGUE.items())]
+    assert documented == defined
 
 
 def test_every_event_stands_in_its_subject_with_its_meaning_and_its_mend() -> None:
@@ -38,8 +38,8 @@
         assert len(cells) == len(COLUMNS) and all(len(cell) > 5 for cell in cells[3:]), cells
 
 
-def tellings() -> Iterator[tuple[str, str, set[str]]]:
-    """Where the mesh tells an event: the place, the event's constant, the names of the values."""
+def emit_calls() -> Iterator[tuple[str, str, set[str]]]:
+    """The calls that log an event: the place, the event's constant, the names of the values."""
     for path in sorted((ROOT / "mesh").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not (
@@ -50,24 +50,24 @@
                 continue
             if node.args and isinstance(node.args[0], ast.Attribute):
                 place = f"{path.relative_to(ROOT)}:{node.lineno}"
-                yield place, node.args[0].attr, {word.arg or "**" for word in node.keywords}
+                yield place, node.args[0].attr, {keyword.arg or "**" for keyword in node.keywords}
 
 
 def test_every_telling_gives_the_values_of_its_event() -> None:
-    for place, name, given in tellings():
+    for place, name, given in emit_calls():
         event = getattr(events, name, None)
         assert isinstance(event, Event), f"{place}: no event {name}"
         assert given == set(event.fields), f"{place}: {name} has {event.fields}"
 
 
 def test_every_event_is_told_somewhere() -> None:
-    told = {
+    used = {
         node.attr
         for path in (ROOT / "mesh").rglob("*.py")
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "events"
     }
-    assert {name for name, event in vars(events).items() if isinstance(event, Event)} <= told
+    assert {name for name, event in vars(events).items() if isinstance(event, Event)} <= used
 
 
 def test_a_number_that_is_retired_is_not_given_again() -> None:
--- a/tests/mesh/test_event_log_log.py
+++ b/tests/mesh/test_event_log_log.py
@@ -1,4 +1,4 @@
-"""The log's lines: their form, their bounds, and what they cost nothing."""
+"""The log's lines: their format, their limits, and that suppressed ones are not formatted."""
 
 import io
 
@@ -34,22 +34,22 @@
     ]
 
 
-class Costly:
-    shown = 0
+class CountsFormatting:
+    formatted = 0
 
     def __str__(self) -> str:
-        Costly.shown += 1
-        return "costly"
+        CountsFormatting.formatted += 1
+        return "value"
 
 
 def test_what_is_below_the_level_or_over_the_rate_is_not_formatted() -> None:
     event_log, stream, _ = log()
-    Costly.shown = 0
-    event_log.emit(events.BYTES_SENT, calls=Costly(), answers=0, updates=0)
-    assert (stream.getvalue(), Costly.shown) == ("", 0)
+    CountsFormatting.formatted = 0
+    event_log.emit(events.BYTES_SENT, calls=CountsFormatting(), answers=0, updates=0)
+    assert (stream.getvalue(), CountsFormatting.formatted) == ("", 0)
     for _ in range(MAX_LINES_PER_SECOND + 5):
-        event_log.emit(events.LINK_UP, peer=Costly())
-    assert len(stream.getvalue().splitlines()) == Costly.shown == MAX_LINES_PER_SECOND
+        event_log.emit(events.LINK_UP, peer=CountsFormatting())
+    assert len(stream.getvalue().splitlines()) == CountsFormatting.formatted == MAX_LINES_PER_SECOND
     verbose, stream, _ = log(Level.DEBUG)
     verbose.emit(events.BYTES_SENT, calls=3, answers=2, updates=1)
     assert stream.getvalue().endswith("D512 bytes sent to other zones calls=3 answers=2 updates=1\n")
@@ -61,7 +61,7 @@
         event_log.emit(events.LINK_UP, peer="a")
     event_log.emit(events.LINK_LOST, peer="a", why="b")
     assert "suppressed" not in stream.getvalue()
-    for step in (1.0, 0.1, -50.0):  # a clock set back starts a second of its own
+    for step in (1.0, 0.1, -50.0):  # a clock that was set back starts a new second
         clock.now += step
         event_log.emit(events.LINK_UP, peer="a")
     lines = stream.getvalue().splitlines()[MAX_LINES_PER_SECOND:]
@@ -86,10 +86,10 @@
 
     EventLog("core-1", Broken(), clock=Clock()).emit(events.STARTED, role="x")
 
-    class Nameless:
+    class Unprintable:
         def __str__(self) -> str:
             raise RuntimeError
 
     event_log, stream, _ = log()
-    event_log.emit(events.STARTED, role=Nameless())
+    event_log.emit(events.STARTED, role=Unprintable())
     assert "role=RuntimeError" in stream.getvalue()
