--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -28,7 +28,7 @@
 import simpy
 
 from mesh.data_plane.membership import PROXY
-from mesh.transport.link import ALIVE
+from mesh.transport.link import HEARTBEAT
 from rigs.mesh_peers import change, route
 from simulation.mesh.clock import LIFE
 from simulation.mesh.wire import End
@@ -89,7 +89,7 @@
     def _sends(self, end: End, data: bytes) -> None:
         for one in (end, end.other):
             spent = self.core if one.life.machine.core else self.side
-            if data == ALIVE:
+            if data == HEARTBEAT:
                 spent.alive += 1
             else:
                 spent.messages += 1
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -103,7 +103,7 @@
             for channel in self._channels.open
             if channel.peer_hello.get("role") == PROXY
             and channel.link.up
-            and now - channel.link.heard_at <= LINK_ALIVE_S
+            and now - channel.link.last_received_at <= LINK_ALIVE_S
             and now - self._incarnations.get(channel.node, ("", now))[1] >= self._contact_s
         }
 
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -214,7 +214,7 @@
         return {
             address
             for address, channel in self._member_set.peers().items()
-            if now - channel.link.heard_at <= LINK_ALIVE_S
+            if now - channel.link.last_received_at <= LINK_ALIVE_S
         }
 
     def known_members(self, absences: Mapping[str, Absence], removed: str = "") -> dict[str, MemberStatus]:
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -110,7 +110,7 @@
         self._note_link(channel)
 
     def _note_link(self, channel: Channel) -> None:
-        self.tracker.note_link_contact(channel.link.heard_at, channel.node, channel.link.since)
+        self.tracker.note_link_contact(channel.link.last_received_at, channel.node, channel.link.up_since)
 
     def tick(self, now: float) -> None:
         """Claims, releases or performs the duty; called several times a second."""
@@ -160,7 +160,7 @@
             for channel in self._channels.open
             if channel.peer_hello.get("role") == CONTROLLER
             and channel.peer_complete
-            and now - channel.link.heard_at <= LINK_ALIVE_S
+            and now - channel.link.last_received_at <= LINK_ALIVE_S
         }
         if self._has_contact() and self.tracker.listening_s(now) >= min_awake_s:
             live.add(self.node)
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -81,7 +81,7 @@
         self.tracker.poll(now, view.names | {self._member_set.own_address})
         self.tracker.note_link_contact(now, self._member_set.own_address, self._started_at)
         for address, channel in self._member_set.peers().items():
-            self.tracker.note_link_contact(channel.link.heard_at, address, channel.link.since)
+            self.tracker.note_link_contact(channel.link.last_received_at, address, channel.link.up_since)
 
     def stop(self) -> None:
         """Another process holds the duty now."""
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -337,7 +337,7 @@
         while self.http_server.busy and self.loop.time() < until:
             await asyncio.sleep(SHUTDOWN_POLL_S)
         if self.http_server.busy:
-            self.http_server.give_up(unresolved_answer("this control process is shutting down"))
+            self.http_server.abort_calls(unresolved_answer("this control process is shutting down"))
             await asyncio.sleep(SHUTDOWN_POLL_S)  # until the answers are sent
         if self._server is not None:
             self._server.close()
--- a/mesh/data_plane/body_transfer.py
+++ b/mesh/data_plane/body_transfer.py
@@ -36,14 +36,14 @@
 
     def _write(self) -> None:
         """Writes as much as the link and the windows allow, the bodies in turn."""
-        while self._link.up and not self._link.choked and (part := self._outgoing.next()) is not None:
+        while self._link.up and not self._link.write_paused and (part := self._outgoing.next()) is not None:
             self._link.send(BodyPiece(number=part.number), part.data)
             if part.last:
                 self._on_sent.pop(part.number)()
 
     def _add_open(self, bodies: int) -> None:
-        self._link.owes += bodies
-        self._link.expects += bodies
+        self._link.owed_replies += bodies
+        self._link.expected_replies += bodies
 
     def expect(self, number: int, size: int, reservation: Reservation, on_complete: OnComplete) -> None:
         """Expects a body of ``size`` bytes. ``on_complete`` is called once with the body and its
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -32,7 +32,7 @@
 from mesh.data_plane.call_state import SECOND_HOP_TABLE, Event, State
 from mesh.data_plane.upstream_dispatch import FINAL_STATES, DispatchedCall, UpstreamDispatch
 from mesh.transport.body_pieces import PIECE_BYTES
-from mesh.transport.frames import MOST, RefusedBody
+from mesh.transport.frames import MAX_NETSTRING_BYTES, RefusedBody
 from mesh.transport.link import Link
 
 
@@ -75,7 +75,7 @@
         self._transfer = BodyTransfer(link, window)
         self._highest_number = 0  # of the calls received over this link
         self._leaving = False  # no further frames are accepted
-        link.read_with(decode_from_first_hop)
+        link.set_decoder(decode_from_first_hop)
 
     def handle_frame(self, message: Any, body: bytes) -> None:
         """Handles a `FirstHopMessage`, or the plain object of a frame directly behind the greeting. Raises
@@ -101,7 +101,7 @@
         self._highest_number = max(self._highest_number, number)
         if session is not None and not session.accept(number):
             return  # a duplicate, or barred by a query: nobody waits for it on this link
-        self._link.owes += 1
+        self._link.owed_replies += 1
         reservation = Reservation(self._dispatch.bodies)
         full = len(self._running) + len(self._receiving) >= self.MAX_OPEN_CALLS
         if full or isinstance(body, RefusedBody) or not reservation.grow(message.size or len(body)):
@@ -168,13 +168,13 @@
 
     def _send_end(self, number: int, end: End) -> None:
         self._running.pop(number, None)
-        self._link.owes -= 1
+        self._link.owed_replies -= 1
         if isinstance(end, UpstreamResponse) and len(end.body) > PIECE_BYTES and self._transfer.takes_pieces:
             self._sending[number] = end
             self._link.send(end_head(number, end, in_pieces=True)[0])
             self._transfer.send(number, end.body, partial(self._on_response_sent, number))
             return
-        if isinstance(end, UpstreamResponse) and len(end.body) > MOST:
+        if isinstance(end, UpstreamResponse) and len(end.body) > MAX_NETSTRING_BYTES:
             end = Unclear(f"response of {len(end.body)} bytes is too long for the release of the peer")
         self._link.send(*end_head(number, end))
         if isinstance(end, UpstreamResponse) and end.reservation is not None:
@@ -199,7 +199,7 @@
             dispatched = self._running.pop(number, None)
             if dispatched is None:
                 return
-            self._link.owes -= 1
+            self._link.owed_replies -= 1
             self._drop(dispatched)
             entry = dispatched.entry
         if entry is not None and self._session is not None and self._sessions is not None:
@@ -209,10 +209,10 @@
         """Gives up a call whose body is not complete; it never runs."""
         self._receiving.pop(number).apply(event)
         self._transfer.cancel_receiving(number)
-        self._link.owes -= 1
+        self._link.owed_replies -= 1
 
     def _on_query(self, session: Session[End], number: int, attempt: str) -> None:
-        self._link.owes += 1
+        self._link.owed_replies += 1
         self._highest_number = max(self._highest_number, number)
         verdict, entry = session.ask(number, attempt)
         if verdict is Verdict.PASSED and entry is not None:
@@ -250,7 +250,7 @@
         for number in list(self._receiving):
             entry = self._receiving[number].entry
             self._withdraw(number, Event.GIVEN_UP)
-            self._link.owes += 1  # for the end that is sent now
+            self._link.owed_replies += 1  # for the end that is sent now
             if entry is not None and self._session is not None and self._sessions is not None:
                 self._sessions.record_end(
                     self._session, number, NotExecuted(RejectReason.LEAVING), 0, self._loop.time()
@@ -262,7 +262,7 @@
     def _release(self, number: int) -> None:
         """The first hop waits for the call over another link now."""
         if self._running.pop(number, None) is not None:
-            self._link.owes -= 1
+            self._link.owed_replies -= 1
 
     def link_lost(self) -> None:
         """Handles the loss of the link. Idempotent calls are dropped, because the first hop has given them up
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -41,7 +41,7 @@
 from mesh.event_log.log import EventLog
 from mesh.membership.rendezvous import select_top
 from mesh.transport.body_pieces import PIECE_BYTES, WINDOW_BYTES
-from mesh.transport.frames import MOST, RefusedBody
+from mesh.transport.frames import MAX_NETSTRING_BYTES, RefusedBody
 from mesh.transport.link import Address, Link, connect
 
 RECONNECT_S, MAX_RECONNECT_S = 0.1, 1.0  # pause after a failed connect, doubled up to the maximum
@@ -147,7 +147,7 @@
         assert self.link is not None and self.transfer is not None
         body = outgoing.call.body
         in_pieces = len(body) > PIECE_BYTES and self.transfer.takes_pieces
-        if len(body) > MOST and not in_pieces:
+        if len(body) > MAX_NETSTRING_BYTES and not in_pieces:
             self._reject(outgoing, RejectReason.FULL)  # an older release closes the link on such a frame
             return
         self.context.last_number += 1  # unique over all links of this incarnation
@@ -169,9 +169,9 @@
     def _await_end(self, outgoing: OutgoingCall) -> None:
         assert self.link is not None
         self.open_calls[outgoing.number] = outgoing
-        self.link.expects += 1
+        self.link.expected_replies += 1
         if len(self.open_calls) == 1:
-            self.link.heard_at = self.context.loop.time()  # the silence limit counts from here
+            self.link.last_received_at = self.context.loop.time()  # the silence limit counts from here
 
     def _write_waiting(self) -> None:
         waiting, self.waiting = self.waiting, []
@@ -186,7 +186,7 @@
 
     def _new_link(self) -> Link:
         link = Link(lambda _: None, self._on_frame, self._on_link_lost, self.context.local.frames)
-        link.read_with(decode_from_second_hop)
+        link.set_decoder(decode_from_second_hop)
         return link
 
     async def _connect(self) -> None:
@@ -218,7 +218,7 @@
             self.context.loop.call_later(INCARNATION_WAIT_S, self._on_incarnation_timeout, link)
             self._mark_verified()
         else:
-            link.expects += 1  # its reply: a stopped process accepts connections but sends nothing
+            link.expected_replies += 1  # its reply: a stopped process accepts connections but sends nothing
 
     def _on_connect_failed(self, took_s: float) -> None:
         """Handles a failed connect. Two refused connects in a row mean that the incarnation has ended."""
@@ -307,7 +307,7 @@
 
     def _finish(self, link: Link, outgoing: OutgoingCall, end: End) -> None:
         del self.open_calls[outgoing.number]
-        link.expects -= 1
+        link.expected_replies -= 1
         if outgoing.query_timer is not None:
             self._cancel_query_timer(outgoing)
         state = FIRST_HOP_TABLE.get((outgoing.state, event_of(end)))
@@ -338,7 +338,7 @@
         if self.verified:
             self._write_waiting()
         else:
-            link.expects -= 1
+            link.expected_replies -= 1
             self._mark_verified()
         for outgoing in list(self.to_query.values()):
             self.context.turns.submit(partial(self._query, outgoing), query=True)
@@ -420,7 +420,7 @@
         self._cancel_query_timer(outgoing)
         self.to_query.pop(outgoing.number, None)
         if self.open_calls.pop(outgoing.number, None) is not None and self.link is not None:
-            self.link.expects -= 1
+            self.link.expected_replies -= 1
             self._stop_sending(outgoing)
             self._stop_receiving(outgoing)
         if outgoing.apply(Event.TIME_OVER):
@@ -435,7 +435,7 @@
         if outgoing in self.waiting:
             self.waiting.remove(outgoing)
         elif self.open_calls.pop(outgoing.number, None) is not None and self.link is not None:
-            self.link.expects -= 1
+            self.link.expected_replies -= 1
             self._stop_sending(outgoing)
             self._stop_receiving(outgoing)
             self.link.send(Drop(number=outgoing.number))
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -206,7 +206,11 @@
         """Called several times a second."""
         channels = self._channels()
         self.contact.poll(
-            now, any(one.received_all and now - one.link.heard_at <= MAX_POLL_GAP_S for one in channels.open)
+            now,
+            any(
+                one.received_all and now - one.link.last_received_at <= MAX_POLL_GAP_S
+                for one in channels.open
+            ),
         )
         if (
             self._vector() != self._reported_vector
--- a/mesh/dissemination/peers.py
+++ b/mesh/dissemination/peers.py
@@ -53,7 +53,7 @@
         self.peer_rank = 0  # of this process among those that the peer pulls from
         self._peer_lacking_since: float | None = None
         self._due = set(channels.stores)  # stores to check for the next answer
-        link.steady = True
+        link.mutual_heartbeat = True
         link.peer = self
 
     def start(self, rank: int = 0) -> None:
@@ -380,7 +380,7 @@
         now = self.loop.time()
         for channel in self.open:
             if channel.received_all:
-                self.last_complete_at = max(self.last_complete_at, channel.link.heard_at)
+                self.last_complete_at = max(self.last_complete_at, channel.link.last_received_at)
         return now - self.last_complete_at <= within_s
 
     def tick(self, now: float) -> None:
--- a/mesh/transport/body_pieces.py
+++ b/mesh/transport/body_pieces.py
@@ -26,10 +26,10 @@
 
     number: int
     data: memoryview
-    granted: int  # its first bytes that the other end takes so far
+    limit: int  # its first bytes that the other end takes so far
     sent: int = 0
     confirmed: int = 0  # its first bytes that have arrived
-    in_turn: bool = True
+    queued: bool = True
 
 
 class Part(Struct, frozen=True):
@@ -47,7 +47,7 @@
         """``window``: what the other end takes of each beyond what it has confirmed."""
         self._window = window
         self._bodies: dict[int, _Body] = {}
-        self._turns: deque[_Body] = deque()  # those that may send more, as far as their own window goes
+        self._queue: deque[_Body] = deque()  # those that may send more, as far as their own window goes
         self._unconfirmed = 0  # bytes of all of them
 
     def __len__(self) -> int:
@@ -58,21 +58,21 @@
         """``data`` must not change until it is sent or cancelled."""
         body = _Body(number, memoryview(data), self._window)
         self._bodies[number] = body
-        self._turns.append(body)
+        self._queue.append(body)
 
     def next(self) -> Part | None:
         """The piece whose turn it is, to be written now; None with full windows or nothing left."""
-        if not self._turns or self._unconfirmed >= LINK_WINDOW_BYTES:
+        if not self._queue or self._unconfirmed >= LINK_WINDOW_BYTES:
             return None
-        body = self._turns.popleft()
-        end = min(body.sent + PIECE_BYTES, body.granted, len(body.data))
+        body = self._queue.popleft()
+        end = min(body.sent + PIECE_BYTES, body.limit, len(body.data))
         data = body.data[body.sent : end]
         self._unconfirmed += len(data)
         body.sent = end
         last = end == len(body.data)
-        body.in_turn = not last and end < body.granted
-        if body.in_turn:
-            self._turns.append(body)
+        body.queued = not last and end < body.limit
+        if body.queued:
+            self._queue.append(body)
         return Part(body.number, data, last)
 
     def confirm(self, number: int, arrived: int) -> bool:
@@ -84,13 +84,13 @@
         if arrived > body.sent:
             raise PieceError(f"{arrived} bytes are confirmed and {body.sent} were sent")
         self._unconfirmed -= arrived - body.confirmed
-        body.confirmed, body.granted = arrived, arrived + self._window
+        body.confirmed, body.limit = arrived, arrived + self._window
         if arrived == len(body.data):
             del self._bodies[number]
             return True
-        if not body.in_turn and body.sent < len(body.data):
-            body.in_turn = True
-            self._turns.append(body)
+        if not body.queued and body.sent < len(body.data):
+            body.queued = True
+            self._queue.append(body)
         return False
 
     def cancel(self, number: int) -> bool:
@@ -99,8 +99,8 @@
         if body is None:
             return False
         self._unconfirmed -= body.sent - body.confirmed
-        if body.in_turn:
-            self._turns.remove(body)
+        if body.queued:
+            self._queue.remove(body)
         return True
 
 
--- a/mesh/transport/frames.py
+++ b/mesh/transport/frames.py
@@ -13,11 +13,11 @@
 
 Head = dict[str, Any]
 
-MOST = 16 * 1024 * 1024  # bytes of one netstring
-DIGITS = 8  # of a length: what MOST can have
+MAX_NETSTRING_BYTES = 16 * 1024 * 1024  # bytes of one netstring
+MAX_LENGTH_DIGITS = 8  # of a length: what MAX_NETSTRING_BYTES can have
 COMMA = 0x2C
 BODY = "body"  # the head's field that tells how long the netstring behind it is
-UNCOUNTED = 64 * 1024  # bytes of a netstring that is read without asking for room
+UNRESERVED_BYTES = 64 * 1024  # bytes of a netstring that is read without asking for room
 
 _encode = msgspec.json.Encoder().encode
 decode_object: Callable[[bytes], Head] = msgspec.json.Decoder(dict[str, Any]).decode
@@ -73,13 +73,13 @@
         raise BadFrame("a body of another length than was told")
 
 
-def _length(digits: bytearray) -> int:
+def _parse_length(digits: bytearray) -> int:
     """Of a netstring, within what one may have."""
     if not digits.isdigit():
         raise BadFrame("a length that is no number")
     length = int(digits)
-    if length > MOST:
-        raise BadFrame(f"{length} bytes, over {MOST}")
+    if length > MAX_NETSTRING_BYTES:
+        raise BadFrame(f"{length} bytes, over {MAX_NETSTRING_BYTES}")
     return length
 
 
@@ -94,30 +94,30 @@
         """Nothing has come yet."""
         self.decode: Callable[[bytes], Any] = decode_object
         self._room = room
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._head: Any = None  # its body is still to come
-        self._counted = 0  # bytes of the netstring being read for which there is room
-        self._passing = 0  # bytes of a refused body that are still to come, and the comma behind them
+        self._reserved = 0  # bytes of the netstring being read for which there is room
+        self._bytes_to_skip = 0  # bytes of a refused body that are still to come, and the comma behind them
 
     def feed(self, data: bytes) -> list[tuple[Any, bytes]]:
         """The frames that are whole now. Raises BadFrame; what was whole before is lost with the link."""
-        held = self._held
+        held = self._buffer
         held += data
         found: list[tuple[Any, bytes]] = []
         at, end = 0, len(held)
         while True:
-            if self._passing:
-                at = self._pass_over(at, end)
-                if self._passing:
+            if self._bytes_to_skip:
+                at = self._skip(at, end)
+                if self._bytes_to_skip:
                     break
-            colon = held.find(b":", at, at + DIGITS + 1)
+            colon = held.find(b":", at, at + MAX_LENGTH_DIGITS + 1)
             if colon < 0:
-                if end - at > DIGITS:
+                if end - at > MAX_LENGTH_DIGITS:
                     raise BadFrame("a length without its colon")
                 break
-            length = _length(held[at:colon])
-            if length > UNCOUNTED and not self._counted and not self._count(length):
-                found.append(self._refuse(length))
+            length = _parse_length(held[at:colon])
+            if length > UNRESERVED_BYTES and not self._reserved and not self._reserve(length):
+                found.append(self._refuse_body(length))
                 at = colon + 1
                 continue
             close = colon + 1 + length
@@ -125,7 +125,7 @@
                 break
             if held[close] != COMMA:
                 raise BadFrame("no comma at the end")
-            whole = self._part(bytes(held[colon + 1 : close]))
+            whole = self._take_netstring(bytes(held[colon + 1 : close]))
             if whole is not None:
                 found.append(whole)
             at = close + 1
@@ -133,10 +133,10 @@
             del held[:at]
         return found
 
-    def _part(self, part: bytes) -> tuple[Any, bytes] | None:
+    def _take_netstring(self, part: bytes) -> tuple[Any, bytes] | None:
         """The frame that one netstring makes whole, if any."""
-        if self._counted:
-            self.let_go()
+        if self._reserved:
+            self.release_room()
         head, self._head = self._head, None
         if head is not None:
             _check_body(head, len(part))
@@ -150,35 +150,35 @@
         self._head = head
         return None
 
-    def _refuse(self, length: int) -> tuple[Any, bytes]:
+    def _refuse_body(self, length: int) -> tuple[Any, bytes]:
         """The frame whose body of so many bytes is passed over."""
         head, self._head = self._head, None
         if head is None:
             raise BadFrame(f"memory does not bear a head of {length} bytes")
         _check_body(head, length)
-        self._passing = length + 1
+        self._bytes_to_skip = length + 1
         return head, RefusedBody()
 
-    def _count(self, length: int) -> bool:
+    def _reserve(self, length: int) -> bool:
         """Whether there is room for a long netstring, which is then taken."""
         if self._room is None:
             return True
         if not self._room.acquire(length):
             return False
-        self._counted = length
+        self._reserved = length
         return True
 
-    def let_go(self) -> None:
+    def release_room(self) -> None:
         """Gives back the room of the netstring that was being read: it is whole, or its link is lost."""
-        if self._counted and self._room is not None:
-            self._room.release(self._counted)
-        self._counted = 0
+        if self._reserved and self._room is not None:
+            self._room.release(self._reserved)
+        self._reserved = 0
 
-    def _pass_over(self, at: int, end: int) -> int:
+    def _skip(self, at: int, end: int) -> int:
         """Leaves out what has come of a refused body; gives where the bytes behind it begin."""
-        left_out = min(self._passing, end - at)
-        self._passing -= left_out
+        left_out = min(self._bytes_to_skip, end - at)
+        self._bytes_to_skip -= left_out
         at += left_out
-        if not self._passing and self._held[at - 1] != COMMA:
+        if not self._bytes_to_skip and self._buffer[at - 1] != COMMA:
             raise BadFrame("no comma at the end")
         return at
--- a/mesh/transport/http_calls.py
+++ b/mesh/transport/http_calls.py
@@ -13,12 +13,12 @@
 from anisestair.http import codec as http
 from mesh.transport.link import Address, listening_socket
 
-MOST_BODY = 16 * 1024 * 1024
-WAITING = 16  # calls read ahead on one connection; more, and it is closed
-CALLERS_BACKLOG = 256  # new callers that wait to be accepted
+MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_PIPELINED = 16  # calls read ahead on one connection; more, and it is closed
+ACCEPT_BACKLOG = 256  # new callers that wait to be accepted
 LINGER_S = 1.0  # how long what a caller still sends is passed over, so that it gets its last answer
-COMING_S = 1.0  # between two pieces of a call, at an end
-MOST = 256  # connections; at it the longest idle is closed
+PARTIAL_CALL_S = 1.0  # between two pieces of a call, at an end
+MAX_CONNECTIONS = 256  # connections; at it the longest idle is closed
 JSON = (b"content-type", b"application/json")
 
 
@@ -34,14 +34,14 @@
 
 class _HttpConnection(asyncio.Protocol):
     def __init__(self, http_server: HttpServer) -> None:
-        self._owner = http_server
-        self._reader = http.Reader(httptools.HttpRequestParser, MOST_BODY)
+        self._http_server = http_server
+        self._reader = http.Reader(httptools.HttpRequestParser, MAX_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         self._waiting: deque[http.Message] = deque()
         self._task: asyncio.Task[None] | None = None
-        self._fault: http.BadMessage | None = None  # what came last cannot be read
-        self._ended = False  # its last answer has been written
-        self.used = http_server.loop.time()
+        self._parse_error: http.BadMessage | None = None  # what came last cannot be read
+        self._lingering = False  # its last answer has been written
+        self.last_used_at = http_server.loop.time()
 
     @property
     def idle(self) -> bool:
@@ -49,18 +49,18 @@
         return self._task is None
 
     @property
-    def resting(self) -> bool:
+    def quiet(self) -> bool:
         """Nor is one coming, as far as can be seen: the last bytes of half a call came a while ago."""
-        coming = self._reader.partial and self._owner.loop.time() - self.used < COMING_S
-        return self._task is None and not self._ended and not coming
+        coming = self._reader.partial and self._http_server.loop.time() - self.last_used_at < PARTIAL_CALL_S
+        return self._task is None and not self._lingering and not coming
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._owner.opened(self)
+        self._http_server.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        self.used = self._owner.loop.time()
-        if self._fault is not None or self._ended:
+        self.last_used_at = self._http_server.loop.time()
+        if self._parse_error is not None or self._lingering:
             return
         fault: http.BadMessage | None = None
         try:
@@ -71,18 +71,18 @@
             self._reader.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self._waiting.extend(self._reader.take())
-        self._fault = fault
-        if len(self._waiting) > WAITING and self._transport is not None:
+        self._parse_error = fault
+        if len(self._waiting) > MAX_PIPELINED and self._transport is not None:
             self._transport.close()
         elif self._task is None and (self._waiting or fault is not None):
-            self._task = self._owner.loop.create_task(self._work())
+            self._task = self._http_server.loop.create_task(self._handle_calls())
 
-    async def _work(self) -> None:
+    async def _handle_calls(self) -> None:
         try:
             while self._waiting:
                 message = self._waiting.popleft()
                 try:
-                    answer = await self._owner.handle(message)
+                    answer = await self._http_server.handle(message)
                 except Exception:
                     # A fault of the handler costs its call an answer, and nobody else anything.
                     answer = Answer(500)
@@ -93,14 +93,14 @@
                     headers.append((b"location", answer.location.encode("latin-1")))
                 if answer.retry_after_s > 0.0:
                     headers.append((b"retry-after", b"%.3f" % answer.retry_after_s))
-                close = not message.keep_alive or self._owner.closing
+                close = not message.keep_alive or self._http_server.closing
                 self._transport.write(http.write_response(answer.status, headers, answer.body, close))
-                self.used = self._owner.loop.time()
+                self.last_used_at = self._http_server.loop.time()
                 if close:
                     self._linger()
                     return
-            if self._fault is not None and self._transport is not None:
-                self._transport.write(http.write_response(self._fault.status, [], b"", close=True))
+            if self._parse_error is not None and self._transport is not None:
+                self._transport.write(http.write_response(self._parse_error.status, [], b"", close=True))
                 self._linger()
         finally:
             self._task = None
@@ -109,20 +109,20 @@
         """Ends the connection behind its last answer. What still comes is passed over until its caller has
         closed it too: closing on unread input would reset it, and the answer with it."""
         assert self._transport is not None
-        self._ended = True
+        self._lingering = True
         self._waiting.clear()
         self._transport.write_eof()
-        self._owner.loop.call_later(LINGER_S, self._transport.abort)
+        self._http_server.loop.call_later(LINGER_S, self._transport.abort)
 
-    def give_up(self, answer: Answer) -> None:
+    def abort_call(self, answer: Answer) -> None:
         """A call in hand has that answer, and the connection ends."""
-        if self._task is not None and self._transport is not None and not self._ended:
+        if self._task is not None and self._transport is not None and not self._lingering:
             self._task.cancel()
             self._transport.write(http.write_response(answer.status, [JSON], answer.body, close=True))
             self._linger()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._owner.lost(self)
+        self._http_server.remove_connection(self)
         self._reader.close()
         self._waiting.clear()
 
@@ -139,42 +139,42 @@
         self.loop = asyncio.get_running_loop()
         self.handle = handle
         self.closing = False
-        self._callers: set[_HttpConnection] = set()
+        self._connections: set[_HttpConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
         """Raises OSError where the address cannot be had."""
-        listener = listening_socket(address, CALLERS_BACKLOG)
+        listener = listening_socket(address, ACCEPT_BACKLOG)
         self._server = await self.loop.create_server(
-            lambda: _HttpConnection(self), sock=listener, backlog=CALLERS_BACKLOG
+            lambda: _HttpConnection(self), sock=listener, backlog=ACCEPT_BACKLOG
         )
         bound = self._server.sockets[0].getsockname()
         return str(bound[0]), int(bound[1])
 
-    def opened(self, caller: _HttpConnection) -> None:
-        self._callers.add(caller)
-        if len(self._callers) > MOST:
-            idle = [item for item in self._callers if item.idle and item is not caller]
-            (min(idle, key=lambda item: item.used) if idle else caller).close()
+    def add_connection(self, caller: _HttpConnection) -> None:
+        self._connections.add(caller)
+        if len(self._connections) > MAX_CONNECTIONS:
+            idle = [item for item in self._connections if item.idle and item is not caller]
+            (min(idle, key=lambda item: item.last_used_at) if idle else caller).close()
 
-    def lost(self, caller: _HttpConnection) -> None:
-        self._callers.discard(caller)
+    def remove_connection(self, caller: _HttpConnection) -> None:
+        self._connections.discard(caller)
 
     @property
     def busy(self) -> int:
         """How many calls are being worked on, are coming in, or have their last answer still to be read."""
-        return sum(not item.resting for item in self._callers)
+        return sum(not item.quiet for item in self._connections)
 
-    def give_up(self, answer: Answer) -> None:
+    def abort_calls(self, answer: Answer) -> None:
         """No time is left: calls in hand have ``answer``."""
-        for caller in list(self._callers):
-            caller.give_up(answer)
+        for caller in list(self._connections):
+            caller.abort_call(answer)
 
     def stop(self) -> None:
         """Takes no more connections; calls in hand are answered, idle connections end."""
         self.closing = True
         if self._server is not None:
             self._server.close()
-        for caller in list(self._callers):
-            if caller.resting:
+        for caller in list(self._connections):
+            if caller.quiet:
                 caller.close()
--- a/mesh/transport/link.py
+++ b/mesh/transport/link.py
@@ -1,7 +1,7 @@
 """A link: one TCP connection between two of the system's processes, its frames and its signs of life.
 
-A cut is silent, so an end that owes the other something says so every `BEAT_S`, and an end that expects
-something takes `SILENT_S` without a byte for the link's loss. The time to notice is a good part of what most
+A cut is silent, so an end that owes the other something says so every `HEARTBEAT_INTERVAL_S`, and an end that expects
+something takes `SILENCE_TIMEOUT_S` without a byte for the link's loss. The time to notice is a good part of what most
 calls have; a process that is merely behind says so again as soon as it runs.
 """
 
@@ -16,20 +16,20 @@
 
 Address = tuple[str, int]
 
-BEAT_S = 0.15
-SILENT_S = 0.55  # it hurts where a process stands still for so long: its calls are given up
-CONNECT_S = 0.6
-STOOD_S = 0.4  # between two looks: this end stood still itself, and what came meanwhile is still unread
-BACKLOG_BYTES = 4 * 1024 * 1024  # unsent to a peer that does not read; more ends the link
+HEARTBEAT_INTERVAL_S = 0.15
+SILENCE_TIMEOUT_S = 0.55  # it hurts where a process stands still for so long: its calls are given up
+CONNECT_TIMEOUT_S = 0.6
+STALL_S = 0.4  # between two looks: this end stood still itself, and what came meanwhile is still unread
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # unsent to a peer that does not read; more ends the link
 # Long frames are no sign of that: they come on top, up to so many bytes of them at once.
-LONG_BYTES, LONG_MOST_BYTES = 64 * 1024, 64 * 1024 * 1024
-LINK_BACKLOG = 512  # new links that wait to be accepted
-ALIVE = frame({})
+LONG_FRAME_BYTES, MAX_LONG_FRAME_BYTES = 64 * 1024, 64 * 1024 * 1024
+ACCEPT_BACKLOG = 512  # new links that wait to be accepted
+HEARTBEAT = frame({})
 
 
 class Link(asyncio.Protocol):
     """Either end. ``on_frame(link, head, body)`` is called for each frame, ``on_lost(link, why)`` once; heads
-    are dicts until ``read_with`` sets a decoder of typed ones. ``room`` bounds frames that are being read."""
+    are dicts until ``set_decoder`` sets a decoder of typed ones. ``room`` bounds frames that are being read."""
 
     def __init__(
         self,
@@ -43,17 +43,17 @@
         self._loop = asyncio.get_running_loop()
         self._frames = Frames(room)
         self._transport: asyncio.Transport | None = None
-        self._why = "closed by the other end"
-        self.sent_at = self.heard_at = self.since = self._loop.time()
-        self._looked = self.heard_at
-        self._excused = -1.0
-        self.owes = 0  # answers that this end has still to give
-        self.expects = 0  # answers that this end waits for
-        self.steady = False  # both ends beat all the time
-        self._long = 0  # bytes of long frames since little was unsent
-        self._unsent = 0  # at the last tick
+        self._close_reason = "closed by the other end"
+        self.last_sent_at = self.last_received_at = self.up_since = self._loop.time()
+        self._last_tick_at = self.last_received_at
+        self._stall_allowed_at = -1.0
+        self.owed_replies = 0  # answers that this end has still to give
+        self.expected_replies = 0  # answers that this end waits for
+        self.mutual_heartbeat = False  # both ends beat all the time
+        self._long_frame_bytes = 0  # bytes of long frames since little was unsent
+        self._unsent_at_tick = 0  # at the last tick
         self.peer: Any = None  # whose it is, as its owner has it
-        self.choked = False  # the kernel takes no more for now
+        self.write_paused = False  # the kernel takes no more for now
         self.on_writable: Callable[[], None] = _nothing  # it takes more again
         self.node = ""  # of the other end, where it has said so and its owner keeps it
         self.sent_bytes = 0
@@ -68,17 +68,17 @@
         """Bytes that the kernel has not taken."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
-    def read_with(self, decode: Callable[[bytes], Any]) -> None:
+    def set_decoder(self, decode: Callable[[bytes], Any]) -> None:
         """Heads that come from now on are read by ``decode``, which raises msgspec.DecodeError."""
         self._frames.decode = decode
 
     def pause_writing(self) -> None:
         """The kernel takes no more for now."""
-        self.choked = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
         """It takes more again."""
-        self.choked = False
+        self.write_paused = False
         self.on_writable()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -86,12 +86,12 @@
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sent_at = self.heard_at = self.since = self._looked = self._loop.time()
+        self.last_sent_at = self.last_received_at = self.up_since = self._last_tick_at = self._loop.time()
         self._on_up(self)
 
     def data_received(self, data: bytes) -> None:
         """Tells the frames that are whole."""
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         try:
             frames = self._frames.feed(data)
         except BadFrame as fault:
@@ -107,51 +107,53 @@
             return False
         assert self._transport is not None
         unsent = self.unsent
-        if unsent <= BACKLOG_BYTES:
-            self._long = 0
-        elif unsent > BACKLOG_BYTES + self._long:
+        if unsent <= MAX_UNSENT_BYTES:
+            self._long_frame_bytes = 0
+        elif unsent > MAX_UNSENT_BYTES + self._long_frame_bytes:
             self.close("the other end does not read")
             return False
         payload = frame(head, body)
-        if len(payload) > LONG_BYTES:
-            self._long = min(self._long + len(payload), LONG_MOST_BYTES)
+        if len(payload) > LONG_FRAME_BYTES:
+            self._long_frame_bytes = min(self._long_frame_bytes + len(payload), MAX_LONG_FRAME_BYTES)
         self._transport.write(payload)
         self.sent_bytes += len(payload)
-        self.sent_at = self._loop.time()
+        self.last_sent_at = self._loop.time()
         return True
 
     def tick(self, now: float) -> None:
-        """Called every so often, more often than BEAT_S."""
+        """Called every so often, more often than HEARTBEAT_INTERVAL_S."""
         if not self.up:
             return
         assert self._transport is not None
-        unsent, before = self.unsent, self._unsent
-        self._unsent = unsent
+        unsent, before = self.unsent, self._unsent_at_tick
+        self._unsent_at_tick = unsent
         if unsent < before:  # it reads: while a long frame is on its way it has nothing to say to it
-            self.heard_at = now
-        if now - self._looked > STOOD_S and self.heard_at != self._excused:
+            self.last_received_at = now
+        if now - self._last_tick_at > STALL_S and self.last_received_at != self._stall_allowed_at:
             # Its own standing still is no silence of the other: once, until something is heard.
-            self.heard_at = self._excused = now
-        self._looked = now
-        if (self.expects or self.steady) and now - self.heard_at > SILENT_S:
+            self.last_received_at = self._stall_allowed_at = now
+        self._last_tick_at = now
+        if (
+            self.expected_replies or self.mutual_heartbeat
+        ) and now - self.last_received_at > SILENCE_TIMEOUT_S:
             self.close("silent")
-        elif (self.owes or self.steady) and now - self.sent_at >= BEAT_S:
-            self._transport.write(ALIVE)
-            self.sent_bytes += len(ALIVE)
-            self.sent_at = now
+        elif (self.owed_replies or self.mutual_heartbeat) and now - self.last_sent_at >= HEARTBEAT_INTERVAL_S:
+            self._transport.write(HEARTBEAT)
+            self.sent_bytes += len(HEARTBEAT)
+            self.last_sent_at = now
 
     def close(self, why: str) -> None:
         """Ends it at once; ``why`` is what its owner is told."""
-        self._why = why
+        self._close_reason = why
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tells its owner, once."""
         if exc is not None:
-            self._why = str(exc)
-        self._frames.let_go()
-        self._on_lost(self, self._why)
+            self._close_reason = str(exc)
+        self._frames.release_room()
+        self._on_lost(self, self._close_reason)
 
 
 def _nothing() -> None:
@@ -159,10 +161,10 @@
 
 
 async def connect(address: Address, make: Callable[[], Link]) -> Link | None:
-    """A link that is up, or None where the other end cannot be had within CONNECT_S."""
+    """A link that is up, or None where the other end cannot be had within CONNECT_TIMEOUT_S."""
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, link = await loop.create_connection(make, address[0], address[1])
     except (OSError, TimeoutError):
         return None
@@ -171,8 +173,8 @@
 
 async def listen(address: Address, make: Callable[[], Link]) -> asyncio.Server:
     """Raises OSError where the address cannot be had."""
-    listener = listening_socket(address, LINK_BACKLOG)
-    return await asyncio.get_running_loop().create_server(make, sock=listener, backlog=LINK_BACKLOG)
+    listener = listening_socket(address, ACCEPT_BACKLOG)
+    return await asyncio.get_running_loop().create_server(make, sock=listener, backlog=ACCEPT_BACKLOG)
 
 
 def listening_socket(address: Address, backlog: int) -> socket.socket:
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -330,14 +330,14 @@
     if program.request_dispatcher.open_requests or len(program.peer_links.turns):
         found.append(f"{name}: requests in hand")
     for node, one in program.peer_links._links.items():
-        expects = one.link.expects if one.link is not None else 0
+        expects = one.link.expected_replies if one.link is not None else 0
         if one.open_calls or one.to_query or one.waiting or expects > (not one.verified):
             found.append(
                 f"{name} to {node}: {len(one.open_calls)} out, {len(one.to_query)} asked, expects {expects}"
             )
     for link in program.incoming_links:
-        if link.owes or link.expects:
-            found.append(f"{name}: owes {link.owes}, expects {link.expects} on a link")
+        if link.owed_replies or link.expected_replies:
+            found.append(f"{name}: owes {link.owed_replies}, expects {link.expected_replies} on a link")
     held = {kind: told["held_bytes"] for kind, told in program.request_dispatcher.buffers.usage().items()}
     if any(held.values()):
         found.append(f"{name}: memory is still held: {held}")
--- a/rigs/relayed_process.py
+++ b/rigs/relayed_process.py
@@ -37,7 +37,7 @@
     async def connect(address: tuple[str, int], make: Callable[[], link.Link]) -> link.Link | None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(link.CONNECT_S):
+            async with asyncio.timeout(link.CONNECT_TIMEOUT_S):
                 _, made = await loop.create_connection(make, *address, local_addr=(ip, 0))
         except (OSError, TimeoutError):
             return None
--- a/simulation/mesh/drops.py
+++ b/simulation/mesh/drops.py
@@ -55,7 +55,7 @@
             if machine is not by and self.wire.parted(by.ip, machine.ip):
                 continue
             for channel in program.channels.open:
-                if channel.node == node and now - channel.link.heard_at < HEARD_S:
+                if channel.node == node and now - channel.link.last_received_at < HEARD_S:
                     self._say(f"{by.name} drops {node}, which {machine.name} hears")
             newest = program.reaping.lease.latest
             if machine is not by and reaping._held_epoch < newest.epoch:
--- a/simulation/mesh/wire.py
+++ b/simulation/mesh/wire.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mesh.transport.link import ALIVE, CONNECT_S, Link
+from mesh.transport.link import CONNECT_TIMEOUT_S, HEARTBEAT, Link
 from simulation.mesh.clock import LIFE
 
 DELAY_S = 0.002
@@ -105,7 +105,7 @@
         life, host = LIFE.get(), address[0]
         await asyncio.sleep(DELAY_S)
         if host in self.off or self.parted(life.host, host):
-            await asyncio.sleep(CONNECT_S)
+            await asyncio.sleep(CONNECT_TIMEOUT_S)
             return None
         server = self.listening.get(host)
         if server is None or not server[0].alive:
@@ -135,7 +135,7 @@
 
     def send(self, end: End, data: bytes) -> None:
         late: float | None = 0.0
-        if data != ALIVE:
+        if data != HEARTBEAT:
             if PROBE.match(data):
                 self.probes += 1
                 self.probe_bytes += len(data)
--- a/tests/mesh/test_control_confirmations.py
+++ b/tests/mesh/test_control_confirmations.py
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.link = SimpleNamespace(up=True, heard_at=self.loop.time())
+        self.link = SimpleNamespace(up=True, last_received_at=self.loop.time())
         channel = SimpleNamespace(node="p", peer_source="p.1", peer_hello={"role": PROXY}, link=self.link)
         channels = cast(Channels, SimpleNamespace(open=[channel]))
         self.confirmations = Confirmations(ACK_MS, CONTACT_MS, {}, channels, EventLog("c", io.StringIO()))
@@ -42,7 +42,7 @@
 
     def advance(self, seconds: float) -> None:
         move(seconds)
-        self.link.heard_at = self.loop.time()
+        self.link.last_received_at = self.loop.time()
         self.confirmations.tick(self.loop.time())
 
     async def call(self, items: list[Item]) -> bool:
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -20,7 +20,7 @@
 from mesh.data_plane.incoming_calls import IncomingCalls
 from mesh.data_plane.peer_calls import INCARNATION_WAIT_S
 from mesh.transport.body_pieces import PIECE_BYTES, WINDOW_BYTES
-from mesh.transport.frames import MOST
+from mesh.transport.frames import MAX_NETSTRING_BYTES
 from mesh.transport.link import Link
 from rigs.mesh_peers import move, soon, turns, until
 
@@ -84,8 +84,8 @@
         assert end == dataclasses.replace(SERVED, body=LONG)
         pieces = [head for head in far.heads if isinstance(head, BodyPiece)]
         assert len(pieces) == len(LONG) // PIECE_BYTES
-        assert (link_of(bench).owes, link_of(bench).expects) == (0, 0)
-        await until(lambda: (far.links[0].owes, far.links[0].expects) == (0, 0))
+        assert (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
+        await until(lambda: (far.links[0].owed_replies, far.links[0].expected_replies) == (0, 0))
         assert far.second.bodies.held_bytes == 0
 
     over(test)
@@ -93,7 +93,7 @@
 
 def test_a_body_beyond_one_frame_ends_no_link() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
-        body = bytes(MOST + 1)
+        body = bytes(MAX_NETSTRING_BYTES + 1)
         _, end = await served(bench, far, body, body)
         assert end == dataclasses.replace(SERVED, body=body) and len(far.links) == 1
 
@@ -185,7 +185,7 @@
         bench.peer_links.drop(out)
         assert out.state is State.WITHDRAWN
         far.hear()
-        await until(lambda: far.links[0].owes == 0 and far.second.bodies.held_bytes == 0)
+        await until(lambda: far.links[0].owed_replies == 0 and far.second.bodies.held_bytes == 0)
         assert await served(bench, far) != (None, None)  # the window is free again
         assert not end.done() and len(far.second.taken) == 2
 
@@ -220,8 +220,10 @@
         bench.peer_links.drop(out)
         incoming = far.links[0].peer
         assert isinstance(incoming, IncomingCalls)
-        await until(lambda: not incoming._sending and far.links[0].owes == far.links[0].expects == 0)
-        assert not end.done() and (link_of(bench).owes, link_of(bench).expects) == (0, 0)
+        await until(
+            lambda: not incoming._sending and far.links[0].owed_replies == far.links[0].expected_replies == 0
+        )
+        assert not end.done() and (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
 
     over(test)
 
@@ -238,7 +240,7 @@
             assert isinstance(told, Unclear) == (size > PIECE_BYTES)
         incoming = far.links[0].peer
         assert isinstance(incoming, IncomingCalls)
-        await until(lambda: not incoming._sending and far.links[0].owes == 0)
+        await until(lambda: not incoming._sending and far.links[0].owed_replies == 0)
 
     over(test)
 
@@ -256,7 +258,11 @@
             far.second.end(at, SERVED)
         ends = await asyncio.gather(*(soon(end) for _, end in sent))
         assert ends.count(SERVED) == fit and far.second.bodies.held_bytes == 0
-        assert (link_of(bench).owes, link_of(bench).expects, far.links[0].owes) == (0, 0, 0)
+        assert (link_of(bench).owed_replies, link_of(bench).expected_replies, far.links[0].owed_replies) == (
+            0,
+            0,
+            0,
+        )
 
     over(test)
 
@@ -267,7 +273,7 @@
         for at in range(3):
             out, end = bench.send(far, long_call(f"a{at}", body=bytes(WINDOW_BYTES)))
             assert out.state is State.SENT and await soon(end) == NotExecuted(RejectReason.FULL)
-        assert (link_of(bench).owes, link_of(bench).expects) == (0, 0)
+        assert (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
         far.second.bodies = bodies
         assert (await served(bench, far))[1] == dataclasses.replace(SERVED, body=LONG)
 
@@ -281,7 +287,7 @@
         _, end = await served(bench, far)
         assert end == dataclasses.replace(SERVED, body=LONG)
         assert "piece" not in [kind_of(head) for head in far.heads]
-        _, end = bench.send(far, long_call("a2", body=bytes(MOST + 1)))  # type: ignore[assignment]
+        _, end = bench.send(far, long_call("a2", body=bytes(MAX_NETSTRING_BYTES + 1)))  # type: ignore[assignment]
         assert end.result() == NotExecuted(RejectReason.FULL)  # type: ignore[attr-defined]
         assert len(far.links) == 1 and far.links[0].up
 
@@ -292,7 +298,7 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         give_room(bench, far)
         await bench.known(far)
-        _, end = await served(bench, far, b"x", bytes(MOST + 1))
+        _, end = await served(bench, far, b"x", bytes(MAX_NETSTRING_BYTES + 1))
         assert isinstance(end, Unclear) and far.links[0].up
 
     over_earlier(test)
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -35,7 +35,7 @@
 from mesh.data_plane.upstream_dispatch import DispatchedCall, UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.transport.frames import Head
-from mesh.transport.link import SILENT_S, Address, Link, listen
+from mesh.transport.link import SILENCE_TIMEOUT_S, Address, Link, listen
 from rigs.mesh_peers import move, play, soon, turns, until
 
 SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body", True)
@@ -224,9 +224,9 @@
         far.second.end(1, SERVED)
         far.hear()
         assert await soon(end) == SERVED
-        assert not far.second.dropped and far.links[-1].owes == 0
+        assert not far.second.dropped and far.links[-1].owed_replies == 0
         link = bench.peer_links._links["there"].link
-        assert link is not None and link.expects == 0
+        assert link is not None and link.expected_replies == 0
 
     over(test)
 
@@ -311,7 +311,7 @@
         far.old = True
         far.links[0].close("replaced")
         await until(lambda: not bench.peer_links.reaches("there"))
-        await bench.runs(SILENT_S)
+        await bench.runs(SILENCE_TIMEOUT_S)
         assert not bench.peer_links.reaches("there")
         for _ in range(200):
             if bench.peer_links.reaches("there"):
@@ -496,7 +496,7 @@
             bench.send(far, call(f"r{at}", effectful=False))
         _, end = bench.send(far, call("pay", aim_ms=400.0))
         await until(lambda: len(far.unread) == others + 1)
-        move(SILENT_S)  # the aim is over: a quarter of it is left for queries
+        move(SILENCE_TIMEOUT_S)  # the aim is over: a quarter of it is left for queries
         far.unread.clear()  # the calls are never read
         far.deaf = False
         bench.peer_links._links["there"].link.close("silent")
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -25,7 +25,7 @@
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.runtime.settings import Settings, read
 from mesh.transport.frames import Head
-from mesh.transport.link import SILENT_S, Address, Link, listen
+from mesh.transport.link import SILENCE_TIMEOUT_S, Address, Link, listen
 from rigs.mesh_peers import Upstream, free_ports, move, play, soon, turns, until, write_settings
 
 SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body\x00", True)
@@ -140,7 +140,7 @@
         _, end = bench.send("a1", far.address, body=b"\x00,:")
         running = await soon(far.second.taken.get())
         assert running.call == call("a1", b"\x00,:")
-        assert far.links[0].owes == 1
+        assert far.links[0].owed_replies == 1
         running.on_end(SERVED)
         assert await soon(end) == SERVED
         for told in (
@@ -151,9 +151,9 @@
             _, end = bench.send("a2", far.address)
             (await soon(far.second.taken.get())).on_end(told)
             assert await soon(end) == told
-        assert len(far.links) == 1 and far.links[0].owes == 0
+        assert len(far.links) == 1 and far.links[0].owed_replies == 0
         link = bench.peer_links._links["there"].link
-        assert link is not None and link.expects == 0
+        assert link is not None and link.expected_replies == 0
 
     over(test, real=True)
 
@@ -194,7 +194,7 @@
         bench.tick()
         await far.next()
         assert not end.done()
-        for _ in range(int((SILENT_S + 0.1) / TICK_S) + 1):  # at the interval of the program
+        for _ in range(int((SILENCE_TIMEOUT_S + 0.1) / TICK_S) + 1):  # at the interval of the program
             move(TICK_S)
             bench.tick()
         assert await soon(end) == Unclear("silent")
@@ -208,12 +208,12 @@
         _, end = bench.send("a1", far.address)
         running = await soon(far.second.taken.get())
         for _ in range(4):
-            move(0.8 * SILENT_S)
+            move(0.8 * SILENCE_TIMEOUT_S)
             link = bench.peer_links._links["there"].link
             assert link is not None
-            heard = link.heard_at
+            heard = link.last_received_at
             far.links[0].tick(bench.peer_links.loop.time())
-            await until(lambda link=link, heard=heard: link.heard_at > heard)  # type: ignore[misc]
+            await until(lambda link=link, heard=heard: link.last_received_at > heard)  # type: ignore[misc]
             bench.tick()
         running.on_end(SERVED)
         assert await soon(end) == SERVED
@@ -315,7 +315,7 @@
         bench.peer_links.drop(out)
         await until(lambda: far.second is not None and far.second.dropped == ["a1"])
         link = bench.peer_links._links["there"].link
-        assert link is not None and (link.expects, far.links[0].owes) == (0, 0)
+        assert link is not None and (link.expected_replies, far.links[0].owed_replies) == (0, 0)
         bench.peer_links.drop(out)  # without effect
         _, other = bench.send("a2", far.address)
         (await soon(far.second.taken.get())).on_end(SERVED)
@@ -350,14 +350,14 @@
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(4)]
         assert await soon(ends[3]) == NotExecuted(RejectReason.FULL)
         runnings = [await soon(far.second.taken.get()) for _ in range(3)]
-        assert far.second.taken.empty() and far.links[0].owes == 3
+        assert far.second.taken.empty() and far.links[0].owed_replies == 3
         runnings[0].on_end(SERVED)
         assert await soon(ends[0]) == SERVED
         bench.send("b", far.address)
         assert (await soon(far.second.taken.get())).call.attempt == "b"
         far.second.full = True
         assert await soon(bench.send("c", far.address)[1]) == NotExecuted(RejectReason.FULL)
-        assert far.links[0].owes == 3
+        assert far.links[0].owed_replies == 3
 
     over(test, real=True)
 
@@ -414,7 +414,7 @@
         outgoing = bench.peer_links._links["there"].link
         assert outgoing is not None
         move(IDLE_S + 1.0)
-        outgoing.heard_at = heard  # a keep-alive has arrived meanwhile
+        outgoing.last_received_at = heard  # a keep-alive has arrived meanwhile
         bench.tick()
         assert outgoing.up
         link.send(*end_head(head["n"], SERVED))
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -328,7 +328,7 @@
             socket.create_connection(there.peers)
         other.send(3, "/read/ok")  # crosses GoAway
         await turns()
-        assert len(there.upstream.seen) == 2 and link.owes == 0
+        assert len(there.upstream.seen) == 2 and link.owed_replies == 0
         other.writer.close()
         await passed(0.3)
         await soon(ends)
@@ -365,7 +365,7 @@
         assert await other.end() == NotExecuted(RejectReason.LEAVING)
         other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest arrives too late
         await turns()
-        assert there.upstream.seen == [] and not link.peer.receiving and link.owes == 0
+        assert there.upstream.seen == [] and not link.peer.receiving and link.owed_replies == 0
         assert there.proxy.request_dispatcher.bodies.held_bytes == 0
         other.writer.close()
 
--- a/tests/mesh/test_dissemination_peers.py
+++ b/tests/mesh/test_dissemination_peers.py
@@ -33,7 +33,7 @@
 class RecordingLink:
     """A link that records the sent frames."""
 
-    up, steady, heard_at, since = True, False, 0.0, 0.0
+    up, mutual_heartbeat, last_received_at, up_since = True, False, 0.0, 0.0
     peer: Any = None
 
     def __init__(self) -> None:
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -65,7 +65,7 @@
 
     def channel(self, node: str, role: str) -> Any:
         sent = self.sent.setdefault(node, [])
-        link = SimpleNamespace(heard_at=0.0, since=0.0, send=sent.append)
+        link = SimpleNamespace(last_received_at=0.0, up_since=0.0, send=sent.append)
         return SimpleNamespace(
             node=node, peer_hello={"role": role, "ip": f"ip-{node}"}, peer_complete=True, link=link
         )
@@ -87,7 +87,7 @@
         while self.now < until:
             self.now = round(self.now + 0.5, 3)
             for channel in self.channels.open:
-                channel.link.heard_at = self.now
+                channel.link.last_received_at = self.now
             hear()
             self.reaping.tick(self.now)
 
@@ -268,7 +268,7 @@
         alone.go_on(SPANS.gone_s - 0.5)
         alone.node("s0", PROXY, "10.0.1.1", version=2)
         gone: Any = alone.channel("s1", PROXY)
-        gone.link.heard_at = alone.now
+        gone.link.last_received_at = alone.now
         alone.reaping.link_closed(gone)
         alone.go_on(alone.now + SPANS.gone_s - 1.0)
         assert not questions(alone, OTHERS[0])
@@ -291,7 +291,7 @@
         else:
             while alone.now < 8.0:
                 alone.now += 0.5
-                alone.channels.open[0].link.heard_at = alone.now - LINK_ALIVE_S - 0.1
+                alone.channels.open[0].link.last_received_at = alone.now - LINK_ALIVE_S - 0.1
                 alone.reaping.tick(alone.now)
         assert alone.roll.items[DUTY, REAPING].value == {"holder": second}
 
--- a/tests/mesh/test_transport_frames.py
+++ b/tests/mesh/test_transport_frames.py
@@ -78,7 +78,7 @@
 
 
 def test_the_bound_is_kept_before_the_bytes_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST", 10)
+    monkeypatch.setattr(module, "MAX_NETSTRING_BYTES", 10)
     assert Frames().feed(b'10:{"a":"bc"},') == [({"a": "bc"}, b"")]
     with pytest.raises(BadFrame, match="over 10"):
         Frames().feed(b"11:")
@@ -86,7 +86,7 @@
     assert body.feed(b'10:{"body":9},') == []
     with pytest.raises(BadFrame, match="over 10"):
         body.feed(b"11:")
-    assert len(b"%d" % (16 * 1024 * 1024)) == module.DIGITS
+    assert len(b"%d" % (16 * 1024 * 1024)) == module.MAX_LENGTH_DIGITS
 
 
 class Room:
@@ -104,7 +104,7 @@
         self.held -= size
 
 
-LONG = module.UNCOUNTED + 1
+LONG = module.UNRESERVED_BYTES + 1
 
 
 @pytest.mark.parametrize("step", [1000, LONG // 2, 3 * LONG])
@@ -114,7 +114,7 @@
     stream = frame({"t": "a"}, b"x" * (LONG + 1)) + frame({"t": "b"}, b"y" * LONG) + frame({"t": "c"}, b"z")
     for start in range(0, len(stream), step):
         found += reader.feed(stream[start : start + step])
-        assert len(reader._held) <= LONG + step and room.held <= LONG
+        assert len(reader._buffer) <= LONG + step and room.held <= LONG
     assert [(head["t"], bytes(body)) for head, body in found] == [("a", b""), ("b", b"y" * LONG), ("c", b"z")]
     assert [isinstance(body, module.RefusedBody) for _, body in found] == [True, False, False]
     assert room.held == 0
@@ -126,7 +126,7 @@
     room = Room(LONG)
     reader = Frames(room)
     assert reader.feed(frame({"t": "a"}, b"x" * LONG)[:-2]) == [] and room.held == LONG
-    reader.let_go()
+    reader.release_room()
     assert room.held == 0
 
 
@@ -146,7 +146,7 @@
     for _ in range(100):
         assert len(reader.feed(frame({"t": "x"}, b"y" * 100) + b"9")) == 1
         reader.feed(b':{"t":"x"},')
-    assert len(reader._held) == 0
+    assert len(reader._buffer) == 0
 
 
 @settings(max_examples=150)
@@ -158,7 +158,7 @@
             reader.feed(data[at : at + 1])
     except BadFrame:
         return
-    assert len(reader._held) <= len(data)
+    assert len(reader._buffer) <= len(data)
 
 
 def test_json_nested_too_deep_is_told() -> None:
--- a/tests/mesh/test_transport_http_calls.py
+++ b/tests/mesh/test_transport_http_calls.py
@@ -38,7 +38,7 @@
             await test(http_server, office, address)
         finally:
             http_server.stop()
-            for caller in list(http_server._callers):
+            for caller in list(http_server._connections):
                 caller.close()
 
     play(run)
@@ -55,7 +55,7 @@
         client.write(line(b"/a", b"content-length: 2", body=b"xy"))
         assert await soon(office.begun.get()) == b"/a"
         client.write(line(b"/b") + line(b"/c"))
-        await until(lambda: sum(len(caller._waiting) for caller in http_server._callers) == 2)
+        await until(lambda: sum(len(caller._waiting) for caller in http_server._connections) == 2)
         assert office.begun.empty() and http_server.busy
         office.free.set()
         answers = [await client.read() for _ in range(3)]
@@ -106,7 +106,7 @@
 
 
 def test_calls_read_ahead_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "WAITING", 3)
+    monkeypatch.setattr(module, "MAX_PIPELINED", 3)
 
     async def test(http_server: HttpServer, office: Office, address: Address) -> None:
         office.free.clear()
@@ -124,7 +124,7 @@
 
 
 def test_a_body_beyond_the_bound_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_BODY", 10)
+    monkeypatch.setattr(module, "MAX_BODY_BYTES", 10)
 
     async def test(http_server: HttpServer, office: Office, address: Address) -> None:
         client = await Client.to(address)
@@ -151,7 +151,7 @@
 def test_at_the_bound_the_longest_idle_connection_gives_way_and_no_busy_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "MOST", 3)
+    monkeypatch.setattr(module, "MAX_CONNECTIONS", 3)
 
     async def test(http_server: HttpServer, office: Office, address: Address) -> None:
         clients = [await Client.to(address) for _ in range(3)]
@@ -164,7 +164,7 @@
         await soon(office.begun.get())
         clients.append(await Client.to(address))
         assert await clients[2].read() is None
-        await until(lambda: len(http_server._callers) == 3)
+        await until(lambda: len(http_server._connections) == 3)
         for at, path in (1, b"/b"), (3, b"/c"):
             clients[at].write(line(path))
             assert await soon(office.begun.get()) == path
@@ -225,7 +225,7 @@
     async def test(http_server: HttpServer, _: Office, address: Address) -> None:
         client = await Client.to(address)
         client.write(line(b"/a", b"connection: close"))
-        await until(lambda: any(caller._ended for caller in http_server._callers))
+        await until(lambda: any(caller._lingering for caller in http_server._connections))
         client.write(b"x" * 100_000)
         answer = await client.read()
         assert answer is not None and (answer.status, answer.body) == (200, b"/a")
@@ -244,8 +244,8 @@
         for one in client, stuck:
             one.write(line(b"/a", b"content-length: 2", body=b"x"))
         await until(
-            lambda: len(http_server._callers) == 2
-            and all(one._reader.partial for one in http_server._callers)
+            lambda: len(http_server._connections) == 2
+            and all(one._reader.partial for one in http_server._connections)
         )
         http_server.stop()
         client.write(b"y")
@@ -253,7 +253,7 @@
         assert answer is not None and (answer.body, answer.get(b"connection")) == (b"/axy", "close")
         client.leave()
         await until(lambda: http_server.busy == 1)
-        move(module.COMING_S)
+        move(module.PARTIAL_CALL_S)
         assert http_server.busy == 0  # nor is the end held up by one that does not come
 
     serve(test)
@@ -270,7 +270,7 @@
         client.write(line(b"/a"))
         assert await soon(office.begun.get()) == b"/a"
         http_server.stop()
-        http_server.give_up(Answer(503, b"{}"))
+        http_server.abort_calls(Answer(503, b"{}"))
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (503, "close")
         assert await client.read() is None
--- a/tests/mesh/test_transport_link.py
+++ b/tests/mesh/test_transport_link.py
@@ -10,7 +10,7 @@
 from mesh.data_plane.program import TICK_S
 from mesh.transport import link as module
 from mesh.transport.frames import Head, frame
-from mesh.transport.link import ALIVE, BEAT_S, SILENT_S, Link, connect, listen
+from mesh.transport.link import HEARTBEAT, HEARTBEAT_INTERVAL_S, SILENCE_TIMEOUT_S, Link, connect, listen
 from rigs.mesh_peers import move, play, soon, until
 
 
@@ -69,7 +69,7 @@
         server = await listen(("127.0.0.1", 0), there.make)
         assert await soon(connect(server.sockets[0].getsockname()[:2], here.make)) is not None
         here.link.send({"t": "a"}, b"x" * 300_000)
-        here.link.tick(here.link.sent_at + 1.0)  # owes nothing: no beat
+        here.link.tick(here.link.last_sent_at + 1.0)  # owes nothing: no beat
         here.link.send({"t": "b"})
         assert await soon(there.frames.get()) == ({"t": "a", "body": 300_000}, b"x" * 300_000)
         assert await soon(there.frames.get()) == ({"t": "b"}, b"")
@@ -85,7 +85,7 @@
 
 def look(link: Link, until: float) -> None:
     """At the link as often as the programs do, up to that instant."""
-    now = link.heard_at
+    now = link.last_received_at
     while (now := now + TICK_S) < until:
         link.tick(now)
     link.tick(until)
@@ -94,18 +94,18 @@
 def test_silence_ends_a_link_that_expects_and_no_idle_one() -> None:
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
         link = end.link
-        look(link, link.heard_at + 100.0)  # expects nothing
+        look(link, link.last_received_at + 100.0)  # expects nothing
         assert link.up
-        link.expects = 1
-        look(link, link.heard_at + SILENT_S - 1e-3)
+        link.expected_replies = 1
+        look(link, link.last_received_at + SILENCE_TIMEOUT_S - 1e-3)
         assert link.up
-        heard = link.heard_at
-        move(0.5 * SILENT_S)
-        writer.write(ALIVE)  # any byte is a sign of life, and no frame for its owner
-        await until(lambda: link.heard_at > heard)
-        look(link, heard + SILENT_S + 1e-6)
+        heard = link.last_received_at
+        move(0.5 * SILENCE_TIMEOUT_S)
+        writer.write(HEARTBEAT)  # any byte is a sign of life, and no frame for its owner
+        await until(lambda: link.last_received_at > heard)
+        look(link, heard + SILENCE_TIMEOUT_S + 1e-6)
         assert link.up and end.frames.empty()
-        look(link, link.heard_at + 1.01 * SILENT_S)
+        look(link, link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
         assert not link.up
         assert await soon(end.lost) == "silent"
 
@@ -114,8 +114,8 @@
 
 def test_a_steady_link_is_ended_by_silence_too() -> None:
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
-        end.link.steady = True
-        look(end.link, end.link.heard_at + 1.01 * SILENT_S)
+        end.link.mutual_heartbeat = True
+        look(end.link, end.link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
         assert await soon(end.lost) == "silent"
 
     against(test)
@@ -124,13 +124,13 @@
 def test_an_end_that_stood_still_itself_takes_that_for_no_silence_once() -> None:
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
         link = end.link
-        link.expects = 1
-        thaws = link.heard_at + 5.0
+        link.expected_replies = 1
+        thaws = link.last_received_at + 5.0
         link.tick(thaws)  # what came meanwhile is still unread
         assert link.up
-        look(link, thaws + SILENT_S - 1e-3)
+        look(link, thaws + SILENCE_TIMEOUT_S - 1e-3)
         assert link.up
-        look(link, thaws + 1.01 * SILENT_S)
+        look(link, thaws + 1.01 * SILENCE_TIMEOUT_S)
         assert not link.up
 
         assert await soon(end.lost) == "silent"
@@ -141,8 +141,8 @@
 def test_an_end_that_stands_still_again_and_again_has_no_second_excuse() -> None:
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
         link = end.link
-        link.expects = 1
-        began = link.heard_at
+        link.expected_replies = 1
+        began = link.last_received_at
         for at in range(1, 4):
             link.tick(began + 0.45 * at)
         assert not link.up
@@ -154,24 +154,24 @@
 def test_who_owes_beats_and_who_does_not_is_still() -> None:
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
         link = end.link
-        link.tick(link.sent_at + 100.0)
-        link.owes = 1
-        at = link.sent_at
-        link.tick(at + 0.9 * BEAT_S)
-        link.tick(at + 1.1 * BEAT_S)
-        link.tick(at + 1.5 * BEAT_S)  # less than a beat later
-        link.tick(at + 2.2 * BEAT_S)
-        link.owes, link.steady = 0, True
-        link.tick(at + 3.3 * BEAT_S)
+        link.tick(link.last_sent_at + 100.0)
+        link.owed_replies = 1
+        at = link.last_sent_at
+        link.tick(at + 0.9 * HEARTBEAT_INTERVAL_S)
+        link.tick(at + 1.1 * HEARTBEAT_INTERVAL_S)
+        link.tick(at + 1.5 * HEARTBEAT_INTERVAL_S)  # less than a beat later
+        link.tick(at + 2.2 * HEARTBEAT_INTERVAL_S)
+        link.owed_replies, link.mutual_heartbeat = 0, True
+        link.tick(at + 3.3 * HEARTBEAT_INTERVAL_S)
         link.send({"t": "last"})
         last = frame({"t": "last"})
-        assert await soon(raw.reader.readuntil(last)) == 3 * ALIVE + last
+        assert await soon(raw.reader.readuntil(last)) == 3 * HEARTBEAT + last
 
     against(test)
 
 
 def test_a_peer_that_does_not_read_is_ended_at_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "BACKLOG_BYTES", 200_000)
+    monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 200_000)
 
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
         link, part, most = end.link, b"x" * 50_000, 0
@@ -228,11 +228,11 @@
 def test_frames_behind_long_ones_do_not_end_the_link_and_a_peer_that_reads_is_not_silent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "BACKLOG_BYTES", 200_000)
+    monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 200_000)
 
     async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
         link, long = end.link, b"x" * 8_000_000
-        link.expects = 1
+        link.expected_replies = 1
         assert link.send({"t": "x"}, long) and link.send({"t": "x"}, long)
         assert link.unsent > 200_000 and link.send({"t": "y"})
         for _ in range(4):  # it takes long, and nothing comes back meanwhile
@@ -241,11 +241,11 @@
             for _ in range(40):
                 await raw.reader.read(65536)
             await until(lambda before=before: link.unsent < before)  # type: ignore[misc]
-            move(0.8 * SILENT_S)
+            move(0.8 * SILENCE_TIMEOUT_S)
         assert link.up
-        move(1.1 * SILENT_S)
+        move(1.1 * SILENCE_TIMEOUT_S)
         link.tick(end.link._loop.time())  # it has read in between
-        link.tick(end.link._loop.time() + 1.1 * SILENT_S)
+        link.tick(end.link._loop.time() + 1.1 * SILENCE_TIMEOUT_S)
         assert await soon(end.lost) == "silent"
 
     against(test)
