--- a/mesh/transport/body_pieces.py
+++ b/mesh/transport/body_pieces.py
@@ -1,9 +1,9 @@
-"""Bodies that cross a link in pieces, with a window for each: which piece is sent next, and what has come of
-those that arrive. No I/O.
+"""Transfer of bodies over a link in pieces, with flow control: the choice of the next piece to send, and the
+assembly of received pieces. No I/O.
 
-Each body may have so many bytes on its way beyond what the other end has confirmed, all bodies of a link
-together no more than `LINK_WINDOW_BYTES`. Bodies take turns, a piece each. So a short frame waits behind a
-part of one link window at the most, however many long bodies there are and however long they are.
+Each body may have one window of bytes in flight that the receiver has not confirmed, and all bodies of a link
+together `LINK_WINDOW_BYTES`. Bodies are sent round-robin, one piece each, so a short frame waits behind at
+most one link window, regardless of the number and length of the bodies.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from msgspec import Struct
 
 PIECE_BYTES = 32 * 1024
-WINDOW_BYTES = 256 * 1024  # of one body that this end takes beyond what it has confirmed
-LINK_WINDOW_BYTES = 256 * 1024  # of all bodies that this end sends over one link
+WINDOW_BYTES = 256 * 1024  # unconfirmed bytes of one body that this end receives
+LINK_WINDOW_BYTES = 256 * 1024  # unconfirmed bytes of all bodies that this end sends over one link
 
 
 class PieceError(ValueError):
-    """The other end does not keep to a window or to a body's length."""
+    """The peer exceeded a window or the length of a body."""
 
 
 class _Body(Struct, eq=False):
-    """One that is being sent."""
+    """A body that is being sent."""
 
     number: int
     data: memoryview
-    limit: int  # its first bytes that the other end takes so far
+    limit: int  # bytes from its start that may be sent so far
     sent: int = 0
-    confirmed: int = 0  # its first bytes that have arrived
+    confirmed: int = 0  # bytes from its start that have arrived
     queued: bool = True
 
 
 class Part(Struct, frozen=True):
-    """The next piece to send; ``last``: with it the whole body is written."""
+    """A piece to send; ``last``: it ends the body."""
 
     number: int
     data: memoryview
@@ -41,27 +41,27 @@
 
 
 class OutgoingBodies:
-    """The bodies that one end sends."""
+    """The bodies that one end of a link sends."""
 
     def __init__(self, window: int) -> None:
-        """``window``: what the other end takes of each beyond what it has confirmed."""
+        """``window``: the unconfirmed bytes of one body that the peer receives."""
         self._window = window
         self._bodies: dict[int, _Body] = {}
-        self._queue: deque[_Body] = deque()  # those that may send more, as far as their own window goes
-        self._unconfirmed = 0  # bytes of all of them
+        self._queue: deque[_Body] = deque()  # bodies whose own window has room
+        self._unconfirmed = 0  # bytes of all bodies
 
     def __len__(self) -> int:
-        """Those of which the end has not arrived."""
+        """The number of bodies that are not entirely confirmed."""
         return len(self._bodies)
 
     def add(self, number: int, data: bytes | bytearray) -> None:
-        """``data`` must not change until it is sent or cancelled."""
+        """Queues a body; ``data`` must not change until it is sent or cancelled."""
         body = _Body(number, memoryview(data), self._window)
         self._bodies[number] = body
         self._queue.append(body)
 
     def next(self) -> Part | None:
-        """The piece whose turn it is, to be written now; None with full windows or nothing left."""
+        """The next piece to write; None if the windows are full or nothing is left."""
         if not self._queue or self._unconfirmed >= LINK_WINDOW_BYTES:
             return None
         body = self._queue.popleft()
@@ -76,13 +76,13 @@
         return Part(body.number, data, last)
 
     def confirm(self, number: int, arrived: int) -> bool:
-        """So many first bytes of a body have arrived; whether that is all of it. One that is not sent any
-        more is passed over."""
+        """Records how many bytes of a body have arrived in total; returns whether it is complete. A body that
+        is no longer being sent is ignored. Raises PieceError for bytes that were not sent."""
         body = self._bodies.get(number)
         if body is None or arrived <= body.confirmed:
             return False
         if arrived > body.sent:
-            raise PieceError(f"{arrived} bytes are confirmed and {body.sent} were sent")
+            raise PieceError(f"{arrived} bytes are confirmed but only {body.sent} were sent")
         self._unconfirmed -= arrived - body.confirmed
         body.confirmed, body.limit = arrived, arrived + self._window
         if arrived == len(body.data):
@@ -94,7 +94,7 @@
         return False
 
     def cancel(self, number: int) -> bool:
-        """Nobody wants it any more; False where it is not being sent."""
+        """Stops sending a body; returns False if it is not being sent."""
         body = self._bodies.pop(number, None)
         if body is None:
             return False
@@ -105,18 +105,18 @@
 
 
 class IncomingBody:
-    """One body that arrives: nothing of it is handed over before it is whole."""
+    """A body that is being received; it is handed over only when it is complete."""
 
     __slots__ = ("_confirmed", "data", "size")
 
     def __init__(self, size: int) -> None:
-        """Nothing of its ``size`` bytes has come."""
+        """``size``: its length in bytes."""
         self.size = size
         self.data = bytearray()
         self._confirmed = 0
 
     def add(self, part: bytes) -> None:
-        """Raises PieceError where more comes than the window or its length allows."""
+        """Appends a piece. Raises PieceError for an empty one, or one beyond the window or the length."""
         arrived = len(self.data) + len(part)
         if not part or arrived > self.size or arrived > self._confirmed + WINDOW_BYTES:
             raise PieceError(f"{arrived} bytes of {self.size}, {self._confirmed} of them confirmed")
@@ -124,11 +124,11 @@
 
     @property
     def whole(self) -> bool:
-        """Whether all of it is here."""
+        """Whether all bytes have arrived."""
         return len(self.data) == self.size
 
     def confirm(self) -> int:
-        """How many bytes have come, which the other end is to be told now. After each piece: with many bodies
-        the window of the link is used up before any of them has much of it."""
+        """The number of bytes received, to be sent to the peer now. Called after each piece: with many bodies
+        the window of the link is exhausted before any single body has received much."""
         self._confirmed = len(self.data)
         return self._confirmed
--- a/mesh/transport/frames.py
+++ b/mesh/transport/frames.py
@@ -1,7 +1,7 @@
-"""Frames between the system's own processes: a netstring of JSON, and behind it, where the JSON says so, a
-netstring of bytes (a call's or an answer's body). No I/O.
+"""Frames between the mesh's processes: a netstring with a JSON head, followed by a netstring with the body of
+a call or an answer if the head declares one. No I/O.
 
-`5:{...},` is the form of a netstring: the length in decimal, a colon, so many bytes, a comma.
+A netstring is its length in decimal, a colon, that many bytes and a comma: `5:{...},`.
 """
 
 from __future__ import annotations
@@ -13,45 +13,45 @@
 
 Head = dict[str, Any]
 
-MAX_NETSTRING_BYTES = 16 * 1024 * 1024  # bytes of one netstring
-MAX_LENGTH_DIGITS = 8  # of a length: what MAX_NETSTRING_BYTES can have
+MAX_NETSTRING_BYTES = 16 * 1024 * 1024
+MAX_LENGTH_DIGITS = 8  # as many as MAX_NETSTRING_BYTES has
 COMMA = 0x2C
-BODY = "body"  # the head's field that tells how long the netstring behind it is
-UNRESERVED_BYTES = 64 * 1024  # bytes of a netstring that is read without asking for room
+BODY = "body"  # the head's field with the length of the body
+UNRESERVED_BYTES = 64 * 1024  # longer netstrings need a reservation
 
 _encode = msgspec.json.Encoder().encode
 decode_object: Callable[[bytes], Head] = msgspec.json.Decoder(dict[str, Any]).decode
 
 
 class FrameHead(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """Base of typed heads. ``body`` is the length of the netstring behind it, None where there is none."""
+    """Base of typed heads. ``body`` is the length of the body, None without one."""
 
     body: int | None = None
 
 
 class Room(Protocol):
-    """What bounds the bytes of frames that are being read; `mesh.admission.buffer_budget` has it."""
+    """A limit on the bytes of frames that are being read; `mesh.admission.buffer_budget` implements it."""
 
     def acquire(self, size: int) -> bool:
-        """Whether so many bytes more find room, and are held."""
+        """Reserves this many bytes; returns False, and reserves nothing, if they do not fit."""
 
     def release(self, size: int) -> None:
-        """So many are held no more."""
+        """Releases reserved bytes."""
 
 
 class BadFrame(Exception):
-    """The other end sent what is no frame; the link is of no use any more."""
+    """The peer sent malformed data; the link cannot be used any longer."""
 
 
 class RefusedBody(bytes):
-    """Stands for a body for which there was no room: it is passed over as it comes."""
+    """Placeholder for a body for which there was no room; its bytes are discarded as they arrive."""
 
 
 Octets = bytes | bytearray | memoryview
 
 
 def frame(head: Head | FrameHead, body: Octets | None = None) -> bytes:
-    """One frame as bytes; a ``head`` that is a dict must be of JSON's kinds of values alone."""
+    """Encodes a frame; a dict ``head`` may hold only values that JSON can represent."""
     if body is None:
         text = _encode(head)
         return b"%d:%b," % (len(text), text)
@@ -64,58 +64,58 @@
 
 
 def _body_length(head: Any) -> Any:
-    """What a head says of its body; None where it has none."""
+    """The body length that a head declares; None without a body."""
     return head.body if isinstance(head, FrameHead) else head.get(BODY)
 
 
 def _check_body(head: Any, length: int) -> None:
     if _body_length(head) != length:
-        raise BadFrame("a body of another length than was told")
+        raise BadFrame("body length differs from the declared length")
 
 
 def _parse_length(digits: bytearray) -> int:
-    """Of a netstring, within what one may have."""
+    """The length of a netstring. Raises BadFrame for a malformed or excessive one."""
     if not digits.isdigit():
-        raise BadFrame("a length that is no number")
+        raise BadFrame("netstring length is not a number")
     length = int(digits)
     if length > MAX_NETSTRING_BYTES:
-        raise BadFrame(f"{length} bytes, over {MAX_NETSTRING_BYTES}")
+        raise BadFrame(f"netstring of {length} bytes, over {MAX_NETSTRING_BYTES}")
     return length
 
 
 class Frames:
-    """Bytes in, whole frames out. ``decode`` reads a head and raises msgspec.DecodeError for what is none.
+    """Incremental parser of frames. ``decode`` decodes a head and raises msgspec.DecodeError if it cannot.
 
-    A long netstring is read only where ``room`` has place for it. Without place a body is passed over and its
-    head told at once with a `RefusedBody`; a head without place is a BadFrame.
+    A long netstring is read only if ``room`` can reserve its bytes. Otherwise a body is discarded, and its
+    head returned at once with a `RefusedBody`; a head raises BadFrame.
     """
 
     def __init__(self, room: Room | None = None) -> None:
-        """Nothing has come yet."""
+        """``room``: limits long netstrings; None: no limit."""
         self.decode: Callable[[bytes], Any] = decode_object
         self._room = room
         self._buffer = bytearray()
-        self._head: Any = None  # its body is still to come
-        self._reserved = 0  # bytes of the netstring being read for which there is room
-        self._bytes_to_skip = 0  # bytes of a refused body that are still to come, and the comma behind them
+        self._head: Any = None  # a head whose body has not arrived yet
+        self._reserved = 0  # bytes reserved for the netstring being read
+        self._bytes_to_skip = 0  # rest of a refused body, including its comma
 
     def feed(self, data: bytes) -> list[tuple[Any, bytes]]:
-        """The frames that are whole now. Raises BadFrame; what was whole before is lost with the link."""
-        held = self._buffer
-        held += data
+        """The frames that these bytes complete. Raises BadFrame; frames of the same call are lost then."""
+        buffer = self._buffer
+        buffer += data
         found: list[tuple[Any, bytes]] = []
-        at, end = 0, len(held)
+        at, end = 0, len(buffer)
         while True:
             if self._bytes_to_skip:
                 at = self._skip(at, end)
                 if self._bytes_to_skip:
                     break
-            colon = held.find(b":", at, at + MAX_LENGTH_DIGITS + 1)
+            colon = buffer.find(b":", at, at + MAX_LENGTH_DIGITS + 1)
             if colon < 0:
                 if end - at > MAX_LENGTH_DIGITS:
-                    raise BadFrame("a length without its colon")
+                    raise BadFrame("no colon after the netstring length")
                 break
-            length = _parse_length(held[at:colon])
+            length = _parse_length(buffer[at:colon])
             if length > UNRESERVED_BYTES and not self._reserved and not self._reserve(length):
                 found.append(self._refuse_body(length))
                 at = colon + 1
@@ -123,18 +123,18 @@
             close = colon + 1 + length
             if close >= end:
                 break
-            if held[close] != COMMA:
-                raise BadFrame("no comma at the end")
-            whole = self._take_netstring(bytes(held[colon + 1 : close]))
-            if whole is not None:
-                found.append(whole)
+            if buffer[close] != COMMA:
+                raise BadFrame("no comma at the end of a netstring")
+            frame_read = self._take_netstring(bytes(buffer[colon + 1 : close]))
+            if frame_read is not None:
+                found.append(frame_read)
             at = close + 1
         if at:
-            del held[:at]
+            del buffer[:at]
         return found
 
     def _take_netstring(self, part: bytes) -> tuple[Any, bytes] | None:
-        """The frame that one netstring makes whole, if any."""
+        """The frame that a netstring completes, if any."""
         if self._reserved:
             self.release_room()
         head, self._head = self._head, None
@@ -143,24 +143,24 @@
             return head, part
         try:
             head = self.decode(part)
-        except (msgspec.DecodeError, RecursionError) as fault:
-            raise BadFrame(str(fault)) from None
+        except (msgspec.DecodeError, RecursionError) as error:
+            raise BadFrame(str(error)) from None
         if _body_length(head) is None:
             return head, b""
         self._head = head
         return None
 
     def _refuse_body(self, length: int) -> tuple[Any, bytes]:
-        """The frame whose body of so many bytes is passed over."""
+        """The frame whose body of this length is discarded."""
         head, self._head = self._head, None
         if head is None:
-            raise BadFrame(f"memory does not bear a head of {length} bytes")
+            raise BadFrame(f"not enough memory for a head of {length} bytes")
         _check_body(head, length)
         self._bytes_to_skip = length + 1
         return head, RefusedBody()
 
     def _reserve(self, length: int) -> bool:
-        """Whether there is room for a long netstring, which is then taken."""
+        """Reserves room for a long netstring; returns False if there is none."""
         if self._room is None:
             return True
         if not self._room.acquire(length):
@@ -169,16 +169,16 @@
         return True
 
     def release_room(self) -> None:
-        """Gives back the room of the netstring that was being read: it is whole, or its link is lost."""
+        """Releases the reservation of the netstring being read: it is complete, or its link is lost."""
         if self._reserved and self._room is not None:
             self._room.release(self._reserved)
         self._reserved = 0
 
     def _skip(self, at: int, end: int) -> int:
-        """Leaves out what has come of a refused body; gives where the bytes behind it begin."""
-        left_out = min(self._bytes_to_skip, end - at)
-        self._bytes_to_skip -= left_out
-        at += left_out
+        """Discards the received bytes of a refused body; returns the position after them."""
+        skipped = min(self._bytes_to_skip, end - at)
+        self._bytes_to_skip -= skipped
+        at += skipped
         if not self._bytes_to_skip and self._buffer[at - 1] != COMMA:
-            raise BadFrame("no comma at the end")
+            raise BadFrame("no comma at the end of a netstring")
         return at
--- a/mesh/transport/http_calls.py
+++ b/mesh/transport/http_calls.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 calls of upstreams, the platform and operators: read whole, handed on, answered in their order."""
+"""HTTP/1.1 server for upstreams, the platform and operators: reads each call whole, answers them in order."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from mesh.transport.link import Address, listening_socket
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
-MAX_PIPELINED = 16  # calls read ahead on one connection; more, and it is closed
-ACCEPT_BACKLOG = 256  # new callers that wait to be accepted
-LINGER_S = 1.0  # how long what a caller still sends is passed over, so that it gets its last answer
-PARTIAL_CALL_S = 1.0  # between two pieces of a call, at an end
-MAX_CONNECTIONS = 256  # connections; at it the longest idle is closed
+MAX_PIPELINED = 16  # calls waiting on one connection; with more it is closed
+ACCEPT_BACKLOG = 256  # connections
+LINGER_S = 1.0  # input after the last answer is discarded this long, so that the client receives it
+PARTIAL_CALL_S = 1.0  # longest pause within a call for which a shutdown waits
+MAX_CONNECTIONS = 256  # beyond it the longest idle one is closed
 JSON = (b"content-type", b"application/json")
 
 
 class Answer(Struct, frozen=True):
+    """The response to a call; bodies are JSON."""
+
     status: int
     body: bytes = b""
     location: str = ""
@@ -33,26 +35,30 @@
 
 
 class _HttpConnection(asyncio.Protocol):
+    """A client's connection; its calls are handled one at a time."""
+
     def __init__(self, http_server: HttpServer) -> None:
         self._http_server = http_server
         self._reader = http.Reader(httptools.HttpRequestParser, MAX_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         self._waiting: deque[http.Message] = deque()
         self._task: asyncio.Task[None] | None = None
-        self._parse_error: http.BadMessage | None = None  # what came last cannot be read
-        self._lingering = False  # its last answer has been written
+        self._parse_error: http.BadMessage | None = None  # of the latest input
+        self._lingering = False  # the last answer has been written
         self.last_used_at = http_server.loop.time()
 
     @property
     def idle(self) -> bool:
-        """No call of it is worked on."""
+        """Whether no call of it is being handled."""
         return self._task is None
 
     @property
     def quiet(self) -> bool:
-        """Nor is one coming, as far as can be seen: the last bytes of half a call came a while ago."""
-        coming = self._reader.partial and self._http_server.loop.time() - self.last_used_at < PARTIAL_CALL_S
-        return self._task is None and not self._lingering and not coming
+        """Whether it is idle and is receiving no call: a partial call that has paused does not count."""
+        receiving = (
+            self._reader.partial and self._http_server.loop.time() - self.last_used_at < PARTIAL_CALL_S
+        )
+        return self._task is None and not self._lingering and not receiving
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -62,19 +68,19 @@
         self.last_used_at = self._http_server.loop.time()
         if self._parse_error is not None or self._lingering:
             return
-        fault: http.BadMessage | None = None
+        parse_error: http.BadMessage | None = None
         try:
             self._reader.feed(data)
-        except http.BadMessage as bad:
-            fault = bad
+        except http.BadMessage as error:
+            parse_error = error
         if self._reader.expects_continue and self._transport is not None:
             self._reader.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self._waiting.extend(self._reader.take())
-        self._parse_error = fault
+        self._parse_error = parse_error
         if len(self._waiting) > MAX_PIPELINED and self._transport is not None:
             self._transport.close()
-        elif self._task is None and (self._waiting or fault is not None):
+        elif self._task is None and (self._waiting or parse_error is not None):
             self._task = self._http_server.loop.create_task(self._handle_calls())
 
     async def _handle_calls(self) -> None:
@@ -84,7 +90,7 @@
                 try:
                     answer = await self._http_server.handle(message)
                 except Exception:
-                    # A fault of the handler costs its call an answer, and nobody else anything.
+                    # An error in the handler affects only its own call.
                     answer = Answer(500)
                 if self._transport is None or self._transport.is_closing():
                     return
@@ -106,8 +112,8 @@
             self._task = None
 
     def _linger(self) -> None:
-        """Ends the connection behind its last answer. What still comes is passed over until its caller has
-        closed it too: closing on unread input would reset it, and the answer with it."""
+        """Ends the connection after its last answer. Further input is discarded until the client closes it as
+        well: closing with unread input would reset the connection, and the answer would be lost."""
         assert self._transport is not None
         self._lingering = True
         self._waiting.clear()
@@ -115,7 +121,7 @@
         self._http_server.loop.call_later(LINGER_S, self._transport.abort)
 
     def abort_call(self, answer: Answer) -> None:
-        """A call in hand has that answer, and the connection ends."""
+        """Sends this answer to a call that is being handled, and ends the connection."""
         if self._task is not None and self._transport is not None and not self._lingering:
             self._task.cancel()
             self._transport.write(http.write_response(answer.status, [JSON], answer.body, close=True))
@@ -127,13 +133,13 @@
         self._waiting.clear()
 
     def close(self) -> None:
-        """Ends the connection, also where its last answer is still being waited for to be read."""
+        """Closes the connection, also if the client has not read its last answer yet."""
         if self._transport is not None:
             self._transport.close()
 
 
 class HttpServer:
-    """One address. ``handle`` must answer every call within a bound of its own."""
+    """The server of one address. ``handle`` must answer every call within its own time limit."""
 
     def __init__(self, handle: Handle) -> None:
         self.loop = asyncio.get_running_loop()
@@ -143,7 +149,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Raises OSError where the address cannot be had."""
+        """Starts to listen; returns the bound address. Raises OSError if it is not available."""
         listener = listening_socket(address, ACCEPT_BACKLOG)
         self._server = await self.loop.create_server(
             lambda: _HttpConnection(self), sock=listener, backlog=ACCEPT_BACKLOG
@@ -151,30 +157,30 @@
         bound = self._server.sockets[0].getsockname()
         return str(bound[0]), int(bound[1])
 
-    def add_connection(self, caller: _HttpConnection) -> None:
-        self._connections.add(caller)
+    def add_connection(self, connection: _HttpConnection) -> None:
+        self._connections.add(connection)
         if len(self._connections) > MAX_CONNECTIONS:
-            idle = [item for item in self._connections if item.idle and item is not caller]
-            (min(idle, key=lambda item: item.last_used_at) if idle else caller).close()
+            idle = [other for other in self._connections if other.idle and other is not connection]
+            (min(idle, key=lambda other: other.last_used_at) if idle else connection).close()
 
-    def remove_connection(self, caller: _HttpConnection) -> None:
-        self._connections.discard(caller)
+    def remove_connection(self, connection: _HttpConnection) -> None:
+        self._connections.discard(connection)
 
     @property
     def busy(self) -> int:
-        """How many calls are being worked on, are coming in, or have their last answer still to be read."""
-        return sum(not item.quiet for item in self._connections)
+        """The number of connections with a call in progress or an unread last answer."""
+        return sum(not other.quiet for other in self._connections)
 
     def abort_calls(self, answer: Answer) -> None:
-        """No time is left: calls in hand have ``answer``."""
-        for caller in list(self._connections):
-            caller.abort_call(answer)
+        """Answers all calls that are being handled with ``answer``: no time is left."""
+        for connection in list(self._connections):
+            connection.abort_call(answer)
 
     def stop(self) -> None:
-        """Takes no more connections; calls in hand are answered, idle connections end."""
+        """Stops accepting connections; calls in progress are answered, quiet connections closed."""
         self.closing = True
         if self._server is not None:
             self._server.close()
-        for caller in list(self._connections):
-            if caller.quiet:
-                caller.close()
+        for connection in list(self._connections):
+            if connection.quiet:
+                connection.close()
--- a/mesh/transport/link.py
+++ b/mesh/transport/link.py
@@ -1,8 +1,9 @@
-"""A link: one TCP connection between two of the system's processes, its frames and its signs of life.
+"""A link: one TCP connection between two processes of the mesh, its frames and its heartbeats.
 
-A cut is silent, so an end that owes the other something says so every `HEARTBEAT_INTERVAL_S`, and an end that expects
-something takes `SILENCE_TIMEOUT_S` without a byte for the link's loss. The time to notice is a good part of what most
-calls have; a process that is merely behind says so again as soon as it runs.
+A network partition gives no error, so an end that owes a reply sends a heartbeat every
+`HEARTBEAT_INTERVAL_S`, and an end that expects one closes the link after `SILENCE_TIMEOUT_S` without a byte.
+This detection time is a large part of the deadline of most calls; a process that is merely slow sends
+heartbeats as soon as it runs again.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 Address = tuple[str, int]
 
 HEARTBEAT_INTERVAL_S = 0.15
-SILENCE_TIMEOUT_S = 0.55  # it hurts where a process stands still for so long: its calls are given up
+SILENCE_TIMEOUT_S = 0.55  # a process that stalls for longer loses its calls
 CONNECT_TIMEOUT_S = 0.6
-STALL_S = 0.4  # between two looks: this end stood still itself, and what came meanwhile is still unread
-MAX_UNSENT_BYTES = 4 * 1024 * 1024  # unsent to a peer that does not read; more ends the link
-# Long frames are no sign of that: they come on top, up to so many bytes of them at once.
+STALL_S = 0.4  # between two ticks: this process stalled, and received bytes may still be unread
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # to a peer that does not read; with more the link is closed
+# Long frames do not indicate that: they are allowed in addition, up to this many bytes at once.
 LONG_FRAME_BYTES, MAX_LONG_FRAME_BYTES = 64 * 1024, 64 * 1024 * 1024
-ACCEPT_BACKLOG = 512  # new links that wait to be accepted
+ACCEPT_BACKLOG = 512  # links
 HEARTBEAT = frame({})
 
 
 class Link(asyncio.Protocol):
-    """Either end. ``on_frame(link, head, body)`` is called for each frame, ``on_lost(link, why)`` once; heads
-    are dicts until ``set_decoder`` sets a decoder of typed ones. ``room`` bounds frames that are being read."""
+    """One end of a link. ``on_frame(link, head, body)`` is called for each frame, ``on_lost(link, reason)``
+    once; heads are dicts until ``set_decoder``. ``room`` limits the bytes of frames that are being read."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         on_lost: Callable[[Link, str], None],
         room: Room | None = None,
     ) -> None:
-        """Not up yet."""
+        """The link is not up yet; ``on_up`` is called when it is."""
         self._on_up, self._on_frame, self._on_lost = on_up, on_frame, on_lost
         self._loop = asyncio.get_running_loop()
         self._frames = Frames(room)
@@ -47,15 +48,15 @@
         self.last_sent_at = self.last_received_at = self.up_since = self._loop.time()
         self._last_tick_at = self.last_received_at
         self._stall_allowed_at = -1.0
-        self.owed_replies = 0  # answers that this end has still to give
-        self.expected_replies = 0  # answers that this end waits for
-        self.mutual_heartbeat = False  # both ends beat all the time
-        self._long_frame_bytes = 0  # bytes of long frames since little was unsent
-        self._unsent_at_tick = 0  # at the last tick
-        self.peer: Any = None  # whose it is, as its owner has it
-        self.write_paused = False  # the kernel takes no more for now
-        self.on_writable: Callable[[], None] = _nothing  # it takes more again
-        self.node = ""  # of the other end, where it has said so and its owner keeps it
+        self.owed_replies = 0  # replies that this end has yet to send
+        self.expected_replies = 0  # replies that this end waits for
+        self.mutual_heartbeat = False  # both ends send heartbeats all the time
+        self._long_frame_bytes = 0  # sent since the unsent bytes were last within MAX_UNSENT_BYTES
+        self._unsent_at_tick = 0  # unsent bytes at the last tick
+        self.peer: Any = None  # state that the owner attaches to the link
+        self.write_paused = False  # the kernel accepts no more bytes for now
+        self.on_writable: Callable[[], None] = _ignore  # called when it accepts bytes again
+        self.node = ""  # name of the peer, set by the owner
         self.sent_bytes = 0
 
     @property
@@ -65,24 +66,24 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def set_decoder(self, decode: Callable[[bytes], Any]) -> None:
-        """Heads that come from now on are read by ``decode``, which raises msgspec.DecodeError."""
+        """Decodes further heads by ``decode``, which raises msgspec.DecodeError for a malformed one."""
         self._frames.decode = decode
 
     def pause_writing(self) -> None:
-        """The kernel takes no more for now."""
+        """The kernel accepts no more bytes for now."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """It takes more again."""
+        """The kernel accepts bytes again."""
         self.write_paused = False
         self.on_writable()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Reports the link as up."""
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -90,19 +91,19 @@
         self._on_up(self)
 
     def data_received(self, data: bytes) -> None:
-        """Tells the frames that are whole."""
+        """Passes complete frames to the owner."""
         self.last_received_at = self._loop.time()
         try:
             frames = self._frames.feed(data)
-        except BadFrame as fault:
-            self.close(f"bad frame: {fault}")
+        except BadFrame as error:
+            self.close(f"bad frame: {error}")
             return
         for head, body in frames:
             if head and self.up:
                 self._on_frame(self, head, body)
 
     def send(self, head: Head | FrameHead, body: Octets | None = None) -> bool:
-        """False where the link is down, or its peer does not read."""
+        """Sends a frame; returns False if the link is down or its peer does not read."""
         if not self.up:
             return False
         assert self._transport is not None
@@ -121,16 +122,16 @@
         return True
 
     def tick(self, now: float) -> None:
-        """Called every so often, more often than HEARTBEAT_INTERVAL_S."""
+        """Sends a due heartbeat and checks for silence; called more often than HEARTBEAT_INTERVAL_S."""
         if not self.up:
             return
         assert self._transport is not None
-        unsent, before = self.unsent, self._unsent_at_tick
+        unsent, previous = self.unsent, self._unsent_at_tick
         self._unsent_at_tick = unsent
-        if unsent < before:  # it reads: while a long frame is on its way it has nothing to say to it
+        if unsent < previous:  # the peer reads; it sends nothing while a long frame is in transit
             self.last_received_at = now
         if now - self._last_tick_at > STALL_S and self.last_received_at != self._stall_allowed_at:
-            # Its own standing still is no silence of the other: once, until something is heard.
+            # A stall of this process does not count as silence of the peer, once until the next byte.
             self.last_received_at = self._stall_allowed_at = now
         self._last_tick_at = now
         if (
@@ -142,26 +143,26 @@
             self.sent_bytes += len(HEARTBEAT)
             self.last_sent_at = now
 
-    def close(self, why: str) -> None:
-        """Ends it at once; ``why`` is what its owner is told."""
-        self._close_reason = why
+    def close(self, reason: str) -> None:
+        """Aborts the connection; ``reason`` is passed to ``on_lost``."""
+        self._close_reason = reason
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells its owner, once."""
+        """Reports the loss to the owner."""
         if exc is not None:
             self._close_reason = str(exc)
         self._frames.release_room()
         self._on_lost(self, self._close_reason)
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     return
 
 
 async def connect(address: Address, make: Callable[[], Link]) -> Link | None:
-    """A link that is up, or None where the other end cannot be had within CONNECT_TIMEOUT_S."""
+    """Opens a link; returns None if that fails or takes longer than CONNECT_TIMEOUT_S."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -172,14 +173,14 @@
 
 
 async def listen(address: Address, make: Callable[[], Link]) -> asyncio.Server:
-    """Raises OSError where the address cannot be had."""
+    """Accepts links at the address. Raises OSError if it is not available."""
     listener = listening_socket(address, ACCEPT_BACKLOG)
     return await asyncio.get_running_loop().create_server(make, sock=listener, backlog=ACCEPT_BACKLOG)
 
 
 def listening_socket(address: Address, backlog: int) -> socket.socket:
-    """A socket made here: uvloop would resolve the address on four threads that stay (0.4 MB). Raises
-    OSError where the address cannot be had."""
+    """Creates the socket directly: uvloop would resolve the address on four threads that remain (0.4 MB).
+    Raises OSError if the address is not available."""
     listener = socket.create_server(address, backlog=backlog)
     listener.setblocking(False)
     return listener
--- a/tests/mesh/test_transport_body_pieces.py
+++ b/tests/mesh/test_transport_body_pieces.py
@@ -1,4 +1,4 @@
-"""Bodies in pieces: turns and windows, whatever the order of what happens, and nothing before it is whole."""
+"""Bodies in pieces: round-robin and windows hold in any order of events; pieces join to the same body."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     assert bodies.next() is None and bodies.cancel(1) and not bodies.cancel(1)
     part = bodies.next()
     assert part is not None and part.number == 2
-    bodies.confirm(1, 10)  # a late word is of no effect
+    bodies.confirm(1, 10)  # a late confirmation has no effect
     bodies.confirm(2, 10)
     assert len(bodies) == 0
 
@@ -87,21 +87,21 @@
 @given(st.lists(st.integers(1, LONG), min_size=1, max_size=5), st.integers(1, WINDOW_BYTES // PIECE_BYTES))
 def test_all_arrives_as_it_was_and_the_windows_are_kept(sizes: list[int], pieces: int) -> None:
     bodies = OutgoingBodies(pieces * PIECE_BYTES)
-    given_ = {number: bytes([number]) * size for number, size in enumerate(sizes)}
-    arriving = {number: IncomingBody(len(data)) for number, data in given_.items()}
-    for number, data in given_.items():
+    sent_bodies = {number: bytes([number]) * size for number, size in enumerate(sizes)}
+    received = {number: IncomingBody(len(data)) for number, data in sent_bodies.items()}
+    for number, data in sent_bodies.items():
         bodies.add(number, data)
-    way: list[tuple[int, bytes]] = []
+    in_flight: list[tuple[int, bytes]] = []
     while len(bodies):
         while (part := bodies.next()) is not None:
-            way.append((part.number, bytes(part.data)))
-        unconfirmed = sum(len(data) for _, data in way)
+            in_flight.append((part.number, bytes(part.data)))
+        unconfirmed = sum(len(data) for _, data in in_flight)
         assert 0 < unconfirmed <= LINK_WINDOW_BYTES + PIECE_BYTES
-        for number, data in way:
-            body = arriving[number]
+        for number, data in in_flight:
+            body = received[number]
             assert not body.whole
             body.add(data)
             bodies.confirm(number, body.confirm())
-        way.clear()
-    assert {number: bytes(body.data) for number, body in arriving.items()} == given_
-    assert all(body.whole for body in arriving.values())
+        in_flight.clear()
+    assert {number: bytes(body.data) for number, body in received.items()} == sent_bodies
+    assert all(body.whole for body in received.values())
--- a/tests/mesh/test_transport_frames.py
+++ b/tests/mesh/test_transport_frames.py
@@ -1,4 +1,4 @@
-"""Frames: whole whatever the reads were, and an end to the link for whatever is none."""
+"""Frames are parsed regardless of how reads split them; malformed data raises BadFrame."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     max_leaves=8,
 )
 HEADS = st.dictionaries(TEXT.filter(lambda name: name != module.BODY), VALUES, max_size=4)
-SENT = st.lists(st.tuples(HEADS, st.none() | st.binary(max_size=40)), max_size=5)
+FRAMES = st.lists(st.tuples(HEADS, st.none() | st.binary(max_size=40)), max_size=5)
 
 
 def test_the_form_is_that_of_netstrings() -> None:
@@ -27,7 +27,7 @@
 
 
 @settings(max_examples=80)
-@given(SENT, st.data())
+@given(FRAMES, st.data())
 def test_frames_come_whole_wherever_the_bytes_are_split(
     sent: list[tuple[dict[str, Any], bytes | None]], data: st.DataObject
 ) -> None:
@@ -61,7 +61,7 @@
         b"123456789",  # no length has so many digits
         b"2:{};",
         b'7:{"a":1,,',  # the length is one short
-        b"2:{},\n",  # a line's end is the next length's first sign, and no digit
+        b"2:{},\n",  # the line end is read as the next length's first character
         b"4:null,",
         b"2:[],",
         b"2:{x,",
@@ -90,7 +90,7 @@
 
 
 class Room:
-    """Bears frames of so many bytes together."""
+    """Holds frames of up to this many bytes in total."""
 
     def __init__(self, most: int) -> None:
         self.most, self.held = most, 0
--- a/tests/mesh/test_transport_http_calls.py
+++ b/tests/mesh/test_transport_http_calls.py
@@ -1,4 +1,4 @@
-"""The http_server: calls read whole, answered in their order, and its bounds."""
+"""The HTTP server reads complete calls, answers them in order and keeps its limits."""
 
 from __future__ import annotations
 
@@ -15,58 +15,58 @@
 from rigs.mesh_peers import Client, move, play, read_message, soon, until
 
 
-class Office:
-    """A handler that answers when the test lets it."""
+class GatedHandler:
+    """A handler that answers while its gate is open."""
 
     def __init__(self) -> None:
-        self.begun: asyncio.Queue[bytes] = asyncio.Queue()
-        self.free = asyncio.Event()
-        self.free.set()
+        self.started: asyncio.Queue[bytes] = asyncio.Queue()
+        self.gate = asyncio.Event()
+        self.gate.set()
 
     async def handle(self, message: http.Message) -> Answer:
-        self.begun.put_nowait(message.target)
-        await self.free.wait()
+        self.started.put_nowait(message.target)
+        await self.gate.wait()
         return Answer(200, message.target + message.body)
 
 
-def serve(test: Callable[[HttpServer, Office, Address], Awaitable[None]]) -> None:
+def run_server(test: Callable[[HttpServer, GatedHandler, Address], Awaitable[None]]) -> None:
     async def run() -> None:
-        office = Office()
-        http_server = HttpServer(office.handle)
+        handler = GatedHandler()
+        http_server = HttpServer(handler.handle)
         address = await http_server.listen(("127.0.0.1", 0))
         try:
-            await test(http_server, office, address)
+            await test(http_server, handler, address)
         finally:
             http_server.stop()
-            for caller in list(http_server._connections):
-                caller.close()
+            for connection in list(http_server._connections):
+                connection.close()
 
     play(run)
 
 
-def line(path: bytes, *headers: bytes, body: bytes = b"") -> bytes:
+def request_bytes(path: bytes, *headers: bytes, body: bytes = b"") -> bytes:
     return b"\r\n".join([b"PUT %b HTTP/1.1" % path, b"host: x", *headers, b"", body])
 
 
 def test_calls_one_behind_another_are_worked_on_one_at_a_time_and_in_order() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         client = await Client.to(address)
-        office.free.clear()
-        client.write(line(b"/a", b"content-length: 2", body=b"xy"))
-        assert await soon(office.begun.get()) == b"/a"
-        client.write(line(b"/b") + line(b"/c"))
-        await until(lambda: sum(len(caller._waiting) for caller in http_server._connections) == 2)
-        assert office.begun.empty() and http_server.busy
-        office.free.set()
+        handler.gate.clear()
+        client.write(request_bytes(b"/a", b"content-length: 2", body=b"xy"))
+        assert await soon(handler.started.get()) == b"/a"
+        client.write(request_bytes(b"/b") + request_bytes(b"/c"))
+        await until(lambda: sum(len(connection._waiting) for connection in http_server._connections) == 2)
+        assert handler.started.empty() and http_server.busy
+        handler.gate.set()
         answers = [await client.read() for _ in range(3)]
         assert [answer and answer.body for answer in answers] == [b"/axy", b"/b", b"/c"]
         await until(lambda: not http_server.busy)
 
-    serve(test)
+    run_server(test)
 
 
 def test_what_an_answer_says_is_written() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         answers = [Answer(307, location="http://10.0.0.4:8080/p"), Answer(503, b"{}", retry_after_s=0.25)]
 
         async def handle(message: http.Message) -> Answer:
@@ -74,7 +74,7 @@
 
         http_server.handle = handle
         client = await Client.to(address)
-        client.write(line(b"/a") + line(b"/b", b"connection: close"))
+        client.write(request_bytes(b"/a") + request_bytes(b"/b", b"connection: close"))
         first, second = await client.read(), await client.read()
         assert first and second
         assert (first.status, first.get(b"location"), first.get(b"retry-after")) == (
@@ -89,63 +89,63 @@
         )
         assert second.get(b"connection") == "close" and await client.read() is None
 
-    serve(test)
+    run_server(test)
 
 
 def test_a_body_that_waits_for_its_go_ahead_gets_it() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         stream, writer = await asyncio.open_connection(*address)
-        writer.write(line(b"/a", b"content-length: 2", b"expect: 100-continue"))
+        writer.write(request_bytes(b"/a", b"content-length: 2", b"expect: 100-continue"))
         assert await soon(stream.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
         writer.write(b"xy")
         answer = await soon(read_message(http.Reader(httptools.HttpResponseParser, 100), stream))
         assert answer and answer.body == b"/axy"
         writer.transport.abort()
 
-    serve(test)
+    run_server(test)
 
 
 def test_calls_read_ahead_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_PIPELINED", 3)
 
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
-        office.free.clear()
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
+        handler.gate.clear()
         at_bound, over = await Client.to(address), await Client.to(address)
-        at_bound.write(line(b"/a"))
-        over.write(line(b"/b"))
-        assert {await soon(office.begun.get()), await soon(office.begun.get())} == {b"/a", b"/b"}
-        at_bound.write(line(b"/a") * 3)
-        over.write(line(b"/b") * 4)
+        at_bound.write(request_bytes(b"/a"))
+        over.write(request_bytes(b"/b"))
+        assert {await soon(handler.started.get()), await soon(handler.started.get())} == {b"/a", b"/b"}
+        at_bound.write(request_bytes(b"/a") * 3)
+        over.write(request_bytes(b"/b") * 4)
         assert await over.read() is None
-        office.free.set()
+        handler.gate.set()
         assert [answer.body for _ in range(4) if (answer := await at_bound.read())] == [b"/a"] * 4
 
-    serve(test)
+    run_server(test)
 
 
 def test_a_body_beyond_the_bound_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_BODY_BYTES", 10)
 
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         client = await Client.to(address)
         for length, status in (10, 200), (11, 413):
-            client.write(line(b"/a", b"content-length: %d" % length, body=b"x" * 10))
+            client.write(request_bytes(b"/a", b"content-length: %d" % length, body=b"x" * 10))
             answer = await client.read()
             assert answer and answer.status == status
         assert await client.read() is None
 
-    serve(test)
+    run_server(test)
 
 
 def test_what_is_no_call_is_answered_400_and_closed() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         client = await Client.to(address)
         client.write(b"nonsense\r\n\r\n")
         answer = await client.read()
         assert answer and answer.status == 400 and await client.read() is None
-        assert office.begun.empty()
+        assert handler.started.empty()
 
-    serve(test)
+    run_server(test)
 
 
 def test_at_the_bound_the_longest_idle_connection_gives_way_and_no_busy_one(
@@ -153,96 +153,96 @@
 ) -> None:
     monkeypatch.setattr(module, "MAX_CONNECTIONS", 3)
 
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         clients = [await Client.to(address) for _ in range(3)]
-        for client in reversed(clients):  # the last opened has been idle for longest
-            client.write(line(b"/x"))
+        for client in reversed(clients):  # the last one opened has been idle for longest
+            client.write(request_bytes(b"/x"))
             assert await client.read()
-            await soon(office.begun.get())
-        office.free.clear()
-        clients[0].write(line(b"/a"))
-        await soon(office.begun.get())
+            await soon(handler.started.get())
+        handler.gate.clear()
+        clients[0].write(request_bytes(b"/a"))
+        await soon(handler.started.get())
         clients.append(await Client.to(address))
         assert await clients[2].read() is None
         await until(lambda: len(http_server._connections) == 3)
         for at, path in (1, b"/b"), (3, b"/c"):
-            clients[at].write(line(path))
-            assert await soon(office.begun.get()) == path
-        late = await Client.to(address)  # all are busy: it is the one to go
+            clients[at].write(request_bytes(path))
+            assert await soon(handler.started.get()) == path
+        late = await Client.to(address)  # all others are busy, so it is closed
         assert await late.read() is None
-        office.free.set()
+        handler.gate.set()
         answers = [await clients[at].read() for at in (0, 1, 3)]
         assert [answer and answer.body for answer in answers] == [b"/a", b"/b", b"/c"]
 
-    serve(test)
+    run_server(test)
 
 
 def test_at_an_end_calls_in_hand_are_answered_and_idle_connections_close() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         idle, busy = await Client.to(address), await Client.to(address)
-        office.free.clear()
-        busy.write(line(b"/a"))
-        await soon(office.begun.get())
+        handler.gate.clear()
+        busy.write(request_bytes(b"/a"))
+        await soon(handler.started.get())
         http_server.stop()
         assert await idle.read() is None
         with pytest.raises(OSError):
             await Client.to(address)
-        office.free.set()
+        handler.gate.set()
         answer = await busy.read()
         assert answer and answer.body == b"/a" and answer.get(b"connection") == "close"
         assert await busy.read() is None
 
-    serve(test)
+    run_server(test)
 
 
 def test_a_whole_call_ahead_of_one_that_cannot_be_read_is_answered() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         client = await Client.to(address)
-        client.write(line(b"/a") + b"nonsense\r\n\r\n")
+        client.write(request_bytes(b"/a") + b"nonsense\r\n\r\n")
         answer = await client.read()
         assert answer and answer.body == b"/a"
 
-    serve(test)
+    run_server(test)
 
 
 def test_a_handler_that_raises_does_not_leave_its_caller_hanging() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         async def handle(message: http.Message) -> Answer:
             raise RuntimeError("a fault of the handler")
 
         http_server.handle = handle
         client = await Client.to(address)
-        client.write(line(b"/a"))
+        client.write(request_bytes(b"/a"))
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         async with asyncio.timeout(0.3):
             answer = await client.read()
         assert answer is None or answer.status == 500
 
-    serve(test)
+    run_server(test)
 
 
 def test_what_comes_behind_the_last_answer_does_not_reset_it() -> None:
-    async def test(http_server: HttpServer, _: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, _: GatedHandler, address: Address) -> None:
         client = await Client.to(address)
-        client.write(line(b"/a", b"connection: close"))
-        await until(lambda: any(caller._lingering for caller in http_server._connections))
+        client.write(request_bytes(b"/a", b"connection: close"))
+        await until(lambda: any(connection._lingering for connection in http_server._connections))
         client.write(b"x" * 100_000)
         answer = await client.read()
         assert answer is not None and (answer.status, answer.body) == (200, b"/a")
         assert (
             await client.read() is None and http_server.busy == 1
-        )  # until it has closed as well, or a moment
+        )  # until the client has closed as well, or LINGER_S
         move(module.LINGER_S)
         await until(lambda: not http_server.busy)
 
-    serve(test)
+    run_server(test)
 
 
 def test_at_an_end_a_call_that_is_coming_in_is_waited_for_and_answered() -> None:
-    async def test(http_server: HttpServer, _: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, _: GatedHandler, address: Address) -> None:
         client, stuck = await Client.to(address), await Client.to(address)
         for one in client, stuck:
-            one.write(line(b"/a", b"content-length: 2", body=b"x"))
+            one.write(request_bytes(b"/a", b"content-length: 2", body=b"x"))
         await until(
             lambda: len(http_server._connections) == 2
             and all(one._reader.partial for one in http_server._connections)
@@ -254,26 +254,26 @@
         client.leave()
         await until(lambda: http_server.busy == 1)
         move(module.PARTIAL_CALL_S)
-        assert http_server.busy == 0  # nor is the end held up by one that does not come
+        assert http_server.busy == 0  # a partial call that has paused does not delay the shutdown
 
-    serve(test)
+    run_server(test)
 
 
 def test_a_call_that_is_still_in_hand_at_the_exit_has_the_word_that_is_given_for_it() -> None:
-    async def test(http_server: HttpServer, office: Office, address: Address) -> None:
+    async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         client, done = await Client.to(address), await Client.to(address)
-        done.write(line(b"/b", b"connection: close"))
+        done.write(request_bytes(b"/b", b"connection: close"))
         answer = await done.read()
         assert answer is not None and answer.status == 200
-        assert await soon(office.begun.get()) == b"/b"
-        office.free.clear()
-        client.write(line(b"/a"))
-        assert await soon(office.begun.get()) == b"/a"
+        assert await soon(handler.started.get()) == b"/b"
+        handler.gate.clear()
+        client.write(request_bytes(b"/a"))
+        assert await soon(handler.started.get()) == b"/a"
         http_server.stop()
         http_server.abort_calls(Answer(503, b"{}"))
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (503, "close")
         assert await client.read() is None
-        assert await done.read() is None  # once answered, nothing more is said
+        assert await done.read() is None  # an answered connection gets no second answer
 
-    serve(test)
+    run_server(test)
--- a/tests/mesh/test_transport_link.py
+++ b/tests/mesh/test_transport_link.py
@@ -1,4 +1,4 @@
-"""A link's signs of life, and its ends."""
+"""Heartbeats, silence and loss of a link."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class End:
-    """One end, and what it was told."""
+    """One end of a link, with the events that it reported."""
 
     def __init__(self) -> None:
         self.frames: asyncio.Queue[tuple[Head, bytes]] = asyncio.Queue()
@@ -29,32 +29,32 @@
     def _up(self, link: Link) -> None:
         self.ups += 1
 
-    def _lost(self, link: Link, why: str) -> None:
-        self.lost.set_result(why)  # a second time would raise
+    def _lost(self, link: Link, reason: str) -> None:
+        self.lost.set_result(reason)  # a second call would raise
 
 
-class Raw:
-    """The other end without a Link: it reads when it is told to."""
+class RawPeer:
+    """A peer without a Link: it reads only when the test does."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Future[asyncio.StreamWriter] = asyncio.get_running_loop().create_future()
+        self.connected: asyncio.Future[asyncio.StreamWriter] = asyncio.get_running_loop().create_future()
 
     async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
-        self.came.set_result(writer)
+        self.connected.set_result(writer)
 
 
-def against(test: Callable[[End, Raw, asyncio.StreamWriter], Awaitable[None]]) -> None:
-    """A link that is up, against an end that does only what the test does."""
+def run_against_raw_peer(test: Callable[[End, RawPeer, asyncio.StreamWriter], Awaitable[None]]) -> None:
+    """Runs the test with a link that is up and a raw peer."""
 
     async def run() -> None:
-        raw, end = Raw(), End()
-        server = await asyncio.start_server(raw.take, "127.0.0.1", 0, limit=1024)
+        peer, end = RawPeer(), End()
+        server = await asyncio.start_server(peer.take, "127.0.0.1", 0, limit=1024)
         try:
             link = await soon(connect(server.sockets[0].getsockname()[:2], end.make))
             assert link is end.link and link.up
-            writer = await soon(raw.came)
-            await test(end, raw, writer)
+            writer = await soon(peer.connected)
+            await test(end, peer, writer)
             writer.transport.abort()
             end.link.close("over")
         finally:
@@ -69,7 +69,7 @@
         server = await listen(("127.0.0.1", 0), there.make)
         assert await soon(connect(server.sockets[0].getsockname()[:2], here.make)) is not None
         here.link.send({"t": "a"}, b"x" * 300_000)
-        here.link.tick(here.link.last_sent_at + 1.0)  # owes nothing: no beat
+        here.link.tick(here.link.last_sent_at + 1.0)  # owes no reply: no heartbeat
         here.link.send({"t": "b"})
         assert await soon(there.frames.get()) == ({"t": "a", "body": 300_000}, b"x" * 300_000)
         assert await soon(there.frames.get()) == ({"t": "b"}, b"")
@@ -83,8 +83,8 @@
     play(run)
 
 
-def look(link: Link, until: float) -> None:
-    """At the link as often as the programs do, up to that instant."""
+def tick_until(link: Link, until: float) -> None:
+    """Ticks at the interval of the programs until this time."""
     now = link.last_received_at
     while (now := now + TICK_S) < until:
         link.tick(now)
@@ -92,90 +92,90 @@
 
 
 def test_silence_ends_a_link_that_expects_and_no_idle_one() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         link = end.link
-        look(link, link.last_received_at + 100.0)  # expects nothing
+        tick_until(link, link.last_received_at + 100.0)  # expects no reply
         assert link.up
         link.expected_replies = 1
-        look(link, link.last_received_at + SILENCE_TIMEOUT_S - 1e-3)
+        tick_until(link, link.last_received_at + SILENCE_TIMEOUT_S - 1e-3)
         assert link.up
-        heard = link.last_received_at
+        received_at = link.last_received_at
         move(0.5 * SILENCE_TIMEOUT_S)
-        writer.write(HEARTBEAT)  # any byte is a sign of life, and no frame for its owner
-        await until(lambda: link.last_received_at > heard)
-        look(link, heard + SILENCE_TIMEOUT_S + 1e-6)
+        writer.write(HEARTBEAT)  # any byte counts; a heartbeat is not passed to the owner
+        await until(lambda: link.last_received_at > received_at)
+        tick_until(link, received_at + SILENCE_TIMEOUT_S + 1e-6)
         assert link.up and end.frames.empty()
-        look(link, link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
+        tick_until(link, link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
         assert not link.up
         assert await soon(end.lost) == "silent"
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_a_steady_link_is_ended_by_silence_too() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         end.link.mutual_heartbeat = True
-        look(end.link, end.link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
+        tick_until(end.link, end.link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
         assert await soon(end.lost) == "silent"
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_an_end_that_stood_still_itself_takes_that_for_no_silence_once() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         link = end.link
         link.expected_replies = 1
-        thaws = link.last_received_at + 5.0
-        link.tick(thaws)  # what came meanwhile is still unread
+        resumed_at = link.last_received_at + 5.0
+        link.tick(resumed_at)  # bytes received meanwhile are still unread
         assert link.up
-        look(link, thaws + SILENCE_TIMEOUT_S - 1e-3)
+        tick_until(link, resumed_at + SILENCE_TIMEOUT_S - 1e-3)
         assert link.up
-        look(link, thaws + 1.01 * SILENCE_TIMEOUT_S)
+        tick_until(link, resumed_at + 1.01 * SILENCE_TIMEOUT_S)
         assert not link.up
 
         assert await soon(end.lost) == "silent"
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_an_end_that_stands_still_again_and_again_has_no_second_excuse() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         link = end.link
         link.expected_replies = 1
-        began = link.last_received_at
+        started = link.last_received_at
         for at in range(1, 4):
-            link.tick(began + 0.45 * at)
+            link.tick(started + 0.45 * at)
         assert not link.up
         assert await soon(end.lost) == "silent"
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_who_owes_beats_and_who_does_not_is_still() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         link = end.link
         link.tick(link.last_sent_at + 100.0)
         link.owed_replies = 1
         at = link.last_sent_at
         link.tick(at + 0.9 * HEARTBEAT_INTERVAL_S)
         link.tick(at + 1.1 * HEARTBEAT_INTERVAL_S)
-        link.tick(at + 1.5 * HEARTBEAT_INTERVAL_S)  # less than a beat later
+        link.tick(at + 1.5 * HEARTBEAT_INTERVAL_S)  # less than a heartbeat interval later
         link.tick(at + 2.2 * HEARTBEAT_INTERVAL_S)
         link.owed_replies, link.mutual_heartbeat = 0, True
         link.tick(at + 3.3 * HEARTBEAT_INTERVAL_S)
         link.send({"t": "last"})
         last = frame({"t": "last"})
-        assert await soon(raw.reader.readuntil(last)) == 3 * HEARTBEAT + last
+        assert await soon(peer.reader.readuntil(last)) == 3 * HEARTBEAT + last
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_a_peer_that_does_not_read_is_ended_at_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 200_000)
 
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         link, part, most = end.link, b"x" * 50_000, 0
-        for _ in range(1000):  # the kernel takes some megabytes first
+        for _ in range(1000):  # the kernel accepts some megabytes first
             if not link.send({"t": "x"}, part):
                 break
             most = max(most, link.unsent)
@@ -183,11 +183,11 @@
         assert 200_000 < most < 200_000 + 2 * len(part)
         assert await soon(end.lost) == "the other end does not read"
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_bytes_that_are_no_frame_end_the_link_and_nothing_of_it_is_told() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         writer.write(frame({"t": "good"}))
         assert (await soon(end.frames.get()))[0] == {"t": "good"}
         writer.write(b"what?")
@@ -195,11 +195,11 @@
         assert (await soon(end.lost)).startswith("bad frame: ")
         assert end.frames.empty()
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_frames_behind_one_that_made_its_owner_close_are_not_told() -> None:
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         seen: list[Head] = []
 
         def take(link: Link, head: Head, body: bytes) -> None:
@@ -211,7 +211,7 @@
         assert await soon(end.lost) == "enough"
         assert seen == [{"n": 1}]
 
-    against(test)
+    run_against_raw_peer(test)
 
 
 def test_nobody_there_is_no_link() -> None:
@@ -230,22 +230,22 @@
 ) -> None:
     monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 200_000)
 
-    async def test(end: End, raw: Raw, writer: asyncio.StreamWriter) -> None:
+    async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         link, long = end.link, b"x" * 8_000_000
         link.expected_replies = 1
         assert link.send({"t": "x"}, long) and link.send({"t": "x"}, long)
         assert link.unsent > 200_000 and link.send({"t": "y"})
-        for _ in range(4):  # it takes long, and nothing comes back meanwhile
+        for _ in range(4):  # the transfer takes long, and the peer sends nothing meanwhile
             link.tick(end.link._loop.time())
             before = link.unsent
             for _ in range(40):
-                await raw.reader.read(65536)
+                await peer.reader.read(65536)
             await until(lambda before=before: link.unsent < before)  # type: ignore[misc]
             move(0.8 * SILENCE_TIMEOUT_S)
         assert link.up
         move(1.1 * SILENCE_TIMEOUT_S)
-        link.tick(end.link._loop.time())  # it has read in between
+        link.tick(end.link._loop.time())  # the peer has read in between
         link.tick(end.link._loop.time() + 1.1 * SILENCE_TIMEOUT_S)
         assert await soon(end.lost) == "silent"
 
-    against(test)
+    run_against_raw_peer(test)
