--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -146,7 +146,7 @@
         activation = self.activation.apply_command(now, key, command)
         if activation is not None:
             self._event_log.emit(
-                events.ROLLOUT_ORDERED, command=command.value, route=name, version=activation.version
+                events.ROLLOUT_ORDERED, order=command.value, route=name, version=activation.version
             )
             if activation.state is State.IN_FORCE:
                 self._put_in_force(now, activation)
