--- a/benchmarks/mesh_request.py
+++ b/benchmarks/mesh_request.py
@@ -36,7 +36,7 @@
 
 from mesh.data_plane.program import Proxy
 from mesh.event_log.log import EventLog
-from mesh.runtime.settings import Settings, read
+from mesh.runtime.settings import Settings, parse_settings
 from rigs.fleet import TICKS, HttpMessages, Load, head_value
 from rigs.mesh_demo import CORE, SIDE, Mesh
 from rigs.mesh_peers import Address, Operator, Upstream, change, polled, route
@@ -250,7 +250,7 @@
 async def _within(mesh: Mesh, upstreams: list[Upstream]) -> AsyncIterator[Within]:
     settings = []
     for at, upstream in enumerate(upstreams):
-        found = read(mesh.write_proxy(at, upstream).read_text())
+        found = parse_settings(mesh.write_proxy(at, upstream).read_text())
         assert isinstance(found, Settings), found
         settings.append(found)
     there = Within(settings)
--- a/mesh/cli/options.py
+++ b/mesh/cli/options.py
@@ -13,7 +13,7 @@
 from mesh.cli.client import Unreachable
 from mesh.cli.text import line
 from mesh.membership.instance_commands import read_address
-from mesh.runtime.settings import Wrong, read
+from mesh.runtime.settings import InvalidSettings, parse_settings
 from mesh.transport.link import Address
 
 FINE, FINDINGS, USAGE, NOBODY, REFUSED = 0, 1, 2, 3, 4
@@ -65,10 +65,10 @@
     if settings is None:
         fail(USAGE, "--at: missing; give HOST:PORT of any process, or --settings FILE", as_json)
     try:
-        told = read(settings.read_text(encoding="utf-8"))
+        told = parse_settings(settings.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as fault:
         fail(USAGE, f"--settings: {settings} cannot be read ({fault}); give a settings file", as_json)
-    if isinstance(told, Wrong):
+    if isinstance(told, InvalidSettings):
         fail(USAGE, f"--settings: {settings}: {told.findings[0]}", as_json)
     port = told.port_range[0]
     return list(dict.fromkeys([*((host, port) for host, _ in told.seeds), (told.ip, port)]))
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -11,7 +11,7 @@
 
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.replication.store import Store
-from mesh.runtime.introspection_calls import Handler, Refusal, Told
+from mesh.runtime.introspection_calls import Handler, JsonObject, Refusal
 from mesh.storage.layout import StorageError, held
 from mesh.storage.lmdb_store import NAME, Keeper, Refused
 from mesh.transport.frames import Head
@@ -45,7 +45,7 @@
         """The handlers of these questions, by name."""
         return {"verify": self.verify, "backup": self.backup}
 
-    async def verify(self, head: Head) -> Told:
+    async def verify(self, head: Head) -> JsonObject:
         """Reads and checks every row, and returns the digests of the disk and of the store in memory.
         ``moving``: they cannot be compared, since items changed during the check."""
         await self._disk_writer.flush()
@@ -62,7 +62,7 @@
             "whole": self._disk_writer.complete,
         }
 
-    async def backup(self, head: Head) -> Told | Refusal:
+    async def backup(self, head: Head) -> JsonObject | Refusal:
         """Copies the store to a folder under the state folder that holds no store yet."""
         to = target_path(self._state_dir, str(head["to"]))
         if isinstance(to, Refusal):
@@ -102,7 +102,7 @@
     return path
 
 
-def _copy(keeper: Keeper, to: Path, base: Path, most: int) -> Told | Refusal:
+def _copy(keeper: Keeper, to: Path, base: Path, most: int) -> JsonObject | Refusal:
     try:
         used = sum(
             os.lstat(os.path.join(folder, name)).st_size
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -18,7 +18,7 @@
 from mesh.data_plane.membership import CONTROLLER, Membership
 from mesh.replication.membership_epochs import VIEW
 from mesh.replication.store import Store
-from mesh.runtime.introspection_calls import Handler, Refusal, Told, common, items
+from mesh.runtime.introspection_calls import Handler, JsonObject, Refusal, common_status, item_page
 from mesh.runtime.settings import Settings
 
 MAX_SHOWN = 20  # rollouts, or canaries, in one answer
@@ -49,7 +49,7 @@
     stores = {"charter": sources.charter, "roll": sources.roll}
     return {
         "status": lambda head: status(sources, clock()),
-        "items": lambda head: items(stores, head),
+        "items": lambda head: item_page(stores, head),
         "members": lambda head: sources.member_changes.show(),
         "members remove": sources.member_changes.remove,
         "ownership": lambda head: sources.key_assignment.status(),
@@ -58,7 +58,7 @@
     }
 
 
-def votes(sources: IntrospectionSources) -> Told:
+def votes(sources: IntrospectionSources) -> JsonObject:
     """``open``: the number of undecided votes known here; ``rivalled``: slots for which this process
     recently refused an order because another order has them, newest first."""
     now, proposer_host = sources.steady(), sources.proposer_host
@@ -69,7 +69,7 @@
     return {"open": len(proposer_host.acceptor_host.acceptor.votes), "rivalled": conflicts}
 
 
-def rollouts(sources: IntrospectionSources) -> Told:
+def rollouts(sources: IntrospectionSources) -> JsonObject:
     """The latest rollouts, newest first: the number of items, the number of sidecars that have not confirmed
     all of them, some of their names, and the verdict on the canaries; and the votes."""
     now, known = sources.steady(), sources.rollouts
@@ -97,7 +97,7 @@
     }
 
 
-def rollout(sources: IntrospectionSources, kind: str, name: str) -> Told | Refusal:
+def rollout(sources: IntrospectionSources, kind: str, name: str) -> JsonObject | Refusal:
     """The rollout of one item: which sidecars have not confirmed it. ``word``: calls and failures of the
     canaries with the new version, and with the old one."""
     item = sources.charter.items.get((kind, name))
@@ -121,7 +121,7 @@
     }
 
 
-def status(sources: IntrospectionSources, clock: float) -> Told:
+def status(sources: IntrospectionSources, clock: float) -> JsonObject:
     """The state of this process. ``members``: by address, with zone and region; ``refused``: why the disk
     refused the last batch, else ""; ``contact``: the proof, for how long it has held, and who has answered
     recently; ``control``: the address for operator calls; ``duties``: holder and epoch of each, as known
@@ -130,7 +130,7 @@
     settings, disk_writer = sources.settings, sources.disk_writer
     tolerance, view = settings.tolerance, sources.member_set.view()
     return {
-        **common(settings, sources.charter, sources.roll, clock),
+        **common_status(settings, sources.charter, sources.roll, clock),
         "role": CONTROLLER,
         "ending": sources.stopping.is_set(),
         "control": sources.control,
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -33,7 +33,7 @@
     responding_complete,
 )
 from mesh.replication.store import Store
-from mesh.runtime.introspection_calls import Refusal, Told
+from mesh.runtime.introspection_calls import JsonObject, Refusal
 from mesh.transport.frames import Head
 
 CLAIM_DELAY_SHARE = 1 / 8  # of contact_ms, for which a process ranks first before it claims the duty
@@ -179,7 +179,7 @@
             self._loss_margin = view, there, loss_margin(view, there, self._member_set.tolerance)
         return self._loss_margin[2]
 
-    def losses(self) -> Told:
+    def losses(self) -> JsonObject:
         """The loss margin, for operators and the log."""
         found = self.loss_margin()
         return {"machines": found.machines, "zones": found.zones, "regions": found.regions}
@@ -200,7 +200,7 @@
 
     # Operators
 
-    def show(self) -> Told:
+    def show(self) -> JsonObject:
         """For operators. ``members``: all members, and machines that want to join, by address."""
         now, view = self._loop.time(), self._member_set.view()
         known = self.joining.known_members(self.member_silence.absences(now))
@@ -246,7 +246,7 @@
         reason = self.member_silence.describe_wait(now, view, address)
         return reason or ("" if not view.joint else "the change under way comes first")
 
-    def status(self) -> Told:
+    def status(self) -> JsonObject:
         """For operators: holder and epoch of the duty, and whether this process performs it."""
         newest = self.lease.latest
         return {
@@ -261,7 +261,7 @@
                 nodes[host[0]] = name
         return nodes
 
-    async def remove(self, head: Head) -> Told | Refusal:
+    async def remove(self, head: Head) -> JsonObject | Refusal:
         """Removes a machine that an operator reports as gone for good, without waiting for its silence. The
         change must be as safe as any other."""
         name, view = str(head["node"]), self._member_set.view()
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -39,7 +39,7 @@
 from mesh.replication.store import Store
 from mesh.rollout.report import REPORT, REPORTS
 from mesh.runtime.grace import exit_after_s
-from mesh.runtime.introspection_calls import Asker, Questions
+from mesh.runtime.introspection_calls import OperatorLink, OperatorLinks
 from mesh.runtime.settings import Settings
 from mesh.transport.frames import Head
 from mesh.transport.http_calls import HttpServer
@@ -224,7 +224,7 @@
             self.loop.time,
         )
         answers = {**question_handlers(self.introspection, time.time), **safekeeping.handlers()}
-        self.questions = Questions({**answers, **restoring.handlers()})
+        self.operator_links = OperatorLinks({**answers, **restoring.handlers()})
         self._server: asyncio.Server | None = None
         self._last_linked_at = self.loop.time()  # when a peer link was last open
 
@@ -453,21 +453,21 @@
     def _handle_frame(self, link: Link, head: Head, body: bytes) -> None:
         if isinstance(link.peer, Channel):
             self.channels.handle_frame(link.peer, head, body)
-        elif isinstance(link.peer, Asker):
-            link.peer.frame(head)
+        elif isinstance(link.peer, OperatorLink):
+            link.peer.handle_frame(head)
         elif head.get("t") == "hello" and head.get("for") == "operate":
-            self.questions.adopt(link)
+            self.operator_links.adopt(link)
         elif head.get("t") == "hello" and head.get("for") == "news" and "source" in head and "node" in head:
             self.channels.adopt(link, head)
         else:
             link.close("no hello")
 
     def _link_lost(self, link: Link, reason: str) -> None:
-        self.questions.lost(link)
+        self.operator_links.handle_lost(link)
         if isinstance(link.peer, Channel):
             self.channels.handle_lost(link.peer, reason)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Applies a changed settings file: seeds, and the bounds of rollouts and contact."""
         self.settings = self.joining.settings = self.introspection.settings = settings
         self.rollouts.update_bounds(settings.bounds.settle_ms, settings.bounds.ack_ms)
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -20,7 +20,7 @@
 from mesh.replication.restore import restored_view
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
-from mesh.runtime.introspection_calls import Handler, Refusal, Told
+from mesh.runtime.introspection_calls import Handler, JsonObject, Refusal
 from mesh.storage.layout import Held, StorageError, held
 from mesh.storage.lmdb_store import Failed, look, room
 from mesh.transport.frames import Head
@@ -59,7 +59,7 @@
         """The handler of this question, by name."""
         return {"restore": self.restore}
 
-    async def restore(self, head: Head) -> Told | Refusal:
+    async def restore(self, head: Head) -> JsonObject | Refusal:
         """Restores from ``head``; raises KeyError, TypeError or ValueError if it is malformed."""
         lost = [str(one) for one in head["lost"]][:MAX_LOST]
         if self._busy:
@@ -77,7 +77,7 @@
         finally:
             self._busy = False
 
-    async def _import_copy(self, copy: str) -> Told | Refusal:
+    async def _import_copy(self, copy: str) -> JsonObject | Refusal:
         """Imports a copy into a mesh that started again empty, by ordinary orders."""
         kept = self._read_copy(copy)
         if isinstance(kept, Refusal):
@@ -91,7 +91,7 @@
                 return Refusal(f"{at} of {len(writes)} items are in force; restore again")
         return self._summary(self._member_set.view())
 
-    async def _restore(self, copy: str, lost: list[str]) -> Told | Refusal:
+    async def _restore(self, copy: str, lost: list[str]) -> JsonObject | Refusal:
         kept = self._read_copy(copy) if copy else Held()
         if isinstance(kept, Refusal):
             return kept
@@ -119,7 +119,7 @@
         )
         return summary
 
-    def _summary(self, view: View) -> Told:
+    def _summary(self, view: View) -> JsonObject:
         items = [item for item in self._charter.items.values() if item.value is not None]
         count = sum(item.kind != VIEW for item in items)
         return {"epoch": view.epoch, "members": sorted(view.members), "items": count}
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -15,7 +15,7 @@
 from mesh.data_plane.service_balancers import ServiceBalancer
 from mesh.data_plane.traces import FirstHopEntry, SecondHopEntry
 from mesh.rollout.staged_activation import RolloutCommand
-from mesh.runtime.introspection_calls import Handler, Refusal, Told, common, items
+from mesh.runtime.introspection_calls import Handler, JsonObject, Refusal, common_status, item_page
 
 if TYPE_CHECKING:
     from mesh.data_plane.program import Proxy
@@ -28,7 +28,7 @@
     stores = {"charter": proxy.charter, "roll": proxy.roll}
     return {
         "status": lambda head: status(proxy, clock()),
-        "items": lambda head: items(stores, head),
+        "items": lambda head: item_page(stores, head),
         "route": lambda head: route(proxy, str(head["host"]), str(head["path"])),
         "upstreams": lambda head: upstreams(proxy, str(head["service"])),
         "trace": lambda head: trace(proxy, str(head["attempt"])),
@@ -38,7 +38,7 @@
     }
 
 
-def status(proxy: Proxy, clock: float) -> Told:
+def status(proxy: Proxy, clock: float) -> JsonObject:
     """The state of the sidecar. Times in milliseconds. ``whole_ms``: since a process with all acknowledged
     items was last heard from, null if never. ``control``: see `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
@@ -46,7 +46,7 @@
     proxy.channels.complete_within(0.0)  # updates last_complete_at
     whole_at = proxy.channels.last_complete_at
     return {
-        **common(settings, proxy.charter, proxy.roll, clock),
+        **common_status(settings, proxy.charter, proxy.roll, clock),
         "role": PROXY,
         "ready": proxy.configured() and not proxy.ending,
         "ending": proxy.ending,
@@ -69,7 +69,7 @@
     }
 
 
-def _upstream(proxy: Proxy) -> Told | None:
+def _upstream(proxy: Proxy) -> JsonObject | None:
     """The upstream beside it; None before its first heartbeat."""
     upstream, beat = proxy.upstream, proxy.upstream.heartbeat
     if beat is None:
@@ -89,7 +89,7 @@
 # Upstreams, as this sidecar picks among them
 
 
-def upstreams(proxy: Proxy, service: str) -> Told | Refusal:
+def upstreams(proxy: Proxy, service: str) -> JsonObject | Refusal:
     """All known upstreams of a service, and how the balancer here rates each."""
     balancer = proxy.balancers.by_service.get(service)
     known = dict(proxy.membership.instances_of(service)[:MAX_SHOWN])
@@ -98,13 +98,15 @@
     return {"service": service, "used": balancer is not None, "upstreams": _standings(proxy, balancer, known)}
 
 
-def _standings(proxy: Proxy, service_balancer: ServiceBalancer | None, known: dict[str, Any]) -> list[Told]:
+def _standings(
+    proxy: Proxy, service_balancer: ServiceBalancer | None, known: dict[str, Any]
+) -> list[JsonObject]:
     balancer = service_balancer.balancer if service_balancer is not None else None
     servers = balancer.servers if isinstance(balancer, Balancer) else {}
     entries = []
     for instance in sorted({*known, *list(servers)[:MAX_SHOWN]}):
         value, server = known.get(instance) or {}, servers.get(instance)
-        entry: Told = {
+        entry: JsonObject = {
             "instance": instance,
             "node": value.get("node", ""),
             "zone": value.get("zone", ""),
@@ -121,7 +123,7 @@
     return entries
 
 
-def _standing(proxy: Proxy, balancer: Balancer, server: Server) -> Told:
+def _standing(proxy: Proxy, balancer: Balancer, server: Server) -> JsonObject:
     return {
         "w": None if server.w is None else round(server.w, 3),
         "deficit": round(server.deficit, 3),
@@ -153,7 +155,7 @@
     return f"{cause}: next trial " + (f"in {wait:.0f} ms" if 0.0 < wait < math.inf else "is due")
 
 
-def route(proxy: Proxy, host: str, path: str) -> Told:
+def route(proxy: Proxy, host: str, path: str) -> JsonObject:
     """Where a request would go. ``route`` is null if the response would be 404."""
     found = proxy.routes.find(host, path.partition("?")[0])
     if found is None:
@@ -166,7 +168,7 @@
     return {"route": _route(found), "configured": proxy.configured(), "services": services}
 
 
-def _route(route: Route) -> Told:
+def _route(route: Route) -> JsonObject:
     return {
         "name": route.name,
         "version": route.version,
@@ -183,7 +185,7 @@
 # Latest calls
 
 
-def trace(proxy: Proxy, attempt: str) -> Told:
+def trace(proxy: Proxy, attempt: str) -> JsonObject:
     """The entries of calls with that id at either hop. ``ago_ms``: time since each began."""
     now = proxy.balancers.now()
     first, second = proxy.balancers.traces, proxy.upstream_dispatch.traces
@@ -202,7 +204,7 @@
     return {"node": proxy.settings.node, "entries": entries}
 
 
-def _first(now: float, entry: FirstHopEntry) -> Told:
+def _first(now: float, entry: FirstHopEntry) -> JsonObject:
     attempt, received_ms, ended_ms, name, version, aim, service, tries, count, result = entry
     if isinstance(result, int):
         end = f"{result}, the upstream's own answer"
@@ -228,7 +230,7 @@
     }
 
 
-def _second(now: float, entry: SecondHopEntry) -> Told:
+def _second(now: float, entry: SecondHopEntry) -> JsonObject:
     attempt, received_ms, started_ms, ended_ms, instance, caller, end = entry
     return {
         "hop": 2,
@@ -245,7 +247,7 @@
 # Rollouts
 
 
-def rollout(proxy: Proxy, name: str) -> Told:
+def rollout(proxy: Proxy, name: str) -> JsonObject:
     """How the latest versions of a route came into force here, the oldest first. ``after_ms``: from receipt
     until in force or superseded, null while held. ``word``: the results of its first calls, if this sidecar
     is a canary."""
@@ -255,7 +257,7 @@
     for activation in stages.activation.history:
         if activation.key != (ROUTE, name):
             continue
-        entry: Told = {
+        entry: JsonObject = {
             "version": activation.version,
             "kind": activation.kind.value,
             "first": activation.canary,
@@ -279,7 +281,7 @@
     }
 
 
-def order(proxy: Proxy, name: str, command: str, at_next: bool) -> Told:
+def order(proxy: Proxy, name: str, command: str, at_next: bool) -> JsonObject:
     """Applies an operator's hold or go. ``obeyed``: the version held here, null if there was none."""
     activation = proxy.staged_routes.apply_command(name, RolloutCommand(command), at_next)
     standing = proxy.routes.get(name)
@@ -290,7 +292,7 @@
     }
 
 
-def answers(proxy: Proxy) -> Told:
+def answers(proxy: Proxy) -> JsonObject:
     """How long upstream responses below 500 took lately, in milliseconds from the request's arrival, by route
     and by service: their number, the least and the median."""
     rings = proxy.balancers.traces
@@ -303,7 +305,7 @@
     }
 
 
-def _times(pairs: Iterable[tuple[str, float]]) -> Told:
+def _times(pairs: Iterable[tuple[str, float]]) -> JsonObject:
     from statistics import median  # 0.3 MB that only a queried process needs
 
     found: dict[str, list[float]] = {}
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -44,7 +44,7 @@
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
 from mesh.rollout.report import REPORTS
-from mesh.runtime.introspection_calls import Asker, Questions
+from mesh.runtime.introspection_calls import OperatorLink, OperatorLinks
 from mesh.runtime.settings import Bounds, Settings
 from mesh.transport.body_pieces import WINDOW_BYTES
 from mesh.transport.http_calls import Answer, HttpServer
@@ -169,7 +169,7 @@
             "charter",
         )  # an old copy here must not restore dropped items
         self.control_contact = ControlContact(bounds.contact_ms, self.channels, event_log)
-        self.questions = Questions(operator_handlers(self, time.time))
+        self.operator_links = OperatorLinks(operator_handlers(self, time.time))
         self.ending = False
         self.incoming_links: set[Link] = set()  # with calls from other sidecars
         self._server: asyncio.Server | None = None
@@ -400,7 +400,7 @@
                 self._reported_controllers.setdefault(address[0], address)
         self._update_channels()
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Applies a changed settings file."""
         self.settings = settings
         self.balancers.set_retry_budget(retry_budget_of(settings.bounds))
@@ -420,10 +420,10 @@
                 link.close(f"unreadable {type(head).__name__}: {error!r}")
         elif isinstance(link.peer, Channel):
             self.channels.handle_frame(link.peer, head, body)
-        elif isinstance(link.peer, Asker):
-            link.peer.frame(head)
+        elif isinstance(link.peer, OperatorLink):
+            link.peer.handle_frame(head)
         elif head.get("t") == "hello" and head.get("for") == "operate":
-            self.questions.adopt(link)
+            self.operator_links.adopt(link)
         elif head.get("t") == "hello" and head.get("for") == "calls":
             incarnation = head.get("life")  # missing from a release without status queries
             session = self.sessions.open(str(incarnation)) if incarnation else None
@@ -441,7 +441,7 @@
 
     def _on_link_lost(self, link: Link, why: str) -> None:
         self.incoming_links.discard(link)
-        self.questions.lost(link)
+        self.operator_links.handle_lost(link)
         if isinstance(link.peer, Channel):
             self.channels.handle_lost(link.peer, why)
         elif isinstance(link.peer, IncomingCalls):
--- a/mesh/runtime/absent_modules.py
+++ b/mesh/runtime/absent_modules.py
@@ -15,7 +15,7 @@
 BLOCKED = ("_hashlib", "typing_extensions")
 
 
-def keep_out() -> None:
+def block_imports() -> None:
     """Leaves alone what is imported already: tests and tools share a process with other users of it."""
     for name in BLOCKED:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
--- a/mesh/runtime/deploy_file.py
+++ b/mesh/runtime/deploy_file.py
@@ -6,14 +6,14 @@
 from collections.abc import Mapping
 from typing import Any
 
-CLASSES = ("auxiliary", "core")
-SERVED = ("auxiliary", "supervisor")
-MOST_ROLES = 2
+MACHINE_CLASSES = ("auxiliary", "core")
+SERVICES = ("auxiliary", "supervisor")
+MAX_ROLES_PER_CLASS = 2
 """Roles on one class of machines."""
-_HELPERS = ("env", "npx")
-_SHELL = frozenset("|&;<>$`\"'\\*?(){}~#")
-_PACKAGE = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # Debian policy 5.6.1
-_FIELDS = frozenset({"run", "on", "count", "share", "apart", "serves"})
+_WRAPPERS = ("env", "npx")
+_SHELL_CHARACTERS = frozenset("|&;<>$`\"'\\*?(){}~#")
+_PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # Debian policy 5.6.1
+_ROLE_FIELDS = frozenset({"run", "on", "count", "share", "apart", "serves"})
 
 
 def check_deploy(text: str) -> tuple[str, ...]:
@@ -52,7 +52,7 @@
         return ["packages: no list; write the names of the system packages that a clean build needs"]
     findings = []
     for name in packages:
-        if not isinstance(name, str) or not _PACKAGE.fullmatch(name):
+        if not isinstance(name, str) or not _PACKAGE_NAME.fullmatch(name):
             findings.append(
                 f"packages: {name!r} is no name of a package; write it as the package manager does"
             )
@@ -62,32 +62,32 @@
 
 
 def _check_role(role: Mapping[str, Any]) -> list[str]:
-    findings = [f"{name!r}: no field of a role; remove it" for name in role if name not in _FIELDS]
+    findings = [f"{name!r}: no field of a role; remove it" for name in role if name not in _ROLE_FIELDS]
     run = role.get("run")
     if not isinstance(run, str) or not run.split():
         findings.append("run: missing or no text; write the program and its arguments")
     else:
-        if run.split()[0].rpartition("/")[2] in _HELPERS:
+        if run.split()[0].rpartition("/")[2] in _WRAPPERS:
             findings.append(f"run: begins with {run.split()[0]}; name the program itself")
-        if _SHELL & set(run):
-            signs = " ".join(sorted(_SHELL & set(run)))
+        if _SHELL_CHARACTERS & set(run):
+            signs = " ".join(sorted(_SHELL_CHARACTERS & set(run)))
             findings.append(
                 f"run: has {signs} and no shell reads it; write the program and its arguments plainly"
             )
     on = role.get("on")
-    if on not in CLASSES:
-        findings.append(f"on: no class of machines; write one of {', '.join(CLASSES)}")
+    if on not in MACHINE_CLASSES:
+        findings.append(f"on: no class of machines; write one of {', '.join(MACHINE_CLASSES)}")
     serves = role.get("serves", [])
-    if not isinstance(serves, list) or any(served not in SERVED for served in serves):
-        findings.append(f"serves: not a list of {' and '.join(SERVED)}; name these alone")
+    if not isinstance(serves, list) or any(served not in SERVICES for served in serves):
+        findings.append(f"serves: not a list of {' and '.join(SERVICES)}; name these alone")
     elif len(set(serves)) < len(serves):
         findings.append("serves: names one twice; name each once")
     if not isinstance(role.get("apart", False), bool):
         findings.append("apart: neither true nor false; write one of them")
-    return findings + _check_amount(role)
+    return findings + _check_instance_count(role)
 
 
-def _check_amount(role: Mapping[str, Any]) -> list[str]:
+def _check_instance_count(role: Mapping[str, Any]) -> list[str]:
     findings = []
     count, share = role.get("count"), role.get("share")
     if count is not None and share is not None:
@@ -107,17 +107,17 @@
 def _check_classes(roles: Mapping[str, Mapping[str, Any]]) -> list[str]:
     """What holds among the roles of one class."""
     findings = []
-    for machines in CLASSES:
+    for machines in MACHINE_CLASSES:
         here = {name: role for name, role in roles.items() if role.get("on") == machines}
-        if len(here) > MOST_ROLES:
-            findings.append(f"roles: {len(here)} on {machines}; keep at most {MOST_ROLES} there")
-        for served in SERVED:
-            serving = [name for name, role in here.items() if served in _listed(role.get("serves"))]
+        if len(here) > MAX_ROLES_PER_CLASS:
+            findings.append(f"roles: {len(here)} on {machines}; keep at most {MAX_ROLES_PER_CLASS} there")
+        for served in SERVICES:
+            serving = [name for name, role in here.items() if served in _as_list(role.get("serves"))]
             if len(serving) > 1:
                 names = ", ".join(map(repr, serving))
                 findings.append(f"roles: {names} on {machines} all serve {served}; let one of them")
     return findings
 
 
-def _listed(value: object) -> list[object]:
+def _as_list(value: object) -> list[object]:
     return value if isinstance(value, list) else []
--- a/mesh/runtime/import_policy.py
+++ b/mesh/runtime/import_policy.py
@@ -9,7 +9,7 @@
     return frozenset(text.split())
 
 
-OURS = _names("anisestair hareloom mesh")
+OWN_PACKAGES = _names("anisestair hareloom mesh")
 LIBRARIES = _names("httptools lmdb msgspec uvloop")
 
 INTERPRETER = _names(
@@ -18,7 +18,7 @@
 )
 """What starts it, and what everything else stands on."""
 
-LOOP = _names(
+EVENT_LOOP = _names(
     """array ast asyncio atexit collections concurrent contextlib contextvars dis errno fcntl gc heapq inspect
     linecache locale logging math opcode queue select selectors signal socket string struct subprocess
     textwrap threading time token tokenize traceback weakref"""
@@ -34,11 +34,11 @@
 STORE = _names("fnmatch ipaddress ntpath pathlib urllib")
 """The control plane's store: paths of its files."""
 
-MISSING = _names("java msvcrt nt org typing_extensions winreg")
+ABSENT = _names("java msvcrt nt org typing_extensions winreg")
 """Looked for by others and not found: another system's, or kept out."""
 
-STANDARD = {
-    "data_plane": INTERPRETER | LOOP | MESSAGES | SERVING | MISSING,
-    "control_plane": INTERPRETER | LOOP | MESSAGES | SERVING | MISSING | STORE,
+STANDARD_LIBRARY = {
+    "data_plane": INTERPRETER | EVENT_LOOP | MESSAGES | SERVING | ABSENT,
+    "control_plane": INTERPRETER | EVENT_LOOP | MESSAGES | SERVING | ABSENT | STORE,
 }
 """By program. Names that begin with an underscore belong to those that load them."""
--- a/mesh/runtime/introspection_calls.py
+++ b/mesh/runtime/introspection_calls.py
@@ -20,10 +20,13 @@
 from mesh.transport.frames import Head
 from mesh.transport.link import Link
 
-MOST_ASKERS = 16  # links; the oldest makes room for one more
-MOST_IN_HAND = 4  # questions of one link that wait for their answer
-PAGE, PAGE_BYTES = 500, 1 << 20  # items of one answer, and the bytes after which no further item is added
-Told = dict[str, Any]
+MAX_OPERATOR_LINKS = 16  # links; the oldest makes room for one more
+MAX_PENDING_QUESTIONS = 4  # questions of one link that wait for their answer
+PAGE_ITEMS, PAGE_BYTES = (
+    500,
+    1 << 20,
+)  # items of one answer, and the bytes after which no further item is added
+JsonObject = dict[str, Any]
 
 
 class Refusal(Struct, frozen=True):
@@ -32,17 +35,17 @@
     reason: str
 
 
-Handler = Callable[[Head], "Told | Refusal | Awaitable[Told | Refusal]"]
+Handler = Callable[[Head], "JsonObject | Refusal | Awaitable[JsonObject | Refusal]"]
 
 
-class Asker:
+class OperatorLink:
     """One operator's link."""
 
     def __init__(self, link: Link, handlers: Mapping[str, Handler]) -> None:
         self.link, self._handlers = link, handlers
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def frame(self, head: Head) -> None:
+    def handle_frame(self, head: Head) -> None:
         """Raises nothing: what is no question ends the link."""
         number, name = head.get("n"), head.get("q")
         if head.get("t") != "ask" or not isinstance(number, int) or not isinstance(name, str):
@@ -51,33 +54,35 @@
         handler = self._handlers.get(name)
         if handler is None:
             known = ", ".join(sorted(self._handlers))
-            self._tell(number, Refusal(f"unknown question {name[:40]!r}; this process knows {known}"))
-        elif len(self._tasks) >= MOST_IN_HAND:
-            self._tell(number, Refusal(f"{MOST_IN_HAND} questions of this link wait already; ask again"))
+            self._reply(number, Refusal(f"unknown question {name[:40]!r}; this process knows {known}"))
+        elif len(self._tasks) >= MAX_PENDING_QUESTIONS:
+            self._reply(
+                number, Refusal(f"{MAX_PENDING_QUESTIONS} questions of this link wait already; ask again")
+            )
         else:
             try:
                 told = handler(head)
             except (KeyError, TypeError, ValueError, AttributeError) as fault:
                 told = Refusal(f"unreadable question {name}: {fault!r}")
             if isinstance(told, dict | Refusal):
-                self._tell(number, told)
+                self._reply(number, told)
             else:
-                task = asyncio.get_running_loop().create_task(self._wait(number, told))
+                task = asyncio.get_running_loop().create_task(self._reply_later(number, told))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _wait(self, number: int, told: Awaitable[Told | Refusal]) -> None:
+    async def _reply_later(self, number: int, told: Awaitable[JsonObject | Refusal]) -> None:
         try:
-            self._tell(number, await told)
+            self._reply(number, await told)
         except (KeyError, TypeError, ValueError) as fault:
-            self._tell(number, Refusal(f"unreadable question: {fault!r}"))
+            self._reply(number, Refusal(f"unreadable question: {fault!r}"))
 
-    def _tell(self, number: int, told: Told | Refusal) -> None:
-        answer: Told = {"e": told.reason} if isinstance(told, Refusal) else {"a": told}
+    def _reply(self, number: int, told: JsonObject | Refusal) -> None:
+        answer: JsonObject = {"e": told.reason} if isinstance(told, Refusal) else {"a": told}
         self.link.send({"t": "told", "n": number, **answer})
 
 
-class Questions:
+class OperatorLinks:
     """All operators' links of one process. ``handlers``: by the name of the question."""
 
     def __init__(self, handlers: Mapping[str, Handler]) -> None:
@@ -86,18 +91,18 @@
 
     def adopt(self, link: Link) -> None:
         """A link whose other end has said that it asks for an operator."""
-        link.peer = Asker(link, self._handlers)
+        link.peer = OperatorLink(link, self._handlers)
         self._links[link] = None
-        if len(self._links) > MOST_ASKERS:
+        if len(self._links) > MAX_OPERATOR_LINKS:
             oldest = next(iter(self._links))
             del self._links[oldest]
-            oldest.close(f"{MOST_ASKERS} operators ask already")
+            oldest.close(f"{MAX_OPERATOR_LINKS} operators ask already")
 
-    def lost(self, link: Link) -> None:
+    def handle_lost(self, link: Link) -> None:
         self._links.pop(link, None)
 
 
-def common(settings: Settings, charter: Store, roll: Store, clock: float) -> Told:
+def common_status(settings: Settings, charter: Store, roll: Store, clock: float) -> JsonObject:
     """What either program says of itself. ``clock``: seconds since 1970 by this machine."""
     return {
         "node": settings.node,
@@ -115,7 +120,7 @@
     }
 
 
-def items(stores: Mapping[str, Store], head: Head) -> Told | Refusal:
+def item_page(stores: Mapping[str, Store], head: Head) -> JsonObject | Refusal:
     """A page of a store's items in the order of their keys, those after ``after``, dropped ones too. Pages
     are no snapshot. Raises KeyError, TypeError, ValueError for what is no such question."""
     store = stores.get(head["store"])
@@ -123,10 +128,10 @@
         return Refusal(f"store: unknown; ask for one of {', '.join(stores)}")
     kind, name = head.get("after") or ("", "")
     after: Key = (str(kind), str(name))
-    keys = nsmallest(PAGE + 1, (key for key in store.items if key > after))
+    keys = nsmallest(PAGE_ITEMS + 1, (key for key in store.items if key > after))
     page: list[list[Any]] = []
     size = 0
-    for key in keys[:PAGE]:
+    for key in keys[:PAGE_ITEMS]:
         item = store.items[key]
         page.append([item.kind, item.name, item.version, item.value])
         size += len(msgspec.json.encode(item.value))
--- a/mesh/runtime/settings.py
+++ b/mesh/runtime/settings.py
@@ -17,19 +17,19 @@
 
 Address = tuple[str, int]
 
-MOST_TEXT = 1 << 20
+MAX_FILE_CHARACTERS = 1 << 20
 """A settings file's length in characters; parsing time grows with it."""
-MOST_LISTED = 10_000
+MAX_ENTRIES = 10_000
 """Entries of a list or table."""
-_MOST_NUMBER = 1e15
-_MOST_SHOWN = 60
-_MOST_LINE = 300
+_MAX_NUMBER = 1e15
+_MAX_SHOWN_CHARACTERS = 60
+_MAX_LINE_CHARACTERS = 300
 
 # Fields of the file that the mesh has no use for: known, so that they are not told as new.
 _UNUSED = frozenset({"observer", "ingress", "mode", "grants"})
 
 
-class Wrong(Struct, frozen=True):
+class InvalidSettings(Struct, frozen=True):
     """The file cannot be used. A finding is one line: the field, what is wrong, the mend."""
 
     findings: tuple[str, ...]
@@ -110,25 +110,31 @@
     unknown: tuple[str, ...]
 
 
-def read(text: str) -> Settings | Wrong:
+def parse_settings(text: str) -> Settings | InvalidSettings:
     """Settings from the text of the file. Where a field is missing: cold_boot and counted are false,
     state_dir and plant are "", serves and invariants are empty, beat_period_ms is 1,500, a bound has its
     default; any other one is a finding. Roles that serve "auxiliary" need an upstream, outbound, inbound and
     readiness; those that serve "supervisor" need control."""
-    if len(text) > MOST_TEXT:
-        return Wrong((f"file: {len(text)} characters, at most {MOST_TEXT} are read; shorten the file",))
+    if len(text) > MAX_FILE_CHARACTERS:
+        return InvalidSettings(
+            (f"file: {len(text)} characters, at most {MAX_FILE_CHARACTERS} are read; shorten the file",)
+        )
     try:
         tables = tomllib.loads(text)
     except (ValueError, RecursionError) as error:  # a number of too many digits is a plain ValueError
-        return Wrong((f"file: no TOML ({_line(str(error))}); write the file anew",))
+        return InvalidSettings((f"file: no TOML ({_single_line(str(error))}); write the file anew",))
     file = _Table(tables, "", [])
-    settings = _settings(file)
-    return Wrong(tuple(file.findings)) if file.findings else settings
+    settings = _read_settings(file)
+    return InvalidSettings(tuple(file.findings)) if file.findings else settings
 
 
-def _settings(file: "_Table") -> Settings:
-    zones, ports, limits = file.table("zones"), file.table("ports", needed=False), file.table("input_limits")
-    disturbance, envelope = file.table("disturbance"), file.table("envelope", needed=False)
+def _read_settings(file: "_Table") -> Settings:
+    zones, ports, limits = (
+        file.table("zones"),
+        file.table("ports", required=False),
+        file.table("input_limits"),
+    )
+    disturbance, envelope = file.table("disturbance"), file.table("envelope", required=False)
     settings = Settings(
         node=file.text("node"),
         role=file.text("role"),
@@ -139,8 +145,8 @@
         region=file.text("region"),
         port_range=file.port_range("port_range"),
         seeds=file.addresses("seeds"),
-        cold_boot=file.truth("cold_boot"),
-        counted=file.truth("counted"),
+        cold_boot=file.boolean("cold_boot"),
+        counted=file.boolean("counted"),
         state_dir=file.text("state_dir", ""),
         beat_period_ms=file.number("beat_period_ms", default=1500, above=0),
         upstream=file.address("upstream"),
@@ -151,25 +157,25 @@
             cpu_share=limits.number("cpu_share", above=0),
             cores=limits.number("cores", above=0),
             memory_mb=limits.number("memory_mb", above=0),
-            file_handles=limits.whole("file_handles"),
+            file_handles=limits.whole_number("file_handles"),
             link_mbps=limits.number("link_mbps", above=0),
             disk_mb=limits.number("disk_mb"),
         ),
-        tolerance=Tolerance(**{name: disturbance.whole(name) for name in Tolerance.__struct_fields__}),
+        tolerance=Tolerance(**{name: disturbance.whole_number(name) for name in Tolerance.__struct_fields__}),
         bounds=Bounds(**{name: envelope.number(name, value) for name, value in _DEFAULTS.items()}),
         invariants=file.texts("invariants"),
-        unknown=_unknown(file.values),
+        unknown=_unknown_names(file.values),
     )
     if not file.findings:
-        _check_together(settings, file)
+        _check_consistency(settings, file)
     return settings
 
 
-def _check_together(settings: Settings, file: "_Table") -> None:
+def _check_consistency(settings: Settings, file: "_Table") -> None:
     """What no field shows by itself; asked once each is good, so that a mistake is told once."""
     place = settings.zones.get(settings.zone)
     if place != settings.region:
-        file.find(
+        file.add_finding(
             "zones", f"has {settings.zone!r} in {place!r}, region says {settings.region!r}", "make them agree"
         )
     needs = {
@@ -179,12 +185,14 @@
     for served in settings.serves:
         for port in needs.get(served, ()):
             if getattr(settings.ports, port) is None:
-                file.find(f"ports.{port}", f"missing, and the role serves {served!r}", "give its ip:port")
+                file.add_finding(
+                    f"ports.{port}", f"missing, and the role serves {served!r}", "give its ip:port"
+                )
     if "auxiliary" in settings.serves and settings.upstream is None:
-        file.find("upstream", "missing, and the role serves 'auxiliary'", "give its ip:port")
+        file.add_finding("upstream", "missing, and the role serves 'auxiliary'", "give its ip:port")
 
 
-def _unknown(values: Mapping[str, Any]) -> tuple[str, ...]:
+def _unknown_names(values: Mapping[str, Any]) -> tuple[str, ...]:
     tables = {"ports": Ports, "input_limits": MachineLimits, "disturbance": Tolerance, "envelope": Bounds}
     known = set(Settings.__struct_fields__) - {"limits", "tolerance", "bounds", "unknown"}
     found = [name for name in values if name not in known and name not in tables and name not in _UNUSED]
@@ -192,7 +200,7 @@
         inner = values.get(table)
         if isinstance(inner, dict):
             found += [f"{table}.{name}" for name in inner if name not in part.__struct_fields__]
-    return tuple(_line(name) for name in found)
+    return tuple(_single_line(name) for name in found)
 
 
 class _Table:
@@ -204,45 +212,47 @@
         self.findings = findings
         self._name = name
 
-    def find(self, field: str, wrong: str, mend: str) -> None:
+    def add_finding(self, field: str, wrong: str, mend: str) -> None:
         path = f"{self._name}.{field}" if self._name else field
-        self.findings.append(_line(f"{path}: {wrong}; {mend}"))
+        self.findings.append(_single_line(f"{path}: {wrong}; {mend}"))
 
-    def table(self, field: str, needed: bool = True) -> "_Table":
+    def table(self, field: str, required: bool = True) -> "_Table":
         value = self.values.get(field)
-        if value is None and not needed:
+        if value is None and not required:
             value = {}
         if not isinstance(value, dict):
-            self.find(field, "missing" if value is None else f"is {_shown(value)}", f"write [{field}]")
+            self.add_finding(
+                field, "missing" if value is None else f"is {_format_value(value)}", f"write [{field}]"
+            )
             # Its fields would each be missing too; one finding says it.
             return _Table({}, field, [])
-        if len(value) > MOST_LISTED:
-            self.find(field, f"{len(value)} entries", f"write at most {MOST_LISTED}")
+        if len(value) > MAX_ENTRIES:
+            self.add_finding(field, f"{len(value)} entries", f"write at most {MAX_ENTRIES}")
         return _Table(value, field, self.findings)
 
     def text(self, field: str, default: str | None = None) -> str:
         value = self.values.get(field, default)
         if isinstance(value, str) and (value or default is not None):
             return value
-        self._wrong(field, value, "write a text that is not empty")
+        self._add_value_finding(field, value, "write a text that is not empty")
         return ""
 
     def texts(self, field: str) -> tuple[str, ...]:
         value = self.values.get(field, [])
         if (
             isinstance(value, list)
-            and len(value) <= MOST_LISTED
+            and len(value) <= MAX_ENTRIES
             and all(isinstance(one, str) for one in value)
         ):
             return tuple(value)
-        self._wrong(field, value, f"write a list of at most {MOST_LISTED} texts")
+        self._add_value_finding(field, value, f"write a list of at most {MAX_ENTRIES} texts")
         return ()
 
-    def truth(self, field: str) -> bool:
+    def boolean(self, field: str) -> bool:
         value = self.values.get(field, False)
         if isinstance(value, bool):
             return value
-        self._wrong(field, value, "write true or false")
+        self._add_value_finding(field, value, "write true or false")
         return False
 
     def number(self, field: str, default: float | None = None, above: float | None = None) -> float:
@@ -250,22 +260,24 @@
         number = _number(value)
         if number is not None and (number >= 0 if above is None else number > above):
             return number
-        self._wrong(field, value, "write a number " + ("of 0 or more" if above is None else f"above {above}"))
+        self._add_value_finding(
+            field, value, "write a number " + ("of 0 or more" if above is None else f"above {above}")
+        )
         return 1.0
 
-    def whole(self, field: str) -> int:
+    def whole_number(self, field: str) -> int:
         value = self.values.get(field)
         number = _number(value)
         if number is not None and number >= 0 and number == int(number):
             return int(number)
-        self._wrong(field, value, "write a whole number of 0 or more")
+        self._add_value_finding(field, value, "write a whole number of 0 or more")
         return 0
 
     def ip(self, field: str) -> str:
         value = self.values.get(field)
         if isinstance(value, str) and _is_ip(value):
             return value
-        self._wrong(field, value, "write an address like 10.1.0.35")
+        self._add_value_finding(field, value, "write an address like 10.1.0.35")
         return ""
 
     def address(self, field: str) -> Address | None:
@@ -273,20 +285,20 @@
         value = self.values.get(field)
         if value is None:
             return None
-        found = address(value)
+        found = parse_address(value)
         if found is None:
-            self._wrong(field, value, "write ip:port like 10.1.0.35:8146")
+            self._add_value_finding(field, value, "write ip:port like 10.1.0.35:8146")
         return found
 
     def addresses(self, field: str) -> tuple[Address, ...]:
         value = self.values.get(field)
-        if not isinstance(value, list) or len(value) > MOST_LISTED:
-            self._wrong(field, value, f"write a list of at most {MOST_LISTED} ip:port")
+        if not isinstance(value, list) or len(value) > MAX_ENTRIES:
+            self._add_value_finding(field, value, f"write a list of at most {MAX_ENTRIES} ip:port")
             return ()
-        found = [(one, address(one)) for one in value]
+        found = [(one, parse_address(one)) for one in value]
         for one, parsed in found:
             if parsed is None:
-                self._wrong(field, one, "write ip:port like 10.1.0.35:8146")
+                self._add_value_finding(field, one, "write ip:port like 10.1.0.35:8146")
         return tuple(parsed for _, parsed in found if parsed is not None)
 
     def port_range(self, field: str) -> tuple[int, int]:
@@ -296,14 +308,14 @@
             if first is not None and last is not None and first == int(first) and last == int(last):
                 if 1 <= first <= last <= 65535:
                     return int(first), int(last)
-        self._wrong(field, value, "write two ports from 1 to 65535, the lower one first")
+        self._add_value_finding(field, value, "write two ports from 1 to 65535, the lower one first")
         return 1, 1
 
-    def _wrong(self, field: str, value: object, mend: str) -> None:
-        self.find(field, "missing" if value is None else f"is {_shown(value)}", mend)
+    def _add_value_finding(self, field: str, value: object, mend: str) -> None:
+        self.add_finding(field, "missing" if value is None else f"is {_format_value(value)}", mend)
 
 
-def address(value: object) -> Address | None:
+def parse_address(value: object) -> Address | None:
     """``ip:port`` as (ip, port); None where the value is no such text, or the port is none from 1 to
     65535."""
     if not isinstance(value, str):
@@ -329,20 +341,20 @@
     too."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
-    return value if abs(value) < _MOST_NUMBER else None  # false for NaN; exact for an int of any size
+    return value if abs(value) < _MAX_NUMBER else None  # false for NaN; exact for an int of any size
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     """A value of the file in few characters. Only texts and plain values are printed: a number may have more
     digits than may be printed, and lists may be nested deeper than may be walked."""
     if isinstance(value, str):
-        return repr(value[:_MOST_SHOWN])
+        return repr(value[:_MAX_SHOWN_CHARACTERS])
     if isinstance(value, bool | float):
         return str(value).lower()
-    if isinstance(value, int) and abs(value) < _MOST_NUMBER:
+    if isinstance(value, int) and abs(value) < _MAX_NUMBER:
         return str(value)
     return f"of type {type(value).__name__}"
 
 
-def _line(text: str) -> str:
-    return " ".join(text.split())[:_MOST_LINE]
+def _single_line(text: str) -> str:
+    return " ".join(text.split())[:_MAX_LINE_CHARACTERS]
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -24,7 +24,7 @@
 from mesh.data_plane.request_dispatch import Reply
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item
-from mesh.runtime.settings import Settings, read
+from mesh.runtime.settings import Settings, parse_settings
 from rigs.mesh_peers import Client, free_ports, route, write_settings
 from rigs.shutdown_world.client import CUT, PlayedClient, Sent
 from rigs.shutdown_world.clock import SkippingLoop
@@ -69,7 +69,7 @@
             *(file, self.node, self.ip, "auxiliary", ports, ["127.0.0.9"], self.upstream.address, "s"),
             grace_s=GRACE_S,
         )
-        settings = read(file.read_text())
+        settings = parse_settings(file.read_text())
         assert isinstance(settings, Settings), settings
         self.proxy = Proxy(settings, EventLog(self.node, io.StringIO()))
         self.proxy.balancers._random.seed(self.node)  # the same draws in each play of a plan
@@ -207,7 +207,7 @@
 
     def _hup(self) -> None:
         proxy = self.first.proxy
-        proxy.retune(replace(proxy.settings, seeds=(("127.0.0.8", 1 + self._version),)))
+        proxy.apply_settings(replace(proxy.settings, seeds=(("127.0.0.8", 1 + self._version),)))
 
     def _reset(self) -> None:
         for link in self.first.proxy.peer_links.links():
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -11,7 +11,7 @@
 from mesh.data_plane.call_messages import Call, End, EndHead, decode_from_second_hop, read_end
 from mesh.data_plane.program import Proxy
 from mesh.event_log.log import EventLog
-from mesh.runtime.settings import Settings, read
+from mesh.runtime.settings import Settings, parse_settings
 from mesh.transport.frames import Frames, frame
 from rigs.mesh_peers import Client, Upstream, free_ports, play, route, soon, turns, until, write_settings
 
@@ -26,7 +26,7 @@
             *(file, "n1", "127.0.0.1", "auxiliary", ports, ["127.0.0.9"], upstream.address, "s"),
             grace_s=grace_s,
         )
-        settings = read(file.read_text())
+        settings = parse_settings(file.read_text())
         assert isinstance(settings, Settings), settings
         self.proxy, self.upstream = Proxy(settings, EventLog("t", io.StringIO())), upstream
         self.peers, self.control, self.outbound, self.readiness = (("127.0.0.1", port) for port in ports)
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -23,7 +23,7 @@
 from mesh.data_plane.program import Proxy
 from mesh.event_log.log import EventLog
 from mesh.runtime.introspection_calls import Refusal
-from mesh.runtime.settings import Settings, read
+from mesh.runtime.settings import Settings, parse_settings
 from mesh.storage.lmdb_store import Fresh, Keeper
 from rigs.mesh_peers import Client, Upstream, change, free_ports, polled, route, write_settings
 
@@ -65,7 +65,7 @@
         self.do(polled(look, START_S))
 
     def _settings(self, name: str) -> Settings:
-        settings = read((self.folder / f"{name}.toml").read_text())
+        settings = parse_settings((self.folder / f"{name}.toml").read_text())
         assert isinstance(settings, Settings), settings
         return settings
 
--- a/tests/mesh/test_cli_questions.py
+++ b/tests/mesh/test_cli_questions.py
@@ -9,13 +9,13 @@
 from mesh.replication.store import Store
 from mesh.runtime import introspection_calls as questions_module
 from mesh.runtime.introspection_calls import (
-    MOST_ASKERS,
-    MOST_IN_HAND,
-    PAGE,
-    Asker,
-    Questions,
+    MAX_OPERATOR_LINKS,
+    MAX_PENDING_QUESTIONS,
+    PAGE_ITEMS,
+    OperatorLink,
+    OperatorLinks,
     Refusal,
-    items,
+    item_page,
 )
 from mesh.transport.frames import Head
 from mesh.transport.link import Address, Link, listen
@@ -41,17 +41,17 @@
 def test_what_is_no_question_ends_its_link_and_a_bad_one_is_told() -> None:
     handlers = {"a": lambda head: {"x": head["x"] + 1}, "no": lambda head: Refusal("not here")}
     wire = Wire()
-    asker = Asker(wire, handlers)  # type: ignore[arg-type]
-    asker.frame({"t": "ask", "n": 1, "q": "a", "x": 4})
-    asker.frame({"t": "ask", "n": 2, "q": "a"})
-    asker.frame({"t": "ask", "n": 3, "q": "b"})
-    asker.frame({"t": "ask", "n": 4, "q": "no"})
+    asker = OperatorLink(wire, handlers)  # type: ignore[arg-type]
+    asker.handle_frame({"t": "ask", "n": 1, "q": "a", "x": 4})
+    asker.handle_frame({"t": "ask", "n": 2, "q": "a"})
+    asker.handle_frame({"t": "ask", "n": 3, "q": "b"})
+    asker.handle_frame({"t": "ask", "n": 4, "q": "no"})
     assert wire.sent[0] == {"t": "told", "n": 1, "a": {"x": 5}}
     assert [one["n"] for one in wire.sent] == [1, 2, 3, 4] and all("e" in one for one in wire.sent[1:])
     assert "a, no" in wire.sent[2]["e"] and not wire.closed
     for head in ({"t": "call", "n": 1}, {"t": "ask", "q": "a"}, {"t": "ask", "n": 1}):
         wire.closed = ""
-        asker.frame(head)
+        asker.handle_frame(head)
         assert wire.closed
 
 
@@ -63,15 +63,15 @@
             await gate.wait()
             return {}
 
-        asker = Asker(wire, {"slow": slow})  # type: ignore[arg-type]
-        for number in range(MOST_IN_HAND + 1):
-            asker.frame({"t": "ask", "n": number, "q": "slow"})
+        asker = OperatorLink(wire, {"slow": slow})  # type: ignore[arg-type]
+        for number in range(MAX_PENDING_QUESTIONS + 1):
+            asker.handle_frame({"t": "ask", "n": number, "q": "slow"})
         await turns()
-        assert [one["n"] for one in wire.sent] == [MOST_IN_HAND] and "e" in wire.sent[0]
+        assert [one["n"] for one in wire.sent] == [MAX_PENDING_QUESTIONS] and "e" in wire.sent[0]
         gate.set()
         await turns()
-        assert sorted(one["n"] for one in wire.sent[1:]) == list(range(MOST_IN_HAND))
-        asker.frame({"t": "ask", "n": 9, "q": "slow"})
+        assert sorted(one["n"] for one in wire.sent[1:]) == list(range(MAX_PENDING_QUESTIONS))
+        asker.handle_frame({"t": "ask", "n": 9, "q": "slow"})
         await turns()
         assert wire.sent[-1] == {"t": "told", "n": 9, "a": {}}
 
@@ -79,25 +79,25 @@
 
 
 def test_the_oldest_operator_makes_room_for_one_more() -> None:
-    questions, wires = Questions({}), [Wire() for _ in range(MOST_ASKERS + 2)]
+    questions, wires = OperatorLinks({}), [Wire() for _ in range(MAX_OPERATOR_LINKS + 2)]
     questions.adopt(wires[0])  # type: ignore[arg-type]
-    questions.lost(wires[0])  # type: ignore[arg-type]
+    questions.handle_lost(wires[0])  # type: ignore[arg-type]
     for wire in wires[1:]:
         questions.adopt(wire)  # type: ignore[arg-type]
-    assert [bool(wire.closed) for wire in wires] == [False, True] + [False] * MOST_ASKERS
+    assert [bool(wire.closed) for wire in wires] == [False, True] + [False] * MAX_OPERATOR_LINKS
 
 
 def test_pages_hold_every_item_once_and_are_cut_by_bytes_too(monkeypatch: Any) -> None:
     store = Store("s", 5000)
     store.write_all(
-        [(f"k{at % 3}", f"n{at:04}", 1, None if at % 7 else {"v": at}) for at in range(PAGE + 300)]
+        [(f"k{at % 3}", f"n{at:04}", 1, None if at % 7 else {"v": at}) for at in range(PAGE_ITEMS + 300)]
     )
     for most in (1 << 20, 200):
         monkeypatch.setattr(questions_module, "PAGE_BYTES", most)
         found, after, pages = [], None, 0
         while True:
-            page = items({"charter": store}, {"store": "charter", "after": after})
-            assert isinstance(page, dict) and 0 < len(page["items"]) <= PAGE
+            page = item_page({"charter": store}, {"store": "charter", "after": after})
+            assert isinstance(page, dict) and 0 < len(page["items"]) <= PAGE_ITEMS
             found += page["items"]
             pages += 1
             after = page["items"][-1][:2]
@@ -105,7 +105,7 @@
                 break
         assert [(kind, name) for kind, name, _, _ in found] == sorted(store.items)
         assert pages == 2 if most > 200 else pages > 10
-    assert isinstance(items({"charter": store}, {"store": "x"}), Refusal)
+    assert isinstance(item_page({"charter": store}, {"store": "x"}), Refusal)
 
 
 def test_the_root_tells_copies_apart_by_what_they_hold_alone() -> None:
@@ -118,11 +118,11 @@
     assert one.digests.root() != other.digests.root()
 
 
-async def serve(questions: Questions | None) -> tuple[Address, asyncio.Server]:
+async def serve(questions: OperatorLinks | None) -> tuple[Address, asyncio.Server]:
     """A process that answers; None: one of an older version, which ends such a link."""
 
     def met(link: Link, head: Head, body: bytes) -> None:
-        if isinstance(link.peer, Asker):
+        if isinstance(link.peer, OperatorLink):
             link.peer.frame(head)
         elif questions is not None and head.get("for") == "operate":
             questions.adopt(link)
@@ -137,14 +137,14 @@
 def test_over_a_link_whatever_the_other_end_does_there_is_an_outcome() -> None:
     async def run() -> None:
         store = Store("s", 5000)
-        store.write_all([("k", f"n{at}", 1, {}) for at in range(PAGE + 7)])
+        store.write_all([("k", f"n{at}", 1, {}) for at in range(PAGE_ITEMS + 7)])
         hangs = asyncio.Event()
 
         async def hang(head: Head) -> dict[str, Any]:
             await hangs.wait()
             return {}
 
-        questions = Questions({"items": lambda head: items({"roll": store}, head), "hang": hang})
+        questions = OperatorLinks({"items": lambda head: item_page({"roll": store}, head), "hang": hang})
         address, server = await serve(questions)
         old, old_server = await serve(None)
         copy = await held(address, "roll", 5.0)
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -23,7 +23,7 @@
 from mesh.data_plane.upstream_dispatch import DispatchedCall, UpstreamDispatch
 from mesh.event_log.log import EventLog
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
-from mesh.runtime.settings import Settings, read
+from mesh.runtime.settings import Settings, parse_settings
 from mesh.transport.frames import Head
 from mesh.transport.link import SILENCE_TIMEOUT_S, Address, Link, listen
 from rigs.mesh_peers import Upstream, free_ports, move, play, soon, turns, until, write_settings
@@ -479,7 +479,7 @@
         write_settings(
             file, "n1", "127.0.0.1", "auxiliary", ports, ["127.0.0.1"], upstream.address, upstream.service
         )
-        told = read(file.read_text())
+        told = parse_settings(file.read_text())
         assert isinstance(told, Settings), told
         proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is opened
         beat = read_heartbeat(upstream.instance, upstream.beat())
--- a/tests/mesh/test_data_plane_rollouts.py
+++ b/tests/mesh/test_data_plane_rollouts.py
@@ -85,7 +85,7 @@
     there.take("input_limits", "input_limits", limits)
     there.take("plant", "s", {"name": "s", "epoch": f"r{number}", "conn_saturation": 20 + number % 90})
     seeds = (("127.0.0.8" if number % 2 else "127.0.0.9", 1),)
-    there.proxy.retune(replace(there.proxy.settings, seeds=seeds))
+    there.proxy.apply_settings(replace(there.proxy.settings, seeds=seeds))
 
 
 def test_changes_and_settings_in_quick_turn_cut_off_and_fail_no_request(tmp_path: Path) -> None:
@@ -187,7 +187,7 @@
         proxy, client = there.proxy, await there.client()
         assert (await client.ask("a1", "/read/ok")).status == 200
         bounds = replace(proxy.settings.bounds, retry_ratio=0.0, retry_slack=2.0, drain_ms=700.0)
-        proxy.retune(replace(proxy.settings, bounds=bounds))
+        proxy.apply_settings(replace(proxy.settings, bounds=bounds))
         budget = proxy.balancers.by_service["s"].budget
         assert [budget.try_spend(proxy.balancers.now(), 1) for _ in range(2)] == [True, False]
         assert proxy.upstream.drain_ms == 700.0
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -158,7 +158,7 @@
         await passed(2.0)
         await late.ask("a2", "/read/ok")
         bounds = replace(there.proxy.settings.bounds, grace_s=2.5)
-        there.proxy.retune(replace(there.proxy.settings, bounds=bounds))  # announces a shorter time
+        there.proxy.apply_settings(replace(there.proxy.settings, bounds=bounds))  # announces a shorter time
         assert there.proxy.client_listener.idle_s == 1
         bounds = replace(there.proxy.settings.bounds, grace_s=GRACE_S)
         there.proxy.settings = replace(there.proxy.settings, bounds=bounds)
@@ -185,7 +185,7 @@
             client.leave()
         bounds = replace(there.proxy.settings.bounds, grace_s=20.0)
         there.take("input_limits", "input_limits", {"quiescent_ms": 15_000})
-        there.proxy.retune(replace(there.proxy.settings, bounds=bounds))
+        there.proxy.apply_settings(replace(there.proxy.settings, bounds=bounds))
         assert client_listener.idle_s == 2
 
     beside(tmp_path, test, grace_s=GRACE_S)
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -135,7 +135,7 @@
 def test_settings_that_change_leave_the_upstream_as_it_is(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
         before = dict(there.proxy.roll.items)
-        there.proxy.retune(replace(there.proxy.settings, seeds=(("127.0.0.8", 1),)))
+        there.proxy.apply_settings(replace(there.proxy.settings, seeds=(("127.0.0.8", 1),)))
         there.proxy.registry.reconcile()
         assert there.proxy.roll.items == before
 
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -356,7 +356,9 @@
         client.send("a1", "/read/hold")
         await soon(there.upstream.comes.get())
         settings = there.proxy.settings
-        there.proxy.retune(replace(settings, seeds=(("127.0.0.8", 1),), bounds=replace(settings.bounds)))
+        there.proxy.apply_settings(
+            replace(settings, seeds=(("127.0.0.8", 1),), bounds=replace(settings.bounds))
+        )
         there.take("input_limits", "input_limits", {**TOLD, "header_bytes": 10, "body_bytes": 1})
         there.take("route", "read", {**route("read", "/read/", "t"), "host": "h.example"})
         there.take("plant", "s", None)
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -332,7 +332,7 @@
         world.start(cores[0])
         yield from world.joined(cores)
         assert cores[1].program.member_set.view().members[cores[0].ip].zone == "y"
-        cores[0].program.retune(world.settings(cores[0], False))
+        cores[0].program.apply_settings(world.settings(cores[0], False))
 
     assert played(3, restarts) == []
 
@@ -343,11 +343,11 @@
         last, other = cores[3], cores[2]
         for machine in (last, other):
             machine.counted = False
-            machine.program.retune(world.settings(machine, False))
+            machine.program.apply_settings(world.settings(machine, False))
             yield from world.until(counts(world, cores[:3]), 3.0, "the fourth alone counts no more")
         other.counted = last.counted = True
         for machine in (last, other):
-            machine.program.retune(world.settings(machine, False))
+            machine.program.apply_settings(world.settings(machine, False))
         yield from world.until(counts(world, cores), 3.0, "all four count again")
         yield from confirms(world, 1)
 
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -80,7 +80,7 @@
         cores = world.machines
         world.seeds = ("10.0.0.1", "10.0.9.8", "10.0.0.5")  # one goes, one never was, one joined later
         for _, program in world.programs(core=True) + world.programs(core=False):
-            program.retune(world.settings(cores[program.settings.node], False))
+            program.apply_settings(world.settings(cores[program.settings.node], False))
         world.power_off(cores["c1"])
         for name in ("s1", "c3"):
             world.kill(cores[name])
@@ -93,7 +93,7 @@
         # Seeds that are all down are nothing to one that runs: it goes by what it knows.
         world.seeds = ("10.0.9.7", "10.0.9.8", "10.0.9.9")
         for _, program in world.programs(core=True) + world.programs(core=False):
-            program.retune(world.settings(cores[program.settings.node], False))
+            program.apply_settings(world.settings(cores[program.settings.node], False))
         yield from world.commit([cores["c4"]], change(3))
         yield from world.until(lambda: in_force(world, 3), 3.0, "the route is in force")
         # So does a control process that starts, since the others call it.
--- a/tests/mesh/test_runtime_imports.py
+++ b/tests/mesh/test_runtime_imports.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from mesh.runtime.import_policy import LIBRARIES, OURS, STANDARD
+from mesh.runtime.import_policy import LIBRARIES, OWN_PACKAGES, STANDARD_LIBRARY
 from rigs.mesh_demo import SIDE, Mesh
 from rigs.mesh_peers import Upstream, polled
 
@@ -64,13 +64,13 @@
     for program, log in asyncio.run(start()).items():
         found = {name for name in loaded(log) if not name.startswith("_")}
         assert "asyncio" in found and "mesh" in found
-        assert sorted(found - OURS - LIBRARIES - STANDARD[program]) == [], program
+        assert sorted(found - OWN_PACKAGES - LIBRARIES - STANDARD_LIBRARY[program]) == [], program
 
 
 WITHOUT_TLS = """
 import sys
-from mesh.runtime.absent_modules import keep_out
-keep_out()
+from mesh.runtime.absent_modules import block_imports
+block_imports()
 import asyncio, hashlib
 try:
     import uvloop
--- a/tests/mesh/test_runtime_settings.py
+++ b/tests/mesh/test_runtime_settings.py
@@ -10,15 +10,15 @@
 
 from mesh.replication.quorum import Tolerance
 from mesh.runtime.settings import (
-    MOST_LISTED,
-    MOST_TEXT,
+    MAX_ENTRIES,
+    MAX_FILE_CHARACTERS,
     Bounds,
+    InvalidSettings,
     MachineLimits,
     Ports,
     Settings,
-    Wrong,
-    address,
-    read,
+    parse_address,
+    parse_settings,
 )
 
 
@@ -62,8 +62,8 @@
     }
 
 
-def outcome(file: dict[str, Any]) -> Settings | Wrong:
-    return read(tomli_w.dumps(file))
+def outcome(file: dict[str, Any]) -> Settings | InvalidSettings:
+    return parse_settings(tomli_w.dumps(file))
 
 
 def test_the_example_is_read() -> None:
@@ -135,7 +135,7 @@
         file = example()
         (file[table] if table else file)[name] = value
         found = outcome(file)
-        assert isinstance(found, Wrong), value
+        assert isinstance(found, InvalidSettings), value
         assert len(found.findings) == 1, found
         assert found.findings[0].startswith(field) and "; " in found.findings[0], found
 
@@ -160,7 +160,7 @@
     file = example()
     del file[missing]
     found = outcome(file)
-    assert isinstance(found, Wrong)
+    assert isinstance(found, InvalidSettings)
     assert [line for line in found.findings if line.startswith(f"{missing}: missing")], found
 
 
@@ -168,7 +168,7 @@
     file = example()
     del file["ports"], file["upstream"]
     found = outcome({**file, "serves": ["auxiliary", "supervisor"]})
-    assert isinstance(found, Wrong)
+    assert isinstance(found, InvalidSettings)
     told = sorted(line.partition(":")[0] for line in found.findings)
     assert told == ["ports.control", "ports.inbound", "ports.outbound", "ports.readiness", "upstream"]
 
@@ -180,21 +180,21 @@
         "[" * 100_000,
         "a = " + "[" * 5000,
         "a = " + "9" * 5000,
-        "a" * (MOST_TEXT + 1),
+        "a" * (MAX_FILE_CHARACTERS + 1),
         "zones = 5",
         "[zones]\n" + "z" * 5000 + " = 5",
-        "seeds = [" + "'10.0.0.1:80'," * (MOST_LISTED + 1) + "]",
-        "[zones]\n" + "".join(f"z{number} = 'r'\n" for number in range(MOST_LISTED + 1)),
+        "seeds = [" + "'10.0.0.1:80'," * (MAX_ENTRIES + 1) + "]",
+        "[zones]\n" + "".join(f"z{number} = 'r'\n" for number in range(MAX_ENTRIES + 1)),
         'node = "\\ud800"',
     ],
     ids=str.__len__,
 )
 def test_a_file_beyond_bounds_is_wrong_in_one_line_each(text: str) -> None:
-    found = read(text)
-    assert isinstance(found, Wrong)
+    found = parse_settings(text)
+    assert isinstance(found, InvalidSettings)
     assert all("\n" not in line and 0 < len(line) < 400 for line in found.findings)
-    if str(MOST_LISTED) in text or text.count("10.0.0.1") > MOST_LISTED:
-        assert any(f"at most {MOST_LISTED}" in line for line in found.findings)
+    if str(MAX_ENTRIES) in text or text.count("10.0.0.1") > MAX_ENTRIES:
+        assert any(f"at most {MAX_ENTRIES}" in line for line in found.findings)
 
 
 @settings(max_examples=150, deadline=None)
@@ -205,7 +205,7 @@
     )
 )
 def test_any_text_is_wrong_and_never_raises(text: str) -> None:
-    assert isinstance(read(text), Wrong)
+    assert isinstance(parse_settings(text), InvalidSettings)
 
 
 VALUES: st.SearchStrategy[Any] = st.recursive(
@@ -224,12 +224,12 @@
 @given(st.dictionaries(st.sampled_from(sorted(example())), VALUES, min_size=1, max_size=4))
 def test_any_value_in_any_field_gives_an_outcome(changed: dict[str, Any]) -> None:
     found = outcome({**example(), **changed})
-    if isinstance(found, Wrong):
+    if isinstance(found, InvalidSettings):
         assert found.findings and all("\n" not in line and len(line) <= 300 for line in found.findings)
 
 
 def test_an_address_is_an_ip_and_a_port() -> None:
-    assert address("10.0.0.1:65535") == ("10.0.0.1", 65535)
+    assert parse_address("10.0.0.1:65535") == ("10.0.0.1", 65535)
     for wrong in (
         "10.0.0.1:65536",
         "10.0.0.1",
@@ -240,4 +240,4 @@
         None,
         80,
     ):
-        assert address(wrong) is None
+        assert parse_address(wrong) is None
--- a/tests/mesh/test_runtime_startup.py
+++ b/tests/mesh/test_runtime_startup.py
@@ -14,7 +14,7 @@
 
 from mesh.event_log.log import EventLog
 from mesh.runtime import startup
-from mesh.runtime.settings import Settings, read
+from mesh.runtime.settings import Settings, parse_settings
 from tests.mesh.test_runtime_settings import example
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -29,7 +29,7 @@
     async def start(self) -> None:
         asyncio.get_running_loop().call_soon(os.kill, os.getpid(), signal.SIGTERM)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         raise AssertionError(f"settings that have not changed: {settings}")
 
     async def stop(self) -> None:
@@ -44,10 +44,12 @@
 ) -> None:
     file, log, program = tmp_path / "boot.toml", io.StringIO(), Program()
     file.write_text(tomli_w.dumps(example() | {f"field_{at:02}": 1 for at in range(30)}))
-    monkeypatch.setenv(startup.VARIABLE, str(file))
-    settings = read(file.read_text())
+    monkeypatch.setenv(startup.SETTINGS_VARIABLE, str(file))
+    settings = parse_settings(file.read_text())
     assert isinstance(settings, Settings)
-    asyncio.run(startup._serve(settings, startup.stamp(os.environ), EventLog("n", log), lambda *_: program))
+    asyncio.run(
+        startup._serve(settings, startup.file_stamp(os.environ), EventLog("n", log), lambda *_: program)
+    )
     unknown, stopping = log.getvalue().splitlines()
     assert "I102 unknown settings ignored" in unknown and "field_19" in unknown and "field_20" not in unknown
     assert stopping.endswith("I103 asked to end open_calls=3") and program.stopped
@@ -66,13 +68,13 @@
         os.kill(os.getpid(), signal.SIGHUP)
         await super().start()
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         self.taken.append(settings.bounds.grace_s)
 
 
 def started_under_hangups(file: str) -> int:
     """In a process of its own: the status of a program that is told to hang up at each step of its life."""
-    os.environ[startup.VARIABLE] = file
+    os.environ[startup.SETTINGS_VARIABLE] = file
     Path(file).write_text(tomli_w.dumps(example()))
     program = HungUp(Path(file))
     status = startup.run(lambda *_: program)
@@ -107,6 +109,6 @@
     ends puts the system's default back, which is to end the process; SIGHUP alone was set aside for good."""
     file = tmp_path / "boot.toml"
     file.write_text(tomli_w.dumps(example()))
-    environment = {**os.environ, startup.VARIABLE: str(file)}
+    environment = {**os.environ, startup.SETTINGS_VARIABLE: str(file)}
     done = subprocess.run([sys.executable, "-c", ENDS_UNDER_SIGNALS], env=environment, cwd=ROOT, timeout=20.0)
     assert done.returncode == 0
