--- a/mesh/runtime/__init__.py
+++ b/mesh/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""How a process runs: settings file, deploy file, start and signals, introspection."""
+"""The process environment: settings file, deploy file, start, signals, introspection."""
--- a/mesh/runtime/absent_ssl.py
+++ b/mesh/runtime/absent_ssl.py
@@ -4,26 +4,26 @@
 each process. They bind some of its names (exception and context classes, error codes) and use none of them
 unless a connection asks for TLS.
 
-Each class is given as an exception class that raises when it is made, each constant as 0. So a version of
-either library that binds further names still imports, and whoever uses TLS is told why it fails.
+Each class is an exception class that raises when instantiated, and each constant is 0. A version of either
+library that binds further names still imports, and any use of TLS fails with an explanation.
 """
 
 
 class AbsentError(Exception):
-    """TLS was asked for in a program that has none."""
+    """TLS was requested in a program without TLS support."""
 
     def __init__(self, *_: object, **__: object) -> None:
-        """Takes whatever the class that it stands for would take."""
+        """Accepts the arguments of any class that it replaces."""
         super().__init__("ssl is left out of this program; see mesh/runtime/absent_ssl.py")
 
 
 def create_default_context(*_: object, **__: object) -> None:
-    """Raises AbsentError."""
+    """Always raises AbsentError."""
     raise AbsentError
 
 
 def __getattr__(name: str) -> object:
-    """Classes are named in capitals and small letters, constants in capitals alone."""
+    """Returns a placeholder: 0 for a name in capitals (a constant), else an exception class."""
     if name.startswith("__"):
         raise AttributeError(name)
     value: object = 0 if name.isupper() else type(name, (AbsentError,), {})
--- a/mesh/runtime/deploy_file.py
+++ b/mesh/runtime/deploy_file.py
@@ -1,5 +1,4 @@
-"""The deploy file, checked: which program runs on which machines. Mistakes are told before any machine is
-used."""
+"""Checks the deploy file, which says which program runs on which machines, before any machine is used."""
 
 import re
 import tomllib
@@ -9,7 +8,6 @@
 MACHINE_CLASSES = ("auxiliary", "core")
 SERVICES = ("auxiliary", "supervisor")
 MAX_ROLES_PER_CLASS = 2
-"""Roles on one class of machines."""
 _WRAPPERS = ("env", "npx")
 _SHELL_CHARACTERS = frozenset("|&;<>$`\"'\\*?(){}~#")
 _PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # Debian policy 5.6.1
@@ -17,8 +15,8 @@
 
 
 def check_deploy(text: str) -> tuple[str, ...]:
-    """What is wrong with the text of a deploy file, a line each (field, what is wrong, the mend); () where
-    nothing is. Never raises."""
+    """The mistakes in the text of a deploy file, one line each: field, mistake, remedy. () if there are
+    none. Never raises."""
     try:
         tables = tomllib.loads(text)
     except (ValueError, RecursionError) as error:
@@ -43,8 +41,8 @@
             findings += [f"roles.{name!r}.{finding}" for finding in _check_role(role)]
         else:
             findings.append(f"roles.{name!r}: no table; write [roles.NAME]")
-    good = {name: role for name, role in roles.items() if isinstance(role, dict)}
-    return (*findings, *_check_classes(good))
+    well_formed = {name: role for name, role in roles.items() if isinstance(role, dict)}
+    return (*findings, *_check_classes(well_formed))
 
 
 def _check_packages(packages: object) -> list[str]:
@@ -70,15 +68,15 @@
         if run.split()[0].rpartition("/")[2] in _WRAPPERS:
             findings.append(f"run: begins with {run.split()[0]}; name the program itself")
         if _SHELL_CHARACTERS & set(run):
-            signs = " ".join(sorted(_SHELL_CHARACTERS & set(run)))
+            characters = " ".join(sorted(_SHELL_CHARACTERS & set(run)))
             findings.append(
-                f"run: has {signs} and no shell reads it; write the program and its arguments plainly"
+                f"run: has {characters} and no shell reads it; write the program and its arguments plainly"
             )
     on = role.get("on")
     if on not in MACHINE_CLASSES:
         findings.append(f"on: no class of machines; write one of {', '.join(MACHINE_CLASSES)}")
     serves = role.get("serves", [])
-    if not isinstance(serves, list) or any(served not in SERVICES for served in serves):
+    if not isinstance(serves, list) or any(service not in SERVICES for service in serves):
         findings.append(f"serves: not a list of {' and '.join(SERVICES)}; name these alone")
     elif len(set(serves)) < len(serves):
         findings.append("serves: names one twice; name each once")
@@ -92,7 +90,7 @@
     count, share = role.get("count"), role.get("share")
     if count is not None and share is not None:
         findings.append("count: given beside share; remove one of them")
-    # A role on auxiliary machines runs on all of them, whatever is given.
+    # A role on auxiliary machines runs on all of them, regardless of count and share.
     if count is None and share is None and role.get("on") != "auxiliary":
         findings.append("share: missing, and count too; give one of them")
     if count is not None and (isinstance(count, bool) or not isinstance(count, int) or count < 1):
@@ -105,17 +103,19 @@
 
 
 def _check_classes(roles: Mapping[str, Mapping[str, Any]]) -> list[str]:
-    """What holds among the roles of one class."""
+    """Checks the roles of each machine class against each other."""
     findings = []
-    for machines in MACHINE_CLASSES:
-        here = {name: role for name, role in roles.items() if role.get("on") == machines}
-        if len(here) > MAX_ROLES_PER_CLASS:
-            findings.append(f"roles: {len(here)} on {machines}; keep at most {MAX_ROLES_PER_CLASS} there")
-        for served in SERVICES:
-            serving = [name for name, role in here.items() if served in _as_list(role.get("serves"))]
+    for machine_class in MACHINE_CLASSES:
+        class_roles = {name: role for name, role in roles.items() if role.get("on") == machine_class}
+        if len(class_roles) > MAX_ROLES_PER_CLASS:
+            findings.append(
+                f"roles: {len(class_roles)} on {machine_class}; keep at most {MAX_ROLES_PER_CLASS} there"
+            )
+        for service in SERVICES:
+            serving = [name for name, role in class_roles.items() if service in _as_list(role.get("serves"))]
             if len(serving) > 1:
                 names = ", ".join(map(repr, serving))
-                findings.append(f"roles: {names} on {machines} all serve {served}; let one of them")
+                findings.append(f"roles: {names} on {machine_class} all serve {service}; let one of them")
     return findings
 
 
--- a/mesh/runtime/hangup.py
+++ b/mesh/runtime/hangup.py
@@ -1,19 +1,19 @@
-"""Signals while a process cannot act on them yet, or no more.
+"""Ignores signals while a process cannot handle them yet, or any more.
 
-The system's default for SIGHUP is to end the process. Programs set it aside before all else: what changed in
-the settings meanwhile is found by the first look at the file.
+The default action of SIGHUP ends the process. Programs ignore it first of all: a change of the settings in
+the meantime is found by the first poll of the file.
 """
 
 import signal
 
 
 def ignore_hangup() -> None:
-    """From now on SIGHUP does nothing, until a loop handles it."""
+    """Ignores SIGHUP until an event loop handles it."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def ignore_signals() -> None:
-    """From now on nothing that a platform sends but SIGKILL does anything: an interpreter that ends puts the
-    system's default back in place of handlers, and keeps what is ignored."""
+    """Ignores all signals that a platform sends, except SIGKILL. An interpreter that exits restores the
+    default actions in place of handlers, but keeps ignored signals ignored."""
     for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.SIG_IGN)
--- a/mesh/runtime/introspection_calls.py
+++ b/mesh/runtime/introspection_calls.py
@@ -1,7 +1,7 @@
-"""Operators' questions over a link, and what both programs answer alike.
+"""Operators' questions over a link, and the answers that both programs have in common.
 
-A question is a frame ``{"t": "ask", "n": number, "q": name, ...}``; its answer has the same number, with what
-was asked for under ``a`` or one line under ``e``. Questions change nothing but what their names say.
+A question is a frame ``{"t": "ask", "n": number, "q": name, ...}``; its answer has the same number, with the
+result under ``a`` or a one-line error under ``e``. Only questions whose name says so change anything.
 """
 
 from __future__ import annotations
@@ -20,17 +20,14 @@
 from mesh.transport.frames import Head
 from mesh.transport.link import Link
 
-MAX_OPERATOR_LINKS = 16  # links; the oldest makes room for one more
-MAX_PENDING_QUESTIONS = 4  # questions of one link that wait for their answer
-PAGE_ITEMS, PAGE_BYTES = (
-    500,
-    1 << 20,
-)  # items of one answer, and the bytes after which no further item is added
+MAX_OPERATOR_LINKS = 16  # a further link closes the oldest
+MAX_PENDING_QUESTIONS = 4  # unanswered questions of one link
+PAGE_ITEMS, PAGE_BYTES = 500, 1 << 20  # an answer ends after so many items or bytes
 JsonObject = dict[str, Any]
 
 
 class Refusal(Struct, frozen=True):
-    """The question has no answer here; ``reason`` is one line."""
+    """The question cannot be answered here; ``reason`` is one line."""
 
     reason: str
 
@@ -39,17 +36,17 @@
 
 
 class OperatorLink:
-    """One operator's link."""
+    """An operator's link."""
 
     def __init__(self, link: Link, handlers: Mapping[str, Handler]) -> None:
         self.link, self._handlers = link, handlers
         self._tasks: set[asyncio.Task[None]] = set()
 
     def handle_frame(self, head: Head) -> None:
-        """Raises nothing: what is no question ends the link."""
+        """Answers a question; a malformed frame closes the link. Never raises."""
         number, name = head.get("n"), head.get("q")
         if head.get("t") != "ask" or not isinstance(number, int) or not isinstance(name, str):
-            self.link.close("no question")
+            self.link.close("malformed question")
             return
         handler = self._handlers.get(name)
         if handler is None:
@@ -61,49 +58,49 @@
             )
         else:
             try:
-                told = handler(head)
-            except (KeyError, TypeError, ValueError, AttributeError) as fault:
-                told = Refusal(f"unreadable question {name}: {fault!r}")
-            if isinstance(told, dict | Refusal):
-                self._reply(number, told)
+                reply = handler(head)
+            except (KeyError, TypeError, ValueError, AttributeError) as error:
+                reply = Refusal(f"unreadable question {name}: {error!r}")
+            if isinstance(reply, dict | Refusal):
+                self._reply(number, reply)
             else:
-                task = asyncio.get_running_loop().create_task(self._reply_later(number, told))
+                task = asyncio.get_running_loop().create_task(self._reply_later(number, reply))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _reply_later(self, number: int, told: Awaitable[JsonObject | Refusal]) -> None:
+    async def _reply_later(self, number: int, reply: Awaitable[JsonObject | Refusal]) -> None:
         try:
-            self._reply(number, await told)
-        except (KeyError, TypeError, ValueError) as fault:
-            self._reply(number, Refusal(f"unreadable question: {fault!r}"))
+            self._reply(number, await reply)
+        except (KeyError, TypeError, ValueError) as error:
+            self._reply(number, Refusal(f"unreadable question: {error!r}"))
 
-    def _reply(self, number: int, told: JsonObject | Refusal) -> None:
-        answer: JsonObject = {"e": told.reason} if isinstance(told, Refusal) else {"a": told}
+    def _reply(self, number: int, reply: JsonObject | Refusal) -> None:
+        answer: JsonObject = {"e": reply.reason} if isinstance(reply, Refusal) else {"a": reply}
         self.link.send({"t": "told", "n": number, **answer})
 
 
 class OperatorLinks:
-    """All operators' links of one process. ``handlers``: by the name of the question."""
+    """All operators' links of one process. ``handlers`` has the questions by name."""
 
     def __init__(self, handlers: Mapping[str, Handler]) -> None:
         self._handlers = handlers
-        self._links: dict[Link, None] = {}  # the oldest first
+        self._links: dict[Link, None] = {}  # oldest first
 
     def adopt(self, link: Link) -> None:
-        """A link whose other end has said that it asks for an operator."""
+        """Takes over a link whose peer has identified itself as an operator's client."""
         link.peer = OperatorLink(link, self._handlers)
         self._links[link] = None
         if len(self._links) > MAX_OPERATOR_LINKS:
             oldest = next(iter(self._links))
             del self._links[oldest]
-            oldest.close(f"{MAX_OPERATOR_LINKS} operators ask already")
+            oldest.close(f"{MAX_OPERATOR_LINKS} operators are connected already")
 
     def handle_lost(self, link: Link) -> None:
         self._links.pop(link, None)
 
 
 def common_status(settings: Settings, charter: Store, roll: Store, clock: float) -> JsonObject:
-    """What either program says of itself. ``clock``: seconds since 1970 by this machine."""
+    """The status fields of both programs. ``clock``: seconds since 1970 by this machine's clock."""
     return {
         "node": settings.node,
         "ip": settings.ip,
@@ -121,8 +118,8 @@
 
 
 def item_page(stores: Mapping[str, Store], head: Head) -> JsonObject | Refusal:
-    """A page of a store's items in the order of their keys, those after ``after``, dropped ones too. Pages
-    are no snapshot. Raises KeyError, TypeError, ValueError for what is no such question."""
+    """A page of a store's items, dropped ones included, in key order from the first key above ``after``. The
+    pages are not one snapshot. Raises KeyError, TypeError or ValueError for a malformed question."""
     store = stores.get(head["store"])
     if store is None:
         return Refusal(f"store: unknown; ask for one of {', '.join(stores)}")
--- a/mesh/runtime/settings.py
+++ b/mesh/runtime/settings.py
@@ -1,7 +1,6 @@
-"""A process's settings file: what a process is told at its start, read from TOML and checked by hand.
+"""The settings file of a process, read from TOML and checked.
 
-``read`` never raises: whatever stands in the file, the outcome is Settings or a list of findings, one line
-each.
+``parse_settings`` never raises: it returns Settings, or a list of findings, one line each.
 """
 
 import socket
@@ -18,25 +17,25 @@
 Address = tuple[str, int]
 
 MAX_FILE_CHARACTERS = 1 << 20
-"""A settings file's length in characters; parsing time grows with it."""
+"""Parsing time grows with the file's length."""
 MAX_ENTRIES = 10_000
-"""Entries of a list or table."""
+"""In one list or table."""
 _MAX_NUMBER = 1e15
 _MAX_SHOWN_CHARACTERS = 60
 _MAX_LINE_CHARACTERS = 300
 
-# Fields of the file that the mesh has no use for: known, so that they are not told as new.
+# Fields of the file that the mesh does not use; they are not reported as unknown.
 _UNUSED = frozenset({"observer", "ingress", "mode", "grants"})
 
 
 class InvalidSettings(Struct, frozen=True):
-    """The file cannot be used. A finding is one line: the field, what is wrong, the mend."""
+    """The file cannot be used. A finding is one line: the field, the mistake, the remedy."""
 
     findings: tuple[str, ...]
 
 
 class Ports(Struct, frozen=True):
-    """Addresses of what the role serves; None where it does not serve that."""
+    """Addresses that the role serves; None for those that it does not serve."""
 
     inbound: Address | None
     outbound: Address | None
@@ -45,7 +44,7 @@
 
 
 class MachineLimits(Struct, frozen=True):
-    """What the machine grants: cpu_share of a core that runs ``cores`` times as fast, memory and disk in MB,
+    """The machine's limits: cpu_share of a core that runs ``cores`` times as fast, memory and disk in MB,
     file descriptors, and the link in Mbit/s."""
 
     cpu_share: float
@@ -57,8 +56,8 @@
 
 
 class Bounds(Struct, frozen=True):
-    """The figures of the rules in force, in the unit that ends the name; a figure that the file lacks has the
-    value here."""
+    """Time bounds and retry limits, in the unit that ends the name; the defaults apply where the file has no
+    value."""
 
     seed_delay_s: float = 3
     reuse_delay_s: float = 2
@@ -83,8 +82,8 @@
 
 
 class Settings(Struct, frozen=True):
-    """What a process is told. ``state_dir`` is "" where the machine has no disk; ``upstream`` is None where
-    the machine has none; ``unknown`` names the fields of the file that this program does not know."""
+    """The settings of a process. ``state_dir`` is "" if the machine has no disk; ``upstream`` is None if the
+    machine has none; ``unknown`` names the fields of the file that this program does not know."""
 
     node: str
     role: str
@@ -111,17 +110,17 @@
 
 
 def parse_settings(text: str) -> Settings | InvalidSettings:
-    """Settings from the text of the file. Where a field is missing: cold_boot and counted are false,
-    state_dir and plant are "", serves and invariants are empty, beat_period_ms is 1,500, a bound has its
-    default; any other one is a finding. Roles that serve "auxiliary" need an upstream, outbound, inbound and
-    readiness; those that serve "supervisor" need control."""
+    """Parses the text of the file. Defaults of missing fields: cold_boot and counted are false, state_dir and
+    plant are "", serves and invariants are empty, beat_period_ms is 1,500, bounds have their own; any other
+    missing field is a finding. Roles that serve "auxiliary" need upstream, outbound, inbound and readiness;
+    those that serve "supervisor" need control."""
     if len(text) > MAX_FILE_CHARACTERS:
         return InvalidSettings(
             (f"file: {len(text)} characters, at most {MAX_FILE_CHARACTERS} are read; shorten the file",)
         )
     try:
         tables = tomllib.loads(text)
-    except (ValueError, RecursionError) as error:  # a number of too many digits is a plain ValueError
+    except (ValueError, RecursionError) as error:  # a number with too many digits raises a plain ValueError
         return InvalidSettings((f"file: no TOML ({_single_line(str(error))}); write the file anew",))
     file = _Table(tables, "", [])
     settings = _read_settings(file)
@@ -172,21 +171,23 @@
 
 
 def _check_consistency(settings: Settings, file: "_Table") -> None:
-    """What no field shows by itself; asked once each is good, so that a mistake is told once."""
-    place = settings.zones.get(settings.zone)
-    if place != settings.region:
+    """Checks fields against each other. Called once each is valid, so that a mistake is reported once."""
+    region = settings.zones.get(settings.zone)
+    if region != settings.region:
         file.add_finding(
-            "zones", f"has {settings.zone!r} in {place!r}, region says {settings.region!r}", "make them agree"
+            "zones",
+            f"has {settings.zone!r} in {region!r}, region says {settings.region!r}",
+            "make them agree",
         )
-    needs = {
+    required_ports = {
         "auxiliary": ("inbound", "outbound", "readiness"),
         "supervisor": ("control",),
     }
-    for served in settings.serves:
-        for port in needs.get(served, ()):
+    for service in settings.serves:
+        for port in required_ports.get(service, ()):
             if getattr(settings.ports, port) is None:
                 file.add_finding(
-                    f"ports.{port}", f"missing, and the role serves {served!r}", "give its ip:port"
+                    f"ports.{port}", f"missing, and the role serves {service!r}", "give its ip:port"
                 )
     if "auxiliary" in settings.serves and settings.upstream is None:
         file.add_finding("upstream", "missing, and the role serves 'auxiliary'", "give its ip:port")
@@ -204,17 +205,17 @@
 
 
 class _Table:
-    """A table of the file with the findings about it: every getter gives a value of its type, and a stand-in
-    plus a finding where the file has none."""
+    """A table of the file with the findings about it. Each getter returns a value of its type; where the file
+    has no valid one, it adds a finding and returns a placeholder."""
 
     def __init__(self, values: Mapping[str, Any], name: str, findings: list[str]) -> None:
         self.values = values
         self.findings = findings
         self._name = name
 
-    def add_finding(self, field: str, wrong: str, mend: str) -> None:
+    def add_finding(self, field: str, mistake: str, remedy: str) -> None:
         path = f"{self._name}.{field}" if self._name else field
-        self.findings.append(_single_line(f"{path}: {wrong}; {mend}"))
+        self.findings.append(_single_line(f"{path}: {mistake}; {remedy}"))
 
     def table(self, field: str, required: bool = True) -> "_Table":
         value = self.values.get(field)
@@ -224,7 +225,7 @@
             self.add_finding(
                 field, "missing" if value is None else f"is {_format_value(value)}", f"write [{field}]"
             )
-            # Its fields would each be missing too; one finding says it.
+            # Its fields are missing too; one finding is enough.
             return _Table({}, field, [])
         if len(value) > MAX_ENTRIES:
             self.add_finding(field, f"{len(value)} entries", f"write at most {MAX_ENTRIES}")
@@ -281,7 +282,7 @@
         return ""
 
     def address(self, field: str) -> Address | None:
-        """The address, or None where the field is missing."""
+        """The address, or None if the field is missing."""
         value = self.values.get(field)
         if value is None:
             return None
@@ -311,13 +312,13 @@
         self._add_value_finding(field, value, "write two ports from 1 to 65535, the lower one first")
         return 1, 1
 
-    def _add_value_finding(self, field: str, value: object, mend: str) -> None:
-        self.add_finding(field, "missing" if value is None else f"is {_format_value(value)}", mend)
+    def _add_value_finding(self, field: str, value: object, remedy: str) -> None:
+        self.add_finding(field, "missing" if value is None else f"is {_format_value(value)}", remedy)
 
 
 def parse_address(value: object) -> Address | None:
-    """``ip:port`` as (ip, port); None where the value is no such text, or the port is none from 1 to
-    65535."""
+    """Parses ``ip:port`` as (ip, port); None if the value is not of that form, or the port is not within
+    1 to 65535."""
     if not isinstance(value, str):
         return None
     ip, _, port = value.rpartition(":")
@@ -331,22 +332,22 @@
 def _is_ip(text: str) -> bool:
     try:
         socket.inet_pton(socket.AF_INET, text)
-    except (OSError, ValueError):  # ValueError: characters that no address has
+    except (OSError, ValueError):  # ValueError: characters that cannot be in an address
         return False
     return True
 
 
 def _number(value: object) -> float | None:
-    """An int or float that is finite and below 1e15 in size, as it is; None for anything else, booleans
-    too."""
+    """The value unchanged if it is an int or float, finite and below 1e15 in magnitude; else None, as for
+    booleans."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
-    return value if abs(value) < _MAX_NUMBER else None  # false for NaN; exact for an int of any size
+    return value if abs(value) < _MAX_NUMBER else None  # false for NaN; exact for any int
 
 
 def _format_value(value: object) -> str:
-    """A value of the file in few characters. Only texts and plain values are printed: a number may have more
-    digits than may be printed, and lists may be nested deeper than may be walked."""
+    """Formats a value of the file in few characters. Only strings and plain values are printed: a number may
+    have too many digits to convert, and lists may be nested too deeply to walk."""
     if isinstance(value, str):
         return repr(value[:_MAX_SHOWN_CHARACTERS])
     if isinstance(value, bool | float):
--- a/mesh/runtime/startup.py
+++ b/mesh/runtime/startup.py
@@ -1,4 +1,4 @@
-"""How a program of the mesh starts: its settings file read, checked and followed, its loop, its signals."""
+"""Runs a program of the mesh: reads and watches its settings file, runs its event loop, handles signals."""
 
 from __future__ import annotations
 
@@ -18,42 +18,45 @@
 from mesh.runtime.settings import InvalidSettings, Settings, parse_settings
 
 SETTINGS_VARIABLE = "ANISESTAIR_BOOT"
-DEBUG_OPTION = "--debug"  # debug lines are written too
-POLL_INTERVAL_S = 1.0  # between two looks at the file, which may change without a signal
-MAX_LOGGED_NAMES = 20  # unknown settings in one line of the log
+DEBUG_OPTION = "--debug"  # writes debug events too
+POLL_INTERVAL_S = 1.0  # of the settings file, which may change without a signal
+MAX_LOGGED_NAMES = 20  # of unknown settings
 
 
 class Program(Protocol):
+    """A program of the mesh, as ``run`` drives it."""
+
     async def start(self) -> None:
-        """Raises OSError where an address or the disk cannot be had."""
+        """Raises OSError if an address or the disk cannot be used."""
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings file has changed, and can be used."""
+        """Applies a changed, valid settings file."""
 
     async def stop(self) -> None:
-        """An orderly end."""
+        """Shuts down gracefully."""
 
     def open_calls(self) -> int:
-        """Calls that are in hand and will be finished before an orderly end."""
+        """The number of open calls, which a graceful shutdown completes."""
 
 
 def load_settings(environment: Mapping[str, str]) -> Settings | InvalidSettings:
+    """Reads the file that the environment names."""
     path = environment.get(SETTINGS_VARIABLE, "")
     if not path:
         return InvalidSettings((f"{SETTINGS_VARIABLE}: not set; give the path of the settings file",))
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except (OSError, UnicodeDecodeError) as fault:
-        return InvalidSettings((f"{path}: cannot be read ({fault}); give a TOML file",))
+    except (OSError, UnicodeDecodeError) as error:
+        return InvalidSettings((f"{path}: cannot be read ({error}); give a TOML file",))
     return parse_settings(text)
 
 
-FileStamp = tuple[int, int]  # of a file: when it was changed, in ns, and its length in bytes
+FileStamp = tuple[int, int]  # of a file: modification time in ns, and length in bytes
 
 
 def file_stamp(environment: Mapping[str, str]) -> FileStamp:
-    """Of the settings file; zeros where it cannot be looked at."""
+    """The stamp of the settings file; zeros if it cannot be examined."""
     try:
         status = os.stat(environment.get(SETTINGS_VARIABLE, ""))
     except OSError:
@@ -62,11 +65,12 @@
 
 
 class SettingsWatcher:
-    """The settings file as it changes, by signal or silently. What cannot be used is told and left alone."""
+    """Applies changes of the settings file, found on SIGHUP or by polling. Invalid ones are logged and
+    ignored."""
 
     def __init__(self, settings: Settings, seen: FileStamp, event_log: EventLog, program: Program) -> None:
-        """``seen``: of the file before ``settings`` were read from it. Looks at once: it may have changed
-        while the program started."""
+        """``seen``: the file's stamp before ``settings`` were read from it. Polls at once: the file may have
+        changed while the program started."""
         self._settings, self._event_log, self._program = settings, event_log, program
         self._loop = asyncio.get_running_loop()
         self._seen = seen
@@ -92,23 +96,23 @@
 async def _serve(
     settings: Settings, seen: FileStamp, event_log: EventLog, make: Callable[[Settings, EventLog], Program]
 ) -> None:
-    loop, ends = asyncio.get_running_loop(), asyncio.Event()
+    loop, end = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ends.set)
+        loop.add_signal_handler(number, end.set)
     program = make(settings, event_log)
     if settings.unknown:
         event_log.emit(events.SETTINGS_UNKNOWN, names=", ".join(settings.unknown[:MAX_LOGGED_NAMES]))
     await program.start()
     watcher = SettingsWatcher(settings, seen, event_log, program)
-    await ends.wait()
+    await end.wait()
     event_log.emit(events.STOPPING, open_calls=program.open_calls())
     await program.stop()
     del watcher
 
 
 def run(make: Callable[[Settings, EventLog], Program], arguments: Sequence[str] = ()) -> int:
-    """The exit status: 2 for arguments or settings that cannot be used, 1 for an address or a disk that
-    cannot."""
+    """Runs the program and returns the exit status: 2 for invalid arguments or settings, 1 for an address or
+    a disk that cannot be used."""
     if arguments and list(arguments) != [DEBUG_OPTION]:
         print(
             f"arguments: {' '.join(arguments)!r} is not known; give none, or {DEBUG_OPTION}", file=sys.stderr
@@ -125,9 +129,9 @@
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_serve(settings, seen, EventLog(settings.node, sys.stderr, level), make))
-    except OSError as fault:
-        print(f"{settings.node}: {fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"{settings.node}: {error}", file=sys.stderr)
         return 1
     finally:
-        ignore_signals()  # the interpreter puts the system's default back as it goes
+        ignore_signals()  # an exiting interpreter restores the default actions
     return 0
--- a/tests/mesh/test_cli_questions.py
+++ b/tests/mesh/test_cli_questions.py
@@ -123,7 +123,7 @@
 
     def met(link: Link, head: Head, body: bytes) -> None:
         if isinstance(link.peer, OperatorLink):
-            link.peer.frame(head)
+            link.peer.handle_frame(head)
         elif questions is not None and head.get("for") == "operate":
             questions.adopt(link)
         else:
--- a/tests/mesh/test_runtime_deploy_file.py
+++ b/tests/mesh/test_runtime_deploy_file.py
@@ -1,4 +1,5 @@
-"""The deploy file: the page's example passes, each mistake is told by its field. What the programs load."""
+"""The deploy file: the documented example passes, each mistake is reported with its field. What the programs
+import of the sidecar."""
 
 import ast
 import subprocess
@@ -17,9 +18,9 @@
 
 
 def role(**changed: Any) -> dict[str, Any]:
-    """A good role with fields changed; None takes one away."""
-    good = {"run": "python3 anisestair.py coordinator", "on": "core", "share": 1.0, "serves": ["supervisor"]}
-    return {name: value for name, value in {**good, **changed}.items() if value is not None}
+    """A valid role with some fields changed; None removes one."""
+    valid = {"run": "python3 anisestair.py coordinator", "on": "core", "share": 1.0, "serves": ["supervisor"]}
+    return {name: value for name, value in {**valid, **changed}.items() if value is not None}
 
 
 def findings(*roles: dict[str, Any], **changed: Any) -> list[str]:
@@ -81,8 +82,8 @@
     ],
 )
 def test_each_mistake_in_a_role_is_told(changed: dict[str, Any], field: str) -> None:
-    told = findings(role(**changed))
-    assert len(told) == 1 and told[0].startswith(f"{field}: ") and "; " in told[0], told
+    found = findings(role(**changed))
+    assert len(found) == 1 and found[0].startswith(f"{field}: ") and "; " in found[0], found
 
 
 def test_roles_of_one_class_share_neither_duty_nor_more_than_two_machines() -> None:
@@ -116,9 +117,11 @@
 def test_a_program_of_the_mesh_loads_nothing_of_the_sidecar_in_service_but_what_they_share(
     program: str,
 ) -> None:
-    look = (
+    script = (
         f"import sys, mesh.{program}.program;"
         "print(sorted(n for n in sys.modules if n.startswith('anisestair.') and n.count('.') == 1))"
     )
-    found = subprocess.run([sys.executable, "-c", look], cwd=ROOT, capture_output=True, text=True, check=True)
+    found = subprocess.run(
+        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
+    )
     assert set(ast.literal_eval(found.stdout)) <= {"anisestair.flow", "anisestair.http"}
--- a/tests/mesh/test_runtime_imports.py
+++ b/tests/mesh/test_runtime_imports.py
@@ -1,4 +1,5 @@
-"""What both programs load, started as the deploy file starts them, and what stands in for the rest."""
+"""The modules that both programs import when started as in the deploy file, and the placeholders of blocked
+ones."""
 
 from __future__ import annotations
 
@@ -24,8 +25,8 @@
 LIBRARIES_PATH = sysconfig.get_path("purelib")
 
 
-def words(program: str, _: str) -> list[str]:
-    """How the deploy file starts it, without the interpreter's name, and with each import told."""
+def arguments(program: str, _: str) -> list[str]:
+    """The arguments by which the deploy file starts it, with a report of each import."""
     roles = tomllib.loads((ROOT / "deploy/system.toml").read_text())["roles"].values()
     runs = [shlex.split(role["run"]) for role in roles]
     (run,) = [run for run in runs if run[-1] == f"mesh.{program}"]
@@ -33,7 +34,7 @@
 
 
 def loaded(log: str) -> set[str]:
-    """The first parts of the names of all modules that were imported."""
+    """The top-level names of all modules that were imported."""
     lines = [line for line in log.splitlines() if line.startswith("import time:") and "[us]" not in line]
     return {line.rpartition("|")[2].strip().partition(".")[0] for line in lines}
 
@@ -45,7 +46,7 @@
 
     async def start() -> dict[str, str]:
         mesh = Mesh.of(tmp_path, 1, 1)
-        mesh.command = words
+        mesh.command = arguments
         try:
             await mesh.controller(0)
             upstream = Upstream("i-0", "red", lambda _: "ok")
@@ -99,7 +100,7 @@
 
 
 def interpreters() -> list[str]:
-    """This one, and others of these versions that are here and start."""
+    """This interpreter, and those of the other versions that are installed and start."""
     found = [shutil.which(f"python{version}") for version in OTHER_VERSIONS]
     return [
         sys.executable,
--- a/tests/mesh/test_runtime_settings.py
+++ b/tests/mesh/test_runtime_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: the page's example is read as it stands, and anything else is told in lines, never
+"""The settings file: the documented example is read unchanged; any mistake is reported as a line, never
 raised."""
 
 from typing import Any
@@ -75,9 +75,9 @@
     assert found.seeds == (("10.1.0.40", 8146), ("10.2.0.32", 8146), ("10.3.0.24", 8146))
     assert found.upstream == ("10.1.0.35", 8147)
     assert dict(found.zones) == {"vesturhus": "sudvestur", "austurhus": "sudvestur"}
-    me = "10.1.0.35"
+    ip = "10.1.0.35"
     assert found.ports == Ports(
-        inbound=(me, 8145), outbound=(me, 8141), readiness=(me, 8140), control=(me, 8146)
+        inbound=(ip, 8145), outbound=(ip, 8141), readiness=(ip, 8140), control=(ip, 8146)
     )
     assert found.limits == MachineLimits(0.86, 1, 300, 4100, 1000.0, 0)
     assert found.tolerance == Tolerance(machines=1, zones=0, regions=0)
@@ -169,8 +169,8 @@
     del file["ports"], file["upstream"]
     found = outcome({**file, "serves": ["auxiliary", "supervisor"]})
     assert isinstance(found, InvalidSettings)
-    told = sorted(line.partition(":")[0] for line in found.findings)
-    assert told == ["ports.control", "ports.inbound", "ports.outbound", "ports.readiness", "upstream"]
+    fields = sorted(line.partition(":")[0] for line in found.findings)
+    assert fields == ["ports.control", "ports.inbound", "ports.outbound", "ports.readiness", "upstream"]
 
 
 @pytest.mark.parametrize(
--- a/tests/mesh/test_runtime_startup.py
+++ b/tests/mesh/test_runtime_startup.py
@@ -1,4 +1,4 @@
-"""What a program says in its log as it starts and is told to end."""
+"""The log of a program that starts and is terminated, and its handling of signals."""
 
 import asyncio
 import io
@@ -21,7 +21,7 @@
 
 
 class Program:
-    """Asks for its own end as soon as it runs."""
+    """Sends itself SIGTERM as soon as it runs."""
 
     def __init__(self) -> None:
         self.stopped = False
@@ -55,13 +55,13 @@
     assert stopping.endswith("I103 asked to end open_calls=3") and program.stopped
 
 
-class HungUp(Program):
-    """While it starts its settings change, with a SIGHUP, as they do again behind its end."""
+class ChangedWhileStarting(Program):
+    """Its settings change, with a SIGHUP, while it starts; another SIGHUP follows its end."""
 
     def __init__(self, file: Path) -> None:
         super().__init__()
         self.file = file
-        self.taken: list[float] = []
+        self.applied: list[float] = []
 
     async def start(self) -> None:
         self.file.write_text(tomli_w.dumps(example() | {"envelope": {"grace_s": 77}}))
@@ -69,23 +69,24 @@
         await super().start()
 
     def apply_settings(self, settings: Settings) -> None:
-        self.taken.append(settings.bounds.grace_s)
+        self.applied.append(settings.bounds.grace_s)
 
 
 def started_under_hangups(file: str) -> int:
-    """In a process of its own: the status of a program that is told to hang up at each step of its life."""
+    """Runs in a process of its own. Returns the exit status of a program that receives SIGHUP while it starts
+    and after its end."""
     os.environ[startup.SETTINGS_VARIABLE] = file
     Path(file).write_text(tomli_w.dumps(example()))
-    program = HungUp(Path(file))
+    program = ChangedWhileStarting(Path(file))
     status = startup.run(lambda *_: program)
     os.kill(os.getpid(), signal.SIGHUP)
-    return status if program.stopped and program.taken == [77] else 9
+    return status if program.stopped and program.applied == [77] else 9
 
 
 def test_a_change_with_sighup_while_a_program_starts_is_taken_and_ends_nothing(tmp_path: Path) -> None:
     with multiprocessing.get_context("spawn").Pool(1) as pool:
         ended = pool.apply_async(started_under_hangups, (str(tmp_path / "boot.toml"),))
-        assert ended.get(timeout=20.0) == 0  # a process that the signal ended gives no result
+        assert ended.get(timeout=20.0) == 0  # a process that the signal killed returns no result
 
 
 ENDS_UNDER_SIGNALS = """
@@ -93,20 +94,20 @@
 from tests.mesh.test_runtime_startup import Program
 from mesh.runtime import startup
 
-class SendsAtTheLast:
+class SignalsAtExit:
     def __del__(self, kill=os.kill, me=os.getpid(), numbers=(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)):
         for number in numbers:
             kill(me, number)
 
-last = SendsAtTheLast()  # goes with its module, when the interpreter has put all handlers back
+last = SignalsAtExit()  # deleted with its module, after the default actions are restored
 sys.exit(startup.run(lambda *_: Program()))
 """
 
 
 def test_signals_behind_an_orderly_end_do_not_turn_its_status_into_a_kill(tmp_path: Path) -> None:
-    """Seen: controllers that had ended in order exited with status -15 in four of the first 40 seeds of the
-    soak. How: a second SIGTERM came half a second behind the first, as they ended. Cause: an interpreter that
-    ends puts the system's default back, which is to end the process; SIGHUP alone was set aside for good."""
+    """Guards against exit status -15 after a graceful shutdown, seen in four of the first 40 soak seeds: a
+    second SIGTERM arrived half a second after the first, while the interpreter exited. An exiting interpreter
+    restores the default actions, which end the process; only SIGHUP was ignored for good."""
     file = tmp_path / "boot.toml"
     file.write_text(tomli_w.dumps(example()))
     environment = {**os.environ, startup.SETTINGS_VARIABLE: str(file)}
