--- a/anisestair/lifecycle/attempt.py
+++ b/anisestair/lifecycle/attempt.py
@@ -16,7 +16,7 @@
     PASSING = 4  # its answer has begun, and goes on to the client as it comes; the module is done with it
 
 
-OVER = frozenset({Stage.ENDED, Stage.PASSING})  # as far as the module is concerned
+FINISHED_STAGES = frozenset({Stage.ENDED, Stage.PASSING})  # as far as the module is concerned
 
 
 class Attempt(NamedTuple):
@@ -25,25 +25,25 @@
     may_have_run: bool
 
 
-NEVER_RAN_AT_ALL, MAY_HAVE_RUN = Attempt(Stage.ENDED, 0, False), Attempt(Stage.ENDED, 0, True)
+ENDED_NEVER_RAN, ENDED_MAY_HAVE_RUN = Attempt(Stage.ENDED, 0, False), Attempt(Stage.ENDED, 0, True)
 
 
 def ended(outcome: Outcome) -> Attempt:
-    return NEVER_RAN_AT_ALL if outcome in NEVER_RAN else MAY_HAVE_RUN
+    return ENDED_NEVER_RAN if outcome in NEVER_RAN else ENDED_MAY_HAVE_RUN
 
 
-def broken(attempt: Attempt) -> Outcome:
+def outcome_of_lost_connection(attempt: Attempt) -> Outcome:
     """How an attempt ends with its connection. An upstream begins a request when its last byte has come: what
     never left in whole never ran, and all else may have."""
     return Outcome.RESET if attempt.stage is Stage.OUT else Outcome.CONNECT_FAILED
 
 
-def spoilt(attempt: Attempt) -> Outcome:
+def outcome_of_unreadable_response(attempt: Attempt) -> Outcome:
     """How an attempt ends when what comes back cannot be read: the request has run, if all of it left."""
     return Outcome.ERROR if attempt.stage is Stage.OUT else Outcome.CONNECT_FAILED
 
 
-def given_up(attempt: Attempt, why: Outcome) -> Outcome:
+def outcome_of_abandonment(attempt: Attempt, why: Outcome) -> Outcome:
     """How an attempt ends that is not waited for any more; ``why`` is TIMEOUT or CANCELLED. One that timed
     out before its connection was up never left. One that was being written counts as it would after its last
     byte: a server that does not read is not one that could not be reached."""
--- a/anisestair/lifecycle/connection.py
+++ b/anisestair/lifecycle/connection.py
@@ -29,22 +29,22 @@
     shared: bool = False  # it may carry several calls at once, answered in any order
 
 
-RESTING = frozenset({Stage.FRESH, Stage.IDLE})
+UNUSED_STAGES = frozenset({Stage.FRESH, Stage.IDLE})
 
 
-def up(connection: Connection) -> Connection:
+def established(connection: Connection) -> Connection:
     stage = Stage.CARRYING if connection.calls else Stage.FRESH
     server, incarnation, calls = connection.server, connection.incarnation, connection.calls
     return Connection(stage, server, incarnation, calls, 0, connection.shared)
 
 
-def carrying(connection: Connection, call: Call) -> Connection:
+def with_call(connection: Connection, call: Call) -> Connection:
     calls = (*connection.calls, call)
     _, server, incarnation, _, unsent, shared = connection
     return Connection(Stage.CARRYING, server, incarnation, calls, unsent, shared)
 
 
-def without(connection: Connection, call: Call) -> Connection:
+def without_call(connection: Connection, call: Call) -> Connection:
     """The connection with that call off it; one that carries none any more rests, if it may be kept."""
     stage, server, incarnation, carried, unsent, shared = connection
     if len(carried) == 1:
@@ -62,16 +62,16 @@
     return connection._replace(incarnation=0)
 
 
-def holding(connection: Connection, unsent: int) -> Connection:
+def with_unsent(connection: Connection, unsent: int) -> Connection:
     stage, server, incarnation, calls, _, shared = connection
     return Connection(stage, server, incarnation, calls, min(unsent, len(calls)), shared)
 
 
-def spent(connection: Connection) -> Connection:
+def closing(connection: Connection) -> Connection:
     return Connection(Stage.SPENT, connection.server, connection.incarnation)
 
 
-def unsent(connection: Connection, call: Call) -> bool:
+def is_unsent(connection: Connection, call: Call) -> bool:
     """Whether part of that call is still on this side. Bytes leave in the order in which they were
     written."""
     if not connection.unsent:
--- a/anisestair/lifecycle/endpoint.py
+++ b/anisestair/lifecycle/endpoint.py
@@ -18,13 +18,13 @@
     calls: int = 1  # so many at once on one connection
 
 
-def takes_new(endpoint: Endpoint | None) -> bool:
+def accepts_new_calls(endpoint: Endpoint | None) -> bool:
     """From the event on that tells of its drain or its end nothing new goes to an upstream. The grace that
     the rules allow is not used: it is there for what the sidecar cannot know, not for what it has been
     told."""
     return endpoint is not None and endpoint.ready
 
 
-def keeps(endpoint: Endpoint | None, connection: Connection) -> bool:
+def may_keep(endpoint: Endpoint | None, connection: Connection) -> bool:
     """Whether a connection may wait there for its next call."""
     return endpoint is not None and endpoint.ready and endpoint.incarnation == connection.incarnation
--- a/anisestair/lifecycle/exchange.py
+++ b/anisestair/lifecycle/exchange.py
@@ -20,7 +20,7 @@
 
 
 # Ends that the module does not know of, since they are not its own decision or an answer that it is told of.
-UNTOLD = frozenset({Final.OVERDUE, Final.FAULT, Final.GONE})
+UNKNOWN_TO_BALANCER = frozenset({Final.OVERDUE, Final.FAULT, Final.GONE})
 
 
 class Exchange(NamedTuple):
@@ -28,7 +28,7 @@
     attempts: tuple[Attempt, ...]
 
 
-TAKEN = Exchange(True, ())
+ACCEPTED = Exchange(True, ())
 
 
 def settled(exchange: Exchange) -> Exchange:
--- a/anisestair/lifecycle/lives.py
+++ b/anisestair/lifecycle/lives.py
@@ -21,7 +21,7 @@
 from hareloom.interface import Outcome
 
 # Ends of attempts of which not all had left; one that was turned away had.
-UNWRITTEN = frozenset({Outcome.CONNECT_FAILED, Outcome.MOOT})
+NOT_FULLY_SENT = frozenset({Outcome.CONNECT_FAILED, Outcome.MOOT})
 
 
 class Lives:
@@ -68,7 +68,7 @@
     def _take(self, effects: list[ev.Effect], request: str) -> None:
         if request in self.exchanges:
             raise ValueError(f"request {request}: already in hand")
-        self.exchanges[request] = exchanges.TAKEN
+        self.exchanges[request] = exchanges.ACCEPTED
         self.owed += 1
 
     def _settle(self, effects: list[ev.Effect], request: str, final: Final) -> None:
@@ -77,16 +77,16 @@
             return
         if not exchange.owed:
             if final is Final.GONE:
-                self._cut(effects, request, exchange)
+                self._cut_off_response(effects, request, exchange)
             return
-        self.exchanges[request] = exchange = self._settled(exchange)
+        self.exchanges[request] = exchange = self._mark_settled(exchange)
         if final is not Final.GONE:
             effects.append(ev.Reply(request, final, None))
-        if final in exchanges.UNTOLD:
+        if final in exchanges.UNKNOWN_TO_BALANCER:
             effects.append(ev.Left(request))
         self._forget(effects, request, exchange)
 
-    def _settled(self, exchange: Exchange) -> Exchange:
+    def _mark_settled(self, exchange: Exchange) -> Exchange:
         """The one place at which a request stops being owed its outcome."""
         self.owed -= 1
         return exchanges.settled(exchange)
@@ -99,13 +99,13 @@
     def _end(self, effects: list[ev.Effect]) -> None:
         for request, exchange in list(self.exchanges.items()):
             self._settle(effects, request, Final.OVERDUE)
-            self._cut(effects, request, exchange)
+            self._cut_off_response(effects, request, exchange)
 
-    def _cut(self, effects: list[ev.Effect], request: str, exchange: Exchange) -> None:
+    def _cut_off_response(self, effects: list[ev.Effect], request: str, exchange: Exchange) -> None:
         """An answer that is being passed on goes no further: nobody takes it any more."""
         for number, attempt in enumerate(exchange.attempts):
             if attempt.stage is attempts.Stage.PASSING:
-                self._spend(effects, attempt.connection, self.connections[attempt.connection])
+                self._close(effects, attempt.connection, self.connections[attempt.connection])
                 self._passed(effects, (request, number), False)
 
     # Attempts
@@ -115,13 +115,15 @@
         call = (request, len(exchange.attempts))
         if not exchange.owed or not in_time or call[1] >= self.max_attempts:
             self._ended(effects, call, Outcome.MOOT)
-        elif not endpoints.takes_new(endpoint := self.endpoints.get(server)):
+        elif not endpoints.accepts_new_calls(endpoint := self.endpoints.get(server)):
             self._ended(effects, call, Outcome.CONNECT_FAILED)
         else:
             assert endpoint is not None
-            self._place(effects, call, server, endpoint)
+            self._assign_connection(effects, call, server, endpoint)
 
-    def _place(self, effects: list[ev.Effect], call: Call, server: str, endpoint: Endpoint) -> None:
+    def _assign_connection(
+        self, effects: list[ev.Effect], call: Call, server: str, endpoint: Endpoint
+    ) -> None:
         """Give a call the most recently used of the kept connections, else one of its own. Where connections
         are shared, it joins the one with the fewest calls; another is opened only when each has as many as
         one may have, so that few are held and none grows a queue without end."""
@@ -129,12 +131,12 @@
             self._join(effects, call, number)
         elif endpoint.calls == 1 and (idle := self.idle_at.get(server)):
             number = idle[-1]
-            self._wake(number, server, idle[:-1])
-            self.connections[number] = connections.carrying(self.connections[number], call)
+            self._take_idle(number, server, idle[:-1])
+            self.connections[number] = connections.with_call(self.connections[number], call)
             # Out before it is: should anything go wrong with the writing, it may have run.
-            self._now(call, Attempt(attempts.Stage.OUT, number, True))
+            self._set_attempt(call, Attempt(attempts.Stage.OUT, number, True))
             effects.append(ev.Write(number, call, True))
-        elif len(self.connections) >= self.most and not self._make_room(effects):
+        elif len(self.connections) >= self.most and not self._evict_idle(effects):
             self._ended(effects, call, Outcome.MOOT)  # our own shortage, which says nothing of the upstream
         else:
             self.last = number = self.last + 1
@@ -144,7 +146,7 @@
             )
             if shared:
                 self.lines[server] = (*self.lines.get(server, ()), number)
-            self._now(call, Attempt(attempts.Stage.CONNECTING, number, False))
+            self._set_attempt(call, Attempt(attempts.Stage.CONNECTING, number, False))
             effects.append(ev.Open(number, server))
 
     def _joinable(self, server: str, endpoint: Endpoint) -> int:
@@ -153,7 +155,7 @@
         best, rank = 0, (True, endpoint.calls)
         for number in self.lines.get(server, ()):
             connection = self.connections[number]
-            if endpoints.keeps(endpoint, connection) and len(connection.calls) < endpoint.calls:
+            if endpoints.may_keep(endpoint, connection) and len(connection.calls) < endpoint.calls:
                 own = (connection.stage is connections.Stage.CONNECTING, len(connection.calls))
                 if own < rank:
                     best, rank = number, own
@@ -163,14 +165,14 @@
         connection = self.connections[number]
         if connection.stage is connections.Stage.CONNECTING:
             self.connections[number] = connection._replace(calls=(*connection.calls, call))
-            self._now(call, Attempt(attempts.Stage.CONNECTING, number, False))
+            self._set_attempt(call, Attempt(attempts.Stage.CONNECTING, number, False))
             return
-        self._unrest(number, connection)
-        self.connections[number] = connections.carrying(connection, call)
-        self._now(call, Attempt(attempts.Stage.OUT, number, True))
+        self._remove_idle(number, connection)
+        self.connections[number] = connections.with_call(connection, call)
+        self._set_attempt(call, Attempt(attempts.Stage.OUT, number, True))
         effects.append(ev.Write(number, call, True))
 
-    def _now(self, call: Call, attempt: Attempt) -> None:
+    def _set_attempt(self, call: Call, attempt: Attempt) -> None:
         """An attempt's new stage. It counts as written whole while it stands as that."""
         request, number = call
         exchange = self.exchanges[request]
@@ -184,11 +186,11 @@
         """An attempt ends; an answer to it is the request's, if that is still owed one."""
         request, number = call
         exchange = self.exchanges[request]
-        if outcome in UNWRITTEN and number < len(exchange.attempts):
+        if outcome in NOT_FULLY_SENT and number < len(exchange.attempts):
             self.tries -= exchange.attempts[number].stage is attempts.Stage.OUT
         exchange = exchanges.with_attempt(exchange, number, attempts.ended(outcome))
         if outcome is Outcome.OK and exchange.owed:
-            exchange = self._settled(exchange)
+            exchange = self._mark_settled(exchange)
             effects.append(ev.Reply(request, Final.SERVED, number))
         self.exchanges[request] = exchange
         effects.append(ev.Ended(request, number, outcome, not exchange.owed))
@@ -197,7 +199,7 @@
     def _passed(self, effects: list[ev.Effect], call: Call, whole: bool) -> None:
         """The end of an answer that had begun. Its outcome is not the module's any more."""
         request, number = call
-        exchange = exchanges.with_attempt(self.exchanges[request], number, attempts.MAY_HAVE_RUN)
+        exchange = exchanges.with_attempt(self.exchanges[request], number, attempts.ENDED_MAY_HAVE_RUN)
         self.exchanges[request] = exchange
         self.passing -= 1
         effects.append(ev.Passed(request, whole))
@@ -208,23 +210,23 @@
         if exchange is None or number >= len(exchange.attempts):
             return
         attempt = exchange.attempts[number]
-        if attempt.stage in attempts.OVER:
+        if attempt.stage in attempts.FINISHED_STAGES:
             return
         connection = self.connections[attempt.connection]
         if connection.stage is connections.Stage.CONNECTING:  # it goes on opening, and is kept for the next
-            self.connections[attempt.connection] = connections.without(connection, (request, number))
+            self.connections[attempt.connection] = connections.without_call(connection, (request, number))
         elif connection.shared:
-            self._give_up_alone(effects, attempt.connection, (request, number), why)
+            self._give_up_shared(effects, attempt.connection, (request, number), why)
         else:
             # While it is open the attempt is still out, and keeping it for the answer's sake saved no
             # handshakes when that was measured.
-            self._spend(effects, attempt.connection, connection)
-        self._ended(effects, (request, number), attempts.given_up(attempt, why))
+            self._close(effects, attempt.connection, connection)
+        self._ended(effects, (request, number), attempts.outcome_of_abandonment(attempt, why))
 
-    def _give_up_alone(self, effects: list[ev.Effect], number: int, call: Call, why: Outcome) -> None:
+    def _give_up_shared(self, effects: list[ev.Effect], number: int, call: Call, why: Outcome) -> None:
         """The other calls live, and a late answer is dropped by whoever reads it. After a time-out no more
         join: a silent server would be sent everything on the one connection that never breaks."""
-        connection = connections.without(self.connections[number], call)
+        connection = connections.without_call(self.connections[number], call)
         if why is Outcome.TIMEOUT:
             connection = connections.retired(connection)
         if connection.calls:
@@ -240,11 +242,11 @@
             return
         for call in connection.calls:
             if not self.exchanges[call[0]].owed:  # nothing is sent any more for what has its outcome
-                connection = connections.without(connection, call)
+                connection = connections.without_call(connection, call)
                 self._ended(effects, call, Outcome.MOOT)
-        self.connections[number] = connection = connections.up(connection)
+        self.connections[number] = connection = connections.established(connection)
         for call in connection.calls:
-            self._now(call, Attempt(attempts.Stage.OUT, number, True))
+            self._set_attempt(call, Attempt(attempts.Stage.OUT, number, True))
             effects.append(ev.Write(number, call, False))
         if not connection.calls:
             self._release(effects, number, connection)
@@ -254,7 +256,7 @@
         if connection is None or connection.stage is not connections.Stage.CONNECTING:
             return
         del self.connections[number]
-        self._unline(number, connection)
+        self._remove_joinable(number, connection)
         for call in connection.calls:
             self._ended(effects, call, Outcome.MOOT if short else Outcome.CONNECT_FAILED)
 
@@ -262,25 +264,27 @@
         connection = self.connections.get(number)
         if connection is None or call not in connection.calls:
             return
-        self._spend(effects, number, connection)
+        self._close(effects, number, connection)
         endpoint = self.endpoints.get(connection.server)
-        if endpoints.takes_new(endpoint):
+        if endpoints.accepts_new_calls(endpoint):
             assert endpoint is not None
-            self._place(effects, call, connection.server, endpoint)
+            self._assign_connection(effects, call, connection.server, endpoint)
         else:
             self._ended(effects, call, Outcome.CONNECT_FAILED)
-        self._break(effects, connections.without(connection, call), attempts.broken)
+        self._end_calls(
+            effects, connections.without_call(connection, call), attempts.outcome_of_lost_connection
+        )
 
     def _held(self, effects: list[ev.Effect], number: int, unsent: int) -> None:
         connection = self.connections.get(number)
         if connection is None or connection.stage is not connections.Stage.CARRYING:
             return
-        self.connections[number] = connection = connections.holding(connection, unsent)
+        self.connections[number] = connection = connections.with_unsent(connection, unsent)
         for call in connection.calls:
             if self._is_passing(call):  # it has begun to be answered already
                 continue
-            partly = connections.unsent(connection, call)
-            self._now(
+            partly = connections.is_unsent(connection, call)
+            self._set_attempt(
                 call, Attempt(attempts.Stage.WRITING if partly else attempts.Stage.OUT, number, not partly)
             )
 
@@ -295,11 +299,11 @@
                 self._spoilt(effects, number)
             return
         # An answer that came before its request had left: the rest of that would be the start of the next.
-        clean = clean and not connections.unsent(connection, call)
+        clean = clean and not connections.is_unsent(connection, call)
         passing = self._is_passing(call)
-        connection = connections.without(connection, call)
+        connection = connections.without_call(connection, call)
         if not clean:
-            self._spend(effects, number, connection)
+            self._close(effects, number, connection)
         elif connection.calls:
             self.connections[number] = connection
         else:
@@ -309,7 +313,7 @@
         else:
             self._ended(effects, call, outcome)
         if not clean:
-            self._break(effects, connection, attempts.broken)
+            self._end_calls(effects, connection, attempts.outcome_of_lost_connection)
 
     def _is_passing(self, call: Call) -> bool:
         return self.exchanges[call[0]].attempts[call[1]].stage is attempts.Stage.PASSING
@@ -323,11 +327,11 @@
         request, at = call
         exchange = self.exchanges[request]
         if not exchange.owed:  # nobody is there to take it
-            self._spend(effects, number, connection)
+            self._close(effects, number, connection)
             self._ended(effects, call, Outcome.OK)
             return
         passing = Attempt(attempts.Stage.PASSING, number, True)
-        self.exchanges[request] = exchanges.with_attempt(self._settled(exchange), at, passing)
+        self.exchanges[request] = exchanges.with_attempt(self._mark_settled(exchange), at, passing)
         self.passing += 1
         effects.append(ev.Reply(request, Final.SERVED, at))
         effects.append(ev.Ended(request, at, Outcome.OK, True))
@@ -336,19 +340,19 @@
         connection = self.connections.get(number)
         if connection is None or connection.stage is connections.Stage.SPENT:
             return
-        self._spend(effects, number, connection)
-        self._break(effects, connection, attempts.spoilt)
+        self._close(effects, number, connection)
+        self._end_calls(effects, connection, attempts.outcome_of_unreadable_response)
 
     def _lost(self, effects: list[ev.Effect], number: int) -> None:
         connection = self.connections.get(number)
         if connection is None:
             return
-        self._unrest(number, connection)
-        self._unline(number, connection)
+        self._remove_idle(number, connection)
+        self._remove_joinable(number, connection)
         del self.connections[number]
-        self._break(effects, connection, attempts.broken)
+        self._end_calls(effects, connection, attempts.outcome_of_lost_connection)
 
-    def _break(
+    def _end_calls(
         self, effects: list[ev.Effect], connection: Connection, how: Callable[[Attempt], Outcome]
     ) -> None:
         for call in connection.calls:
@@ -359,32 +363,32 @@
 
     def _expire(self, effects: list[ev.Effect], number: int) -> None:
         connection = self.connections.get(number)
-        if connection is not None and connection.stage in connections.RESTING:
-            self._spend(effects, number, connection)
+        if connection is not None and connection.stage in connections.UNUSED_STAGES:
+            self._close(effects, number, connection)
 
     def _release(self, effects: list[ev.Effect], number: int, connection: Connection) -> None:
         """A connection that carries nothing waits for its next call, where it may."""
-        if endpoints.keeps(self.endpoints.get(connection.server), connection):
+        if endpoints.may_keep(self.endpoints.get(connection.server), connection):
             self.connections[number] = connection
             self.idle_at[connection.server] = (*self.idle_at.get(connection.server, ()), number)
             self.idle[number] = None
             effects.append(ev.Rest(number))
         else:
-            self._spend(effects, number, connection)
+            self._close(effects, number, connection)
 
-    def _spend(self, effects: list[ev.Effect], number: int, connection: Connection) -> None:
-        self._unrest(number, connection)
-        self._unline(number, connection)
-        self.connections[number] = connections.spent(connection)
+    def _close(self, effects: list[ev.Effect], number: int, connection: Connection) -> None:
+        self._remove_idle(number, connection)
+        self._remove_joinable(number, connection)
+        self.connections[number] = connections.closing(connection)
         effects.append(ev.Close(number))
 
-    def _unrest(self, number: int, connection: Connection) -> None:
+    def _remove_idle(self, number: int, connection: Connection) -> None:
         """Off the lists of those that wait for a call."""
         if number in self.idle:
             idle = self.idle_at[connection.server]
-            self._wake(number, connection.server, tuple(item for item in idle if item != number))
+            self._take_idle(number, connection.server, tuple(item for item in idle if item != number))
 
-    def _unline(self, number: int, connection: Connection) -> None:
+    def _remove_joinable(self, number: int, connection: Connection) -> None:
         """Off the list of those that calls may join."""
         if connection.shared and number in (lines := self.lines.get(connection.server, ())):
             if len(lines) == 1:
@@ -392,7 +396,7 @@
             else:
                 self.lines[connection.server] = tuple([item for item in lines if item != number])
 
-    def _wake(self, number: int, server: str, others: tuple[int, ...]) -> None:
+    def _take_idle(self, number: int, server: str, others: tuple[int, ...]) -> None:
         del self.idle[number]
         if others:
             self.idle_at[server] = others
@@ -404,12 +408,12 @@
         self.most = most
         over = len(self.connections) - most
         for number in list(self.idle)[: max(over, 0)]:
-            self._spend(effects, number, self.connections[number])
+            self._close(effects, number, self.connections[number])
 
-    def _make_room(self, effects: list[ev.Effect]) -> bool:
+    def _evict_idle(self, effects: list[ev.Effect]) -> bool:
         """At the bound, the connection that has been idle for longest gives way to a new one."""
         for number in self.idle:
-            self._spend(effects, number, self.connections[number])
+            self._close(effects, number, self.connections[number])
             return True
         return False
 
@@ -444,21 +448,21 @@
             else:
                 self.endpoints[entry.server] = Endpoint(entry.ready, old.incarnation, entry.life, entry.calls)
         if changed:
-            self._strand(effects, changed)
+            self._end_waiting_attempts(effects, changed)
 
     def _close_idle(self, effects: list[ev.Effect], server: str) -> None:
         for number in self.idle_at.get(server, ()):
-            self._spend(effects, number, self.connections[number])
+            self._close(effects, number, self.connections[number])
 
-    def _strand(self, effects: list[ev.Effect], changed: set[str]) -> None:
+    def _end_waiting_attempts(self, effects: list[ev.Effect], changed: set[str]) -> None:
         """Attempts that wait for a connection to what takes nothing new any more end: sent once it is up,
         they would be sends after the drain was told, or go to whoever has the address now."""
         for number, connection in list(self.connections.items()):
             if connection.server not in changed or connection.stage is not connections.Stage.CONNECTING:
                 continue
-            if not endpoints.keeps(self.endpoints.get(connection.server), connection):
+            if not endpoints.may_keep(self.endpoints.get(connection.server), connection):
                 for call in connection.calls:
-                    self.connections[number] = connections.without(self.connections[number], call)
+                    self.connections[number] = connections.without_call(self.connections[number], call)
                     self._ended(effects, call, Outcome.CONNECT_FAILED)
 
 
--- a/anisestair/states/bugs.py
+++ b/anisestair/states/bugs.py
@@ -159,11 +159,11 @@
     if exchange is None or exchange.attempts[number].stage is attempts.Stage.ENDED:
         return
     attempt = exchange.attempts[number]
-    connection = connections.without(self.connections[attempt.connection], (request, number))
+    connection = connections.without_call(self.connections[attempt.connection], (request, number))
     self.connections[attempt.connection] = connection
     if connection.stage is not connections.Stage.CONNECTING:
         self._release(effects, attempt.connection, connection)
-    self._ended(effects, (request, number), attempts.given_up(attempt, why))
+    self._ended(effects, (request, number), attempts.outcome_of_abandonment(attempt, why))
 
 
 def _strand_nothing(self: Lives, effects: Effects, changed: set[str]) -> None:
@@ -173,9 +173,9 @@
 def _strand_drained_only(self: Lives, effects: Effects, changed: set[str]) -> None:
     for number, connection in list(self.connections.items()):
         if connection.server in changed and connection.stage is connections.Stage.CONNECTING:
-            if not endpoints.takes_new(self.endpoints.get(connection.server)):
+            if not endpoints.accepts_new_calls(self.endpoints.get(connection.server)):
                 for call in connection.calls:
-                    self.connections[number] = connections.without(self.connections[number], call)
+                    self.connections[number] = connections.without_call(self.connections[number], call)
                     self._ended(effects, call, Outcome.CONNECT_FAILED)
 
 
@@ -248,7 +248,7 @@
 
 def _not_up_kept(self: Lives, effects: Effects, number: int, short: bool) -> None:
     connection = self.connections[number]
-    self.connections[number] = connections.spent(connection)
+    self.connections[number] = connections.closing(connection)
     for call in connection.calls:
         self._ended(effects, call, Outcome.CONNECT_FAILED)
 
@@ -278,9 +278,9 @@
     connection = self.connections.get(number)
     if connection is None or connection.stage is not connections.Stage.CONNECTING:
         return
-    self.connections[number] = connection = connections.up(connection)
+    self.connections[number] = connection = connections.established(connection)
     for call in connection.calls:
-        self._now(call, Attempt(attempts.Stage.OUT, number, True))
+        self._set_attempt(call, Attempt(attempts.Stage.OUT, number, True))
         effects.append(ev.Write(number, call, False))
     if not connection.calls:
         self._release(effects, number, connection)
@@ -344,9 +344,9 @@
 
 
 def _given_up_with_the_others(self: Lives, effects: Effects, number: int, call: Call, why: Outcome) -> None:
-    connection = connections.without(self.connections[number], call)
-    self._spend(effects, number, connection)
-    self._break(effects, connection, attempts.broken)
+    connection = connections.without_call(self.connections[number], call)
+    self._close(effects, number, connection)
+    self._end_calls(effects, connection, attempts.outcome_of_lost_connection)
 
 
 def _joins_any(self: Lives, server: str, endpoint: Endpoint) -> int:
@@ -362,9 +362,9 @@
 
 def _unusable_takes_all(self: Lives, effects: Effects, number: int, call: Call) -> None:
     connection = self.connections[number]
-    self._spend(effects, number, connection)
+    self._close(effects, number, connection)
     for item in connection.calls:
-        self._place(effects, item, connection.server, self.endpoints[connection.server])
+        self._assign_connection(effects, item, connection.server, self.endpoints[connection.server])
 
 
 def _stays_in_line(self: Lives, number: int, connection: Connection) -> None:
@@ -379,22 +379,29 @@
 
 
 BUGS = (
-    Bug("reset-never-ran", "a reset counts as never run", "sale-small", attempts, "broken", _never_ran),
+    Bug(
+        "reset-never-ran",
+        "a reset counts as never run",
+        "sale-small",
+        attempts,
+        "outcome_of_lost_connection",
+        _never_ran,
+    ),
     Bug(
         "spoilt-never-ran",
         "a spoilt answer counts as never run",
         "sale-small",
         attempts,
-        "spoilt",
+        "outcome_of_unreadable_response",
         _never_ran,
     ),
     Bug(
         *("timeout-never-left", "every time-out counts as never sent", "sale-small"),
-        *(attempts, "given_up", _timeout_never_left),
+        *(attempts, "outcome_of_abandonment", _timeout_never_left),
     ),
     Bug(
         *("ended-with-its-line", "an attempt that has ended ends again with its connection", "sale-small"),
-        *(connections, "spent", _spent_with_calls),
+        *(connections, "closing", _spent_with_calls),
     ),
     Bug(
         *("given-up-line-kept", "the connection of an attempt given up is used again", "pair-small"),
@@ -402,7 +409,7 @@
     ),
     Bug(
         *("nothing-stranded", "a drain between choosing and writing is missed", "sale-small"),
-        *(Lives, "_strand", _strand_nothing),
+        *(Lives, "_end_waiting_attempts", _strand_nothing),
     ),
     Bug(
         *(
@@ -410,19 +417,19 @@
             "an attempt waits on for a life that has ended (this program's)",
             "sale-small",
         ),
-        *(Lives, "_strand", _strand_drained_only),
+        *(Lives, "_end_waiting_attempts", _strand_drained_only),
     ),
     Bug(
         *("drain-waits", "a draining server takes new requests for its grace", "sale-small"),
-        *(endpoints, "takes_new", _draining_takes_new),
+        *(endpoints, "accepts_new_calls", _draining_takes_new),
     ),
     Bug(
         *("old-life-kept", "a line to an earlier life is kept (this program's)", "sale-small"),
-        *(endpoints, "keeps", _keeps_any_life),
+        *(endpoints, "may_keep", _keeps_any_life),
     ),
     Bug(
         *("kept-while-draining", "a line to a draining server is kept", "sale-small"),
-        *(endpoints, "keeps", _keeps_while_draining),
+        *(endpoints, "may_keep", _keeps_while_draining),
     ),
     Bug(
         *("idle-left-open", "idle lines are not closed at a drain or restart", "sale-small"),
@@ -462,11 +469,11 @@
     ),
     Bug(
         *("rests-for-ever", "a line that has ended stays among the idle", "sale-small"),
-        *(Lives, "_unrest", _rests_for_ever),
+        *(Lives, "_remove_idle", _rests_for_ever),
     ),
     Bug(
         *("room-for-nothing", "the bound on connections makes no room", "pair-at-the-bound"),
-        *(Lives, "_make_room", _room_without_closing),
+        *(Lives, "_evict_idle", _room_without_closing),
     ),
     Bug(
         *("end-forgets", "the end of the program leaves requests unanswered (this program's)", "sale-small"),
@@ -519,11 +526,11 @@
     ),
     Bug(
         *("unsent-from-the-front", "the first calls count as held back, not the last", "calls-two"),
-        *(connections, "unsent", _unsent_from_the_front),
+        *(connections, "is_unsent", _unsent_from_the_front),
     ),
     Bug(
         *("given-up-with-others", "giving one call up ends the others on its connection", "calls-two"),
-        *(Lives, "_give_up_alone", _given_up_with_the_others),
+        *(Lives, "_give_up_shared", _given_up_with_the_others),
     ),
     Bug(
         *("joins-without-bound", "a connection takes any number of calls", "calls-three"),
@@ -539,11 +546,11 @@
     ),
     Bug(
         *("stays-in-line", "a connection that has ended can still be joined", "calls-two"),
-        *(Lives, "_unline", _stays_in_line),
+        *(Lives, "_remove_joinable", _stays_in_line),
     ),
     Bug(
         *("breaks-the-first-only", "the end of a connection ends one of its calls", "calls-two"),
-        *(Lives, "_break", _break_the_first),
+        *(Lives, "_end_calls", _break_the_first),
     ),
     Bug(
         *("group-ignored", "a listing goes to another cell", "listing-cells"),
@@ -555,11 +562,11 @@
     ),
     Bug(
         *("cut-as-whole", "an answer that breaks off is passed on as whole", "long-small"),
-        *(Lives, "_break", _break_as_whole),
+        *(Lives, "_end_calls", _break_as_whole),
     ),
     Bug(
         *("left-and-passed-on", "an answer goes on although its client has left", "long-small"),
-        *(Lives, "_cut", _cut_nothing),
+        *(Lives, "_cut_off_response", _cut_nothing),
     ),
     Bug(
         *("begun-for-nobody", "an answer begins for a request that has its outcome", "long-uncancelled"),
--- a/anisestair/states/world.py
+++ b/anisestair/states/world.py
@@ -496,7 +496,9 @@
                 if attempt.stage is not attempts.Stage.ENDED:
                     out[request, number] = attempt.connection
         carried = {call: number for number, item in lives.connections.items() for call in item.calls}
-        rests = {number for number, item in lives.connections.items() if item.stage in connections.RESTING}
+        rests = {
+            number for number, item in lives.connections.items() if item.stage in connections.UNUSED_STAGES
+        }
         at = [number for numbers in lives.idle_at.values() for number in numbers]
         spent = connections.Stage.SPENT
         live = {number for number, item in lives.connections.items() if item.shared and item.stage != spent}
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -17,7 +17,7 @@
 from anisestair.http.upstream import Wires
 from anisestair.lifecycle import Lives
 from anisestair.lifecycle import events as ev
-from anisestair.lifecycle.connection import Connection, Stage, unsent
+from anisestair.lifecycle.connection import Connection, Stage, is_unsent
 from anisestair.lifecycle.exchange import Final
 from hareloom import interface as api
 from hareloom.interface import Outcome
@@ -121,7 +121,7 @@
 def test_which_of_several_calls_has_left_is_known_of_each() -> None:
     calls = (("r1", 0), ("r2", 0), ("r3", 0))
     connection = Connection(Stage.CARRYING, "a", 1, calls, unsent=2)
-    assert [unsent(connection, call) for call in calls] == [False, True, True]
+    assert [is_unsent(connection, call) for call in calls] == [False, True, True]
 
 
 def test_an_answer_before_its_request_had_left_ends_the_connection() -> None:
