--- a/anisestair/lifecycle/__init__.py
+++ b/anisestair/lifecycle/__init__.py
@@ -1,7 +1,7 @@
-"""The lives of exchanges, attempts, connections to upstreams and endpoints, as explicit machines.
+"""Explicit state machines for exchanges, attempts, connections to upstreams and endpoints.
 
-Nothing here does I/O, reads a clock or draws a random number: events go into a `Lives` as values, effects
-come out as values, and whoever holds the sockets carries them out in their order.
+Nothing here does I/O, reads a clock or draws a random number: `Lives.handle` takes an event as a value and
+returns effects as values, which the owner of the sockets carries out in order.
 """
 
 from anisestair.lifecycle.lives import Lives
--- a/anisestair/lifecycle/attempt.py
+++ b/anisestair/lifecycle/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of one request to one upstream, and whether it may have run."""
+"""State of one attempt to send a request to an upstream, and whether the upstream may have executed it."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Stage(IntEnum):
-    CONNECTING = 0  # chosen; waits for the connection that will carry it
-    WRITING = 1  # part of it is still on this side
-    OUT = 2  # the kernel has all of it, or may have
+    CONNECTING = 0  # an upstream is chosen; waits for its connection to be established
+    WRITING = 1  # part of the request is not yet accepted by the kernel
+    OUT = 2  # the kernel has, or may have, the whole request
     ENDED = 3
-    PASSING = 4  # its answer has begun, and goes on to the client as it comes; the module is done with it
+    PASSING = 4  # its response is being streamed to the client; ended as far as the balancer is concerned
 
 
-FINISHED_STAGES = frozenset({Stage.ENDED, Stage.PASSING})  # as far as the module is concerned
+FINISHED_STAGES = frozenset({Stage.ENDED, Stage.PASSING})  # as far as the balancer is concerned
 
 
 class Attempt(NamedTuple):
     stage: Stage
-    connection: int  # 0 once it has ended
+    connection: int  # 0 once the attempt has ended
     may_have_run: bool
 
 
@@ -29,24 +29,27 @@
 
 
 def ended(outcome: Outcome) -> Attempt:
+    """Return the final state of an attempt that ended with ``outcome``."""
     return ENDED_NEVER_RAN if outcome in NEVER_RAN else ENDED_MAY_HAVE_RUN
 
 
 def outcome_of_lost_connection(attempt: Attempt) -> Outcome:
-    """How an attempt ends with its connection. An upstream begins a request when its last byte has come: what
-    never left in whole never ran, and all else may have."""
+    """Return the outcome of an attempt whose connection has ended. An upstream starts a request only after
+    its last byte has arrived, so a request that was not sent whole was never executed."""
     return Outcome.RESET if attempt.stage is Stage.OUT else Outcome.CONNECT_FAILED
 
 
 def outcome_of_unreadable_response(attempt: Attempt) -> Outcome:
-    """How an attempt ends when what comes back cannot be read: the request has run, if all of it left."""
+    """Return the outcome of an attempt whose response cannot be parsed. The request was executed if it was
+    sent whole."""
     return Outcome.ERROR if attempt.stage is Stage.OUT else Outcome.CONNECT_FAILED
 
 
 def outcome_of_abandonment(attempt: Attempt, why: Outcome) -> Outcome:
-    """How an attempt ends that is not waited for any more; ``why`` is TIMEOUT or CANCELLED. One that timed
-    out before its connection was up never left. One that was being written counts as it would after its last
-    byte: a server that does not read is not one that could not be reached."""
+    """Return the outcome of an attempt that is abandoned; ``why`` is TIMEOUT or CANCELLED.
+
+    A timeout before the connection is established counts as a failure to connect. A timeout while writing
+    stays a timeout: a server that does not read its socket is still reachable."""
     if why is Outcome.TIMEOUT and attempt.stage is Stage.CONNECTING:
         return Outcome.CONNECT_FAILED
     return why
--- a/anisestair/lifecycle/endpoint.py
+++ b/anisestair/lifecycle/endpoint.py
@@ -1,4 +1,4 @@
-"""An upstream as the list tells of it: whether it takes anything new, and which of its lives it is in."""
+"""An upstream as the endpoint list describes it: whether it accepts new calls, and its incarnation."""
 
 from __future__ import annotations
 
@@ -9,22 +9,21 @@
 
 
 class Endpoint(NamedTuple):
-    ready: bool  # listed as ready; False: draining. One that is gone is in no table
-    # Counted anew whenever it comes onto the list, or at another address, or has started again. A connection
-    # made to an earlier one leads to a process that is no more, or, where the address is used again, to
-    # another server: one in another cell, perhaps, or one that drains.
+    ready: bool  # listed as ready; False: draining. A removed endpoint is in no table
+    # Changes whenever the endpoint is listed anew, changes its address or restarts. A connection made to an
+    # earlier incarnation leads to a process that has ended or, if the address has been reused, to another
+    # server, which may be in another cell or draining.
     incarnation: int
-    life: Hashable  # what the list tells one life from another by: address and start
-    calls: int = 1  # so many at once on one connection
+    life: Hashable  # address and start time, by which the list distinguishes incarnations
+    calls: int = 1  # maximum number of concurrent calls on one connection
 
 
 def accepts_new_calls(endpoint: Endpoint | None) -> bool:
-    """From the event on that tells of its drain or its end nothing new goes to an upstream. The grace that
-    the rules allow is not used: it is there for what the sidecar cannot know, not for what it has been
-    told."""
+    """Return whether new calls may be sent there. They stop with the event that reports the drain or removal.
+    The grace period of the rules is not used: it covers the delay until a sidecar is informed."""
     return endpoint is not None and endpoint.ready
 
 
 def may_keep(endpoint: Endpoint | None, connection: Connection) -> bool:
-    """Whether a connection may wait there for its next call."""
+    """Return whether a connection may stay open there for its next call."""
     return endpoint is not None and endpoint.ready and endpoint.incarnation == connection.incarnation
--- a/anisestair/lifecycle/events.py
+++ b/anisestair/lifecycle/events.py
@@ -1,4 +1,4 @@
-"""What goes into a `Lives` and what comes out of it."""
+"""Events that `Lives.handle` accepts and effects that it returns."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from anisestair.lifecycle.exchange import Final
 from hareloom.interface import Outcome
 
-# Events. Those that name a request or a connection that is not known any more are late, and change nothing.
+# Events. One that names a request or a connection that is no longer known is late and changes nothing.
 
 
 class Take(NamedTuple):
-    """A whole request has come from the application."""
+    """A complete request has arrived from the application."""
 
     request: str
 
 
 class Choose(NamedTuple):
-    """The module sends a request to a server; ``in_time`` is False when its time is already over."""
+    """The balancer sends a request to a server; ``in_time`` is False when its deadline has passed."""
 
     request: str
     server: str
@@ -27,14 +27,14 @@
 
 
 class Settle(NamedTuple):
-    """A final outcome other than an upstream's answer: by the module, by the clock, or by the client."""
+    """A final outcome other than an upstream's response: a decision, a deadline or a client that left."""
 
     request: str
     final: Final
 
 
 class GiveUp(NamedTuple):
-    """An attempt is not waited for any more: TIMEOUT or CANCELLED."""
+    """An attempt is abandoned: TIMEOUT or CANCELLED."""
 
     request: str
     number: int
@@ -42,32 +42,34 @@
 
 
 class Up(NamedTuple):
+    """A connection is established."""
+
     connection: int
 
 
 class NotUp(NamedTuple):
-    """A connection has not come up; ``short``: for want of something on this side."""
+    """A connect has failed; ``short``: because a local resource was exhausted."""
 
     connection: int
     short: bool
 
 
 class Unusable(NamedTuple):
-    """A connection was found ended, or an idle one with something unread, before this call was written."""
+    """Before this call was written, its connection was found closed, or idle with unread bytes."""
 
     connection: int
     call: Call
 
 
 class Held(NamedTuple):
-    """So many of the last calls written have bytes that the kernel has not taken; 0: all have left."""
+    """The last ``unsent`` calls written have bytes that the kernel has not accepted; 0: all are sent."""
 
     connection: int
     unsent: int
 
 
 class Answered(NamedTuple):
-    """A whole answer to a call. ``clean``: nothing came behind it, and the connection may be used again."""
+    """A complete response to a call. ``clean``: no bytes followed it, and the connection is reusable."""
 
     connection: int
     call: Call
@@ -76,54 +78,54 @@
 
 
 class Begun(NamedTuple):
-    """The first bytes of an answer 200 to a call, too long to be kept until it is whole."""
+    """The first bytes of a response 200 to a call that is too long to be buffered whole."""
 
     connection: int
     call: Call
 
 
 class Spoilt(NamedTuple):
-    """What came cannot be read, or nobody had asked."""
+    """The received bytes cannot be parsed, or belong to no call."""
 
     connection: int
 
 
 class Expire(NamedTuple):
-    """A kept connection has been idle for as long as one may be."""
+    """A connection has reached the idle timeout."""
 
     connection: int
 
 
 class Lost(NamedTuple):
-    """The connection has ended, whoever ended it. Nothing more comes from it."""
+    """The connection is closed by either side; no event of it follows."""
 
     connection: int
 
 
 class Listing(NamedTuple):
-    """One entry of a list; ``life`` is None for a server that is gone."""
+    """One entry of an endpoint list; ``life`` is None for a server that was removed."""
 
     server: str
     ready: bool
     life: Hashable
-    calls: int = 1  # so many at once on one connection
+    calls: int = 1  # maximum number of concurrent calls on one connection
 
 
 class Listed(NamedTuple):
-    """The list, or (``whole`` False) what has changed in it."""
+    """The complete endpoint list or, if ``whole`` is False, the changes to it."""
 
     entries: tuple[Listing, ...]
     whole: bool
 
 
 class Room(NamedTuple):
-    """So many connections may be held from now on."""
+    """The maximum number of connections has changed."""
 
     most: int
 
 
 class End(NamedTuple):
-    """The program ends now: whatever is still owed is answered, or its clients could only wait in vain."""
+    """The program terminates: requests without an outcome are answered, so that no client waits."""
 
 
 Event = Union[
@@ -149,7 +151,7 @@
 
 
 class Reply(NamedTuple):
-    """Give the client its one answer; ``number`` is the attempt that served it."""
+    """Send the client its only response; ``number`` is the attempt that served it."""
 
     request: str
     final: Final
@@ -157,14 +159,14 @@
 
 
 class Passed(NamedTuple):
-    """An answer that had begun has ended: ``whole``, or cut off, which the client has to see."""
+    """A streamed response has ended: ``whole``, or truncated, which the client must be able to detect."""
 
     request: str
     whole: bool
 
 
 class Ended(NamedTuple):
-    """Tell the module how an attempt ended; ``closed``: nothing is owed for the request."""
+    """Report to the balancer how an attempt ended; ``closed``: the request has its final outcome."""
 
     request: str
     number: int
@@ -173,24 +175,26 @@
 
 
 class Left(NamedTuple):
-    """Tell the module that nothing is owed for a request any more."""
+    """Report to the balancer that a request has its final outcome."""
 
     request: str
 
 
 class Forget(NamedTuple):
-    """Nothing refers to the request any more."""
+    """Release the request: no state refers to it any more."""
 
     request: str
 
 
 class Open(NamedTuple):
+    """Connect to a server; `Up` or `NotUp` follows."""
+
     connection: int
     server: str
 
 
 class Write(NamedTuple):
-    """Write a call; ``kept``: the connection stood idle, and is looked at first (`Unusable`)."""
+    """Write a call; ``kept``: the connection was established before and is checked first (`Unusable`)."""
 
     connection: int
     call: Call
@@ -198,13 +202,13 @@
 
 
 class Rest(NamedTuple):
-    """The connection stands idle from now on; in time, an `Expire` is due."""
+    """The connection is idle from now on; `Expire` follows at the idle timeout."""
 
     connection: int
 
 
 class Close(NamedTuple):
-    """End the connection at once; what this side has not sent yet is thrown away. `Lost` follows."""
+    """Abort the connection and discard unsent bytes. `Lost` follows."""
 
     connection: int
 
--- a/anisestair/lifecycle/exchange.py
+++ b/anisestair/lifecycle/exchange.py
@@ -1,4 +1,4 @@
-"""A request that was taken: owed one final outcome, then kept until its last attempt has ended."""
+"""State of an accepted request: it gets one final outcome, and is kept until its last attempt has ended."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     """The one outcome of an exchange."""
 
     SERVED = 0
-    REFUSED = 1  # a promise: trying again is harmless
-    FAILED = 2  # by the module; promises nothing, as the two that follow
-    OVERDUE = 3  # nobody decided in its time
-    FAULT = 4  # deciding about it raised
-    GONE = 5  # the client has left: nobody is there to be told
+    REFUSED = 1  # guarantees that a retry is safe
+    FAILED = 2  # by the balancer; says nothing about the safety of a retry, as the next two
+    OVERDUE = 3  # the deadline passed without a decision
+    FAULT = 4  # the decision raised an exception
+    GONE = 5  # the client has disconnected
 
 
-# Ends that the module does not know of, since they are not its own decision or an answer that it is told of.
+# Outcomes that are neither a decision of the balancer nor a response reported to it.
 UNKNOWN_TO_BALANCER = frozenset({Final.OVERDUE, Final.FAULT, Final.GONE})
 
 
 class Exchange(NamedTuple):
-    owed: bool  # the final outcome is still to come
+    owed: bool  # the final outcome has not been determined yet
     attempts: tuple[Attempt, ...]
 
 
@@ -32,11 +32,12 @@
 
 
 def settled(exchange: Exchange) -> Exchange:
+    """Return the exchange after its final outcome has been determined."""
     return Exchange(False, exchange.attempts)
 
 
 def with_attempt(exchange: Exchange, number: int, attempt: Attempt) -> Exchange:
-    """The exchange with that attempt in its new state; the number after the last adds one."""
+    """Return the exchange with that attempt replaced, or appended if ``number`` is the next one."""
     attempts = exchange.attempts
     if len(attempts) <= 1 and not number:
         return Exchange(exchange.owed, (attempt,))
@@ -44,10 +45,10 @@
 
 
 def forgettable(exchange: Exchange) -> bool:
-    """Nothing is owed, and nothing is out that could still say something of it."""
+    """Return whether the request has its final outcome and no attempt is still in progress."""
     if exchange.owed:
         return False
-    for attempt in exchange.attempts:  # noqa: SIM110 (a generator costs more than the few it looks at)
+    for attempt in exchange.attempts:  # noqa: SIM110 (a generator costs more than this loop over a few items)
         if attempt.stage is not Stage.ENDED:
             return False
     return True
--- a/anisestair/lifecycle/lives.py
+++ b/anisestair/lifecycle/lives.py
@@ -1,7 +1,7 @@
-"""All lives of one sidecar together: which connection an attempt takes, and what the end of one ends
-elsewhere.
+"""The combined state machine of one sidecar: it assigns attempts to connections, and propagates the end of
+a connection, an endpoint or a request to the others.
 
-The rules themselves stand in the modules beside this one, each in one function.
+The rules themselves are functions in the other modules of this package.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from anisestair.lifecycle.exchange import Exchange, Final
 from hareloom.interface import Outcome
 
-# Ends of attempts of which not all had left; one that was turned away had.
+# Outcomes of attempts that were not sent whole. A request that the upstream rejected was sent whole.
 NOT_FULLY_SENT = frozenset({Outcome.CONNECT_FAILED, Outcome.MOOT})
 
 
 class Lives:
-    """The four tables. Every entry is an immutable value, so that a copy is one of the tables only.
+    """The tables of exchanges, connections, endpoints and idle connections. Every entry is an immutable
+    value, so that copying the tables copies the whole state.
 
-    ``most`` bounds the connections: one that is being closed to make room counts no more, and is gone within
-    a turn of the loop. ``max_attempts`` bounds the attempts of one request. What is forgotten leaves nothing
-    behind: an exchange goes with its last attempt, a connection with its end, an endpoint with the list that
-    names it no more.
+    ``most`` bounds the connections; one that is closed to make room no longer counts, and is gone within an
+    iteration of the event loop. ``max_attempts`` bounds the attempts of one request. An exchange is removed
+    with its last attempt, a connection when it is closed, an endpoint when the list no longer has it.
     """
 
     __slots__ = (
@@ -43,21 +43,21 @@
         self.exchanges: dict[str, Exchange] = {}
         self.connections: dict[int, Connection] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self.idle: dict[int, None] = {}  # resting connections of all endpoints, the longest idle first
+        self.idle: dict[int, None] = {}  # unused connections of all endpoints, the longest idle first
         self.idle_at: dict[str, tuple[int, ...]] = {}  # the same by endpoint, the most recently used one last
-        self.lines: dict[str, tuple[int, ...]] = {}  # connections that calls may join, of shared endpoints
+        self.lines: dict[str, tuple[int, ...]] = {}  # connections that calls may join, by endpoint
         self.last = 0  # the number of the newest connection
         self.incarnations = 0
-        self.passing = 0  # answers that have begun and not ended
+        self.passing = 0  # responses that are being streamed
         self.owed = 0  # requests that have no final outcome yet
-        self.tries = 0  # attempts that were written whole, since the start
+        self.tries = 0  # attempts that were sent whole, since the start
 
     def handle(self, event: ev.Event) -> list[ev.Effect]:
-        """The effects of one event, to be carried out in their order. Those of a further event may be carried
-        out in between: the tables are already as they will be after all of these.
+        """Return the effects of one event, to be carried out in order. Effects of a further event may be
+        carried out in between: the tables already reflect all effects returned.
 
-        Raises ValueError for a request that is taken while one of its id is in hand, KeyError for a choice
-        for a request that is not: both would give one exchange's answer to another.
+        Raises ValueError for a `Take` whose id is already in use, and KeyError for a `Choose` of an unknown
+        request: either would deliver the response of one exchange to another.
         """
         effects: list[ev.Effect] = []
         _ON[type(event)](self, effects, *event)
@@ -87,7 +87,7 @@
         self._forget(effects, request, exchange)
 
     def _mark_settled(self, exchange: Exchange) -> Exchange:
-        """The one place at which a request stops being owed its outcome."""
+        """Mark a request as having its final outcome; the only place that does so."""
         self.owed -= 1
         return exchanges.settled(exchange)
 
@@ -102,7 +102,7 @@
             self._cut_off_response(effects, request, exchange)
 
     def _cut_off_response(self, effects: list[ev.Effect], request: str, exchange: Exchange) -> None:
-        """An answer that is being passed on goes no further: nobody takes it any more."""
+        """Stop streaming the response of a request whose client has disconnected."""
         for number, attempt in enumerate(exchange.attempts):
             if attempt.stage is attempts.Stage.PASSING:
                 self._close(effects, attempt.connection, self.connections[attempt.connection])
@@ -124,20 +124,20 @@
     def _assign_connection(
         self, effects: list[ev.Effect], call: Call, server: str, endpoint: Endpoint
     ) -> None:
-        """Give a call the most recently used of the kept connections, else one of its own. Where connections
-        are shared, it joins the one with the fewest calls; another is opened only when each has as many as
-        one may have, so that few are held and none grows a queue without end."""
+        """Assign a call to the most recently used idle connection, else to a new one. Where connections are
+        shared, the call joins the one with the fewest calls; a new one is opened only when all are full, so
+        that connections stay few and the queue on each stays bounded."""
         if endpoint.calls > 1 and (number := self._joinable(server, endpoint)):
             self._join(effects, call, number)
         elif endpoint.calls == 1 and (idle := self.idle_at.get(server)):
             number = idle[-1]
             self._take_idle(number, server, idle[:-1])
             self.connections[number] = connections.with_call(self.connections[number], call)
-            # Out before it is: should anything go wrong with the writing, it may have run.
+            # Counts as sent before it is written: if the write fails, the request may have been executed.
             self._set_attempt(call, Attempt(attempts.Stage.OUT, number, True))
             effects.append(ev.Write(number, call, True))
         elif len(self.connections) >= self.most and not self._evict_idle(effects):
-            self._ended(effects, call, Outcome.MOOT)  # our own shortage, which says nothing of the upstream
+            self._ended(effects, call, Outcome.MOOT)  # a local limit, no failure of the upstream
         else:
             self.last = number = self.last + 1
             shared = endpoint.calls > 1
@@ -150,8 +150,8 @@
             effects.append(ev.Open(number, server))
 
     def _joinable(self, server: str, endpoint: Endpoint) -> int:
-        """The connection that another call joins: one that is up before one that is not, then the one with
-        the fewest calls; 0 where there is none."""
+        """Return the connection that a further call joins: established ones first, then the one with the
+        fewest calls; 0 if there is none."""
         best, rank = 0, (True, endpoint.calls)
         for number in self.lines.get(server, ()):
             connection = self.connections[number]
@@ -173,7 +173,7 @@
         effects.append(ev.Write(number, call, True))
 
     def _set_attempt(self, call: Call, attempt: Attempt) -> None:
-        """An attempt's new stage. It counts as written whole while it stands as that."""
+        """Set the state of an attempt and count it as sent while its stage is OUT."""
         request, number = call
         exchange = self.exchanges[request]
         if number < len(exchange.attempts) and exchange.attempts[number].stage is attempts.Stage.OUT:
@@ -183,7 +183,7 @@
         self.exchanges[request] = exchanges.with_attempt(exchange, number, attempt)
 
     def _ended(self, effects: list[ev.Effect], call: Call, outcome: Outcome) -> None:
-        """An attempt ends; an answer to it is the request's, if that is still owed one."""
+        """End an attempt. A successful response is the final outcome of a request that has none yet."""
         request, number = call
         exchange = self.exchanges[request]
         if outcome in NOT_FULLY_SENT and number < len(exchange.attempts):
@@ -197,7 +197,7 @@
         self._forget(effects, request, exchange)
 
     def _passed(self, effects: list[ev.Effect], call: Call, whole: bool) -> None:
-        """The end of an answer that had begun. Its outcome is not the module's any more."""
+        """End a streamed response. The balancer has already been informed of the end of the attempt."""
         request, number = call
         exchange = exchanges.with_attempt(self.exchanges[request], number, attempts.ENDED_MAY_HAVE_RUN)
         self.exchanges[request] = exchange
@@ -213,19 +213,20 @@
         if attempt.stage in attempts.FINISHED_STAGES:
             return
         connection = self.connections[attempt.connection]
-        if connection.stage is connections.Stage.CONNECTING:  # it goes on opening, and is kept for the next
+        if connection.stage is connections.Stage.CONNECTING:  # it keeps connecting, for use by the next call
             self.connections[attempt.connection] = connections.without_call(connection, (request, number))
         elif connection.shared:
             self._give_up_shared(effects, attempt.connection, (request, number), why)
         else:
-            # While it is open the attempt is still out, and keeping it for the answer's sake saved no
-            # handshakes when that was measured.
+            # While the connection is open the attempt is still in progress, and keeping it until the response
+            # arrives saves no handshakes.
             self._close(effects, attempt.connection, connection)
         self._ended(effects, (request, number), attempts.outcome_of_abandonment(attempt, why))
 
     def _give_up_shared(self, effects: list[ev.Effect], number: int, call: Call, why: Outcome) -> None:
-        """The other calls live, and a late answer is dropped by whoever reads it. After a time-out no more
-        join: a silent server would be sent everything on the one connection that never breaks."""
+        """Remove one call from a shared connection; the other calls go on, and its late response is dropped
+        by the reader. After a timeout no more calls join, or an unresponsive server would get every call on
+        a connection that never fails."""
         connection = connections.without_call(self.connections[number], call)
         if why is Outcome.TIMEOUT:
             connection = connections.retired(connection)
@@ -241,7 +242,7 @@
         if connection is None or connection.stage is not connections.Stage.CONNECTING:
             return
         for call in connection.calls:
-            if not self.exchanges[call[0]].owed:  # nothing is sent any more for what has its outcome
+            if not self.exchanges[call[0]].owed:  # a request with a final outcome is not sent
                 connection = connections.without_call(connection, call)
                 self._ended(effects, call, Outcome.MOOT)
         self.connections[number] = connection = connections.established(connection)
@@ -281,7 +282,7 @@
             return
         self.connections[number] = connection = connections.with_unsent(connection, unsent)
         for call in connection.calls:
-            if self._is_passing(call):  # it has begun to be answered already
+            if self._is_passing(call):  # its response has already begun
                 continue
             partly = connections.is_unsent(connection, call)
             self._set_attempt(
@@ -294,11 +295,11 @@
         connection = self.connections.get(number)
         if connection is None or connection.stage is connections.Stage.SPENT:
             return
-        if call not in connection.calls:  # nobody's answer; where they are in order, what comes next is too
+        if call not in connection.calls:  # unsolicited; without multiplexing, later responses are wrong too
             if not connection.shared:
                 self._spoilt(effects, number)
             return
-        # An answer that came before its request had left: the rest of that would be the start of the next.
+        # A response before its request was sent whole: the unsent rest would precede the next request.
         clean = clean and not connections.is_unsent(connection, call)
         passing = self._is_passing(call)
         connection = connections.without_call(connection, call)
@@ -319,14 +320,14 @@
         return self.exchanges[call[0]].attempts[call[1]].stage is attempts.Stage.PASSING
 
     def _begun(self, effects: list[ev.Effect], number: int, call: Call) -> None:
-        """From here on there is no other attempt. The module is told that this one has ended: what follows is
-        as slow as the client reads, and says nothing of the server."""
+        """Start streaming a response; no other attempt follows. The end of the attempt is reported to the
+        balancer now, since the rest is paced by the client and is no measure of the server."""
         connection = self.connections.get(number)
         if connection is None or call not in connection.calls or self._is_passing(call):
             return
         request, at = call
         exchange = self.exchanges[request]
-        if not exchange.owed:  # nobody is there to take it
+        if not exchange.owed:  # the request already has its final outcome
             self._close(effects, number, connection)
             self._ended(effects, call, Outcome.OK)
             return
@@ -367,7 +368,7 @@
             self._close(effects, number, connection)
 
     def _release(self, effects: list[ev.Effect], number: int, connection: Connection) -> None:
-        """A connection that carries nothing waits for its next call, where it may."""
+        """Keep a connection without calls idle for its next call if it may be kept, else close it."""
         if endpoints.may_keep(self.endpoints.get(connection.server), connection):
             self.connections[number] = connection
             self.idle_at[connection.server] = (*self.idle_at.get(connection.server, ()), number)
@@ -383,13 +384,13 @@
         effects.append(ev.Close(number))
 
     def _remove_idle(self, number: int, connection: Connection) -> None:
-        """Off the lists of those that wait for a call."""
+        """Remove a connection from the tables of idle connections."""
         if number in self.idle:
             idle = self.idle_at[connection.server]
             self._take_idle(number, connection.server, tuple(item for item in idle if item != number))
 
     def _remove_joinable(self, number: int, connection: Connection) -> None:
-        """Off the list of those that calls may join."""
+        """Remove a connection from the table of those that calls may join."""
         if connection.shared and number in (lines := self.lines.get(connection.server, ())):
             if len(lines) == 1:
                 del self.lines[connection.server]
@@ -404,14 +405,14 @@
             del self.idle_at[server]
 
     def _room(self, effects: list[ev.Effect], most: int) -> None:
-        """Fewer than before: idle ones go at once, those that carry something when they have done."""
+        """Set the connection limit and close as many idle connections as exceed it."""
         self.most = most
         over = len(self.connections) - most
         for number in list(self.idle)[: max(over, 0)]:
             self._close(effects, number, self.connections[number])
 
     def _evict_idle(self, effects: list[ev.Effect]) -> bool:
-        """At the bound, the connection that has been idle for longest gives way to a new one."""
+        """Close the connection that has been idle for longest; return whether there was one."""
         for number in self.idle:
             self._close(effects, number, self.connections[number])
             return True
@@ -420,8 +421,8 @@
     # Endpoints
 
     def _listed(self, effects: list[ev.Effect], entries: tuple[ev.Listing, ...], whole: bool) -> None:
-        """Upstreams are replaced all day: what is gone is kept no longer than its last connection keeps
-        it."""
+        """Apply an endpoint list. Upstreams are replaced continually, so removed endpoints leave the table at
+        once; only their connections remain until they are closed."""
         named = {entry.server for entry in entries if entry.life is not None}
         gone = {entry.server for entry in entries if entry.life is None}
         if whole:
@@ -455,8 +456,8 @@
             self._close(effects, number, self.connections[number])
 
     def _end_waiting_attempts(self, effects: list[ev.Effect], changed: set[str]) -> None:
-        """Attempts that wait for a connection to what takes nothing new any more end: sent once it is up,
-        they would be sends after the drain was told, or go to whoever has the address now."""
+        """End attempts that wait for a connection to an endpoint that accepts no new calls. Sent once it is
+        established, they would follow the notice of the drain, or reach another server at that address."""
         for number, connection in list(self.connections.items()):
             if connection.server not in changed or connection.stage is not connections.Stage.CONNECTING:
                 continue
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The machines by hand, and over sockets the orders of events in which they were once wrong."""
+"""The lifecycle state machines, driven directly, and over sockets with event orders that once failed."""
 
 from __future__ import annotations
 
@@ -23,86 +23,86 @@
 from hareloom.interface import Outcome
 
 
-def lives(*servers: str, most: int = 10, max_attempts: int = 4) -> Lives:
-    made = Lives(most, max_attempts)
-    made.handle(ev.Listed(tuple(ev.Listing(server, True, 0) for server in servers), True))
-    return made
+def new_lives(*servers: str, most: int = 10, max_attempts: int = 4) -> Lives:
+    machine = Lives(most, max_attempts)
+    machine.handle(ev.Listed(tuple(ev.Listing(server, True, 0) for server in servers), True))
+    return machine
 
 
-def served(made: Lives, request: str, server: str) -> int:
-    """One request, served; gives the connection that carried it."""
-    made.handle(ev.Take(request))
-    (effect,) = made.handle(ev.Choose(request, server))
+def serve_request(machine: Lives, request: str, server: str) -> int:
+    """Serve one request and return the number of the connection that carried it."""
+    machine.handle(ev.Take(request))
+    (effect,) = machine.handle(ev.Choose(request, server))
     if isinstance(effect, ev.Open):
-        made.handle(ev.Up(effect.connection))
+        machine.handle(ev.Up(effect.connection))
     assert isinstance(effect, ev.Open | ev.Write)
-    made.handle(ev.Answered(effect.connection, (request, 0), Outcome.OK, True))
+    machine.handle(ev.Answered(effect.connection, (request, 0), Outcome.OK, True))
     return effect.connection
 
 
 def test_a_request_is_served_and_leaves_nothing_but_its_connection() -> None:
-    made = lives("a")
-    assert made.handle(ev.Take("r")) == []
-    assert made.handle(ev.Choose("r", "a")) == [ev.Open(1, "a")]
-    assert made.handle(ev.Up(1)) == [ev.Write(1, ("r", 0), False)]
-    assert made.handle(ev.Answered(1, ("r", 0), Outcome.OK, True)) == [
-        ev.Rest(1),  # before the module is told: it may send the next request on it at once
+    machine = new_lives("a")
+    assert machine.handle(ev.Take("r")) == []
+    assert machine.handle(ev.Choose("r", "a")) == [ev.Open(1, "a")]
+    assert machine.handle(ev.Up(1)) == [ev.Write(1, ("r", 0), False)]
+    assert machine.handle(ev.Answered(1, ("r", 0), Outcome.OK, True)) == [
+        ev.Rest(1),  # before the balancer is informed, which may at once send the next request on it
         ev.Reply("r", Final.SERVED, 0),
         ev.Ended("r", 0, Outcome.OK, True),
         ev.Forget("r"),
     ]
-    assert (made.exchanges, made.idle) == ({}, {1: None})
+    assert (machine.exchanges, machine.idle) == ({}, {1: None})
 
 
 def test_an_id_in_hand_is_not_taken_again_and_an_unknown_one_not_sent() -> None:
-    made = lives("a")
-    made.handle(ev.Take("r"))
+    machine = new_lives("a")
+    machine.handle(ev.Take("r"))
     with pytest.raises(ValueError, match="r: already in hand"):
-        made.handle(ev.Take("r"))
+        machine.handle(ev.Take("r"))
     with pytest.raises(KeyError):
-        made.handle(ev.Choose("q", "a"))
+        machine.handle(ev.Choose("q", "a"))
 
 
 def test_at_the_bound_the_longest_idle_gives_way_and_no_upstream_is_to_blame() -> None:
-    made = lives("a", "b", "c", most=2)
-    served(made, "r1", "b")  # b's has been idle for longer; a comes first in the list
-    served(made, "r2", "a")
-    made.handle(ev.Take("r3"))
-    assert made.handle(ev.Choose("r3", "c")) == [ev.Close(1), ev.Open(3, "c")]
-    made.handle(ev.Lost(1))
-    made.handle(ev.Take("r4"))
-    assert made.handle(ev.Choose("r4", "a")) == [ev.Write(2, ("r4", 0), True)]
-    made.handle(ev.Take("r5"))
-    # CONNECT_FAILED would put a healthy upstream out.
-    assert made.handle(ev.Choose("r5", "b")) == [ev.Ended("r5", 0, Outcome.MOOT, False)]
+    machine = new_lives("a", "b", "c", most=2)
+    serve_request(machine, "r1", "b")  # its connection has been idle for longer, though a is listed first
+    serve_request(machine, "r2", "a")
+    machine.handle(ev.Take("r3"))
+    assert machine.handle(ev.Choose("r3", "c")) == [ev.Close(1), ev.Open(3, "c")]
+    machine.handle(ev.Lost(1))
+    machine.handle(ev.Take("r4"))
+    assert machine.handle(ev.Choose("r4", "a")) == [ev.Write(2, ("r4", 0), True)]
+    machine.handle(ev.Take("r5"))
+    # CONNECT_FAILED would mark a healthy upstream as failed.
+    assert machine.handle(ev.Choose("r5", "b")) == [ev.Ended("r5", 0, Outcome.MOOT, False)]
 
 
 def test_the_last_used_connection_is_used_first_and_one_found_ended_is_passed_over() -> None:
-    made = lives("a")
+    machine = new_lives("a")
     for request in ("r1", "r2"):
-        made.handle(ev.Take(request))
-        made.handle(ev.Choose(request, "a"))
+        machine.handle(ev.Take(request))
+        machine.handle(ev.Choose(request, "a"))
     for number, request in ((1, "r1"), (2, "r2")):
-        made.handle(ev.Up(number))
-        made.handle(ev.Answered(number, (request, 0), Outcome.OK, True))
-    made.handle(ev.Take("r3"))
-    assert made.handle(ev.Choose("r3", "a")) == [ev.Write(2, ("r3", 0), True)]
-    assert made.handle(ev.Unusable(2, ("r3", 0))) == [ev.Close(2), ev.Write(1, ("r3", 0), True)]
-    assert made.handle(ev.Unusable(1, ("r3", 0))) == [ev.Close(1), ev.Open(3, "a")]
+        machine.handle(ev.Up(number))
+        machine.handle(ev.Answered(number, (request, 0), Outcome.OK, True))
+    machine.handle(ev.Take("r3"))
+    assert machine.handle(ev.Choose("r3", "a")) == [ev.Write(2, ("r3", 0), True)]
+    assert machine.handle(ev.Unusable(2, ("r3", 0))) == [ev.Close(2), ev.Write(1, ("r3", 0), True)]
+    assert machine.handle(ev.Unusable(1, ("r3", 0))) == [ev.Close(1), ev.Open(3, "a")]
 
 
 def test_more_attempts_than_allowed_and_those_out_of_time_are_never_sent() -> None:
-    made = lives("a", max_attempts=1)
-    made.handle(ev.Take("r"))
-    assert made.handle(ev.Choose("r", "a", False)) == [ev.Ended("r", 0, Outcome.MOOT, False)]
-    assert made.handle(ev.Choose("r", "a")) == [ev.Ended("r", 1, Outcome.MOOT, False)]
-    assert not made.connections
+    machine = new_lives("a", max_attempts=1)
+    machine.handle(ev.Take("r"))
+    assert machine.handle(ev.Choose("r", "a", False)) == [ev.Ended("r", 0, Outcome.MOOT, False)]
+    assert machine.handle(ev.Choose("r", "a")) == [ev.Ended("r", 1, Outcome.MOOT, False)]
+    assert not machine.connections
 
 
 def test_late_events_change_nothing() -> None:
-    made = lives("a")
-    number = served(made, "r", "a")
-    made.handle(ev.Lost(number))
+    machine = new_lives("a")
+    number = serve_request(machine, "r", "a")
+    machine.handle(ev.Lost(number))
     for late in (
         *(
             ev.Up(number),
@@ -114,8 +114,8 @@
         *(ev.Answered(number, ("r", 0), Outcome.OK, True), ev.Expire(number), ev.Lost(number)),
         *(ev.GiveUp("r", 0, Outcome.TIMEOUT), ev.Settle("r", Final.FAILED), ev.Settle("q", Final.GONE)),
     ):
-        assert made.handle(late) == [], late
-    assert (made.exchanges, made.connections, made.idle, made.idle_at) == ({}, {}, {}, {})
+        assert machine.handle(late) == [], late
+    assert (machine.exchanges, machine.connections, machine.idle, machine.idle_at) == ({}, {}, {}, {})
 
 
 def test_which_of_several_calls_has_left_is_known_of_each() -> None:
@@ -125,36 +125,36 @@
 
 
 def test_an_answer_before_its_request_had_left_ends_the_connection() -> None:
-    made = lives("a")
-    made.handle(ev.Take("r"))
-    made.handle(ev.Choose("r", "a"))
-    made.handle(ev.Up(1))
-    made.handle(ev.Held(1, 1))
-    assert ev.Close(1) in made.handle(ev.Answered(1, ("r", 0), Outcome.ERROR, True))
+    machine = new_lives("a")
+    machine.handle(ev.Take("r"))
+    machine.handle(ev.Choose("r", "a"))
+    machine.handle(ev.Up(1))
+    machine.handle(ev.Held(1, 1))
+    assert ev.Close(1) in machine.handle(ev.Answered(1, ("r", 0), Outcome.ERROR, True))
 
 
 def test_nothing_is_written_for_a_request_that_has_its_outcome() -> None:
-    # Where the module may not cancel, the attempt of a client that has left waits on for its connection.
-    made = lives("a")
-    made.handle(ev.Take("r"))
-    made.handle(ev.Choose("r", "a"))
-    assert made.handle(ev.Settle("r", Final.GONE)) == [ev.Left("r")]
-    effects = made.handle(ev.Up(1))
+    # If the balancer may not cancel, the attempt of a disconnected client still waits for its connection.
+    machine = new_lives("a")
+    machine.handle(ev.Take("r"))
+    machine.handle(ev.Choose("r", "a"))
+    assert machine.handle(ev.Settle("r", Final.GONE)) == [ev.Left("r")]
+    effects = machine.handle(ev.Up(1))
     assert effects == [ev.Ended("r", 0, Outcome.MOOT, True), ev.Forget("r"), ev.Rest(1)]
 
 
 def test_the_end_answers_what_is_owed() -> None:
-    made = lives("a")
-    made.handle(ev.Take("r"))
-    made.handle(ev.Choose("r", "a"))
-    assert made.handle(ev.End()) == [ev.Reply("r", Final.OVERDUE, None), ev.Left("r")]
+    machine = new_lives("a")
+    machine.handle(ev.Take("r"))
+    machine.handle(ev.Choose("r", "a"))
+    assert machine.handle(ev.End()) == [ev.Reply("r", Final.OVERDUE, None), ev.Left("r")]
 
 
 # Over sockets
 
 
 def test_what_waits_for_a_connection_to_an_address_that_the_list_has_moved_goes_nowhere() -> None:
-    # Another upstream may have that address by now: one that drains, or one of another cell.
+    # The address may already belong to another upstream, which may be draining or in another cell.
     async def test(upstream: Upstream, discovery: FakeDiscovery) -> None:
         with stuck() as there_at:
             limits = SETTINGS["limits"] | {"connect-timeout-ms": 9000.0}
@@ -191,7 +191,7 @@
             answer = await client.read()
             assert answer is not None and answer.status == 200
             assert (await client.ask("r2")).status == 200
-            assert len(upstream.peers) == 2, "what is written to a process that is no more ends as a reset"
+            assert len(upstream.peers) == 2, "a request written to an ended process is reset"
 
     run(test, hold_one)
 
@@ -231,23 +231,23 @@
         await asyncio.Event().wait()
 
     async def test() -> None:
-        told: list[ev.Event] = []
+        events: list[ev.Event] = []
         limits = api.Limits(connect_timeout_ms=9000.0)
-        wires = Wires(limits, told.append, lambda call, answer: None, lambda call: None, Budget(None))
+        wires = Wires(limits, events.append, lambda call, answer: None, lambda call: None, Budget(None))
         wires.loop.create_connection = never  # type: ignore[assignment, method-assign]
         wires.open(HttpConnection(wires, 1), ("127.0.0.1", 1))
         connection, late = wires[1], Transport()
         (task,) = wires._tasks
         await asyncio.sleep(0)
-        task.cancel()  # as its time-out does
-        await until(lambda: told == [ev.NotUp(1, False)])
+        task.cancel()  # as the connect timeout does
+        await until(lambda: events == [ev.NotUp(1, False)])
         connection.connection_made(late)
-        assert late.aborted and len(told) == 1
-        # And once it is up, no time-out cuts it off.
+        assert late.aborted and len(events) == 1
+        # Once the connection is established, the connect timeout no longer applies.
         wires.open(HttpConnection(wires, 2), ("127.0.0.1", 1))
         connection, soon = wires[2], Transport()
         connection.connection_made(soon)
-        assert told[-1] == ev.Up(2) and connection.deadline is None and not soon.aborted
+        assert events[-1] == ev.Up(2) and connection.deadline is None and not soon.aborted
         wires.close()
 
     ours, theirs = socket.socketpair()
@@ -256,7 +256,7 @@
 
 
 def test_a_keyed_request_is_not_sent_again_when_connecting_may_outlast_its_window() -> None:
-    def sends(ended_at: float) -> int:
+    def attempts_after_reset(ended_at: float) -> int:
         driver = Driver(
             keyed(api.Group.ALL, window=600.0), limits=api.Limits(max_attempts=3, connect_timeout_ms=250.0)
         )
@@ -266,5 +266,7 @@
         driver.end(request, Outcome.RESET, ended_at)
         return len(driver.sent[request])
 
-    assert sends(300.0) == 2
-    assert sends(400.0) == 1, "up after 250 ms, it would be written 50 ms after the window"
+    assert attempts_after_reset(300.0) == 2
+    assert attempts_after_reset(400.0) == 1, (
+        "connected after 250 ms, the request would be written 50 ms after its window"
+    )
