--- a/anisestair/flow/__init__.py
+++ b/anisestair/flow/__init__.py
@@ -1,1 +1,1 @@
-"""Long bodies and answers: how much of each may be here at once. No I/O."""
+"""Flow control of long request and response bodies: bounds on the bytes buffered. No I/O."""
--- a/anisestair/http/codec.py
+++ b/anisestair/http/codec.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from anisestair.flow.budget import READ, Body, Budget
+from anisestair.flow.budget import READ_BYTES, Body, Budget
 
 MAX_BODY = 64 * 1024
 # Bytes of a message that are not its body, as they come: head, chunk sizes with what is added to them,
@@ -197,7 +197,7 @@
         if not self._budget.admits():
             self._refuse(HTTPStatus.SERVICE_UNAVAILABLE)
         request = bool(self._message.method)
-        self.stream = Body(self._budget, self._length, self._budget.keep() if request else 0)
+        self.stream = Body(self._budget, self._length, self._budget.replay_limit() if request else 0)
         if self._body:
             self.stream.feed(bytes(self._body))
             self._body = bytearray()
@@ -253,7 +253,7 @@
         raise NotImplementedError
 
 
-_READ = memoryview(bytearray(READ))
+_READ = memoryview(bytearray(READ_BYTES))
 
 
 def request_reader(budget: Budget | None = None) -> Reader:
--- a/anisestair/http/frontend.py
+++ b/anisestair/http/frontend.py
@@ -327,7 +327,7 @@
             self.chunks = body.length is None and not message.old
             self.closes = close or body.length is None and message.old
             self.passing = body
-            self.transport.set_write_buffer_limits(high=self.frontend.sidecar.budget.mark())
+            self.transport.set_write_buffer_limits(high=self.frontend.sidecar.budget.high_water_mark())
             self.transport.write(http.write_response(status, headers, body, self.closes, self.chunks))
             body.attach(self)
             return
--- a/anisestair/http/upstream.py
+++ b/anisestair/http/upstream.py
@@ -194,7 +194,7 @@
         """It counts as being written until its last byte has gone: an upstream does not begin before that."""
         assert self.transport is not None
         self.sending, self.uploaded = body, True
-        self.transport.set_write_buffer_limits(high=self.wires.budget.mark())
+        self.transport.set_write_buffer_limits(high=self.wires.budget.high_water_mark())
         self.wires.feed(ev.Held(self.number, 1))
         self.transport.write(head)
         body.attach(self)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Long bodies and answers: the budget, the codec at any cut, and streams over sockets that go wrong."""
+"""Long bodies: the memory budget, the codec at any split of the bytes, and failing streams over sockets."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from anisestair.http import codec as http
 
 LONG = 3_000_000
-FULL_S = 0.2  # in which a pipe that nobody reads has surely filled up: only what was moved is looked at
+FULL_S = 0.2  # time for the buffers of an unread connection to fill up
 
 
-class Taker:
+class RecordingSink:
     def __init__(self) -> None:
         self.data, self.ended, self.cut, self.choked = b"", False, False, False
 
@@ -41,27 +41,27 @@
     parts: list[bytes], keep: int, data: st.DataObject
 ) -> None:
     budget = Budget(None)
-    body, sent, taker = Body(budget, None, keep), b"", None
+    body, sent, sink = Body(budget, None, keep), b"", None
     for part in parts:
         what = data.draw(st.sampled_from(["feed", "attach", "detach"]))
         if what == "attach" and body.replayable:
-            taker = Taker()
-            body.attach(taker)
-        elif what == "detach" and taker is not None:
-            body.detach(taker)
-            taker = None
-        if taker is not None or not body.full or not body.total:  # a source waits where it is full
+            sink = RecordingSink()
+            body.attach(sink)
+        elif what == "detach" and sink is not None:
+            body.detach(sink)
+            sink = None
+        if sink is not None or not body.full or not body.total:  # a source pauses while the body is full
             body.feed(part)
             sent += part
-        if taker is not None:
-            assert taker.data == sent
+        if sink is not None:
+            assert sink.data == sent
         assert budget.held == body.size <= max(keep, 0) + 50 and budget.streams == 1
     if data.draw(st.booleans()):
         body.end()
-        assert taker is None or (taker.ended, taker.cut) == (True, False)
+        assert sink is None or (sink.ended, sink.cut) == (True, False)
     else:
         body.cut()
-        assert taker is None or (taker.ended, taker.cut) == (False, True)
+        assert sink is None or (sink.ended, sink.cut) == (False, True)
     body.drop()
     assert (budget.held, budget.streams) == (0, 0)
 
@@ -70,10 +70,10 @@
 def test_every_stream_that_is_admitted_has_its_least_share(memory: float | None, streams: int) -> None:
     budget = Budget(memory)
     budget.streams = streams
-    assert flow.LEAST <= budget.mark() <= flow.MOST
-    assert 0 <= budget.keep() <= flow.KEPT_MOST
+    assert flow.MIN_WINDOW_BYTES <= budget.high_water_mark() <= flow.MAX_WINDOW_BYTES
+    assert 0 <= budget.replay_limit() <= flow.MAX_REPLAY_BYTES
     if budget.admits():
-        assert (flow.LEAST + flow.READ) * (streams + 1) <= budget.total
+        assert (flow.MIN_WINDOW_BYTES + flow.READ_BYTES) * (streams + 1) <= budget.total
 
 
 # The codec
@@ -94,18 +94,18 @@
 
 
 def read(parts: list[bytes], budget: Budget | None) -> list[tuple[bytes, bytes]]:
-    """Each message's X-A and its body."""
-    reader, found, takers = http.request_reader(budget), [], []
+    """Parse the parts; return the X-A header and the body of each message."""
+    reader, found, sinks = http.request_reader(budget), [], []
     for part in parts:
         reader.feed(part)
         for message in reader.take():
-            taker = Taker()
+            sink = RecordingSink()
             if message.stream is not None:
-                message.stream.attach(taker)
-            taker.data += message.body
-            takers.append(taker)
+                message.stream.attach(sink)
+            sink.data += message.body
+            sinks.append(sink)
             found.append(message)
-    return [(dict(message.headers)[b"x-a"], taker.data) for message, taker in zip(found, takers, strict=True)]
+    return [(dict(message.headers)[b"x-a"], sink.data) for message, sink in zip(found, sinks, strict=True)]
 
 
 @pytest.mark.parametrize("form", FORMS)
@@ -120,9 +120,9 @@
     assert budget.streams == 0
 
 
-# Each is refused by a front, and is a failed attempt of an upstream (RFC 9112 by section; RFC 9110, 8.6).
+# The frontend rejects each; from an upstream, each fails the attempt (RFC 9112 by section; RFC 9110, 8.6).
 HEAD = b"POST /api HTTP/1.1\r\nHost: a\r\n"
-ILL = {
+MALFORMED = {
     "6.1: both framings": HEAD + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "6.3: two lengths": HEAD + b"Content-Length: 4\r\nContent-Length: 5\r\n\r\nbodyx",
     "6.3: a list of lengths": HEAD + b"Content-Length: 4, 5\r\n\r\nbodyx",
@@ -140,10 +140,10 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", ILL)
+@pytest.mark.parametrize("name", MALFORMED)
 def test_what_two_readers_might_read_in_two_ways_is_refused(name: str) -> None:
     with pytest.raises(http.BadMessage):
-        read([ILL[name]], Budget(None))
+        read([MALFORMED[name]], Budget(None))
 
 
 # Over sockets
@@ -153,7 +153,7 @@
 
 
 class RawUpstream(Upstream):
-    """Each connection is handed to the script as it is."""
+    """An upstream that passes each raw connection to a script."""
 
     def __init__(self, script: Raw) -> None:
         super().__init__()
@@ -170,7 +170,7 @@
 
 
 def run(script: Raw, test: Callable[[World, Upstream], Awaitable[None]]) -> None:
-    async def all_of_it() -> None:
+    async def scenario() -> None:
         upstream = RawUpstream(script)
         await upstream.start()
         async with world(FakeDiscovery(), host("s-1", upstream.dial)) as there:
@@ -184,7 +184,7 @@
             assert budget.held == 0
         upstream.close()
 
-    asyncio.run(all_of_it())
+    asyncio.run(scenario())
 
 
 def ask(klass: str = "sale", body: bytes = b"body", framing: bytes = b"", version: bytes = b"1.1") -> bytes:
@@ -323,10 +323,10 @@
         while before != sent:
             before = sent
             await asyncio.sleep(FULL_S)
-        assert sent < 100_000_000  # the kernel's buffers, and little here
+        assert sent < 100_000_000  # only the kernel's buffers and a bounded amount in the process
         assert (
             there.sidecar.lives.owed == 0 and there.sidecar.balancer.limits.inflight == 0
-        )  # it holds no place of the limit
+        )  # it counts no longer against the concurrency limit
         client.writer.transport.abort()
         await upstream.ended.wait()
 
@@ -335,7 +335,7 @@
 
 @pytest.mark.parametrize("long", [False, True], ids=["kept whole", "longer than what is kept"])
 def test_a_body_whose_attempt_breaks_is_sent_again_only_while_all_of_it_is_here(long: bool) -> None:
-    """Not a byte of its end had left: it never ran, so that even a sale may go again."""
+    """The end of the body was never sent, so the request was not executed and even a sale may be retried."""
     tries = 0
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -350,7 +350,7 @@
 
     async def test(there: World, upstream: Upstream) -> None:
         client = await there.client()
-        size = flow.KEPT_MOST * 4 if long else 300_000
+        size = flow.MAX_REPLAY_BYTES * 4 if long else 300_000
         client.writer.write(ask(body=b"", framing=b"content-length: %d\r\n" % size) + b"b" * (size - 1))
         if not long:
             client.writer.write(b"b")
@@ -374,7 +374,7 @@
         client.writer.write(ask(body=b"", framing=b"content-length: 9000000\r\n") + b"b" * 4_000_000)
         answer = await client.read()
         assert answer is not None and (answer.status, answer.body) == (200, b"early")
-        assert not answer.keep_alive  # the rest of the body would be read as the next request
+        assert not answer.keep_alive  # the rest of the body would be parsed as the next request
 
     run(script, test)
 
@@ -390,6 +390,6 @@
             await asyncio.sleep(0.01)
         client.writer.transport.abort()
         await upstream.ended.wait()
-        assert there.sidecar.lives.tries == 0  # never written whole
+        assert there.sidecar.lives.tries == 0  # never sent whole
 
     run(script, test)
