--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -136,7 +136,7 @@
         program is not None
         and program.disk_writer.complete
         and program.member_set.has_contact()
-        and program.charter.digests.root() == other.charter.digests.root()
+        and program.config_store.digests.root() == other.config_store.digests.root()
     )
 
 
--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -234,7 +234,7 @@
         times, left = [], list(sides)
         end = self._now() + WITHIN_S
         while left and self._now() < end:
-            lacking = [one for one in left if one.program.charter.items["route", "r0"].version < version]
+            lacking = [one for one in left if one.program.config_store.items["route", "r0"].version < version]
             times += [self._now()] * (len(left) - len(lacking))
             left = lacking
             yield self.world.env.timeout(0.001)
@@ -247,7 +247,7 @@
         side, core = self.meter.now()
         program = machine.program
         asked = len(askers(program))
-        known = len(program.roll.items)
+        known = len(program.membership_store.items)
         began = self._now()
         self.world.kill(machine)
         self.world.restart(machine)
@@ -257,7 +257,7 @@
             return (
                 new is not None
                 and new is not program
-                and len(new.roll.items) >= known
+                and len(new.membership_store.items) >= known
                 and new.contact_probes.has_contact()
                 and len(askers(new)) >= asked
             )
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -1,5 +1,6 @@
 """Runs the acceptor: a vote is on disk before it is sent, an epoch before anything is answered under it, a
-ceiling before a round that needs it is promised. Decided items are applied to the charter here."""
+ceiling before a round that needs it is promised. Decided items are applied to the configuration store
+here."""
 
 from __future__ import annotations
 
@@ -48,15 +49,15 @@
     def __init__(
         self,
         acceptor: Acceptor,
-        charter: Store,
+        config_store: Store,
         disk_writer: DiskWriter,
         member_set: MemberSet,
         event_log: EventLog,
         on_change: Callable[[list[Item]], None],
     ) -> None:
-        """``on_change`` is called with charter items that changed here, and calls `items_changed`."""
+        """``on_change`` is called with configuration items that changed here, and calls `items_changed`."""
         self._loop = asyncio.get_running_loop()
-        self.acceptor, self._charter, self._disk_writer = acceptor, charter, disk_writer
+        self.acceptor, self._config_store, self._disk_writer = acceptor, config_store, disk_writer
         self._member_set, self._event_log, self._on_change = member_set, event_log, on_change
         self.synced: Callable[[], bool] = lambda: True
         self.on_view_change: Callable[[], None] = lambda: None
@@ -143,19 +144,19 @@
 
     def apply(self, items: Sequence[Item], vector: Mapping[str, int], complete: bool = False) -> None:
         """Merges decided items of any source. ``complete``: they are all the items of their order."""
-        changed = self._charter.merge(items, vector)
+        changed = self._config_store.merge(items, vector)
         if isinstance(changed, StoreFull):
             self._event_log.emit(events.STATE_FULL, reason=changed.reason)
             return
         # Items that are forgotten already are skipped.
-        self._learn([item for item in items if item.key in self._charter.items], complete)
+        self._learn([item for item in items if item.key in self._config_store.items], complete)
         if changed:
             self._on_change(changed)
 
     def stamp_items(self, decided: Iterable[tuple[Slot, Value]]) -> tuple[list[Item], dict[str, int]]:
         """Items stamped by this store, in the order of their slots, and its vector that includes them."""
-        source = self._charter.source
-        first = self._charter.vector.get(source, 0) + 1
+        source = self._config_store.source
+        first = self._config_store.vector.get(source, 0) + 1
         items = [
             Item(*slot, value, source, first + index)
             for index, (slot, value) in enumerate(sorted(decided, key=lambda pair: pair[0]))
@@ -163,7 +164,7 @@
         return items, {source: first - 1 + len(items)}
 
     def items_changed(self, items: Sequence[Item]) -> None:
-        """Charter items have changed, from any source; all items of the charter are decided."""
+        """Configuration items have changed, from any source; all of them are decided."""
         self._learn(items, False)
         self._disk_writer.mark_items(items)
         if any(item.kind == VIEW for item in items):
@@ -230,7 +231,9 @@
         if len(decided) == head["of"]:
             items = [Item(*slot, value, source, first + at) for at, (slot, value) in enumerate(decided)]
             self.apply(
-                items, self._charter.contiguous_vector(source, first, len(items)), bool(head.get("whole"))
+                items,
+                self._config_store.contiguous_vector(source, first, len(items)),
+                bool(head.get("whole")),
             )
         elif decided:  # the others were decided otherwise, before or meanwhile
             self.apply(*self.stamp_items(decided))
--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -37,7 +37,7 @@
 RETRY_S = 0.5  # after a repair: there may be more differences
 MAX_SKIPPED = 10  # comparisons that skip a difference which could not be repaired
 DISK_CHECK_INTERVAL_S = (3600.0, 7200.0)  # range of the time between two checks of the disk
-CHARTER, ROLL = "charter", "roll"  # stores that are compared
+CONFIG_STORE, MEMBERSHIP_STORE = "charter", "roll"  # stores that are compared
 FRAMES = frozenset({"digest", "range", "mend", "mended"})
 
 
@@ -161,7 +161,7 @@
             )
 
     def _handle_mend(self, channel: Channel, name: str, leaves: dict[str, str], items: list[Item]) -> None:
-        found = plan_repair(self._stores[name], leaves, items, name == ROLL)
+        found = plan_repair(self._stores[name], leaves, items, name == MEMBERSHIP_STORE)
         for item in found.conflicting:
             self._event_log.emit(
                 events.COPIES_DIFFERED,
@@ -216,7 +216,7 @@
             findings = await self._disk_writer.run_between_batches(lambda keeper: keeper.verify())
             if not findings:
                 return
-            items = len(self._stores[CHARTER].items)
+            items = len(self._stores[CONFIG_STORE].items)
             outcome = await self._disk_writer.rewrite()
             if isinstance(outcome, Kept):
                 self._event_log.emit(
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -33,13 +33,13 @@
         self,
         state_dir: str,
         disk_mb: float,
-        charter: Store,
+        config_store: Store,
         disk_writer: DiskWriter,
         on_damage: Callable[[], None],
     ) -> None:
         """``on_damage`` is called when a check finds damage; the repair does its own check."""
         self._state_dir, self._max_bytes = state_dir, int(disk_mb * (1 << 20))
-        self._charter, self._disk_writer, self._on_damage = charter, disk_writer, on_damage
+        self._config_store, self._disk_writer, self._on_damage = config_store, disk_writer, on_damage
 
     def handlers(self) -> dict[str, Handler]:
         """The handlers of these questions, by name."""
@@ -49,7 +49,7 @@
         """Reads and checks every row, and returns the digests of the disk and of the store in memory.
         ``moving``: they cannot be compared, since items changed during the check."""
         await self._disk_writer.flush()
-        before = self._charter.digests.root()
+        before = self._config_store.digests.root()
         disk = await self._disk_writer.run_between_batches(_survey)
         if disk.findings:
             self._on_damage()
@@ -58,7 +58,7 @@
             "items": disk.items,
             "disk": disk.digest,
             "memory": before,
-            "moving": before != self._charter.digests.root(),
+            "moving": before != self._config_store.digests.root(),
             "whole": self._disk_writer.complete,
         }
 
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -1,11 +1,11 @@
 """Detects an outdated disk and discards its state, so that other processes never follow it.
 
 A disk may belong to a machine that was removed from the view, to a reader that was away, or be an older copy
-of itself (a restored backup). Its process then starts over: it drops charter and votes and reads all from the
-members again, as with an empty disk. It learns this from the first frame of a link, before it has answered
-anything there: each hello carries the view in force, and for each member how often it has started, which an
-older copy no longer knows. Sidecars receive the charter only after the process has had contact once.
-"""
+of itself (a restored backup). Its process then starts over: it drops configuration and votes and reads all
+from the members again, as with an empty disk. It learns this from the first frame of a link, before it has
+answered anything there: each hello carries the view in force, and for each member how often it has started,
+which an older copy no longer knows. Sidecars receive the configuration only after the process has had contact
+once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from mesh.storage.layout import StorageError, pack_lives
 from mesh.storage.lmdb_store import Keeper, Kept, Size
 
-CHARTER = "charter"
+CONFIG_STORE = "charter"
 MAX_TRACKED_MACHINES = 128  # machines whose number of starts is kept
 START_TIMEOUT_S = 1.0  # longest delay of a start by a slow disk
 RETRY_S = 0.3  # after the disk refused a rewrite
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        charter: Store,
+        config_store: Store,
         acceptor: Acceptor,
         disk_writer: DiskWriter,
         member_set: MemberSet,
@@ -50,15 +50,15 @@
         event_log: EventLog,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._charter, self._acceptor, self._disk_writer, self._member_set = (
-            charter,
+        self._config_store, self._acceptor, self._disk_writer, self._member_set = (
+            config_store,
             acceptor,
             disk_writer,
             member_set,
         )
         self._channels, self._acceptor_host, self._event_log = channels, acceptor_host, event_log
         # Of the process, and of the store: the count rises each time that the store starts over.
-        self._incarnation, self._incarnation_count = charter.source, 1
+        self._incarnation, self._incarnation_count = config_store.source, 1
         # The disk belongs to a reader: its view may be older than this machine's joining.
         self._is_reader = False
         self._start_recorded = False  # this start is on disk
@@ -70,7 +70,7 @@
     async def begin(self) -> None:
         """Counts this start, on disk if the disk answers in time; to be called before any link is open."""
         me = self._member_set.own_address
-        self._record_start(me, self._start_count() + 1, self._charter.source)
+        self._record_start(me, self._start_count() + 1, self._config_store.source)
         self._is_reader = self._view.epoch > 0 and me not in self._view.names
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
@@ -110,7 +110,7 @@
 
     def withheld_stores(self, role: str) -> Collection[str]:
         """Stores that are not sent to a process of that role now."""
-        return () if self._had_contact or role == CONTROLLER else (CHARTER,)
+        return () if self._had_contact or role == CONTROLLER else (CONFIG_STORE,)
 
     # Peers
 
@@ -127,13 +127,13 @@
         }
         own_start, own_source = (
             records.get(self._member_set.own_address, (0, "")),
-            self._charter.source,
+            self._config_store.source,
         )
         if own_start[0] >= self._start_count() and own_start[1] != own_source:
             if self._disk_writer.complete:
                 self._start_over(f"{channel.node} knows of a later start than its disk")
             starts = max(own_start[0], self._start_count()) + 1
-            self._record_start(self._member_set.own_address, starts, self._charter.source)
+            self._record_start(self._member_set.own_address, starts, self._config_store.source)
         peer_start = records.get(member, (0, ""))
         if peer_start[0] > self._disk_writer.incarnations.get(member, (0, ""))[0]:
             self._record_start(member, *peer_start)
@@ -152,7 +152,7 @@
             self._start_over("it is not a member")
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Checks a changed view; to be called with all charter items that changed here."""
+        """Checks a changed view; to be called with all configuration items that changed here."""
         if any(item.kind == VIEW for item in items):
             self._loop.call_soon(self._check_view, self._member_set.view())  # after the caller is done
             self._update_hello()
@@ -160,17 +160,17 @@
     # Starting over
 
     def _start_over(self, reason: str) -> None:
-        self._event_log.emit(events.DISK_OUTDATED, reason=reason, items=len(self._charter.items))
-        view = self._charter.items.get((VIEW, MEMBERS))
+        self._event_log.emit(events.DISK_OUTDATED, reason=reason, items=len(self._config_store.items))
+        view = self._config_store.items.get((VIEW, MEMBERS))
         self._disk_writer.complete, self._had_contact, self._is_reader = False, False, False
         # A new incarnation of the store: others hold items stamped by the earlier one that are missing here.
         self._incarnation_count += 1
-        self._charter.reset(f"{self._incarnation}/{self._incarnation_count}")
-        self._channels.hello["source"] = self._charter.source
+        self._config_store.reset(f"{self._incarnation}/{self._incarnation_count}")
+        self._channels.hello["source"] = self._config_store.source
         self._acceptor.reset()
-        self._record_start(self._member_set.own_address, self._start_count() + 1, self._charter.source)
+        self._record_start(self._member_set.own_address, self._start_count() + 1, self._config_store.source)
         if view is not None:
-            self._charter.merge([view], {})
+            self._config_store.merge([view], {})
         self._acceptor_host.spawn(self._rewrite_disk())
         self._update_hello()
         # Requests sent on these links carry the old vector, so their answers would omit what was dropped.
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -18,28 +18,28 @@
 from mesh.storage.lmdb_store import Failed, Fresh, Keeper, Opened, SetAside, room
 
 
-def open_disk(settings: Settings, charter: Store, event_log: EventLog) -> tuple[DiskWriter, Acceptor]:
-    """Opens the disk and fills the store ``charter``. Raises OSError if the disk cannot be used at all."""
+def open_disk(settings: Settings, config_store: Store, event_log: EventLog) -> tuple[DiskWriter, Acceptor]:
+    """Opens the disk and fills ``config_store``. Raises OSError if the disk cannot be used at all."""
     folder = Path(settings.state_dir) / "charter"
     outcome = Keeper.open(folder, room(settings.limits.disk_mb))
     if isinstance(outcome, Failed):
         event_log.emit(events.DISK_OPEN_FAILED, reason=outcome.reason)
         raise OSError(outcome.reason)
-    kept = _restore(settings, charter, event_log, outcome)
-    acceptor = restore_acceptor(settings.ip, kept, lambda key: forgotten_to(charter, key))
-    disk_writer = DiskWriter(charter, acceptor, outcome.keeper, event_log, kept.whole)
+    kept = _restore(settings, config_store, event_log, outcome)
+    acceptor = restore_acceptor(settings.ip, kept, lambda key: forgotten_to(config_store, key))
+    disk_writer = DiskWriter(config_store, acceptor, outcome.keeper, event_log, kept.whole)
     disk_writer.incarnations = dict(kept.lives)
     if isinstance(outcome, Fresh) and settings.cold_boot:
-        _install_first_view(settings, charter, acceptor, disk_writer)
+        _install_first_view(settings, config_store, acceptor, disk_writer)
     else:
-        claimed = charter.restamp_above_vector()
+        claimed = config_store.restamp_above_vector()
         if claimed:
             disk_writer.mark_items(claimed)
     return disk_writer, acceptor
 
 
 def _restore(
-    settings: Settings, charter: Store, event_log: EventLog, outcome: Opened | Fresh | SetAside
+    settings: Settings, config_store: Store, event_log: EventLog, outcome: Opened | Fresh | SetAside
 ) -> Held:
     """What the disk held; its items are put into the store."""
     if isinstance(outcome, SetAside):
@@ -51,19 +51,19 @@
     for migration in outcome.notes:
         event_log.emit(events.DISK_MIGRATED, note=migration)
     kept = held(outcome.rows)
-    charter.collected_tombstones.merge(kept.forgotten)
-    charter.restore(kept.items, kept.vector)
+    config_store.collected_tombstones.merge(kept.forgotten)
+    config_store.restore(kept.items, kept.vector)
     event_log.emit(events.DISK_OPENED, items=len(kept.items), whole=kept.whole)
     return kept
 
 
 def _install_first_view(
-    settings: Settings, charter: Store, acceptor: Acceptor, disk_writer: DiskWriter
+    settings: Settings, config_store: Store, acceptor: Acceptor, disk_writer: DiskWriter
 ) -> None:
     """Makes the seed machines of the settings the first view: the same item in all of them, decided from the
     start."""
     founders = {host: Place("", "") for host, _ in settings.seeds}
-    first = charter.write(VIEW, MEMBERS, 1, write_view(View(1, founders)))
+    first = config_store.write(VIEW, MEMBERS, 1, write_view(View(1, founders)))
     assert isinstance(first, Item)
     acceptor.learn((VIEW, MEMBERS, 1), first.value)
     if settings.ip in founders:
@@ -71,10 +71,10 @@
     disk_writer.mark_items([first])
 
 
-def forgotten_to(charter: Store, key: Key) -> int:
+def forgotten_to(config_store: Store, key: Key) -> int:
     """The highest version of that key that is, or may be, older than a forgotten drop."""
-    forgotten = charter.collected_tombstones
-    return forgotten.version(key) if key in charter.items else forgotten.watermark(key)
+    forgotten = config_store.collected_tombstones
+    return forgotten.version(key) if key in config_store.items else forgotten.watermark(key)
 
 
 def restore_acceptor(own_address: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -46,10 +46,10 @@
     """Raises fences and reads behind them, and answers the requests of others."""
 
     def __init__(
-        self, charter: Store, disk_writer: DiskWriter, member_set: MemberSet, acceptor_host: AcceptorHost
+        self, config_store: Store, disk_writer: DiskWriter, member_set: MemberSet, acceptor_host: AcceptorHost
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._charter, self._disk_writer, self._member_set = charter, disk_writer, member_set
+        self._config_store, self._disk_writer, self._member_set = config_store, disk_writer, member_set
         self._acceptor_host = acceptor_host
         self._count = 0
         self._requests: dict[int, _FenceRequest] = {}
@@ -100,7 +100,7 @@
             return
         request.asked[address] = channel
         request.pages[address] = 0
-        message: Head = {"t": "fence", "n": number, "e": request.view.epoch, "v": self._charter.vector}
+        message: Head = {"t": "fence", "n": number, "e": request.view.epoch, "v": self._config_store.vector}
         if request.fence is not None:
             message.update(r=request.fence[0], g=request.fence[1], m=self._member_set.own_address)
         channel.link.send(message)
@@ -169,8 +169,8 @@
             return
         if "r" in head:
             await self._acceptor_host.fence(int(head["r"]), str(head["m"]), int(head["g"]))
-        unlimited = 2 * self._charter.max_items
-        rows: list[StateRow] = [*self._charter.delta_for(head["v"], unlimited, sys.maxsize).items]
+        unlimited = 2 * self._config_store.max_items
+        rows: list[StateRow] = [*self._config_store.delta_for(head["v"], unlimited, sys.maxsize).items]
         rows += [(slot, vote) for slot, vote in acceptor.votes.items()]
         rows += [
             Past(key, acceptor.unknown_up_to.get(key, -1), dict(acceptor.past_digests.get(key, {})))
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -28,8 +28,8 @@
     """The parts of a control process that are shown. ``steady``: its monotonic clock, in seconds."""
 
     settings: Settings
-    charter: Store
-    roll: Store
+    config_store: Store
+    membership_store: Store
     disk_writer: DiskWriter
     member_set: MemberSet
     membership: Membership
@@ -46,7 +46,7 @@
 
 def question_handlers(sources: IntrospectionSources, clock: Callable[[], float]) -> dict[str, Handler]:
     """The handlers of the questions to a control process, by name. ``clock`` gives seconds since 1970."""
-    stores = {"charter": sources.charter, "roll": sources.roll}
+    stores = {"charter": sources.config_store, "roll": sources.membership_store}
     return {
         "status": lambda head: status(sources, clock()),
         "items": lambda head: item_page(stores, head),
@@ -100,7 +100,7 @@
 def rollout(sources: IntrospectionSources, kind: str, name: str) -> JsonObject | Refusal:
     """The rollout of one item: which sidecars have not confirmed it. ``word``: calls and failures of the
     canaries with the new version, and with the old one."""
-    item = sources.charter.items.get((kind, name))
+    item = sources.config_store.items.get((kind, name))
     if item is None or kind == VIEW:
         return Refusal(f"{kind} {name[:80]!r}: no such item; config get shows all")
     lack, now = sources.rollouts.unconfirmed(item.key), sources.steady()
@@ -130,7 +130,7 @@
     settings, disk_writer = sources.settings, sources.disk_writer
     tolerance, view = settings.tolerance, sources.member_set.view()
     return {
-        **common_status(settings, sources.charter, sources.roll, clock),
+        **common_status(settings, sources.config_store, sources.membership_store, clock),
         "role": CONTROLLER,
         "ending": sources.stopping.is_set(),
         "control": sources.control,
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -36,7 +36,7 @@
 CHECK_INTERVAL_S = 0.1  # between two checks for changes
 FIRST_MAP_DELAY_S = 1.5  # after the first upstream is known: the others are known by then
 REBALANCE_INTERVAL_S = 0.6  # between two versions that balance the load
-ROLL_RECOVERY_S = 3.0  # after a start the roll is complete; nodes missing from it are gone
+MEMBERSHIP_RECOVERY_S = 3.0  # after a start the membership store is complete; nodes missing from it are gone
 REPORT_TIMEOUT_S = 4.5  # a proxy without a report for longer soon cannot renew the holds of its upstream
 MIN_REPORTING_SHARE = 0.6  # of a service's proxies; below it this process is considered cut off
 FREEZE_S = 1.0  # between two ticks: this process was frozen, and messages are still unread
@@ -55,7 +55,7 @@
         self,
         node: str,
         hold_max_ms: float,
-        charter: Store,
+        config_store: Store,
         membership: Membership,
         member_set: MemberSet,
         proposer_host: ProposerHost,
@@ -67,7 +67,7 @@
         that can act, by the time and for how long they must have been awake."""
         self._loop = asyncio.get_running_loop()
         self._node, self._terms = node, lease_terms_for(hold_max_ms)
-        self._charter, self._membership, self._member_set = charter, membership, member_set
+        self._config_store, self._membership, self._member_set = config_store, membership, member_set
         self._proposer_host, self._may_act, self._live_controllers, self._event_log = (
             proposer_host,
             may_act,
@@ -92,7 +92,7 @@
     # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Reads services and key maps from charter items that have changed."""
+        """Reads services and key maps from configuration items that have changed."""
         for item in items:
             if item.kind == PLANT:
                 if item.value is not None and item.value.get("sharded") is True:
@@ -104,7 +104,7 @@
 
     def load_restored(self) -> None:
         """Reads what the disk held, once it is in the store."""
-        self.items_changed(list(self._charter.items.values()))
+        self.items_changed(list(self._config_store.items.values()))
 
     def _apply_map(self, item: Item) -> None:
         if item.value is None:
@@ -243,10 +243,10 @@
     def _unknown_holders(
         self, now: float, service: str, known: Collection[str], nodes: Collection[str]
     ) -> dict[str, Candidate]:
-        """Holders missing from the roll that keep their keys, since it arrives in parts after a start; not
-        those on a node (``nodes``) where another instance is known by now."""
+        """Holders missing from the membership store that keep their keys, since it arrives in parts after a
+        start; not those on a node (``nodes``) where another instance is known by now."""
         key_map = self._maps.get(service)
-        if key_map is None or now - self._awake_since >= ROLL_RECOVERY_S:
+        if key_map is None or now - self._awake_since >= MEMBERSHIP_RECOVERY_S:
             return {}
         holders = {row.holder for row in key_map.rows if row.holder and row.holder not in known}
         kept = [name for name in holders if key_map.nodes.get(name) not in nodes]
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -66,7 +66,7 @@
         node: str,
         address: str,
         thresholds: failure_detection.SilenceThresholds,
-        roll: Store,
+        membership_store: Store,
         membership: Membership,
         channels: Channels,
         member_set: MemberSet,
@@ -78,7 +78,7 @@
         ``on_change`` is called with items written here."""
         self._loop = asyncio.get_running_loop()
         self.node, self._address, self.thresholds = node, address, thresholds
-        self._roll, self._membership, self._channels = roll, membership, channels
+        self._membership_store, self._membership, self._channels = membership_store, membership, channels
         self._member_set, self._event_log, self._on_change = member_set, event_log, on_change
         self._has_contact = has_contact
         now = self._loop.time()
@@ -94,7 +94,7 @@
     # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Notes updates of nodes, and the lease, in roll items that have changed."""
+        """Notes updates of nodes, and the lease, in membership items that have changed."""
         now = self._loop.time()
         for item in items:
             if item.kind == NODE and item.value is not None:
@@ -127,7 +127,7 @@
             now, names | {self.node}, self.live_controllers(now, self.thresholds.suspect_s)
         )
         if isinstance(decided, Claim):
-            item = self._roll.write(DUTY, REAPING, decided.epoch, lease_value(self.node))
+            item = self._membership_store.write(DUTY, REAPING, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
                 self.lease.note_claimed(now, decided.epoch)
                 self._on_change([item])
@@ -167,8 +167,8 @@
         return live
 
     def _nodes(self) -> dict[str, failure_detection.NodeInfo]:
-        """All nodes of the roll. Members and this node are never dropped: other processes must keep trying to
-        connect to them."""
+        """All nodes of the membership store. Members and this node are never dropped: other processes must
+        keep trying to connect to them."""
         members = self._member_set.view().names
         found = {}
         for name, info in self._membership.nodes.items():
@@ -241,8 +241,8 @@
     def _drop(self, name: str, silent_s: float) -> None:
         instances = self._membership.instances_at(name)
         keys = [(NODE, name), *((INSTANCE, instance) for instance in instances)]
-        held = [self._roll.items[key] for key in keys if key in self._roll.items]
-        taken = self._roll.write_all(failure_detection.drop_writes(held))
+        held = [self._membership_store.items[key] for key in keys if key in self._membership_store.items]
+        taken = self._membership_store.write_all(failure_detection.drop_writes(held))
         if isinstance(taken, StoreFull):
             self._event_log.emit(events.STATE_FULL, reason=taken.reason)
             return
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -1,8 +1,8 @@
 """The duty `members`: its holder works out the next change of members and proposes it, see
 `mesh.replication.reconfiguration`; each process logs when fewer losses are tolerable than configured.
 
-Two holders at once do no harm: each epoch is a slot of the charter, so one view is decided for it.
-"""
+Two holders at once do no harm: each epoch is a slot of the configuration store, so one view is decided for
+it."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         self,
         node: str,
         thresholds: failure_detection.SilenceThresholds,
-        roll: Store,
+        membership_store: Store,
         membership: Membership,
         member_set: MemberSet,
         proposer_host: ProposerHost,
@@ -58,10 +58,10 @@
         event_log: EventLog,
         on_change: Callable[[list[Item]], None],
     ) -> None:
-        """``on_change`` is called with roll items that are written here."""
+        """``on_change`` is called with membership items that are written here."""
         self._loop = asyncio.get_running_loop()
         self.node, self.thresholds = node, thresholds
-        self._roll, self._membership, self._member_set = roll, membership, member_set
+        self._membership_store, self._membership, self._member_set = membership_store, membership, member_set
         self._proposer_host, self.joining, self._reaping = proposer_host, joining, reaping
         self._event_log, self._on_change = event_log, on_change
         now = self._loop.time()
@@ -84,7 +84,7 @@
     # The lease
 
     def items_changed(self, items: list[Item]) -> None:
-        """Reads the lease from roll items that have changed."""
+        """Reads the lease from membership items that have changed."""
         for item in items:
             if item.kind == DUTY and item.name == MEMBERS_DUTY:
                 try:
@@ -107,7 +107,7 @@
         live = self._reaping.live_controllers(now, self.thresholds.suspect_s * CLAIM_DELAY_SHARE)
         decided = self.lease.decide(now, self._candidates(view), live)
         if isinstance(decided, Claim):
-            item = self._roll.write(DUTY, MEMBERS_DUTY, decided.epoch, lease_value(self.node))
+            item = self._membership_store.write(DUTY, MEMBERS_DUTY, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
                 self.lease.note_claimed(now, decided.epoch)
                 self._on_change([item])
--- a/mesh/control_plane/member_set.py
+++ b/mesh/control_plane/member_set.py
@@ -19,27 +19,27 @@
     def __init__(
         self,
         own_address: str,
-        charter: Store,
+        config_store: Store,
         disk_writer: DiskWriter,
         channels: Channels,
         tolerance: Tolerance,
     ) -> None:
         """``own_address``: the address by which this machine is known as a member."""
         self.own_address, self.tolerance = own_address, tolerance
-        self._charter, self._disk_writer, self._channels = charter, disk_writer, channels
+        self._config_store, self._disk_writer, self._channels = config_store, disk_writer, channels
         self._view = EMPTY_VIEW
         self.has_contact: Callable[[], bool] = lambda: False
 
     def view(self) -> View:
         """The view in force here; its epoch is 0 if none is known yet."""
-        item = self._charter.items.get((VIEW, MEMBERS))
+        item = self._config_store.items.get((VIEW, MEMBERS))
         if item is not None and item.version != self._view.epoch:
             self._view = read_view(item.version, item.value)
         return self._view
 
     def view_item(self) -> list[list[object]]:
         """The packed view, to be sent to a peer with an older one; empty if none is known."""
-        item = self._charter.items.get((VIEW, MEMBERS))
+        item = self._config_store.items.get((VIEW, MEMBERS))
         return [pack(item)] if item is not None else []
 
     def members(self) -> Mapping[str, Place]:
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -127,7 +127,7 @@
         ]
 
     def _other_nodes(self, view: View) -> dict[str, str]:
-        """Nodes of the roll that are no members, with their zones."""
+        """Nodes of the membership store that are no members, with their zones."""
         nodes = {}
         for name, info in self._membership.nodes.items():
             host = self._membership.address(name)
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        charter: Store,
+        config_store: Store,
         proposer_host: ProposerHost,
         acceptor: Acceptor,
         event_log: EventLog,
@@ -80,7 +80,11 @@
         confirmations: Confirmations,
     ) -> None:
         self._confirmations = confirmations
-        self._charter, self._proposer_host, self._contact_probes = charter, proposer_host, contact_probes
+        self._config_store, self._proposer_host, self._contact_probes = (
+            config_store,
+            proposer_host,
+            contact_probes,
+        )
         self._acceptor, self._event_log, self._rollouts = acceptor, event_log, rollouts
         self._loop = asyncio.get_running_loop()
 
@@ -118,7 +122,7 @@
     def _rendered(self) -> bytes:
         return render(
             (item.kind, item.name, item.version, dict(item.value))
-            for item in self._charter.items.values()
+            for item in self._config_store.items.values()
             if item.value is not None and item.kind != VIEW
         )
 
@@ -155,7 +159,7 @@
 
     async def _acknowledge(self, slots: Collection[Slot], within_s: float) -> Answer:
         """Acknowledges a decided order once it is in force at all proxies that are waited for."""
-        items = [self._charter.items.get((kind, name)) for kind, name, _ in slots]
+        items = [self._config_store.items.get((kind, name)) for kind, name, _ in slots]
         if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
             return Answer(200, b"{}")
         return self._answer_unresolved("it is decided, but not yet in force at all sidecars")
@@ -169,7 +173,7 @@
         return Answer(400, error_body(invalid.line()))
 
     def _current(self, kind: str, name: str) -> tuple[int, dict[str, object] | None] | None:
-        item = self._charter.items.get((kind, name))
+        item = self._config_store.items.get((kind, name))
         if item is None:
             return None
         return item.version, dict(item.value) if item.value is not None else None
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -1,5 +1,5 @@
-"""A control process: holds the configuration (the charter) and the membership (the roll), and distributes
-both."""
+"""A control process: holds the configuration (store "charter") and the membership (store "roll"), and
+distributes both."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import zlib
 
 from mesh.control_plane.acceptor_host import AcceptorHost
-from mesh.control_plane.anti_entropy import CHARTER, ROLL, AntiEntropy
+from mesh.control_plane.anti_entropy import CONFIG_STORE, MEMBERSHIP_STORE, AntiEntropy
 from mesh.control_plane.backup import DiskCommands
 from mesh.control_plane.catch_up import CatchUp
 from mesh.control_plane.confirmations import Confirmations
@@ -45,8 +45,8 @@
 from mesh.transport.http_calls import HttpServer
 from mesh.transport.link import Link, listen
 
-MAX_CHARTER_ITEMS = 20_000  # dropped ones included
-MAX_ROLL_ITEMS = 20_000
+MAX_CONFIG_ITEMS = 20_000  # dropped ones included
+MAX_MEMBERSHIP_ITEMS = 20_000
 TICK_S = 0.1
 SHUTDOWN_POLL_S = 0.02  # between two checks for pending answers while shutting down
 MAX_PEERS = 64  # control processes that each one pulls from; of more, the first in its order
@@ -61,14 +61,14 @@
         self.own_address = settings.ip
         self.peer_address = (settings.ip, settings.port_range[0])
         incarnation = f"{settings.node}.{os.urandom(4).hex()}"
-        self.charter, self.roll = (
-            Store(incarnation, MAX_CHARTER_ITEMS, decided=True),
-            Store(incarnation, MAX_ROLL_ITEMS),
+        self.config_store, self.membership_store = (
+            Store(incarnation, MAX_CONFIG_ITEMS, decided=True),
+            Store(incarnation, MAX_MEMBERSHIP_ITEMS),
         )
-        self.reports = Store(incarnation, 2 * MAX_ROLL_ITEMS)  # up to two of each sidecar in the roll
+        self.reports = Store(incarnation, 2 * MAX_MEMBERSHIP_ITEMS)  # up to two of each sidecar
         self.membership = Membership()
         self.tombs = Tombstones()
-        self.disk_writer, self.acceptor = open_disk(settings, self.charter, event_log)
+        self.disk_writer, self.acceptor = open_disk(settings, self.config_store, event_log)
         self.channels = Channels(
             settings.node,
             {
@@ -81,7 +81,7 @@
                 "takes": [REPORTS],
                 "control": control_address(settings),
             },
-            {"charter": self.charter, "roll": self.roll, REPORTS: self.reports},
+            {"charter": self.config_store, "roll": self.membership_store, REPORTS: self.reports},
             MAX_PEERS,
             event_log,
             self._changed,
@@ -93,26 +93,26 @@
             on_hello=self._channel_greeted,
         )
         self.member_set = MemberSet(
-            self.own_address, self.charter, self.disk_writer, self.channels, settings.tolerance
+            self.own_address, self.config_store, self.disk_writer, self.channels, settings.tolerance
         )
         self.acceptor_host = AcceptorHost(
             self.acceptor,
-            self.charter,
+            self.config_store,
             self.disk_writer,
             self.member_set,
             event_log,
-            lambda items: self._changed(CHARTER, items),
+            lambda items: self._changed(CONFIG_STORE, items),
         )
         seed = zlib.crc32(incarnation.encode())
         self.proposer_host = ProposerHost(
-            incarnation, seed, self.charter, self.member_set, self.acceptor_host, event_log
+            incarnation, seed, self.config_store, self.member_set, self.acceptor_host, event_log
         )
-        self.fencing = Fencing(self.charter, self.disk_writer, self.member_set, self.acceptor_host)
+        self.fencing = Fencing(self.config_store, self.disk_writer, self.member_set, self.acceptor_host)
         self.tombstone_collection = TombstoneCollection(
-            self.charter, self.acceptor, self.disk_writer, self.member_set, self.acceptor_host, event_log
+            self.config_store, self.acceptor, self.disk_writer, self.member_set, self.acceptor_host, event_log
         )
         self.catch_up = CatchUp(
-            self.charter,
+            self.config_store,
             self.acceptor,
             self.disk_writer,
             self.member_set,
@@ -135,7 +135,7 @@
         self.rollouts = Rollouts(
             bounds.settle_ms,
             bounds.ack_ms,
-            self.charter,
+            self.config_store,
             self.membership,
             self.channels,
             event_log,
@@ -147,18 +147,18 @@
             settings.node,
             self.own_address,
             silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
-            self.roll,
+            self.membership_store,
             self.membership,
             self.channels,
             self.member_set,
             self.contact_probes.may_act,
             event_log,
-            lambda items: self._changed(ROLL, items),
+            lambda items: self._changed(MEMBERSHIP_STORE, items),
         )
         self.key_assignment = self._make_key_assignment()
         self.anti_entropy = AntiEntropy(
             seed,
-            {CHARTER: self.charter, ROLL: self.roll},
+            {CONFIG_STORE: self.config_store, MEMBERSHIP_STORE: self.membership_store},
             self.channels,
             self.disk_writer,
             event_log,
@@ -167,14 +167,14 @@
         safekeeping = DiskCommands(
             settings.state_dir,
             settings.limits.disk_mb,
-            self.charter,
+            self.config_store,
             self.disk_writer,
             self.anti_entropy.check_disk,
         )
         restoring = RestoreCommand(
             settings.state_dir,
             settings.limits.disk_mb,
-            self.charter,
+            self.config_store,
             self.acceptor,
             self.disk_writer,
             self.member_set,
@@ -196,20 +196,20 @@
         self.member_changes = MemberChanges(
             settings.node,
             silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
-            self.roll,
+            self.membership_store,
             self.membership,
             self.member_set,
             self.proposer_host,
             self.joining,
             self.reaping,
             event_log,
-            lambda items: self._changed(ROLL, items),
+            lambda items: self._changed(MEMBERSHIP_STORE, items),
         )
         self.stopping = asyncio.Event()
         self.introspection = IntrospectionSources(
             settings,
-            self.charter,
-            self.roll,
+            self.config_store,
+            self.membership_store,
             self.disk_writer,
             self.member_set,
             self.membership,
@@ -236,7 +236,7 @@
         self.contact_probes.find_behind = self.confirmations.find_behind
         self.contact_probes.on_behind = self.confirmations.peer_reported_behind
         return OperatorApi(
-            self.charter,
+            self.config_store,
             self.proposer_host,
             self.acceptor,
             self.event_log,
@@ -249,7 +249,7 @@
         assignment = KeyAssignment(
             self.settings.node,
             self.settings.bounds.hold_max_ms,
-            self.charter,
+            self.config_store,
             self.membership,
             self.member_set,
             self.proposer_host,
@@ -281,10 +281,10 @@
 
     def _publish_node(self) -> None:
         settings = self.settings
-        item = self.roll.write(
+        item = self.membership_store.write(
             NODE,
             settings.node,
-            version_above(self.roll.items.get((NODE, settings.node)), int(time.time() * 1000)),
+            version_above(self.membership_store.items.get((NODE, settings.node)), int(time.time() * 1000)),
             {
                 "address": f"{self.peer_address[0]}:{self.peer_address[1]}",
                 "role": CONTROLLER,
@@ -312,16 +312,16 @@
         self.tombstone_collection.tick(now)
         self.catch_up.tick(now)
         for key in self.tombs.pop_expired(now):
-            self.roll.remove_tombstone(key)
+            self.membership_store.remove_tombstone(key)
             self.reports.remove_tombstone(key)
         # Checked before the open links, which survive a freeze of this process.
         if now - self._last_linked_at > RESYNC_AFTER_S:
             self._last_linked_at = now
-            self._changed("roll", self.roll.clear_remote_items())
+            self._changed("roll", self.membership_store.clear_remote_items())
             self._publish_node()
         elif self.channels.open:
             self._last_linked_at = now
-        if was_dropped(self.roll.items.get((NODE, self.settings.node))):
+        if was_dropped(self.membership_store.items.get((NODE, self.settings.node))):
             self._publish_node()
 
     def open_calls(self) -> int:
@@ -344,7 +344,7 @@
         self.event_log.emit(events.ENDED)
 
     def _on_disk_complete(self) -> None:
-        self.event_log.emit(events.DISK_COMPLETE, items=len(self.charter.items))
+        self.event_log.emit(events.DISK_COMPLETE, items=len(self.config_store.items))
         self.member_set.announce_complete()
         self.channels.hello["complete"] = True
 
@@ -436,7 +436,7 @@
         self.anti_entropy.link_closed(channel)
         if channel.peer_hello.get("role") == CONTROLLER:
             self._resend_pending(address_of(channel))
-        claimed = self.charter.restamp_above_vector(channel.peer_source) if channel.peer_source else []
+        claimed = self.config_store.restamp_above_vector(channel.peer_source) if channel.peer_source else []
         if claimed:
             self.disk_writer.mark_items(claimed)
             self.rollouts.items_restamped(claimed)
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -33,11 +33,9 @@
 from mesh.transport.frames import Head
 
 ORDER_TIMEOUT_S = 3.0  # an order is pursued for this long, whether or not its caller still waits
-# Bounds of the random delay after a ballot that another proposer may have interrupted.
-FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.4
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.4  # bounds of the random delay after an interrupted ballot
 MAX_IMMEDIATE_BALLOTS = 3  # consecutive ballots without a backoff
-# An open vote is recovered after the timeout, plus the delay times the rank of this member for it.
-OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = 1.0, 0.3
+OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = 1.0, 0.3  # an open vote is recovered after timeout + rank * delay
 READ_GRACE_S = 0.03  # a read leaves an open vote to its proposer for this long
 MAX_PENDING_ORDERS = 256  # concurrent orders; further ones are answered as busy
 MAX_RECOVERED_VOTES = 2000  # of one recovery
@@ -77,7 +75,7 @@
         self,
         incarnation: str,
         seed: int,
-        charter: Store,
+        config_store: Store,
         member_set: MemberSet,
         acceptor_host: AcceptorHost,
         event_log: EventLog,
@@ -85,10 +83,10 @@
         """``incarnation``: identifies this process in ballots; ``seed``: for the random backoff."""
         self._loop = asyncio.get_running_loop()
         self._incarnation, self._random = incarnation, random.Random(seed)
-        self._charter, self._member_set, self._event_log = charter, member_set, event_log
+        self._config_store, self._member_set, self._event_log = config_store, member_set, event_log
         self.acceptor_host, self._acceptor = acceptor_host, acceptor_host.acceptor
         acceptor_host.on_view_change = self._view_changed
-        self.reads = QuorumReads(charter, member_set, acceptor_host)
+        self.reads = QuorumReads(config_store, member_set, acceptor_host)
         self._highest_round = 0
         self._ballots: dict[Ballot, _RunningBallot] = {}
         self._orders: dict[tuple[Any, ...], _Order] = {}
@@ -126,9 +124,11 @@
         if len(self._orders) >= MAX_PENDING_ORDERS:
             return f"{MAX_PENDING_ORDERS} orders wait already"
         keys = {(kind, name) for kind, name, _ in [*writes, *self._acceptor.votes]}
-        count = len(self._charter.items) + sum(key not in self._charter.items for key in keys)
-        if count > self._charter.max_items and count > len(self._charter.items):
-            return f"state: {count} items with these, at most {self._charter.max_items}: drop some and wait"
+        count = len(self._config_store.items) + sum(key not in self._config_store.items for key in keys)
+        if count > self._config_store.max_items and count > len(self._config_store.items):
+            return (
+                f"state: {count} items with these, at most {self._config_store.max_items}: drop some and wait"
+            )
         return ""
 
     async def _run(self, proposer: Proposer, within_s: float) -> Outcome:
@@ -244,7 +244,7 @@
             "t": "decided",
             "b": encode_ballot(chosen.ballot),
             "e": self._member_set.view().epoch,
-            "s": self._charter.source,
+            "s": self._config_store.source,
             "at": items[0].number,
             "of": len(items),
             "whole": chosen.complete,
--- a/mesh/control_plane/quorum_reads.py
+++ b/mesh/control_plane/quorum_reads.py
@@ -38,10 +38,10 @@
 class QuorumReads:
     """The reads of this process, and its answers to the reads of others."""
 
-    def __init__(self, charter: Store, member_set: MemberSet, acceptor_host: AcceptorHost) -> None:
-        """``charter``: answers are merged into it by ``acceptor_host``."""
+    def __init__(self, config_store: Store, member_set: MemberSet, acceptor_host: AcceptorHost) -> None:
+        """``config_store``: answers are merged into it by ``acceptor_host``."""
         self._loop = asyncio.get_running_loop()
-        self._charter, self._member_set, self._acceptor_host = charter, member_set, acceptor_host
+        self._config_store, self._member_set, self._acceptor_host = config_store, member_set, acceptor_host
         self._count = 0
         self._pending: dict[int, _Read] = {}
 
@@ -92,7 +92,7 @@
 
     def _send_read(self, number: int, read: _Read, address: str, channel: Channel) -> None:
         read.asked[address] = channel
-        message = {"t": "read", "n": number, "e": read.view.epoch, "v": self._charter.vector}
+        message = {"t": "read", "n": number, "e": read.view.epoch, "v": self._config_store.vector}
         channel.link.send({**message, "of": read.kind} if read.kind else message)
 
     async def _count_own_store(self, read: _Read) -> None:
@@ -132,7 +132,7 @@
         epoch = self._member_set.view().epoch
         whole = await self._acceptor_host.check_epoch(epoch) is None
         kind = str(head.get("of", ""))
-        missing = self._charter.delta_for(head["v"], MAX_PAGE_ITEMS)
+        missing = self._config_store.delta_for(head["v"], MAX_PAGE_ITEMS)
         channel.link.send(
             {
                 "t": "have",
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -36,7 +36,7 @@
         self,
         state_dir: str,
         disk_mb: float,
-        charter: Store,
+        config_store: Store,
         acceptor: Acceptor,
         disk_writer: DiskWriter,
         member_set: MemberSet,
@@ -46,7 +46,7 @@
         whole: Callable[[], dict[str, bool]],
     ) -> None:
         self._state_dir, self._max_bytes = state_dir, room(disk_mb)
-        self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
+        self._config_store, self._acceptor, self._disk_writer = config_store, acceptor, disk_writer
         self._member_set, self._acceptor_host, self._event_log, self._reachable_members = (
             member_set,
             acceptor_host,
@@ -68,7 +68,7 @@
         try:
             if not self._member_set.has_contact():
                 return await self._restore(str(head["copy"]), lost)
-            if head["copy"] and all(item.kind == VIEW for item in self._charter.items.values()):
+            if head["copy"] and all(item.kind == VIEW for item in self._config_store.items.values()):
                 return await self._import_copy(str(head["copy"]))
             return Refusal(
                 "the mesh serves, and holds all that was acknowledged; to go back to an earlier "
@@ -120,7 +120,7 @@
         return summary
 
     def _summary(self, view: View) -> JsonObject:
-        items = [item for item in self._charter.items.values() if item.value is not None]
+        items = [item for item in self._config_store.items.values() if item.value is not None]
         count = sum(item.kind != VIEW for item in items)
         return {"epoch": view.epoch, "members": sorted(view.members), "items": count}
 
@@ -139,10 +139,10 @@
     def _merge_copy(self, kept: Held) -> Refusal | None:
         """Merges the items of a copy that are not older than those here, with its votes and overtaken
         versions."""
-        buckets, keys = self._charter.merge_collected(kept.forgotten)
+        buckets, keys = self._config_store.merge_collected(kept.forgotten)
         self._disk_writer.remove_keys(keys, buckets)
         items = [item for item in kept.items if item.kind != VIEW]
-        merged = self._charter.repair(items)
+        merged = self._config_store.repair(items)
         if isinstance(merged, StoreFull):
             return Refusal(merged.reason)
         self._acceptor_host.items_changed(merged)
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -59,7 +59,7 @@
         self,
         settle_ms: float,
         ack_ms: float,
-        charter: Store,
+        config_store: Store,
         membership: Membership,
         channels: Channels,
         event_log: EventLog,
@@ -70,8 +70,8 @@
         self._loop = asyncio.get_running_loop()
         self._settle_s = settle_ms / 1000.0
         self.wait_s = derive_rollout_times(settle_ms, ack_ms).ack_wait_s
-        self._charter, self._membership, self._channels, self._event_log = (
-            charter,
+        self._config_store, self._membership, self._channels, self._event_log = (
+            config_store,
             membership,
             channels,
             event_log,
@@ -89,7 +89,7 @@
     # Updates
 
     def items_changed(self, items: Iterable[Item]) -> None:
-        """Starts a rollout of the routes among charter items that have changed."""
+        """Starts a rollout of the routes among configuration items that have changed."""
         routes = [item for item in items if item.kind == ROUTE]
         if routes:
             for item in routes:
@@ -104,7 +104,7 @@
         for rollout in self.rollouts:
             if rollout.done is None and keys & rollout.versions.keys():
                 rollout.required_vector = required_vector(
-                    self._charter.items[key] for key in rollout.versions
+                    self._config_store.items[key] for key in rollout.versions
                 )
 
     def reports_changed(self, items: Iterable[Item]) -> None:
@@ -202,7 +202,7 @@
     async def wait_for_canaries(self, keys: Sequence[Key], within_s: float) -> None:
         """Waits until the canaries of each of these items use it, for ``within_s`` at most."""
         wait_s = min(self.wait_s, within_s)
-        items = [self._charter.items[key] for key in keys if key in self._charter.items]
+        items = [self._config_store.items[key] for key in keys if key in self._config_store.items]
         if wait_s <= 0.0 or not items or self._canaries_confirmed(items):
             return
         wait = _Wait(items, self._loop.create_future())
@@ -228,7 +228,7 @@
 
     def unconfirmed(self, key: Key) -> list[str]:
         """The sidecars that have not confirmed the version of that item here."""
-        item = self._charter.items[key]
+        item = self._config_store.items[key]
         return sorted(
             node
             for node in self._membership.canary_selection().nodes
@@ -237,7 +237,7 @@
 
     def canary_tallies(self, key: Key) -> tuple[Tally, Tally]:
         """Calls and failures of the canaries: with the current version, and with the old one."""
-        item = self._charter.items.get(key)
+        item = self._config_store.items.get(key)
         same = [
             c for c in self._counts.get(key, {}).values() if item is not None and c.version == item.version
         ]
--- a/mesh/control_plane/tombstone_collection.py
+++ b/mesh/control_plane/tombstone_collection.py
@@ -1,9 +1,9 @@
-"""Collects tombstones of the charter once every member of the view has them on its disk: queried under one
-epoch, answered after a sync. Then no member holds an older version, and the remaining record
+"""Collects tombstones of the configuration store once every member of the view has them on its disk: queried
+under one epoch, answered after a sync. Then no member holds an older version, and the remaining record
 (`replication.tombstones`) is sent to processes that connect later.
 
-Tombstones are kept for RETENTION_S before that, as those of the roll are: a sidecar that was disconnected for
-half of it requests everything again.
+Tombstones are kept for RETENTION_S before that, as those of the membership store are: a sidecar that was
+disconnected for half of it requests everything again.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        charter: Store,
+        config_store: Store,
         acceptor: Acceptor,
         disk_writer: DiskWriter,
         member_set: MemberSet,
@@ -57,16 +57,16 @@
         event_log: EventLog,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._charter, self._acceptor, self._disk_writer = charter, acceptor, disk_writer
+        self._config_store, self._acceptor, self._disk_writer = config_store, acceptor, disk_writer
         self._member_set, self._acceptor_host, self._event_log = member_set, acceptor_host, event_log
         self._tombstones = Tombstones()
-        self._tombstones.note(self._loop.time(), charter.items.values())
+        self._tombstones.note(self._loop.time(), config_store.items.values())
         self._next_query_at = self._loop.time() + QUERY_INTERVAL_S
         self._count = 0
         self._query: _HoldsQuery | None = None
 
     def note(self, items: Iterable[Item]) -> None:
-        """Notes tombstones among charter items that have changed."""
+        """Notes tombstones among configuration items that have changed."""
         self._tombstones.note(self._loop.time(), items)
 
     # Queries
@@ -88,7 +88,7 @@
             return
         rank = sorted(view.members).index(me)
         expired = self._tombstones.expired(now - rank * QUERY_INTERVAL_S, MAX_DROPS)
-        held = [self._charter.items.get(key) for key in expired]
+        held = [self._config_store.items.get(key) for key in expired]
         drops = [(item.key, item.version) for item in held if item is not None and item.value is None]
         if not drops:
             return
@@ -112,8 +112,8 @@
         return None if await self._acceptor_host.check_epoch(epoch) is not None else lacking
 
     def _holds(self, key: Key, version: int) -> bool:
-        item = self._charter.items.get(key)
-        known = item.version if item is not None else self._charter.collected_tombstones.version(key)
+        item = self._config_store.items.get(key)
+        known = item.version if item is not None else self._config_store.collected_tombstones.version(key)
         return known >= version
 
     def _handle_answer(self, query: _HoldsQuery, member: str, lacking: Iterable[int]) -> None:
@@ -136,7 +136,7 @@
     # Removal
 
     def _forget(self, drops: Sequence[Drop]) -> None:
-        buckets, keys = self._charter.collect_tombstones(drops)
+        buckets, keys = self._config_store.collect_tombstones(drops)
         self._remove(buckets, keys)
 
     def _remove(self, buckets: Sequence[str], keys: Sequence[Key]) -> None:
@@ -151,7 +151,7 @@
 
     def link_opened(self, channel: Channel) -> None:
         """Sends the digest of the record first of all on a new link to another control process."""
-        channel.link.send({"t": "gone", "d": self._charter.collected_tombstones.root()})
+        channel.link.send({"t": "gone", "d": self._config_store.collected_tombstones.root()})
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
         """Whether it was a frame of this exchange. Raises KeyError, TypeError or ValueError if malformed."""
@@ -169,9 +169,9 @@
         elif kind == "forget":
             self._forget(_decode_drops(head["k"]))
         elif "f" in head:
-            self._remove(*self._charter.merge_collected(read_rows(head["f"])))
-        elif head["d"] != self._charter.collected_tombstones.root():
-            rows = list(self._charter.collected_tombstones.rows().items())
+            self._remove(*self._config_store.merge_collected(read_rows(head["f"])))
+        elif head["d"] != self._config_store.collected_tombstones.root():
+            rows = list(self._config_store.collected_tombstones.rows().items())
             for at in range(0, len(rows), MAX_FRAME_BUCKETS):
                 channel.link.send({"t": "gone", "f": dict(rows[at : at + MAX_FRAME_BUCKETS])})
         return True
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -43,8 +43,8 @@
 
 
 class DiskWriter:
-    """Writes the charter to disk. ``complete``: the disk holds all that this machine ever acknowledged to
-    hold."""
+    """Writes the configuration store to disk. ``complete``: the disk holds all that this machine ever
+    acknowledged to hold."""
 
     def __init__(
         self, store: Store, acceptor: Acceptor, keeper: Keeper, event_log: EventLog, complete: bool
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -25,7 +25,7 @@
 
 def operator_handlers(proxy: Proxy, clock: Callable[[], float]) -> dict[str, Handler]:
     """The handlers of operators' questions. ``clock`` returns seconds since 1970."""
-    stores = {"charter": proxy.charter, "roll": proxy.roll}
+    stores = {"charter": proxy.config_store, "roll": proxy.membership_store}
     return {
         "status": lambda head: status(proxy, clock()),
         "items": lambda head: item_page(stores, head),
@@ -46,7 +46,7 @@
     proxy.channels.complete_within(0.0)  # updates last_complete_at
     whole_at = proxy.channels.last_complete_at
     return {
-        **common_status(settings, proxy.charter, proxy.roll, clock),
+        **common_status(settings, proxy.config_store, proxy.membership_store, clock),
         "role": PROXY,
         "ready": proxy.configured() and not proxy.ending,
         "ending": proxy.ending,
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -50,8 +50,8 @@
 from mesh.transport.http_calls import Answer, HttpServer
 from mesh.transport.link import Address, Link, listen
 
-MAX_CHARTER_ITEMS = 40_000
-MAX_ROLL_ITEMS = 20_000
+MAX_CONFIG_ITEMS = 40_000
+MAX_MEMBERSHIP_ITEMS = 20_000
 TICK_S = 0.1
 SPARE_FILES = 64  # file descriptors not used by clients, links or the upstream
 EXTRA_CONTROLLERS = 2  # pulled from, beyond those that may be lost at once
@@ -73,13 +73,13 @@
         self.loop = asyncio.get_running_loop()
         self.peer_address = (settings.ip, settings.port_range[0])
         self.incarnation = f"{settings.node}.{os.urandom(4).hex()}"
-        self.charter, self.roll = (
-            Store(self.incarnation, MAX_CHARTER_ITEMS, decided=True),
-            Store(self.incarnation, MAX_ROLL_ITEMS),
+        self.config_store, self.membership_store = (
+            Store(self.incarnation, MAX_CONFIG_ITEMS, decided=True),
+            Store(self.incarnation, MAX_MEMBERSHIP_ITEMS),
         )
         self.reports = Store(self.incarnation, 2)  # this sidecar's own reports only
         self.membership, self.routes, self.tombstones = Membership(), RouteTable(), Tombstones()
-        self._charter_tombstones = Tombstones()  # of the charter
+        self._config_tombstones = Tombstones()  # of the configuration store
         bounds = settings.bounds
         self.upstream = Upstream(settings.node, settings.zone, settings.beat_period_ms, bounds.drain_ms)
         assert settings.upstream is not None
@@ -108,7 +108,7 @@
         )
         self.staged_routes = StagedRoutes(
             settings,
-            self.charter,
+            self.config_store,
             self.reports,
             self.routes,
             self.membership,
@@ -136,7 +136,7 @@
         self._share_between_hops()
         self.registry = Registry(
             self.upstream,
-            self.roll,
+            self.membership_store,
             self.membership,
             event_log,
             self.balancers.now,
@@ -157,7 +157,7 @@
                 "ip": settings.ip,
                 "role": PROXY,
             },
-            {"charter": self.charter, "roll": self.roll, REPORTS: self.reports},
+            {"charter": self.config_store, "roll": self.membership_store, REPORTS: self.reports},
             settings.tolerance.machines + EXTRA_CONTROLLERS,
             event_log,
             self._on_items,
@@ -174,7 +174,7 @@
         self.incoming_links: set[Link] = set()  # with calls from other sidecars
         self._server: asyncio.Server | None = None
         self._linked_at = self.loop.time()  # when there was last a link for updates
-        self._unconfirmed_since: float | None = None  # resynchronizing the charter since then
+        self._unconfirmed_since: float | None = None  # resynchronizing the configuration since then
         self._node_version = int(time.time() * 1000)
 
     def _share_between_hops(self) -> None:
@@ -223,8 +223,10 @@
 
     def _publish_node(self) -> None:
         settings = self.settings
-        self._node_version = version_above(self.roll.items.get((NODE, settings.node)), self._node_version + 1)
-        item = self.roll.write(
+        self._node_version = version_above(
+            self.membership_store.items.get((NODE, settings.node)), self._node_version + 1
+        )
+        item = self.membership_store.write(
             NODE,
             settings.node,
             self._node_version,
@@ -258,17 +260,17 @@
         for link in list(self.incoming_links):
             link.tick(now)
         for key in self.tombstones.pop_expired(now):
-            self.roll.remove_tombstone(key)
-        for key in self._charter_tombstones.pop_expired(now):
-            self.charter.remove_tombstone(key)
+            self.membership_store.remove_tombstone(key)
+        for key in self._config_tombstones.pop_expired(now):
+            self.config_store.remove_tombstone(key)
         self._check_unconfirmed(now)
         if now - self._linked_at > RESYNC_AFTER_S:  # before the links, which outlast a freeze
             self._linked_at = now
-            self._on_items("roll", self.roll.clear_remote_items())
+            self._on_items("roll", self.membership_store.clear_remote_items())
             self._republish()
         elif self.channels.open:
             self._linked_at = now
-        if was_dropped(self.roll.items.get((NODE, self.settings.node))):
+        if was_dropped(self.membership_store.items.get((NODE, self.settings.node))):
             self._republish()
         self.registry.reconcile()
 
@@ -279,16 +281,16 @@
         if self._unconfirmed_since is not None:
             if self.channels.last_complete_at > self._unconfirmed_since:
                 self._unconfirmed_since = None
-                self._on_items("charter", self.charter.remove_unconfirmed())
+                self._on_items("charter", self.config_store.remove_unconfirmed())
         elif self.configured() and not self.channels.complete_within(RESYNC_AFTER_S):
             self._unconfirmed_since = now
-            self.charter.mark_unconfirmed()
+            self.config_store.mark_unconfirmed()
             for channel in list(self.channels.open):
                 channel.link.close("resynchronizing")
 
     def configured(self) -> bool:
         """Whether the operators' complete configuration is here; the members are known earlier."""
-        known = any(kind in OPERATOR_KINDS for kind, _ in self.charter.items)
+        known = any(kind in OPERATOR_KINDS for kind, _ in self.config_store.items)
         return known and self.channels.last_complete_at > 0.0
 
     async def _ready(self, message: http.Message) -> Answer:
@@ -317,7 +319,7 @@
 
     def _on_items(self, name: str, items: list[Item]) -> None:
         if name == "charter":
-            self._charter_tombstones.note(self.loop.time(), items)
+            self._config_tombstones.note(self.loop.time(), items)
             for item in items:
                 self._apply_item(item)
             self.staged_routes.schedule_report()
@@ -378,7 +380,7 @@
         except (TypeError, ValueError):
             return
         if item is not None and item.kind == ROUTE:
-            changed = self.charter.merge([item], {})
+            changed = self.config_store.merge([item], {})
             if not isinstance(changed, StoreFull) and changed:
                 self.staged_routes.receive_route(item, late=True)
                 self.staged_routes.schedule_report()
--- a/mesh/data_plane/staged_routes.py
+++ b/mesh/data_plane/staged_routes.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         settings: Settings,
-        charter: Store,
+        config_store: Store,
         reports: Store,
         routes: RouteTable,
         membership: Membership,
@@ -48,7 +48,7 @@
         """``prepare`` prepares for a route and returns its services without a live upstream. ``version``:
         above the report versions of earlier incarnations."""
         self._loop = asyncio.get_running_loop()
-        self._node, self._charter, self._reports = settings.node, charter, reports
+        self._node, self._config_store, self._reports = settings.node, config_store, reports
         self._routes, self._membership, self._prepare = routes, membership, prepare
         self._channels, self._version, self._event_log = channels, version, event_log
         times = derive_rollout_times(settings.bounds.settle_ms, settings.bounds.ack_ms)
@@ -98,7 +98,7 @@
         self._set_activation_timer()
 
     def _put_in_force(self, now: float, activation: ItemActivation) -> None:
-        item = self._charter.items.get(activation.key)
+        item = self._config_store.items.get(activation.key)
         new, old = _read(item) if item is not None else None, self._routes.get(activation.key[1])
         if item is None or new is None:
             self._routes.remove(activation.key[1])
@@ -183,7 +183,7 @@
             self._loop.time(), call.route, call.version, call.age_ms / 1000.0
         ):
             return None
-        item = self._charter.items.get((ROUTE, call.route))
+        item = self._config_store.items.get((ROUTE, call.route))
         return pack_item(item) if item is not None else None
 
     # Reports to the control processes
@@ -256,7 +256,7 @@
         self._channels().schedule_answers()
 
     def _vector(self) -> dict[str, int]:
-        return {s: n for s, n in self._charter.vector.items() if not is_page_entry(s)}
+        return {s: n for s, n in self._config_store.vector.items() if not is_page_entry(s)}
 
 
 def _read(item: Item) -> Route | None:
--- a/mesh/data_plane/upstream_registration.py
+++ b/mesh/data_plane/upstream_registration.py
@@ -52,7 +52,7 @@
     def __init__(
         self,
         upstream: Upstream,
-        roll: Store,
+        membership_store: Store,
         membership: Membership,
         event_log: EventLog,
         now: Callable[[], float],
@@ -61,7 +61,7 @@
     ) -> None:
         """``now`` returns milliseconds. ``on_items`` is called with the items written here. ``key_fields``
         returns the fields of a heartbeat's response that say which keys the upstream may hold."""
-        self._upstream, self._roll, self._membership = upstream, roll, membership
+        self._upstream, self._membership_store, self._membership = upstream, membership_store, membership
         self._event_log, self._now, self._changed = event_log, now, on_items
         self._began = now()
         self._key_fields = key_fields if key_fields is not None else _no_keys
@@ -92,7 +92,7 @@
 
     def _has_ended(self, instance: str) -> bool:
         """Whether this machine has published its end, also in an earlier incarnation of this process."""
-        item = self._roll.items.get((INSTANCE, instance))
+        item = self._membership_store.items.get((INSTANCE, instance))
         return item is not None and item.value is None and item.version >= FINAL_VERSION
 
     def _log_change(self, previous: Heartbeat | None, heartbeat: Heartbeat) -> None:
@@ -114,10 +114,10 @@
             )
 
     def publish(self, updates: list[InstanceUpdate]) -> None:
-        """Writes updates as items of the roll."""
+        """Writes updates as items of the membership store."""
         items = []
         for update in updates:
-            item = self._roll.write(INSTANCE, update.instance, update.version, update.value)
+            item = self._membership_store.write(INSTANCE, update.instance, update.version, update.value)
             if isinstance(item, Item):
                 items.append(item)
         if items:
@@ -135,19 +135,19 @@
             )
         silent = self._now() - self._began > SILENT_HEARTBEATS * self._upstream.heartbeat_ms
         updates = []
-        item = self._roll.items.get((INSTANCE, current))  # a dropped one is not in the membership
+        item = self._membership_store.items.get((INSTANCE, current))  # a dropped one is not in the membership
         if item is not None and item.version > self._upstream.version:
             updates += self._upstream.republish(item.version)
         for instance in self._membership.instances_at(self._upstream.node):
             if instance != current and (current or silent):
                 # above later versions published while it counted as the current instance
-                version = max(FINAL_VERSION, self._roll.items[INSTANCE, instance].version + 1)
+                version = max(FINAL_VERSION, self._membership_store.items[INSTANCE, instance].version + 1)
                 updates.append(InstanceUpdate(instance, version, None))
         self.publish(updates)
 
     def republish(self) -> None:
-        """Publishes the current state again, above the version in the roll."""
-        item = self._roll.items.get((INSTANCE, self._upstream.instance))
+        """Publishes the current state again, above the version in the membership store."""
+        item = self._membership_store.items.get((INSTANCE, self._upstream.instance))
         self.publish(self._upstream.republish(item.version if item is not None else 0))
 
 
--- a/mesh/runtime/introspection_calls.py
+++ b/mesh/runtime/introspection_calls.py
@@ -99,7 +99,9 @@
         self._links.pop(link, None)
 
 
-def common_status(settings: Settings, charter: Store, roll: Store, clock: float) -> JsonObject:
+def common_status(
+    settings: Settings, config_store: Store, membership_store: Store, clock: float
+) -> JsonObject:
     """The status fields of both programs. ``clock``: seconds since 1970 by this machine's clock."""
     return {
         "node": settings.node,
@@ -108,11 +110,11 @@
         "region": settings.region,
         "clock": clock,
         "charter": {
-            "items": sum(item.value is not None for item in charter.items.values()),
-            "dropped": sum(item.value is None for item in charter.items.values()),
-            "digest": charter.digests.root(),
+            "items": sum(item.value is not None for item in config_store.items.values()),
+            "dropped": sum(item.value is None for item in config_store.items.values()),
+            "digest": config_store.digests.root(),
         },
-        "roll": len(roll.items),
+        "roll": len(membership_store.items),
         "unknown": list(settings.unknown[:20]),
     }
 
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -225,11 +225,11 @@
     # Scripts
 
     def share(self) -> None:
-        """Everybody's roll to everybody, as news would bring it."""
+        """Copies every process's membership store to all others, as the pull exchange would."""
         sides = [program for _, program in self.programs(core=False)]
-        items = [item for program in sides for item in list(program.roll.items.values())]
+        items = [item for program in sides for item in list(program.membership_store.items.values())]
         for machine, program in self.programs(core=False):
-            changed = program.roll.merge(items, {})
+            changed = program.membership_store.merge(items, {})
             if changed:
                 machine.life.context.run(program._on_items, "roll", changed)  # type: ignore[union-attr]
 
--- a/rigs/member_model.py
+++ b/rigs/member_model.py
@@ -39,7 +39,7 @@
     level: int  # the epoch that it is level with
     got: frozenset[
         str
-    ]  # whose charter and votes it has read since it knows that epoch, or since its fence began
+    ]  # whose configuration and votes it has read since it knows that epoch, or since its fence began
     fence: int  # ballots up to this are refused by those that its fence has reached; 0: none begun
     promised: int
     vote: int  # the ballot, 0: none
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -88,7 +88,7 @@
 
     def take(self, items: list[Item], name: str = "roll") -> None:
         """What the other has is known here, as news would bring it."""
-        store = self.proxy.roll if name == "roll" else self.proxy.charter
+        store = self.proxy.membership_store if name == "roll" else self.proxy.config_store
         changed = store.merge(items, {})
         if isinstance(changed, list) and changed:
             self.proxy._on_items(name, changed)
@@ -181,7 +181,11 @@
     async def _news(self) -> None:
         while True:
             for here, there in (self.first, self.second), (self.second, self.first):
-                items = [item for item in there.proxy.roll.items.values() if item.kind in (NODE, INSTANCE)]
+                items = [
+                    item
+                    for item in there.proxy.membership_store.items.values()
+                    if item.kind in (NODE, INSTANCE)
+                ]
                 self.loop.call_later(self.plan.news_s, here.take, items)
             await asyncio.sleep(NEWS_EACH_S)
 
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -35,7 +35,7 @@
     def take(self, kind: str, name: str, value: dict[str, Any] | None) -> None:
         """An item comes, as news would bring it; no value: it is dropped."""
         self._version += 1
-        item = self.proxy.charter.write(kind, name, self._version, value)
+        item = self.proxy.config_store.write(kind, name, self._version, value)
         self.proxy._on_items("charter", [item])  # type: ignore[list-item]
 
     async def client(self) -> Client:
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -77,7 +77,7 @@
 
 
 def ready_without_a_word(patch: Patch) -> None:
-    patch.setattr(Proxy, "configured", lambda self: len(self.charter.items) > 0)
+    patch.setattr(Proxy, "configured", lambda self: len(self.config_store.items) > 0)
 
 
 def the_next_is_not_asked(patch: Patch) -> None:
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -143,7 +143,7 @@
         if (is_ready and not was) or now - program.channels.last_complete_at <= LOOK_S:
             what = "begins with" if not was else "is told that it has all, with"
             for key, acked in self.history.items():
-                held = program.charter.items.get(key)
+                held = program.config_store.items.get(key)
                 have = held.version if held is not None else 0
                 late = [(version, at) for version, at in acked if version > have and at < now - KNOWN_S]
                 if late:
@@ -255,7 +255,7 @@
 
 
 def _lacks(program: Any, key: Key, version: int) -> bool:
-    held = program.charter.items.get(key)
+    held = program.config_store.items.get(key)
     return held is None or held.version < version
 
 
--- a/simulation/mesh/drops.py
+++ b/simulation/mesh/drops.py
@@ -76,7 +76,7 @@
         found = set()
         for core in (True, False):
             for machine, program in self.programs(core):
-                items = [program.roll.items.get(key) for key in keys]
+                items = [program.membership_store.items.get(key) for key in keys]
                 if all(item is not None and item.value is not None for item in items):
                     found.add(machine.name)
         return found
@@ -89,10 +89,10 @@
         return {machine.name for machine, program in self.programs(core=True) if program.reaping._held_epoch}
 
     def standing(self) -> tuple[int, str]:
-        """The claim that the roll has, where all control processes have the same one; else (0, "")."""
+        """The claim in the membership store where all control processes have the same one, else (0, "")."""
         found = set()
         for _, program in self.programs(core=True):
-            item = program.roll.items.get((DUTY, REAPING))
+            item = program.membership_store.items.get((DUTY, REAPING))
             found.add((item.version, item.value["holder"]) if item is not None else (0, ""))
         return next(iter(found)) if len(found) == 1 else (0, "")
 
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -42,7 +42,7 @@
     real = AcceptorHost.accept
 
     async def accept(self: AcceptorHost, epoch: int, ballot: Any, by: Any, writes: Any, tags: Any) -> Any:
-        if ballot.proposer != self._charter.source:
+        if ballot.proposer != self._config_store.source:
             return await real(self, epoch, ballot, by, writes, tags)
         changed = self.acceptor.accept(ballot, by, writes, tags)
         if isinstance(changed, Refusal):
@@ -93,8 +93,8 @@
 
     async def decide(self: ProposerHost, writes: Any, within_s: float) -> Any:
         items, vector = self.acceptor_host.stamp_items(writes.items())
-        self._charter._decided = False
-        self.acceptor_host._on_change(self._charter.merge(items, vector))  # type: ignore[arg-type]
+        self._config_store._decided = False
+        self.acceptor_host._on_change(self._config_store.merge(items, vector))  # type: ignore[arg-type]
         return await real(self, writes, within_s)
 
     patch.setattr(ProposerHost, "decide", decide)
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -51,7 +51,7 @@
         return one
 
     def use(self: StagedRoutes, now: float, one: ItemActivation) -> None:
-        item = self._charter.items[one.key]
+        item = self._config_store.items[one.key]
         assert item.value is not None
         self._routes.put(read_route(item.name, one.version, dict(item.value)))
 
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -98,7 +98,7 @@
             put(route)
 
         def drops(name: str) -> None:
-            item = program.charter.items.get(("route", name))
+            item = program.config_store.items.get(("route", name))
             if item is not None and item.value is None:
                 self._goes(life, name, item.version)
             drop(name)
@@ -224,7 +224,7 @@
         item = program.reports.items[REPORT, life.machine.name]
         report = read(item.value)
         for _, controller in self.programs(core=True):
-            for one in controller.charter.items.values():
+            for one in controller.config_store.items.values():
                 if one.kind == "route" and one.value is not None and report.confirms(one):
                     standing = program.routes.get(one.name)
                     if standing is None or standing.version < one.version:
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -124,7 +124,7 @@
         for core in (True, False):
             for other, program in self.world.programs(core):
                 for key in keys:
-                    item = program.charter.items.get(key)
+                    item = program.config_store.items.get(key)
                     if item is not None:
                         self._compare(other.name, item)
         for other in self.world.controllers():
@@ -158,7 +158,7 @@
         for core in (True, False):
             for other, program in self.world.programs(core):
                 for number in numbers:
-                    item = program.charter.items.get(number[:2])
+                    item = program.config_store.items.get(number[:2])
                     if item is not None and item.version == number[2]:
                         self._compare(other.name, item)
 
@@ -234,7 +234,7 @@
                 view = program.member_set.view()
                 views.append((machine.name, view))
                 counts, epoch = program.disk_writer.complete, view.epoch
-                items, votes = program.charter.items, program.acceptor.votes
+                items, votes = program.config_store.items, program.acceptor.votes
             else:
                 kept = machine.disk.holds()
                 counts, epoch = kept.whole, 0  # of the disk's view: as if it could answer whoever asks
@@ -270,7 +270,7 @@
     def sidecars_know(self, until: float) -> None:
         for machine, program in self.world.programs(core=False):
             for key, (version, at) in self.acked.items():
-                held = program.charter.items.get(key)
+                held = program.config_store.items.get(key)
                 if at <= until and (held is None or held.version < version):
                     self._say(f"{machine.name} does not know {key} r{version}, acknowledged at {at:.3f}")
 
@@ -294,8 +294,8 @@
         yield world.env.timeout(0.5)
         self._meets("in the end")
         self.sidecars_know(float(world.env.now))
-        for name in ("charter", "roll"):
-            until = world.env.now + (ON_ITS_WAY_S if name == "roll" else 0.0)
+        for name in ("config_store", "membership_store"):
+            until = world.env.now + (ON_ITS_WAY_S if name == "membership_store" else 0.0)
             while not _level(stores := self._stores(name)) and world.env.now < until:
                 yield world.env.timeout(0.01)
             if not _level(stores):
--- a/simulation/mesh/world.py
+++ b/simulation/mesh/world.py
@@ -142,7 +142,7 @@
     def _merges(self, merge: Any) -> Any:
         def merges(store: Store, items: Any, vector: Any) -> Any:
             life = LIFE.get(None)
-            if life is not None and store is life.program.charter:
+            if life is not None and store is life.program.config_store:
                 self.point("merge", life)
             return merge(store, items, vector)
 
--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -54,7 +54,7 @@
     found = []
     for core in (True, False):
         for machine, program in world.programs(core):
-            item = program.charter.items.get(key)
+            item = program.config_store.items.get(key)
             if item is not None and item.value is not None:
                 found.append(machine.name)
     for machine in world.controllers():
@@ -66,7 +66,7 @@
 def holders(world: World, key: Key = X) -> list[str]:
     """Who holds anything of it."""
     programs = [one for core in (True, False) for one in world.programs(core)]
-    return [machine.name for machine, program in programs if key in program.charter.items]
+    return [machine.name for machine, program in programs if key in program.config_store.items]
 
 
 def dropped(world: World) -> Script:
@@ -78,7 +78,7 @@
 
 def forgotten(world: World, within_s: float = 2 * KEPT_S) -> Script:
     def all_forgot() -> bool:
-        return not any(X in program.charter.items for _, program in world.programs(core=True))
+        return not any(X in program.config_store.items for _, program in world.programs(core=True))
 
     yield from world.until(all_forgot, within_s, "the drop is forgotten")
 
@@ -120,22 +120,22 @@
         yield world.env.timeout(0.5)
     yield world.env.timeout(2.5 * KEPT_S)
     for machine, program in world.programs(core=True):
-        assert len(program.charter.items) < 10, machine.name
+        assert len(program.config_store.items) < 10, machine.name
         assert len(machine.disk.rows) < 10 + 120, machine.name  # a row a bucket of what is left, at most
     yield from world.witness.finish()
 
 
 def test_names_that_come_and_go_are_taken_without_end() -> None:
     with (
-        mock.patch("mesh.control_plane.program.MAX_CHARTER_ITEMS", 60),
-        mock.patch("mesh.data_plane.program.MAX_CHARTER_ITEMS", 60),
+        mock.patch("mesh.control_plane.program.MAX_CONFIG_ITEMS", 60),
+        mock.patch("mesh.data_plane.program.MAX_CONFIG_ITEMS", 60),
     ):
         assert played(names_without_end) == []
 
 
 def test_without_forgetting_the_store_is_full_for_good() -> None:
     with (
-        mock.patch("mesh.control_plane.program.MAX_CHARTER_ITEMS", 60),
+        mock.patch("mesh.control_plane.program.MAX_CONFIG_ITEMS", 60),
         mock.patch("mesh.control_plane.tombstone_collection.TombstoneCollection.tick"),
         pytest.raises(AssertionError, match=r", None\)"),
     ):
@@ -208,14 +208,17 @@
     def script(world: World) -> Script:
         yield from begun(world, spare=True)
         spare = world.controllers()[3]
-        assert X in spare.program.charter.items
+        assert X in spare.program.config_store.items
         world.kill(spare)
         yield from dropped(world)
         yield from forgotten(world)
         world.start(spare)
         yield world.env.timeout(3.0)
         assert world.tellers(events.DISK_OUTDATED) == {"c4"}
-        assert spare.program.charter.digests.root() == world.controllers()[0].program.charter.digests.root()
+        assert (
+            spare.program.config_store.digests.root()
+            == world.controllers()[0].program.config_store.digests.root()
+        )
         yield from ends(world)
 
     assert played(script) == []
@@ -247,13 +250,13 @@
         world.kill(one)
         yield from taken_out(world, one)
         world.start(one)
-        while one.program is None or (VIEW, MEMBERS) not in one.program.charter.items:
+        while one.program is None or (VIEW, MEMBERS) not in one.program.config_store.items:
             yield world.env.timeout(0.001)
         while one.program.disk_writer.complete and not world.tellers(events.DISK_OUTDATED):
             yield world.env.timeout(0.001)
         while not one.program.disk_writer.complete:
             yield world.env.timeout(0.001)
-        held = {item.key for item in one.program.charter.items.values()}
+        held = {item.key for item in one.program.config_store.items.values()}
         assert held >= world.witness.acked.keys()
         assert world.tellers(events.DISK_OUTDATED) == {"c3"}
         yield from world.joined([one])
@@ -281,7 +284,7 @@
         assert not one.program.disk_writer.complete
         while not one.program.disk_writer.complete:
             yield world.env.timeout(0.001)
-        held = {item.key: item.version for item in one.program.charter.items.values()}
+        held = {item.key: item.version for item in one.program.config_store.items.values()}
         assert {key: held.get(key) for key in world.witness.acked} == {
             key: version for key, (version, _) in world.witness.acked.items()
         }
@@ -300,12 +303,12 @@
         yield world.env.timeout(2.0)
         yield from dropped(world)
         yield world.env.timeout(seconds)
-        assert side.program.charter.items[X].value is not None  # it goes on with what it has
+        assert side.program.config_store.items[X].value is not None  # it goes on with what it has
         if seconds > KEPT_S:
             assert "c1" not in holders(world)
         world.heal()
         yield world.env.timeout(4.0)
-        assert X not in side.program.charter.items or side.program.charter.items[X].value is None
+        assert X not in side.program.config_store.items or side.program.config_store.items[X].value is None
         yield from ends(world)
 
     assert played(script) == []
@@ -356,9 +359,9 @@
         world.start(taker)
         if befalls == "slow disk":
             taker.disk.takes_s = 0.4
-        while taker.program is None or len(taker.program.charter.items) < MANY // 3:
+        while taker.program is None or len(taker.program.config_store.items) < MANY // 3:
             yield world.env.timeout(0.001)
-        assert len(taker.program.charter.items) < MANY
+        assert len(taker.program.config_store.items) < MANY
         if befalls in ("giver killed", "taker killed"):
             one = giver if befalls == "giver killed" else taker
             world.kill(one)
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -30,7 +30,7 @@
 
 def move(mesh: Mesh) -> int:
     """Sends the route to the other service; its version."""
-    item = mesh.cores[0].charter.items["route", "read"]
+    item = mesh.cores[0].config_store.items["route", "read"]
     assert item.value is not None
     service = {"red": "blue", "blue": "red"}[item.value["response"]["plant"]]
     version = item.version + 1
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -102,7 +102,7 @@
         yield from world.commit(others(world, at), order("last", 2, 700))
         yield world.env.timeout(20.0)
         program = side.program
-        assert program.configured() and program.charter.items["route", "last"].version == 1
+        assert program.configured() and program.config_store.items["route", "last"].version == 1
         shown = program.control_contact.status(world.env.now)
         assert 18_000 < shown["without_ms"] < 20_100 and 0 < shown["behind_ms"] - shown["without_ms"] <= 1100
         assert logged_events(world, "s1", 222, 223) == [events.CONTROL_LOST.number]
@@ -130,10 +130,10 @@
         world.cut([new], others(world, at))
         world.start(new)
         yield world.env.timeout(5.0)
-        assert new.program.charter.items["route", "last"].version == 1 and not new.program.configured()
+        assert new.program.config_store.items["route", "last"].version == 1 and not new.program.configured()
         world.wire.cut = {path for path in world.wire.cut if new.ip not in path}
         yield from world.until(new.program.configured, NEWEST_S, "n1 is ready by another than its seed")
-        assert new.program.charter.items["route", "last"].version == 2
+        assert new.program.config_store.items["route", "last"].version == 2
 
     assert run_world(script) == []
 
@@ -171,7 +171,7 @@
         yield asked[0] & asked[1]
         assert [process.value.status for process in asked] == [503, 503]
         yield from world.until(new.program.configured, NEWEST_S, "n1 is ready")
-        assert new.program.charter.items["route", "last"].version == 2
+        assert new.program.config_store.items["route", "last"].version == 2
 
     calls = [(b"GET", b""), (b"PATCH", order("last", 3, 600))]
     assert run_world(script) == []
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -19,7 +19,7 @@
 
 def told(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
     """The others publish this about an instance."""
-    item = proxy.roll.write(INSTANCE, instance, version, value)
+    item = proxy.membership_store.write(INSTANCE, instance, version, value)
     proxy._on_items("roll", [item])  # type: ignore[list-item]
 
 
@@ -37,7 +37,7 @@
 
 def state(proxy: Proxy, instance: str) -> str | None:
     """The value in this sidecar's roll; None: removed."""
-    found = proxy.roll.items[INSTANCE, instance].value
+    found = proxy.membership_store.items[INSTANCE, instance].value
     return None if found is None else str(found["state"])
 
 
@@ -50,7 +50,7 @@
         told(proxy, "i-elsewhere", 5000, value(node="n2"))
         proxy.registry.reconcile()
         assert state(proxy, "i-before") is None
-        assert proxy.roll.items[INSTANCE, "i-before"].version == FINAL_VERSION
+        assert proxy.membership_store.items[INSTANCE, "i-before"].version == FINAL_VERSION
         assert (state(proxy, "i-elsewhere"), state(proxy, "i-1")) == (SETTLED, SETTLED)
 
     beside(tmp_path, test)
@@ -81,7 +81,7 @@
         told(proxy, "i-1", FINAL_VERSION, None)
         proxy.registry.reconcile()
         assert state(proxy, "i-1") == SETTLED
-        assert proxy.roll.items[INSTANCE, "i-1"].version > FINAL_VERSION
+        assert proxy.membership_store.items[INSTANCE, "i-1"].version > FINAL_VERSION
 
     beside(tmp_path, test)
 
@@ -134,9 +134,9 @@
 
 def test_settings_that_change_leave_the_upstream_as_it_is(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
-        before = dict(there.proxy.roll.items)
+        before = dict(there.proxy.membership_store.items)
         there.proxy.apply_settings(replace(there.proxy.settings, seeds=(("127.0.0.8", 1),)))
         there.proxy.registry.reconcile()
-        assert there.proxy.roll.items == before
+        assert there.proxy.membership_store.items == before
 
     beside(tmp_path, test)
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -395,7 +395,7 @@
 
     async def test(there: Beside) -> None:
         proxy = there.proxy
-        proxy.charter.reset("n1.again")
+        proxy.config_store.reset("n1.again")
         proxy.routes.remove("read")
         there.take(VIEW, MEMBERS, {"members": {}})
         proxy.channels.last_complete_at = asyncio.get_running_loop().time()
@@ -448,7 +448,7 @@
     async def test(there: Beside) -> None:
         proxy = there.proxy
         value = {"plant": "s", "node": "n1", "zone": "z", "epoch": "", "capacity": 8, "state": "decaying"}
-        item = proxy.roll.write("instance", "i-9", 5000, {**value, "cold_ms": 0.0})
+        item = proxy.membership_store.write("instance", "i-9", 5000, {**value, "cold_ms": 0.0})
         proxy.upstream.heartbeat = None  # as before the first heartbeat
         proxy._on_items("roll", [item])  # type: ignore[list-item]
         proxy.registry.reconcile()
--- a/tests/mesh/test_dissemination_peers.py
+++ b/tests/mesh/test_dissemination_peers.py
@@ -63,12 +63,12 @@
     """A control process from which LINKS sidecars pull."""
 
     def __init__(self) -> None:
-        self.charter, self.roll, self.reports = (
+        self.config_store, self.membership_store, self.reports = (
             CountingStore("c1", 100),
             CountingStore("c1", 100),
             CountingStore("c1", 100),
         )
-        self.stores = {"charter": self.charter, "roll": self.roll, REPORTS: self.reports}
+        self.stores = {"charter": self.config_store, "roll": self.membership_store, REPORTS: self.reports}
         hello = {"t": "hello", "node": "c1", "source": "c1", "takes": [REPORTS]}
         event_log = EventLog("c1", io.StringIO())
         self.channels = Channels(
@@ -112,7 +112,7 @@
 
 def test_what_rises_is_told_on_every_link_by_the_next_tick_and_once() -> None:
     def script(controller: Controller) -> None:
-        controller.charter.write("route", "r1", 1, {"a": 1})
+        controller.config_store.write("route", "r1", 1, {"a": 1})
         assert controller.ticks(3) == LINKS  # of the one store that advanced, once for each link
         assert all(link.take_item_names() == ["r1"] for link in controller.links)
         for peer in controller.peers:
@@ -126,9 +126,9 @@
 
 def test_what_comes_while_no_question_stands_is_told_with_the_next_one() -> None:
     def script(controller: Controller) -> None:
-        controller.charter.write("route", "r1", 1, {"a": 1})
+        controller.config_store.write("route", "r1", 1, {"a": 1})
         controller.ticks(1)
-        controller.roll.write("node", "n1", 1, {"role": PROXY})
+        controller.membership_store.write("node", "n1", 1, {"role": PROXY})
         controller.ticks(2)
         assert all(link.take_item_names() == ["r1"] for link in controller.links)
         for peer in controller.peers:
@@ -140,7 +140,7 @@
 
 def test_a_peer_that_has_forgotten_is_told_again() -> None:
     def script(controller: Controller) -> None:
-        controller.charter.write("route", "r1", 1, {"a": 1})
+        controller.config_store.write("route", "r1", 1, {"a": 1})
         controller.ticks(1)
         for peer in controller.peers:
             controller.send_pull(peer, charter={"c1": 1})
@@ -162,7 +162,7 @@
         monkeypatch.setattr(controller.channels, "loop", cast(Any, Clock(lambda: now)))
         for peer in controller.peers:
             controller.channels.handle_frame(peer, {"t": "rank", "r": 1}, b"")
-        controller.charter.write("route", "r1", 1, {"a": 1})
+        controller.config_store.write("route", "r1", 1, {"a": 1})
         controller.ticks(3)
         assert all(link.take_item_names() == [] for link in controller.links)
         now = RANK_DELAY_S - 0.01
@@ -185,22 +185,22 @@
     pages. Once it has contact it sends the configuration in pages, of which only the last completes it."""
 
     async def run() -> None:
-        charter, roll = Store("p.1", 5000, decided=True), Store("p.1", 100)
+        config_store, membership_store = Store("p.1", 5000, decided=True), Store("p.1", 100)
         link = RecordingLink()
         channels = Channels(
             "p",
             {"t": "hello", "node": "p", "source": "p.1"},
-            {"charter": charter, "roll": roll},
+            {"charter": config_store, "roll": membership_store},
             3,
             EventLog("p", io.StringIO()),
             lambda name, items: None,
         )
         channel = channels.adopt(cast(Link, link), {"node": "c1", "source": "c1.1"})
-        sender_charter, sender_roll = Store("c1.1", 5000), Store("c1.1", 100)
+        sender_config_store, sender_membership_store = Store("c1.1", 5000), Store("c1.1", 100)
         for at in range(2 * PAGE_ITEMS + 1):
-            sender_charter.write("route", f"r{at}", 1, {})
-        sender_roll.write("node", "c1", 1, {})
-        sender = Exchange({"charter": sender_charter, "roll": sender_roll})
+            sender_config_store.write("route", f"r{at}", 1, {})
+        sender_membership_store.write("node", "c1", 1, {})
+        sender = Exchange({"charter": sender_config_store, "roll": sender_membership_store})
         sender.set_peer("p.1", ())
 
         def answer_pull(whole: bool, among: set[str]) -> bool:
@@ -216,8 +216,10 @@
         pages = 1
         while answer_pull(True, {"charter"}):
             pages += 1
-            assert channels.last_complete_at <= 0.0 and not channels.complete_within(60.0), len(charter.items)
-        assert pages == 3 and len(charter.items) == 2 * PAGE_ITEMS + 1
+            assert channels.last_complete_at <= 0.0 and not channels.complete_within(60.0), len(
+                config_store.items
+            )
+        assert pages == 3 and len(config_store.items) == 2 * PAGE_ITEMS + 1
         assert channels.last_complete_at > 0.0
 
     asyncio.run(run())
@@ -229,7 +231,7 @@
         reported = []
         for version, silent in enumerate((("charter",), ()), 1):
             controller.channels.withheld_stores = lambda _, silent=silent: silent  # type: ignore[misc]
-            controller.roll.write("node", "n", version, {})
+            controller.membership_store.write("node", "n", version, {})
             controller.channels.tick(0.0)
             reported.append([head["whole"] for head in controller.links[0].sent if head["t"] == "news"][-1])
             controller.send_pull(controller.peers[0], roll={"c1": version})
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -33,7 +33,7 @@
     def __init__(self, sides: int = 1) -> None:
         self.now = 0.0
         self.sent: dict[str, list[Any]] = {name: [] for name in OTHERS}
-        self.roll, self.membership, self.log = Store("me", 20_000), Membership(), io.StringIO()
+        self.membership_store, self.membership, self.log = Store("me", 20_000), Membership(), io.StringIO()
         self.channels = SimpleNamespace(open=[self.channel(name, CONTROLLER) for name in OTHERS])
         members = {f"ip-{name}": None for name in CORES}
         self.touch = True
@@ -46,7 +46,7 @@
             ME,
             f"ip-{ME}",
             SPANS,
-            self.roll,
+            self.membership_store,
             self.membership,
             channels,
             member_set,
@@ -75,7 +75,7 @@
         self.took_all([(NODE, name, version, value)])
 
     def took_all(self, writes: list[Any]) -> None:
-        taken = self.roll.write_all(writes)
+        taken = self.membership_store.write_all(writes)
         assert isinstance(taken, list)
         self.took(taken)
 
@@ -102,7 +102,7 @@
 
     @property
     def dropped(self) -> list[str]:
-        return [i.name for i in self.roll.items.values() if i.kind == NODE and i.value is None]
+        return [i.name for i in self.membership_store.items.values() if i.kind == NODE and i.value is None]
 
 
 def run(test: Callable[[], None]) -> None:
@@ -146,7 +146,7 @@
         alone.took_all([(INSTANCE, "i", 7, {"plant": "p", "node": "s0", "zone": "z"})])
         for name in OTHERS:
             alone.answer(name, 60.0)
-        assert alone.dropped == ["s0"] and alone.roll.items[INSTANCE, "i"].version == 8
+        assert alone.dropped == ["s0"] and alone.membership_store.items[INSTANCE, "i"].version == 8
         assert "I212 node given up peer=s0 silent_s=22 instances=1" in alone.log.getvalue()
 
     run(test)
@@ -293,7 +293,7 @@
                 alone.now += 0.5
                 alone.channels.open[0].link.last_received_at = alone.now - LINK_ALIVE_S - 0.1
                 alone.reaping.tick(alone.now)
-        assert alone.roll.items[DUTY, REAPING].value == {"holder": second}
+        assert alone.membership_store.items[DUTY, REAPING].value == {"holder": second}
 
     run(test)
 
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -71,7 +71,7 @@
     found = set()
     for core in (True, False):
         for _, program in world.programs(core):
-            item = program.charter.items.get(R1)
+            item = program.config_store.items.get(R1)
             found.add((item.version, item.value and item.value["response"]["trials"]) if item else None)
     return found
 
@@ -151,7 +151,7 @@
         assert answer.status == 409 and b"route r1" in answer.body
         answer = yield from first_clear_answer(world, 1, order(names, 2, 2))
         assert answer.status == 200
-        assert len(world.controllers()[2].program.charter.items) >= 160
+        assert len(world.controllers()[2].program.config_store.items) >= 160
 
     assert run_world(large) == []
 
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -158,8 +158,10 @@
         assert not late
         yield from world.until(lambda: in_force(world, ROUNDS), 3.0, "the last of each is in force")
         for _, program in world.programs(core=True) + world.programs(core=False):
-            held = [key for key in program.charter.items if key[0] == "route"]
-            assert len(held) == AT_ONCE and len(program.charter.vector) < 10  # versions leave nothing behind
+            held = [key for key in program.config_store.items if key[0] == "route"]
+            assert (
+                len(held) == AT_ONCE and len(program.config_store.vector) < 10
+            )  # versions leave nothing behind
         for _, program in world.programs(core=True):
             proposer_host = program.proposer_host
             assert not (
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -188,8 +188,8 @@
         for machine in world.machines.values():
             if machine.name != "s1":  # as if its time were over
                 for key in (("node", "s1"), ("instance", "i-s1")):
-                    machine.program.roll.remove_tombstone(key)
-                assert not any(key[1] == "s1" for key in machine.program.roll.items)
+                    machine.program.membership_store.remove_tombstone(key)
+                assert not any(key[1] == "s1" for key in machine.program.membership_store.items)
         yield world.env.timeout(proxy_program.RESYNC_AFTER_S)
 
     assert played(booted(away, proxies=2), {}) == []
@@ -204,7 +204,7 @@
         for machine in world.machines.values():
             if machine.name != "s1":
                 for key in (("node", "s1"), ("instance", "i-s1")):
-                    machine.program.roll.remove_tombstone(key)
+                    machine.program.membership_store.remove_tombstone(key)
         yield world.env.timeout(proxy_program.RESYNC_AFTER_S)
         assert world.machines["s1"].life is life
 
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -13,7 +13,7 @@
 
 from anisestair.http import codec as http
 from mesh.control_plane import anti_entropy
-from mesh.control_plane.anti_entropy import CHARTER, COMPARE_INTERVAL_S, AntiEntropy
+from mesh.control_plane.anti_entropy import COMPARE_INTERVAL_S, CONFIG_STORE, AntiEntropy
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.dissemination.peers import Channels
 from mesh.event_log import events
@@ -75,14 +75,14 @@
 def one_went_back(world: Drops) -> Script:
     """A control process and a sidecar hold an older version, of which their vectors say nothing."""
     wrong = [world.machines["c2"], world.machines["s1"]]
-    item = wrong[0].program.charter.items[R1]
+    item = wrong[0].program.config_store.items[R1]
     for machine in wrong:
-        turned(machine, "charter", R1, altered(item, 2))
+        turned(machine, "config_store", R1, altered(item, 2))
     for machine in world.machines.values():  # so that nobody is told of it as news
-        assert machine.program.charter.vector == wrong[0].program.charter.vector
+        assert machine.program.config_store.vector == wrong[0].program.config_store.vector
     yield world.env.timeout(WITHIN_S)
     for machine in world.machines.values():
-        assert machine.program.charter.items[R1].version == 3, machine.name
+        assert machine.program.config_store.items[R1].version == 3, machine.name
     kept = {one.key: one for one in world.machines["c2"].disk.holds().items}
     assert kept[R1].version == 3 and kept[R1].value == item.value
     assert [name for _, name, _ in world.events(events.REPAIR_DONE)] == ["c2"]
@@ -97,16 +97,16 @@
     """Only damage makes one, since what is decided is one. Whose bytes are greater must not matter."""
 
     def split(world: Drops) -> Script:
-        item = world.machines["c1"].program.charter.items[R1]
-        turned(world.machines["c3"], "charter", R1, altered(item, 3))
+        item = world.machines["c1"].program.config_store.items[R1]
+        turned(world.machines["c3"], "config_store", R1, altered(item, 3))
         yield world.env.timeout(WITHIN_S)
-        damaged = world.machines["c3"].program.charter.items[R1]
+        damaged = world.machines["c3"].program.config_store.items[R1]
         assert canonical_content(damaged) == canonical_content(
             altered(item, 3)
         )  # told, and not passed on or turned over
         sound = [program for machine, program in world.programs(core=True) if machine.name != "c3"]
         sound += [program for _, program in world.programs(core=False)]
-        assert {canonical_content(program.charter.items[R1]) for program in sound} == {
+        assert {canonical_content(program.config_store.items[R1]) for program in sound} == {
             canonical_content(item)
         }
         told = world.events(events.COPIES_DIFFERED)
@@ -140,12 +140,12 @@
     world.kill(world.machines["s2"])  # its upstream would go on
     yield world.env.timeout(1.0)
     forgetful = world.machines["c1"].program
-    assert forgetful.roll.items[key].value is None
-    forgetful.roll.remove_tombstone(key)
-    assert key not in forgetful.roll.items
+    assert forgetful.membership_store.items[key].value is None
+    forgetful.membership_store.remove_tombstone(key)
+    assert key not in forgetful.membership_store.items
     before = world.wire.sent
     yield world.env.timeout(120.0)
-    assert key not in forgetful.roll.items
+    assert key not in forgetful.membership_store.items
     return world.wire.sent - before
 
 
@@ -160,7 +160,7 @@
 
 def test_a_tree_that_is_wrong_is_told_now_and_then() -> None:
     def wrong(world: Drops) -> Script:
-        store = world.machines["c2"].program.charter
+        store = world.machines["c2"].program.config_store
         store.digests.update(store.items[R1], altered(store.items[R1], 3))
         yield world.env.timeout(300.0)
         told = world.events(events.REPAIR_INCOMPLETE)
@@ -174,7 +174,7 @@
     def sidecar(world: Drops) -> Script:
         core, side = world.machines["c1"].program, world.machines["s1"].program
         (channel, *_) = [one for one in side.channels.open if one.peer_hello["ip"] == "10.0.0.1"]
-        item = altered(core.charter.items[R1], 9)
+        item = altered(core.config_store.items[R1], 9)
         packed = [item.kind, item.name, item.version, item.value, "x", 1]
         for frame in (
             {"t": "mended", "s": "charter", "items": [packed]},
@@ -182,7 +182,7 @@
         ):
             channel.link.send(frame)
         yield world.env.timeout(1.0)
-        assert core.charter.items[R1].version == 3 and core.reaping.lease.latest.epoch < 99
+        assert core.config_store.items[R1].version == 3 and core.reaping.lease.latest.epoch < 99
 
     assert played(sidecar) == []
 
@@ -190,15 +190,15 @@
 def test_copies_that_differ_in_many_items_are_mended_in_rounds_one_right_after_the_other() -> None:
     def many(world: Drops) -> Script:
         full, lacks = world.machines["c1"].program, world.machines["c2"].program
-        taken = full.charter.write_all([("plant", f"p{n}", 1, {}) for n in range(800)])
+        taken = full.config_store.write_all([("plant", f"p{n}", 1, {}) for n in range(800)])
         full._changed("charter", taken)
         yield world.env.timeout(2.0)
         for item in taken:
-            assert item.key in lacks.charter.items
-            turned(world.machines["c2"], "charter", item.key, None)
-            lacks.charter._arrived.pop(item.key)
+            assert item.key in lacks.config_store.items
+            turned(world.machines["c2"], "config_store", item.key, None)
+            lacks.config_store._arrived.pop(item.key)
         yield world.env.timeout(COMPARE_INTERVAL_S[1] + 20.0)  # some thirteen rounds
-        assert lacks.charter.digests.root() == full.charter.digests.root()
+        assert lacks.config_store.digests.root() == full.config_store.digests.root()
 
     assert played(many) == []
 
@@ -208,7 +208,9 @@
         def stir() -> Script:
             for number in range(10**6):
                 program = world.machines["c1"].program
-                program._changed("charter", program.charter.write_all([("plant", "stirred", number, {})]))
+                program._changed(
+                    "charter", program.config_store.write_all([("plant", "stirred", number, {})])
+                )
                 yield world.env.timeout(0.2)
 
         world.env.process(stir())
@@ -286,7 +288,9 @@
         event_log = EventLog("a", log)
         disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, complete=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
-        repair = AntiEntropy(1, {CHARTER: store}, channels, disk_writer, event_log, lambda name, items: None)
+        repair = AntiEntropy(
+            1, {CONFIG_STORE: store}, channels, disk_writer, event_log, lambda name, items: None
+        )
         taken = store.write_all([("route", f"r{n}", 1, {"x": f"value {n}"}) for n in range(20)])
         assert isinstance(taken, list)
         disk_writer.mark_items(taken)
