--- a/mesh/cli/bearing.py
+++ b/mesh/cli/bearing.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mesh.cli.mesh_snapshot import Told, number, part
+from mesh.cli.mesh_snapshot import JsonObject, number_field, object_field
 from mesh.configuration.commands import PLANT, ROUTE, ConfigurationWrite, ItemWrite, item_label
 from mesh.configuration.routes import Route, read_route
 from mesh.configuration.validation import check_change
 from mesh.replication.items import Item, Key, same_content
 
-FEW = 5  # answers; of fewer nothing is concluded
-MOST_FIELDS = 200  # of one item's differences
+MIN_ANSWERS = 5  # answers; of fewer nothing is concluded
+MAX_FIELDS = 200  # of one item's differences
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ChangeFinding:
     """One finding about one item's field."""
 
     item: str
@@ -30,16 +30,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class MeshFacts:
     """What the mesh shows now. ``settled``: upstreams that take calls, by service; ``answers``: of late, from
     several sidecars, each as it told them; ``ratios``: of the budgets for further tries."""
 
-    settled: Mapping[str, int]
-    answers: tuple[Told, ...] = ()
-    ratios: tuple[float, ...] = field(default=())
+    settled_by_service: Mapping[str, int]
+    recent_answers: tuple[JsonObject, ...] = ()
+    retry_ratios: tuple[float, ...] = field(default=())
 
 
-def judged(change: ConfigurationWrite, standing: Mapping[Key, Item], facts: Facts) -> list[Fault]:
+def review_change(
+    change: ConfigurationWrite, standing: Mapping[Key, Item], facts: MeshFacts
+) -> list[ChangeFinding]:
     """All that speaks against sending ``change`` now; what the mesh would refuse is first."""
 
     def stands(kind: str, name: str) -> tuple[int, dict[str, Any] | None] | None:
@@ -52,7 +54,7 @@
     refused = check_change(change, stands)
     if refused is not None:
         what, _, mend = refused.reason.partition("; ")
-        found.append(Fault(refused.item, refused.field, what, mend))
+        found.append(ChangeFinding(refused.item, refused.field, what, mend))
     found += _versions(change, standing)
     routes = [read_route(w.name, w.version, w.value) for w in change.writes if w.kind == ROUTE and w.value]
     found += _shadowed(change, standing)
@@ -65,7 +67,7 @@
     return found
 
 
-def _versions(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[Fault]:
+def _versions(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
     for write in change.writes:
         item = standing.get((write.kind, write.name))
         if item is None or write.version > item.version:
@@ -77,14 +79,14 @@
             what = f"is r{write.version}, which stands with other content"
         else:
             continue
-        yield Fault(name, "epoch", what, f"give r{item.version + 1} or higher")
+        yield ChangeFinding(name, "epoch", what, f"give r{item.version + 1} or higher")
 
 
 def _as_item(write: ItemWrite) -> Item:
     return Item(write.kind, write.name, write.version, write.value)
 
 
-def after(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> dict[Key, Item]:
+def apply_change(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> dict[Key, Item]:
     """What stands once the change is in force."""
     found = dict(standing)
     for write in change.writes:
@@ -94,11 +96,11 @@
     return found
 
 
-def _shadowed(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[Fault]:
+def _shadowed(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
     """Routes that no request takes; told where the change has a part in it."""
     named = {write.name for write in change.writes if write.kind == ROUTE}
     alike: dict[tuple[str, str], list[Route]] = {}
-    for item in after(change, standing).values():
+    for item in apply_change(change, standing).values():
         if item.kind == ROUTE and item.value is not None:
             route = read_route(item.name, item.version, dict(item.value))
             alike.setdefault((route.host, route.prefix), []).append(route)
@@ -107,43 +109,49 @@
         for route in under:
             if route.name in named or over.name in named:
                 what = f"{prefix} at {host} is never reached: {over.name} r{over.version} outranks it"
-                yield Fault(item_label(ROUTE, route.name), "predicate.prefix", what, "drop one of the two")
+                yield ChangeFinding(
+                    item_label(ROUTE, route.name), "predicate.prefix", what, "drop one of the two"
+                )
 
 
-def _services(route: Route, facts: Facts) -> Iterator[Fault]:
+def _services(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
     for service, share in route.split:
-        if not facts.settled.get(service):
+        if not facts.settled_by_service.get(service):
             split = f"gives {share:.0%} to" if len(route.split) > 1 else "goes to"
             where = "response.distribution" if len(route.split) > 1 else "response.plant"
             what = f"{split} {service}, which has no upstream that takes calls"
-            yield Fault(
+            yield ChangeFinding(
                 item_label(ROUTE, route.name), where, what, "start one first, or name another service"
             )
 
 
-def _aim(route: Route, facts: Facts) -> Iterator[Fault]:
+def _aim(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
     """By the answers of this very route; where there are few, by those of its services."""
-    count, least = _least(facts, "by_route", {route.name})
+    count, least = _least_ms(facts, "by_route", {route.name})
     whose = "this route's"
-    if count < FEW:
-        count, least = _least(facts, "by_service", {service for service, _ in route.split})
+    if count < MIN_ANSWERS:
+        count, least = _least_ms(facts, "by_service", {service for service, _ in route.split})
         whose = "its services'"
-    if count >= FEW and least > route.aim_ms:
+    if count >= MIN_ANSWERS and least > route.aim_ms:
         what = f"is {route.aim_ms:g}: none of {whose} last {count} answers met it, the best took {least:g} ms"
         mend = "give a longer aim, or more or quicker upstreams"
-        yield Fault(item_label(ROUTE, route.name), "setpoint_ms", what, mend)
+        yield ChangeFinding(item_label(ROUTE, route.name), "setpoint_ms", what, mend)
 
 
-def _least(facts: Facts, part_of: str, names: set[str]) -> tuple[int, float]:
-    told = [part(part(answers, part_of), name) for answers in facts.answers for name in sorted(names)]
-    times = [number(one, "least_ms") for one in told if number(one, "count") > 0]
-    return int(sum(number(one, "count") for one in told)), min(times, default=0.0)
+def _least_ms(facts: MeshFacts, part_of: str, names: set[str]) -> tuple[int, float]:
+    told = [
+        object_field(object_field(answers, part_of), name)
+        for answers in facts.recent_answers
+        for name in sorted(names)
+    ]
+    times = [number_field(one, "least_ms") for one in told if number_field(one, "count") > 0]
+    return int(sum(number_field(one, "count") for one in told)), min(times, default=0.0)
 
 
-def _trials(route: Route, facts: Facts) -> Iterator[Fault]:
-    if route.trials > 1 and facts.ratios and min(facts.ratios) <= 0.0:
+def _trials(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
+    if route.trials > 1 and facts.retry_ratios and min(facts.retry_ratios) <= 0.0:
         what = f"is {route.trials}, and the budget for further tries grows by nothing (retry_ratio 0)"
-        yield Fault(
+        yield ChangeFinding(
             item_label(ROUTE, route.name), "response.trials", what, "give 1, or a retry_ratio above 0"
         )
 
@@ -180,7 +188,7 @@
         elif item is None or item.value is None:
             sign = "+"
         else:
-            sign, fields = "~", tuple(_fields(dict(item.value), write.value))[:MOST_FIELDS]
+            sign, fields = "~", tuple(_fields(dict(item.value), write.value))[:MAX_FIELDS]
         found.append(Difference(sign, name, write.version, stands, fields))
     return found
 
@@ -194,15 +202,15 @@
         for at, (one, other) in enumerate(zip(old, new, strict=True)):
             yield from _fields(one, other, f"{path}[{at}]")
     elif old != new or type(old) is not type(new):
-        yield f"{path}: {_short(old)} -> {_short(new)}"
+        yield f"{path}: {_shorten(old)} -> {_shorten(new)}"
 
 
-def _short(value: Any) -> str:
+def _shorten(value: Any) -> str:
     told = "-" if value is None else str(value)
     return told if len(told) <= 40 else told[:37] + "..."
 
 
-def settled(instances: Mapping[str, Told]) -> dict[str, int]:
+def count_settled(instances: Mapping[str, JsonObject]) -> dict[str, int]:
     """Upstreams that take calls, by service."""
     found: dict[str, int] = {}
     for value in instances.values():
--- a/mesh/cli/client.py
+++ b/mesh/cli/client.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from mesh.cli.mesh_snapshot import MeshSnapshot, Process, Told, newest, read_items, text
+from mesh.cli.mesh_snapshot import JsonObject, MeshSnapshot, Process, newest_items, read_items, text_field
 from mesh.data_plane.membership import CONTROLLER, INSTANCE, NODE, PROXY
 from mesh.membership.instance_commands import read_address
 from mesh.replication.items import Item, Key
 from mesh.transport.frames import Head
 from mesh.transport.link import Address, Link, connect
 
-AT_ONCE = 128  # links that are open at once
-COPIES = 3  # processes whose copies of a store are read
-MOST_ITEMS = 100_000  # of one copy
+MAX_OPEN_LINKS = 128  # links that are open at once
+MAX_COPIES = 3  # processes whose copies of a store are read
+MAX_ITEMS = 100_000  # of one copy
 T = TypeVar("T")
 S = TypeVar("S")
 
@@ -26,7 +26,7 @@
 class Answered:
     """An answer, and how long it took in seconds."""
 
-    value: Told
+    value: JsonObject
     took_s: float
 
 
@@ -62,7 +62,9 @@
         try:
             async with asyncio.timeout(within_s):
                 if self._link is None:
-                    self._link = await connect(self.address, lambda: Link(_nothing, self._frame, self._lost))
+                    self._link = await connect(
+                        self.address, lambda: Link(_ignore, self._handle_frame, self._handle_lost)
+                    )
                     if self._link is None:
                         return Unreachable("cannot be reached")
                     self._link.send({"t": "hello", "for": "operate"})
@@ -76,7 +78,7 @@
             return Unreachable(f"no answer within {within_s:g} s")
         return Answered(reply.value, time.monotonic() - began) if isinstance(reply, Answered) else reply
 
-    def _frame(self, link: Link, head: Head, body: bytes) -> None:
+    def _handle_frame(self, link: Link, head: Head, body: bytes) -> None:
         future = self._waiting.pop(head.get("n", 0), None)
         if future is not None and not future.done():
             if isinstance(head.get("a"), dict):
@@ -84,7 +86,7 @@
             else:
                 future.set_result(Refused(" ".join(str(head.get("e", "no answer")).split())))
 
-    def _lost(self, link: Link, why: str) -> None:
+    def _handle_lost(self, link: Link, why: str) -> None:
         waiting, self._waiting = self._waiting, {}
         for future in waiting.values():
             if not future.done():
@@ -95,7 +97,7 @@
             self._link.close("done")
 
 
-def _nothing(link: Link) -> None:
+def _ignore(link: Link) -> None:
     pass
 
 
@@ -108,9 +110,9 @@
         line.close()
 
 
-async def all_of(work: Callable[[S], Awaitable[T]], what: Iterable[S]) -> list[T]:
+async def gather_bounded(work: Callable[[S], Awaitable[T]], what: Iterable[S]) -> list[T]:
     """``work`` on each, AT_ONCE of them at a time; in their order."""
-    room = asyncio.Semaphore(AT_ONCE)
+    room = asyncio.Semaphore(MAX_OPEN_LINKS)
 
     async def one(item: S) -> T:
         async with room:
@@ -119,7 +121,7 @@
     return list(await asyncio.gather(*(one(item) for item in what)))
 
 
-async def status(name: str, address: Address, within_s: float) -> Process:
+async def ask_status(name: str, address: Address, within_s: float) -> Process:
     """One process's status."""
     reply = await ask(address, "status", within_s)
     if not isinstance(reply, Answered):
@@ -131,12 +133,12 @@
     return Process(name, address, reply.value, "", ahead, half)
 
 
-async def held(address: Address, store: str, within_s: float) -> list[Item] | Unreachable:
+async def read_store(address: Address, store: str, within_s: float) -> list[Item] | Unreachable:
     """All items that a process holds in ``store``, charter or roll; each page within ``within_s``."""
     line = ProcessLink(address)
     found: list[Item] = []
     try:
-        while len(found) < MOST_ITEMS:
+        while len(found) < MAX_ITEMS:
             after = list(found[-1].key) if found else None
             reply = await line.ask("items", within_s, store=store, after=after)
             if not isinstance(reply, Answered):
@@ -150,43 +152,45 @@
         line.close()
 
 
-async def items(processes: Sequence[Process], store: str, within_s: float) -> dict[Key, Item] | Unreachable:
+async def read_merged_items(
+    processes: Sequence[Process], store: str, within_s: float
+) -> dict[Key, Item] | Unreachable:
     """What COPIES of these processes hold together, the first that answer in this order: control processes
     that hear enough others first."""
     order = sorted(
-        processes, key=lambda p: (not (p.told or {}).get("in_touch"), p.role != CONTROLLER, p.node)
+        processes, key=lambda p: (not (p.status or {}).get("in_touch"), p.role != CONTROLLER, p.node)
     )
     copies: list[list[Item]] = []
     why = Unreachable("no process to ask")
     for process in order:
-        copy = await held(process.address, store, within_s)
+        copy = await read_store(process.address, store, within_s)
         if isinstance(copy, Unreachable):
             why = copy
         else:
             copies.append(copy)
-            if len(copies) == COPIES:
+            if len(copies) == MAX_COPIES:
                 break
-    return newest(copies) if copies else why
+    return newest_items(copies) if copies else why
 
 
-async def reach(addresses: Sequence[Address], within_s: float) -> list[Process]:
+async def find_processes(addresses: Sequence[Address], within_s: float) -> list[Process]:
     """Those at these addresses that answer, control processes that hear enough others first."""
-    asked = await all_of(
-        lambda address: status(f"{address[0]}:{address[1]}", address, within_s), dict.fromkeys(addresses)
+    asked = await gather_bounded(
+        lambda address: ask_status(f"{address[0]}:{address[1]}", address, within_s), dict.fromkeys(addresses)
     )
-    found = [process for process in asked if process.told is not None]
-    return sorted(found, key=lambda p: (not (p.told or {}).get("in_touch"), p.role != CONTROLLER))
+    found = [process for process in asked if process.status is not None]
+    return sorted(found, key=lambda p: (not (p.status or {}).get("in_touch"), p.role != CONTROLLER))
 
 
-async def look(
+async def take_snapshot(
     addresses: Sequence[Address], within_s: float, roles: Sequence[str] = (CONTROLLER, PROXY)
 ) -> MeshSnapshot | Unreachable:
     """The mesh as those at these addresses know it; each of its processes in these roles is asked as
     well, and once more where it holds another configuration than most: a change may just be on its way."""
-    first = await reach(addresses, within_s)
+    first = await find_processes(addresses, within_s)
     if not first:
         return Unreachable(f"nobody answers at {', '.join(f'{host}:{port}' for host, port in addresses)}")
-    roll = await items(first, "roll", within_s)
+    roll = await read_merged_items(first, "roll", within_s)
     if isinstance(roll, Unreachable):
         return roll
     nodes = {i.name: i.value for i in roll.values() if i.kind == NODE and i.value is not None}
@@ -199,17 +203,19 @@
             found.append(Process(name, ("", 0), None, "the roll has no address of it"))
         elif address in known:
             process = known.pop(address)
-            found.append(Process(name, address, process.told, "", process.ahead_s, process.within_s))
-        elif text(value, "role") in roles:
+            found.append(
+                Process(name, address, process.status, "", process.clock_offset_s, process.clock_error_s)
+            )
+        elif text_field(value, "role") in roles:
             others.append((name, address))
         else:
             found.append(Process(name, address, None, "not asked"))
     found += known.values()  # at an address that was given and is in no roll yet
-    found += await all_of(lambda other: status(*other, within_s), others)
+    found += await gather_bounded(lambda other: ask_status(*other, within_s), others)
     snapshot = MeshSnapshot(tuple(sorted(found, key=lambda p: p.name)), nodes, instances)
-    differing = {p.name for group in list(snapshot.digests().values())[1:] for p in group}
+    differing = {p.name for group in list(snapshot.processes_by_digest().values())[1:] for p in group}
     if not differing:
         return snapshot
-    again = await all_of(lambda p: status(p.name, p.address, within_s), snapshot.answering())
+    again = await gather_bounded(lambda p: ask_status(p.name, p.address, within_s), snapshot.answering())
     fresh = {process.name: process for process in again}
     return MeshSnapshot(tuple(fresh.get(p.name, p) for p in snapshot.processes), nodes, instances)
--- a/mesh/cli/config.py
+++ b/mesh/cli/config.py
@@ -14,23 +14,23 @@
 import typer
 
 from mesh.cli import bearing, write_client
-from mesh.cli.client import Answered, Unreachable, all_of, ask, items, look
-from mesh.cli.mesh_snapshot import MeshSnapshot, number, text
+from mesh.cli.client import Answered, Unreachable, ask, gather_bounded, read_merged_items, take_snapshot
+from mesh.cli.mesh_snapshot import MeshSnapshot, number_field, text_field
 from mesh.cli.options import (
-    FINDINGS,
-    FINE,
-    NOBODY,
-    REFUSED,
-    USAGE,
-    WAIT_S,
+    DEFAULT_WAIT_S,
+    EXIT_FINDINGS,
+    EXIT_NO_ANSWER,
+    EXIT_OK,
+    EXIT_REFUSED,
+    EXIT_USAGE,
     AsJson,
     At,
     SettingsFile,
     Wait,
+    contact_addresses,
     fail,
-    found,
-    heard,
-    tell,
+    print_and_exit,
+    run_or_exit,
 )
 from mesh.cli.text import wrapped
 from mesh.configuration.commands import INPUT_LIMITS, ConfigurationWrite, Invalid, decode_change, item_label
@@ -41,8 +41,8 @@
 from mesh.transport.link import Address
 
 PATH = b"/configuration"
-MOST_FILE = 64 * 1024 * 1024  # bytes
-MOST_SIDECARS = 64  # that are asked how long answers took of late
+MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes
+MAX_SIDECARS_ASKED = 64  # that are asked how long answers took of late
 PARTS = ("input_limits", "input_ports", "plant_groups")
 
 config = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="The operator's configuration.")
@@ -59,18 +59,18 @@
     """The call that a file holds. Ends with USAGE where it cannot be read."""
     try:
         if name == "-":
-            told = sys.stdin.buffer.read(MOST_FILE + 1)
+            told = sys.stdin.buffer.read(MAX_FILE_BYTES + 1)
         else:
             with Path(name).open("rb") as stream:
-                told = stream.read(MOST_FILE + 1)
+                told = stream.read(MAX_FILE_BYTES + 1)
     except OSError as fault:
-        fail(USAGE, f"FILE: {name} cannot be read ({fault.strerror}); give a JSON file", as_json)
-    if len(told) > MOST_FILE:
-        fail(USAGE, f"FILE: {name} has over {MOST_FILE} bytes; send it in several calls", as_json)
-    return as_call(told)
+        fail(EXIT_USAGE, f"FILE: {name} cannot be read ({fault.strerror}); give a JSON file", as_json)
+    if len(told) > MAX_FILE_BYTES:
+        fail(EXIT_USAGE, f"FILE: {name} has over {MAX_FILE_BYTES} bytes; send it in several calls", as_json)
+    return to_call(told)
 
 
-def as_call(told: bytes) -> bytes:
+def to_call(told: bytes) -> bytes:
     """A configuration as `config get` prints it becomes a call that sets all of it; anything else stays."""
     try:
         read = msgspec.json.decode(told)
@@ -85,33 +85,33 @@
     return told
 
 
-def decoded(body: bytes, as_json: bool) -> ConfigurationWrite:
+def decode_or_exit(body: bytes, as_json: bool) -> ConfigurationWrite:
     """Ends with FINDINGS where nobody would take it."""
     change = decode_change(body)
     if isinstance(change, Invalid):
         what, _, mend = change.reason.partition("; ")
-        fault = bearing.Fault(change.item, change.field, what, mend or "mend it")
-        tell({"findings": [asdict(fault)]}, wrapped(fault.line()), as_json, FINDINGS)
+        fault = bearing.ChangeFinding(change.item, change.field, what, mend or "mend it")
+        print_and_exit({"findings": [asdict(fault)]}, wrapped(fault.line()), as_json, EXIT_FINDINGS)
     return change
 
 
-async def _standing(
+async def _current_configuration(
     addresses: Sequence[Address], wait: float
 ) -> tuple[MeshSnapshot, dict[Key, Item]] | Unreachable:
     """The mesh, sidecars too, and what stands in its configuration, as those that can be had hold it."""
-    snapshot = await look(addresses, wait)
+    snapshot = await take_snapshot(addresses, wait)
     if isinstance(snapshot, Unreachable):
         return snapshot
-    standing = await items(snapshot.answering(), "charter", wait)
+    standing = await read_merged_items(snapshot.answering(), "charter", wait)
     if isinstance(standing, Unreachable):
         return standing
     return snapshot, {key: item for key, item in standing.items() if bearing.is_configuration(key)}
 
 
-def controls(snapshot: MeshSnapshot) -> list[Address]:
+def control_addresses(snapshot: MeshSnapshot) -> list[Address]:
     """Where the operator's calls go, control processes that hear enough others first."""
-    order = sorted(snapshot.answering(CONTROLLER), key=lambda p: not (p.told or {}).get("in_touch"))
-    found = [read_address(text(process.told, "control")) for process in order]
+    order = sorted(snapshot.answering(CONTROLLER), key=lambda p: not (p.status or {}).get("in_touch"))
+    found = [read_address(text_field(process.status, "control")) for process in order]
     return [address for address in found if address is not None]
 
 
@@ -123,45 +123,53 @@
     ] = False,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """The newest configuration, whole, or one item of it; always JSON."""
-    addresses = found(at, settings, as_json)
+    addresses = contact_addresses(at, settings, as_json)
     if held:
-        _, standing = heard(_standing(addresses, wait), as_json)
+        _, standing = run_or_exit(_current_configuration(addresses, wait), as_json)
         told = render(
             (i.kind, i.name, i.version, dict(i.value)) for i in standing.values() if i.value is not None
         )
     else:
-        snapshot = heard(look(addresses, wait, (CONTROLLER,)), as_json)
-        outcome = asyncio.run(write_client.send(controls(snapshot), b"GET", PATH, b"", wait))
+        snapshot = run_or_exit(take_snapshot(addresses, wait, (CONTROLLER,)), as_json)
+        outcome = asyncio.run(write_client.send(control_addresses(snapshot), b"GET", PATH, b"", wait))
         if not isinstance(outcome, write_client.Accepted):
-            _unclear(outcome, "config get --held shows what those that answer hold", as_json)
+            _fail_without_answer(outcome, "config get --held shows what those that answer hold", as_json)
         told = outcome.body
     value = msgspec.json.decode(told)
     if item:
-        value = _one(told, item, as_json)
+        value = _select_item(told, item, as_json)
     typer.echo(json.dumps(value, indent=None if as_json else 1))
-    raise typer.Exit(FINE)
+    raise typer.Exit(EXIT_OK)
 
 
-def _one(told: bytes, wanted: str, as_json: bool) -> Mapping[str, Any]:
+def _select_item(told: bytes, wanted: str, as_json: bool) -> Mapping[str, Any]:
     kind, _, name = wanted.partition("/")
-    change = decode_change(as_call(told))
+    change = decode_change(to_call(told))
     if isinstance(change, ConfigurationWrite):
         for write in change.writes:
             if write.kind == kind and write.name == (name or INPUT_LIMITS) and write.value is not None:
                 return write.value
-    fail(FINDINGS, f"--item: {wanted} does not stand; give KIND/NAME such as route/r1 or plant/red", as_json)
+    fail(
+        EXIT_FINDINGS,
+        f"--item: {wanted} does not stand; give KIND/NAME such as route/r1 or plant/red",
+        as_json,
+    )
 
 
-def _unclear(
+def _fail_without_answer(
     outcome: write_client.Rejected | write_client.Indeterminate, mend: str, as_json: bool
 ) -> NoReturn:
     if isinstance(outcome, write_client.Rejected):
-        fail(REFUSED, f"{outcome.status}: {outcome.reason}", as_json)
-    fail(REFUSED if outcome.heard else NOBODY, f"no clear answer ({outcome.reason}); {mend}", as_json)
+        fail(EXIT_REFUSED, f"{outcome.status}: {outcome.reason}", as_json)
+    fail(
+        EXIT_REFUSED if outcome.any_answer else EXIT_NO_ANSWER,
+        f"no clear answer ({outcome.reason}); {mend}",
+        as_json,
+    )
 
 
 @config.command("check")
@@ -169,26 +177,28 @@
     file: File,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """Judges a change before it is sent: by itself, by what stands, and by what the mesh can bear now."""
-    change = decoded(read_file(file, as_json), as_json)
-    snapshot, standing = heard(_standing(found(at, settings, as_json), wait), as_json)
-    faults = bearing.judged(change, standing, asyncio.run(_facts(snapshot, wait)))
+    change = decode_or_exit(read_file(file, as_json), as_json)
+    snapshot, standing = run_or_exit(
+        _current_configuration(contact_addresses(at, settings, as_json), wait), as_json
+    )
+    faults = bearing.review_change(change, standing, asyncio.run(_facts(snapshot, wait)))
     lines = [line for fault in faults for line in wrapped(fault.line())]
     counted = f"{len(change.writes)} items: nothing speaks against them"
     value = {"items": len(change.writes), "findings": [asdict(fault) for fault in faults]}
-    tell(value, lines or [counted], as_json, FINDINGS if faults else FINE)
+    print_and_exit(value, lines or [counted], as_json, EXIT_FINDINGS if faults else EXIT_OK)
 
 
-async def _facts(snapshot: MeshSnapshot, wait: float) -> bearing.Facts:
+async def _facts(snapshot: MeshSnapshot, wait: float) -> bearing.MeshFacts:
     proxies = snapshot.answering(PROXY)
-    replies = await all_of(lambda p: ask(p.address, "answers", wait), proxies[:MOST_SIDECARS])
-    return bearing.Facts(
-        bearing.settled(snapshot.instances),
+    replies = await gather_bounded(lambda p: ask(p.address, "answers", wait), proxies[:MAX_SIDECARS_ASKED])
+    return bearing.MeshFacts(
+        bearing.count_settled(snapshot.instances),
         tuple(reply.value for reply in replies if isinstance(reply, Answered)),
-        tuple(number(p.told, "retry_ratio", 1.0) for p in proxies),
+        tuple(number_field(p.status, "retry_ratio", 1.0) for p in proxies),
     )
 
 
@@ -197,15 +207,15 @@
     file: File,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """What sending a change would do: + new, ~ changed, - dropped, < older than what stands."""
-    change = decoded(read_file(file, as_json), as_json)
-    _, standing = heard(_standing(found(at, settings, as_json), wait), as_json)
-    found_ = bearing.differences(change, standing)
+    change = decode_or_exit(read_file(file, as_json), as_json)
+    _, standing = run_or_exit(_current_configuration(contact_addresses(at, settings, as_json), wait), as_json)
+    changes = bearing.differences(change, standing)
     lines, alike = [], 0
-    for one in found_:
+    for one in changes:
         if one.sign == "=":
             alike += 1
             continue
@@ -216,11 +226,11 @@
     others = sum(item.value is not None and key not in named for key, item in standing.items())
     lines.append(f"{alike} items stand as they are in the file, {others} are not named in it and stay")
     value = {
-        "differences": [asdict(one) for one in found_ if one.sign != "="],
+        "differences": [asdict(one) for one in changes if one.sign != "="],
         "alike": alike,
         "others": others,
     }
-    tell(value, lines, as_json, FINDINGS if len(found_) > alike else FINE)
+    print_and_exit(value, lines, as_json, EXIT_FINDINGS if len(changes) > alike else EXIT_OK)
 
 
 @config.command("apply")
@@ -231,21 +241,27 @@
     ] = 10.0,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """Sends a change, the same to one control process after another, until one answers clearly."""
     body = read_file(file, as_json)
-    change = decoded(body, as_json)
-    snapshot = heard(look(found(at, settings, as_json), wait, (CONTROLLER,)), as_json)
-    addresses = controls(snapshot)
+    change = decode_or_exit(body, as_json)
+    snapshot = run_or_exit(
+        take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json
+    )
+    addresses = control_addresses(snapshot)
     if not addresses:
-        fail(NOBODY, "no control process answers: nothing was sent; check --at and whether they run", as_json)
+        fail(
+            EXIT_NO_ANSWER,
+            "no control process answers: nothing was sent; check --at and whether they run",
+            as_json,
+        )
     outcome = asyncio.run(write_client.send(addresses, b"PATCH", PATH, body, within))
     if not isinstance(outcome, write_client.Accepted):
-        _unclear(outcome, "it may be in force: send the same file again", as_json)
+        _fail_without_answer(outcome, "it may be in force: send the same file again", as_json)
     else:
         names = [item_label(write.kind, write.name) for write in change.writes]
         host, port = outcome.address
         value = {"items": len(names), "by": f"{host}:{port}", "tries": outcome.tries}
-        tell(value, [f"taken by {host}:{port}: {len(names)} items are in force and kept"], as_json)
+        print_and_exit(value, [f"taken by {host}:{port}: {len(names)} items are in force and kept"], as_json)
--- a/mesh/cli/judge.py
+++ b/mesh/cli/judge.py
@@ -6,12 +6,14 @@
 from dataclasses import dataclass
 from statistics import median
 
-from mesh.cli.mesh_snapshot import MeshSnapshot, Process, number, part, text
+from mesh.cli.mesh_snapshot import MeshSnapshot, Process, number_field, object_field, text_field
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.membership.instance_lifecycle import SILENT_HEARTBEATS
 
-RIVALLED_MS = 600_000.0  # how long a refused order is told of
-CLOCK_S = 2.0  # a clock further off than this from the others' is told; retries and log lines suffer from it
+CONFLICT_REPORT_MS = 600_000.0  # how long a refused order is told of
+MAX_CLOCK_OFFSET_S = (
+    2.0  # a clock further off than this from the others' is told; retries and log lines suffer from it
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +34,7 @@
     return [
         *_members(snapshot),
         *_core(snapshot),
-        *_losses(snapshot),
+        *_tolerance(snapshot),
         *_disks(snapshot),
         *_silent(snapshot),
         *_behind(snapshot),
@@ -43,18 +45,18 @@
     ]
 
 
-def members(snapshot: MeshSnapshot) -> dict[str, str]:
+def member_zones(snapshot: MeshSnapshot) -> dict[str, str]:
     """Whose disks count, by address, with their zone, as any control process that answers has it."""
     found: dict[str, str] = {}
     for process in snapshot.answering(CONTROLLER):
-        for address, place in part(process.told, "members").items():
+        for address, place in object_field(process.status, "members").items():
             found[address] = str(place[0]) if isinstance(place, list) and place else ""
     return dict(sorted(found.items()))
 
 
 def _members(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    there = {text(process.told, "ip") for process in snapshot.answering(CONTROLLER)}
-    for address in members(snapshot):
+    there = {text_field(process.status, "ip") for process in snapshot.answering(CONTROLLER)}
+    for address in member_zones(snapshot):
         if address not in there:
             yield Finding(
                 "member missing",
@@ -74,15 +76,15 @@
             "start the control processes, or look at the network to them",
         )
     for process in controllers:
-        if process.told is not None and not process.told.get("in_touch"):
+        if process.status is not None and not process.status.get("in_touch"):
             yield Finding(
                 "core cut",
                 process.node,
                 "hears too few others: it takes no change and may miss some",
                 "start the missing members or mend the network between them",
             )
-        rivalled = part(process.told or {}, "votes").get("rivalled", [])
-        fresh = [one for one in rivalled if number(one, "ago_ms") < RIVALLED_MS]
+        rivalled = object_field(process.status or {}, "votes").get("rivalled", [])
+        fresh = [one for one in rivalled if number_field(one, "ago_ms") < CONFLICT_REPORT_MS]
         if fresh:
             named = f"{fresh[0].get('kind')} {fresh[0].get('name')} r{fresh[0].get('version')}"
             yield Finding(
@@ -93,14 +95,14 @@
             )
 
 
-def _losses(snapshot: MeshSnapshot) -> Iterator[Finding]:
+def _tolerance(snapshot: MeshSnapshot) -> Iterator[Finding]:
     """What a process with contact says; one word of it is enough."""
     for process in snapshot.answering(CONTROLLER):
-        borne, asked = part(process.told, "borne"), part(process.told, "tolerates")
-        less = [kind for kind in asked if borne and 0 < number(asked, kind) > number(borne, kind)]
-        if less and process.told is not None and process.told.get("in_touch"):
+        borne, asked = object_field(process.status, "borne"), object_field(process.status, "tolerates")
+        less = [kind for kind in asked if borne and 0 < number_field(asked, kind) > number_field(borne, kind)]
+        if less and process.status is not None and process.status.get("in_touch"):
             told = ", ".join(
-                f"{kind} {number(borne, kind):.0f} of {number(asked, kind):.0f}" for kind in less
+                f"{kind} {number_field(borne, kind):.0f} of {number_field(asked, kind):.0f}" for kind in less
             )
             yield Finding(
                 "fewer losses borne",
@@ -113,13 +115,13 @@
 
 def _disks(snapshot: MeshSnapshot) -> Iterator[Finding]:
     for process in snapshot.answering(CONTROLLER):
-        assert process.told is not None
-        refused = text(process.told, "refused")
+        assert process.status is not None
+        refused = text_field(process.status, "refused")
         if refused:
             yield Finding(
                 "disk refuses", process.node, refused, "make room or replace the disk; it is tried on"
             )
-        if process.told.get("counted") and not process.told.get("whole"):
+        if process.status.get("counted") and not process.status.get("whole"):
             yield Finding(
                 "disk not whole",
                 process.node,
@@ -129,16 +131,16 @@
 
 
 def _silent(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    missing = members(snapshot)
+    missing = member_zones(snapshot)
     for process in snapshot.processes:
-        if process.told is None and process.address[0] not in missing:
+        if process.status is None and process.address[0] not in missing:
             yield Finding(
                 "no answer",
                 process.name,
                 process.why,
                 "start it or look at its network; where its machine is gone, nothing is to do",
             )
-        elif process.told is not None and process.name in snapshot.nodes and process.node != process.name:
+        elif process.status is not None and process.name in snapshot.nodes and process.node != process.name:
             yield Finding(
                 "other node there",
                 process.name,
@@ -148,33 +150,33 @@
 
 
 def _behind(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    groups = list(snapshot.digests().values())
+    groups = list(snapshot.processes_by_digest().values())
     for group in groups[1:]:
         for process in sorted(group, key=lambda p: p.node):
-            charter = part(process.told, "charter")
+            charter = object_field(process.status, "charter")
             yield Finding(
                 "behind",
                 process.node,
-                f"holds {number(charter, 'items'):.0f} items, digest {process.digest}, unlike most",
+                f"holds {number_field(charter, 'items'):.0f} items, digest {process.digest}, unlike most",
                 "look again in 4 s; where it stays so, look at its links to the control processes",
             )
 
 
 def _instances(snapshot: MeshSnapshot) -> Iterator[Finding]:
     for instance, value in sorted(snapshot.instances.items()):
-        node = text(value, "node")
+        node = text_field(value, "node")
         if node not in snapshot.nodes:
             yield Finding(
                 "instance without node",
                 instance,
-                f"of {text(value, 'plant')}; its node {node or '?'} is not known",
+                f"of {text_field(value, 'plant')}; its node {node or '?'} is not known",
                 "look whether that machine runs; calls to it fail and go elsewhere",
             )
 
 
 def _proxies(snapshot: MeshSnapshot) -> Iterator[Finding]:
     for process in snapshot.answering(PROXY):
-        told = process.told
+        told = process.status
         assert told is not None
         if told.get("ending"):
             continue
@@ -185,9 +187,11 @@
                 "has no configuration yet, or none that is known to be whole",
                 "look at the control processes; it asks them by itself",
             )
-        control = part(told, "control")
+        control = object_field(told, "control")
         if told.get("ready") and control.get("without_ms") is not None:
-            without_s, behind_s = (number(control, name) / 1000.0 for name in ("without_ms", "behind_ms"))
+            without_s, behind_s = (
+                number_field(control, name) / 1000.0 for name in ("without_ms", "behind_ms")
+            )
             yield Finding(
                 "cut from core",
                 process.node,
@@ -195,14 +199,14 @@
                 f"it goes on by a configuration that may be {behind_s:.1f} s old",
                 "start the missing members or mend the network to the core; it takes the newest by itself",
             )
-        upstream, beat_ms = part(told, "upstream"), number(told, "beat_ms", 1500.0)
-        silent = number(upstream, "silent_ms")
+        upstream, beat_ms = object_field(told, "upstream"), number_field(told, "beat_ms", 1500.0)
+        silent = number_field(upstream, "silent_ms")
         if not upstream:
             what = "no upstream has announced itself beside it"
         elif upstream.get("gone"):
-            what = f"its upstream {text(upstream, 'instance')} has gone and no other has come"
+            what = f"its upstream {text_field(upstream, 'instance')} has gone and no other has come"
         elif silent > SILENT_HEARTBEATS * beat_ms:
-            what = f"its upstream {text(upstream, 'instance')} is silent for {silent / 1000.0:.1f} s"
+            what = f"its upstream {text_field(upstream, 'instance')} is silent for {silent / 1000.0:.1f} s"
         else:
             continue
         yield Finding("no beats", process.node, what, "look at the upstream on that machine")
@@ -212,10 +216,10 @@
     told = snapshot.answering()
     if not told:
         return
-    usual = median(process.ahead_s for process in told)
+    usual = median(process.clock_offset_s for process in told)
     for process in told:
-        off = process.ahead_s - usual
-        if abs(off) - process.within_s > CLOCK_S:
+        off = process.clock_offset_s - usual
+        if abs(off) - process.clock_error_s > MAX_CLOCK_OFFSET_S:
             yield Finding(
                 "clock off",
                 process.node,
@@ -226,7 +230,7 @@
 
 def _settings(snapshot: MeshSnapshot) -> Iterator[Finding]:
     for process in snapshot.answering():
-        unknown = (process.told or {}).get("unknown")
+        unknown = (process.status or {}).get("unknown")
         if isinstance(unknown, list) and unknown:
             yield Finding(
                 "unknown settings",
@@ -236,7 +240,7 @@
             )
 
 
-def grouped(found: list[Finding]) -> dict[str, list[Finding]]:
+def group_by_kind(found: list[Finding]) -> dict[str, list[Finding]]:
     """By kind, in the order of the findings."""
     kinds: dict[str, list[Finding]] = {}
     for finding in found:
@@ -244,12 +248,12 @@
     return kinds
 
 
-def sound(snapshot: MeshSnapshot, process: Process) -> str:
+def process_state(snapshot: MeshSnapshot, process: Process) -> str:
     """How a process stands, in a word or two."""
-    if process.told is None:
+    if process.status is None:
         return process.why or "no answer"
-    if process.told.get("ending"):
+    if process.status.get("ending"):
         return "ends"
     if process.role == CONTROLLER:
-        return "in touch" if process.told.get("in_touch") else "cut"
-    return "ready" if process.told.get("ready") else "not ready"
+        return "in touch" if process.status.get("in_touch") else "cut"
+    return "ready" if process.status.get("ready") else "not ready"
--- a/mesh/cli/members.py
+++ b/mesh/cli/members.py
@@ -8,23 +8,23 @@
 
 import typer
 
-from mesh.cli.client import Answered, Unreachable, ask, look
-from mesh.cli.mesh_snapshot import MeshSnapshot, Process, number, part, text
+from mesh.cli.client import Answered, Unreachable, ask, take_snapshot
+from mesh.cli.mesh_snapshot import MeshSnapshot, Process, number_field, object_field, text_field
 from mesh.cli.options import (
-    FINE,
-    NOBODY,
-    REFUSED,
-    WAIT_S,
+    DEFAULT_WAIT_S,
+    EXIT_NO_ANSWER,
+    EXIT_OK,
+    EXIT_REFUSED,
     AsJson,
     At,
     SettingsFile,
     Wait,
+    contact_addresses,
     fail,
-    found,
-    heard,
-    tell,
+    print_and_exit,
+    run_or_exit,
 )
-from mesh.cli.text import borne, line, table, wrapped
+from mesh.cli.text import line, table, tolerated_losses, wrapped
 from mesh.data_plane.membership import CONTROLLER
 
 REMOVE_WAIT_S = 10.0
@@ -33,10 +33,12 @@
 
 
 @members.command("show")
-def _show(at: At = None, settings: SettingsFile = None, wait: Wait = WAIT_S, as_json: AsJson = False) -> None:
+def _show(
+    at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
+) -> None:
     """Who counts, under which epoch, what each lacks, and how many more losses are borne."""
-    view = heard(look(found(at, settings, as_json), wait, (CONTROLLER,)), as_json)
-    process = first_able(view, as_json)
+    view = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json)
+    process = pick_controller(view, as_json)
     reply = asyncio.run(ask(process.address, "members", wait))
     holder = _holder(view, reply)
     if holder is not None and holder.node != process.node:  # it alone knows what keeps a silent member
@@ -44,10 +46,10 @@
         if isinstance(told, Answered):
             process, reply = holder, told
     if isinstance(reply, Unreachable):
-        fail(NOBODY, f"{process.node}: {reply.why}; ask another with --at", as_json)
+        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; ask another with --at", as_json)
     if not isinstance(reply, Answered):
-        fail(REFUSED, f"{process.node}: {reply.reason}", as_json)
-    tell({"node": process.node, **reply.value}, shown(reply.value), as_json, FINE)
+        fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
+    print_and_exit({"node": process.node, **reply.value}, member_lines(reply.value), as_json, EXIT_OK)
 
 
 @members.command("remove")
@@ -59,35 +61,44 @@
     as_json: AsJson = False,
 ) -> None:
     """Says that a machine which counts is gone for good; refused where taking it out is not safe."""
-    snapshot = heard(look(found(at, settings, as_json), min(wait, WAIT_S), (CONTROLLER,)), as_json)
-    process = first_able(snapshot, as_json)
+    snapshot = run_or_exit(
+        take_snapshot(contact_addresses(at, settings, as_json), min(wait, DEFAULT_WAIT_S), (CONTROLLER,)),
+        as_json,
+    )
+    process = pick_controller(snapshot, as_json)
     reply = asyncio.run(ask(process.address, "members remove", wait, node=node))
     if isinstance(reply, Unreachable):
-        fail(NOBODY, f"{process.node}: {reply.why}; it may be under way: look with members show", as_json)
+        fail(
+            EXIT_NO_ANSWER,
+            f"{process.node}: {reply.why}; it may be under way: look with members show",
+            as_json,
+        )
     if not isinstance(reply, Answered):
-        fail(REFUSED, f"{process.node}: {reply.reason}", as_json)
+        fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     names = ", ".join(str(one) for one in reply.value.get("members", []))
-    lines = wrapped(f"{node} counts no more, epoch {number(reply.value, 'epoch'):.0f}: {names}")
-    tell({"node": process.node, **reply.value}, lines, as_json, FINE)
+    lines = wrapped(f"{node} counts no more, epoch {number_field(reply.value, 'epoch'):.0f}: {names}")
+    print_and_exit({"node": process.node, **reply.value}, lines, as_json, EXIT_OK)
 
 
-def first_able(snapshot: MeshSnapshot, as_json: bool) -> Process:
+def pick_controller(snapshot: MeshSnapshot, as_json: bool) -> Process:
     """One that can act where there is one."""
     able = snapshot.answering(CONTROLLER)
     if not able:
-        fail(NOBODY, "no control process answers; check --at and whether they run", as_json)
-    return min(able, key=lambda process: not (process.told or {}).get("in_touch"))
+        fail(EXIT_NO_ANSWER, "no control process answers; check --at and whether they run", as_json)
+    return min(able, key=lambda process: not (process.status or {}).get("in_touch"))
 
 
 def _holder(snapshot: MeshSnapshot, reply: object) -> Process | None:
     """Of the duty `members`, where it answers as well."""
-    name = text(reply.value, "holder") if isinstance(reply, Answered) else ""
+    name = text_field(reply.value, "holder") if isinstance(reply, Answered) else ""
     return next((process for process in snapshot.answering(CONTROLLER) if process.node == name), None)
 
 
-def shown(told: Mapping[str, Any]) -> list[str]:
+def member_lines(told: Mapping[str, Any]) -> list[str]:
     way = ", a change is under way" if told.get("joint") else ""
-    lines = [line(f"epoch {number(told, 'epoch'):.0f}{way}; {borne(part(told, 'borne'))}")]
+    lines = [
+        line(f"epoch {number_field(told, 'epoch'):.0f}{way}; {tolerated_losses(object_field(told, 'borne'))}")
+    ]
     rows, why = [], []
     listed = told.get("members")
     for row in listed if isinstance(listed, list) else []:
@@ -97,14 +108,14 @@
         disk = "whole" if row.get("whole") else "not whole"
         state = "leaves" if row.get("leaves") else "heard" if row.get("heard") else "silent"
         if state == "silent":
-            state += f" {number(row, 'silent_s'):.0f} s"
+            state += f" {number_field(row, 'silent_s'):.0f} s"
         cells = (row.get("address"), row.get("node") or "-", row.get("zone") or "-", counts, disk)
-        rows.append((*cells, f"{number(row, 'level'):.0f}", state))
-        if text(row, "stays"):
-            why += wrapped(f"{row.get('address')} stays: {text(row, 'stays')}")
+        rows.append((*cells, f"{number_field(row, 'level'):.0f}", state))
+        if text_field(row, "stays"):
+            why += wrapped(f"{row.get('address')} stays: {text_field(row, 'stays')}")
     lines += ["", *table(("member", "node", "zone", "counts", "disk", "level", "state"), rows)]
-    if why or text(told, "waits"):
+    if why or text_field(told, "waits"):
         lines += ["", *why]
-    if text(told, "waits"):
-        lines += wrapped(f"waits: {text(told, 'waits')}")
+    if text_field(told, "waits"):
+        lines += wrapped(f"waits: {text_field(told, 'waits')}")
     return lines
--- a/mesh/cli/mesh_snapshot.py
+++ b/mesh/cli/mesh_snapshot.py
@@ -13,7 +13,7 @@
 from mesh.replication.items import Item, Key, outranks
 from mesh.transport.link import Address
 
-Told = Mapping[str, Any]
+JsonObject = Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,23 +23,23 @@
 
     name: str  # as the roll or --at has it
     address: Address
-    told: Told | None
+    status: JsonObject | None
     why: str = ""
-    ahead_s: float = 0.0
-    within_s: float = 0.0
+    clock_offset_s: float = 0.0
+    clock_error_s: float = 0.0
 
     @property
     def node(self) -> str:
-        return text(self.told, "node") or self.name
+        return text_field(self.status, "node") or self.name
 
     @property
     def role(self) -> str:
-        return text(self.told, "role")
+        return text_field(self.status, "role")
 
     @property
     def digest(self) -> str:
         """Of the charter that it holds; "" where that is not known."""
-        return text(part(self.told, "charter"), "digest")
+        return text_field(object_field(self.status, "charter"), "digest")
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,25 +48,25 @@
     stands in the roll, by name."""
 
     processes: tuple[Process, ...]
-    nodes: Mapping[str, Told] = field(default_factory=dict)
-    instances: Mapping[str, Told] = field(default_factory=dict)
+    nodes: Mapping[str, JsonObject] = field(default_factory=dict)
+    instances: Mapping[str, JsonObject] = field(default_factory=dict)
 
     def role_of(self, process: Process) -> str:
         """As the process says itself, else as the membership has it; "" where neither is known."""
-        return process.role or text(self.nodes.get(process.name), "role")
+        return process.role or text_field(self.nodes.get(process.name), "role")
 
     def answering(self, role: str = "") -> list[Process]:
         """Those that answered, of one role or (for "") of any."""
-        return [p for p in self.processes if p.told is not None and role in ("", p.role)]
+        return [p for p in self.processes if p.status is not None and role in ("", p.role)]
 
-    def by_service(self) -> dict[str, list[tuple[str, Told]]]:
+    def instances_by_service(self) -> dict[str, list[tuple[str, JsonObject]]]:
         """Instances by service, both in the order of their names."""
-        found: dict[str, list[tuple[str, Told]]] = {}
+        found: dict[str, list[tuple[str, JsonObject]]] = {}
         for name, value in sorted(self.instances.items()):
-            found.setdefault(text(value, "plant"), []).append((name, value))
+            found.setdefault(text_field(value, "plant"), []).append((name, value))
         return dict(sorted(found.items()))
 
-    def digests(self) -> dict[str, list[Process]]:
+    def processes_by_digest(self) -> dict[str, list[Process]]:
         """Processes by the digest of the charter that they hold; the one that counts is first: held by most
         of the control processes that hear enough others, then by most of all."""
         found: dict[str, list[Process]] = {}
@@ -75,28 +75,28 @@
                 found.setdefault(process.digest, []).append(process)
 
         def standing(entry: tuple[str, list[Process]]) -> tuple[int, int, str]:
-            sound = sum(bool(p.told and p.told.get("in_touch")) for p in entry[1])
+            sound = sum(bool(p.status and p.status.get("in_touch")) for p in entry[1])
             return sound, len(entry[1]), entry[0]
 
         return dict(sorted(found.items(), key=standing, reverse=True))
 
 
-def part(told: Told | None, name: str) -> Told:
+def object_field(told: JsonObject | None, name: str) -> JsonObject:
     """A field that is an object; an empty one where it is not."""
     value = told.get(name) if told is not None else None
     return value if isinstance(value, Mapping) else {}
 
 
-def text(told: Told | None, name: str) -> str:
+def text_field(told: JsonObject | None, name: str) -> str:
     """A field that is text; "" where it is not."""
     value = told.get(name) if told is not None else None
     return value if isinstance(value, str) else ""
 
 
-def number(told: Told | None, name: str, instead: float = 0.0) -> float:
+def number_field(told: JsonObject | None, name: str, default: float = 0.0) -> float:
     """A field that is a number; ``instead`` where it is not."""
     value = told.get(name) if told is not None else None
-    return value if isinstance(value, int | float) and not isinstance(value, bool) else instead
+    return value if isinstance(value, int | float) and not isinstance(value, bool) else default
 
 
 def read_items(page: object) -> list[Item]:
@@ -114,7 +114,7 @@
     return found
 
 
-def newest(copies: Iterable[Iterable[Item]]) -> dict[Key, Item]:
+def newest_items(copies: Iterable[Iterable[Item]]) -> dict[Key, Item]:
     """Of several copies the item that rules under each key, dropped ones too."""
     found: dict[Key, Item] = {}
     for copy in copies:
--- a/mesh/cli/options.py
+++ b/mesh/cli/options.py
@@ -16,8 +16,8 @@
 from mesh.runtime.settings import InvalidSettings, parse_settings
 from mesh.transport.link import Address
 
-FINE, FINDINGS, USAGE, NOBODY, REFUSED = 0, 1, 2, 3, 4
-WAIT_S, DISK_WAIT_S = 2.0, 30.0
+EXIT_OK, EXIT_FINDINGS, EXIT_USAGE, EXIT_NO_ANSWER, EXIT_REFUSED = 0, 1, 2, 3, 4
+DEFAULT_WAIT_S, DISK_WAIT_S = 2.0, 30.0
 T = TypeVar("T")
 
 At = Annotated[
@@ -45,38 +45,38 @@
     raise typer.Exit(code)
 
 
-def tell(value: Any, lines: Sequence[str], as_json: bool, code: int = FINE) -> NoReturn:
+def print_and_exit(value: Any, lines: Sequence[str], as_json: bool, code: int = EXIT_OK) -> NoReturn:
     """Prints ``value`` as JSON or ``lines``, and ends with ``code``."""
     typer.echo(json.dumps(value, indent=1) if as_json else "\n".join(lines))
     raise typer.Exit(code)
 
 
-def found(at: list[str] | None, settings: Path | None, as_json: bool) -> list[Address]:
+def contact_addresses(at: list[str] | None, settings: Path | None, as_json: bool) -> list[Address]:
     """Where to ask. Ends with USAGE where neither says it."""
     if at:
         addresses = [read_address(one) for one in at]
         if None in addresses:
             fail(
-                USAGE,
+                EXIT_USAGE,
                 f"--at: {at[addresses.index(None)]} is no HOST:PORT; give a process's peer port",
                 as_json,
             )
         return [address for address in addresses if address is not None]
     if settings is None:
-        fail(USAGE, "--at: missing; give HOST:PORT of any process, or --settings FILE", as_json)
+        fail(EXIT_USAGE, "--at: missing; give HOST:PORT of any process, or --settings FILE", as_json)
     try:
         told = parse_settings(settings.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as fault:
-        fail(USAGE, f"--settings: {settings} cannot be read ({fault}); give a settings file", as_json)
+        fail(EXIT_USAGE, f"--settings: {settings} cannot be read ({fault}); give a settings file", as_json)
     if isinstance(told, InvalidSettings):
-        fail(USAGE, f"--settings: {settings}: {told.findings[0]}", as_json)
+        fail(EXIT_USAGE, f"--settings: {settings}: {told.findings[0]}", as_json)
     port = told.port_range[0]
     return list(dict.fromkeys([*((host, port) for host, _ in told.seeds), (told.ip, port)]))
 
 
-def heard(coming: Coroutine[Any, Any, T | Unreachable], as_json: bool) -> T:
+def run_or_exit(coming: Coroutine[Any, Any, T | Unreachable], as_json: bool) -> T:
     """Runs it; ends with NOBODY where nobody answered."""
     outcome = asyncio.run(coming)
     if isinstance(outcome, Unreachable):
-        fail(NOBODY, f"{outcome.why}; check --at and whether the processes run", as_json)
+        fail(EXIT_NO_ANSWER, f"{outcome.why}; check --at and whether the processes run", as_json)
     return outcome
--- a/mesh/cli/ownership.py
+++ b/mesh/cli/ownership.py
@@ -8,22 +8,22 @@
 
 import typer
 
-from mesh.cli.client import Answered, Unreachable, ask, look
-from mesh.cli.members import first_able
-from mesh.cli.mesh_snapshot import number, part
+from mesh.cli.client import Answered, Unreachable, ask, take_snapshot
+from mesh.cli.members import pick_controller
+from mesh.cli.mesh_snapshot import number_field, object_field
 from mesh.cli.options import (
-    FINE,
-    NOBODY,
-    REFUSED,
-    WAIT_S,
+    DEFAULT_WAIT_S,
+    EXIT_NO_ANSWER,
+    EXIT_OK,
+    EXIT_REFUSED,
     AsJson,
     At,
     SettingsFile,
     Wait,
+    contact_addresses,
     fail,
-    found,
-    heard,
-    tell,
+    print_and_exit,
+    run_or_exit,
 )
 from mesh.cli.text import line, table
 from mesh.data_plane.membership import CONTROLLER
@@ -45,44 +45,47 @@
     key: Key = None,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """The map of each divided service: rows, holders, what is in motion, and each row's share of traffic."""
-    process = first_able(heard(look(found(at, settings, as_json), wait, (CONTROLLER,)), as_json), as_json)
+    process = pick_controller(
+        run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json),
+        as_json,
+    )
     reply = asyncio.run(ask(process.address, "ownership", wait))
     if isinstance(reply, Unreachable):
-        fail(NOBODY, f"{process.node}: {reply.why}; ask another with --at", as_json)
+        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; ask another with --at", as_json)
     if not isinstance(reply, Answered):
-        fail(REFUSED, f"{process.node}: {reply.reason}", as_json)
+        fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     services = {
-        name: narrowed(told, key)
-        for name, told in part(reply.value, "services").items()
+        name: with_only_key(told, key)
+        for name, told in object_field(reply.value, "services").items()
         if isinstance(told, dict) and service in ("", name)
     }
     if service and not services:
         fail(
-            REFUSED,
+            EXIT_REFUSED,
             f"service {service[:80]!r}: it has no map; it is not divided, or has no upstream",
             as_json,
         )
-    tell({"node": process.node, "services": services}, shown(services), as_json, FINE)
+    print_and_exit({"node": process.node, "services": services}, ownership_lines(services), as_json, EXIT_OK)
 
 
-def narrowed(told: Mapping[str, Any], key: int | None) -> dict[str, Any]:
+def with_only_key(told: Mapping[str, Any], key: int | None) -> dict[str, Any]:
     """The map, or its row with that key alone."""
     rows = [row for row in told.get("rows", []) if key is None or row[0] <= key <= row[1]]
     return {**told, "rows": rows}
 
 
-def shown(services: Mapping[str, Mapping[str, Any]]) -> list[str]:
+def ownership_lines(services: Mapping[str, Mapping[str, Any]]) -> list[str]:
     """As lines."""
     lines: list[str] = []
     for name, told in services.items():
         rows = told.get("rows", [])
         vacant = sum(row[1] - row[0] + 1 for row in rows if not row[2])
         moving = sum(row[4] is not None for row in rows)
-        head = f"{name}: map {number(told, 'version'):.0f}, {len(rows)} rows, {moving} in motion"
+        head = f"{name}: map {number_field(told, 'version'):.0f}, {len(rows)} rows, {moving} in motion"
         lines += [line(head + (f", {vacant} keys without a holder" if vacant else "")), ""]
         cells = [
             (
--- a/mesh/cli/rollout.py
+++ b/mesh/cli/rollout.py
@@ -7,51 +7,62 @@
 
 import typer
 
-from mesh.cli.client import Answered, Refused, Unreachable, all_of, ask, look
-from mesh.cli.mesh_snapshot import MeshSnapshot, Process, Told, number, part
+from mesh.cli.client import Answered, Refused, Unreachable, ask, gather_bounded, take_snapshot
+from mesh.cli.mesh_snapshot import JsonObject, MeshSnapshot, Process, number_field, object_field
 from mesh.cli.options import (
-    FINDINGS,
-    FINE,
-    NOBODY,
-    REFUSED,
-    WAIT_S,
+    DEFAULT_WAIT_S,
+    EXIT_FINDINGS,
+    EXIT_NO_ANSWER,
+    EXIT_OK,
+    EXIT_REFUSED,
     AsJson,
     At,
     SettingsFile,
     Wait,
+    contact_addresses,
     fail,
-    found,
-    heard,
-    tell,
+    print_and_exit,
+    run_or_exit,
 )
-from mesh.cli.text import names, table, wrapped
+from mesh.cli.text import join_names, table, wrapped
 from mesh.configuration.commands import ROUTE
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.rollout.change_kinds import STAGED
 
 rollout = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="Changes as they go out in stages.")
 
-ROOM = 60  # columns for names
+NAMES_WIDTH = 60  # columns for names
 Item = Annotated[str, typer.Argument(metavar="ITEM", help="KIND/NAME; a name alone is a route's.")]
 Name = Annotated[str, typer.Argument(metavar="ROUTE", help="The route's name.")]
 Next = Annotated[bool, typer.Option("--next", help="For the route's next version, if it comes within 60 s.")]
 
 
 @rollout.command("show")
-def _show(at: At = None, settings: SettingsFile = None, wait: Wait = WAIT_S, as_json: AsJson = False) -> None:
+def _show(
+    at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
+) -> None:
     """The changes of late, and which sidecars have not confirmed them."""
-    snapshot = heard(look(found(at, settings, as_json), wait, (CONTROLLER,)), as_json)
-    node, told = _of_core(snapshot, wait, as_json, "rollouts")
-    rows: list[Told] = [one for one in told.get("rollouts", []) if isinstance(one, dict)]
-    lines = [f"at {node}: {told.get('sidecars')} sidecars", *shown(rows, int(number(told, "sidecars")))]
-    lines += voted(part(told, "votes"))
+    snapshot = run_or_exit(
+        take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json
+    )
+    node, told = _ask_core(snapshot, wait, as_json, "rollouts")
+    rows: list[JsonObject] = [one for one in told.get("rollouts", []) if isinstance(one, dict)]
+    lines = [
+        f"at {node}: {told.get('sidecars')} sidecars",
+        *change_lines(rows, int(number_field(told, "sidecars"))),
+    ]
+    lines += vote_lines(object_field(told, "votes"))
     open_now = any(one.get("missing") or one.get("worse") for one in rows)
-    tell({"node": node, **told}, lines, as_json, FINDINGS if open_now else FINE)
+    print_and_exit({"node": node, **told}, lines, as_json, EXIT_FINDINGS if open_now else EXIT_OK)
 
 
 @rollout.command("explain")
 def _explain(
-    item: Item, at: At = None, settings: SettingsFile = None, wait: Wait = WAIT_S, as_json: AsJson = False
+    item: Item,
+    at: At = None,
+    settings: SettingsFile = None,
+    wait: Wait = DEFAULT_WAIT_S,
+    as_json: AsJson = False,
 ) -> None:
     """Who took an item's versions and when, and why a stage waited."""
     kind, _, name = (
@@ -63,11 +74,16 @@
             item,
         )
     )
-    snapshot = heard(look(found(at, settings, as_json), wait), as_json)
-    node, core = _of_core(snapshot, wait, as_json, "rollout", kind=kind, name=name)
-    told, silent = _of_sides(snapshot, wait, "rollout", name=name) if kind == ROUTE else ([], [])
+    snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json)
+    node, core = _ask_core(snapshot, wait, as_json, "rollout", kind=kind, name=name)
+    told, silent = _ask_sidecars(snapshot, wait, "rollout", name=name) if kind == ROUTE else ([], [])
     value = {"node": node, "core": core, "sidecars": told, "silent": silent}
-    tell(value, explained(kind, name, core, told, silent), as_json, FINDINGS if core.get("missing") else FINE)
+    print_and_exit(
+        value,
+        explain_lines(kind, name, core, told, silent),
+        as_json,
+        EXIT_FINDINGS if core.get("missing") else EXIT_OK,
+    )
 
 
 @rollout.command("hold")
@@ -76,7 +92,7 @@
     at_next: Next = False,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """The others wait for their latest instant, whatever the first part says."""
@@ -89,7 +105,7 @@
     at_next: Next = False,
     at: At = None,
     settings: SettingsFile = None,
-    wait: Wait = WAIT_S,
+    wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
     """All take it at once."""
@@ -99,45 +115,51 @@
 def _order(
     word: str, route: str, at_next: bool, at: Any, settings: Any, wait: float, as_json: bool
 ) -> NoReturn:
-    snapshot = heard(look(found(at, settings, as_json), wait, (PROXY,)), as_json)
-    told, silent = _of_sides(snapshot, wait, "order", name=route, order=word, next=at_next)
+    snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (PROXY,)), as_json)
+    told, silent = _ask_sidecars(snapshot, wait, "order", name=route, order=word, next=at_next)
     if not told:
-        fail(NOBODY, "no sidecar answers; check --at and whether they run", as_json)
+        fail(EXIT_NO_ANSWER, "no sidecar answers; check --at and whether they run", as_json)
     value = {"sidecars": told, "silent": silent}
-    more = [f"no answer from {len(silent)} sidecars: {names(silent, ROOM)}"] if silent else []
+    more = [f"no answer from {len(silent)} sidecars: {join_names(silent, NAMES_WIDTH)}"] if silent else []
     if at_next:
-        tell(value, [f"{len(told)} sidecars: {word} for the next version within 60 s", *more], as_json)
+        print_and_exit(
+            value, [f"{len(told)} sidecars: {word} for the next version within 60 s", *more], as_json
+        )
     obeyed = [one for one in told if one.get("obeyed") is not None]
     if not obeyed:
         standing = ", ".join(sorted({f"r{v}" for one in told if (v := one.get("in_force")) is not None}))
         fail(
-            REFUSED,
+            EXIT_REFUSED,
             f"{route}: {standing or 'nothing'} is in force, nothing is held back; send a higher version, or "
             "order --next",
             as_json,
         )
-    tell(value, [f"{word}: {len(obeyed)} of {len(told)} sidecars still held it back", *more], as_json)
+    print_and_exit(
+        value, [f"{word}: {len(obeyed)} of {len(told)} sidecars still held it back", *more], as_json
+    )
 
 
-def _of_core(
+def _ask_core(
     snapshot: MeshSnapshot, wait: float, as_json: bool, question: str, **what: Any
-) -> tuple[str, Told]:
+) -> tuple[str, JsonObject]:
     """The answer of the first control process that hears enough others, else of any; ends where none has."""
-    able = sorted(snapshot.answering(CONTROLLER), key=lambda p: (not (p.told or {}).get("in_touch"), p.node))
+    able = sorted(
+        snapshot.answering(CONTROLLER), key=lambda p: (not (p.status or {}).get("in_touch"), p.node)
+    )
     why = "no control process answers; check --at and whether they run"
     for process in able:
         reply = asyncio.run(ask(process.address, question, wait, **what))
         if isinstance(reply, Answered):
             return process.node, reply.value
         if isinstance(reply, Refused):
-            fail(REFUSED, f"{process.node}: {reply.reason}", as_json)
+            fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
         why = f"{process.node}: {reply.why}"
-    fail(NOBODY, why, as_json)
+    fail(EXIT_NO_ANSWER, why, as_json)
 
 
-def _of_sides(
+def _ask_sidecars(
     snapshot: MeshSnapshot, wait: float, question: str, **what: Any
-) -> tuple[list[Told], list[str]]:
+) -> tuple[list[JsonObject], list[str]]:
     """The sidecars' answers, each with its node, and those that gave none."""
     sides = [p for p in snapshot.processes if snapshot.role_of(p) == PROXY]
 
@@ -145,9 +167,9 @@
         return await ask(process.address, question, wait, **what)
 
     async def all_sides() -> list[Answered | Refused | Unreachable]:
-        return await all_of(one, sides)
+        return await gather_bounded(one, sides)
 
-    told: list[Told] = []
+    told: list[JsonObject] = []
     silent = []
     for process, reply in zip(sides, asyncio.run(all_sides()), strict=True):
         if isinstance(reply, Answered):
@@ -157,7 +179,7 @@
     return told, silent
 
 
-def shown(rows: list[Told], sidecars: int) -> list[str]:
+def change_lines(rows: list[JsonObject], sidecars: int) -> list[str]:
     """A line for each change, the newest first."""
     if not rows:
         return ["no change since this control process started"]
@@ -167,40 +189,42 @@
         word = "worse: " + ", ".join(one.get("worse", [])) if one.get("worse") else ""
         cells.append(
             [
-                f"{number(one, 'ago_ms') / 1000.0:.1f} s",
+                f"{number_field(one, 'ago_ms') / 1000.0:.1f} s",
                 f"{one.get('items')}",
-                names([str(name) for name in one.get("named", [])], 30),
-                f"{sidecars - int(number(one, 'missing'))} of {sidecars}",
+                join_names([str(name) for name in one.get("named", [])], 30),
+                f"{sidecars - int(number_field(one, 'missing'))} of {sidecars}",
                 took,
                 word or ("sound" if one.get("sound") else "-"),
-                names([str(name) for name in one.get("lack", [])], 24) or "-",
+                join_names([str(name) for name in one.get("lack", [])], 24) or "-",
             ]
         )
     return table(["ago", "items", "which", "confirmed", "after", "first part", "lack it"], cells)
 
 
-def voted(votes: Told) -> list[str]:
+def vote_lines(votes: JsonObject) -> list[str]:
     """Open votes, and a line for each number that an order was refused for."""
-    count = int(number(votes, "open"))
+    count = int(number_field(votes, "open"))
     lines = [f"{count} votes are open: they are decided within seconds"] if count else []
     for one in votes.get("rivalled", []):
-        ago = f"{number(one, 'ago_ms') / 1000.0:.1f} s ago"
+        ago = f"{number_field(one, 'ago_ms') / 1000.0:.1f} s ago"
         named = f"{one.get('kind')} {one.get('name')} r{one.get('version')}"
         lines.append(f"rivalled: {named}, {ago}: another order has it")
     return lines
 
 
-def part_of(passed: Told) -> str:
+def part_name(passed: JsonObject) -> str:
     """What does not go in stages has no first part."""
     if passed.get("kind") not in {kind.value for kind in STAGED}:
         return "all"
     return "first" if passed.get("first") else "rest"
 
 
-def explained(kind: str, name: str, core: Told, told: list[Told], silent: list[str]) -> list[str]:
+def explain_lines(
+    kind: str, name: str, core: JsonObject, told: list[JsonObject], silent: list[str]
+) -> list[str]:
     """The item as the core has it, and each version's way at the sidecars."""
     state = "dropped" if core.get("dropped") else "set"
-    confirmed = int(number(core, "sidecars") - number(core, "missing"))
+    confirmed = int(number_field(core, "sidecars") - number_field(core, "missing"))
     lines = [
         f"{kind} {name} r{core.get('version')}, {state}: in force at {confirmed} of {core.get('sidecars')}"
     ]
@@ -208,7 +232,7 @@
         heard_of = (
             "never heard of"
             if since is None
-            else f"last report {number({'s': since}, 's') / 1000.0:.1f} s ago"
+            else f"last report {number_field({'s': since}, 's') / 1000.0:.1f} s ago"
         )
         lines.append(f"  {node} has not confirmed it: {heard_of}")
     if kind != ROUTE:
@@ -230,9 +254,9 @@
                     rows.append(
                         [
                             one["node"],
-                            part_of(passed),
+                            part_name(passed),
                             passed.get("state"),
-                            f"{number(passed, 'ago_ms') / 1000.0:.2f} s ago",
+                            f"{number_field(passed, 'ago_ms') / 1000.0:.2f} s ago",
                             f"{after:g} ms" if after is not None else "held",
                             passed.get("why"),
                         ]
@@ -240,5 +264,5 @@
         lines.append(f"r{version}")
         lines += table(["node", "part", "state", "known", "in force after", "why"], rows, "  ")
     if silent:
-        lines.append(f"no answer from {len(silent)} sidecars: {names(silent, ROOM)}")
+        lines.append(f"no answer from {len(silent)} sidecars: {join_names(silent, NAMES_WIDTH)}")
     return lines
--- a/mesh/cli/shape.py
+++ b/mesh/cli/shape.py
@@ -6,56 +6,56 @@
 from statistics import median
 from typing import Any
 
-from mesh.cli.judge import Finding, grouped, sound
-from mesh.cli.mesh_snapshot import MeshSnapshot, Process, Told, number, part, text
-from mesh.cli.text import borne, line, names, table, wrapped
+from mesh.cli.judge import Finding, group_by_kind, process_state
+from mesh.cli.mesh_snapshot import JsonObject, MeshSnapshot, Process, number_field, object_field, text_field
+from mesh.cli.text import join_names, line, table, tolerated_losses, wrapped
 from mesh.data_plane.membership import CONTROLLER, PROXY, ROLE_NAMES
 
-MOST_ROWS = 10  # of the core, of services and of other digests in `status`, which keeps to a screen
-MOST_ALIKE = 10  # findings of one kind that `doctor` prints; --json has all
+MAX_ROWS = 10  # of the core, of services and of other digests in `status`, which keeps to a screen
+MAX_ALIKE_FINDINGS = 10  # findings of one kind that `doctor` prints; --json has all
 
 
-def services(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
+def service_counts(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
     """Upstreams counted by service; those without one that takes calls are first."""
     found = []
-    for service, instances in snapshot.by_service().items():
+    for service, instances in snapshot.instances_by_service().items():
         settled = sum(value.get("state") == "settled" for _, value in instances)
         found.append(
             {
                 "service": service,
                 "upstreams": len(instances),
                 "settled": settled,
-                "capacity": int(sum(number(value, "capacity") for _, value in instances)),
-                "zones": len({text(value, "zone") for _, value in instances}),
+                "capacity": int(sum(number_field(value, "capacity") for _, value in instances)),
+                "zones": len({text_field(value, "zone") for _, value in instances}),
             }
         )
     return sorted(found, key=lambda one: (one["settled"] > 0, one["service"]))
 
 
-def versions(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
+def configurations(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
     """The configurations that are held, the one that counts first, and by whom."""
     return [
         {
             "digest": digest,
-            "items": int(number(part(group[0].told, "charter"), "items")),
-            "dropped": int(number(part(group[0].told, "charter"), "dropped")),
+            "items": int(number_field(object_field(group[0].status, "charter"), "items")),
+            "dropped": int(number_field(object_field(group[0].status, "charter"), "dropped")),
             "held_by": [process.node for process in group],
         }
-        for digest, group in snapshot.digests().items()
+        for digest, group in snapshot.processes_by_digest().items()
     ]
 
 
 def process_row(snapshot: MeshSnapshot, process: Process) -> dict[str, Any]:
-    upstream = part(process.told, "upstream")
+    upstream = object_field(process.status, "upstream")
     return {
         "node": process.name,
         "role": _role_name(snapshot.role_of(process)),
-        "zone": text(process.told, "zone") or text(snapshot.nodes.get(process.name), "zone"),
+        "zone": text_field(process.status, "zone") or text_field(snapshot.nodes.get(process.name), "zone"),
         "address": f"{process.address[0]}:{process.address[1]}",
-        "state": sound(snapshot, process),
+        "state": process_state(snapshot, process),
         "digest": process.digest,
-        "ahead_s": round(process.ahead_s, 3) if process.told is not None else None,
-        "upstream": text(upstream, "instance"),
+        "ahead_s": round(process.clock_offset_s, 3) if process.status is not None else None,
+        "upstream": text_field(upstream, "instance"),
     }
 
 
@@ -66,95 +66,103 @@
     return ROLE_NAMES.get(role, role)
 
 
-def status(snapshot: MeshSnapshot, found: Sequence[Finding]) -> list[str]:
+def status_lines(snapshot: MeshSnapshot, found: Sequence[Finding]) -> list[str]:
     """At most some 50 lines, whatever the size of the mesh."""
     lines = []
     if found:
         lines.append("NOT AS IT SHOULD BE (doctor tells what to do)")
-        for kind, alike in grouped(list(found)).items():
+        for kind, alike in group_by_kind(list(found)).items():
             lead = f"  {kind:<22}{len(alike):>5}  "
-            lines.append(line(lead + names([finding.subject for finding in alike], 100 - len(lead))))
+            lines.append(line(lead + join_names([finding.subject for finding in alike], 100 - len(lead))))
     else:
         lines.append("all is as it should be")
     lines.append("")
     for role in (CONTROLLER, PROXY):
         known = [p for p in snapshot.processes if snapshot.role_of(p) == role]
-        answer = sum(process.told is not None for process in known)
+        answer = sum(process.status is not None for process in known)
         lines.append(f"{PLURALS[role]:<12}{answer} of {len(known)} answer")
-    lines.append(f"{'upstreams':<12}{len(snapshot.instances)} of {len(snapshot.by_service())} services")
-    lines += duties(snapshot) + members(snapshot)
-    for at, held in enumerate(versions(snapshot)[:MOST_ROWS]):
+    lines.append(
+        f"{'upstreams':<12}{len(snapshot.instances)} of {len(snapshot.instances_by_service())} services"
+    )
+    lines += duty_lines(snapshot) + member_lines(snapshot)
+    for at, held in enumerate(configurations(snapshot)[:MAX_ROWS]):
         lead = "configuration" if at == 0 else "  other"
         told = f"{lead} {held['items']} items, {held['dropped']} dropped, digest {held['digest']}: "
         told += f"{len(held['held_by'])} processes"
         if at:
-            told += f" ({names(held['held_by'], max(96 - len(told), 10))})"
+            told += f" ({join_names(held['held_by'], max(96 - len(told), 10))})"
         lines.append(line(told))
-    lines += ["", *core(snapshot), "", *_services(services(snapshot))]
+    lines += ["", *core_lines(snapshot), "", *_service_summary(service_counts(snapshot))]
     return lines
 
 
-def duties(snapshot: MeshSnapshot) -> list[str]:
+def duty_lines(snapshot: MeshSnapshot) -> list[str]:
     """Who has which duty, by the highest epoch that any control process knows."""
     found: dict[str, tuple[float, str]] = {}
     for process in snapshot.answering(CONTROLLER):
-        told = part(process.told, "duties")
+        told = object_field(process.status, "duties")
         for duty in told:
-            standing = part(told, duty)
-            epoch = number(standing, "epoch")
+            standing = object_field(told, duty)
+            epoch = number_field(standing, "epoch")
             if epoch > found.get(duty, (0.0, ""))[0]:
-                found[duty] = epoch, text(standing, "holder")
+                found[duty] = epoch, text_field(standing, "holder")
     return [
         line(f"{'duties':<12}{duty} by {holder}, epoch {epoch:.0f}")
-        for duty, (epoch, holder) in sorted(found.items())[:MOST_ROWS]
+        for duty, (epoch, holder) in sorted(found.items())[:MAX_ROWS]
     ]
 
 
-def members(snapshot: MeshSnapshot) -> list[str]:
+def member_lines(snapshot: MeshSnapshot) -> list[str]:
     """Under which epoch who counts, and how many more losses are borne, by a process with the newest."""
-    told = [p.told for p in snapshot.answering(CONTROLLER) if p.told is not None and "epoch" in p.told]
+    told = [p.status for p in snapshot.answering(CONTROLLER) if p.status is not None and "epoch" in p.status]
     if not told:
         return []
-    newest = max(told, key=lambda one: (bool(one.get("in_touch")), number(one, "epoch")))
-    count = f"{len(part(newest, 'members'))} count, epoch {number(newest, 'epoch'):.0f}"
-    return [line(f"{'members':<12}{count}; {borne(part(newest, 'borne'))}")]
+    newest = max(told, key=lambda one: (bool(one.get("in_touch")), number_field(one, "epoch")))
+    count = f"{len(object_field(newest, 'members'))} count, epoch {number_field(newest, 'epoch'):.0f}"
+    return [line(f"{'members':<12}{count}; {tolerated_losses(object_field(newest, 'borne'))}")]
 
 
-def core(snapshot: MeshSnapshot) -> list[str]:
+def core_lines(snapshot: MeshSnapshot) -> list[str]:
     controllers = snapshot.answering(CONTROLLER)
     rows = []
-    for process in controllers[:MOST_ROWS]:
-        told = process.told or {}
+    for process in controllers[:MAX_ROWS]:
+        told = process.status or {}
         disk = "refuses" if told.get("refused") else "whole" if told.get("whole") else "not whole"
         rows.append(
             (
-                *(process.node, process.role, text(told, "zone"), text(told, "ip"), text(told, "control")),
-                *(disk, sound(snapshot, process)),
+                *(
+                    process.node,
+                    process.role,
+                    text_field(told, "zone"),
+                    text_field(told, "ip"),
+                    text_field(told, "control"),
+                ),
+                *(disk, process_state(snapshot, process)),
             )
         )
     lines = table(("core", "role", "zone", "member", "control", "disk", "state"), rows)
-    return lines + _more(len(controllers), MOST_ROWS, "nodes")
+    return lines + _more(len(controllers), MAX_ROWS, "nodes")
 
 
-def _services(found: Sequence[Mapping[str, Any]]) -> list[str]:
+def _service_summary(found: Sequence[Mapping[str, Any]]) -> list[str]:
     rows = [
         (one["service"], one["upstreams"], one["settled"], one["capacity"], one["zones"])
-        for one in found[:MOST_ROWS]
+        for one in found[:MAX_ROWS]
     ]
     lines = table(("service", "upstreams", "settled", "capacity", "zones"), rows)
-    return lines + _more(len(found), MOST_ROWS, "upstreams")
+    return lines + _more(len(found), MAX_ROWS, "upstreams")
 
 
 def _more(count: int, shown: int, command: str) -> list[str]:
     return [f"  and {count - shown} more: {command}"] if count > shown else []
 
 
-def all_services(found: Sequence[Mapping[str, Any]]) -> list[str]:
+def service_lines(found: Sequence[Mapping[str, Any]]) -> list[str]:
     rows = [tuple(one.values()) for one in found]
     return table(("service", "upstreams", "settled", "capacity", "zones"), rows)
 
 
-def nodes(rows: Sequence[Mapping[str, Any]]) -> list[str]:
+def node_lines(rows: Sequence[Mapping[str, Any]]) -> list[str]:
     head = ("node", "role", "zone", "address", "state", "config", "clock", "upstream")
     cells = []
     for row in rows:
@@ -168,46 +176,46 @@
     return table(head, cells)
 
 
-def doctor(found: Sequence[Finding]) -> list[str]:
+def doctor_lines(found: Sequence[Finding]) -> list[str]:
     lines = []
-    for kind, alike in grouped(list(found)).items():
-        for finding in alike[:MOST_ALIKE]:
+    for kind, alike in group_by_kind(list(found)).items():
+        for finding in alike[:MAX_ALIKE_FINDINGS]:
             lines += wrapped(f"{kind}: {finding.subject}: {finding.what}")
-        if len(alike) > MOST_ALIKE:
-            rest = [finding.subject for finding in alike[MOST_ALIKE:]]
-            lines.append(line(f"  and {len(rest)} more alike: {names(rest, 70)}"))
+        if len(alike) > MAX_ALIKE_FINDINGS:
+            rest = [finding.subject for finding in alike[MAX_ALIKE_FINDINGS:]]
+            lines.append(line(f"  and {len(rest)} more alike: {join_names(rest, 70)}"))
         for mend in dict.fromkeys(finding.mend for finding in alike):
             lines += wrapped(f"  -> {mend}", "     ")
     return lines or ["nothing is found"]
 
 
-def merged(told: Sequence[Told]) -> list[dict[str, Any]]:
+def merge_upstreams(told: Sequence[JsonObject]) -> list[dict[str, Any]]:
     """Upstreams of one service as several sidecars see them, in one row each."""
-    seen: dict[str, list[Told]] = {}
+    seen: dict[str, list[JsonObject]] = {}
     for one in told:
         upstreams = one.get("upstreams")
         for upstream in upstreams if isinstance(upstreams, list) else []:
-            seen.setdefault(text(upstream, "instance"), []).append(upstream)
+            seen.setdefault(text_field(upstream, "instance"), []).append(upstream)
     found = []
     for instance, views in sorted(seen.items()):
         used = [snapshot for snapshot in views if "active" in snapshot]
-        ws = [number(snapshot, "w") for snapshot in used if snapshot.get("w") is not None]
+        ws = [number_field(snapshot, "w") for snapshot in used if snapshot.get("w") is not None]
         found.append(
             {
                 "instance": instance,
-                "node": text(views[0], "node"),
-                "zone": text(views[0], "zone"),
-                "state": text(views[0], "state"),
+                "node": text_field(views[0], "node"),
+                "zone": text_field(views[0], "zone"),
+                "state": text_field(views[0], "state"),
                 "active_at": sum(bool(snapshot.get("active")) for snapshot in used),
                 "used_by": len(used),
                 "w_median": round(median(ws), 3) if ws else None,
-                "held": int(sum(number(snapshot, "held") for snapshot in used)),
+                "held": int(sum(number_field(snapshot, "held") for snapshot in used)),
             }
         )
     return found
 
 
-def upstreams(rows: Sequence[Mapping[str, Any]]) -> list[str]:
+def upstream_lines(rows: Sequence[Mapping[str, Any]]) -> list[str]:
     head = ("instance", "node", "zone", "state", "active at", "w ms", "held")
     return table(
         head,
@@ -221,23 +229,26 @@
     )
 
 
-def tried(node: str, told: Told) -> list[str]:
+def route_lines(node: str, told: JsonObject) -> list[str]:
     """The answer to `routes try`."""
-    route = part(told, "route")
+    route = object_field(told, "route")
     lines = wrapped(
-        f"at {node}: route {text(route, 'name')} r{number(route, 'version'):.0f}, {text(route, 'kind')}, "
-        f"prefix {text(route, 'prefix')}, horizon {number(route, 'horizon_ms'):g} ms, aim "
-        f"{number(route, 'aim_ms'):g} ms, trials {number(route, 'trials'):.0f}, priority "
-        f"{number(route, 'priority'):.0f}"
+        f"at {node}: route {text_field(route, 'name')} r{number_field(route, 'version'):.0f}, "
+        f"{text_field(route, 'kind')}, "
+        f"prefix {text_field(route, 'prefix')}, horizon {number_field(route, 'horizon_ms'):g} ms, aim "
+        f"{number_field(route, 'aim_ms'):g} ms, trials {number_field(route, 'trials'):.0f}, priority "
+        f"{number_field(route, 'priority'):.0f}"
     )
     services = told.get("services")
     for service in services if isinstance(services, list) else []:
-        lines.append(line(f"service {text(service, 'service')}, share {number(service, 'share'):.1%}"))
+        lines.append(
+            line(f"service {text_field(service, 'service')}, share {number_field(service, 'share'):.1%}")
+        )
         found = service.get("upstreams") or []
         rows = [
             (
-                *(text(one, "instance"), text(one, "node"), one.get("w"), one.get("deficit")),
-                *(one.get("active", False), one.get("held", 0), text(one, "why")),
+                *(text_field(one, "instance"), text_field(one, "node"), one.get("w"), one.get("deficit")),
+                *(one.get("active", False), one.get("held", 0), text_field(one, "why")),
             )
             for one in found
         ]
@@ -248,34 +259,35 @@
     return lines
 
 
-def traced(attempt: str, entries: Sequence[Told], where: Mapping[str, str]) -> list[str]:
+def trace_lines(attempt: str, entries: Sequence[JsonObject], where: Mapping[str, str]) -> list[str]:
     """The answer to `trace`; ``where``: the node of each instance."""
     lines = [line(f"attempt {attempt}")]
     for entry in entries:
-        ago = number(entry, "ago_ms") / 1000.0
-        lead = f"hop {number(entry, 'hop'):.0f} at {text(entry, 'node')}, {ago:.3f} s ago"
+        ago = number_field(entry, "ago_ms") / 1000.0
+        lead = f"hop {number_field(entry, 'hop'):.0f} at {text_field(entry, 'node')}, {ago:.3f} s ago"
         if entry.get("hop") == 1:
             lines += wrapped(
-                f"{lead}: route {text(entry, 'route')} r{number(entry, 'version'):.0f}, "
-                f"service {text(entry, 'service')}"
+                f"{lead}: route {text_field(entry, 'route')} r{number_field(entry, 'version'):.0f}, "
+                f"service {text_field(entry, 'service')}"
             )
             tries = entry.get("tries")
             for at, one in enumerate(tries if isinstance(tries, list) else [], 1):
-                instance = text(one, "instance")
+                instance = text_field(one, "instance")
                 lines += wrapped(
-                    f"  try {at}: {instance} on {where.get(instance, '?')}: {text(one, 'end')}, "
-                    f"after {number(one, 'took_ms'):g} ms",
+                    f"  try {at}: {instance} on {where.get(instance, '?')}: {text_field(one, 'end')}, "
+                    f"after {number_field(one, 'took_ms'):g} ms",
                     "    ",
                 )
             if entry.get("further"):
-                lines.append(f"  and {number(entry, 'further'):.0f} tries more")
-            end = f"  end: {text(entry, 'end')}, after {number(entry, 'took_ms'):g} ms"
-            lines += wrapped(f"{end} (aim {number(entry, 'aim_ms'):g} ms)", "    ")
+                lines.append(f"  and {number_field(entry, 'further'):.0f} tries more")
+            end = f"  end: {text_field(entry, 'end')}, after {number_field(entry, 'took_ms'):g} ms"
+            lines += wrapped(f"{end} (aim {number_field(entry, 'aim_ms'):g} ms)", "    ")
         else:
             ran = entry.get("ran_ms")
             passed = f"passed on, ran {ran:g} ms" if isinstance(ran, int | float) else "not passed on"
             lines += wrapped(
-                f"{lead}: for {text(entry, 'instance')}, called by {text(entry, 'caller')}: waited "
-                f"{number(entry, 'waited_ms'):g} ms, {passed}: {text(entry, 'end')}"
+                f"{lead}: for {text_field(entry, 'instance')}, called by "
+                f"{text_field(entry, 'caller')}: waited "
+                f"{number_field(entry, 'waited_ms'):g} ms, {passed}: {text_field(entry, 'end')}"
             )
     return lines
--- a/mesh/cli/state.py
+++ b/mesh/cli/state.py
@@ -7,28 +7,28 @@
 
 import typer
 
-from mesh.cli.client import Answered, Unreachable, all_of, ask, look
-from mesh.cli.mesh_snapshot import Process, Told, number, text
+from mesh.cli.client import Answered, Unreachable, ask, gather_bounded, take_snapshot
+from mesh.cli.mesh_snapshot import JsonObject, Process, number_field, text_field
 from mesh.cli.options import (
     DISK_WAIT_S,
-    FINDINGS,
-    FINE,
-    NOBODY,
-    REFUSED,
-    USAGE,
+    EXIT_FINDINGS,
+    EXIT_NO_ANSWER,
+    EXIT_OK,
+    EXIT_REFUSED,
+    EXIT_USAGE,
     AsJson,
     At,
     SettingsFile,
     Wait,
+    contact_addresses,
     fail,
-    found,
-    heard,
-    tell,
+    print_and_exit,
+    run_or_exit,
 )
 from mesh.cli.text import wrapped
 from mesh.data_plane.membership import CONTROLLER
 
-LOOK_S = 2.0  # for the processes' status; the longer wait is for their disks
+STATUS_WAIT_S = 2.0  # for the processes' status; the longer wait is for their disks
 
 state = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="The state on the core's disks.")
 
@@ -38,21 +38,24 @@
     at: At = None, settings: SettingsFile = None, wait: Wait = DISK_WAIT_S, as_json: AsJson = False
 ) -> None:
     """Every row of every control process's disk, read and checked; changes wait for it there."""
-    snapshot = heard(look(found(at, settings, as_json), min(wait, LOOK_S), (CONTROLLER,)), as_json)
+    snapshot = run_or_exit(
+        take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
+        as_json,
+    )
     asked = snapshot.answering(CONTROLLER)
     if not asked:
-        fail(NOBODY, "no control process answers; check --at and whether they run", as_json)
+        fail(EXIT_NO_ANSWER, "no control process answers; check --at and whether they run", as_json)
 
     async def one(process: Process) -> dict[str, Any]:
         reply = await ask(process.address, "verify", wait)
         if isinstance(reply, Answered):
-            return {"node": process.node, **reply.value, "findings": wrong(reply.value)}
+            return {"node": process.node, **reply.value, "findings": disk_findings(reply.value)}
         return {
             "node": process.node,
             "findings": [reply.why if isinstance(reply, Unreachable) else reply.reason],
         }
 
-    rows = asyncio.run(all_of(one, asked))
+    rows = asyncio.run(gather_bounded(one, asked))
     lines = []
     for row in rows:
         for finding in row["findings"]:
@@ -61,17 +64,17 @@
             moving = "; changes came meanwhile, so memory was not compared" if row.get("moving") else ""
             lines.append(f"{row['node']}: {row.get('items')} items, digest {row.get('disk')}{moving}")
     bad = any(row["findings"] for row in rows)
-    tell(rows, lines, as_json, FINDINGS if bad else FINE)
+    print_and_exit(rows, lines, as_json, EXIT_FINDINGS if bad else EXIT_OK)
 
 
-def wrong(told: Told) -> list[str]:
+def disk_findings(told: JsonObject) -> list[str]:
     """What a process's answer says against its disk."""
     findings = told.get("findings")
     said = [str(one) for one in findings] if isinstance(findings, list) else []
-    if not said and not told.get("moving") and text(told, "disk") != text(told, "memory"):
+    if not said and not told.get("moving") and text_field(told, "disk") != text_field(told, "memory"):
         said.append(
-            f"disk holds {number(told, 'items'):.0f} items, digest {text(told, 'disk')}, memory "
-            f"{text(told, 'memory')}; look for refusals of the disk in its log, then start it again"
+            f"disk holds {number_field(told, 'items'):.0f} items, digest {text_field(told, 'disk')}, memory "
+            f"{text_field(told, 'memory')}; look for refusals of the disk in its log, then start it again"
         )
     return said
 
@@ -96,24 +99,28 @@
 ) -> None:
     """After more losses than are borne: what a control process holds, or a copy, leads on. Refused where
     that would make older state lead."""
-    snapshot = heard(look(found(at, settings, as_json), min(wait, LOOK_S), (CONTROLLER,)), as_json)
+    snapshot = run_or_exit(
+        take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
+        as_json,
+    )
     able = [p for p in snapshot.answering(CONTROLLER) if where in ("", p.node)]
-    able.sort(key=lambda p: not (p.told or {}).get("whole"))
+    able.sort(key=lambda p: not (p.status or {}).get("whole"))
     if not able:
-        fail(NOBODY, "no such control process answers; check --at and whether it runs", as_json)
+        fail(EXIT_NO_ANSWER, "no such control process answers; check --at and whether it runs", as_json)
     process = able[0]
     reply = asyncio.run(ask(process.address, "restore", wait, copy=copy, lost=list(lost or ())))
     if isinstance(reply, Unreachable):
-        fail(NOBODY, f"{process.node}: {reply.why}; it may be done: look at status", as_json)
+        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; it may be done: look at status", as_json)
     if not isinstance(reply, Answered):
-        fail(REFUSED, f"{process.node}: {reply.reason}", as_json)
+        fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     told = reply.value
     names = ", ".join(str(one) for one in told.get("members", []))
     lines = wrapped(
-        f"{process.node}: {number(told, 'items'):.0f} items lead, epoch {number(told, 'epoch'):.0f}, "
+        f"{process.node}: {number_field(told, 'items'):.0f} items lead, "
+        f"epoch {number_field(told, 'epoch'):.0f}, "
         f"counted: {names}; the others come to count by themselves"
     )
-    tell({"node": process.node, **told}, lines, as_json)
+    print_and_exit({"node": process.node, **told}, lines, as_json)
 
 
 @state.command("backup")
@@ -126,18 +133,23 @@
     as_json: AsJson = False,
 ) -> None:
     """Has a control process copy its store, as it is now, to a new folder under its state folder."""
-    snapshot = heard(look(found(at, settings, as_json), min(wait, LOOK_S), (CONTROLLER,)), as_json)
+    snapshot = run_or_exit(
+        take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
+        as_json,
+    )
     able = [p for p in snapshot.answering(CONTROLLER) if where in ("", p.node)]
-    able.sort(key=lambda p: not ((p.told or {}).get("in_touch") and (p.told or {}).get("whole")))
+    able.sort(key=lambda p: not ((p.status or {}).get("in_touch") and (p.status or {}).get("whole")))
     if not able and where and where not in snapshot.nodes:
-        fail(USAGE, f"--from: no node {where} is known; nodes lists them", as_json)
+        fail(EXIT_USAGE, f"--from: no node {where} is known; nodes lists them", as_json)
     if not able:
-        fail(NOBODY, "no such control process answers; check --at and whether it runs", as_json)
+        fail(EXIT_NO_ANSWER, "no such control process answers; check --at and whether it runs", as_json)
     process = able[0]
     reply = asyncio.run(ask(process.address, "backup", wait, to=to))
     if isinstance(reply, Unreachable):
-        fail(NOBODY, f"{process.node}: {reply.why}; the copy may still be made: look there", as_json)
+        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; the copy may still be made: look there", as_json)
     if not isinstance(reply, Answered):
-        fail(REFUSED, f"{process.node}: {reply.reason}", as_json)
+        fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     value = {"node": process.node, **reply.value}
-    tell(value, [f"{process.node}: {reply.value.get('bytes')} bytes in {reply.value.get('to')}"], as_json)
+    print_and_exit(
+        value, [f"{process.node}: {reply.value.get('bytes')} bytes in {reply.value.get('to')}"], as_json
+    )
--- a/mesh/cli/write_client.py
+++ b/mesh/cli/write_client.py
@@ -17,13 +17,16 @@
 from mesh.membership.instance_commands import read_address
 from mesh.transport.link import Address
 
-SILENCE_S, SILENCE_BYTE_S = 1.0, 2e-6  # how long an answer may take, and more for each byte sent
-PAUSE_S, PAUSE_MOST_S = 0.1, 1.0
-FOLLOWED = 2
-AT_ONCE = frozenset({400, 409, 412, 413, 422})  # a call ends there
-OTHERS_MOST = 3  # any other 4xx ends it at this try
-AGAIN = frozenset({408, 429})
-MOST_BODY = 64 * 1024 * 1024
+ANSWER_TIMEOUT_S, ANSWER_TIMEOUT_PER_BYTE_S = (
+    1.0,
+    2e-6,
+)  # how long an answer may take, and more for each byte sent
+MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 1.0
+MAX_REDIRECTS = 2
+FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})  # a call ends there
+MAX_OTHER_ERRORS = 3  # any other 4xx ends it at this try
+RETRIED_STATUSES = frozenset({408, 429})
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +60,7 @@
     """No clear answer in the time: it may be in force. ``heard``: something answered at all."""
 
     reason: str
-    heard: bool
+    any_answer: bool
 
 
 Outcome = Accepted | Rejected | Indeterminate
@@ -65,7 +68,7 @@
 
 async def call(address: Address, method: bytes, path: bytes, body: bytes, within_s: float) -> Reply | None:
     """One call on a connection of its own; None where no whole answer comes in time. Raises nothing."""
-    reader = http.Reader(httptools.HttpResponseParser, MOST_BODY)
+    reader = http.Reader(httptools.HttpResponseParser, MAX_BODY_BYTES)
     try:
         async with asyncio.timeout(within_s):
             stream, writer = await asyncio.open_connection(*address)
@@ -96,38 +99,40 @@
     """One call of the operator, at these processes in turn, until it is clear or ``within_s`` is over."""
     loop = asyncio.get_running_loop()
     until = loop.time() + within_s
-    wait, tries, others, heard, reason = PAUSE_S, 0, 0, False, "nobody answers"
+    wait, tries, others, any_answer, reason = MIN_PAUSE_S, 0, 0, False, "nobody answers"
     while addresses and loop.time() < until:
         address = addresses[tries % len(addresses)]
         tries += 1
-        silence = min(SILENCE_S + SILENCE_BYTE_S * len(body), max(until - loop.time(), 0.01))
-        reply, address = await _followed(address, method, path, body, silence)
+        silence = min(
+            ANSWER_TIMEOUT_S + ANSWER_TIMEOUT_PER_BYTE_S * len(body), max(until - loop.time(), 0.01)
+        )
+        reply, address = await _call_following_redirects(address, method, path, body, silence)
         if reply is not None:
-            heard = True
+            any_answer = True
             if 200 <= reply.status < 300:
                 return Accepted(reply.body, address, tries)
-            reason = f"{reply.status}: {said(reply.body)}"
-            if reply.status in AT_ONCE:
-                return Rejected(reply.status, said(reply.body))
-            if 400 <= reply.status < 500 and reply.status not in AGAIN:
+            reason = f"{reply.status}: {error_reason(reply.body)}"
+            if reply.status in FINAL_STATUSES:
+                return Rejected(reply.status, error_reason(reply.body))
+            if 400 <= reply.status < 500 and reply.status not in RETRIED_STATUSES:
                 others += 1
-                if others == OTHERS_MOST:
-                    return Rejected(reply.status, said(reply.body))
+                if others == MAX_OTHER_ERRORS:
+                    return Rejected(reply.status, error_reason(reply.body))
         if loop.time() + wait < until:
             await pause(wait)
-            wait = min(2.0 * wait, PAUSE_MOST_S)
+            wait = min(2.0 * wait, MAX_PAUSE_S)
         elif tries >= len(addresses):
             break
-    return Indeterminate(reason, heard)
+    return Indeterminate(reason, any_answer)
 
 
-async def _followed(
+async def _call_following_redirects(
     address: Address, method: bytes, path: bytes, body: bytes, silence: float
 ) -> tuple[Reply | None, Address]:
     """The answer, FOLLOWED redirections on, and who gave it."""
-    for followed in range(FOLLOWED + 1):
+    for followed in range(MAX_REDIRECTS + 1):
         reply = await call(address, method, path, body, silence)
-        if reply is None or reply.status != 307 or followed == FOLLOWED:
+        if reply is None or reply.status != 307 or followed == MAX_REDIRECTS:
             return reply, address
         host, _, rest = reply.location.removeprefix("http://").partition("/")
         to = read_address(host)
@@ -137,7 +142,7 @@
     raise AssertionError("the last one returns")
 
 
-def said(body: bytes) -> str:
+def error_reason(body: bytes) -> str:
     """The reason in an answer's body, in one line."""
     try:
         told = msgspec.json.decode(body)
--- a/tests/mesh/test_cli_bearing.py
+++ b/tests/mesh/test_cli_bearing.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.cli.bearing import FEW, Facts, after, differences, judged
-from mesh.cli.config import as_call
+from mesh.cli.bearing import MIN_ANSWERS, MeshFacts, apply_change, differences, review_change
+from mesh.cli.config import to_call
 from mesh.configuration.commands import ConfigurationWrite, decode_change
 from mesh.replication.items import Item, Key
 from rigs.mesh_peers import change, route
 
-FACTS = Facts({"red": 2, "blue": 1}, ratios=(0.2,))
+FACTS = MeshFacts({"red": 2, "blue": 1}, retry_ratios=(0.2,))
 
 
 def call(body: Mapping[str, Any]) -> ConfigurationWrite:
@@ -25,14 +25,14 @@
 
 
 def standing(body: Mapping[str, Any]) -> dict[Key, Item]:
-    return after(call(body), {})
+    return apply_change(call(body), {})
 
 
 STANDS = standing(change(route("read", "/read/", "red", 5), services=("red", "blue", "empty")))
 
 
-def faults(body: Mapping[str, Any], facts: Facts = FACTS) -> list[tuple[str, str]]:
-    found = judged(call(body), STANDS, facts)
+def faults(body: Mapping[str, Any], facts: MeshFacts = FACTS) -> list[tuple[str, str]]:
+    found = review_change(call(body), STANDS, facts)
     assert all("\n" not in one.line() and one.mend for one in found)
     return [(one.item, one.field) for one in found]
 
@@ -72,21 +72,21 @@
 
 
 def test_an_aim_that_no_answer_of_late_has_met_is_told() -> None:
-    def of(count: int, least: float, service_least: float = 0.0) -> Facts:
+    def of(count: int, least: float, service_least: float = 0.0) -> MeshFacts:
         by_route = {"read": {"count": count, "least_ms": least}}
         by_service = {"red": {"count": 50, "least_ms": service_least}}
         told = {"by_route": by_route, "by_service": by_service}
-        return Facts(FACTS.settled, (told, {}), FACTS.ratios)
+        return MeshFacts(FACTS.settled_by_service, (told, {}), FACTS.retry_ratios)
 
     body = change(route("read", "/read/", "red", 6, setpoint_ms=100))
-    assert faults(body, of(FEW, 101.0)) == [("route read", "setpoint_ms")]
-    assert faults(body, of(FEW, 99.0, service_least=200.0)) == []
-    assert faults(body, of(FEW - 1, 101.0)) == []  # too few, and its service's are quick
+    assert faults(body, of(MIN_ANSWERS, 101.0)) == [("route read", "setpoint_ms")]
+    assert faults(body, of(MIN_ANSWERS, 99.0, service_least=200.0)) == []
+    assert faults(body, of(MIN_ANSWERS - 1, 101.0)) == []  # too few, and its service's are quick
     assert faults(body, of(0, 0.0, service_least=200.0)) == [("route read", "setpoint_ms")]
 
 
 def test_further_tries_without_a_budget_are_told() -> None:
-    none = Facts(FACTS.settled, (), (0.2, 0.0))
+    none = MeshFacts(FACTS.settled_by_service, (), (0.2, 0.0))
     assert faults(change(route("read", "/read/", "red", 6, trials=2)), none) == [
         ("route read", "response.trials")
     ]
@@ -120,7 +120,7 @@
     rules: list[dict[str, Any]],
 ) -> None:
     body = call(change(*rules))
-    before, then = STANDS, after(body, STANDS)
+    before, then = STANDS, apply_change(body, STANDS)
     changed = {f"{key[0]} {key[1]}" for key in then if before.get(key) != then[key]}
     found = differences(body, before)
     assert {one.item for one in found if one.sign in "+~-"} == changed
@@ -128,6 +128,6 @@
 
 def test_what_config_get_prints_is_read_as_a_call_and_a_call_stays_as_it_is() -> None:
     printed = {"input_ports": [], "plant_groups": []}
-    assert json.loads(as_call(json.dumps(printed).encode())) == {"apply": printed}
+    assert json.loads(to_call(json.dumps(printed).encode())) == {"apply": printed}
     for body in (b'{ "apply": {} }', b"{}", b"no json", b"[1]"):
-        assert as_call(body) == body
+        assert to_call(body) == body
--- a/tests/mesh/test_cli_judge.py
+++ b/tests/mesh/test_cli_judge.py
@@ -9,8 +9,8 @@
 import pytest
 
 from mesh.cli import shape, text
-from mesh.cli.judge import CLOCK_S, findings
-from mesh.cli.mesh_snapshot import MeshSnapshot, Process, newest, read_items
+from mesh.cli.judge import MAX_CLOCK_OFFSET_S, findings
+from mesh.cli.mesh_snapshot import MeshSnapshot, Process, newest_items, read_items
 from mesh.data_plane.membership import CONTROLLER, PROXY
 
 CHARTER = {"items": 9, "dropped": 1, "digest": "a" * 16}
@@ -55,12 +55,12 @@
 
 
 def silent(process: Process) -> Process:
-    return replace(process, told=None, why="cannot be reached")
+    return replace(process, status=None, why="cannot be reached")
 
 
-def told(process: Process, **fields: Any) -> Process:
-    assert process.told is not None
-    return replace(process, told={**process.told, **fields})
+def with_status(process: Process, **fields: Any) -> Process:
+    assert process.status is not None
+    return replace(process, status={**process.status, **fields})
 
 
 def test_nothing_is_found_where_all_is_as_it_should_be() -> None:
@@ -71,19 +71,29 @@
     ("at", "spoil", "kind", "subject"),
     [
         (1, silent, "member missing", "10.0.0.1"),
-        (1, lambda p: told(p, in_touch=False), "core cut", "core-1"),
-        (1, lambda p: told(p, whole=False), "disk not whole", "core-1"),
-        (1, lambda p: told(p, refused="no space"), "disk refuses", "core-1"),
+        (1, lambda p: with_status(p, in_touch=False), "core cut", "core-1"),
+        (1, lambda p: with_status(p, whole=False), "disk not whole", "core-1"),
+        (1, lambda p: with_status(p, refused="no space"), "disk refuses", "core-1"),
         (4, silent, "no answer", "side-1"),
-        (4, lambda p: told(p, node="side-9"), "other node there", "side-1"),
-        (4, lambda p: told(p, charter={**CHARTER, "items": 8, "digest": "b" * 16}), "behind", "side-1"),
-        (4, lambda p: told(p, ready=False), "not ready", "side-1"),
-        (4, lambda p: told(p, control={"without_ms": 1500, "behind_ms": 2500}), "cut from core", "side-1"),
-        (4, lambda p: told(p, upstream=None), "no beats", "side-1"),
-        (4, lambda p: told(p, upstream={"instance": "i", "silent_ms": 1301.0}), "no beats", "side-1"),
-        (4, lambda p: told(p, upstream={"instance": "i", "gone": True}), "no beats", "side-1"),
-        (4, lambda p: replace(p, ahead_s=-600.0, within_s=0.1), "clock off", "side-1"),
-        (4, lambda p: told(p, unknown=["sooner"]), "unknown settings", "side-1"),
+        (4, lambda p: with_status(p, node="side-9"), "other node there", "side-1"),
+        (
+            4,
+            lambda p: with_status(p, charter={**CHARTER, "items": 8, "digest": "b" * 16}),
+            "behind",
+            "side-1",
+        ),
+        (4, lambda p: with_status(p, ready=False), "not ready", "side-1"),
+        (
+            4,
+            lambda p: with_status(p, control={"without_ms": 1500, "behind_ms": 2500}),
+            "cut from core",
+            "side-1",
+        ),
+        (4, lambda p: with_status(p, upstream=None), "no beats", "side-1"),
+        (4, lambda p: with_status(p, upstream={"instance": "i", "silent_ms": 1301.0}), "no beats", "side-1"),
+        (4, lambda p: with_status(p, upstream={"instance": "i", "gone": True}), "no beats", "side-1"),
+        (4, lambda p: replace(p, clock_offset_s=-600.0, clock_error_s=0.1), "clock off", "side-1"),
+        (4, lambda p: with_status(p, unknown=["sooner"]), "unknown settings", "side-1"),
     ],
 )
 def test_each_trouble_is_found_where_it_is_and_nothing_else(
@@ -109,15 +119,19 @@
 
 
 def test_a_clock_that_the_wait_for_the_answer_may_explain_is_not_found() -> None:
-    near = [replace(p, ahead_s=5.0, within_s=0.0) for p in SOUND]  # this process's own clock is off
-    near[3] = replace(near[3], ahead_s=5.0 + CLOCK_S + 1.0, within_s=1.5)
+    near = [
+        replace(p, clock_offset_s=5.0, clock_error_s=0.0) for p in SOUND
+    ]  # this process's own clock is off
+    near[3] = replace(near[3], clock_offset_s=5.0 + MAX_CLOCK_OFFSET_S + 1.0, clock_error_s=1.5)
     assert findings(snapshot(*near)) == []
 
 
 def test_what_counts_is_what_the_core_holds_even_where_most_are_behind() -> None:
     old = {**CHARTER, "items": 8, "digest": "b" * 16}
     found = findings(
-        snapshot(*SOUND[:3], *[told(p, charter=old) for p in SOUND[3:]], told(side(3), charter=old))
+        snapshot(
+            *SOUND[:3], *[with_status(p, charter=old) for p in SOUND[3:]], with_status(side(3), charter=old)
+        )
     )
     assert {(one.kind, one.subject) for one in found} == {("behind", f"side-{at}") for at in range(4)}
 
@@ -128,16 +142,16 @@
         processes[at] = silent(processes[at])
     for at in range(503, 603):
         digest = f"{at % 30:016x}"
-        processes[at] = told(processes[at], charter={**CHARTER, "digest": digest}, upstream=None)
+        processes[at] = with_status(processes[at], charter={**CHARTER, "digest": digest}, upstream=None)
     there = snapshot(*processes)
-    lines = shape.status(there, findings(there))
+    lines = shape.status_lines(there, findings(there))
     assert len(lines) <= 50 and max(map(len, lines)) <= 100
     assert lines[0].startswith("NOT AS IT SHOULD BE") and lines[1].split()[:3] == ["member", "missing", "1"]
     assert any(line.split()[:3] == ["no", "answer", "500"] and "more" in line for line in lines)
     assert "proxies     500 of 1000 answer" in lines
-    told_all = shape.doctor(findings(there))
+    told_all = shape.doctor_lines(findings(there))
     assert len(told_all) <= 120 and max(map(len, told_all)) <= 100
-    assert max(map(len, shape.nodes([shape.process_row(there, p) for p in there.processes]))) <= 100
+    assert max(map(len, shape.node_lines([shape.process_row(there, p) for p in there.processes]))) <= 100
 
 
 def test_lines_keep_to_their_width_whatever_is_in_them() -> None:
@@ -146,7 +160,10 @@
     for told in ("w" * 300, "word " * 90, "  -> " + "a b " * 80):
         assert all(len(line) <= text.WIDTH for line in text.wrapped(told))
     assert text.wrapped("  -> a b") == ["  -> a b"]
-    assert text.names(["one", "two", "three"], 16) == "one and 2 more" and text.names(["one"], 3) == "one"
+    assert (
+        text.join_names(["one", "two", "three"], 16) == "one and 2 more"
+        and text.join_names(["one"], 3) == "one"
+    )
 
 
 def test_answers_of_another_version_are_read_as_far_as_they_go() -> None:
@@ -156,7 +173,7 @@
         Process("c", ("h", 3), {"role": PROXY, "upstream": 3, "beat_ms": "x", "node": 7}),
     ]
     there = MeshSnapshot(tuple(odd), {"a": {}, "b": {"role": 3}}, {"i": {"plant": None}})
-    assert findings(there) and shape.status(there, findings(there))
+    assert findings(there) and shape.status_lines(there, findings(there))
     assert read_items([["k", "n", 1, None], ["k", "n"], 3, ["k", "n", "1", None], [1, "n", 1, {}]]) != []
     assert read_items({"no": "list"}) == []
 
@@ -164,4 +181,7 @@
 def test_of_several_copies_the_item_that_outranks_is_taken() -> None:
     one = read_items([["k", "a", 1, {"v": 1}], ["k", "b", 3, {"v": 1}]])
     other = read_items([["k", "a", 2, None], ["k", "b", 2, {"v": 2}]])
-    assert {key: item.version for key, item in newest([one, other]).items()} == {("k", "a"): 2, ("k", "b"): 3}
+    assert {key: item.version for key, item in newest_items([one, other]).items()} == {
+        ("k", "a"): 2,
+        ("k", "b"): 3,
+    }
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -319,9 +319,12 @@
 
 def test_a_disk_that_holds_other_than_its_memory_is_told_unless_changes_came_meanwhile() -> None:
     alike = {"findings": [], "items": 3, "disk": "a", "memory": "a", "moving": False}
-    assert state_commands.wrong(alike) == [] and len(state_commands.wrong({**alike, "disk": "b"})) == 1
-    assert state_commands.wrong({**alike, "disk": "b", "moving": True}) == []
-    assert state_commands.wrong({**alike, "disk": "", "findings": ["page 3: bad"]}) == ["page 3: bad"]
+    assert (
+        state_commands.disk_findings(alike) == []
+        and len(state_commands.disk_findings({**alike, "disk": "b"})) == 1
+    )
+    assert state_commands.disk_findings({**alike, "disk": "b", "moving": True}) == []
+    assert state_commands.disk_findings({**alike, "disk": "", "findings": ["page 3: bad"]}) == ["page 3: bad"]
 
 
 def test_a_disk_that_refuses_and_upstreams_that_fall_silent_are_told_with_their_mend(
@@ -354,4 +357,4 @@
         assert result.exit_code == 2, words
     assert CliRunner().invoke(app, ["status", "--at", "here"]).exit_code == 2
     assert CliRunner().invoke(app, ["config", "check", str(tmp_path / "none"), *nobody]).exit_code == 2
-    assert config_commands.WAIT_S < state_commands.DISK_WAIT_S
+    assert config_commands.DEFAULT_WAIT_S < state_commands.DISK_WAIT_S
--- a/tests/mesh/test_cli_ownership.py
+++ b/tests/mesh/test_cli_ownership.py
@@ -1,6 +1,6 @@
 """What operators see of keys."""
 
-from mesh.cli.ownership import narrowed, shown
+from mesh.cli.ownership import ownership_lines, with_only_key
 
 TOLD = {
     "version": 7,
@@ -13,7 +13,7 @@
 
 
 def test_rows_are_shown_with_what_moves_and_what_nobody_holds() -> None:
-    head, _, columns, *rows = shown({"red": TOLD})
+    head, _, columns, *rows = ownership_lines({"red": TOLD})
     assert head == "red: map 7, 3 rows, 1 in motion, 57344 keys without a holder"
     assert columns.split() == ["keys", "holder", "fence", "leaves", "traffic"]
     assert [row.split() for row in rows if row] == [
@@ -24,6 +24,6 @@
 
 
 def test_one_keys_row_is_shown_alone() -> None:
-    assert [row[:2] for row in narrowed(TOLD, 5000)["rows"]] == [[4096, 8191]]
-    assert narrowed(TOLD, None) == TOLD
-    assert shown({}) == ["no service is divided by key"]
+    assert [row[:2] for row in with_only_key(TOLD, 5000)["rows"]] == [[4096, 8191]]
+    assert with_only_key(TOLD, None) == TOLD
+    assert ownership_lines({}) == ["no service is divided by key"]
--- a/tests/mesh/test_cli_questions.py
+++ b/tests/mesh/test_cli_questions.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from mesh.cli.client import Answered, Refused, Unreachable, ask, held
+from mesh.cli.client import Answered, Refused, Unreachable, ask, read_store
 from mesh.replication.store import Store
 from mesh.runtime import introspection_calls as questions_module
 from mesh.runtime.introspection_calls import (
@@ -147,12 +147,12 @@
         questions = OperatorLinks({"items": lambda head: item_page({"roll": store}, head), "hang": hang})
         address, server = await serve(questions)
         old, old_server = await serve(None)
-        copy = await held(address, "roll", 5.0)
+        copy = await read_store(address, "roll", 5.0)
         assert not isinstance(copy, Unreachable) and {item.key for item in copy} == set(store.items)
         assert isinstance(await ask(address, "what", 5.0), Refused)
         assert isinstance(await ask(address, "hang", 0.05), Unreachable)
         assert isinstance(await ask(old, "status", 5.0), Unreachable)
-        assert isinstance(await held(address, "other", 5.0), Unreachable)
+        assert isinstance(await read_store(address, "other", 5.0), Unreachable)
         server.close()
         old_server.close()
         await server.wait_closed()
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -9,7 +9,7 @@
 import pytest
 from test_cli_mesh import Mesh, narrow, run, told, write
 
-from mesh.cli.rollout import explained, shown
+from mesh.cli.rollout import change_lines, explain_lines
 from mesh.rollout.staged_activation import PENDING_COMMAND_S
 from rigs.mesh_peers import change, route
 
@@ -91,9 +91,9 @@
 
 
 def test_answers_of_other_versions_are_shown_as_far_as_they_go() -> None:
-    assert shown([], 0) == ["no change since this control process started"]
-    assert len(shown([{}, {"missing": 3, "lack": ["s1"], "worse": ["a"], "took_ms": 4}], 9)) == 3
-    lines = explained("route", "a", {"lack": [["s1", None], ["s2", 1500]]}, [], ["s3"])
+    assert change_lines([], 0) == ["no change since this control process started"]
+    assert len(change_lines([{}, {"missing": 3, "lack": ["s1"], "worse": ["a"], "took_ms": 4}], 9)) == 3
+    lines = explain_lines("route", "a", {"lack": [["s1", None], ["s2", 1500]]}, [], ["s3"])
     assert any("never heard of" in line for line in lines) and any("s3" in line for line in lines)
 
 
--- a/tests/mesh/test_cli_write_client.py
+++ b/tests/mesh/test_cli_write_client.py
@@ -9,7 +9,7 @@
 
 from anisestair.http import codec as http
 from mesh.cli import write_client
-from mesh.cli.write_client import PAUSE_S, Accepted, Indeterminate, Outcome, Rejected, send
+from mesh.cli.write_client import MIN_PAUSE_S, Accepted, Indeterminate, Outcome, Rejected, send
 from mesh.transport.http_calls import Answer, HttpServer
 
 BODY = b'{"apply": {}}'
@@ -67,7 +67,7 @@
     outcome, core = play([Answer(503), Answer(429), Answer(429)], [Answer(408), Answer(429), Answer(200)])
     assert isinstance(outcome, Accepted) and outcome.tries == 6
     assert [at for at, _ in core.calls] == [0, 1, 0, 1, 0, 1] and {body for _, body in core.calls} == {BODY}
-    assert core.pauses == [PAUSE_S * wait for wait in (1, 2, 4, 8, 10)]
+    assert core.pauses == [MIN_PAUSE_S * wait for wait in (1, 2, 4, 8, 10)]
 
 
 @pytest.mark.parametrize("status", [400, 409, 412, 413, 422])
@@ -92,10 +92,10 @@
 def test_silence_is_left_behind_and_nobody_at_all_is_told_apart_from_no_clear_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(write_client, "SILENCE_S", 0.05)
+    monkeypatch.setattr(write_client, "ANSWER_TIMEOUT_S", 0.05)
     outcome, core = play([None], [Answer(200)])
     assert isinstance(outcome, Accepted) and [at for at, _ in core.calls] == [0, 1]
     outcome, _ = play([None], within_s=0.1)
-    assert isinstance(outcome, Indeterminate) and not outcome.heard
+    assert isinstance(outcome, Indeterminate) and not outcome.any_answer
     outcome, _ = play([Answer(503, b'{"error": "too few"}')], within_s=0.15)
     assert outcome == Indeterminate("503: too few", True)
