--- a/anisestair/http/frontend.py
+++ b/anisestair/http/frontend.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from anisestair.endpoints import Address
-    from anisestair.recovery.inherited import Patient
+    from anisestair.recovery.inherited import ThreadedListener
     from anisestair.sidecar import Sidecar
 
 log = logging.getLogger(__name__)
@@ -123,7 +123,7 @@
     return (REQUEST_S + rest / SLOWEST) * 1000.0
 
 
-def unread(source: socket.socket | Patient) -> bool:
+def unread(source: socket.socket | ThreadedListener) -> bool:
     """Something stands in the kernel that this loop has not read yet."""
     poll = select.poll()
     poll.register(source.fileno(), select.POLLIN)
@@ -418,11 +418,11 @@
         self.resting: dict[ClientConnection, None] = {}  # nothing has come since the answer; longest first
         self._tasks: set[asyncio.Task[None]] = set()
         self._empty = asyncio.Event()
-        self._listener: socket.socket | Patient | None = None
+        self._listener: socket.socket | ThreadedListener | None = None
         self._inherited = self._held = self._patient = False
         self._sweeper: asyncio.TimerHandle | None = None
 
-    def listen(self, address: Address, inherited: socket.socket | Patient | None = None) -> Address:
+    def listen(self, address: Address, inherited: socket.socket | ThreadedListener | None = None) -> Address:
         """On a socket of its own, or on one that is shared with others: of that nothing is changed, and it is
         accepted from once `hold` says so."""
         if inherited is None:
--- a/anisestair/recovery/beliefs.py
+++ b/anisestair/recovery/beliefs.py
@@ -13,57 +13,62 @@
 
 # An age at which a belief has lost most of its weight: what servers do changes within seconds, what classes
 # cost within minutes. In mean aims, as the module's own time constants are.
-SERVER_FADES, CLASS_FADES = 40.0, 1000.0
-OLDEST = 3.0  # time constants after which nothing is believed
+SERVER_TIME_CONSTANT_AIMS, CLASS_TIME_CONSTANT_AIMS = 40.0, 1000.0
+MAX_AGE_TIME_CONSTANTS = 3.0  # time constants after which nothing is believed
 
 
-class Unfit(ValueError):
+class InvalidBeliefs(ValueError):
     """A record that cannot be used; says which part."""
 
 
 def faded(learnt: api.Learnt, age_ms: float, mean_aim: float, born: Mapping[str, float | None]) -> api.Learnt:
     """What is still to be believed ``age_ms`` after it was learnt. ``born`` has the listed servers with their
     starts: one that began anew since, or is not listed, is not believed of."""
-    fresh = math.exp(-age_ms / (SERVER_FADES * mean_aim))
-    steady = math.exp(-age_ms / (CLASS_FADES * mean_aim))
-    if age_ms < 0.0 or fresh < math.exp(-OLDEST):
+    server_weight = math.exp(-age_ms / (SERVER_TIME_CONSTANT_AIMS * mean_aim))
+    class_weight = math.exp(-age_ms / (CLASS_TIME_CONSTANT_AIMS * mean_aim))
+    if age_ms < 0.0 or server_weight < math.exp(-MAX_AGE_TIME_CONSTANTS):
         servers: tuple[api.LearntServer, ...] = ()
     else:
         servers = tuple(
-            _server(item, age_ms, fresh)
+            _server(item, age_ms, server_weight)
             for item in learnt.servers
-            if item.server in born and _same(item.started_at, born[item.server])
+            if item.server in born and _same_start(item.started_at, born[item.server])
         )
-    if age_ms < 0.0 or steady < math.exp(-OLDEST):
+    if age_ms < 0.0 or class_weight < math.exp(-MAX_AGE_TIME_CONSTANTS):
         return api.Learnt(servers=servers)
     return api.Learnt(
         servers=servers,
-        classes=tuple(_class(item, steady) for item in learnt.classes),
-        limit=learnt.limit * fresh,
-        done=learnt.done * fresh,
-        broken=learnt.broken * fresh,
+        classes=tuple(_class(item, class_weight) for item in learnt.classes),
+        limit=learnt.limit * server_weight,
+        done=learnt.done * server_weight,
+        broken=learnt.broken * server_weight,
         starting=learnt.starting,
     )
 
 
-def _same(one: float | None, other: float | None) -> bool:
+def _same_start(one: float | None, other: float | None) -> bool:
     """Starts are told in Unix time, and turned into each process's clock: equal to a few milliseconds."""
     if one is None or other is None:
         return one is other
     return abs(one - other) < 5.0
 
 
-def _server(item: api.LearntServer, age_ms: float, fresh: float) -> api.LearntServer:
+def _server(item: api.LearntServer, age_ms: float, server_weight: float) -> api.LearntServer:
     """Fewer samples count: the next answers weigh more. A trial that was to wait has waited meanwhile."""
     return api.LearntServer(
-        item.server, item.started_at, item.active, item.w, item.samples * fresh, item.breaks * (fresh > 0.5),
-        item.backoff * fresh, item.due_in - age_ms,
+        item.server, item.started_at, item.active, item.w, item.samples * server_weight,
+        item.breaks * (server_weight > 0.5), item.backoff * server_weight, item.due_in - age_ms,
     )  # fmt: skip
 
 
-def _class(item: api.LearntClass, steady: float) -> api.LearntClass:
+def _class(item: api.LearntClass, class_weight: float) -> api.LearntClass:
     return api.LearntClass(
-        item.name, dict(item.costs), item.quick, item.usual, int(item.calm * steady), item.seen * steady
+        item.name,
+        dict(item.costs),
+        item.quick,
+        item.usual,
+        int(item.calm * class_weight),
+        item.seen * class_weight,
     )
 
 
@@ -77,14 +82,14 @@
 
 
 def unpack(data: Any, most: int = 20_000) -> api.Learnt:
-    """Raises Unfit: what lies in a folder may have been written by anybody."""
+    """Raises InvalidBeliefs: what lies in a folder may have been written by anybody."""
     try:
         servers = tuple(_read_server(*row) for row in data["servers"][:most])
         classes = tuple(_read_class(*row) for row in data["classes"][:most])
         limit, done, broken = (_number(data[name], name) for name in ("limit", "done", "broken"))
         return api.Learnt(servers, classes, limit, done, min(broken, 1.0), data["starting"] is True)
     except (KeyError, TypeError, AttributeError) as fault:
-        raise Unfit(f"{type(fault).__name__}: {fault}") from None
+        raise InvalidBeliefs(f"{type(fault).__name__}: {fault}") from None
 
 
 def _fields(item: Any) -> list[Any]:
@@ -93,7 +98,7 @@
 
 def _number(value: Any, name: str, low: float = 0.0) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < math.inf:
-        raise Unfit(f"{name}: not a number of {low:g} or more")
+        raise InvalidBeliefs(f"{name}: not a number of {low:g} or more")
     return float(value)
 
 
@@ -103,7 +108,7 @@
 
 def _text(value: Any, name: str) -> str:
     if not isinstance(value, str) or not value:
-        raise Unfit(f"{name}: not a name")
+        raise InvalidBeliefs(f"{name}: not a name")
     return value
 
 
--- a/anisestair/recovery/inherited.py
+++ b/anisestair/recovery/inherited.py
@@ -13,16 +13,16 @@
 from anisestair.endpoints import Address
 
 POLL_MS = 100  # how soon a pause or an end is noticed by the thread that accepts
-AHEAD = 2  # connections accepted and not taken yet
+MAX_ACCEPTED_AHEAD = 2  # connections accepted and not taken yet
 
 
-def take(number: int, address: Address) -> socket.socket:
+def duplicate_listener(number: int, address: Address) -> socket.socket:
     """The listening socket on ``address`` behind a descriptor. Raises ConfigError, which says what it is
     instead."""
 
-    def wrong(says: str) -> ConfigError:
+    def invalid(problem: str) -> ConfigError:
         return ConfigError(
-            f"BALANCER_INHERITED_FD: descriptor {number} {says}; pass the clients' listening socket"
+            f"BALANCER_INHERITED_FD: descriptor {number} {problem}; pass the clients' listening socket"
         )
 
     try:
@@ -30,22 +30,22 @@
             fileno=os.dup(number)
         )  # a copy: closing it takes nothing from whoever passed it
     except OSError as fault:
-        raise wrong(f"is no socket ({fault.strerror})") from None
+        raise invalid(f"is no socket ({fault.strerror})") from None
     try:
         if found.family not in (socket.AF_INET, socket.AF_INET6) or found.type != socket.SOCK_STREAM:
-            raise wrong("is no TCP socket")
+            raise invalid("is no TCP socket")
         if not found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise wrong("does not listen")
+            raise invalid("does not listen")
         host, port = found.getsockname()[:2]
         if address[1] not in (0, port) or host not in (address[0], "0.0.0.0", "::"):
-            raise wrong(f"listens on {host}:{port}, not on {address[0]}:{address[1]}")
+            raise invalid(f"listens on {host}:{port}, not on {address[0]}:{address[1]}")
     except BaseException:
         found.close()
         raise
     return found
 
 
-class Patient:
+class ThreadedListener:
     """A listening socket that blocks, as others that share it want it: a thread accepts from it, and this
     looks to its reader like a socket that does not block.
 
@@ -54,10 +54,10 @@
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
-        self._ready, self._tell = socket.socketpair()
+        self._ready, self._notify = socket.socketpair()
         self._ready.setblocking(False)
-        self._taken: deque[tuple[socket.socket, object]] = deque()
-        self._room = threading.Semaphore(AHEAD)
+        self._accepted: deque[tuple[socket.socket, object]] = deque()
+        self._room = threading.Semaphore(MAX_ACCEPTED_AHEAD)
         self._open = threading.Event()
         self._open.set()
         self._closed = False
@@ -73,15 +73,15 @@
                 if not poll.poll(POLL_MS) or self._closed or not self._open.is_set():
                     self._room.release()
                     continue
-                self._taken.append(self._listener.accept())
-                self._tell.send(b"x")
+                self._accepted.append(self._listener.accept())
+                self._notify.send(b"x")
             except OSError:  # aborted by its client, or closed here
                 self._room.release()
 
     def accept(self) -> tuple[socket.socket, object]:
         self._ready.recv(1)  # raises BlockingIOError where none is there
         self._room.release()
-        return self._taken.popleft()
+        return self._accepted.popleft()
 
     def hold(self, held: bool) -> None:
         if held:
@@ -98,10 +98,10 @@
 
     def close(self) -> None:
         self._closed = True
-        for item in (self._ready, self._tell, self._listener):
+        for item in (self._ready, self._notify, self._listener):
             item.close()
 
 
-def listener(found: socket.socket) -> socket.socket | Patient:
+def nonblocking_listener(found: socket.socket) -> socket.socket | ThreadedListener:
     """What the frontend accepts from: the socket itself where it does not block."""
-    return Patient(found) if os.get_blocking(found.fileno()) else found
+    return ThreadedListener(found) if os.get_blocking(found.fileno()) else found
--- a/anisestair/recovery/meeting.py
+++ b/anisestair/recovery/meeting.py
@@ -15,36 +15,38 @@
 from typing import Any
 
 from anisestair.recovery import records
-from anisestair.recovery.records import Seat, Unreadable
+from anisestair.recovery.records import InvalidRecord, ProcessFiles
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.1
-LEAVE_S = 0.5  # how long an end waits for the thread; what it leaves behind the next start takes away
+POLL_INTERVAL_S = 0.1
+CLOSE_TIMEOUT_S = 0.5  # how long an end waits for the thread; what it leaves behind the next start takes away
 
-Heard = Callable[[Mapping[int, Mapping[str, Any]]], None]
+MembersChanged = Callable[[Mapping[int, Mapping[str, Any]]], None]
 
 
-class Meeting:
-    """``heard`` is called on the loop with what the others alive tell, by birth, whenever that has
+class RecordExchange:
+    """``on_change`` is called on the loop with what the others alive tell, by birth, whenever that has
     changed."""
 
-    def __init__(self, seat: Seat, heard: Heard, loop: asyncio.AbstractEventLoop) -> None:
-        self._seat, self._heard, self._loop = seat, heard, loop
+    def __init__(
+        self, files: ProcessFiles, on_change: MembersChanged, loop: asyncio.AbstractEventLoop
+    ) -> None:
+        self._files, self._on_change, self._loop = files, on_change, loop
         self._lock = threading.Lock()
-        self._wanted: dict[str, Any] | None = None  # this process's record, where it is to be written
-        self._gifts: dict[int, Any] = {}  # what goes to one other process, by its birth
-        self._given: set[int] = set()
+        self._pending_record: dict[str, Any] | None = None  # this process's record, where it is to be written
+        self._outgoing: dict[int, Any] = {}  # what goes to one other process, by its birth
+        self._sent_to: set[int] = set()
         self._known: dict[int, dict[str, Any]] = {}  # what the others alive tell, by birth
-        self._spoilt: set[int] = set()  # those of which it was said that they cannot be read
-        self._gift: dict[int, Any] = {}  # what others had for this process
+        self._reported_invalid: set[int] = set()  # those of which it was said that they cannot be read
+        self._received: dict[int, Any] = {}  # what others had for this process
         self._changed = -1
-        self._wake, self._over = threading.Event(), False
+        self._wake, self._closed = threading.Event(), False
         self._thread = threading.Thread(target=self._run, name="meeting", daemon=True)
 
     def start(self) -> None:
         """Looks once before it returns, so that a start knows who is there; then the thread does."""
-        self._look()
+        self._synchronize()
         self._thread.start()
 
     def known(self) -> dict[int, dict[str, Any]]:
@@ -52,46 +54,46 @@
         with self._lock:
             return dict(self._known)
 
-    def tell(self, record: dict[str, Any]) -> None:
+    def publish(self, record: dict[str, Any]) -> None:
         with self._lock:
-            self._wanted = record
+            self._pending_record = record
         self._wake.set()
 
-    def give(self, born: int, gift: Any) -> None:
+    def send(self, born: int, data: Any) -> None:
         """Something long for one other process, once."""
         with self._lock:
-            if born not in self._given:
-                self._given.add(born)
-                self._gifts[born] = gift
+            if born not in self._sent_to:
+                self._sent_to.add(born)
+                self._outgoing[born] = data
         self._wake.set()
 
-    def leave(self) -> None:
-        self._over = True
+    def close(self) -> None:
+        self._closed = True
         self._wake.set()
         if self._thread.is_alive():
-            self._thread.join(LEAVE_S)
+            self._thread.join(CLOSE_TIMEOUT_S)
         else:
-            self._seat.leave()
+            self._files.remove()
 
     def _run(self) -> None:
-        while not self._over:
-            self._wake.wait(LOOK_S)
+        while not self._closed:
+            self._wake.wait(POLL_INTERVAL_S)
             self._wake.clear()
             try:
-                self._look()
+                self._synchronize()
             except Exception:  # whatever lies there, the meeting goes on
-                log.exception("takeover: a look at %s failed", self._seat.folder)
-        self._seat.leave()
+                log.exception("takeover: a look at %s failed", self._files.folder)
+        self._files.remove()
 
-    def _look(self) -> None:
+    def _synchronize(self) -> None:
         with self._lock:
-            record, self._wanted = self._wanted, None
-            gifts, self._gifts = self._gifts, {}
+            record, self._pending_record = self._pending_record, None
+            outgoing, self._outgoing = self._outgoing, {}
         try:
-            for born, gift in gifts.items():
-                self._seat.give(born, gift)
+            for born, data in outgoing.items():
+                self._files.write_for(born, data)
             if record is not None:
-                self._seat.tell(record)
+                self._files.write_record(record)
         except OSError as fault:
             log.warning("takeover: %s", fault)
         self._read()
@@ -99,11 +101,11 @@
     def _read(self) -> None:
         """The folder is listed only where something in it has changed, or somebody may have died."""
         try:
-            changed = self._seat.folder.stat().st_mtime_ns
+            changed = self._files.folder.stat().st_mtime_ns
             if changed == self._changed and not self._known:
                 return
             self._changed = changed
-            found = self._seat.others()
+            found = self._files.others()
         except OSError as fault:
             log.warning("takeover: %s", fault)
             found = {}
@@ -111,8 +113,8 @@
         if known != self._known:
             with self._lock:
                 self._known = known
-            if self._thread.is_alive() and not self._over:
-                self._loop.call_soon_threadsafe(self._heard, known)
+            if self._thread.is_alive() and not self._closed:
+                self._loop.call_soon_threadsafe(self._on_change, known)
 
     def _record(self, born: int, path: Path) -> dict[str, Any]:
         """One that cannot be read may be half written, or not be there yet: what it said before stands."""
@@ -120,14 +122,14 @@
             data = records.read(path)
         except FileNotFoundError:
             return self._known.get(born, {})
-        except (OSError, Unreadable) as fault:
-            if born not in self._spoilt:
-                self._spoilt.add(born)
+        except (OSError, InvalidRecord) as fault:
+            if born not in self._reported_invalid:
+                self._reported_invalid.add(born)
                 log.warning("takeover: the record of process %d cannot be used: %s", born, fault)
             return self._known.get(born, {})
-        words = dict(data) if isinstance(data, dict) else {}
-        if born not in self._gift and words.get("asked") == self._seat.born:
-            self._gift[born] = self._seat.given_by(path)
-        if self._gift.get(born) is not None:
-            words["learnt"] = self._gift[born]
-        return words
+        fields = dict(data) if isinstance(data, dict) else {}
+        if born not in self._received and fields.get("asked") == self._files.born:
+            self._received[born] = self._files.read_from(path)
+        if self._received.get(born) is not None:
+            fields["learnt"] = self._received[born]
+        return fields
--- a/anisestair/recovery/records.py
+++ b/anisestair/recovery/records.py
@@ -17,12 +17,12 @@
 from typing import Any
 
 VERSION = 2
-MOST_BYTES = 4 * 1024 * 1024  # of one record: the beliefs of some ten thousand upstreams
-MOST_MEMBERS = 8  # processes of one sidecar that are looked at
-STEM = re.compile(r"anisestair-([0-9]{1,19})-([0-9]{1,10})")
+MAX_RECORD_BYTES = 4 * 1024 * 1024  # of one record: the beliefs of some ten thousand upstreams
+MAX_MEMBERS = 8  # processes of one sidecar that are looked at
+STEM_PATTERN = re.compile(r"anisestair-([0-9]{1,19})-([0-9]{1,10})")
 
 
-class Unreadable(ValueError):
+class InvalidRecord(ValueError):
     """A record that cannot be used; says why."""
 
 
@@ -42,37 +42,37 @@
 
 
 def read(path: Path) -> Any:
-    """Raises Unreadable for what is foreign, half-written, too large or of another version, FileNotFoundError
-    for what is missing."""
+    """Read a record. Raises InvalidRecord for a file of another user, and for one that is incomplete, too
+    large or of another version; FileNotFoundError if there is none."""
     try:
         # Not blocking: a pipe of that name would hold the reader for ever.
         handle = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
     except FileNotFoundError:
         raise
     except OSError as fault:
-        raise Unreadable(str(fault)) from None
+        raise InvalidRecord(str(fault)) from None
     try:
         found = os.fstat(handle)
         if not stat.S_ISREG(found.st_mode) or found.st_uid != os.geteuid():
-            raise Unreadable("not a file of this user's")
-        if found.st_size > MOST_BYTES:
-            raise Unreadable(f"longer than {MOST_BYTES} bytes")
+            raise InvalidRecord("not a file of this user's")
+        if found.st_size > MAX_RECORD_BYTES:
+            raise InvalidRecord(f"longer than {MAX_RECORD_BYTES} bytes")
         with os.fdopen(handle, "rb", closefd=False) as file:
-            text = file.read(MOST_BYTES)
+            text = file.read(MAX_RECORD_BYTES)
     finally:
         os.close(handle)
     head, _, body = text.partition(b"\n")
     length = head.rpartition(b" ")[2]
     body = body[: int(length)] if length.isdigit() and len(length) < 10 else b""
     if head != b"anisestair %d %08x %d" % (VERSION, zlib.crc32(body), len(body)):
-        raise Unreadable("another version, cut short, or not such a record at all")
+        raise InvalidRecord("another version, cut short, or not such a record at all")
     try:
         return json.loads(body)
     except (ValueError, RecursionError) as fault:
-        raise Unreadable(str(fault)) from None
+        raise InvalidRecord(str(fault)) from None
 
 
-class Seat:
+class ProcessFiles:
     """This process's place among those that are one sidecar: a lock that ends with it, and a record beside
     it."""
 
@@ -87,26 +87,26 @@
         new.rename(folder / f"{self._stem}.lock")
         self._record = -1
 
-    def tell(self, data: Any) -> None:
+    def write_record(self, data: Any) -> None:
         """In place: a reader that meets half of it finds that it does not add up. Raises OSError."""
         if self._record < 0:
             how = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
             self._record = os.open(self.folder / f"{self._stem}.state", how, 0o600)
         os.pwrite(self._record, text_of(data), 0)
 
-    def give(self, born: int, data: Any) -> None:
+    def write_for(self, born: int, data: Any) -> None:
         """Something for one other process alone. Raises OSError."""
         write(self.folder / f"{self._stem}.for-{born}", data)
 
-    def given_by(self, state: Path) -> Any:
+    def read_from(self, state: Path) -> Any:
         """What the process with this record has for this one; None where there is nothing, or nothing that
         can be used."""
         try:
             return read(state.with_suffix(f".for-{self.born}"))
-        except (OSError, Unreadable):
+        except (OSError, InvalidRecord):
             return None
 
-    def leave(self) -> None:
+    def remove(self) -> None:
         """Let go of the lock, and take away what this process wrote."""
         for path in self.folder.glob(f"{self._stem}.*"):
             _remove(path)
@@ -119,12 +119,12 @@
         found: dict[int, Path] = {}
         for name in sorted(os.listdir(self.folder)):
             stem, _, end = name.rpartition(".")
-            known = STEM.fullmatch(stem)
+            known = STEM_PATTERN.fullmatch(stem)
             if end != "lock" or known is None or stem == self._stem:
                 continue
-            if _held(self.folder / name):
+            if _is_locked(self.folder / name):
                 found[int(known[1])] = self.folder / f"{stem}.state"
-                if len(found) >= MOST_MEMBERS:
+                if len(found) >= MAX_MEMBERS:
                     break
             else:
                 for left in self.folder.glob(f"{stem}.*"):
@@ -139,7 +139,7 @@
         return
 
 
-def _held(path: Path) -> bool:
+def _is_locked(path: Path) -> bool:
     """Whether a process holds the lock: one that ended, however it did, holds none."""
     try:
         handle = os.open(path, os.O_RDWR | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
--- a/anisestair/recovery/shares.py
+++ b/anisestair/recovery/shares.py
@@ -12,12 +12,12 @@
 
 from typing import NamedTuple
 
-RESERVE = (
+RESERVED_DESCRIPTORS = (
     48  # descriptors left free for a newcomer to start with: its loop, log, discovery, a few connections
 )
-NEWCOMER = 16  # and connections that it may have of these before anybody has told it anything
+NEWCOMER_DESCRIPTORS = 16  # and connections that it may have of these before anybody has told it anything
 READY, ENDING = "ready", "ending"
-SILENT_MS = 1000.0  # an older process that says nothing for so long is paused, or of another version
+SILENCE_TIMEOUT_MS = 1000.0  # an older process that says nothing for so long is paused, or of another version
 
 
 class Member(NamedTuple):
@@ -39,17 +39,20 @@
     they told when they were last heard, ``used`` is what it holds or may come to hold without accepting
     anything."""
     if not accepting:
-        return max(used, NEWCOMER)
-    return max(total - RESERVE - sum(_keeps(item, me, total) for item in members), NEWCOMER)
+        return max(used, NEWCOMER_DESCRIPTORS)
+    return max(
+        total - RESERVED_DESCRIPTORS - sum(_held_by(item, me, total) for item in members),
+        NEWCOMER_DESCRIPTORS,
+    )
 
 
-def _keeps(one: Member, me: int, total: int) -> int:
+def _held_by(one: Member, me: int, total: int) -> int:
     """What another may hold. An older one that has not told that it leaves new connections to this process
     may have begun to accept, and to hold all, since it told anything: also one that left them to a younger
     one, which has died."""
     if one.born > me or one.seen == me or one.stage == ENDING:
         return one.keeps
-    return total - RESERVE
+    return total - RESERVED_DESCRIPTORS
 
 
 def accepts(me: int, members: list[Member], ready: bool) -> bool:
@@ -61,4 +64,4 @@
     """Whether the older ones leave new connections, and the descriptors for them, to this process.
     ``waited_ms`` is how long it has been ready."""
     older, _ = others(me, members)
-    return waited_ms >= SILENT_MS or all(item.seen == me or item.stage != READY for item in older)
+    return waited_ms >= SILENCE_TIMEOUT_MS or all(item.seen == me or item.stage != READY for item in older)
--- a/anisestair/recovery/takeover.py
+++ b/anisestair/recovery/takeover.py
@@ -13,19 +13,19 @@
 
 from anisestair.admin.readiness import Stage
 from anisestair.recovery import beliefs, records, shares
-from anisestair.recovery.meeting import LOOK_S, Meeting
+from anisestair.recovery.meeting import POLL_INTERVAL_S, RecordExchange
 from anisestair.recovery.shares import Member
 from hareloom import interface as api
 
 log = logging.getLogger(__name__)
 
-ASK_MS = 600.0  # how long a start waits for what an older process has learnt
+INHERITANCE_TIMEOUT_MS = 600.0  # how long a start waits for what an older process has learnt
 
 
 class Takeover:
     """``apply`` is told how many descriptors this process may hold, whether it accepts, whether it is alone,
-    and whether the older ones have made room for it; ``used`` says how many it holds, ``learnt`` what it has
-    learnt."""
+    and whether the older ones have made room for it; ``used`` says how many it holds, ``learnt`` what it
+    has learnt."""
 
     def __init__(
         self,
@@ -38,53 +38,53 @@
         self._total, self._offset_ms = total, offset_ms
         self._used, self._learnt, self._apply = used, learnt, apply
         self._born = time.monotonic_ns()
-        self._meeting: Meeting | None = None
+        self._exchange: RecordExchange | None = None
         self._stage = Stage.STARTING
         self._known: Mapping[int, Mapping[str, Any]] = {}  # what the others alive tell, by birth
-        self._told: Any = None
-        self._given: set[int] = set()  # those that were given what is learnt here
-        self._alarm: asyncio.TimerHandle | None = None
+        self._published: Any = None
+        self._sent_to: set[int] = set()  # those that were given what is learnt here
+        self._timer: asyncio.TimerHandle | None = None
         self._ready_at = 0.0
         self.accepts = False
-        self.share = shares.NEWCOMER
+        self.share = shares.NEWCOMER_DESCRIPTORS
 
     def start(self) -> None:
-        """Takes a seat in $TMPDIR; without one, or where that fails, this process counts as alone."""
+        """Takes a place in $TMPDIR; without one, or where that fails, this process counts as alone."""
         folder = os.environ.get("TMPDIR", "")
         try:
             if folder:
-                seat = records.Seat(Path(folder), self._born)
-                self._meeting = Meeting(seat, self._heard, asyncio.get_running_loop())
-                self._meeting.start()
-                self._known = self._meeting.known()
+                files = records.ProcessFiles(Path(folder), self._born)
+                self._exchange = RecordExchange(files, self._on_change, asyncio.get_running_loop())
+                self._exchange.start()
+                self._known = self._exchange.known()
         except OSError as fault:
             log.warning(
                 "takeover: %s cannot be used (%s): this process takes itself for the only one", folder, fault
             )
-        self._look()
+        self._update()
 
-    def at(self, stage: Stage) -> None:
+    def set_stage(self, stage: Stage) -> None:
         self._stage = stage
         if stage is Stage.READY:
             self._ready_at = time.monotonic() * 1000.0
-        self._look()
+        self._update()
 
-    def leave(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-        if self._meeting is not None:
-            self._meeting.leave()
-            self._meeting = None
+    def close(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._exchange is not None:
+            self._exchange.close()
+            self._exchange = None
 
-    def _heard(self, told: Mapping[int, Mapping[str, Any]]) -> None:
-        self._known = told
-        if self._meeting is not None:
-            self._look()
+    def _on_change(self, members: Mapping[int, Mapping[str, Any]]) -> None:
+        self._known = members
+        if self._exchange is not None:
+            self._update()
 
-    async def inheritance(self) -> tuple[api.Learnt, float] | None:
+    async def inherited_beliefs(self) -> tuple[api.Learnt, float] | None:
         """What the youngest of the older processes has learnt, and how old that is; None where nobody
         tells."""
-        until = time.monotonic() + ASK_MS / 1000.0
+        until = time.monotonic() + INHERITANCE_TIMEOUT_MS / 1000.0
         while time.monotonic() < until:
             older = [born for born in self._known if born < self._born]
             if not older:
@@ -94,17 +94,17 @@
                 try:
                     found = beliefs.unpack(data)
                     age = time.monotonic() * 1000.0 - float(data["at"])
-                except (beliefs.Unfit, KeyError, TypeError, ValueError) as fault:
+                except (beliefs.InvalidBeliefs, KeyError, TypeError, ValueError) as fault:
                     log.warning("takeover: what process %d has learnt cannot be used: %s", max(older), fault)
                     return None
                 return _shifted(found, self._offset_ms), age
-            await asyncio.sleep(LOOK_S / 4)
+            await asyncio.sleep(POLL_INTERVAL_S / 4)
         return None
 
-    def _look(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._alarm = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+    def _update(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._update)
         members, now = [_member(born, data) for born, data in self._known.items()], time.monotonic() * 1000.0
         waited = now - self._ready_at if self._ready_at else 0.0
         ready = self._stage is Stage.READY
@@ -112,24 +112,24 @@
         self.share = shares.share(self._born, self._total, members, self._used(), self.accepts)
         room = self.accepts and shares.has_room(self._born, members, waited)
         self._apply(self.share, self.accepts, not members, room)
-        self._tell(members, self.share)
+        self._publish(members, self.share)
 
-    def _tell(self, members: list[Member], keeps: int) -> None:
+    def _publish(self, members: list[Member], keeps: int) -> None:
         """This process's record, where it says anything new."""
-        if self._meeting is None:
+        if self._exchange is None:
             return
         younger = [item for item in members if item.born > self._born]
         youngest = max((item.born for item in younger), default=0)
         seen = max((item.born for item in younger if item.stage == shares.READY), default=0)
-        says: dict[str, Any] = {"stage": self._stage.value, "keeps": keeps, "seen": seen, "asked": youngest}
-        if says == self._told:
+        record: dict[str, Any] = {"stage": self._stage.value, "keeps": keeps, "seen": seen, "asked": youngest}
+        if record == self._published:
             return
-        if youngest and youngest not in self._given:
-            self._given.add(youngest)
+        if youngest and youngest not in self._sent_to:
+            self._sent_to.add(youngest)
             learnt = _shifted(self._learnt(), -self._offset_ms)
-            self._meeting.give(youngest, beliefs.pack(learnt) | {"at": time.monotonic() * 1000.0})
-        self._meeting.tell(says)
-        self._told = says
+            self._exchange.send(youngest, beliefs.pack(learnt) | {"at": time.monotonic() * 1000.0})
+        self._exchange.publish(record)
+        self._published = record
 
 
 def _member(born: int, data: Any) -> Member:
--- a/anisestair/serving.py
+++ b/anisestair/serving.py
@@ -68,12 +68,12 @@
 
     loop.add_signal_handler(signal.SIGHUP, reread)
     frontend = Frontend(sidecar, clients)
-    duty = None
+    coordinator = None
     if config.mgmt is not None or config.inherited is not None:
-        from anisestair.recovery import duty as duties
+        from anisestair.recovery import duty as recovery_duty
 
-        duty = duties.Duty(config, offset_ms, sidecar, frontend, spare)
-        host, port = await duty.begin()
+        coordinator = recovery_duty.ServingCoordinator(config, offset_ms, sidecar, frontend, spare)
+        host, port = await coordinator.start()
     else:
         host, port = frontend.listen(config.listen)
     log.info("%s: listening on %s:%d", config.name, host, port)
@@ -87,16 +87,16 @@
         print(f"anisestair: {line}", file=sys.stderr)
     await stop.wait()
     log.info("%s: ending", config.name)
-    if duty is not None:
-        duty.ending()
+    if coordinator is not None:
+        coordinator.begin_shutdown()
     await asyncio.gather(frontend.stop(), *([listener.stop()] if listener is not None else []))
     await sidecar.close()
     if listener is not None:
         listener.close()
     if storms is not None:
         storms.close()
-    if duty is not None:
-        duty.close()
+    if coordinator is not None:
+        coordinator.close()
     log.info("%s: ended", config.name)
 
 
--- a/anisestair/states/bugs.py
+++ b/anisestair/states/bugs.py
@@ -106,7 +106,7 @@
     _sound_retune(self, settings)
 
 
-_sound_accepts, _sound_share, _sound_keeps = shares.accepts, shares.share, shares._keeps
+_sound_accepts, _sound_share, _sound_keeps = shares.accepts, shares.share, shares._held_by
 
 
 def _accepts_late(me: int, members: list[shares.Member], ready: bool) -> bool:
@@ -586,11 +586,11 @@
     ),
     Bug(
         *("old-word-believed", "an older process is taken to hold what it told long ago", takeover.SLOW_NAME),
-        *(shares, "_keeps", _keeps_as_told),
+        *(shares, "_held_by", _keeps_as_told),
     ),
     Bug(
         *("left-to-the-dead", "room left to one that died is taken for one's own", takeover.SLOW_NAME),
-        *(shares, "_keeps", _keeps_for_any),
+        *(shares, "_held_by", _keeps_for_any),
     ),
     Bug(
         *("both-accept", "the old process goes on accepting beside a new one", takeover.NAME),
--- a/anisestair/states/takeover.py
+++ b/anisestair/states/takeover.py
@@ -108,7 +108,7 @@
         if what == "write":
             return self._write(state, at)
         if what == "start":
-            one = Process(STARTING, share=shares.NEWCOMER, unit=self._unit)
+            one = Process(STARTING, share=shares.NEWCOMER_DESCRIPTORS, unit=self._unit)
         elif what == "kill":
             one = Process(DEAD, unit=self._unit)
         elif what == "can serve":
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,8 +24,8 @@
 from anisestair.admin.readiness import Stage
 from anisestair.configure.effective import ConfigError
 from anisestair.recovery import beliefs, inherited, records, shares
-from anisestair.recovery.meeting import Meeting
-from anisestair.recovery.records import Seat, Unreadable
+from anisestair.recovery.meeting import RecordExchange
+from anisestair.recovery.records import InvalidRecord, ProcessFiles
 from anisestair.recovery.takeover import Takeover
 from hareloom import Balancer
 from hareloom import interface as api
@@ -68,7 +68,7 @@
         record[name] = junk
     try:
         found = beliefs.unpack(record)
-    except beliefs.Unfit:
+    except beliefs.InvalidBeliefs:
         return
     settings = api.Settings((api.RequestClass("sale", 400.0, 1200.0),))
     balancer = Balancer(settings, 1)
@@ -87,7 +87,7 @@
         for item in kept.servers
     )
     assert kept.limit <= learnt.limit and kept.done <= learnt.done
-    if age > beliefs.OLDEST * beliefs.CLASS_FADES * 400.0:
+    if age > beliefs.MAX_AGE_TIME_CONSTANTS * beliefs.CLASS_TIME_CONSTANT_AIMS * 400.0:
         assert kept == api.Learnt()
 
 
@@ -133,12 +133,12 @@
         HEAD + b"{}",
         b"anisestair 99 a3a6fbd1\n{}",
         b"\x00" * 100,
-        b"x" * (records.MOST_BYTES + 1),
+        b"x" * (records.MAX_RECORD_BYTES + 1),
     ],
 )
 def test_a_record_that_is_not_whole_is_refused(tmp_path: Path, text: bytes) -> None:
     (tmp_path / "a.state").write_bytes(text)
-    with pytest.raises(Unreadable):
+    with pytest.raises(InvalidRecord):
         records.read(tmp_path / "a.state")
 
 
@@ -149,7 +149,7 @@
     assert records.read(path) == {"stage": "ready", "keeps": 7}
     for end in range(len(text)):
         path.write_bytes(text[:end])
-        with pytest.raises(Unreadable):
+        with pytest.raises(InvalidRecord):
             records.read(path)
 
 
@@ -159,7 +159,7 @@
     os.mkfifo(tmp_path / "pipe.state")
     (tmp_path / "folder.state").mkdir()
     for name in ("link", "pipe", "folder"):
-        with pytest.raises(Unreadable):
+        with pytest.raises(InvalidRecord):
             records.read(tmp_path / f"{name}.state")
     with pytest.raises(FileNotFoundError):
         records.read(tmp_path / "missing.state")
@@ -167,16 +167,16 @@
 
 def test_what_is_told_again_takes_no_other_file(tmp_path: Path) -> None:
     """A file that is replaced gives its block back: within the rename, on disks that discard as they go."""
-    first, second = Seat(tmp_path, 100), Seat(tmp_path, 200)
+    first, second = ProcessFiles(tmp_path, 100), ProcessFiles(tmp_path, 200)
     state = next(iter(first.others().values()))
-    second.tell({"stage": "starting", "keeps": 100_000})
+    second.write_record({"stage": "starting", "keeps": 100_000})
     before = state.stat().st_ino
-    second.tell({"stage": "ready", "keeps": 7})  # shorter: what stood behind it is no part of it
+    second.write_record({"stage": "ready", "keeps": 7})  # shorter: what stood behind it is no part of it
     assert records.read(state) == {"stage": "ready", "keeps": 7} and state.stat().st_ino == before
-    second.give(100, {"limit": 5})
-    assert first.given_by(state) == {"limit": 5} and second.given_by(state) is None
-    first.leave()
-    second.leave()
+    second.write_for(100, {"limit": 5})
+    assert first.read_from(state) == {"limit": 5} and second.read_from(state) is None
+    first.remove()
+    second.remove()
     assert not list(tmp_path.iterdir())
 
 
@@ -185,50 +185,50 @@
     stuck, entered = threading.Event(), threading.Event()
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
-    def hang(seat: Seat, data: Any) -> None:
+    def hang(files: ProcessFiles, data: Any) -> None:
         entered.set()
         stuck.wait()
 
     async def run() -> None:
-        monkeypatch.setattr(Seat, "tell", hang)
+        monkeypatch.setattr(ProcessFiles, "write_record", hang)
         said: list[tuple[int, bool, bool, bool]] = []
         one = Takeover(384, 0.0, lambda: 30, api.Learnt, lambda *words: said.append(words))
         one.start()
-        one.at(Stage.READY)
+        one.set_stage(Stage.READY)
         async with asyncio.timeout(PATIENCE_S):
             await asyncio.to_thread(entered.wait)
             heard = len(said)
             while len(said) < heard + 3:  # looks on the loop, with the write under way all the while
                 await asyncio.sleep(0.01)
-        assert said[-1] == (384 - shares.RESERVE, True, True, True)
+        assert said[-1] == (384 - shares.RESERVED_DESCRIPTORS, True, True, True)
         stuck.set()
-        one.leave()
+        one.close()
 
     asyncio.run(run())
 
 
 def test_half_a_record_leaves_what_was_heard_before(tmp_path: Path) -> None:
     async def run() -> None:
-        mine, theirs = Seat(tmp_path, 200), Seat(tmp_path, 100)
-        theirs.tell({"stage": "ready", "keeps": 300, "seen": 0, "asked": 0})
+        mine, theirs = ProcessFiles(tmp_path, 200), ProcessFiles(tmp_path, 100)
+        theirs.write_record({"stage": "ready", "keeps": 300, "seen": 0, "asked": 0})
         heard: asyncio.Queue[Any] = asyncio.Queue()
-        meeting = Meeting(mine, heard.put_nowait, asyncio.get_running_loop())
-        meeting.start()
-        assert meeting.known()[100]["keeps"] == 300
+        exchange = RecordExchange(mine, heard.put_nowait, asyncio.get_running_loop())
+        exchange.start()
+        assert exchange.known()[100]["keeps"] == 300
         path = next(iter(mine.others().values()))
         whole = path.read_bytes()
         path.write_bytes(whole[:-3])
-        theirs.give(200, {"limit": 5})
+        theirs.write_for(200, {"limit": 5})
         await asyncio.sleep(0.0)
         path.write_bytes(whole)
-        theirs.tell({"stage": "ready", "keeps": 40, "seen": 200, "asked": 200})
+        theirs.write_record({"stage": "ready", "keeps": 40, "seen": 200, "asked": 200})
         async with asyncio.timeout(PATIENCE_S):
             told = await heard.get()
         assert told[100] == {"stage": "ready", "keeps": 40, "seen": 200, "asked": 200, "learnt": {"limit": 5}}
-        theirs.leave()
+        theirs.remove()
         async with asyncio.timeout(PATIENCE_S):
             assert await heard.get() == {}
-        meeting.leave()
+        exchange.close()
 
     asyncio.run(run())
 
@@ -238,14 +238,14 @@
         (tmp_path / name).write_bytes(b"?")
     (tmp_path / "anisestair-7-3.lock").mkdir()
     (tmp_path / "anisestair-8-4.lock").symlink_to("/dev/null")
-    first, second = Seat(tmp_path, 100), Seat(tmp_path, 200)
+    first, second = ProcessFiles(tmp_path, 100), ProcessFiles(tmp_path, 200)
     try:
         assert list(second.others()) == [100] and list(first.others()) == [200]
         assert not (tmp_path / "anisestair-5-1.lock").exists()  # whoever held it is gone
     finally:
-        second.leave()
+        second.remove()
         assert first.others() == {}
-        first.leave()
+        first.remove()
     assert not list(tmp_path.glob("*-100-*")) and not list(tmp_path.glob("*-200-*"))
 
 
@@ -265,11 +265,11 @@
                 (unix.fileno(), "is no TCP socket"), (silent.fileno(), "does not listen"),
             ):  # fmt: skip
                 with pytest.raises(ConfigError, match=f"BALANCER_INHERITED_FD: descriptor {number} {says}"):
-                    inherited.take(number, here)
+                    inherited.duplicate_listener(number, here)
         with pytest.raises(ConfigError, match="listens on"):
-            inherited.take(right.fileno(), ("127.0.0.1", here[1] % 65535 + 1))
+            inherited.duplicate_listener(right.fileno(), ("127.0.0.1", here[1] % 65535 + 1))
         flags = os.get_blocking(right.fileno())
-        inherited.take(right.fileno(), here).close()
+        inherited.duplicate_listener(right.fileno(), here).close()
         assert os.get_blocking(right.fileno()) == flags
         with socket.create_connection(here):
             right.accept()[0].close()  # it listens on
