--- a/anisestair/recovery/__init__.py
+++ b/anisestair/recovery/__init__.py
@@ -1,2 +1,2 @@
-"""What outlives one process: two that are one sidecar for a while, and what was learnt. Loaded only where
+"""Handover between processes of one sidecar: shared descriptors and learned state. Loaded only when
 needed."""
--- a/anisestair/recovery/beliefs.py
+++ b/anisestair/recovery/beliefs.py
@@ -1,6 +1,7 @@
-"""What was learnt, as it goes from one life of a sidecar to the next, and how it fades on the way. No I/O.
+"""Encoding, validation and decay of the balancer's learned state, passed from one process of a sidecar to
+the next. No I/O.
 
-Instants are ages here, in milliseconds before the moment of writing, so that no two clocks have to agree.
+Instants are ages in milliseconds before the time of writing, so that the clocks need not agree.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 
 from hareloom import interface as api
 
-# An age at which a belief has lost most of its weight: what servers do changes within seconds, what classes
-# cost within minutes. In mean aims, as the module's own time constants are.
+# Time constants of the decay, in multiples of the mean latency aim, as in the balancer: the behaviour of
+# servers changes within seconds, the cost of classes within minutes.
 SERVER_TIME_CONSTANT_AIMS, CLASS_TIME_CONSTANT_AIMS = 40.0, 1000.0
-MAX_AGE_TIME_CONSTANTS = 3.0  # time constants after which nothing is believed
+MAX_AGE_TIME_CONSTANTS = 3.0  # time constants after which learned state is discarded
 
 
 class InvalidBeliefs(ValueError):
-    """A record that cannot be used; says which part."""
+    """Learned state is malformed; the message names the part."""
 
 
 def faded(learnt: api.Learnt, age_ms: float, mean_aim: float, born: Mapping[str, float | None]) -> api.Learnt:
-    """What is still to be believed ``age_ms`` after it was learnt. ``born`` has the listed servers with their
-    starts: one that began anew since, or is not listed, is not believed of."""
+    """Return the learned state decayed by ``age_ms``. ``born`` maps the listed servers to their start times;
+    the state of a server that has restarted or is not listed is dropped."""
     server_weight = math.exp(-age_ms / (SERVER_TIME_CONSTANT_AIMS * mean_aim))
     class_weight = math.exp(-age_ms / (CLASS_TIME_CONSTANT_AIMS * mean_aim))
     if age_ms < 0.0 or server_weight < math.exp(-MAX_AGE_TIME_CONSTANTS):
@@ -47,14 +48,15 @@
 
 
 def _same_start(one: float | None, other: float | None) -> bool:
-    """Starts are told in Unix time, and turned into each process's clock: equal to a few milliseconds."""
+    """Return whether two start times are equal within 5 ms: each process converts them from Unix time to its
+    own clock."""
     if one is None or other is None:
         return one is other
     return abs(one - other) < 5.0
 
 
 def _server(item: api.LearntServer, age_ms: float, server_weight: float) -> api.LearntServer:
-    """Fewer samples count: the next answers weigh more. A trial that was to wait has waited meanwhile."""
+    """Scale down the samples, so that new responses weigh more, and advance the time of the next trial."""
     return api.LearntServer(
         item.server, item.started_at, item.active, item.w, item.samples * server_weight,
         item.breaks * (server_weight > 0.5), item.backoff * server_weight, item.due_in - age_ms,
@@ -73,7 +75,7 @@
 
 
 def pack(learnt: api.Learnt) -> dict[str, Any]:
-    """As JSON takes it."""
+    """Return the learned state as values that JSON can encode."""
     return {
         "servers": [list(_fields(item)) for item in learnt.servers],
         "classes": [list(_fields(item)) for item in learnt.classes],
@@ -82,7 +84,7 @@
 
 
 def unpack(data: Any, most: int = 20_000) -> api.Learnt:
-    """Raises InvalidBeliefs: what lies in a folder may have been written by anybody."""
+    """Decode and validate untrusted data. Raises InvalidBeliefs."""
     try:
         servers = tuple(_read_server(*row) for row in data["servers"][:most])
         classes = tuple(_read_class(*row) for row in data["classes"][:most])
--- a/anisestair/recovery/duty.py
+++ b/anisestair/recovery/duty.py
@@ -1,5 +1,5 @@
-"""A sidecar that operators call, or that is one of two processes: its readiness, its share, its warm
-start."""
+"""Coordinates a sidecar that has an admin interface or shares its listening socket with another process:
+readiness, share of descriptors and warm start."""
 
 from __future__ import annotations
 
@@ -23,17 +23,19 @@
 
 log = logging.getLogger(__name__)
 
-FIXED_DESCRIPTORS = 24  # descriptors of the log, the loop, signals, listeners, discovery and files
-MIN_CONNECTIONS = 8  # connections on either side that a process may always have
-READINESS_POLL_S = 0.02  # while a start is not ready yet
+FIXED_DESCRIPTORS = 24  # for the log, the loop, signals, listeners, discovery and files
+MIN_CONNECTIONS = 8  # connections to clients, and to upstreams, that a process may always have
+READINESS_POLL_S = 0.02  # interval of readiness checks during the start
 
 
 class ServingCoordinator:
+    """Starts and stops the admin interface and the takeover, and applies this process's share."""
+
     def __init__(
         self, config: Config, offset_ms: float, sidecar: Sidecar, frontend: Frontend, spare: int
     ) -> None:
         self._config, self._sidecar, self._frontend = config, sidecar, frontend
-        self._admin_descriptors = spare - SPARE_SOCKETS  # descriptors kept for operators' calls
+        self._admin_descriptors = spare - SPARE_SOCKETS  # reserved for connections to the admin interface
         self._loop = asyncio.get_running_loop()
         self._readiness, self._started_ms = Readiness(), self._now()
         self._timer: asyncio.TimerHandle | None = None
@@ -53,8 +55,10 @@
         return Lists(sidecar.usable, sidecar.heard, sidecar.unheard)
 
     async def start(self) -> Address:
-        """Raises ConfigError for a descriptor that cannot be used. Operators can call from now on; clients'
-        connections wait in the backlog until this process is ready, where another one may still take them."""
+        """Listen for clients and open the admin interface; return the clients' address. Client connections
+        wait in the backlog, where another process may accept them, until this process is ready.
+
+        Raises ConfigError for an inherited descriptor that cannot be used."""
         config = self._config
         listener = None
         if config.inherited is not None:
@@ -73,9 +77,7 @@
                 )
                 log.info("%s: operators call %s:%d", config.name, *self._admin.address)
             except OSError as fault:
-                log.error(
-                    "%s: BALANCER_MGMT: %s: operators cannot call; serving all the same", config.name, fault
-                )
+                log.error("%s: BALANCER_MGMT: %s: serving without the admin interface", config.name, fault)
         if self._takeover is not None:
             self._takeover.start()
             await self._warm_start(self._takeover)
@@ -92,12 +94,12 @@
         kept = beliefs.faded(learnt, age, sidecar.balancer.mean_aim, born)
         sidecar.balancer.believe(sidecar.now(), kept)
         log.info(
-            "%s: warm start: %d of %d upstreams believed, learnt %.0f ms ago",
+            "%s: warm start: %d of %d upstreams restored from state that is %.0f ms old",
             *(self._config.name, len(kept.servers), len(learnt.servers), age),
         )
 
     def _check_readiness(self) -> None:
-        """Until this process can serve; where another one is there, until that one has made room as well."""
+        """Check until this process can serve; in a takeover, older processes must make room as well."""
         if not may_serve(self._now() - self._started_ms, self._lists()):
             self._timer = self._loop.call_later(READINESS_POLL_S, self._check_readiness)
         elif self._takeover is not None:
@@ -122,28 +124,28 @@
         if self._admin is not None:
             self._admin.close()
 
-    # What the other process of the same sidecar is told, and what it says
+    # Exchange with the other processes of the same sidecar
 
     def _used_descriptors(self) -> int:
-        """What this process holds, or may come to hold without accepting."""
+        """Return the descriptors that this process holds, or may need without accepting connections."""
         calls = self._admin.held() if self._admin is not None else 0
         return FIXED_DESCRIPTORS + calls + self._frontend.held() + self._upstream_connections_needed()
 
     def _upstream_connections_needed(self) -> int:
-        """Connections to upstreams that this process needs for the clients it has: not all of them ask at
+        """Return the upstream connections needed for the current clients, which do not all send requests at
         once."""
         return max(self._busy_upstream_connections() + MIN_CONNECTIONS, self._frontend.held() // 2)
 
     def _busy_upstream_connections(self) -> int:
-        """Connections to upstreams that carry something; the idle ones can be let go at any time."""
+        """Return the number of upstream connections in use; idle ones can be closed at any time."""
         return len(self._sidecar.lives.connections) - len(self._sidecar.lives.idle)
 
     def _learnt(self) -> api.Learnt:
         return self._sidecar.balancer.learnt(self._sidecar.now())
 
     def _apply(self, share: int, accepts: bool, alone: bool, room: bool) -> None:
-        """No client's connection is closed for the other process' sake: a request may be on its way on
-        any."""
+        """Apply this process's share of descriptors. No client connection is closed to make room for another
+        process: a request may be in transit on any of them."""
         each = max(share - FIXED_DESCRIPTORS - self._admin_descriptors, 2 * MIN_CONNECTIONS) // 2
         if accepts:
             self._frontend.allow(max(each, self._frontend.held()), patient=not alone)
--- a/anisestair/recovery/inherited.py
+++ b/anisestair/recovery/inherited.py
@@ -1,5 +1,4 @@
-"""The clients' listening socket where the platform holds it: looked at before use, and left as it was
-found."""
+"""The clients' listening socket inherited from the platform: validated before use, its flags unchanged."""
 
 from __future__ import annotations
 
@@ -12,13 +11,13 @@
 from anisestair.configure.effective import ConfigError
 from anisestair.endpoints import Address
 
-POLL_MS = 100  # how soon a pause or an end is noticed by the thread that accepts
-MAX_ACCEPTED_AHEAD = 2  # connections accepted and not taken yet
+POLL_MS = 100  # delay until the accepting thread notices a pause or a close
+MAX_ACCEPTED_AHEAD = 2  # connections that the thread accepts before the event loop takes them
 
 
 def duplicate_listener(number: int, address: Address) -> socket.socket:
-    """The listening socket on ``address`` behind a descriptor. Raises ConfigError, which says what it is
-    instead."""
+    """Return a duplicate of the socket behind a descriptor. Raises ConfigError with the reason if it is not a
+    TCP socket that listens on ``address``."""
 
     def invalid(problem: str) -> ConfigError:
         return ConfigError(
@@ -28,7 +27,7 @@
     try:
         found = socket.socket(
             fileno=os.dup(number)
-        )  # a copy: closing it takes nothing from whoever passed it
+        )  # a duplicate, so that closing it does not affect the owner
     except OSError as fault:
         raise invalid(f"is no socket ({fault.strerror})") from None
     try:
@@ -46,11 +45,11 @@
 
 
 class ThreadedListener:
-    """A listening socket that blocks, as others that share it want it: a thread accepts from it, and this
-    looks to its reader like a socket that does not block.
+    """Presents a blocking listening socket as a non-blocking one: a thread accepts from it. Other processes
+    that share the socket may rely on the blocking mode.
 
-    A connection may be taken by a sibling between the thread's look and its accept. It then waits in accept
-    for the next one, also through a pause: that one is served all the same."""
+    If another process accepts a connection between the thread's poll and its accept, the thread blocks in
+    accept until the next connection, even during a pause; that connection is served nevertheless."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -75,11 +74,11 @@
                     continue
                 self._accepted.append(self._listener.accept())
                 self._notify.send(b"x")
-            except OSError:  # aborted by its client, or closed here
+            except OSError:  # aborted by the client, or the listener was closed
                 self._room.release()
 
     def accept(self) -> tuple[socket.socket, object]:
-        self._ready.recv(1)  # raises BlockingIOError where none is there
+        self._ready.recv(1)  # raises BlockingIOError if no connection is available
         self._room.release()
         return self._accepted.popleft()
 
@@ -103,5 +102,5 @@
 
 
 def nonblocking_listener(found: socket.socket) -> socket.socket | ThreadedListener:
-    """What the frontend accepts from: the socket itself where it does not block."""
+    """Return the socket itself if it is non-blocking, else a `ThreadedListener` on it."""
     return ThreadedListener(found) if os.get_blocking(found.fileno()) else found
--- a/anisestair/recovery/meeting.py
+++ b/anisestair/recovery/meeting.py
@@ -1,8 +1,8 @@
-"""The folder in which processes of one sidecar meet, looked at by a thread of its own.
+"""Exchange of records between the processes of one sidecar through a shared folder, in a separate thread.
 
-A file system may take hundreds of milliseconds for what looks like nothing: one that discards freed blocks
-as it goes does so within the rename that replaces a file, and whoever lists the folder waits for that. On
-the loop two processes stood still by turns for as long as both were there. Here only the thread waits.
+A file system operation may block for hundreds of milliseconds: a file system with online discard frees the
+blocks within the rename that replaces a file, and listings of the folder wait for it. On the event loop such
+waits would stall both processes in turn for as long as both run; here only the thread waits.
 """
 
 from __future__ import annotations
@@ -20,47 +20,48 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.1
-CLOSE_TIMEOUT_S = 0.5  # how long an end waits for the thread; what it leaves behind the next start takes away
+CLOSE_TIMEOUT_S = 0.5  # wait for the thread when closing; the next start removes files that remain
 
 MembersChanged = Callable[[Mapping[int, Mapping[str, Any]]], None]
 
 
 class RecordExchange:
-    """``on_change`` is called on the loop with what the others alive tell, by birth, whenever that has
-    changed."""
+    """Publishes this process's record and reads those of the others. ``on_change`` is called on the event
+    loop with the records of the other live processes, by birth, whenever they have changed."""
 
     def __init__(
         self, files: ProcessFiles, on_change: MembersChanged, loop: asyncio.AbstractEventLoop
     ) -> None:
         self._files, self._on_change, self._loop = files, on_change, loop
         self._lock = threading.Lock()
-        self._pending_record: dict[str, Any] | None = None  # this process's record, where it is to be written
-        self._outgoing: dict[int, Any] = {}  # what goes to one other process, by its birth
+        self._pending_record: dict[str, Any] | None = None  # this process's record, if not written yet
+        self._outgoing: dict[int, Any] = {}  # data for one other process, by its birth
         self._sent_to: set[int] = set()
-        self._known: dict[int, dict[str, Any]] = {}  # what the others alive tell, by birth
-        self._reported_invalid: set[int] = set()  # those of which it was said that they cannot be read
-        self._received: dict[int, Any] = {}  # what others had for this process
+        self._known: dict[int, dict[str, Any]] = {}  # records of the other live processes, by birth
+        self._reported_invalid: set[int] = set()  # births of processes whose invalid record was logged
+        self._received: dict[int, Any] = {}  # data from other processes for this one, by their birth
         self._changed = -1
         self._wake, self._closed = threading.Event(), False
         self._thread = threading.Thread(target=self._run, name="meeting", daemon=True)
 
     def start(self) -> None:
-        """Looks once before it returns, so that a start knows who is there; then the thread does."""
+        """Read the records once, so that the caller knows the other processes, then start the thread."""
         self._synchronize()
         self._thread.start()
 
     def known(self) -> dict[int, dict[str, Any]]:
-        """What the others alive told when they were last looked at."""
+        """Return the records of the other live processes as last read."""
         with self._lock:
             return dict(self._known)
 
     def publish(self, record: dict[str, Any]) -> None:
+        """Schedule this process's record for writing; a later record replaces an unwritten one."""
         with self._lock:
             self._pending_record = record
         self._wake.set()
 
     def send(self, born: int, data: Any) -> None:
-        """Something long for one other process, once."""
+        """Schedule data for one other process; only the first call for each process counts."""
         with self._lock:
             if born not in self._sent_to:
                 self._sent_to.add(born)
@@ -81,8 +82,8 @@
             self._wake.clear()
             try:
                 self._synchronize()
-            except Exception:  # whatever lies there, the meeting goes on
-                log.exception("takeover: a look at %s failed", self._files.folder)
+            except Exception:  # unexpected content of the folder must not end the thread
+                log.exception("takeover: reading %s failed", self._files.folder)
         self._files.remove()
 
     def _synchronize(self) -> None:
@@ -99,7 +100,7 @@
         self._read()
 
     def _read(self) -> None:
-        """The folder is listed only where something in it has changed, or somebody may have died."""
+        """List the folder only if it has changed, or if a known process may have ended."""
         try:
             changed = self._files.folder.stat().st_mtime_ns
             if changed == self._changed and not self._known:
@@ -117,7 +118,7 @@
                 self._loop.call_soon_threadsafe(self._on_change, known)
 
     def _record(self, born: int, path: Path) -> dict[str, Any]:
-        """One that cannot be read may be half written, or not be there yet: what it said before stands."""
+        """Return a process's record; its previous one if the file is missing, incomplete or invalid."""
         try:
             data = records.read(path)
         except FileNotFoundError:
--- a/anisestair/recovery/records.py
+++ b/anisestair/recovery/records.py
@@ -1,8 +1,7 @@
-"""Small files in a folder that others may write to as well: checked before use.
+"""Small files in a folder that other users may write to, validated before use.
 
-What is told often is written in place, into a block that the file keeps: a file that is replaced gives its
-block back, and a file system may take its time with that. What is long is written once, whole, under
-another name.
+A record that changes often is overwritten in place, so that the file keeps its block: replacing a file frees
+its block, which may be slow on some file systems. Long data is written once, and renamed when complete.
 """
 
 from __future__ import annotations
@@ -17,17 +16,17 @@
 from typing import Any
 
 VERSION = 2
-MAX_RECORD_BYTES = 4 * 1024 * 1024  # of one record: the beliefs of some ten thousand upstreams
-MAX_MEMBERS = 8  # processes of one sidecar that are looked at
+MAX_RECORD_BYTES = 4 * 1024 * 1024  # of one record: the learned state of some ten thousand upstreams
+MAX_MEMBERS = 8  # processes of one sidecar that are read
 STEM_PATTERN = re.compile(r"anisestair-([0-9]{1,19})-([0-9]{1,10})")
 
 
 class InvalidRecord(ValueError):
-    """A record that cannot be used; says why."""
+    """A record that cannot be used; the message states the reason."""
 
 
 def write(path: Path, data: Any) -> None:
-    """Under another name first, so that nobody reads half of it. Raises OSError."""
+    """Write a file under a temporary name and rename it, so that no reader sees a part. Raises OSError."""
     new = path.with_suffix(".new")
     handle = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
     with os.fdopen(handle, "wb") as file:
@@ -36,7 +35,7 @@
 
 
 def text_of(data: Any) -> bytes:
-    """A record as it is written: what stands behind its length is no part of it."""
+    """Encode a record. Its header has the length; a reader ignores any bytes that follow."""
     body = json.dumps(data, separators=(",", ":")).encode()
     return b"anisestair %d %08x %d\n" % (VERSION, zlib.crc32(body), len(body)) + body
 
@@ -45,7 +44,7 @@
     """Read a record. Raises InvalidRecord for a file of another user, and for one that is incomplete, too
     large or of another version; FileNotFoundError if there is none."""
     try:
-        # Not blocking: a pipe of that name would hold the reader for ever.
+        # Non-blocking: opening a named pipe would block the reader indefinitely.
         handle = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
     except FileNotFoundError:
         raise
@@ -73,41 +72,41 @@
 
 
 class ProcessFiles:
-    """This process's place among those that are one sidecar: a lock that ends with it, and a record beside
-    it."""
+    """The files of this process among those of one sidecar: a lock, released when the process ends, and a
+    record."""
 
     def __init__(self, folder: Path, born: int) -> None:
-        """``born`` orders processes by age. Raises OSError."""
+        """Create and lock the lock file; ``born`` orders processes by age. Raises OSError."""
         self.folder, self.born = folder, born
         self._stem = f"anisestair-{born}-{os.getpid()}"
         new = folder / f"{self._stem}.new-lock"
         self._handle = os.open(new, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-        # Locked before it has its name: nobody ever sees it there and free while this process lives.
+        # Locked before it gets its name, so that it is never visible unlocked while this process runs.
         fcntl.flock(self._handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         new.rename(folder / f"{self._stem}.lock")
         self._record = -1
 
     def write_record(self, data: Any) -> None:
-        """In place: a reader that meets half of it finds that it does not add up. Raises OSError."""
+        """Overwrite the record in place; a reader detects a partial write by the checksum. Raises OSError."""
         if self._record < 0:
             how = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
             self._record = os.open(self.folder / f"{self._stem}.state", how, 0o600)
         os.pwrite(self._record, text_of(data), 0)
 
     def write_for(self, born: int, data: Any) -> None:
-        """Something for one other process alone. Raises OSError."""
+        """Write data for one other process. Raises OSError."""
         write(self.folder / f"{self._stem}.for-{born}", data)
 
     def read_from(self, state: Path) -> Any:
-        """What the process with this record has for this one; None where there is nothing, or nothing that
-        can be used."""
+        """Return what the process with this record has written for this one; None if there is none, or it is
+        invalid."""
         try:
             return read(state.with_suffix(f".for-{self.born}"))
         except (OSError, InvalidRecord):
             return None
 
     def remove(self) -> None:
-        """Let go of the lock, and take away what this process wrote."""
+        """Remove the files of this process and release the lock."""
         for path in self.folder.glob(f"{self._stem}.*"):
             _remove(path)
         if self._record >= 0:
@@ -115,7 +114,7 @@
         os.close(self._handle)
 
     def others(self) -> dict[int, Path]:
-        """The records of the others alive, by their birth. What the dead left is taken away."""
+        """Return the record paths of the other live processes by birth; remove files of ended ones."""
         found: dict[int, Path] = {}
         for name in sorted(os.listdir(self.folder)):
             stem, _, end = name.rpartition(".")
@@ -135,12 +134,12 @@
 def _remove(path: Path) -> None:
     try:
         path.unlink(missing_ok=True)
-    except OSError:  # a folder of that name, perhaps: it stays
+    except OSError:  # not a file, for example: it stays
         return
 
 
 def _is_locked(path: Path) -> bool:
-    """Whether a process holds the lock: one that ended, however it did, holds none."""
+    """Return whether a live process holds the lock: the kernel releases it when the process ends."""
     try:
         handle = os.open(path, os.O_RDWR | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
     except OSError:
--- a/anisestair/recovery/takeover.py
+++ b/anisestair/recovery/takeover.py
@@ -1,4 +1,4 @@
-"""Two processes that are one sidecar for a while: what each tells the other, ten times a second."""
+"""Takeover between processes of one sidecar, which exchange records ten times a second."""
 
 from __future__ import annotations
 
@@ -19,13 +19,15 @@
 
 log = logging.getLogger(__name__)
 
-INHERITANCE_TIMEOUT_MS = 600.0  # how long a start waits for what an older process has learnt
+INHERITANCE_TIMEOUT_MS = 600.0  # wait at startup for the learned state of an older process
 
 
 class Takeover:
-    """``apply`` is told how many descriptors this process may hold, whether it accepts, whether it is alone,
-    and whether the older ones have made room for it; ``used`` says how many it holds, ``learnt`` what it
-    has learnt."""
+    """Determines this process's share of descriptors and whether it accepts connections.
+
+    ``apply`` gets the number of descriptors that this process may hold, whether it accepts, whether it is
+    alone, and whether the older processes have made room for it. ``used`` returns the number of descriptors
+    held, ``learnt`` the balancer's learned state."""
 
     def __init__(
         self,
@@ -40,16 +42,16 @@
         self._born = time.monotonic_ns()
         self._exchange: RecordExchange | None = None
         self._stage = Stage.STARTING
-        self._known: Mapping[int, Mapping[str, Any]] = {}  # what the others alive tell, by birth
+        self._known: Mapping[int, Mapping[str, Any]] = {}  # records of the other live processes, by birth
         self._published: Any = None
-        self._sent_to: set[int] = set()  # those that were given what is learnt here
+        self._sent_to: set[int] = set()  # processes that were sent the learned state, by birth
         self._timer: asyncio.TimerHandle | None = None
         self._ready_at = 0.0
         self.accepts = False
         self.share = shares.NEWCOMER_DESCRIPTORS
 
     def start(self) -> None:
-        """Takes a place in $TMPDIR; without one, or where that fails, this process counts as alone."""
+        """Join the exchange in $TMPDIR. If that is unset or unusable, this process assumes to be alone."""
         folder = os.environ.get("TMPDIR", "")
         try:
             if folder:
@@ -59,7 +61,7 @@
                 self._known = self._exchange.known()
         except OSError as fault:
             log.warning(
-                "takeover: %s cannot be used (%s): this process takes itself for the only one", folder, fault
+                "takeover: %s cannot be used (%s): this process assumes to be the only one", folder, fault
             )
         self._update()
 
@@ -82,8 +84,8 @@
             self._update()
 
     async def inherited_beliefs(self) -> tuple[api.Learnt, float] | None:
-        """What the youngest of the older processes has learnt, and how old that is; None where nobody
-        tells."""
+        """Return the learned state of the youngest older process and its age in ms; None if there is no
+        older process, or its state is invalid or does not arrive in time."""
         until = time.monotonic() + INHERITANCE_TIMEOUT_MS / 1000.0
         while time.monotonic() < until:
             older = [born for born in self._known if born < self._born]
@@ -95,7 +97,9 @@
                     found = beliefs.unpack(data)
                     age = time.monotonic() * 1000.0 - float(data["at"])
                 except (beliefs.InvalidBeliefs, KeyError, TypeError, ValueError) as fault:
-                    log.warning("takeover: what process %d has learnt cannot be used: %s", max(older), fault)
+                    log.warning(
+                        "takeover: the learned state of process %d cannot be used: %s", max(older), fault
+                    )
                     return None
                 return _shifted(found, self._offset_ms), age
             await asyncio.sleep(POLL_INTERVAL_S / 4)
@@ -115,7 +119,7 @@
         self._publish(members, self.share)
 
     def _publish(self, members: list[Member], keeps: int) -> None:
-        """This process's record, where it says anything new."""
+        """Publish this process's record if it has changed, and send the learned state to a new process."""
         if self._exchange is None:
             return
         younger = [item for item in members if item.born > self._born]
@@ -133,7 +137,7 @@
 
 
 def _member(born: int, data: Any) -> Member:
-    """What a record says, where it says it in the right form; else as one that has said nothing."""
+    """Convert a record; a malformed one gives the member without any reported values."""
     keeps, seen, stage = data.get("keeps"), data.get("seen"), data.get("stage")
     if not isinstance(keeps, int) or not isinstance(seen, int) or not isinstance(stage, str):
         return Member(born, 0, 0)
@@ -141,7 +145,7 @@
 
 
 def _shifted(learnt: api.Learnt, offset_ms: float) -> api.Learnt:
-    """Starts from one clock into another."""
+    """Return the learned state with start times shifted by ``offset_ms`` to another clock."""
     return replace(
         learnt,
         servers=tuple(
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,5 +1,4 @@
-"""A new version under load: what one process leaves to the next, and two real ones on one listening
-socket."""
+"""Replacement of a sidecar process: learned state, records, and real processes on one listening socket."""
 
 from __future__ import annotations
 
@@ -31,7 +30,7 @@
 from hareloom import interface as api
 from rigs.versions import Platform, call
 
-# Beliefs
+# Learned state
 
 COST = st.floats(0.0, 1e6)
 SERVER = st.builds(
@@ -99,7 +98,7 @@
 
 
 def test_a_warm_start_goes_on_as_the_old_one_would() -> None:
-    """A slow server that is out stays out, and the quick one is used from the first request on."""
+    """A slow server that was taken out of use stays out; the quick one is used from the first request."""
     settings = api.Settings((api.RequestClass("sale", 400.0, 1200.0),), peers=1)
     entries = tuple(api.ServerEntry(name) for name in ("quick", "fair", "slow"))
     old = Balancer(settings, 1)
@@ -166,12 +165,12 @@
 
 
 def test_what_is_told_again_takes_no_other_file(tmp_path: Path) -> None:
-    """A file that is replaced gives its block back: within the rename, on disks that discard as they go."""
+    """Replacing a file frees its block within the rename, which is slow on disks with online discard."""
     first, second = ProcessFiles(tmp_path, 100), ProcessFiles(tmp_path, 200)
     state = next(iter(first.others().values()))
     second.write_record({"stage": "starting", "keeps": 100_000})
     before = state.stat().st_ino
-    second.write_record({"stage": "ready", "keeps": 7})  # shorter: what stood behind it is no part of it
+    second.write_record({"stage": "ready", "keeps": 7})  # shorter: the bytes that follow it are ignored
     assert records.read(state) == {"stage": "ready", "keeps": 7} and state.stat().st_ino == before
     second.write_for(100, {"limit": 5})
     assert first.read_from(state) == {"limit": 5} and second.read_from(state) is None
@@ -181,7 +180,7 @@
 
 
 def test_a_disk_that_stands_still_holds_up_no_call(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The write of a record never returns: the loop goes on, and so does the share of what is known."""
+    """The write of a record never returns; the event loop and the updates of the share go on."""
     stuck, entered = threading.Event(), threading.Event()
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
@@ -191,16 +190,16 @@
 
     async def run() -> None:
         monkeypatch.setattr(ProcessFiles, "write_record", hang)
-        said: list[tuple[int, bool, bool, bool]] = []
-        one = Takeover(384, 0.0, lambda: 30, api.Learnt, lambda *words: said.append(words))
+        applied: list[tuple[int, bool, bool, bool]] = []
+        one = Takeover(384, 0.0, lambda: 30, api.Learnt, lambda *values: applied.append(values))
         one.start()
         one.set_stage(Stage.READY)
         async with asyncio.timeout(PATIENCE_S):
             await asyncio.to_thread(entered.wait)
-            heard = len(said)
-            while len(said) < heard + 3:  # looks on the loop, with the write under way all the while
+            before = len(applied)
+            while len(applied) < before + 3:  # updates on the event loop while the write is blocked
                 await asyncio.sleep(0.01)
-        assert said[-1] == (384 - shares.RESERVED_DESCRIPTORS, True, True, True)
+        assert applied[-1] == (384 - shares.RESERVED_DESCRIPTORS, True, True, True)
         stuck.set()
         one.close()
 
@@ -211,8 +210,8 @@
     async def run() -> None:
         mine, theirs = ProcessFiles(tmp_path, 200), ProcessFiles(tmp_path, 100)
         theirs.write_record({"stage": "ready", "keeps": 300, "seen": 0, "asked": 0})
-        heard: asyncio.Queue[Any] = asyncio.Queue()
-        exchange = RecordExchange(mine, heard.put_nowait, asyncio.get_running_loop())
+        changes: asyncio.Queue[Any] = asyncio.Queue()
+        exchange = RecordExchange(mine, changes.put_nowait, asyncio.get_running_loop())
         exchange.start()
         assert exchange.known()[100]["keeps"] == 300
         path = next(iter(mine.others().values()))
@@ -223,11 +222,17 @@
         path.write_bytes(whole)
         theirs.write_record({"stage": "ready", "keeps": 40, "seen": 200, "asked": 200})
         async with asyncio.timeout(PATIENCE_S):
-            told = await heard.get()
-        assert told[100] == {"stage": "ready", "keeps": 40, "seen": 200, "asked": 200, "learnt": {"limit": 5}}
+            members = await changes.get()
+        assert members[100] == {
+            "stage": "ready",
+            "keeps": 40,
+            "seen": 200,
+            "asked": 200,
+            "learnt": {"limit": 5},
+        }
         theirs.remove()
         async with asyncio.timeout(PATIENCE_S):
-            assert await heard.get() == {}
+            assert await changes.get() == {}
         exchange.close()
 
     asyncio.run(run())
@@ -241,7 +246,7 @@
     first, second = ProcessFiles(tmp_path, 100), ProcessFiles(tmp_path, 200)
     try:
         assert list(second.others()) == [100] and list(first.others()) == [200]
-        assert not (tmp_path / "anisestair-5-1.lock").exists()  # whoever held it is gone
+        assert not (tmp_path / "anisestair-5-1.lock").exists()  # the process that held it has ended
     finally:
         second.remove()
         assert first.others() == {}
@@ -272,7 +277,7 @@
         inherited.duplicate_listener(right.fileno(), here).close()
         assert os.get_blocking(right.fileno()) == flags
         with socket.create_connection(here):
-            right.accept()[0].close()  # it listens on
+            right.accept()[0].close()  # the socket still listens
 
 
 @asynccontextmanager
@@ -291,8 +296,8 @@
 
 @pytest.mark.parametrize("blocking", [True, False], ids=["blocking", "not blocking"])
 def test_an_upgrade_under_load_loses_no_request(tmp_path: Path, blocking: bool) -> None:
-    """Calls on kept and on new connections all the while; then the new one dies, and a third takes its
-    place."""
+    """Requests go on over kept and new connections during the upgrade. Then a third process becomes ready
+    and is killed, and the second one serves again."""
 
     async def run() -> None:
         async with platform(tmp_path, blocking) as (there, upstream):
@@ -326,7 +331,7 @@
             over = True
             await asyncio.gather(*loads)
             assert set(statuses) == {200} and len(statuses) == len(upstream.requests)
-            # A newer one that is killed once it accepts: the one before goes on.
+            # A newer process is killed once it accepts: the previous one goes on.
             third, _ = await there.start()
             await there.says(third, "ready")
             third.kill()
@@ -341,7 +346,7 @@
     async def run() -> None:
         discovery = FakeDiscovery()
         await discovery.start()
-        there = Platform(ROOT, tmp_path, config(discovery.dial))  # no upstream at all: never ready
+        there = Platform(ROOT, tmp_path, config(discovery.dial))  # without upstreams it never becomes ready
         process, port = await there.start()
         assert (await call(port, "/admin/health"))[0] == 503
         process.send_signal(signal.SIGTERM)
