--- a/anisestair/recovery/meeting.py
+++ b/anisestair/recovery/meeting.py
@@ -27,7 +27,7 @@
 
 class RecordExchange:
     """Publishes this process's record and reads those of the others. ``on_change`` is called on the event
-    loop with the records of the other live processes, by birth, whenever they have changed."""
+    loop with the records of the other live processes, by start time, whenever they have changed."""
 
     def __init__(
         self, files: ProcessFiles, on_change: MembersChanged, loop: asyncio.AbstractEventLoop
@@ -35,11 +35,11 @@
         self._files, self._on_change, self._loop = files, on_change, loop
         self._lock = threading.Lock()
         self._pending_record: dict[str, Any] | None = None  # this process's record, if not written yet
-        self._outgoing: dict[int, Any] = {}  # data for one other process, by its birth
+        self._outgoing: dict[int, Any] = {}  # data for one other process, by its start time
         self._sent_to: set[int] = set()
-        self._known: dict[int, dict[str, Any]] = {}  # records of the other live processes, by birth
-        self._reported_invalid: set[int] = set()  # births of processes whose invalid record was logged
-        self._received: dict[int, Any] = {}  # data from other processes for this one, by their birth
+        self._known: dict[int, dict[str, Any]] = {}  # records of the other live processes, by start time
+        self._reported_invalid: set[int] = set()  # start times of processes whose invalid record was logged
+        self._received: dict[int, Any] = {}  # data from other processes for this one, by its start time
         self._changed = -1
         self._wake, self._closed = threading.Event(), False
         self._thread = threading.Thread(target=self._run, name="meeting", daemon=True)
--- a/anisestair/recovery/records.py
+++ b/anisestair/recovery/records.py
@@ -114,7 +114,7 @@
         os.close(self._handle)
 
     def others(self) -> dict[int, Path]:
-        """Return the record paths of the other live processes by birth; remove files of ended ones."""
+        """Return the record paths of the other live processes by start time; remove files of ended ones."""
         found: dict[int, Path] = {}
         for name in sorted(os.listdir(self.folder)):
             stem, _, end = name.rpartition(".")
--- a/anisestair/recovery/shares.py
+++ b/anisestair/recovery/shares.py
@@ -13,14 +13,10 @@
 
 from typing import NamedTuple
 
-RESERVED_DESCRIPTORS = (
-    48  # descriptors left free for a new process: its loop, log, discovery, a few connections
-)
+RESERVED_DESCRIPTORS = 48  # left free for a new process: its loop, log, discovery, a few connections
 NEWCOMER_DESCRIPTORS = 16  # of these, for connections before it has read any record
 READY, ENDING = "ready", "ending"
-SILENCE_TIMEOUT_MS = (
-    1000.0  # an older process that does not yield for so long is paused, or of another version
-)
+SILENCE_TIMEOUT_MS = 1000.0  # an older process that yields no sooner is paused, or of another version
 
 
 class Member(NamedTuple):
--- a/anisestair/recovery/takeover.py
+++ b/anisestair/recovery/takeover.py
@@ -42,9 +42,9 @@
         self._born = time.monotonic_ns()
         self._exchange: RecordExchange | None = None
         self._stage = Stage.STARTING
-        self._known: Mapping[int, Mapping[str, Any]] = {}  # records of the other live processes, by birth
+        self._known: Mapping[int, Mapping[str, Any]] = {}  # records of the other live ones, by start time
         self._published: Any = None
-        self._sent_to: set[int] = set()  # processes that were sent the learned state, by birth
+        self._sent_to: set[int] = set()  # processes that were sent the learned state, by start time
         self._timer: asyncio.TimerHandle | None = None
         self._ready_at = 0.0
         self.accepts = False
