--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -28,7 +28,7 @@
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
-from mesh.storage.lmdb_store import Kept
+from mesh.storage.lmdb_store import Durable
 from mesh.transport.frames import Head
 
 COMPARE_INTERVAL_S = (4.0, 8.0)  # range of the time between two comparisons by one process
@@ -213,12 +213,12 @@
 
     async def _check_disk(self) -> None:
         try:
-            findings = await self._disk_writer.run_between_batches(lambda keeper: keeper.verify())
+            findings = await self._disk_writer.run_between_batches(lambda disk_store: disk_store.verify())
             if not findings:
                 return
             items = len(self._stores[CONFIG_STORE].items)
             outcome = await self._disk_writer.rewrite()
-            if isinstance(outcome, Kept):
+            if isinstance(outcome, Durable):
                 self._event_log.emit(
                     events.DISK_REPAIRED, items=items, findings=len(findings), first=findings[0]
                 )
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -12,8 +12,8 @@
 from mesh.control_plane.write_batches import DiskWriter
 from mesh.replication.store import Store
 from mesh.runtime.introspection_calls import Handler, JsonObject, Refusal
-from mesh.storage.layout import StorageError, held
-from mesh.storage.lmdb_store import NAME, Keeper, Refused
+from mesh.storage.layout import StorageError, read_state
+from mesh.storage.lmdb_store import NAME, DiskStore, WriteFailed
 from mesh.transport.frames import Head
 
 MAX_FINDINGS = 20
@@ -69,16 +69,16 @@
             return to
         await self._disk_writer.flush()
         return await self._disk_writer.run_between_batches(
-            lambda keeper: _copy(keeper, to, Path(self._state_dir), self._max_bytes)
+            lambda disk_store: _copy(disk_store, to, Path(self._state_dir), self._max_bytes)
         )
 
 
-def _survey(keeper: Keeper) -> _Disk:
-    findings = keeper.verify()
+def _survey(disk_store: DiskStore) -> _Disk:
+    findings = disk_store.verify()
     if findings:
         return _Disk(findings, 0, "")
     try:
-        kept = held(keeper.rows())
+        kept = read_state(disk_store.rows())
     except StorageError as fault:
         return _Disk((str(fault),), 0, "")
     store = Store("disk", len(kept.items) + 1, decided=True)
@@ -102,7 +102,7 @@
     return path
 
 
-def _copy(keeper: Keeper, to: Path, base: Path, most: int) -> JsonObject | Refusal:
+def _copy(disk_store: DiskStore, to: Path, base: Path, most: int) -> JsonObject | Refusal:
     try:
         used = sum(
             os.lstat(os.path.join(folder, name)).st_size
@@ -116,7 +116,7 @@
         return Refusal(
             f"disk: {used} of {most} bytes are used and a copy takes {size}; remove an older one under {base}"
         )
-    outcome = keeper.backup(to)
-    if isinstance(outcome, Refused):
+    outcome = disk_store.backup(to)
+    if isinstance(outcome, WriteFailed):
         return Refusal(f"to: {outcome.reason}")
     return {"to": str(to), "bytes": size}
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -24,8 +24,8 @@
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, read_view
 from mesh.replication.store import Store
-from mesh.storage.layout import StorageError, pack_lives
-from mesh.storage.lmdb_store import Keeper, Kept, Size
+from mesh.storage.layout import StorageError, pack_incarnations
+from mesh.storage.lmdb_store import DiskStore, Durable, Size
 
 CONFIG_STORE = "charter"
 MAX_TRACKED_MACHINES = 128  # machines whose number of starts is kept
@@ -105,7 +105,7 @@
         )
         for one in [one for one in records if one not in keep][: max(len(records) - MAX_TRACKED_MACHINES, 0)]:
             del records[one]
-        self._disk_writer.put_row(pack_lives(records))
+        self._disk_writer.put_row(pack_incarnations(records))
         self._update_hello()
 
     def withheld_stores(self, role: str) -> Collection[str]:
@@ -178,7 +178,7 @@
             channel.link.close("its disk starts over")
 
     async def _rewrite_disk(self) -> None:
-        while not isinstance(await self._disk_writer.rewrite(), Kept):
+        while not isinstance(await self._disk_writer.rewrite(), Durable):
             await asyncio.sleep(RETRY_S)
 
     # Compaction
@@ -203,8 +203,8 @@
             self._compaction = None
 
 
-def _size(keeper: Keeper) -> Size | None:
+def _size(disk_store: DiskStore) -> Size | None:
     try:
-        return keeper.size()
+        return disk_store.size()
     except StorageError:
         return None
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -14,21 +14,21 @@
 from mesh.replication.quorum import Place
 from mesh.replication.store import Store
 from mesh.runtime.settings import Settings
-from mesh.storage.layout import Held, held
-from mesh.storage.lmdb_store import Failed, Fresh, Keeper, Opened, SetAside, room
+from mesh.storage.layout import DiskState, read_state
+from mesh.storage.lmdb_store import DiskStore, Failed, Fresh, Opened, SetAside, max_store_bytes
 
 
 def open_disk(settings: Settings, config_store: Store, event_log: EventLog) -> tuple[DiskWriter, Acceptor]:
     """Opens the disk and fills ``config_store``. Raises OSError if the disk cannot be used at all."""
     folder = Path(settings.state_dir) / "charter"
-    outcome = Keeper.open(folder, room(settings.limits.disk_mb))
+    outcome = DiskStore.open(folder, max_store_bytes(settings.limits.disk_mb))
     if isinstance(outcome, Failed):
         event_log.emit(events.DISK_OPEN_FAILED, reason=outcome.reason)
         raise OSError(outcome.reason)
     kept = _restore(settings, config_store, event_log, outcome)
     acceptor = restore_acceptor(settings.ip, kept, lambda key: forgotten_to(config_store, key))
-    disk_writer = DiskWriter(config_store, acceptor, outcome.keeper, event_log, kept.whole)
-    disk_writer.incarnations = dict(kept.lives)
+    disk_writer = DiskWriter(config_store, acceptor, outcome.disk_store, event_log, kept.complete)
+    disk_writer.incarnations = dict(kept.incarnations)
     if isinstance(outcome, Fresh) and settings.cold_boot:
         _install_first_view(settings, config_store, acceptor, disk_writer)
     else:
@@ -40,20 +40,20 @@
 
 def _restore(
     settings: Settings, config_store: Store, event_log: EventLog, outcome: Opened | Fresh | SetAside
-) -> Held:
+) -> DiskState:
     """What the disk held; its items are put into the store."""
     if isinstance(outcome, SetAside):
         event_log.emit(events.DISK_SET_ASIDE, moved_to=str(outcome.moved_to), reason=outcome.reason)
-        return Held()
+        return DiskState()
     if isinstance(outcome, Fresh):
         event_log.emit(events.DISK_EMPTY, first=settings.cold_boot)
-        return Held()
+        return DiskState()
     for migration in outcome.notes:
         event_log.emit(events.DISK_MIGRATED, note=migration)
-    kept = held(outcome.rows)
-    config_store.collected_tombstones.merge(kept.forgotten)
+    kept = read_state(outcome.rows)
+    config_store.collected_tombstones.merge(kept.collected)
     config_store.restore(kept.items, kept.vector)
-    event_log.emit(events.DISK_OPENED, items=len(kept.items), whole=kept.whole)
+    event_log.emit(events.DISK_OPENED, items=len(kept.items), whole=kept.complete)
     return kept
 
 
@@ -77,12 +77,12 @@
     return forgotten.version(key) if key in config_store.items else forgotten.watermark(key)
 
 
-def restore_acceptor(own_address: str, kept: Held, forgotten: Callable[[Key], int]) -> Acceptor:
+def restore_acceptor(own_address: str, kept: DiskState, forgotten: Callable[[Key], int]) -> Acceptor:
     """The acceptor as its disk holds it; it refuses all rounds that its last incarnation may have
     promised."""
     acceptor = Acceptor(own_address, kept.ceiling, forgotten)
     acceptor.generations = dict(kept.generations)
-    kept.fill(acceptor)
+    kept.load_acceptor(acceptor)
     for item in kept.items:
         acceptor.learn((item.kind, item.name, item.version), item.value)
     return acceptor
--- a/mesh/control_plane/fencing.py
+++ b/mesh/control_plane/fencing.py
@@ -20,11 +20,11 @@
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import View
 from mesh.replication.store import Store
-from mesh.storage.layout import Past
+from mesh.storage.layout import VersionHistory
 from mesh.transport.frames import Head
 
 PAGE_BYTES = 1 << 20  # of rows in one frame
-StateRow = Item | tuple[Slot, Vote | str] | Past
+StateRow = Item | tuple[Slot, Vote | str] | VersionHistory
 MAX_PAGED_ANSWERS = 4  # answers that are sent in pages at once; the oldest is discarded
 
 
@@ -173,7 +173,7 @@
         rows: list[StateRow] = [*self._config_store.delta_for(head["v"], unlimited, sys.maxsize).items]
         rows += [(slot, vote) for slot, vote in acceptor.votes.items()]
         rows += [
-            Past(key, acceptor.unknown_up_to.get(key, -1), dict(acceptor.past_digests.get(key, {})))
+            VersionHistory(key, acceptor.unknown_up_to.get(key, -1), dict(acceptor.past_digests.get(key, {})))
             for key in acceptor.past_digests.keys() | acceptor.unknown_up_to.keys()
         ]
         rows += acceptor.tags.items()
@@ -262,7 +262,7 @@
 def _pack(row: StateRow) -> list[Any]:
     if isinstance(row, Item):
         return ["i", *pack(row)]
-    if isinstance(row, Past):
+    if isinstance(row, VersionHistory):
         return ["p", *row.key, row.unknown, row.digests]
     slot, state = row
     if isinstance(state, str):
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -21,8 +21,8 @@
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
 from mesh.runtime.introspection_calls import Handler, JsonObject, Refusal
-from mesh.storage.layout import Held, StorageError, held
-from mesh.storage.lmdb_store import Failed, look, room
+from mesh.storage.layout import DiskState, StorageError, read_state
+from mesh.storage.lmdb_store import Failed, max_store_bytes, read_copy
 from mesh.transport.frames import Head
 
 MAX_LOST = 64
@@ -45,7 +45,7 @@
         event_log: EventLog,
         whole: Callable[[], dict[str, bool]],
     ) -> None:
-        self._state_dir, self._max_bytes = state_dir, room(disk_mb)
+        self._state_dir, self._max_bytes = state_dir, max_store_bytes(disk_mb)
         self._config_store, self._acceptor, self._disk_writer = config_store, acceptor, disk_writer
         self._member_set, self._acceptor_host, self._event_log, self._reachable_members = (
             member_set,
@@ -92,7 +92,7 @@
         return self._summary(self._member_set.view())
 
     async def _restore(self, copy: str, lost: list[str]) -> JsonObject | Refusal:
-        kept = self._read_copy(copy) if copy else Held()
+        kept = self._read_copy(copy) if copy else DiskState()
         if isinstance(kept, Refusal):
             return kept
         view = _view(kept) if copy else None
@@ -124,35 +124,35 @@
         count = sum(item.kind != VIEW for item in items)
         return {"epoch": view.epoch, "members": sorted(view.members), "items": count}
 
-    def _read_copy(self, copy: str) -> Held | Refusal:
+    def _read_copy(self, copy: str) -> DiskState | Refusal:
         path = target_path(self._state_dir, copy)
         if isinstance(path, Refusal):
             return path
-        rows = look(Path(path), self._max_bytes)
+        rows = read_copy(Path(path), self._max_bytes)
         if isinstance(rows, Failed):
             return Refusal(f"copy: {rows.reason}")
         try:
-            return held(rows)
+            return read_state(rows)
         except StorageError as fault:
             return Refusal(f"copy: {fault}")
 
-    def _merge_copy(self, kept: Held) -> Refusal | None:
+    def _merge_copy(self, kept: DiskState) -> Refusal | None:
         """Merges the items of a copy that are not older than those here, with its votes and overtaken
         versions."""
-        buckets, keys = self._config_store.merge_collected(kept.forgotten)
+        buckets, keys = self._config_store.merge_collected(kept.collected)
         self._disk_writer.remove_keys(keys, buckets)
         items = [item for item in kept.items if item.kind != VIEW]
         merged = self._config_store.repair(items)
         if isinstance(merged, StoreFull):
             return Refusal(merged.reason)
         self._acceptor_host.items_changed(merged)
-        kept.fill(self._acceptor)
+        kept.load_acceptor(self._acceptor)
         self._disk_writer.mark_votes(kept.votes)
-        self._disk_writer.mark_decided([(*past.key, 0) for past in kept.past])
+        self._disk_writer.mark_decided([(*past.key, 0) for past in kept.histories])
         return None
 
 
-def _view(kept: Held) -> View:
+def _view(kept: DiskState) -> View:
     for item in kept.items:
         if item.key == (VIEW, MEMBERS):
             return read_view(item.version, item.value)
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -18,21 +18,21 @@
 from mesh.replication.items import Item, Key
 from mesh.replication.store import Store
 from mesh.storage.layout import (
-    Past,
+    VersionHistory,
+    history_key,
     item_key,
     pack_ceiling,
-    pack_forgotten,
+    pack_collected,
+    pack_complete,
     pack_generations,
+    pack_history,
+    pack_incarnations,
     pack_item,
-    pack_lives,
-    pack_past,
     pack_vector,
     pack_vote,
-    pack_whole,
-    past_key,
     vote_key,
 )
-from mesh.storage.lmdb_store import Keeper, Kept, Refused
+from mesh.storage.lmdb_store import DiskStore, Durable, WriteFailed
 
 RETRY_S = 0.3  # delay after the disk refused a batch
 LAZY_WRITE_S = 0.25  # longest delay of decided items that nobody waits for
@@ -47,10 +47,15 @@
     acknowledged to hold."""
 
     def __init__(
-        self, store: Store, acceptor: Acceptor, keeper: Keeper, event_log: EventLog, complete: bool
+        self, store: Store, acceptor: Acceptor, disk_store: DiskStore, event_log: EventLog, complete: bool
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._store, self._acceptor, self._keeper, self._event_log = store, acceptor, keeper, event_log
+        self._store, self._acceptor, self._disk_store, self._event_log = (
+            store,
+            acceptor,
+            disk_store,
+            event_log,
+        )
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._dirty_keys: set[Key] = set()
         self._dirty_votes: set[Slot] = set()  # slots of votes that were added or removed
@@ -94,7 +99,7 @@
         """Removes the rows of these keys, and writes those of their forgotten versions in the same batch."""
         self._dirty_keys.update(keys)
         for bucket in buckets:
-            self._extra_rows.update([pack_forgotten(bucket, self._store.collected_tombstones.row(bucket))])
+            self._extra_rows.update([pack_collected(bucket, self._store.collected_tombstones.row(bucket))])
         self._marked_batch += 1
         self._start_writing()
 
@@ -115,16 +120,16 @@
 
     def has_room(self, more_bytes: int) -> bool:
         """Whether the disk has room for so many more bytes of orders."""
-        return self._keeper.fits(more_bytes)
+        return self._disk_store.fits(more_bytes)
 
     def mark_founded(self) -> None:
         """Marks an empty disk of the very first start as complete: nothing was acknowledged before it."""
         self.complete = True
-        self.put_row(pack_whole(True))
+        self.put_row(pack_complete(True))
 
     async def mark_complete(self) -> None:
         """Records that this disk holds all that was acknowledged; it counts once that is on disk."""
-        self.put_row(pack_whole(True))
+        self.put_row(pack_complete(True))
         await self.flush()
         self.complete = True
 
@@ -150,9 +155,11 @@
                 rows, deleted = self._rows(keys, votes)
                 rows += extra.items()
                 started_at = self._loop.time()
-                outcome = await self._loop.run_in_executor(self._thread, self._keeper.keep, rows, deleted)
+                outcome = await self._loop.run_in_executor(
+                    self._thread, self._disk_store.write, rows, deleted
+                )
                 took_s = self._loop.time() - started_at
-                if not isinstance(outcome, Kept):
+                if not isinstance(outcome, Durable):
                     if self.last_refusal != outcome.reason:
                         self._event_log.emit(events.DISK_WRITE_REFUSED, reason=outcome.reason)
                     self.last_refusal = outcome.reason
@@ -192,9 +199,9 @@
             if item is not None and (tag := self._acceptor.tags.get((*key, item.version))):
                 digests = {**digests, item.version: f"/{tag}"}
             if digests or unknown >= 0:
-                rows.append(pack_past(Past(key, unknown, digests)))
+                rows.append(pack_history(VersionHistory(key, unknown, digests)))
             else:
-                deleted.append(past_key(key))
+                deleted.append(history_key(key))
         for slot in votes:
             vote = self._acceptor.votes.get(slot)
             if vote is not None:
@@ -203,20 +210,22 @@
                 deleted.append(vote_key(slot))
         return rows, deleted
 
-    async def run_between_batches(self, work: Callable[[Keeper], T]) -> T:
+    async def run_between_batches(self, work: Callable[[DiskStore], T]) -> T:
         """Runs ``work`` on the disk's thread between two batches, which wait for it."""
-        return await self._loop.run_in_executor(self._thread, work, self._keeper)
+        return await self._loop.run_in_executor(self._thread, work, self._disk_store)
 
-    async def rewrite(self) -> Kept | Refused:
+    async def rewrite(self) -> Durable | WriteFailed:
         """Replaces the content of the disk by that of the store, which includes all that was on disk when it
         was opened. Batches in progress are written before or after."""
         acceptor = self._acceptor
         known_rows, _ = self._rows(self._store.items.keys() | acceptor.past_digests.keys(), acceptor.votes)
         rows = dict(known_rows)
-        rows.update([pack_whole(self.complete), pack_generations(acceptor.generations)])
-        rows.update([pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_lives(self.incarnations)])
-        rows.update(pack_forgotten(*row) for row in self._store.collected_tombstones.rows().items())
-        return await self.run_between_batches(lambda keeper: keeper.rewrite(rows))
+        rows.update([pack_complete(self.complete), pack_generations(acceptor.generations)])
+        rows.update(
+            [pack_ceiling(max(acceptor.floor, acceptor.ceiling)), pack_incarnations(self.incarnations)]
+        )
+        rows.update(pack_collected(*row) for row in self._store.collected_tombstones.rows().items())
+        return await self.run_between_batches(lambda disk_store: disk_store.rewrite(rows))
 
     def close(self) -> None:
         self._thread.shutdown(wait=False, cancel_futures=True)
--- a/mesh/storage/layout.py
+++ b/mesh/storage/layout.py
@@ -23,14 +23,14 @@
 """The layout that this program writes."""
 
 Rows = dict[bytes, bytes]
-Move = Callable[[Rows], Rows]
+Migration = Callable[[Rows], Rows]
 
-MOVES: dict[int, Move] = {1: lambda rows: _view_of_members(rows)}
+MIGRATIONS: dict[int, Migration] = {1: lambda rows: _view_of_members(rows)}
 """From layout n to n + 1, under n: the caller's rows before, the caller's rows after. Pure; one transaction
 each."""
 
 HEAD = b"h"
-MOST_KEY_BYTES = 500
+MAX_KEY_BYTES = 500
 """A key of the caller's, in bytes; lmdb takes 511 with what stands before it."""
 
 _CHECK_BYTES = 8
@@ -67,7 +67,7 @@
     return value if stored[:_CHECK_BYTES] == checksum(key, value) else None
 
 
-def weight(stored: bytes) -> int:
+def checksum_number(stored: bytes) -> int:
     """A stored row's part in the head's sum: its checksum as a number below 2**64."""
     return int.from_bytes(stored[:_CHECK_BYTES], "big")
 
@@ -81,13 +81,13 @@
     count: int
     total: int
 
-    def changed(self, transaction: int, came: Iterable[bytes], went: Iterable[bytes]) -> "Head":
+    def after_change(self, transaction: int, came: Iterable[bytes], went: Iterable[bytes]) -> "Head":
         """The head after stored rows came and went in a transaction of that number."""
         count, total = self.count, self.total
         for stored in came:
-            count, total = count + 1, total + weight(stored)
+            count, total = count + 1, total + checksum_number(stored)
         for stored in went:
-            count, total = count - 1, total - weight(stored)
+            count, total = count - 1, total - checksum_number(stored)
         return Head(layout=self.layout, transaction=transaction, count=count, total=total % 2**64)
 
 
@@ -109,7 +109,7 @@
         return f"head row: {error}"
 
 
-class Past(Struct, frozen=True):
+class VersionHistory(Struct, frozen=True):
     """Of one key: digests of decided versions below the one that stands, with /tag where they have one, and
     of that one its /tag alone; and the version up to which nobody can know, or -1."""
 
@@ -118,24 +118,24 @@
     digests: dict[int, str]
 
 
-class Held(Struct, frozen=True):
+class DiskState(Struct, frozen=True):
     """What the rows of a disk say: the items, all decided; the vector (source to number); whether the disk is
     complete; and the acceptor's part: votes that are open, what is past, the ceiling of rounds, and how often
     whose disk was lost."""
 
     items: tuple[Item, ...] = ()
     vector: dict[str, int] = field(default_factory=dict)
-    whole: bool = False
+    complete: bool = False
     votes: dict[Slot, Vote] = field(default_factory=dict)
-    past: tuple[Past, ...] = ()
+    histories: tuple[VersionHistory, ...] = ()
     ceiling: int = 0
     generations: dict[str, int] = field(default_factory=dict)
-    lives: dict[str, tuple[int, str]] = field(default_factory=dict)
-    forgotten: dict[str, BucketRow] = field(default_factory=dict)
+    incarnations: dict[str, tuple[int, str]] = field(default_factory=dict)
+    collected: dict[str, BucketRow] = field(default_factory=dict)
 
-    def fill(self, acceptor: Acceptor) -> None:
+    def load_acceptor(self, acceptor: Acceptor) -> None:
         """What was accepted or is past, where it knows nothing of it yet."""
-        for past in self.past:
+        for past in self.histories:
             for version, digest in past.digests.items():
                 if digest.startswith("/"):
                     acceptor.tags.setdefault((*past.key, version), digest[1:])
@@ -174,14 +174,14 @@
     return vote_key(number), msgspec.json.encode(told)
 
 
-def past_key(key: Key) -> bytes:
+def history_key(key: Key) -> bytes:
     """Of the row of a key's overtaken versions."""
     return _PAST + _hashed(key)
 
 
-def pack_past(past: Past) -> tuple[bytes, bytes]:
+def pack_history(past: VersionHistory) -> tuple[bytes, bytes]:
     """The row of a key's overtaken versions."""
-    return past_key(past.key), msgspec.json.encode([*past.key, past.unknown, past.digests])
+    return history_key(past.key), msgspec.json.encode([*past.key, past.unknown, past.digests])
 
 
 def pack_ceiling(ceiling: int) -> tuple[bytes, bytes]:
@@ -194,12 +194,12 @@
     return _GENERATIONS, msgspec.json.encode(dict(generations))
 
 
-def pack_lives(lives: Mapping[str, tuple[int, str]]) -> tuple[bytes, bytes]:
+def pack_incarnations(lives: Mapping[str, tuple[int, str]]) -> tuple[bytes, bytes]:
     """The row of how often each machine has started, and the life of its last start, as far as is known."""
     return _LIVES, msgspec.json.encode(dict(lives))
 
 
-def pack_forgotten(bucket: str, row: BucketRow) -> tuple[bytes, bytes]:
+def pack_collected(bucket: str, row: BucketRow) -> tuple[bytes, bytes]:
     """The row of what is left of forgotten drops in one bucket."""
     return _FORGOTTEN + bucket.encode(), msgspec.json.encode(row)
 
@@ -229,43 +229,43 @@
         raise StorageError(f"vector row: {error}; start on an empty disk") from error
 
 
-def pack_whole(whole: bool) -> tuple[bytes, bytes]:
+def pack_complete(whole: bool) -> tuple[bytes, bytes]:
     """The row that says whether this disk is complete: holds all that its process ever acknowledged."""
     return _WHOLE, b"true" if whole else b"false"
 
 
-def held(rows: Mapping[bytes, bytes]) -> Held:
+def read_state(rows: Mapping[bytes, bytes]) -> DiskState:
     """What a store's rows say. A disk without the marker is not complete. Raises StorageError on a row that
     is of no kind known, or cannot be read."""
     items: list[Item] = []
     votes: dict[Slot, Vote] = {}
-    past: list[Past] = []
-    forgotten: dict[str, BucketRow] = {}
+    histories: list[VersionHistory] = []
+    collected: dict[str, BucketRow] = {}
     for key, value in rows.items():
         if key.startswith(_ITEM):
             items.append(unpack_item(key, value))
         elif key in (_VECTOR, _WHOLE, _CEILING, _GENERATIONS, _LIVES):
             continue
         elif key.startswith(_FORGOTTEN):
-            forgotten[key[len(_FORGOTTEN) :].decode()] = _read(key, value, _ForgottenRow)
+            collected[key[len(_FORGOTTEN) :].decode()] = _read(key, value, _ForgottenRow)
         elif key.startswith(_VOTE):
             kind, name, version, round, proposer, content, tag = _read(key, value, _VoteRow)
             votes[kind, name, version] = Vote(Ballot(round, proposer), content, tag)
         elif key.startswith(_PAST):
             kind, name, unknown, digests = _read(key, value, _PastRow)
-            past.append(Past((kind, name), unknown, digests))
+            histories.append(VersionHistory((kind, name), unknown, digests))
         else:
             raise StorageError(f"row {key.hex()}: of no kind known; start the program that wrote it")
-    return Held(
+    return DiskState(
         items=tuple(items),
         vector=unpack_vector(rows[_VECTOR]) if _VECTOR in rows else {},
-        whole=rows.get(_WHOLE) == b"true",
+        complete=rows.get(_WHOLE) == b"true",
         votes=votes,
-        past=tuple(past),
+        histories=tuple(histories),
         ceiling=_read(_CEILING, rows.get(_CEILING, b"0"), int),
         generations=_read(_GENERATIONS, rows.get(_GENERATIONS, b"{}"), dict[str, int]),
-        lives=_read(_LIVES, rows.get(_LIVES, b"{}"), dict[str, tuple[int, str]]),
-        forgotten=forgotten,
+        incarnations=_read(_LIVES, rows.get(_LIVES, b"{}"), dict[str, tuple[int, str]]),
+        collected=collected,
     )
 
 
--- a/mesh/storage/lmdb_store.py
+++ b/mesh/storage/lmdb_store.py
@@ -22,32 +22,38 @@
 from mesh.storage.layout import (
     HEAD,
     LAYOUT,
-    MOST_KEY_BYTES,
-    MOVES,
+    MAX_KEY_BYTES,
+    MIGRATIONS,
     Head,
     Rows,
     StorageError,
+    checksum_number,
     pack_head,
     seal,
     unpack_head,
     unseal,
-    weight,
 )
 
 NAME = "store.mdb"
-MOST_ASIDES = 3
-MOST_MAP_BYTES = 64 << 20
-SHARE = 0.4  # of the most that a store may grow to, which items set by orders may take
+MAX_ASIDES = 3
+MAX_MAP_BYTES = 64 << 20
+MAX_ITEM_SHARE = 0.4  # of the most that a store may grow to, which items set by orders may take
 _ROW = b"r"
 # Errors of the machine, not of the file: the file may be well, so it stays where it is.
-_OUTSIDE = (lmdb.DiskError, lmdb.ReadonlyError, lmdb.MemoryError, lmdb.LockError, lmdb.InvalidParameterError)
+_ENVIRONMENT_ERRORS = (
+    lmdb.DiskError,
+    lmdb.ReadonlyError,
+    lmdb.MemoryError,
+    lmdb.LockError,
+    lmdb.InvalidParameterError,
+)
 
 
-class Kept(Struct, frozen=True):
+class Durable(Struct, frozen=True):
     """The rows are on the disk and outlast a loss of power."""
 
 
-class Refused(Struct, frozen=True):
+class WriteFailed(Struct, frozen=True):
     """The rows are not known to be on the disk: they may be there or not. Keep the same rows again before
     relying on them; what was kept before still stands."""
 
@@ -57,7 +63,7 @@
 class Opened(Struct, frozen=True):
     """A store that holds every row that it said was kept. ``notes`` tell what opening it changed."""
 
-    keeper: "Keeper"
+    disk_store: "DiskStore"
     rows: Rows
     notes: tuple[str, ...]
 
@@ -65,14 +71,14 @@
 class Fresh(Struct, frozen=True):
     """The folder held no store and none set aside: a first start, or a disk that came back empty."""
 
-    keeper: "Keeper"
+    disk_store: "DiskStore"
 
 
 class SetAside(Struct, frozen=True):
-    """The store was damaged and lies under ``moved_to``; the keeper's is empty. This disk has lost what it
-    held."""
+    """The store was damaged and has been renamed to ``moved_to``; the new one is empty: this disk has lost its
+    rows."""
 
-    keeper: "Keeper"
+    disk_store: "DiskStore"
     moved_to: Path
     reason: str
 
@@ -88,30 +94,30 @@
 
     file: int
     used: int
-    most: int
+    limit: int
 
 
 class _Damaged(Struct, frozen=True):
     reason: str
 
 
-def room(disk_mb: float) -> int:
+def max_store_bytes(disk_mb: float) -> int:
     """How large the store may grow, in bytes, on a disk of that many MB: half of it, since as much again may
-    lie set aside, and no more than MOST_MAP_BYTES."""
-    return min(MOST_MAP_BYTES, int(disk_mb * (1 << 20) / 2)) & ~4095
+    lie set aside, and no more than MAX_MAP_BYTES."""
+    return min(MAX_MAP_BYTES, int(disk_mb * (1 << 20) / 2)) & ~4095
 
 
-class Keeper:
-    """An open store. Made by Keeper.open; one call at a time, from whichever thread."""
+class DiskStore:
+    """An open store. Made by DiskStore.open; one call at a time, from whichever thread."""
 
     def __init__(self, path: Path, most_bytes: int, environment: lmdb.Environment) -> None:
         self._path = path
-        self._most = most_bytes
+        self._max_bytes = most_bytes
         self._environment: lmdb.Environment | None = (
             environment  # None after a refusal, until the next call opens it anew
         )
         self._used = _used(environment)
-        self._named = False  # the file's name is known to outlast a loss of power
+        self._name_synced = False  # the file's name is known to outlast a loss of power
 
     @staticmethod
     def open(folder: Path, most_bytes: int) -> Opened | Fresh | SetAside | Failed:
@@ -122,52 +128,52 @@
         """
         path = folder / NAME
         try:
-            _folder(folder)
+            _make_folder(folder)
             asides = _asides(path)
-            if not path.exists() and _before(path).exists():
-                os.rename(_before(path), path)  # a rewriting lost both names of it but this one
+            if not path.exists() and _spare(path).exists():
+                os.rename(_spare(path), path)  # a rewriting lost both names of it but this one
             if not path.exists():
-                keeper = _begin(path, most_bytes)
+                disk_store = _create(path, most_bytes)
                 if not asides:
-                    return Fresh(keeper)
+                    return Fresh(disk_store)
                 # Setting aside was cut short between its two renames, or the caller never came to hear of it.
                 return SetAside(
-                    keeper, asides[-1], "an earlier store was set aside and none begun in its place"
+                    disk_store, asides[-1], "an earlier store was set aside and none begun in its place"
                 )
             found = _read(path, most_bytes)
             if not isinstance(found, _Damaged):
                 if isinstance(found, Opened):
-                    _clear(path)
+                    _remove_leftovers(path)
                 return found
             moved_to = _set_aside(path, most_bytes)
-            return SetAside(_begin(path, most_bytes), moved_to, found.reason)
+            return SetAside(_create(path, most_bytes), moved_to, found.reason)
         except (OSError, lmdb.Error) as error:
             return Failed(f"{path}: {error}; mend the disk or its rights and start again")
 
-    def keep(self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()) -> Kept | Refused:
+    def write(self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()) -> Durable | WriteFailed:
         """Write rows and drop the keys in ``gone``, in one transaction; return when the disk has it.
 
-        Of two rows with one key the later counts; a key in both stays. Keys are at most MOST_KEY_BYTES long.
+        Of two rows with one key the later counts; a key in both stays. Keys are at most MAX_KEY_BYTES long.
         """
         # Once each: lmdb writes a second value of one transaction into the first one's pages and loses count
         # of them.
         wanted = {_ROW + key: value for key, value in rows}
         dropped = {_ROW + key for key in gone}
-        if any(not 0 < len(key) - 1 <= MOST_KEY_BYTES for key in (*wanted, *dropped)):
-            return Refused(f"a key is empty or longer than {MOST_KEY_BYTES} bytes; shorten it")
+        if any(not 0 < len(key) - 1 <= MAX_KEY_BYTES for key in (*wanted, *dropped)):
+            return WriteFailed(f"a key is empty or longer than {MAX_KEY_BYTES} bytes; shorten it")
         try:
             environment = self._opened()
             with environment.begin(write=True) as transaction:
                 head = unpack_head(transaction.get(HEAD))
                 if isinstance(head, str):
-                    return Refused(f"{self._path}: {head}; start again")
+                    return WriteFailed(f"{self._path}: {head}; start again")
                 came, went = [], []
                 for key in dropped:
                     went.append(transaction.pop(key))
                 for key, value in wanted.items():
                     came.append(seal(key, value))
                     went.append(transaction.replace(key, came[-1]))
-                after = head.changed(
+                after = head.after_change(
                     transaction.id(), came, [stored for stored in went if stored is not None]
                 )
                 transaction.put(HEAD, pack_head(after))
@@ -177,49 +183,51 @@
             self._sync_name()
             self._used = _used(environment)
         except lmdb.MapFullError:
-            return Refused(f"{self._path}: full at {self._most} bytes; drop rows or give the disk more room")
+            return WriteFailed(
+                f"{self._path}: full at {self._max_bytes} bytes; drop rows or provide more space"
+            )
         except (lmdb.Error, OSError) as error:
             # The pages in memory may differ from those on the disk; a new look at the file tells what it
             # holds.
             self.close()
-            return Refused(f"{self._path}: {error}; keep the rows again when the disk is well")
-        return Kept()
+            return WriteFailed(f"{self._path}: {error}; keep the rows again when the disk is well")
+        return Durable()
 
-    def rewrite(self, rows: Rows) -> Kept | Refused:
+    def rewrite(self, rows: Rows) -> Durable | WriteFailed:
         """Put a store of these rows, all that it is to hold, in the place of this one, whatever is damaged in
         it. A start finds either: a second copy of the new one lies beside it until the new one has the name
         for good (a rename may lose both names, and these disks know no links)."""
         self.close()
-        unfinished, before = _unfinished(self._path), _before(self._path)
-        self._named = False
+        unfinished, before = _unfinished(self._path), _spare(self._path)
+        self._name_synced = False
         try:
-            _make(unfinished, self._most, rows)
+            _write_store(unfinished, self._max_bytes, rows)
             before.unlink(missing_ok=True)
-            _make(before, self._most, rows)
+            _write_store(before, self._max_bytes, rows)
             _publish(unfinished, self._path)
             self._sync_name()
             before.unlink()
         except (lmdb.Error, OSError) as error:
-            return Refused(f"{self._path}: {error}; give the disk room or look at it")
-        return Kept()
+            return WriteFailed(f"{self._path}: {error}; give the disk room or look at it")
+        return Durable()
 
     def fits(self, more_bytes: int) -> bool:
         """Whether rows of so many bytes may come, so that what goes, and what must be kept of votes and
         views, still finds room: a change costs new pages before the old ones are free. As of the last keep;
         from any thread."""
-        return self._used + more_bytes <= SHARE * self._most
+        return self._used + more_bytes <= MAX_ITEM_SHARE * self._max_bytes
 
     def size(self) -> Size:
         """Bytes. Raises StorageError where the file cannot be looked at."""
         try:
-            return Size(os.stat(self._path).st_size, _used(self._opened()), self._most)
+            return Size(os.stat(self._path).st_size, _used(self._opened()), self._max_bytes)
         except (lmdb.Error, OSError) as error:
             raise StorageError(f"{self._path}: {error}; look at the disk") from error
 
     def rows(self) -> Rows:
         """All rows. Raises StorageError where one cannot be read or has another checksum."""
         try:
-            rows, findings, _ = _survey(self._opened())
+            rows, findings, _ = _check_rows(self._opened())
         except (lmdb.Error, OSError) as error:
             raise StorageError(f"{self._path}: {error}; start again") from error
         if findings:
@@ -229,28 +237,28 @@
     def verify(self) -> tuple[str, ...]:
         """What is wrong with the store as it lies on the disk, a line each; () where nothing is. Reads all of
         it."""
-        findings = list(_structure(self._path))
+        findings = list(_check_pages(self._path))
         try:
-            findings += _survey(self._opened())[1]
+            findings += _check_rows(self._opened())[1]
         except (lmdb.Error, OSError) as error:
             findings.append(str(error))
         return tuple(findings)
 
-    def backup(self, to: Path) -> Kept | Refused:
+    def backup(self, to: Path) -> Durable | WriteFailed:
         """Copy the store, as it is now, to a folder that holds none yet; the copy opens like the store
         itself."""
         try:
-            _folder(to)
+            _make_folder(to)
             copy = to / NAME
             if copy.exists():
-                return Refused(f"{copy}: is there already; name another folder")
+                return WriteFailed(f"{copy}: is there already; name another folder")
             unfinished = _unfinished(copy)
             unfinished.unlink(missing_ok=True)
             self._opened().copy(str(unfinished))
             _publish(unfinished, copy)
         except (lmdb.Error, OSError) as error:
-            return Refused(f"{to}: {error}; name a folder with room")
-        return Kept()
+            return WriteFailed(f"{to}: {error}; name a folder with room")
+        return Durable()
 
     def close(self) -> None:
         """Let go of the file. Nothing is lost by not calling it."""
@@ -260,14 +268,14 @@
 
     def _sync_name(self) -> None:
         """Raises OSError."""
-        if not self._named:
+        if not self._name_synced:
             _sync_folder(self._path.parent)
             _sync_folder(self._path.parent.parent)
-            self._named = True
+            self._name_synced = True
 
     def _opened(self) -> lmdb.Environment:
         if self._environment is None:
-            self._environment = _environment(self._path, self._most)
+            self._environment = _environment(self._path, self._max_bytes)
         return self._environment
 
 
@@ -286,43 +294,43 @@
     """Check and open a store that is there. Raises OSError, or lmdb.Error for what is not the file's own
     fault."""
     # Before lmdb maps it: a page that is cut off would end the process at the first look.
-    findings = _structure(path)
+    findings = _check_pages(path)
     if findings:
         return _Damaged(findings[0])
     environment = _environment(path, most_bytes)
     opened = False
     try:
-        rows, findings, head = _survey(environment)
+        rows, findings, head = _check_rows(environment)
         if head is not None and head.layout > LAYOUT:
             return Failed(f"{path}: layout {head.layout}, newest known {LAYOUT}; start the newer program")
         if head is None or findings:
             return _Damaged(findings[0])
         notes = []
         for layout in range(head.layout, LAYOUT):
-            rows = MOVES[layout](rows)
+            rows = MIGRATIONS[layout](rows)
             _write_all(environment, layout + 1, rows)
             notes.append(f"moved on from layout {layout} to {layout + 1}")
         opened = True
     except lmdb.Error as error:
-        if isinstance(error, _OUTSIDE):
+        if isinstance(error, _ENVIRONMENT_ERRORS):
             raise
         return _Damaged(str(error))
     finally:
         if not opened:
             environment.close()
-    return Opened(Keeper(path, most_bytes, environment), rows, tuple(notes))
+    return Opened(DiskStore(path, most_bytes, environment), rows, tuple(notes))
 
 
-def look(folder: Path, most_bytes: int) -> Rows | Failed:
+def read_copy(folder: Path, most_bytes: int) -> Rows | Failed:
     """The rows of a copy, of this layout, which stays as it is; Failed where any of it is damaged."""
     path = folder / NAME
     try:
-        findings = _structure(path)
+        findings = _check_pages(path)
         if findings:
             return Failed(f"{path}: {findings[0]}; take another copy")
         environment = lmdb.open(str(path), map_size=most_bytes, subdir=False, lock=False, readonly=True)
         try:
-            rows, findings, head = _survey(environment)
+            rows, findings, head = _check_rows(environment)
         finally:
             environment.close()
     except (lmdb.Error, OSError) as error:
@@ -332,11 +340,11 @@
     if head.layout > LAYOUT:
         return Failed(f"{path}: layout {head.layout}, newest known {LAYOUT}; start the newer program")
     for layout in range(head.layout, LAYOUT):
-        rows = MOVES[layout](rows)
+        rows = MIGRATIONS[layout](rows)
     return rows
 
 
-def _structure(path: Path) -> tuple[str, ...]:
+def _check_pages(path: Path) -> tuple[str, ...]:
     """What is wrong with the file's pages, found without lmdb. Raises OSError."""
     try:
         return tuple(str(finding) for finding in walk(str(path)))  # type: ignore[no-untyped-call]
@@ -344,7 +352,7 @@
         return (str(error),)
 
 
-def _survey(environment: lmdb.Environment) -> tuple[Rows, tuple[str, ...], Head | None]:
+def _check_rows(environment: lmdb.Environment) -> tuple[Rows, tuple[str, ...], Head | None]:
     """The rows, what is wrong with them by their checksums and by the head, and the head."""
     rows: Rows = {}
     findings = []
@@ -360,7 +368,7 @@
                 findings.append(f"row {key.hex()}: checksum differs")
             else:
                 rows[key[len(_ROW) :]] = value
-            total += weight(stored)
+            total += checksum_number(stored)
         number = transaction.id()
         head = unpack_head(transaction.get(HEAD))
     if isinstance(head, str):
@@ -382,19 +390,19 @@
         for key, stored in sealed.items():
             transaction.put(key, stored)
         none = Head(layout=layout, transaction=0, count=0, total=0)
-        transaction.put(HEAD, pack_head(none.changed(transaction.id(), sealed.values(), ())))
+        transaction.put(HEAD, pack_head(none.after_change(transaction.id(), sealed.values(), ())))
     environment.sync(True)
 
 
-def _begin(path: Path, most_bytes: int) -> Keeper:
+def _create(path: Path, most_bytes: int) -> DiskStore:
     """An empty store under that name, there whole or not at all. Raises OSError, lmdb.Error."""
     unfinished = _unfinished(path)
-    _make(unfinished, most_bytes, {})
+    _write_store(unfinished, most_bytes, {})
     _publish(unfinished, path)
-    return Keeper(path, most_bytes, _environment(path, most_bytes))
+    return DiskStore(path, most_bytes, _environment(path, most_bytes))
 
 
-def _make(unfinished: Path, most_bytes: int, rows: Rows) -> None:
+def _write_store(unfinished: Path, most_bytes: int, rows: Rows) -> None:
     """A store of these rows under that name, in place of what is there. Raises OSError, lmdb.Error."""
     unfinished.unlink(missing_ok=True)
     environment = _environment(unfinished, most_bytes)
@@ -420,19 +428,19 @@
     return path.with_name(path.name + ".new")
 
 
-def _before(path: Path) -> Path:
+def _spare(path: Path) -> Path:
     """A second copy of the store that is put in another's place. It counts only where the first is gone:
     afterwards it is older than what was kept."""
     return path.with_name(path.name + ".before")
 
 
-def _clear(path: Path) -> None:
+def _remove_leftovers(path: Path) -> None:
     """What a rewriting or a first start that was cut short left."""
-    for left in (_unfinished(path), _before(path)):
+    for left in (_unfinished(path), _spare(path)):
         left.unlink(missing_ok=True)
 
 
-def _folder(folder: Path) -> None:
+def _make_folder(folder: Path) -> None:
     """Makes it where it is missing; it, and those above that were made with it, are for good then."""
     made: list[Path] = []
     while not (made[-1].parent if made else folder).is_dir():
@@ -461,9 +469,9 @@
 
 
 def _set_aside(path: Path, most_bytes: int) -> Path:
-    """Rename a damaged store and remove the oldest ones beyond MOST_ASIDES or beyond ``most_bytes`` in all;
+    """Rename a damaged store and remove the oldest ones beyond MAX_ASIDES or beyond ``most_bytes`` in all;
     the newest stays whatever its size. Raises OSError."""
-    _clear(path)  # older than what the damaged one may have been the only one to hold
+    _remove_leftovers(path)  # older than what the damaged one may have been the only one to hold
     _sync_folder(path.parent)
     asides = _asides(path)
     number = int(asides[-1].name.rpartition("-")[2]) + 1 if asides else 1
@@ -472,7 +480,7 @@
     _sync_folder(path.parent)
     asides.append(moved_to)
     while len(asides) > 1 and (
-        len(asides) > MOST_ASIDES or sum(aside.stat().st_size for aside in asides) > most_bytes
+        len(asides) > MAX_ASIDES or sum(aside.stat().st_size for aside in asides) > most_bytes
     ):
         asides.pop(0).unlink()
     return moved_to
--- a/rigs/soak/faults.py
+++ b/rigs/soak/faults.py
@@ -13,7 +13,7 @@
 from mesh.data_plane.staged_routes import StagedRoutes
 from mesh.replication.items import Item
 from mesh.replication.proposer import Conflict, Decided
-from mesh.storage.lmdb_store import Keeper, Kept
+from mesh.storage.lmdb_store import DiskStore, Durable
 from rigs.lost_links.hop import GUARDS
 from rigs.relayed_process import replace
 
@@ -73,7 +73,7 @@
 
 def _keeps_nothing() -> None:
     """The disk is said to have what it has not."""
-    replace(Keeper, "keep", lambda *_: Kept())
+    replace(DiskStore, "write", lambda *_: Durable())
 
 
 def _ends_at_once() -> None:
--- a/simulation/mesh/clock.py
+++ b/simulation/mesh/clock.py
@@ -110,8 +110,8 @@
     def run_in_executor(  # type: ignore[override]
         self, executor: Any, func: Callable[..., Any], *args: Any
     ) -> asyncio.Future[Any]:
-        """A disk's ``keep``, which takes virtual time and no thread; other work with a disk takes as long."""
-        if getattr(func, "__name__", "") != "keep":
+        """Writes to a disk in virtual time, without a thread; other work with a disk takes as long."""
+        if getattr(func, "__name__", "") != "write":
             return args[0].works(func)  # type: ignore[no-any-return]
         future: asyncio.Future[Any] = func.__self__.begin(*args)  # type: ignore[attr-defined]
         return future
--- a/simulation/mesh/disk.py
+++ b/simulation/mesh/disk.py
@@ -1,4 +1,4 @@
-"""A disk in virtual time, behind what the programs take for a keeper."""
+"""A disk in virtual time, behind what the programs take for a disk_store."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 import simpy
 
-from mesh.storage.layout import Held, held
-from mesh.storage.lmdb_store import SHARE, Fresh, Kept, Opened, Refused, Size
+from mesh.storage.layout import DiskState, read_state
+from mesh.storage.lmdb_store import MAX_ITEM_SHARE, Durable, Fresh, Opened, Size, WriteFailed
 from simulation.mesh.clock import LIFE
 
 if TYPE_CHECKING:
@@ -33,48 +33,51 @@
     def wipe(self) -> None:
         self.rows, self.begun = {}, False
 
-    def holds(self) -> Held:
-        return held(self.rows)
+    def holds(self) -> DiskState:
+        return read_state(self.rows)
 
 
-class DiskKeeper:
+class SimulatedDiskStore:
     """The disk as one life has it open."""
 
     def __init__(self, world: World, life: Any, disk: Disk) -> None:
         self._world, self._life, self._disk = world, life, disk
 
-    def keep(self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()) -> Kept | Refused:
+    def write(self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()) -> Durable | WriteFailed:
         raise AssertionError("a sync takes time: the loop calls begin instead")
 
     def begin(
         self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()
-    ) -> asyncio.Future[Kept | Refused]:
-        future: asyncio.Future[Kept | Refused] = self._world.loop.create_future()
+    ) -> asyncio.Future[Durable | WriteFailed]:
+        future: asyncio.Future[Durable | WriteFailed] = self._world.loop.create_future()
         self._disk.env.process(self._sync(list(rows), list(gone), future))
         return future
 
-    def works(self, work: Callable[[DiskKeeper], Any]) -> asyncio.Future[Any]:
+    def works(self, work: Callable[[SimulatedDiskStore], Any]) -> asyncio.Future[Any]:
         """Of a life that goes on: its work is done at once, and said a sync later."""
         future: asyncio.Future[Any] = self._world.loop.create_future()
         told = work(self)
         self._world.loop.call_later(self._disk.takes_s, future.set_result, told)
         return future
 
-    def rewrite(self, rows: dict[bytes, bytes]) -> Kept:
+    def rewrite(self, rows: dict[bytes, bytes]) -> Durable:
         self._disk.rows = dict(rows)
-        return Kept()
+        return Durable()
 
     def _used(self) -> int:
         return sum(len(key) + len(value) for key, value in self._disk.rows.items())
 
     def fits(self, more_bytes: int) -> bool:
-        return self._used() + more_bytes <= SHARE * self._disk.most_bytes
+        return self._used() + more_bytes <= MAX_ITEM_SHARE * self._disk.most_bytes
 
     def size(self) -> Size:
         return Size(self._used(), self._used(), self._disk.most_bytes)
 
     def _sync(
-        self, rows: list[tuple[bytes, bytes]], gone: list[bytes], future: asyncio.Future[Kept | Refused]
+        self,
+        rows: list[tuple[bytes, bytes]],
+        gone: list[bytes],
+        future: asyncio.Future[Durable | WriteFailed],
     ) -> Generator[simpy.Event, Any, None]:
         disk, env = self._disk, self._disk.env
         self._world.point("sync", self._life)
@@ -84,18 +87,18 @@
         if not self._life.alive:
             return
         if env.now < disk.refuses_until:
-            future.set_result(Refused("disk in trouble"))
+            future.set_result(WriteFailed("disk in trouble"))
             return
         for key in gone:
             disk.rows.pop(key, None)
         disk.rows.update(rows)
         self._world.point("synced", self._life)
         if self._life.alive and not future.done():
-            future.set_result(Kept())
+            future.set_result(Durable())
 
 
 class Opens:
-    """Stands in for ``Keeper`` where a program opens its disk."""
+    """Stands in for ``DiskStore`` where a program opens its disk."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -103,8 +106,8 @@
     def open(self, folder: Path, most_bytes: int) -> Opened | Fresh:
         life = LIFE.get()
         disk = life.machine.disk
-        keeper: Any = DiskKeeper(self._world, life, disk)
+        disk_store: Any = SimulatedDiskStore(self._world, life, disk)
         if disk.begun:
-            return Opened(keeper, dict(disk.rows), ())
+            return Opened(disk_store, dict(disk.rows), ())
         disk.begun = True
-        return Fresh(keeper)
+        return Fresh(disk_store)
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -20,7 +20,7 @@
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum_contact import Proof
 from mesh.replication.store import Store
-from mesh.storage.lmdb_store import Refused
+from mesh.storage.lmdb_store import WriteFailed
 
 
 class Patch(Protocol):
@@ -139,7 +139,7 @@
 
 
 def refused_counts_as_kept(patch: Patch) -> None:
-    patch.setattr(write_batches_module, "Kept", (Refused, object))
+    patch.setattr(write_batches_module, "Durable", (WriteFailed, object))
 
 
 def questions_are_not_asked_again(patch: Patch) -> None:
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -237,7 +237,7 @@
                 items, votes = program.config_store.items, program.acceptor.votes
             else:
                 kept = machine.disk.holds()
-                counts, epoch = kept.whole, 0  # of the disk's view: as if it could answer whoever asks
+                counts, epoch = kept.complete, 0  # of the disk's view: as if it could answer whoever asks
                 items, votes = {item.key: item for item in kept.items}, kept.votes
             if counts:
                 held.append(HeldDisk(machine.ip, epoch, items, votes))
--- a/simulation/mesh/world.py
+++ b/simulation/mesh/world.py
@@ -94,7 +94,7 @@
             mock.patch("mesh.data_plane.peer_calls.connect", self.wire.connect),
             mock.patch("mesh.control_plane.program.listen", self.wire.listen),
             mock.patch("mesh.data_plane.program.listen", self.wire.listen),
-            mock.patch("mesh.control_plane.disk_opening.Keeper", Opens(self)),
+            mock.patch("mesh.control_plane.disk_opening.DiskStore", Opens(self)),
             mock.patch("mesh.transport.http_calls.HttpServer.listen", _listens),
             mock.patch("mesh.control_plane.program.time", SimpleNamespace(time=self._time)),
             mock.patch("mesh.data_plane.program.time", SimpleNamespace(time=self._time)),
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -24,7 +24,7 @@
 from mesh.event_log.log import EventLog
 from mesh.runtime.introspection_calls import Refusal
 from mesh.runtime.settings import Settings, parse_settings
-from mesh.storage.lmdb_store import Fresh, Keeper
+from mesh.storage.lmdb_store import DiskStore, Fresh
 from rigs.mesh_peers import Client, Upstream, change, free_ports, polled, route, write_settings
 
 T = TypeVar("T")
@@ -309,12 +309,12 @@
 
 
 def test_a_copy_that_would_not_fit_its_disk_is_not_begun(tmp_path: Path) -> None:
-    opened = Keeper.open(tmp_path / "charter", 1 << 20)
+    opened = DiskStore.open(tmp_path / "charter", 1 << 20)
     assert isinstance(opened, Fresh)
     size = (tmp_path / "charter" / "store.mdb").stat().st_size
-    told = _copy(opened.keeper, tmp_path / "copy", tmp_path, 2 * size - 1)
+    told = _copy(opened.disk_store, tmp_path / "copy", tmp_path, 2 * size - 1)
     assert isinstance(told, Refusal) and not (tmp_path / "copy").exists()
-    assert not isinstance(_copy(opened.keeper, tmp_path / "copy", tmp_path, 2 * size), Refusal)
+    assert not isinstance(_copy(opened.disk_store, tmp_path / "copy", tmp_path, 2 * size), Refusal)
 
 
 def test_a_disk_that_holds_other_than_its_memory_is_told_unless_changes_came_meanwhile() -> None:
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -21,8 +21,8 @@
 from mesh.replication.acceptor import Acceptor
 from mesh.replication.items import Item, Key, canonical_content
 from mesh.replication.store import Store
-from mesh.storage.layout import held
-from mesh.storage.lmdb_store import Fresh, Keeper, Kept, Opened, Refused
+from mesh.storage.layout import read_state
+from mesh.storage.lmdb_store import DiskStore, Durable, Fresh, Opened, WriteFailed
 from simulation.mesh.drops import Drops
 from simulation.mesh.world import Machine, Script
 
@@ -282,11 +282,11 @@
 
 def test_a_row_that_rotted_is_found_and_the_store_written_anew_from_memory(tmp_path: Path) -> None:
     async def run() -> None:
-        opened = Keeper.open(tmp_path, 1 << 20)
+        opened = DiskStore.open(tmp_path, 1 << 20)
         assert isinstance(opened, Fresh)
         store, log = Store("a", 100), io.StringIO()
         event_log = EventLog("a", log)
-        disk_writer = DiskWriter(store, Acceptor("a"), opened.keeper, event_log, complete=True)
+        disk_writer = DiskWriter(store, Acceptor("a"), opened.disk_store, event_log, complete=True)
         channels = Channels("a", {}, {}, 0, event_log, lambda name, items: None)
         repair = AntiEntropy(
             1, {CONFIG_STORE: store}, channels, disk_writer, event_log, lambda name, items: None
@@ -301,7 +301,7 @@
         await repair._disk_check
         assert log.getvalue() == ""  # nothing was wrong
 
-        await disk_writer.run_between_batches(lambda keeper: keeper.close())
+        await disk_writer.run_between_batches(lambda disk_store: disk_store.close())
         path = tmp_path / "store.mdb"
         data = path.read_bytes()
         assert data.count(b"value 7") >= 1
@@ -309,27 +309,27 @@
         store.write("route", "r0", 2, None)  # known here, and not on disk yet
         await repair._check_disk()
         assert "W705 damaged store written anew items=20 findings=" in log.getvalue()
-        assert await disk_writer.run_between_batches(lambda keeper: keeper.verify()) == ()
-        await disk_writer.run_between_batches(lambda keeper: keeper.close())
-        again = Keeper.open(tmp_path, 1 << 20)
+        assert await disk_writer.run_between_batches(lambda disk_store: disk_store.verify()) == ()
+        await disk_writer.run_between_batches(lambda disk_store: disk_store.close())
+        again = DiskStore.open(tmp_path, 1 << 20)
         assert isinstance(again, Opened)
-        kept = held(again.rows)
-        assert kept.whole and kept.vector == store.vector
+        kept = read_state(again.rows)
+        assert kept.complete and kept.vector == store.vector
         assert {i.key: i for i in kept.items} == store.items
-        assert again.keeper.keep([(b"more", b"1")]) == Kept()
-        assert again.keeper.verify() == ()
+        assert again.disk_store.write([(b"more", b"1")]) == Durable()
+        assert again.disk_store.verify() == ()
         disk_writer.close()
 
     asyncio.run(run())
 
 
 def test_a_store_that_cannot_be_written_anew_stays_as_it_is(tmp_path: Path) -> None:
-    opened = Keeper.open(tmp_path, 1 << 20)
-    assert isinstance(opened, Fresh) and opened.keeper.keep([(b"a", b"1")]) == Kept()
+    opened = DiskStore.open(tmp_path, 1 << 20)
+    assert isinstance(opened, Fresh) and opened.disk_store.write([(b"a", b"1")]) == Durable()
     too_much = {b"%d" % n: bytes(4000) for n in range(1000)}
-    assert isinstance(opened.keeper.rewrite(too_much), Refused)
-    assert opened.keeper.rows() == {b"a": b"1"} and opened.keeper.verify() == ()
+    assert isinstance(opened.disk_store.rewrite(too_much), WriteFailed)
+    assert opened.disk_store.rows() == {b"a": b"1"} and opened.disk_store.verify() == ()
     (tmp_path / "store.mdb.new").unlink(missing_ok=True)
     (tmp_path / "store.mdb.new").mkdir()
-    assert isinstance(opened.keeper.rewrite({}), Refused)
-    assert opened.keeper.rows() == {b"a": b"1"}
+    assert isinstance(opened.disk_store.rewrite({}), WriteFailed)
+    assert opened.disk_store.rows() == {b"a": b"1"}
--- a/tests/mesh/test_storage_layout.py
+++ b/tests/mesh/test_storage_layout.py
@@ -39,17 +39,17 @@
     st.dictionaries(WORDS, st.integers(0, 2**53)),
 )
 def test_items_vector_and_marker_come_back(items: list[Item], vector: dict[str, int]) -> None:
-    rows = dict([*map(layout.pack_item, items), layout.pack_vector(vector), layout.pack_whole(True)])
+    rows = dict([*map(layout.pack_item, items), layout.pack_vector(vector), layout.pack_complete(True)])
     assert len(rows) == len(items) + 2
-    assert all(0 < len(key) <= layout.MOST_KEY_BYTES for key in rows)
-    held = layout.held(rows)
+    assert all(0 < len(key) <= layout.MAX_KEY_BYTES for key in rows)
+    held = layout.read_state(rows)
     assert sorted(held.items, key=repr) == sorted(items, key=repr)
-    assert (held.vector, held.whole) == (vector, True)
+    assert (held.vector, held.complete) == (vector, True)
 
 
 def test_a_disk_without_the_marker_is_not_complete() -> None:
-    assert not layout.held({}).whole
-    assert not layout.held(dict([layout.pack_whole(False)])).whole
+    assert not layout.read_state({}).complete
+    assert not layout.read_state(dict([layout.pack_complete(False)])).complete
 
 
 def test_rows_of_another_making_are_told() -> None:
@@ -58,7 +58,7 @@
     other = layout.pack_item(Item(kind="route", name="b", version=1, value={}, source="one", number=1))[0]
     for rows in ({other: value}, {key: b"{"}, {key: b'"\xff"'}, {b"vector": b"[]"}, {b"unheard": b""}):
         with pytest.raises(layout.StorageError, match="row"):
-            layout.held(rows)
+            layout.read_state(rows)
 
 
 def test_a_checksum_tells_key_from_value() -> None:
@@ -72,15 +72,19 @@
         ("route", "a", 7): Vote(Ballot(3, "life"), {"x": 1}, "tag"),
         ("route", "b", 1): Vote(Ballot(4, "life"), None),
     }
-    past = layout.Past(("route", "a"), 2, {5: "digest", 6: "digest/tag", 4: "/tag"})
+    past = layout.VersionHistory(("route", "a"), 2, {5: "digest", 6: "digest/tag", 4: "/tag"})
     rows = [layout.pack_vote(number, vote) for number, vote in votes.items()]
-    rows += [layout.pack_past(past), layout.pack_ceiling(1 << 40), layout.pack_generations({"10.0.0.1": 2})]
-    held = layout.held(dict(rows))
-    assert held.votes == votes and held.past == (past,)
+    rows += [
+        layout.pack_history(past),
+        layout.pack_ceiling(1 << 40),
+        layout.pack_generations({"10.0.0.1": 2}),
+    ]
+    held = layout.read_state(dict(rows))
+    assert held.votes == votes and held.histories == (past,)
     assert held.ceiling == 1 << 40 and held.generations == {"10.0.0.1": 2}
     for key, _ in rows:
         with pytest.raises(layout.StorageError, match="row"):
-            layout.held({key: b'{"neither'})
+            layout.read_state({key: b'{"neither'})
 
 
 def test_members_of_the_first_layout_become_the_view_of_epoch_1() -> None:
@@ -90,9 +94,9 @@
 
     route = Item(kind="route", name="a", version=1, value={}, source="s", number=4)
     items = [member("1", "counts"), member("2", "joins"), member("3", "counts", False), route]
-    rows = layout.MOVES[1](dict([*map(layout.pack_item, items), layout.pack_whole(True)]))
-    held = layout.held(rows)
-    assert held.whole and {item.kind for item in held.items} == {"route", VIEW}
+    rows = layout.MIGRATIONS[1](dict([*map(layout.pack_item, items), layout.pack_complete(True)]))
+    held = layout.read_state(rows)
+    assert held.complete and {item.kind for item in held.items} == {"route", VIEW}
     view = next(item for item in held.items if item.kind == VIEW)
     assert read_view(view.version, view.value) == View(1, {"1": Place("z", "")})
-    assert layout.MOVES[1]({}) == {}
+    assert layout.MIGRATIONS[1]({}) == {}
--- a/tests/mesh/test_storage_lmdb_store.py
+++ b/tests/mesh/test_storage_lmdb_store.py
@@ -13,7 +13,17 @@
 
 from mesh.storage import layout
 from mesh.storage import lmdb_store as keeping
-from mesh.storage.lmdb_store import NAME, Failed, Fresh, Keeper, Kept, Opened, Refused, SetAside, room
+from mesh.storage.lmdb_store import (
+    NAME,
+    DiskStore,
+    Durable,
+    Failed,
+    Fresh,
+    Opened,
+    SetAside,
+    WriteFailed,
+    max_store_bytes,
+)
 
 PAGE = 4096
 MOST = 1 << 20
@@ -21,17 +31,17 @@
 SECOND = {**FIRST, b"route": b"b" * 150, b"late": b"c" * 2000}
 
 
-def begun(folder: Path, rows: dict[bytes, bytes], most: int = MOST) -> Keeper:
-    found = Keeper.open(folder, most)
+def begun(folder: Path, rows: dict[bytes, bytes], most: int = MOST) -> DiskStore:
+    found = DiskStore.open(folder, most)
     assert isinstance(found, Fresh)
-    assert found.keeper.keep(list(rows.items())) == Kept()
-    return found.keeper
+    assert found.disk_store.write(list(rows.items())) == Durable()
+    return found.disk_store
 
 
 def reopened(folder: Path) -> Opened | Fresh | SetAside | Failed:
-    found = Keeper.open(folder, MOST)
+    found = DiskStore.open(folder, MOST)
     if not isinstance(found, Failed):
-        found.keeper.close()
+        found.disk_store.close()
     return found
 
 
@@ -39,10 +49,10 @@
 def states(tmp_path_factory: pytest.TempPathFactory) -> tuple[bytes, bytes]:
     """The file's bytes with FIRST kept, and with SECOND kept after it."""
     folder = tmp_path_factory.mktemp("states")
-    keeper = begun(folder, FIRST)
+    disk_store = begun(folder, FIRST)
     before = (folder / NAME).read_bytes()
-    keeper.keep([(b"route", SECOND[b"route"]), (b"late", SECOND[b"late"])])
-    keeper.close()
+    disk_store.write([(b"route", SECOND[b"route"]), (b"late", SECOND[b"late"])])
+    disk_store.close()
     return before, (folder / NAME).read_bytes()
 
 
@@ -53,18 +63,20 @@
 
 
 def test_a_start_finds_what_was_kept_and_not_what_was_dropped(tmp_path: Path) -> None:
-    keeper = begun(tmp_path / "state", FIRST)
+    disk_store = begun(tmp_path / "state", FIRST)
     assert (
-        keeper.keep([(b"route", b"x"), (b"route", b"y"), (b"small", b"z")], [b"large", b"none", b"small"])
-        == Kept()
+        disk_store.write(
+            [(b"route", b"x"), (b"route", b"y"), (b"small", b"z")], [b"large", b"none", b"small"]
+        )
+        == Durable()
     )
     kept = {b"route": b"y", b"small": b"z"}
-    assert keeper.rows() == kept
-    assert keeper.verify() == ()
-    keeper.close()
-    found = Keeper.open(tmp_path / "state", MOST)
+    assert disk_store.rows() == kept
+    assert disk_store.verify() == ()
+    disk_store.close()
+    found = DiskStore.open(tmp_path / "state", MOST)
     assert isinstance(found, Opened)
-    assert (found.rows, found.notes, found.keeper.rows()) == (kept, (), kept)
+    assert (found.rows, found.notes, found.disk_store.rows()) == (kept, (), kept)
     assert os.listdir(tmp_path / "state") == [NAME]
 
 
@@ -139,13 +151,13 @@
     _, after = states
     harmed = harms(after)[harm]
     (tmp_path / NAME).write_bytes(harmed)
-    found = Keeper.open(tmp_path, MOST)
+    found = DiskStore.open(tmp_path, MOST)
     assert isinstance(found, SetAside), found
     assert found.moved_to == tmp_path / f"{NAME}.aside-1"
     assert found.moved_to.read_bytes() == harmed
     assert found.reason
-    assert found.keeper.rows() == {}
-    assert found.keeper.keep([(b"again", b"1")]) == Kept()
+    assert found.disk_store.rows() == {}
+    assert found.disk_store.write([(b"again", b"1")]) == Durable()
 
 
 def test_a_file_cut_at_any_page_is_whole_or_set_aside(tmp_path: Path, states: tuple[bytes, bytes]) -> None:
@@ -181,7 +193,7 @@
 def test_verify_finds_a_flipped_byte_by_the_checksum_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    keeper = begun(tmp_path, SECOND)
+    disk_store = begun(tmp_path, SECOND)
     whole = (tmp_path / NAME).read_bytes()
     at = whole.index(SECOND[b"late"])
     with open(tmp_path / NAME, "r+b") as file:
@@ -189,10 +201,10 @@
         file.write(b"?")
     with monkeypatch.context() as patch:
         patch.setattr(keeping, "unseal", lambda key, stored: stored[8:])
-        assert keeper.verify() == ()
-    assert any("checksum differs" in finding for finding in keeper.verify())
+        assert disk_store.verify() == ()
+    assert any("checksum differs" in finding for finding in disk_store.verify())
     with pytest.raises(layout.StorageError):
-        keeper.rows()
+        disk_store.rows()
 
 
 def test_a_row_that_went_missing_is_found_by_the_head(tmp_path: Path) -> None:
@@ -202,69 +214,69 @@
         head = layout.unpack_head(transaction.get(layout.HEAD))
         assert isinstance(head, layout.Head)
         transaction.delete(b"rlate")
-        transaction.put(layout.HEAD, layout.pack_head(head.changed(transaction.id(), (), ())))
+        transaction.put(layout.HEAD, layout.pack_head(head.after_change(transaction.id(), (), ())))
     environment.close()
     assert isinstance(reopened(tmp_path), SetAside)
 
 
 def test_a_full_store_refuses_and_keeps_what_it_had(tmp_path: Path) -> None:
-    keeper = begun(tmp_path, FIRST, most=64 * PAGE)
+    disk_store = begun(tmp_path, FIRST, most=64 * PAGE)
     kept = dict(FIRST)
     for number in range(100):
         row = (b"more-%d" % number, os.urandom(2 * PAGE))
-        outcome = keeper.keep([row])
-        if isinstance(outcome, Refused):
+        outcome = disk_store.write([row])
+        if isinstance(outcome, WriteFailed):
             break
         kept.update([row])
-    assert isinstance(outcome, Refused) and "full" in outcome.reason
+    assert isinstance(outcome, WriteFailed) and "full" in outcome.reason
     assert (tmp_path / NAME).stat().st_size <= 64 * PAGE
-    assert keeper.rows() == kept
-    assert keeper.verify() == ()
-    assert keeper.keep([(b"route", b"again")], [b"more-0"]) == Kept()
+    assert disk_store.rows() == kept
+    assert disk_store.verify() == ()
+    assert disk_store.write([(b"route", b"again")], [b"more-0"]) == Durable()
 
 
 def test_a_file_stays_bounded_under_changes_and_shrinks_when_written_anew(tmp_path: Path) -> None:
     most = 4 << 20
-    keeper = begun(tmp_path, {b"i%04d" % n: os.urandom(200) for n in range(1000)}, most=most)
-    first = keeper.size()
+    disk_store = begun(tmp_path, {b"i%04d" % n: os.urandom(200) for n in range(1000)}, most=most)
+    first = disk_store.size()
     for version in range(400):
         rows = [(b"i%04d" % (version * 7 % 1000), os.urandom(200)), (b"vote%d" % version, os.urandom(200))]
-        assert keeper.keep(rows, [b"vote%d" % (version - 1)]) == Kept()
-    after = keeper.size()
+        assert disk_store.write(rows, [b"vote%d" % (version - 1)]) == Durable()
+    after = disk_store.size()
     assert after.used <= 1.5 * first.used and after.file <= 2 * first.file
-    assert keeper.fits(0) and not keeper.fits(most)
+    assert disk_store.fits(0) and not disk_store.fits(most)
     rest = {b"i%04d" % n: b"1" for n in range(20)}
-    assert keeper.keep([], [key for key in keeper.rows() if key not in rest]) == Kept()
-    assert keeper.size().file > 10 * keeper.size().used
-    assert keeper.rewrite(rest) == Kept()
-    assert keeper.size().file < first.file / 10 and keeper.rows() == rest
+    assert disk_store.write([], [key for key in disk_store.rows() if key not in rest]) == Durable()
+    assert disk_store.size().file > 10 * disk_store.size().used
+    assert disk_store.rewrite(rest) == Durable()
+    assert disk_store.size().file < first.file / 10 and disk_store.rows() == rest
     assert os.listdir(tmp_path) == [NAME]
 
 
 def test_rows_that_go_find_room_where_what_is_set_finds_none(tmp_path: Path) -> None:
-    keeper = begun(tmp_path, {}, most=1 << 20)
+    disk_store = begun(tmp_path, {}, most=1 << 20)
     kept = []
-    while keeper.fits(300):
+    while disk_store.fits(300):
         kept.append(b"k%05d" % len(kept))
-        assert keeper.keep([(kept[-1], os.urandom(250))]) == Kept()
+        assert disk_store.write([(kept[-1], os.urandom(250))]) == Durable()
     assert len(kept) > 500
     for at in range(0, len(kept), 50):
-        assert keeper.keep([(b"vector", os.urandom(3000))], kept[at : at + 50]) == Kept()
-    assert keeper.fits(300)
+        assert disk_store.write([(b"vector", os.urandom(3000))], kept[at : at + 50]) == Durable()
+    assert disk_store.fits(300)
 
 
 def test_a_disk_that_refuses_writes_is_told_and_serves_again(tmp_path: Path) -> None:
-    keeper = begun(tmp_path, FIRST)
+    disk_store = begun(tmp_path, FIRST)
     usual = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, ((tmp_path / NAME).stat().st_size, usual[1]))
     try:
-        outcome = keeper.keep([(b"late", os.urandom(40 * PAGE))])
+        outcome = disk_store.write([(b"late", os.urandom(40 * PAGE))])
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, usual)
-    assert isinstance(outcome, Refused)
-    assert keeper.rows() == FIRST
-    assert keeper.keep([(b"late", SECOND[b"late"]), (b"route", SECOND[b"route"])]) == Kept()
-    keeper.close()
+    assert isinstance(outcome, WriteFailed)
+    assert disk_store.rows() == FIRST
+    assert disk_store.write([(b"late", SECOND[b"late"]), (b"route", SECOND[b"route"])]) == Durable()
+    disk_store.close()
     assert getattr(reopened(tmp_path), "rows", None) == SECOND
 
 
@@ -286,20 +298,20 @@
 
 @pytest.mark.parametrize("call", ["begin", "sync"])
 def test_no_row_is_kept_before_the_disk_says_so(tmp_path: Path, call: str) -> None:
-    keeper = begun(tmp_path, FIRST)
-    keeper._environment = Broken(keeper._environment, call, lmdb.DiskError("no"))  # type: ignore[assignment]
-    assert isinstance(keeper.keep([(b"late", b"1")]), Refused)
-    assert keeper.keep([(b"late", b"1")]) == Kept()
-    assert keeper.rows() == {**FIRST, b"late": b"1"}
+    disk_store = begun(tmp_path, FIRST)
+    disk_store._environment = Broken(disk_store._environment, call, lmdb.DiskError("no"))  # type: ignore[assignment]
+    assert isinstance(disk_store.write([(b"late", b"1")]), WriteFailed)
+    assert disk_store.write([(b"late", b"1")]) == Durable()
+    assert disk_store.rows() == {**FIRST, b"late": b"1"}
 
 
 def test_keys_out_of_bounds_are_refused(tmp_path: Path) -> None:
-    keeper = begun(tmp_path, {})
-    longest = b"k" * layout.MOST_KEY_BYTES
-    assert keeper.keep([(longest, b"v")]) == Kept()
-    assert isinstance(keeper.keep([(longest + b"k", b"v")]), Refused)
-    assert isinstance(keeper.keep([(b"", b"v")]), Refused)
-    assert keeper.rows() == {longest: b"v"}
+    disk_store = begun(tmp_path, {})
+    longest = b"k" * layout.MAX_KEY_BYTES
+    assert disk_store.write([(longest, b"v")]) == Durable()
+    assert isinstance(disk_store.write([(longest + b"k", b"v")]), WriteFailed)
+    assert isinstance(disk_store.write([(b"", b"v")]), WriteFailed)
+    assert disk_store.rows() == {longest: b"v"}
 
 
 @settings(max_examples=25, deadline=None)
@@ -316,26 +328,26 @@
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[dict[int, int], set[int]]]
 ) -> None:
     folder = tmp_path_factory.mktemp("order")
-    keeper = begun(folder, {}, most=8 << 20)
+    disk_store = begun(folder, {}, most=8 << 20)
     expected: dict[bytes, bytes] = {}
     for come, go in steps:
         rows = {b"%d" % key: bytes([key]) * size for key, size in come.items()}
-        assert keeper.keep(list(rows.items()), [b"%d" % key for key in go]) == Kept()
+        assert disk_store.write(list(rows.items()), [b"%d" % key for key in go]) == Durable()
         for key in go:
             expected.pop(b"%d" % key, None)
         expected.update(rows)
-        assert keeper.verify() == ()
-    assert keeper.rows() == expected
+        assert disk_store.verify() == ()
+    assert disk_store.rows() == expected
 
 
 def test_a_backup_restored_equals_the_store(tmp_path: Path) -> None:
-    keeper = begun(tmp_path / "state", FIRST)
-    assert keeper.backup(tmp_path / "copy") == Kept()
-    assert isinstance(keeper.backup(tmp_path / "copy"), Refused)
-    assert keeper.keep([(b"late", b"1")]) == Kept()
-    found = Keeper.open(tmp_path / "copy", MOST)
+    disk_store = begun(tmp_path / "state", FIRST)
+    assert disk_store.backup(tmp_path / "copy") == Durable()
+    assert isinstance(disk_store.backup(tmp_path / "copy"), WriteFailed)
+    assert disk_store.write([(b"late", b"1")]) == Durable()
+    found = DiskStore.open(tmp_path / "copy", MOST)
     assert isinstance(found, Opened) and found.rows == FIRST
-    assert found.keeper.keep([(b"late", b"2")]) == Kept()
+    assert found.disk_store.write([(b"late", b"2")]) == Durable()
 
 
 def test_asides_are_bounded_in_number_and_in_bytes(tmp_path: Path) -> None:
@@ -352,7 +364,7 @@
     assert list(tmp_path.glob("*.aside-*")) == [large]
 
 
-@pytest.mark.parametrize("call", ["_begin", "_publish"])
+@pytest.mark.parametrize("call", ["_create", "_publish"])
 def test_a_setting_aside_cut_short_is_told_at_the_next_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
@@ -363,11 +375,11 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(keeping, call, crash)
-        assert isinstance(Keeper.open(tmp_path, MOST), Failed)
-    found = Keeper.open(tmp_path, MOST)
+        assert isinstance(DiskStore.open(tmp_path, MOST), Failed)
+    found = DiskStore.open(tmp_path, MOST)
     assert isinstance(found, SetAside)
     assert found.moved_to.read_bytes() == b"torn"
-    assert found.keeper.keep([(b"a", b"b")]) == Kept()
+    assert found.disk_store.write([(b"a", b"b")]) == Durable()
 
 
 def test_a_first_start_cut_short_is_a_first_start_again(
@@ -386,7 +398,7 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(keeping, "_environment", refuse)
-        assert isinstance(Keeper.open(tmp_path, MOST), Failed)
+        assert isinstance(DiskStore.open(tmp_path, MOST), Failed)
     found = reopened(tmp_path)
     assert isinstance(found, Opened) and found.rows == SECOND
 
@@ -397,7 +409,7 @@
 
 def moving(patch: pytest.MonkeyPatch, move: Callable[[dict[bytes, bytes]], dict[bytes, bytes]]) -> None:
     patch.setattr(keeping, "LAYOUT", layout.LAYOUT + 1)
-    patch.setitem(layout.MOVES, layout.LAYOUT, move)
+    patch.setitem(layout.MIGRATIONS, layout.LAYOUT, move)
 
 
 def test_an_older_layout_is_moved_on_whole_or_not_at_all(
@@ -411,7 +423,7 @@
     with monkeypatch.context() as patch:
         moving(patch, renamed)
         patch.setattr(keeping, "pack_head", crash)  # the last row of the moving transaction
-        assert isinstance(Keeper.open(tmp_path, MOST), Failed)
+        assert isinstance(DiskStore.open(tmp_path, MOST), Failed)
     found = reopened(tmp_path)
     assert isinstance(found, Opened) and found.rows == FIRST
     with monkeypatch.context() as patch:
@@ -429,13 +441,13 @@
         moving(patch, renamed)
         begun(tmp_path, FIRST).close()
     data = (tmp_path / NAME).read_bytes()
-    found = Keeper.open(tmp_path, MOST)
+    found = DiskStore.open(tmp_path, MOST)
     assert isinstance(found, Failed) and "newer program" in found.reason
     assert (tmp_path / NAME).read_bytes() == data
     assert os.listdir(tmp_path) == [NAME]
 
 
 def test_room_is_half_the_disk_up_to_a_bound() -> None:
-    assert room(256) == keeping.MOST_MAP_BYTES
-    assert room(100) == 50 << 20
-    assert room(0.01) % PAGE == 0
+    assert max_store_bytes(256) == keeping.MAX_MAP_BYTES
+    assert max_store_bytes(100) == 50 << 20
+    assert max_store_bytes(0.01) % PAGE == 0
--- a/tests/mesh/test_storage_names.py
+++ b/tests/mesh/test_storage_names.py
@@ -11,7 +11,7 @@
 import pytest
 
 from mesh.storage import lmdb_store as keeping
-from mesh.storage.lmdb_store import NAME, Failed, Keeper, Kept, Opened
+from mesh.storage.lmdb_store import NAME, DiskStore, Durable, Failed, Opened
 
 MOST = 1 << 20
 FIRST, SECOND = {b"route": b"a" * 100}, {b"route": b"b" * 100}
@@ -93,15 +93,15 @@
 
 def life(folder: Path, rows: dict[bytes, bytes], rewrites: bool = False) -> bool:
     """One life of a process; whether it said that the rows are kept."""
-    found = Keeper.open(folder, MOST)
+    found = DiskStore.open(folder, MOST)
     if isinstance(found, Failed):
         return False
     try:
         if rewrites:
-            found.keeper.rewrite(FIRST)  # whatever comes of it
-        return found.keeper.keep(list(rows.items())) == Kept()
+            found.disk_store.rewrite(FIRST)  # whatever comes of it
+        return found.disk_store.write(list(rows.items())) == Durable()
     finally:
-        found.keeper.close()
+        found.disk_store.close()
 
 
 def lost(power: Power, rows: dict[bytes, bytes]) -> list[list[str]]:
@@ -109,11 +109,11 @@
     found = []
     for after in power.losses():
         names = sorted(os.listdir(after)) if after.is_dir() else []
-        outcome = Keeper.open(after, MOST)
+        outcome = DiskStore.open(after, MOST)
         if not (isinstance(outcome, Opened) and outcome.rows == rows):
             found.append(names)
         if not isinstance(outcome, Failed):
-            outcome.keeper.close()
+            outcome.disk_store.close()
     return found
 
 
--- a/tests/mesh/test_storage_power.py
+++ b/tests/mesh/test_storage_power.py
@@ -13,7 +13,7 @@
 import pytest
 
 from mesh.storage import lmdb_store as keeping
-from mesh.storage.lmdb_store import Fresh, Keeper, Kept, Opened
+from mesh.storage.lmdb_store import DiskStore, Durable, Fresh, Opened
 
 MOST = 1 << 20
 ROWS = {b"a": b"1" * 100, b"b": b"2" * 5000}
@@ -42,7 +42,7 @@
         self.root, self.state = root, root / "state"
         self.kill_at, self.steps = -1, 0
         self.acked: dict[bytes, bytes] = {}
-        self.keeper: Keeper | None = None
+        self.disk_store: DiskStore | None = None
         self._durable: dict[Path, dict[str, int]] = {}  # by folder: what its sync made durable
         self._files = root / "files"  # every file that had a name, by its inode
         self._files.mkdir()
@@ -79,7 +79,7 @@
         for one in self._open:
             one.close()
         self._open.clear()
-        self.keeper = None
+        self.disk_store = None
 
     def _names(self, folder: Path) -> dict[str, int]:
         found = {}
@@ -128,18 +128,18 @@
     # What a script does
 
     def start(self) -> None:
-        outcome = Keeper.open(self.state, MOST)
+        outcome = DiskStore.open(self.state, MOST)
         assert isinstance(outcome, Opened | Fresh), outcome
         rows = outcome.rows if isinstance(outcome, Opened) else {}
         assert rows.items() >= self.acked.items(), "what was kept is gone"
-        self.keeper = outcome.keeper
+        self.disk_store = outcome.disk_store
 
     def keep(self, rows: dict[bytes, bytes]) -> None:
-        assert self.keeper is not None and self.keeper.keep(list(rows.items())) == Kept()
+        assert self.disk_store is not None and self.disk_store.write(list(rows.items())) == Durable()
         self.acked |= rows
 
     def rewrite(self) -> None:
-        assert self.keeper is not None and self.keeper.rewrite(dict(self.acked)) == Kept()
+        assert self.disk_store is not None and self.disk_store.rewrite(dict(self.acked)) == Durable()
 
 
 LINK = os.link
--- a/tests/mesh/test_thread_points.py
+++ b/tests/mesh/test_thread_points.py
@@ -23,8 +23,8 @@
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from mesh.storage import lmdb_store
-from mesh.storage.layout import held
-from mesh.storage.lmdb_store import Fresh, Keeper, Opened
+from mesh.storage.layout import read_state
+from mesh.storage.lmdb_store import DiskStore, Fresh, Opened
 from rigs.thread_points import NEVER, Points
 
 MOST = 1 << 20
@@ -41,14 +41,14 @@
         yield Path(folder)
 
 
-class TracedKeeper:
+class TracedDiskStore:
     """Counts the bytecodes of one work of the disk's thread."""
 
-    def __init__(self, keeper: Keeper, points: Points) -> None:
-        self._keeper, self._points, self._used = keeper, points, False
+    def __init__(self, disk_store: DiskStore, points: Points) -> None:
+        self._disk_store, self._points, self._used = disk_store, points, False
 
     def __getattr__(self, name: str) -> Any:
-        real = getattr(self._keeper, name)
+        real = getattr(self._disk_store, name)
 
         def traced(*given: Any) -> Any:
             if self._used or threading.current_thread() is threading.main_thread():
@@ -65,13 +65,13 @@
     def __init__(self, folder: Path, stop_at: int) -> None:
         self.folder, self.loop, self.version = folder, asyncio.get_running_loop(), 0
         self.store = Store("here", 1000, decided=True)
-        opened = Keeper.open(folder, MOST)
+        opened = DiskStore.open(folder, MOST)
         assert isinstance(opened, Fresh)
         self.step: Callable[[], None] = lambda: None
         self.begun: list[asyncio.Future[Any]] = []
         self.points = Points(DISK_FILES, stop_at, self._meanwhile)
-        self.keeper = opened.keeper
-        traced: Any = TracedKeeper(opened.keeper, self.points)
+        self.disk_store = opened.disk_store
+        traced: Any = TracedDiskStore(opened.disk_store, self.points)
         acceptor = Acceptor("here", 0, lambda _: 0)
         self.disk_writer = DiskWriter(self.store, acceptor, traced, EventLog("here", io.StringIO()), True)
 
@@ -106,13 +106,13 @@
         wrong = [repr(one) for one in told if isinstance(one, Exception)]
         await asyncio.wait_for(self.disk_writer.flush(), WITHIN_S)
         self.disk_writer._thread.shutdown()
-        self.keeper.close()
+        self.disk_store.close()
         wanted = dict(self.store.items)
-        again = Keeper.open(self.folder, MOST)
+        again = DiskStore.open(self.folder, MOST)
         if not isinstance(again, Opened):
             return [*wrong, repr(again)]
-        found = {item.key: item for item in held(again.rows).items}
-        again.keeper.close()
+        found = {item.key: item for item in read_state(again.rows).items}
+        again.disk_store.close()
         return wrong + [f"{key}: {found.get(key)}" for key in wanted if found.get(key) != wanted[key]]
 
 
@@ -129,7 +129,7 @@
     """What operators and repair ask of the disk: its check, its size, to be written anew."""
     disk.put("b")
     disk.begin(disk.disk_writer.run_between_batches(_survey))
-    disk.begin(disk.disk_writer.run_between_batches(lambda keeper: keeper.size()))
+    disk.begin(disk.disk_writer.run_between_batches(lambda disk_store: disk_store.size()))
     disk.begin(disk.disk_writer.rewrite())
     disk.begin(disk.disk_writer.flush())
 
@@ -137,7 +137,7 @@
 def copies(disk: Disk) -> None:
     """A copy of the store and a write behind it."""
     to = disk.folder.parent / "copy"
-    disk.begin(disk.disk_writer.run_between_batches(lambda keeper: keeper.backup(to)))
+    disk.begin(disk.disk_writer.run_between_batches(lambda disk_store: disk_store.backup(to)))
     changes(disk)
 
 
@@ -185,7 +185,7 @@
 
 async def _beside(disk_writer: DiskWriter, work: Callable[[Any], Any]) -> Any:
     """Seeded fault: the store is used from the loop's thread, without waiting for the disk's."""
-    return work(disk_writer._keeper)
+    return work(disk_writer._disk_store)
 
 
 def test_work_on_the_store_beside_the_disks_thread_is_found(
@@ -199,7 +199,7 @@
     memory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seeded fault: the disk's thread goes through rows to which the loop still adds, and answers for all."""
-    real_keep, real_rows = Keeper.keep, DiskWriter._rows
+    real_keep, real_rows = DiskStore.write, DiskWriter._rows
     shared: list[tuple[bytes, bytes]] = []
 
     def rows(disk_writer: DiskWriter, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
@@ -214,7 +214,9 @@
 
     monkeypatch.setattr(DiskWriter, "_rows", rows)
     monkeypatch.setitem(STEPS, "shared", put)
-    monkeypatch.setattr(Keeper, "keep", lambda keeper, told, gone=(): real_keep(keeper, told, gone))
+    monkeypatch.setattr(
+        DiskStore, "write", lambda disk_store, told, gone=(): real_keep(disk_store, told, gone)
+    )
     assert all_points(memory / "points", "keep", "shared") != []
 
 
