--- a/mesh/storage/__init__.py
+++ b/mesh/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The durable store: what was acknowledged, in lmdb."""
+"""The durable store: acknowledged writes, in lmdb."""
--- a/mesh/storage/lmdb_store.py
+++ b/mesh/storage/lmdb_store.py
@@ -1,13 +1,13 @@
-"""The durable store of a process: one lmdb file in a folder, opened, checked, written and set aside.
+"""The durable store of a process: one lmdb file in a folder, which is opened, checked, written and, if it is
+damaged, set aside.
 
-Calls come one at a time and wait for the disk. The file's name appears only when the file is complete and
-synced, so that a start finds a whole store, none, or a damaged one, and can tell the three apart. A damaged
-one is renamed, never overwritten and never passed over in silence: what was acknowledged is not on this disk,
-and the caller must know it.
+Calls are made one at a time and wait for the disk. The file gets its name only when it is complete and
+synced, so that a start can distinguish a complete store, none, and a damaged one. A damaged store is renamed,
+never overwritten and never ignored: acknowledged writes are missing from this disk, and the caller must know.
 
-A name may be lost by itself with the power, however often its file was synced, until its folder is. A life
-that died, or a disk that refused, between the two leaves a name that is there and may yet go; so nothing is
-said to be kept by a life that has not synced the folder, and the one above it, itself.
+Until a folder is synced, a power failure may remove a name from it, even if the named file was synced. A
+process that died, or a disk error, between the two syncs leaves a name that may still disappear. Therefore no
+process reports rows as durable before it has synced the folder and its parent itself.
 """
 
 import os
@@ -16,7 +16,7 @@
 
 import lmdb
 from lmdb.verify import VerifyError
-from lmdb.verify import verify as walk
+from lmdb.verify import verify as check_file
 from msgspec import Struct
 
 from mesh.storage.layout import (
@@ -37,9 +37,9 @@
 NAME = "store.mdb"
 MAX_ASIDES = 3
 MAX_MAP_BYTES = 64 << 20
-MAX_ITEM_SHARE = 0.4  # of the most that a store may grow to, which items set by orders may take
+MAX_ITEM_SHARE = 0.4  # of the maximum size, for items that operators write
 _ROW = b"r"
-# Errors of the machine, not of the file: the file may be well, so it stays where it is.
+# Errors of the machine, not of the file: the file may be intact, so it is left in place.
 _ENVIRONMENT_ERRORS = (
     lmdb.DiskError,
     lmdb.ReadonlyError,
@@ -50,18 +50,18 @@
 
 
 class Durable(Struct, frozen=True):
-    """The rows are on the disk and outlast a loss of power."""
+    """The rows are on the disk and survive a power failure."""
 
 
 class WriteFailed(Struct, frozen=True):
-    """The rows are not known to be on the disk: they may be there or not. Keep the same rows again before
-    relying on them; what was kept before still stands."""
+    """The rows may be on the disk or not. Write the same rows again before relying on them; earlier durable
+    writes are unaffected."""
 
     reason: str
 
 
 class Opened(Struct, frozen=True):
-    """A store that holds every row that it said was kept. ``notes`` tell what opening it changed."""
+    """A store that holds every row that was durable. ``notes`` list the migrations applied."""
 
     disk_store: "DiskStore"
     rows: Rows
@@ -69,14 +69,14 @@
 
 
 class Fresh(Struct, frozen=True):
-    """The folder held no store and none set aside: a first start, or a disk that came back empty."""
+    """The folder had no store, also none set aside: a first start, or an empty replacement disk."""
 
     disk_store: "DiskStore"
 
 
 class SetAside(Struct, frozen=True):
-    """The store was damaged and has been renamed to ``moved_to``; the new one is empty: this disk has lost its
-    rows."""
+    """The store was damaged and has been renamed to ``moved_to``; the new one is empty, because this disk has
+    lost its rows."""
 
     disk_store: "DiskStore"
     moved_to: Path
@@ -84,13 +84,13 @@
 
 
 class Failed(Struct, frozen=True):
-    """No store could be opened, and none that was there was changed."""
+    """No store could be opened; an existing one is unchanged."""
 
     reason: str
 
 
 class Size(Struct, frozen=True):
-    """``file`` bytes hold ``used`` bytes of rows and of their order; more than ``most`` never come."""
+    """Bytes: of the file, of the rows with their index in it, and the maximum size of the file."""
 
     file: int
     used: int
@@ -98,68 +98,72 @@
 
 
 class _Damaged(Struct, frozen=True):
+    """The store cannot be used, and must be set aside."""
+
     reason: str
 
 
 def max_store_bytes(disk_mb: float) -> int:
-    """How large the store may grow, in bytes, on a disk of that many MB: half of it, since as much again may
-    lie set aside, and no more than MAX_MAP_BYTES."""
+    """The maximum size of the store on a disk of this many MB: half of it, since damaged stores that are set
+    aside may take as much again, and at most MAX_MAP_BYTES."""
     return min(MAX_MAP_BYTES, int(disk_mb * (1 << 20) / 2)) & ~4095
 
 
 class DiskStore:
-    """An open store. Made by DiskStore.open; one call at a time, from whichever thread."""
+    """An open store, created by DiskStore.open. One call at a time, from any thread."""
 
-    def __init__(self, path: Path, most_bytes: int, environment: lmdb.Environment) -> None:
+    def __init__(self, path: Path, max_bytes: int, environment: lmdb.Environment) -> None:
         self._path = path
-        self._max_bytes = most_bytes
-        self._environment: lmdb.Environment | None = (
-            environment  # None after a refusal, until the next call opens it anew
-        )
+        self._max_bytes = max_bytes
+        # None after an error, until the next call reopens it.
+        self._environment: lmdb.Environment | None = environment
         self._used = _used(environment)
-        self._name_synced = False  # the file's name is known to outlast a loss of power
+        self._name_synced = False  # the file's name survives a power failure
 
     @staticmethod
-    def open(folder: Path, most_bytes: int) -> Opened | Fresh | SetAside | Failed:
-        """Open the store of a folder, or begin one, at most ``most_bytes`` large.
+    def open(folder: Path, max_bytes: int) -> Opened | Fresh | SetAside | Failed:
+        """Open the store of a folder, or create one, of at most ``max_bytes``.
 
-        The folder is made if it is missing. Every row is read and checked. A store of an older layout is
-        moved on; one of a newer layout is Failed, and stays as it is.
+        A missing folder is created. Every row is read and checked. A store of an older layout is migrated;
+        one of a newer layout gives Failed and is left unchanged.
         """
         path = folder / NAME
         try:
             _make_folder(folder)
             asides = _asides(path)
             if not path.exists() and _spare(path).exists():
-                os.rename(_spare(path), path)  # a rewriting lost both names of it but this one
+                os.rename(_spare(path), path)  # a rewrite was interrupted, and only its spare copy is left
             if not path.exists():
-                disk_store = _create(path, most_bytes)
+                disk_store = _create(path, max_bytes)
                 if not asides:
                     return Fresh(disk_store)
-                # Setting aside was cut short between its two renames, or the caller never came to hear of it.
+                # An earlier start was interrupted after it had set the store aside and before its report.
                 return SetAside(
-                    disk_store, asides[-1], "an earlier store was set aside and none begun in its place"
+                    disk_store, asides[-1], "an earlier store was set aside and no new one was created"
                 )
-            found = _read(path, most_bytes)
+            found = _read(path, max_bytes)
             if not isinstance(found, _Damaged):
                 if isinstance(found, Opened):
                     _remove_leftovers(path)
                 return found
-            moved_to = _set_aside(path, most_bytes)
-            return SetAside(_create(path, most_bytes), moved_to, found.reason)
+            moved_to = _set_aside(path, max_bytes)
+            return SetAside(_create(path, max_bytes), moved_to, found.reason)
         except (OSError, lmdb.Error) as error:
-            return Failed(f"{path}: {error}; mend the disk or its rights and start again")
+            return Failed(f"{path}: {error}; repair the disk or its permissions and start again")
 
-    def write(self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()) -> Durable | WriteFailed:
-        """Write rows and drop the keys in ``gone``, in one transaction; return when the disk has it.
+    def write(
+        self, rows: Sequence[tuple[bytes, bytes]], deleted: Sequence[bytes] = ()
+    ) -> Durable | WriteFailed:
+        """Write rows and delete the keys in ``deleted`` in one transaction; return when it is durable.
 
-        Of two rows with one key the later counts; a key in both stays. Keys are at most MAX_KEY_BYTES long.
+        Of two rows with one key the later one is written; a key in both arguments is written. Keys are at
+        most MAX_KEY_BYTES long.
         """
-        # Once each: lmdb writes a second value of one transaction into the first one's pages and loses count
-        # of them.
-        wanted = {_ROW + key: value for key, value in rows}
-        dropped = {_ROW + key for key in gone}
-        if any(not 0 < len(key) - 1 <= MAX_KEY_BYTES for key in (*wanted, *dropped)):
+        # Each key once: lmdb writes a second value within one transaction into the first one's pages and then
+        # miscounts them.
+        written = {_ROW + key: value for key, value in rows}
+        deleted_keys = {_ROW + key for key in deleted}
+        if any(not 0 < len(key) - 1 <= MAX_KEY_BYTES for key in (*written, *deleted_keys)):
             return WriteFailed(f"a key is empty or longer than {MAX_KEY_BYTES} bytes; shorten it")
         try:
             environment = self._opened()
@@ -167,17 +171,17 @@
                 head = unpack_head(transaction.get(HEAD))
                 if isinstance(head, str):
                     return WriteFailed(f"{self._path}: {head}; start again")
-                came, went = [], []
-                for key in dropped:
-                    went.append(transaction.pop(key))
-                for key, value in wanted.items():
-                    came.append(seal(key, value))
-                    went.append(transaction.replace(key, came[-1]))
+                added, removed = [], []
+                for key in deleted_keys:
+                    removed.append(transaction.pop(key))
+                for key, value in written.items():
+                    added.append(seal(key, value))
+                    removed.append(transaction.replace(key, added[-1]))
                 after = head.after_change(
-                    transaction.id(), came, [stored for stored in went if stored is not None]
+                    transaction.id(), added, [stored for stored in removed if stored is not None]
                 )
                 transaction.put(HEAD, pack_head(after))
-            # The commit's last write is made durable by a flag of its descriptor alone, which not every disk
+            # The last write of the commit relies on a flag of its file descriptor, which not every disk
             # honours.
             environment.sync(True)
             self._sync_name()
@@ -187,45 +191,43 @@
                 f"{self._path}: full at {self._max_bytes} bytes; drop rows or provide more space"
             )
         except (lmdb.Error, OSError) as error:
-            # The pages in memory may differ from those on the disk; a new look at the file tells what it
-            # holds.
+            # The pages in memory may differ from those on the disk; reopening the file reads the latter.
             self.close()
-            return WriteFailed(f"{self._path}: {error}; keep the rows again when the disk is well")
+            return WriteFailed(f"{self._path}: {error}; write the rows again when the disk works")
         return Durable()
 
     def rewrite(self, rows: Rows) -> Durable | WriteFailed:
-        """Put a store of these rows, all that it is to hold, in the place of this one, whatever is damaged in
-        it. A start finds either: a second copy of the new one lies beside it until the new one has the name
-        for good (a rename may lose both names, and these disks know no links)."""
+        """Replace this store, which may be damaged, by one of exactly these rows. A start finds either one: a
+        spare copy of the new one exists until its name is durable, since an interrupted rename may lose both
+        names, and these disks have no hard links."""
         self.close()
-        unfinished, before = _unfinished(self._path), _spare(self._path)
+        unfinished, spare = _unfinished(self._path), _spare(self._path)
         self._name_synced = False
         try:
             _write_store(unfinished, self._max_bytes, rows)
-            before.unlink(missing_ok=True)
-            _write_store(before, self._max_bytes, rows)
+            spare.unlink(missing_ok=True)
+            _write_store(spare, self._max_bytes, rows)
             _publish(unfinished, self._path)
             self._sync_name()
-            before.unlink()
+            spare.unlink()
         except (lmdb.Error, OSError) as error:
-            return WriteFailed(f"{self._path}: {error}; give the disk room or look at it")
+            return WriteFailed(f"{self._path}: {error}; free space on the disk or check it")
         return Durable()
 
     def fits(self, more_bytes: int) -> bool:
-        """Whether rows of so many bytes may come, so that what goes, and what must be kept of votes and
-        views, still finds room: a change costs new pages before the old ones are free. As of the last keep;
-        from any thread."""
+        """Whether rows of this many bytes may be added while deletions, votes and views still find space: a
+        change needs new pages before the old ones are free. As of the last write; from any thread."""
         return self._used + more_bytes <= MAX_ITEM_SHARE * self._max_bytes
 
     def size(self) -> Size:
-        """Bytes. Raises StorageError where the file cannot be looked at."""
+        """The size of the store. Raises StorageError if the file cannot be read."""
         try:
             return Size(os.stat(self._path).st_size, _used(self._opened()), self._max_bytes)
         except (lmdb.Error, OSError) as error:
-            raise StorageError(f"{self._path}: {error}; look at the disk") from error
+            raise StorageError(f"{self._path}: {error}; check the disk") from error
 
     def rows(self) -> Rows:
-        """All rows. Raises StorageError where one cannot be read or has another checksum."""
+        """All rows. Raises StorageError if one cannot be read or fails its checksum."""
         try:
             rows, findings, _ = _check_rows(self._opened())
         except (lmdb.Error, OSError) as error:
@@ -235,8 +237,7 @@
         return rows
 
     def verify(self) -> tuple[str, ...]:
-        """What is wrong with the store as it lies on the disk, a line each; () where nothing is. Reads all of
-        it."""
+        """Read the whole store from the disk; return one line for each error found."""
         findings = list(_check_pages(self._path))
         try:
             findings += _check_rows(self._opened())[1]
@@ -245,29 +246,28 @@
         return tuple(findings)
 
     def backup(self, to: Path) -> Durable | WriteFailed:
-        """Copy the store, as it is now, to a folder that holds none yet; the copy opens like the store
-        itself."""
+        """Copy the current store to a folder without one; the copy can be opened like the store itself."""
         try:
             _make_folder(to)
             copy = to / NAME
             if copy.exists():
-                return WriteFailed(f"{copy}: is there already; name another folder")
+                return WriteFailed(f"{copy}: already exists; choose another folder")
             unfinished = _unfinished(copy)
             unfinished.unlink(missing_ok=True)
             self._opened().copy(str(unfinished))
             _publish(unfinished, copy)
         except (lmdb.Error, OSError) as error:
-            return WriteFailed(f"{to}: {error}; name a folder with room")
+            return WriteFailed(f"{to}: {error}; choose a folder with enough space")
         return Durable()
 
     def close(self) -> None:
-        """Let go of the file. Nothing is lost by not calling it."""
+        """Close the file. No data is lost without this call."""
         if self._environment is not None:
             self._environment.close()
             self._environment = None
 
     def _sync_name(self) -> None:
-        """Raises OSError."""
+        """Makes the file's name durable. Raises OSError."""
         if not self._name_synced:
             _sync_folder(self._path.parent)
             _sync_folder(self._path.parent.parent)
@@ -284,21 +284,20 @@
     return int((stat["branch_pages"] + stat["leaf_pages"] + stat["overflow_pages"]) * stat["psize"])
 
 
-def _environment(path: Path, most_bytes: int) -> lmdb.Environment:
-    # No lock file: one process has the file, and the machines' locks do nothing. No writable map: a write
-    # through it would reach the file when the kernel likes, not when it is synced.
-    return lmdb.open(str(path), map_size=most_bytes, subdir=False, lock=False, mode=0o640, readahead=False)
+def _environment(path: Path, max_bytes: int) -> lmdb.Environment:
+    # No lock file: only one process opens the file, and locks do not work on these machines. No writable map:
+    # the kernel would write its pages to the file at any time, not only at a sync.
+    return lmdb.open(str(path), map_size=max_bytes, subdir=False, lock=False, mode=0o640, readahead=False)
 
 
-def _read(path: Path, most_bytes: int) -> Opened | Failed | _Damaged:
-    """Check and open a store that is there. Raises OSError, or lmdb.Error for what is not the file's own
-    fault."""
-    # Before lmdb maps it: a page that is cut off would end the process at the first look.
+def _read(path: Path, max_bytes: int) -> Opened | Failed | _Damaged:
+    """Check and open an existing store. Raises OSError, or lmdb.Error for errors outside the file."""
+    # Checked before lmdb maps the file: access to a truncated page would kill the process.
     findings = _check_pages(path)
     if findings:
         return _Damaged(findings[0])
-    environment = _environment(path, most_bytes)
-    opened = False
+    environment = _environment(path, max_bytes)
+    usable = False
     try:
         rows, findings, head = _check_rows(environment)
         if head is not None and head.layout > LAYOUT:
@@ -309,32 +308,32 @@
         for layout in range(head.layout, LAYOUT):
             rows = MIGRATIONS[layout](rows)
             _write_all(environment, layout + 1, rows)
-            notes.append(f"moved on from layout {layout} to {layout + 1}")
-        opened = True
+            notes.append(f"migrated from layout {layout} to {layout + 1}")
+        usable = True
     except lmdb.Error as error:
         if isinstance(error, _ENVIRONMENT_ERRORS):
             raise
         return _Damaged(str(error))
     finally:
-        if not opened:
+        if not usable:
             environment.close()
-    return Opened(DiskStore(path, most_bytes, environment), rows, tuple(notes))
+    return Opened(DiskStore(path, max_bytes, environment), rows, tuple(notes))
 
 
-def read_copy(folder: Path, most_bytes: int) -> Rows | Failed:
-    """The rows of a copy, of this layout, which stays as it is; Failed where any of it is damaged."""
+def read_copy(folder: Path, max_bytes: int) -> Rows | Failed:
+    """The rows of a copy, migrated to this layout; the copy is unchanged. Failed if any of it is damaged."""
     path = folder / NAME
     try:
         findings = _check_pages(path)
         if findings:
             return Failed(f"{path}: {findings[0]}; take another copy")
-        environment = lmdb.open(str(path), map_size=most_bytes, subdir=False, lock=False, readonly=True)
+        environment = lmdb.open(str(path), map_size=max_bytes, subdir=False, lock=False, readonly=True)
         try:
             rows, findings, head = _check_rows(environment)
         finally:
             environment.close()
     except (lmdb.Error, OSError) as error:
-        return Failed(f"{path}: {error}; name the folder of a copy")
+        return Failed(f"{path}: {error}; choose the folder of a copy")
     if head is None or findings:
         return Failed(f"{path}: {findings[0]}; take another copy")
     if head.layout > LAYOUT:
@@ -345,15 +344,15 @@
 
 
 def _check_pages(path: Path) -> tuple[str, ...]:
-    """What is wrong with the file's pages, found without lmdb. Raises OSError."""
+    """Errors in the pages of the file, found without lmdb. Raises OSError."""
     try:
-        return tuple(str(finding) for finding in walk(str(path)))  # type: ignore[no-untyped-call]
+        return tuple(str(finding) for finding in check_file(str(path)))  # type: ignore[no-untyped-call]
     except VerifyError as error:
         return (str(error),)
 
 
 def _check_rows(environment: lmdb.Environment) -> tuple[Rows, tuple[str, ...], Head | None]:
-    """The rows, what is wrong with them by their checksums and by the head, and the head."""
+    """The rows, the errors found by their checksums and by the head, and the head."""
     rows: Rows = {}
     findings = []
     total = 0
@@ -363,7 +362,7 @@
                 continue
             value = unseal(key, stored)
             if not key.startswith(_ROW):
-                findings.append(f"row {key.hex()}: not the store's own")
+                findings.append(f"row {key.hex()}: not a row of this store")
             elif value is None:
                 findings.append(f"row {key.hex()}: checksum differs")
             else:
@@ -374,38 +373,36 @@
     if isinstance(head, str):
         return rows, (*findings, head), None
     if head.transaction != number:
-        findings.append(f"head row: of transaction {head.transaction}, the file is at {number}")
+        findings.append(f"head row: written by transaction {head.transaction}, but the file is at {number}")
     if (head.count, head.total) != (len(rows), total % 2**64):
-        findings.append(
-            f"head row: {head.count} rows were kept, {len(rows)} good ones are here, or others are"
-        )
+        findings.append(f"head row: declares {head.count} rows; found {len(rows)} valid ones, or other rows")
     return rows, tuple(findings), head
 
 
 def _write_all(environment: lmdb.Environment, layout: int, rows: Rows) -> None:
-    """Put these rows and a head in place of all that is there, in one transaction, and sync it."""
+    """Replace all rows and the head in one transaction, and sync it."""
     with environment.begin(write=True) as transaction:
         transaction.drop(environment.open_db(None, txn=transaction), delete=False)
         sealed = {_ROW + key: seal(_ROW + key, value) for key, value in rows.items()}
         for key, stored in sealed.items():
             transaction.put(key, stored)
-        none = Head(layout=layout, transaction=0, count=0, total=0)
-        transaction.put(HEAD, pack_head(none.after_change(transaction.id(), sealed.values(), ())))
+        empty = Head(layout=layout, transaction=0, count=0, total=0)
+        transaction.put(HEAD, pack_head(empty.after_change(transaction.id(), sealed.values(), ())))
     environment.sync(True)
 
 
-def _create(path: Path, most_bytes: int) -> DiskStore:
-    """An empty store under that name, there whole or not at all. Raises OSError, lmdb.Error."""
+def _create(path: Path, max_bytes: int) -> DiskStore:
+    """Create an empty store atomically. Raises OSError, lmdb.Error."""
     unfinished = _unfinished(path)
-    _write_store(unfinished, most_bytes, {})
+    _write_store(unfinished, max_bytes, {})
     _publish(unfinished, path)
-    return DiskStore(path, most_bytes, _environment(path, most_bytes))
+    return DiskStore(path, max_bytes, _environment(path, max_bytes))
 
 
-def _write_store(unfinished: Path, most_bytes: int, rows: Rows) -> None:
-    """A store of these rows under that name, in place of what is there. Raises OSError, lmdb.Error."""
+def _write_store(unfinished: Path, max_bytes: int, rows: Rows) -> None:
+    """Write a store of these rows, replacing an existing file. Raises OSError, lmdb.Error."""
     unfinished.unlink(missing_ok=True)
-    environment = _environment(unfinished, most_bytes)
+    environment = _environment(unfinished, max_bytes)
     try:
         _write_all(environment, LAYOUT, rows)
     finally:
@@ -413,7 +410,7 @@
 
 
 def _publish(unfinished: Path, path: Path) -> None:
-    """Both names are for good before the one becomes the other, and the other after it."""
+    """Rename the file; the old name is durable before the rename, and the new one after it."""
     descriptor = os.open(unfinished, os.O_RDWR)
     try:
         os.fsync(descriptor)
@@ -429,25 +426,25 @@
 
 
 def _spare(path: Path) -> Path:
-    """A second copy of the store that is put in another's place. It counts only where the first is gone:
-    afterwards it is older than what was kept."""
+    """The spare copy of a store that replaces another. It is used only if the store itself is missing: later
+    writes are not in it."""
     return path.with_name(path.name + ".before")
 
 
 def _remove_leftovers(path: Path) -> None:
-    """What a rewriting or a first start that was cut short left."""
-    for left in (_unfinished(path), _spare(path)):
-        left.unlink(missing_ok=True)
+    """Remove the files of an interrupted rewrite or first start."""
+    for leftover in (_unfinished(path), _spare(path)):
+        leftover.unlink(missing_ok=True)
 
 
 def _make_folder(folder: Path) -> None:
-    """Makes it where it is missing; it, and those above that were made with it, are for good then."""
-    made: list[Path] = []
-    while not (made[-1].parent if made else folder).is_dir():
-        made.append(made[-1].parent if made else folder)
+    """Create a missing folder and its missing parents, durably."""
+    created: list[Path] = []
+    while not (created[-1].parent if created else folder).is_dir():
+        created.append(created[-1].parent if created else folder)
     folder.mkdir(parents=True, exist_ok=True)
-    for one in reversed(made):
-        _sync_folder(one.parent)
+    for path in reversed(created):
+        _sync_folder(path.parent)
 
 
 def _sync_folder(folder: Path) -> None:
@@ -459,7 +456,7 @@
 
 
 def _asides(path: Path) -> list[Path]:
-    """The stores set aside, the oldest first."""
+    """The stores that were set aside, oldest first."""
     numbered = []
     for aside in path.parent.glob(f"{path.name}.aside-*"):
         number = aside.name.rpartition("-")[2]
@@ -468,10 +465,10 @@
     return [aside for _, aside in sorted(numbered)]
 
 
-def _set_aside(path: Path, most_bytes: int) -> Path:
-    """Rename a damaged store and remove the oldest ones beyond MAX_ASIDES or beyond ``most_bytes`` in all;
-    the newest stays whatever its size. Raises OSError."""
-    _remove_leftovers(path)  # older than what the damaged one may have been the only one to hold
+def _set_aside(path: Path, max_bytes: int) -> Path:
+    """Rename a damaged store, and remove the oldest ones beyond MAX_ASIDES or beyond ``max_bytes`` in total;
+    the newest is retained regardless of its size. Raises OSError."""
+    _remove_leftovers(path)  # older than the damaged store, which may hold the only copy of some rows
     _sync_folder(path.parent)
     asides = _asides(path)
     number = int(asides[-1].name.rpartition("-")[2]) + 1 if asides else 1
@@ -480,7 +477,7 @@
     _sync_folder(path.parent)
     asides.append(moved_to)
     while len(asides) > 1 and (
-        len(asides) > MAX_ASIDES or sum(aside.stat().st_size for aside in asides) > most_bytes
+        len(asides) > MAX_ASIDES or sum(aside.stat().st_size for aside in asides) > max_bytes
     ):
         asides.pop(0).unlink()
     return moved_to
--- a/simulation/mesh/disk.py
+++ b/simulation/mesh/disk.py
@@ -1,4 +1,4 @@
-"""A disk in virtual time, behind what the programs take for a disk_store."""
+"""A disk in virtual time, behind the interface of a disk store."""
 
 from __future__ import annotations
 
@@ -43,14 +43,16 @@
     def __init__(self, world: World, life: Any, disk: Disk) -> None:
         self._world, self._life, self._disk = world, life, disk
 
-    def write(self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()) -> Durable | WriteFailed:
+    def write(
+        self, rows: Sequence[tuple[bytes, bytes]], deleted: Sequence[bytes] = ()
+    ) -> Durable | WriteFailed:
         raise AssertionError("a sync takes time: the loop calls begin instead")
 
     def begin(
-        self, rows: Sequence[tuple[bytes, bytes]], gone: Sequence[bytes] = ()
+        self, rows: Sequence[tuple[bytes, bytes]], deleted: Sequence[bytes] = ()
     ) -> asyncio.Future[Durable | WriteFailed]:
         future: asyncio.Future[Durable | WriteFailed] = self._world.loop.create_future()
-        self._disk.env.process(self._sync(list(rows), list(gone), future))
+        self._disk.env.process(self._sync(list(rows), list(deleted), future))
         return future
 
     def works(self, work: Callable[[SimulatedDiskStore], Any]) -> asyncio.Future[Any]:
@@ -76,7 +78,7 @@
     def _sync(
         self,
         rows: list[tuple[bytes, bytes]],
-        gone: list[bytes],
+        deleted: list[bytes],
         future: asyncio.Future[Durable | WriteFailed],
     ) -> Generator[simpy.Event, Any, None]:
         disk, env = self._disk, self._disk.env
@@ -89,7 +91,7 @@
         if env.now < disk.refuses_until:
             future.set_result(WriteFailed("disk in trouble"))
             return
-        for key in gone:
+        for key in deleted:
             disk.rows.pop(key, None)
         disk.rows.update(rows)
         self._world.point("synced", self._life)
--- a/tests/mesh/test_storage_layout.py
+++ b/tests/mesh/test_storage_layout.py
@@ -1,4 +1,4 @@
-"""Rows of the store: what is packed comes back, and what is none of ours is told."""
+"""Rows of the store can be read back as they were packed; foreign rows raise StorageError."""
 
 from typing import Any
 
@@ -42,9 +42,9 @@
     rows = dict([*map(layout.pack_item, items), layout.pack_vector(vector), layout.pack_complete(True)])
     assert len(rows) == len(items) + 2
     assert all(0 < len(key) <= layout.MAX_KEY_BYTES for key in rows)
-    held = layout.read_state(rows)
-    assert sorted(held.items, key=repr) == sorted(items, key=repr)
-    assert (held.vector, held.complete) == (vector, True)
+    state = layout.read_state(rows)
+    assert sorted(state.items, key=repr) == sorted(items, key=repr)
+    assert (state.vector, state.complete) == (vector, True)
 
 
 def test_a_disk_without_the_marker_is_not_complete() -> None:
@@ -72,16 +72,16 @@
         ("route", "a", 7): Vote(Ballot(3, "life"), {"x": 1}, "tag"),
         ("route", "b", 1): Vote(Ballot(4, "life"), None),
     }
-    past = layout.VersionHistory(("route", "a"), 2, {5: "digest", 6: "digest/tag", 4: "/tag"})
+    history = layout.VersionHistory(("route", "a"), 2, {5: "digest", 6: "digest/tag", 4: "/tag"})
     rows = [layout.pack_vote(number, vote) for number, vote in votes.items()]
     rows += [
-        layout.pack_history(past),
+        layout.pack_history(history),
         layout.pack_ceiling(1 << 40),
         layout.pack_generations({"10.0.0.1": 2}),
     ]
-    held = layout.read_state(dict(rows))
-    assert held.votes == votes and held.histories == (past,)
-    assert held.ceiling == 1 << 40 and held.generations == {"10.0.0.1": 2}
+    state = layout.read_state(dict(rows))
+    assert state.votes == votes and state.histories == (history,)
+    assert state.ceiling == 1 << 40 and state.generations == {"10.0.0.1": 2}
     for key, _ in rows:
         with pytest.raises(layout.StorageError, match="row"):
             layout.read_state({key: b'{"neither'})
@@ -95,8 +95,8 @@
     route = Item(kind="route", name="a", version=1, value={}, source="s", number=4)
     items = [member("1", "counts"), member("2", "joins"), member("3", "counts", False), route]
     rows = layout.MIGRATIONS[1](dict([*map(layout.pack_item, items), layout.pack_complete(True)]))
-    held = layout.read_state(rows)
-    assert held.complete and {item.kind for item in held.items} == {"route", VIEW}
-    view = next(item for item in held.items if item.kind == VIEW)
+    state = layout.read_state(rows)
+    assert state.complete and {item.kind for item in state.items} == {"route", VIEW}
+    view = next(item for item in state.items if item.kind == VIEW)
     assert read_view(view.version, view.value) == View(1, {"1": Place("z", "")})
     assert layout.MIGRATIONS[1]({}) == {}
--- a/tests/mesh/test_storage_lmdb_store.py
+++ b/tests/mesh/test_storage_lmdb_store.py
@@ -1,4 +1,4 @@
-"""The store: what was said to be kept is there after any loss of power, or the store says that it is not."""
+"""The store: durable rows survive any power failure, or the store reports that they are lost."""
 
 import os
 import resource
@@ -11,8 +11,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from mesh.storage import layout
-from mesh.storage import lmdb_store as keeping
+from mesh.storage import layout, lmdb_store
 from mesh.storage.lmdb_store import (
     NAME,
     DiskStore,
@@ -31,14 +30,14 @@
 SECOND = {**FIRST, b"route": b"b" * 150, b"late": b"c" * 2000}
 
 
-def begun(folder: Path, rows: dict[bytes, bytes], most: int = MOST) -> DiskStore:
+def create_store(folder: Path, rows: dict[bytes, bytes], most: int = MOST) -> DiskStore:
     found = DiskStore.open(folder, most)
     assert isinstance(found, Fresh)
     assert found.disk_store.write(list(rows.items())) == Durable()
     return found.disk_store
 
 
-def reopened(folder: Path) -> Opened | Fresh | SetAside | Failed:
+def reopen(folder: Path) -> Opened | Fresh | SetAside | Failed:
     found = DiskStore.open(folder, MOST)
     if not isinstance(found, Failed):
         found.disk_store.close()
@@ -47,9 +46,9 @@
 
 @pytest.fixture(scope="module")
 def states(tmp_path_factory: pytest.TempPathFactory) -> tuple[bytes, bytes]:
-    """The file's bytes with FIRST kept, and with SECOND kept after it."""
+    """The file's bytes after FIRST was written, and after SECOND was written over it."""
     folder = tmp_path_factory.mktemp("states")
-    disk_store = begun(folder, FIRST)
+    disk_store = create_store(folder, FIRST)
     before = (folder / NAME).read_bytes()
     disk_store.write([(b"route", SECOND[b"route"]), (b"late", SECOND[b"late"])])
     disk_store.close()
@@ -57,34 +56,34 @@
 
 
 def meta(data: bytes, newest: bool) -> int:
-    """The number of the newer, or older, meta page: its transaction stands at byte 144 of the page."""
+    """The number of the newer or older meta page; the transaction number is at byte 144 of the page."""
     numbers = [int.from_bytes(data[page * PAGE + 144 : page * PAGE + 152], "little") for page in (0, 1)]
     return numbers.index(max(numbers) if newest else min(numbers))
 
 
 def test_a_start_finds_what_was_kept_and_not_what_was_dropped(tmp_path: Path) -> None:
-    disk_store = begun(tmp_path / "state", FIRST)
+    disk_store = create_store(tmp_path / "state", FIRST)
     assert (
         disk_store.write(
             [(b"route", b"x"), (b"route", b"y"), (b"small", b"z")], [b"large", b"none", b"small"]
         )
         == Durable()
     )
-    kept = {b"route": b"y", b"small": b"z"}
-    assert disk_store.rows() == kept
+    expected = {b"route": b"y", b"small": b"z"}
+    assert disk_store.rows() == expected
     assert disk_store.verify() == ()
     disk_store.close()
     found = DiskStore.open(tmp_path / "state", MOST)
     assert isinstance(found, Opened)
-    assert (found.rows, found.notes, found.disk_store.rows()) == (kept, (), kept)
+    assert (found.rows, found.notes, found.disk_store.rows()) == (expected, (), expected)
     assert os.listdir(tmp_path / "state") == [NAME]
 
 
 def test_power_lost_within_a_keep_leaves_the_rows_before_it(
     tmp_path: Path, states: tuple[bytes, bytes]
 ) -> None:
-    """lmdb writes pages, syncs, writes the meta page, syncs: each write in turn is torn, and those after it
-    missing."""
+    """lmdb writes pages, syncs, writes the meta page, and syncs: each write in turn is torn, and the later
+    ones are missing."""
     before, after = states
     size = max(len(before), len(after))
     before = before.ljust(size, b"\0")
@@ -99,7 +98,7 @@
             start = page * PAGE
             disk[start : start + cut] = after[start : start + cut]
             (tmp_path / NAME).write_bytes(disk)
-            found = reopened(tmp_path)
+            found = reopen(tmp_path)
             assert isinstance(found, Opened), (page, cut, found)
             complete = page == newest and cut > 144
             assert found.rows == (SECOND if complete else FIRST), (page, cut)
@@ -110,7 +109,7 @@
 def test_pages_of_two_times_are_one_of_them_or_set_aside(
     tmp_path_factory: pytest.TempPathFactory, states: tuple[bytes, bytes], data: st.DataObject
 ) -> None:
-    """A disk that lies about its order: any mixture of old and new pages."""
+    """A disk that reorders writes across syncs: any mixture of old and new pages."""
     folder = tmp_path_factory.mktemp("mixed")
     before, after = states
     disk = bytearray(after)
@@ -119,7 +118,7 @@
         cut = data.draw(st.sampled_from((PAGE, 144, 148, 512)))
         disk[page * PAGE : page * PAGE + cut] = old[:cut]
     (folder / NAME).write_bytes(disk)
-    found = reopened(folder)
+    found = reopen(folder)
     if isinstance(found, Opened):
         newest = disk[PAGE * meta(after, True) :][:PAGE] == after[PAGE * meta(after, True) :][:PAGE]
         assert found.rows == SECOND if newest else found.rows in (FIRST, SECOND)
@@ -127,7 +126,7 @@
         assert isinstance(found, SetAside)
 
 
-def harms(after: bytes) -> dict[str, bytes]:
+def damaged_files(after: bytes) -> dict[str, bytes]:
     newest, older = meta(after, True), meta(after, False)
     at = after.index(SECOND[b"late"])
     return {
@@ -149,12 +148,12 @@
     tmp_path: Path, states: tuple[bytes, bytes], harm: str
 ) -> None:
     _, after = states
-    harmed = harms(after)[harm]
-    (tmp_path / NAME).write_bytes(harmed)
+    damaged = damaged_files(after)[harm]
+    (tmp_path / NAME).write_bytes(damaged)
     found = DiskStore.open(tmp_path, MOST)
     assert isinstance(found, SetAside), found
     assert found.moved_to == tmp_path / f"{NAME}.aside-1"
-    assert found.moved_to.read_bytes() == harmed
+    assert found.moved_to.read_bytes() == damaged
     assert found.reason
     assert found.disk_store.rows() == {}
     assert found.disk_store.write([(b"again", b"1")]) == Durable()
@@ -162,13 +161,13 @@
 
 def test_a_file_cut_at_any_page_is_whole_or_set_aside(tmp_path: Path, states: tuple[bytes, bytes]) -> None:
     _, after = states
-    told = 0
+    set_aside_count = 0
     for pages in range(len(after) // PAGE):
         (tmp_path / NAME).write_bytes(after[: pages * PAGE])
-        found = reopened(tmp_path)
+        found = reopen(tmp_path)
         assert isinstance(found, SetAside) or (isinstance(found, Opened) and found.rows == SECOND)
-        told += isinstance(found, SetAside)
-    assert told >= 3
+        set_aside_count += isinstance(found, SetAside)
+    assert set_aside_count >= 3
 
 
 @settings(max_examples=150, deadline=None)
@@ -179,28 +178,28 @@
     folder = tmp_path_factory.mktemp("flipped")
     _, after = states
     at = data.draw(st.integers(0, len(after) - 1))
-    # Meta pages, branch headers and the head of a leaf are few of the bytes and most of the danger.
+    # Meta pages, branch headers and leaf headers are few of the bytes but the most critical ones.
     at = data.draw(
         st.sampled_from((at, at % (2 * PAGE), at // PAGE * PAGE + at % 64, at % 200 + at % 2 * PAGE))
     )
     flipped = bytearray(after)
     flipped[at] ^= data.draw(st.integers(1, 255))
     (folder / NAME).write_bytes(flipped)
-    found = reopened(folder)
+    found = reopen(folder)
     assert isinstance(found, SetAside) or (isinstance(found, Opened) and found.rows == SECOND)
 
 
 def test_verify_finds_a_flipped_byte_by_the_checksum_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    disk_store = begun(tmp_path, SECOND)
-    whole = (tmp_path / NAME).read_bytes()
-    at = whole.index(SECOND[b"late"])
+    disk_store = create_store(tmp_path, SECOND)
+    intact = (tmp_path / NAME).read_bytes()
+    at = intact.index(SECOND[b"late"])
     with open(tmp_path / NAME, "r+b") as file:
         file.seek(at)
         file.write(b"?")
     with monkeypatch.context() as patch:
-        patch.setattr(keeping, "unseal", lambda key, stored: stored[8:])
+        patch.setattr(lmdb_store, "unseal", lambda key, stored: stored[8:])
         assert disk_store.verify() == ()
     assert any("checksum differs" in finding for finding in disk_store.verify())
     with pytest.raises(layout.StorageError):
@@ -208,7 +207,7 @@
 
 
 def test_a_row_that_went_missing_is_found_by_the_head(tmp_path: Path) -> None:
-    begun(tmp_path, SECOND).close()
+    create_store(tmp_path, SECOND).close()
     environment = lmdb.open(str(tmp_path / NAME), subdir=False, lock=False)
     with environment.begin(write=True) as transaction:
         head = layout.unpack_head(transaction.get(layout.HEAD))
@@ -216,28 +215,28 @@
         transaction.delete(b"rlate")
         transaction.put(layout.HEAD, layout.pack_head(head.after_change(transaction.id(), (), ())))
     environment.close()
-    assert isinstance(reopened(tmp_path), SetAside)
+    assert isinstance(reopen(tmp_path), SetAside)
 
 
 def test_a_full_store_refuses_and_keeps_what_it_had(tmp_path: Path) -> None:
-    disk_store = begun(tmp_path, FIRST, most=64 * PAGE)
-    kept = dict(FIRST)
+    disk_store = create_store(tmp_path, FIRST, most=64 * PAGE)
+    expected = dict(FIRST)
     for number in range(100):
         row = (b"more-%d" % number, os.urandom(2 * PAGE))
         outcome = disk_store.write([row])
         if isinstance(outcome, WriteFailed):
             break
-        kept.update([row])
+        expected.update([row])
     assert isinstance(outcome, WriteFailed) and "full" in outcome.reason
     assert (tmp_path / NAME).stat().st_size <= 64 * PAGE
-    assert disk_store.rows() == kept
+    assert disk_store.rows() == expected
     assert disk_store.verify() == ()
     assert disk_store.write([(b"route", b"again")], [b"more-0"]) == Durable()
 
 
 def test_a_file_stays_bounded_under_changes_and_shrinks_when_written_anew(tmp_path: Path) -> None:
     most = 4 << 20
-    disk_store = begun(tmp_path, {b"i%04d" % n: os.urandom(200) for n in range(1000)}, most=most)
+    disk_store = create_store(tmp_path, {b"i%04d" % n: os.urandom(200) for n in range(1000)}, most=most)
     first = disk_store.size()
     for version in range(400):
         rows = [(b"i%04d" % (version * 7 % 1000), os.urandom(200)), (b"vote%d" % version, os.urandom(200))]
@@ -254,34 +253,34 @@
 
 
 def test_rows_that_go_find_room_where_what_is_set_finds_none(tmp_path: Path) -> None:
-    disk_store = begun(tmp_path, {}, most=1 << 20)
-    kept = []
+    disk_store = create_store(tmp_path, {}, most=1 << 20)
+    keys = []
     while disk_store.fits(300):
-        kept.append(b"k%05d" % len(kept))
-        assert disk_store.write([(kept[-1], os.urandom(250))]) == Durable()
-    assert len(kept) > 500
-    for at in range(0, len(kept), 50):
-        assert disk_store.write([(b"vector", os.urandom(3000))], kept[at : at + 50]) == Durable()
+        keys.append(b"k%05d" % len(keys))
+        assert disk_store.write([(keys[-1], os.urandom(250))]) == Durable()
+    assert len(keys) > 500
+    for at in range(0, len(keys), 50):
+        assert disk_store.write([(b"vector", os.urandom(3000))], keys[at : at + 50]) == Durable()
     assert disk_store.fits(300)
 
 
 def test_a_disk_that_refuses_writes_is_told_and_serves_again(tmp_path: Path) -> None:
-    disk_store = begun(tmp_path, FIRST)
-    usual = resource.getrlimit(resource.RLIMIT_FSIZE)
-    resource.setrlimit(resource.RLIMIT_FSIZE, ((tmp_path / NAME).stat().st_size, usual[1]))
+    disk_store = create_store(tmp_path, FIRST)
+    previous_limit = resource.getrlimit(resource.RLIMIT_FSIZE)
+    resource.setrlimit(resource.RLIMIT_FSIZE, ((tmp_path / NAME).stat().st_size, previous_limit[1]))
     try:
         outcome = disk_store.write([(b"late", os.urandom(40 * PAGE))])
     finally:
-        resource.setrlimit(resource.RLIMIT_FSIZE, usual)
+        resource.setrlimit(resource.RLIMIT_FSIZE, previous_limit)
     assert isinstance(outcome, WriteFailed)
     assert disk_store.rows() == FIRST
     assert disk_store.write([(b"late", SECOND[b"late"]), (b"route", SECOND[b"route"])]) == Durable()
     disk_store.close()
-    assert getattr(reopened(tmp_path), "rows", None) == SECOND
+    assert getattr(reopen(tmp_path), "rows", None) == SECOND
 
 
-class Broken:
-    """An environment of which one call fails."""
+class FailingEnvironment:
+    """An lmdb environment in which one call fails."""
 
     def __init__(self, real: Any, call: str, error: Exception) -> None:
         self.real, self.call, self.error = real, call, error
@@ -298,15 +297,15 @@
 
 @pytest.mark.parametrize("call", ["begin", "sync"])
 def test_no_row_is_kept_before_the_disk_says_so(tmp_path: Path, call: str) -> None:
-    disk_store = begun(tmp_path, FIRST)
-    disk_store._environment = Broken(disk_store._environment, call, lmdb.DiskError("no"))  # type: ignore[assignment]
+    disk_store = create_store(tmp_path, FIRST)
+    disk_store._environment = FailingEnvironment(disk_store._environment, call, lmdb.DiskError("no"))  # type: ignore[assignment]
     assert isinstance(disk_store.write([(b"late", b"1")]), WriteFailed)
     assert disk_store.write([(b"late", b"1")]) == Durable()
     assert disk_store.rows() == {**FIRST, b"late": b"1"}
 
 
 def test_keys_out_of_bounds_are_refused(tmp_path: Path) -> None:
-    disk_store = begun(tmp_path, {})
+    disk_store = create_store(tmp_path, {})
     longest = b"k" * layout.MAX_KEY_BYTES
     assert disk_store.write([(longest, b"v")]) == Durable()
     assert isinstance(disk_store.write([(longest + b"k", b"v")]), WriteFailed)
@@ -328,12 +327,12 @@
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[dict[int, int], set[int]]]
 ) -> None:
     folder = tmp_path_factory.mktemp("order")
-    disk_store = begun(folder, {}, most=8 << 20)
+    disk_store = create_store(folder, {}, most=8 << 20)
     expected: dict[bytes, bytes] = {}
-    for come, go in steps:
-        rows = {b"%d" % key: bytes([key]) * size for key, size in come.items()}
-        assert disk_store.write(list(rows.items()), [b"%d" % key for key in go]) == Durable()
-        for key in go:
+    for sizes, deleted in steps:
+        rows = {b"%d" % key: bytes([key]) * size for key, size in sizes.items()}
+        assert disk_store.write(list(rows.items()), [b"%d" % key for key in deleted]) == Durable()
+        for key in deleted:
             expected.pop(b"%d" % key, None)
         expected.update(rows)
         assert disk_store.verify() == ()
@@ -341,7 +340,7 @@
 
 
 def test_a_backup_restored_equals_the_store(tmp_path: Path) -> None:
-    disk_store = begun(tmp_path / "state", FIRST)
+    disk_store = create_store(tmp_path / "state", FIRST)
     assert disk_store.backup(tmp_path / "copy") == Durable()
     assert isinstance(disk_store.backup(tmp_path / "copy"), WriteFailed)
     assert disk_store.write([(b"late", b"1")]) == Durable()
@@ -353,11 +352,11 @@
 def test_asides_are_bounded_in_number_and_in_bytes(tmp_path: Path) -> None:
     def aside(size: int) -> Path:
         (tmp_path / NAME).write_bytes(b"x" * size)
-        found = reopened(tmp_path)
+        found = reopen(tmp_path)
         assert isinstance(found, SetAside)
         return found.moved_to
 
-    begun(tmp_path, {}).close()
+    create_store(tmp_path, {}).close()
     made = [aside(10) for _ in range(5)]
     assert sorted(tmp_path.glob("*.aside-*")) == made[2:]
     large = aside(MOST)
@@ -374,7 +373,7 @@
         raise OSError("power")
 
     with monkeypatch.context() as patch:
-        patch.setattr(keeping, call, crash)
+        patch.setattr(lmdb_store, call, crash)
         assert isinstance(DiskStore.open(tmp_path, MOST), Failed)
     found = DiskStore.open(tmp_path, MOST)
     assert isinstance(found, SetAside)
@@ -386,60 +385,62 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / (NAME + ".new")).write_bytes(b"torn")
-    assert isinstance(reopened(tmp_path), Fresh)
+    assert isinstance(reopen(tmp_path), Fresh)
     assert os.listdir(tmp_path) == [NAME]
 
 
 def test_what_cannot_be_read_is_no_damage(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    begun(tmp_path, SECOND).close()
+    create_store(tmp_path, SECOND).close()
 
     def refuse(*_: object) -> None:
         raise lmdb.DiskError("no")
 
     with monkeypatch.context() as patch:
-        patch.setattr(keeping, "_environment", refuse)
+        patch.setattr(lmdb_store, "_environment", refuse)
         assert isinstance(DiskStore.open(tmp_path, MOST), Failed)
-    found = reopened(tmp_path)
+    found = reopen(tmp_path)
     assert isinstance(found, Opened) and found.rows == SECOND
 
 
-def renamed(rows: dict[bytes, bytes]) -> dict[bytes, bytes]:
+def rename_keys(rows: dict[bytes, bytes]) -> dict[bytes, bytes]:
     return {b"new-" + key: value for key, value in rows.items()}
 
 
-def moving(patch: pytest.MonkeyPatch, move: Callable[[dict[bytes, bytes]], dict[bytes, bytes]]) -> None:
-    patch.setattr(keeping, "LAYOUT", layout.LAYOUT + 1)
+def set_next_layout(
+    patch: pytest.MonkeyPatch, move: Callable[[dict[bytes, bytes]], dict[bytes, bytes]]
+) -> None:
+    patch.setattr(lmdb_store, "LAYOUT", layout.LAYOUT + 1)
     patch.setitem(layout.MIGRATIONS, layout.LAYOUT, move)
 
 
 def test_an_older_layout_is_moved_on_whole_or_not_at_all(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    begun(tmp_path, FIRST).close()
+    create_store(tmp_path, FIRST).close()
 
     def crash(*_: Any, **__: Any) -> None:
         raise lmdb.DiskError("power")
 
     with monkeypatch.context() as patch:
-        moving(patch, renamed)
-        patch.setattr(keeping, "pack_head", crash)  # the last row of the moving transaction
+        set_next_layout(patch, rename_keys)
+        patch.setattr(lmdb_store, "pack_head", crash)  # the last row of the migration's transaction
         assert isinstance(DiskStore.open(tmp_path, MOST), Failed)
-    found = reopened(tmp_path)
+    found = reopen(tmp_path)
     assert isinstance(found, Opened) and found.rows == FIRST
     with monkeypatch.context() as patch:
-        moving(patch, renamed)
-        found = reopened(tmp_path)
+        set_next_layout(patch, rename_keys)
+        found = reopen(tmp_path)
         assert isinstance(found, Opened)
-        assert found.rows == renamed(FIRST)
-        assert found.notes == (f"moved on from layout {layout.LAYOUT} to {layout.LAYOUT + 1}",)
-        found = reopened(tmp_path)
-        assert isinstance(found, Opened) and found.rows == renamed(FIRST) and found.notes == ()
+        assert found.rows == rename_keys(FIRST)
+        assert found.notes == (f"migrated from layout {layout.LAYOUT} to {layout.LAYOUT + 1}",)
+        found = reopen(tmp_path)
+        assert isinstance(found, Opened) and found.rows == rename_keys(FIRST) and found.notes == ()
 
 
 def test_a_newer_layout_is_left_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
-        moving(patch, renamed)
-        begun(tmp_path, FIRST).close()
+        set_next_layout(patch, rename_keys)
+        create_store(tmp_path, FIRST).close()
     data = (tmp_path / NAME).read_bytes()
     found = DiskStore.open(tmp_path, MOST)
     assert isinstance(found, Failed) and "newer program" in found.reason
@@ -448,6 +449,6 @@
 
 
 def test_room_is_half_the_disk_up_to_a_bound() -> None:
-    assert max_store_bytes(256) == keeping.MAX_MAP_BYTES
+    assert max_store_bytes(256) == lmdb_store.MAX_MAP_BYTES
     assert max_store_bytes(100) == 50 << 20
     assert max_store_bytes(0.01) % PAGE == 0
--- a/tests/mesh/test_storage_power.py
+++ b/tests/mesh/test_storage_power.py
@@ -1,5 +1,5 @@
-"""Losses of power between a name's change and its folder's sync: each such name may be kept or lost by
-itself, and what was said to be kept must be there whatever becomes of them."""
+"""Power failures between the change of a name and the sync of its folder: each such name may survive or be
+lost independently, and durable rows must exist in every case."""
 
 import contextlib
 import itertools
@@ -12,7 +12,7 @@
 import lmdb
 import pytest
 
-from mesh.storage import lmdb_store as keeping
+from mesh.storage import lmdb_store
 from mesh.storage.lmdb_store import DiskStore, Durable, Fresh, Opened
 
 MOST = 1 << 20
@@ -25,8 +25,7 @@
 
 
 class Unsynced:
-    """An environment that leaves bytes to the kernel, which outlives what is played here: it is names alone
-    that are lost."""
+    """An lmdb environment that skips syncs: these tests lose only names, and the kernel keeps the bytes."""
 
     def __init__(self, real: lmdb.Environment) -> None:
         self._real = real
@@ -36,12 +35,12 @@
 
 
 class Machine:
-    """A folder whose names are real and whose losses of power are played. Steps on names are numbered."""
+    """A real folder with simulated power failures. The steps that change names are numbered."""
 
     def __init__(self, root: Path, patch: pytest.MonkeyPatch, syncs: bool = True) -> None:
         self.root, self.state = root, root / "state"
         self.kill_at, self.steps = -1, 0
-        self.acked: dict[bytes, bytes] = {}
+        self.durable_rows: dict[bytes, bytes] = {}
         self.disk_store: DiskStore | None = None
         self._durable: dict[Path, dict[str, int]] = {}  # by folder: what its sync made durable
         self._files = root / "files"  # every file that had a name, by its inode
@@ -52,13 +51,13 @@
             self._open.append(lmdb.open(str(path), map_size=most, subdir=False, lock=False, sync=False))
             return Unsynced(self._open[-1])
 
-        patch.setattr(keeping, "_environment", environment)
-        patch.setattr(keeping.os, "fsync", lambda descriptor: None)
+        patch.setattr(lmdb_store, "_environment", environment)
+        patch.setattr(lmdb_store.os, "fsync", lambda descriptor: None)
         for call in ("rename", "link"):
-            patch.setattr(keeping.os, call, self._numbered(getattr(os, call)))
+            patch.setattr(lmdb_store.os, call, self._numbered(getattr(os, call)))
         for call in ("mkdir", "unlink"):
-            patch.setattr(keeping.Path, call, self._numbered(getattr(Path, call)))
-        patch.setattr(keeping, "_sync_folder", self._sync if syncs else lambda folder: None)
+            patch.setattr(lmdb_store.Path, call, self._numbered(getattr(Path, call)))
+        patch.setattr(lmdb_store, "_sync_folder", self._sync if syncs else lambda folder: None)
 
     def _numbered(self, real: Any) -> Any:
         def step(*args: Any, **kwargs: Any) -> Any:
@@ -76,8 +75,8 @@
             raise Killed
 
     def close(self) -> None:
-        for one in self._open:
-            one.close()
+        for environment in self._open:
+            environment.close()
         self._open.clear()
         self.disk_store = None
 
@@ -97,22 +96,22 @@
         self._durable[folder] = self._names(folder)
 
     def losses(self) -> int:
-        """How many ways a loss of power may end, now."""
-        return 2 ** len(self._loose())
+        """The number of possible outcomes of a power failure now."""
+        return 2 ** len(self._unsynced_names())
 
-    def _loose(self) -> list[tuple[Path, str]]:
+    def _unsynced_names(self) -> list[tuple[Path, str]]:
         found = []
         for folder in (self.root, self.state):
             now, before = self._names(folder), self._durable.get(folder, {})
             found += [(folder, name) for name in sorted({*now, *before}) if now.get(name) != before.get(name)]
         return found
 
-    def power(self, way: int) -> None:
-        """Every name of which its folder does not know for good is kept or lost, as the bits say."""
+    def fail_power(self, outcome_bits: int) -> None:
+        """Simulates a power failure: each name that is not durable survives or is lost, by one bit each."""
         self.close()
-        loose = self._loose()
-        for bit, (folder, name) in enumerate(loose):
-            if way >> bit & 1 or not folder.exists():
+        unsynced = self._unsynced_names()
+        for bit, (folder, name) in enumerate(unsynced):
+            if outcome_bits >> bit & 1 or not folder.exists():
                 continue
             path, before = folder / name, self._durable.get(folder, {}).get(name)
             if path.is_dir():
@@ -125,70 +124,70 @@
         for folder in (self.root, self.state):
             self._durable[folder] = self._names(folder)
 
-    # What a script does
+    # Steps of a script
 
     def start(self) -> None:
         outcome = DiskStore.open(self.state, MOST)
         assert isinstance(outcome, Opened | Fresh), outcome
         rows = outcome.rows if isinstance(outcome, Opened) else {}
-        assert rows.items() >= self.acked.items(), "what was kept is gone"
+        assert rows.items() >= self.durable_rows.items(), "what was kept is gone"
         self.disk_store = outcome.disk_store
 
     def keep(self, rows: dict[bytes, bytes]) -> None:
         assert self.disk_store is not None and self.disk_store.write(list(rows.items())) == Durable()
-        self.acked |= rows
+        self.durable_rows |= rows
 
     def rewrite(self) -> None:
-        assert self.disk_store is not None and self.disk_store.rewrite(dict(self.acked)) == Durable()
+        assert self.disk_store is not None and self.disk_store.rewrite(dict(self.durable_rows)) == Durable()
 
 
 LINK = os.link
 
 
-def life(machine: Machine) -> None:
+def run_process(machine: Machine) -> None:
     machine.start()
     machine.keep(ROWS)
     machine.rewrite()
     machine.keep({b"c": b"3"})
 
 
-def restarted(machine: Machine) -> None:
+def restart(machine: Machine) -> None:
     machine.start()
     machine.keep({b"late": b"4"})
 
 
-def played(folders: Iterator[Path], syncs: bool = True) -> int:
-    """All losses of power at all points, right then or after one more start that goes well; how many."""
+def check_power_failures(folders: Iterator[Path], syncs: bool = True) -> int:
+    """Tries each outcome of a power failure at each step, at once or after a restart; returns their number."""
     count = 0
     with pytest.MonkeyPatch.context() as patch:
         machine = Machine(next(folders), patch, syncs)
-        life(machine)
+        run_process(machine)
         machine.close()
         last = machine.steps
     for at, again in itertools.product(range(1, last + 2), (False, True)):
-        way = 0
+        outcome_bits = 0
         while True:
             with pytest.MonkeyPatch.context() as patch:
                 machine = Machine(next(folders), patch, syncs)
                 machine.kill_at = at
                 with contextlib.suppress(Killed):
-                    life(machine)
+                    run_process(machine)
                 machine.kill_at = -1
                 machine.close()
                 if again:
-                    restarted(machine)
+                    restart(machine)
                 ways = machine.losses()
-                machine.power(way)
-                restarted(machine)
+                machine.fail_power(outcome_bits)
+                restart(machine)
                 machine.close()
             shutil.rmtree(machine.root)
-            count, way = count + 1, way + 1
-            if way >= ways:
+            count, outcome_bits = count + 1, outcome_bits + 1
+            if outcome_bits >= ways:
                 break
     return count
 
 
-def fresh(root: Path) -> Iterator[Path]:
+def new_folders(root: Path) -> Iterator[Path]:
     for number in itertools.count():
         folder = root / str(number)
         folder.mkdir()
@@ -196,9 +195,9 @@
 
 
 def test_whatever_names_a_loss_of_power_takes_what_was_kept_is_there(tmp_path: Path) -> None:
-    assert played(fresh(tmp_path)) >= 50
+    assert check_power_failures(new_folders(tmp_path)) >= 50
 
 
 def test_the_check_sees_names_that_are_not_synced(tmp_path: Path) -> None:
     with pytest.raises(AssertionError, match="gone"):
-        played(fresh(tmp_path), syncs=False)
+        check_power_failures(new_folders(tmp_path), syncs=False)
