--- a/mesh/cli/__init__.py
+++ b/mesh/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line. No program of the mesh imports anything of it."""
+"""The operators' command line. The mesh's programs import nothing of it."""
--- a/mesh/cli/bearing.py
+++ b/mesh/cli/bearing.py
@@ -1,4 +1,4 @@
-"""A change of the configuration held against what stands and against what the mesh can bear. No I/O."""
+"""Checks a change of the configuration against the current one and the state of the mesh. No I/O."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from mesh.configuration.validation import check_change
 from mesh.replication.items import Item, Key, same_content
 
-MIN_ANSWERS = 5  # answers; of fewer nothing is concluded
-MAX_FIELDS = 200  # of one item's differences
+MIN_ANSWERS = 5  # fewer allow no conclusion
+MAX_FIELDS = 200  # in the differences of one item
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeFinding:
-    """One finding about one item's field."""
+    """A problem with one field of one item."""
 
     item: str
     field: str
@@ -31,8 +31,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MeshFacts:
-    """What the mesh shows now. ``settled``: upstreams that take calls, by service; ``answers``: of late, from
-    several sidecars, each as it told them; ``ratios``: of the budgets for further tries."""
+    """The state of the mesh: the number of settled upstreams by service, statistics of recent answers as each
+    sidecar reports them, and the sidecars' retry ratios."""
 
     settled_by_service: Mapping[str, int]
     recent_answers: tuple[JsonObject, ...] = ()
@@ -42,16 +42,16 @@
 def review_change(
     change: ConfigurationWrite, standing: Mapping[Key, Item], facts: MeshFacts
 ) -> list[ChangeFinding]:
-    """All that speaks against sending ``change`` now; what the mesh would refuse is first."""
+    """All objections to sending ``change`` now; what the mesh would refuse is first."""
 
-    def stands(kind: str, name: str) -> tuple[int, dict[str, Any] | None] | None:
+    def current_item(kind: str, name: str) -> tuple[int, dict[str, Any] | None] | None:
         item = standing.get((kind, name))
         if item is None:
             return None
         return item.version, dict(item.value) if item.value is not None else None
 
     found = []
-    refused = check_change(change, stands)
+    refused = check_change(change, current_item)
     if refused is not None:
         what, _, mend = refused.reason.partition("; ")
         found.append(ChangeFinding(refused.item, refused.field, what, mend))
@@ -62,7 +62,7 @@
         found += _services(route, facts)
         found += _aim(route, facts)
         found += _trials(route, facts)
-    if refused is not None:  # told once
+    if refused is not None:  # reported once
         found[1:] = [one for one in found[1:] if (one.item, one.field) != (refused.item, refused.field)]
     return found
 
@@ -87,28 +87,28 @@
 
 
 def apply_change(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> dict[Key, Item]:
-    """What stands once the change is in force."""
+    """The configuration after the change."""
     found = dict(standing)
     for write in change.writes:
-        held = found.get((write.kind, write.name))
-        if held is None or write.version > held.version:
+        current = found.get((write.kind, write.name))
+        if current is None or write.version > current.version:
             found[write.kind, write.name] = _as_item(write)
     return found
 
 
 def _shadowed(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
-    """Routes that no request takes; told where the change has a part in it."""
+    """Routes that no request can reach, where the change is involved."""
     named = {write.name for write in change.writes if write.kind == ROUTE}
-    alike: dict[tuple[str, str], list[Route]] = {}
+    same_match: dict[tuple[str, str], list[Route]] = {}
     for item in apply_change(change, standing).values():
         if item.kind == ROUTE and item.value is not None:
             route = read_route(item.name, item.version, dict(item.value))
-            alike.setdefault((route.host, route.prefix), []).append(route)
-    for (host, prefix), routes in sorted(alike.items()):
-        *under, over = sorted(routes, key=lambda route: (route.version, route.name))
-        for route in under:
-            if route.name in named or over.name in named:
-                what = f"{prefix} at {host} is never reached: {over.name} r{over.version} outranks it"
+            same_match.setdefault((route.host, route.prefix), []).append(route)
+    for (host, prefix), routes in sorted(same_match.items()):
+        *outranked, winner = sorted(routes, key=lambda route: (route.version, route.name))
+        for route in outranked:
+            if route.name in named or winner.name in named:
+                what = f"{prefix} at {host} is never reached: {winner.name} r{winner.version} outranks it"
                 yield ChangeFinding(
                     item_label(ROUTE, route.name), "predicate.prefix", what, "drop one of the two"
                 )
@@ -126,26 +126,28 @@
 
 
 def _aim(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
-    """By the answers of this very route; where there are few, by those of its services."""
+    """Compares the aim with recent answers of the route or, if these are few, of its services."""
     count, least = _least_ms(facts, "by_route", {route.name})
-    whose = "this route's"
+    source = "this route's"
     if count < MIN_ANSWERS:
         count, least = _least_ms(facts, "by_service", {service for service, _ in route.split})
-        whose = "its services'"
+        source = "its services'"
     if count >= MIN_ANSWERS and least > route.aim_ms:
-        what = f"is {route.aim_ms:g}: none of {whose} last {count} answers met it, the best took {least:g} ms"
+        what = (
+            f"is {route.aim_ms:g}: none of {source} last {count} answers met it, the best took {least:g} ms"
+        )
         mend = "give a longer aim, or more or quicker upstreams"
         yield ChangeFinding(item_label(ROUTE, route.name), "setpoint_ms", what, mend)
 
 
 def _least_ms(facts: MeshFacts, part_of: str, names: set[str]) -> tuple[int, float]:
-    told = [
+    figures = [
         object_field(object_field(answers, part_of), name)
         for answers in facts.recent_answers
         for name in sorted(names)
     ]
-    times = [number_field(one, "least_ms") for one in told if number_field(one, "count") > 0]
-    return int(sum(number_field(one, "count") for one in told)), min(times, default=0.0)
+    times = [number_field(one, "least_ms") for one in figures if number_field(one, "count") > 0]
+    return int(sum(number_field(one, "count") for one in figures)), min(times, default=0.0)
 
 
 def _trials(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
@@ -156,13 +158,13 @@
         )
 
 
-# Against what stands
+# Comparison with the current configuration
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """What sending one item would do. ``sign``: + new, ~ changed, - dropped, = stands already, < older than
-    what stands; ``fields``: one line for each that differs."""
+    """The effect of sending one item. ``sign``: + new, ~ changed, - dropped, = unchanged, < older than the
+    current version; ``fields``: one line for each that differs."""
 
     sign: str
     item: str
@@ -172,7 +174,7 @@
 
 
 def differences(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> list[Difference]:
-    """For each item of the change, in the order of kinds and names."""
+    """The difference of each item of the change, sorted by kind and name."""
     found = []
     for write in sorted(change.writes, key=lambda write: (write.kind, write.name)):
         name, item = item_label(write.kind, write.name), standing.get((write.kind, write.name))
@@ -181,8 +183,8 @@
         if item is not None and write.version < item.version:
             sign = "<"
         elif item is not None and write.version == item.version:
-            alike = same_content(_as_item(write), item)
-            sign, fields = ("=", ()) if alike else ("<", ("the same version stands with other content",))
+            same = same_content(_as_item(write), item)
+            sign, fields = ("=", ()) if same else ("<", ("the same version stands with other content",))
         elif write.value is None:
             sign = "=" if item is None or item.value is None else "-"
         elif item is None or item.value is None:
@@ -206,12 +208,12 @@
 
 
 def _shorten(value: Any) -> str:
-    told = "-" if value is None else str(value)
-    return told if len(told) <= 40 else told[:37] + "..."
+    text = "-" if value is None else str(value)
+    return text if len(text) <= 40 else text[:37] + "..."
 
 
 def count_settled(instances: Mapping[str, JsonObject]) -> dict[str, int]:
-    """Upstreams that take calls, by service."""
+    """The number of settled upstreams by service."""
     found: dict[str, int] = {}
     for value in instances.values():
         if value.get("state") == "settled":
@@ -220,5 +222,5 @@
 
 
 def is_configuration(key: Key) -> bool:
-    """Whether an item is the operator's: others in the same store are the core's own."""
+    """Whether an item belongs to the operator; the store also has items of the control plane."""
     return key[0] in (ROUTE, PLANT, "input_limits")
--- a/mesh/cli/client.py
+++ b/mesh/cli/client.py
@@ -1,4 +1,4 @@
-"""Questions to the mesh's processes, each with a bound on its wait."""
+"""Asks the mesh's processes questions, each with a timeout."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from mesh.transport.frames import Head
 from mesh.transport.link import Address, Link, connect
 
-MAX_OPEN_LINKS = 128  # links that are open at once
-MAX_COPIES = 3  # processes whose copies of a store are read
-MAX_ITEMS = 100_000  # of one copy
+MAX_OPEN_LINKS = 128
+MAX_COPIES = 3  # of one store
+MAX_ITEMS = 100_000  # in one copy
 T = TypeVar("T")
 S = TypeVar("S")
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """An answer, and how long it took in seconds."""
+    """An answer, and the time until it arrived in seconds."""
 
     value: JsonObject
     took_s: float
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The process answered that it has no answer."""
+    """The process refused to answer."""
 
     reason: str
 
@@ -48,7 +48,7 @@
 
 
 class ProcessLink:
-    """A link to one process."""
+    """A link to one process, opened by its first question."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -56,8 +56,8 @@
         self._waiting: dict[int, asyncio.Future[Reply]] = {}
         self._count = 0
 
-    async def ask(self, question: str, within_s: float, **told: Any) -> Reply:
-        """One question, answered within so many seconds. Raises nothing."""
+    async def ask(self, question: str, within_s: float, **fields: Any) -> Reply:
+        """Asks a question and waits up to ``within_s`` for its answer. Never raises."""
         began = time.monotonic()
         try:
             async with asyncio.timeout(within_s):
@@ -71,7 +71,7 @@
                 self._count += 1
                 future = asyncio.get_running_loop().create_future()
                 self._waiting[self._count] = future
-                if not self._link.send({"t": "ask", "n": self._count, "q": question, **told}):
+                if not self._link.send({"t": "ask", "n": self._count, "q": question, **fields}):
                     return Unreachable("the link was lost")
                 reply = await future
         except TimeoutError:
@@ -101,28 +101,28 @@
     pass
 
 
-async def ask(address: Address, question: str, within_s: float, **told: Any) -> Reply:
-    """One question over a link of its own."""
-    line = ProcessLink(address)
+async def ask(address: Address, question: str, within_s: float, **fields: Any) -> Reply:
+    """Asks one question over a separate link."""
+    link = ProcessLink(address)
     try:
-        return await line.ask(question, within_s, **told)
+        return await link.ask(question, within_s, **fields)
     finally:
-        line.close()
+        link.close()
 
 
-async def gather_bounded(work: Callable[[S], Awaitable[T]], what: Iterable[S]) -> list[T]:
-    """``work`` on each, AT_ONCE of them at a time; in their order."""
-    room = asyncio.Semaphore(MAX_OPEN_LINKS)
+async def gather_bounded(work: Callable[[S], Awaitable[T]], items: Iterable[S]) -> list[T]:
+    """Runs ``work`` on each item, MAX_OPEN_LINKS at a time; the results are in the order of the items."""
+    slots = asyncio.Semaphore(MAX_OPEN_LINKS)
 
-    async def one(item: S) -> T:
-        async with room:
+    async def run_one(item: S) -> T:
+        async with slots:
             return await work(item)
 
-    return list(await asyncio.gather(*(one(item) for item in what)))
+    return list(await asyncio.gather(*(run_one(item) for item in items)))
 
 
 async def ask_status(name: str, address: Address, within_s: float) -> Process:
-    """One process's status."""
+    """Asks a process for its status."""
     reply = await ask(address, "status", within_s)
     if not isinstance(reply, Answered):
         why = reply.why if isinstance(reply, Unreachable) else reply.reason
@@ -134,13 +134,13 @@
 
 
 async def read_store(address: Address, store: str, within_s: float) -> list[Item] | Unreachable:
-    """All items that a process holds in ``store``, charter or roll; each page within ``within_s``."""
-    line = ProcessLink(address)
+    """All items in a process's ``store`` (charter or roll); each page must arrive within ``within_s``."""
+    link = ProcessLink(address)
     found: list[Item] = []
     try:
         while len(found) < MAX_ITEMS:
             after = list(found[-1].key) if found else None
-            reply = await line.ask("items", within_s, store=store, after=after)
+            reply = await link.ask("items", within_s, store=store, after=after)
             if not isinstance(reply, Answered):
                 return Unreachable(reply.why if isinstance(reply, Unreachable) else reply.reason)
             page = read_items(reply.value.get("items"))
@@ -149,14 +149,14 @@
                 return found
         return found
     finally:
-        line.close()
+        link.close()
 
 
 async def read_merged_items(
     processes: Sequence[Process], store: str, within_s: float
 ) -> dict[Key, Item] | Unreachable:
-    """What COPIES of these processes hold together, the first that answer in this order: control processes
-    that hear enough others first."""
+    """The merged items of the first MAX_COPIES processes that answer; control processes with contact are
+    asked first."""
     order = sorted(
         processes, key=lambda p: (not (p.status or {}).get("in_touch"), p.role != CONTROLLER, p.node)
     )
@@ -174,19 +174,19 @@
 
 
 async def find_processes(addresses: Sequence[Address], within_s: float) -> list[Process]:
-    """Those at these addresses that answer, control processes that hear enough others first."""
-    asked = await gather_bounded(
+    """The processes that answer at these addresses, control processes with contact first."""
+    processes = await gather_bounded(
         lambda address: ask_status(f"{address[0]}:{address[1]}", address, within_s), dict.fromkeys(addresses)
     )
-    found = [process for process in asked if process.status is not None]
+    found = [process for process in processes if process.status is not None]
     return sorted(found, key=lambda p: (not (p.status or {}).get("in_touch"), p.role != CONTROLLER))
 
 
 async def take_snapshot(
     addresses: Sequence[Address], within_s: float, roles: Sequence[str] = (CONTROLLER, PROXY)
 ) -> MeshSnapshot | Unreachable:
-    """The mesh as those at these addresses know it; each of its processes in these roles is asked as
-    well, and once more where it holds another configuration than most: a change may just be on its way."""
+    """The mesh as the processes at these addresses know it. Asks each process in ``roles`` for its status,
+    and all once more if their configurations differ, since a change may be in progress."""
     first = await find_processes(addresses, within_s)
     if not first:
         return Unreachable(f"nobody answers at {', '.join(f'{host}:{port}' for host, port in addresses)}")
@@ -210,12 +210,12 @@
             others.append((name, address))
         else:
             found.append(Process(name, address, None, "not asked"))
-    found += known.values()  # at an address that was given and is in no roll yet
+    found += known.values()  # given by address and not in the roll yet
     found += await gather_bounded(lambda other: ask_status(*other, within_s), others)
     snapshot = MeshSnapshot(tuple(sorted(found, key=lambda p: p.name)), nodes, instances)
     differing = {p.name for group in list(snapshot.processes_by_digest().values())[1:] for p in group}
     if not differing:
         return snapshot
     again = await gather_bounded(lambda p: ask_status(p.name, p.address, within_s), snapshot.answering())
-    fresh = {process.name: process for process in again}
-    return MeshSnapshot(tuple(fresh.get(p.name, p) for p in snapshot.processes), nodes, instances)
+    refreshed = {process.name: process for process in again}
+    return MeshSnapshot(tuple(refreshed.get(p.name, p) for p in snapshot.processes), nodes, instances)
--- a/mesh/cli/command.py
+++ b/mesh/cli/command.py
@@ -1,5 +1,5 @@
-"""The operators' command line: `python -m mesh.cli`. docs/operate/command_line.md has each
-command's output and what the exit codes mean."""
+"""The operators' command line: `python -m mesh.cli`. docs/operate/command_line.md describes each command's
+output and the exit codes."""
 
 from __future__ import annotations
 
@@ -64,14 +64,16 @@
 ) -> None:
     """Members, core, upstreams by service, versions in force; what is not as it should be is first."""
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json)
-    wrong = findings(snapshot)
+    problems = findings(snapshot)
     value = {
-        "findings": [asdict(finding) for finding in wrong],
+        "findings": [asdict(finding) for finding in problems],
         "processes": [shape.process_row(snapshot, process) for process in snapshot.processes],
         "configurations": shape.configurations(snapshot),
         "services": shape.service_counts(snapshot),
     }
-    print_and_exit(value, shape.status_lines(snapshot, wrong), as_json, EXIT_FINDINGS if wrong else EXIT_OK)
+    print_and_exit(
+        value, shape.status_lines(snapshot, problems), as_json, EXIT_FINDINGS if problems else EXIT_OK
+    )
 
 
 @app.command("nodes")
@@ -99,8 +101,8 @@
     if not service:
         counted = shape.service_counts(snapshot)
         print_and_exit(counted, shape.service_lines(counted), as_json)
-    told = [one for _, one in asyncio.run(_ask_sidecars(snapshot, "upstreams", wait, service=service))[0]]
-    rows = shape.merge_upstreams(told)
+    answers = [one for _, one in asyncio.run(_ask_sidecars(snapshot, "upstreams", wait, service=service))[0]]
+    rows = shape.merge_upstreams(answers)
     if not rows:
         fail(EXIT_FINDINGS, f"{service}: no upstream of it is known; start one, or look at the name", as_json)
     print_and_exit(rows, shape.upstream_lines(rows), as_json)
@@ -111,9 +113,9 @@
     at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
 ) -> None:
     """What is not as it should be, each with its mend."""
-    wrong = findings(run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json))
-    value = [asdict(finding) for finding in wrong]
-    print_and_exit(value, shape.doctor_lines(wrong), as_json, EXIT_FINDINGS if wrong else EXIT_OK)
+    problems = findings(run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json))
+    value = [asdict(finding) for finding in problems]
+    print_and_exit(value, shape.doctor_lines(problems), as_json, EXIT_FINDINGS if problems else EXIT_OK)
 
 
 @app.command("trace")
@@ -126,9 +128,9 @@
 ) -> None:
     """Both hops of a call of late: what was decided, and how it ended."""
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (PROXY,)), as_json)
-    told, silent = asyncio.run(_ask_sidecars(snapshot, "trace", wait, attempt=attempt))
+    answers, silent = asyncio.run(_ask_sidecars(snapshot, "trace", wait, attempt=attempt))
     entries: list[dict[str, Any]] = []
-    for node, one in told:
+    for node, one in answers:
         kept = one.get("entries")
         entries += [{"node": node, **entry} for entry in kept if isinstance(entry, dict)] if kept else []
     entries.sort(key=lambda entry: (number_field(entry, "hop"), -number_field(entry, "ago_ms")))
@@ -137,7 +139,7 @@
     if silent:
         lines.append(f"no answer from {len(silent)} sidecars: {join_names(silent, 60)}")
     if not entries:
-        lines.append(f"nothing is kept of it at {len(told)} sidecars: only the last calls are")
+        lines.append(f"nothing is kept of it at {len(answers)} sidecars: only the last calls are")
     value = {"attempt": attempt, "entries": entries, "silent": silent}
     print_and_exit(value, lines, as_json, EXIT_OK if entries else EXIT_FINDINGS)
 
@@ -174,31 +176,31 @@
 async def _ask_first(
     processes: Sequence[Process], wait: float, host: str, path: str
 ) -> tuple[str, Answered | Refused | Unreachable]:
-    """The first of a few that answers, and its answer."""
+    """The first of up to three processes that answers, and its reply."""
     node, reply = "-", Unreachable("no sidecar is known")
-    told: Answered | Refused | Unreachable = reply
+    outcome: Answered | Refused | Unreachable = reply
     for process in processes[:3]:
-        node, told = process.name, await ask(process.address, "route", wait, host=host, path=path)
-        if not isinstance(told, Unreachable):
+        node, outcome = process.name, await ask(process.address, "route", wait, host=host, path=path)
+        if not isinstance(outcome, Unreachable):
             break
-    return node, told
+    return node, outcome
 
 
 async def _ask_sidecars(
-    snapshot: MeshSnapshot, question: str, wait: float, **what: Any
+    snapshot: MeshSnapshot, question: str, wait: float, **fields: Any
 ) -> tuple[list[tuple[str, JsonObject]], list[str]]:
-    """The answers of all sidecars, by node, and those that gave none."""
+    """The answers of all sidecars with their nodes, and the names of those that did not answer."""
     asked = snapshot.answering(PROXY)
     silent = [p.name for p in snapshot.processes if p.status is None and snapshot.role_of(p) == PROXY]
 
     async def one(process: Process) -> Answered | Refused | Unreachable:
         address: Address = process.address
-        return await ask(address, question, wait, **what)
+        return await ask(address, question, wait, **fields)
 
-    told = []
+    answers = []
     for process, reply in zip(asked, await gather_bounded(one, asked), strict=True):
         if isinstance(reply, Answered):
-            told.append((process.node, reply.value))
+            answers.append((process.node, reply.value))
         elif isinstance(reply, Unreachable):
             silent.append(process.name)
-    return told, silent
+    return answers, silent
--- a/mesh/cli/config.py
+++ b/mesh/cli/config.py
@@ -1,4 +1,4 @@
-"""`config`: the operator's configuration read, judged, compared and sent."""
+"""`config`: reads, checks, compares and sends the operator's configuration."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 PATH = b"/configuration"
 MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes
-MAX_SIDECARS_ASKED = 64  # that are asked how long answers took of late
+MAX_SIDECARS_ASKED = 64  # about recent response times
 PARTS = ("input_limits", "input_ports", "plant_groups")
 
 config = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="The operator's configuration.")
@@ -56,49 +56,49 @@
 
 
 def read_file(name: str, as_json: bool) -> bytes:
-    """The call that a file holds. Ends with USAGE where it cannot be read."""
+    """The call in a file. Exits with EXIT_USAGE if it cannot be read."""
     try:
         if name == "-":
-            told = sys.stdin.buffer.read(MAX_FILE_BYTES + 1)
+            content = sys.stdin.buffer.read(MAX_FILE_BYTES + 1)
         else:
             with Path(name).open("rb") as stream:
-                told = stream.read(MAX_FILE_BYTES + 1)
-    except OSError as fault:
-        fail(EXIT_USAGE, f"FILE: {name} cannot be read ({fault.strerror}); give a JSON file", as_json)
-    if len(told) > MAX_FILE_BYTES:
+                content = stream.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        fail(EXIT_USAGE, f"FILE: {name} cannot be read ({error.strerror}); give a JSON file", as_json)
+    if len(content) > MAX_FILE_BYTES:
         fail(EXIT_USAGE, f"FILE: {name} has over {MAX_FILE_BYTES} bytes; send it in several calls", as_json)
-    return to_call(told)
+    return to_call(content)
 
 
-def to_call(told: bytes) -> bytes:
-    """A configuration as `config get` prints it becomes a call that sets all of it; anything else stays."""
+def to_call(content: bytes) -> bytes:
+    """Turns a configuration as `config get` prints it into a call that sets it; leaves other input as is."""
     try:
-        read = msgspec.json.decode(told)
+        parsed = msgspec.json.decode(content)
     except (msgspec.DecodeError, RecursionError):
-        return told
+        return content
     if (
-        isinstance(read, dict)
-        and not {"apply", "remove"} & read.keys()
-        and any(part in read for part in PARTS)
+        isinstance(parsed, dict)
+        and not {"apply", "remove"} & parsed.keys()
+        and any(part in parsed for part in PARTS)
     ):
-        return msgspec.json.encode({"apply": read})
-    return told
+        return msgspec.json.encode({"apply": parsed})
+    return content
 
 
 def decode_or_exit(body: bytes, as_json: bool) -> ConfigurationWrite:
-    """Ends with FINDINGS where nobody would take it."""
+    """Decodes a call; exits with EXIT_FINDINGS if it is invalid."""
     change = decode_change(body)
     if isinstance(change, Invalid):
         what, _, mend = change.reason.partition("; ")
-        fault = bearing.ChangeFinding(change.item, change.field, what, mend or "mend it")
-        print_and_exit({"findings": [asdict(fault)]}, wrapped(fault.line()), as_json, EXIT_FINDINGS)
+        finding = bearing.ChangeFinding(change.item, change.field, what, mend or "mend it")
+        print_and_exit({"findings": [asdict(finding)]}, wrapped(finding.line()), as_json, EXIT_FINDINGS)
     return change
 
 
 async def _current_configuration(
     addresses: Sequence[Address], wait: float
 ) -> tuple[MeshSnapshot, dict[Key, Item]] | Unreachable:
-    """The mesh, sidecars too, and what stands in its configuration, as those that can be had hold it."""
+    """A snapshot of the mesh with its sidecars, and the configuration held by processes that answer."""
     snapshot = await take_snapshot(addresses, wait)
     if isinstance(snapshot, Unreachable):
         return snapshot
@@ -109,7 +109,7 @@
 
 
 def control_addresses(snapshot: MeshSnapshot) -> list[Address]:
-    """Where the operator's calls go, control processes that hear enough others first."""
+    """The addresses for operators' calls, control processes with contact first."""
     order = sorted(snapshot.answering(CONTROLLER), key=lambda p: not (p.status or {}).get("in_touch"))
     found = [read_address(text_field(process.status, "control")) for process in order]
     return [address for address in found if address is not None]
@@ -130,7 +130,7 @@
     addresses = contact_addresses(at, settings, as_json)
     if held:
         _, standing = run_or_exit(_current_configuration(addresses, wait), as_json)
-        told = render(
+        content = render(
             (i.kind, i.name, i.version, dict(i.value)) for i in standing.values() if i.value is not None
         )
     else:
@@ -138,17 +138,17 @@
         outcome = asyncio.run(write_client.send(control_addresses(snapshot), b"GET", PATH, b"", wait))
         if not isinstance(outcome, write_client.Accepted):
             _fail_without_answer(outcome, "config get --held shows what those that answer hold", as_json)
-        told = outcome.body
-    value = msgspec.json.decode(told)
+        content = outcome.body
+    value = msgspec.json.decode(content)
     if item:
-        value = _select_item(told, item, as_json)
+        value = _select_item(content, item, as_json)
     typer.echo(json.dumps(value, indent=None if as_json else 1))
     raise typer.Exit(EXIT_OK)
 
 
-def _select_item(told: bytes, wanted: str, as_json: bool) -> Mapping[str, Any]:
+def _select_item(content: bytes, wanted: str, as_json: bool) -> Mapping[str, Any]:
     kind, _, name = wanted.partition("/")
-    change = decode_change(to_call(told))
+    change = decode_change(to_call(content))
     if isinstance(change, ConfigurationWrite):
         for write in change.writes:
             if write.kind == kind and write.name == (name or INPUT_LIMITS) and write.value is not None:
@@ -185,11 +185,11 @@
     snapshot, standing = run_or_exit(
         _current_configuration(contact_addresses(at, settings, as_json), wait), as_json
     )
-    faults = bearing.review_change(change, standing, asyncio.run(_facts(snapshot, wait)))
-    lines = [line for fault in faults for line in wrapped(fault.line())]
-    counted = f"{len(change.writes)} items: nothing speaks against them"
-    value = {"items": len(change.writes), "findings": [asdict(fault) for fault in faults]}
-    print_and_exit(value, lines or [counted], as_json, EXIT_FINDINGS if faults else EXIT_OK)
+    findings = bearing.review_change(change, standing, asyncio.run(_facts(snapshot, wait)))
+    lines = [line for finding in findings for line in wrapped(finding.line())]
+    summary = f"{len(change.writes)} items: nothing speaks against them"
+    value = {"items": len(change.writes), "findings": [asdict(finding) for finding in findings]}
+    print_and_exit(value, lines or [summary], as_json, EXIT_FINDINGS if findings else EXIT_OK)
 
 
 async def _facts(snapshot: MeshSnapshot, wait: float) -> bearing.MeshFacts:
@@ -214,23 +214,23 @@
     change = decode_or_exit(read_file(file, as_json), as_json)
     _, standing = run_or_exit(_current_configuration(contact_addresses(at, settings, as_json), wait), as_json)
     changes = bearing.differences(change, standing)
-    lines, alike = [], 0
+    lines, unchanged = [], 0
     for one in changes:
         if one.sign == "=":
-            alike += 1
+            unchanged += 1
             continue
         before = f"r{one.stands} -> " if one.stands is not None else ""
         lines += wrapped(f"{one.sign} {one.item}: {before}r{one.version}")
         lines += [line for field in one.fields for line in wrapped(f"    {field}", "      ")]
     named = {(write.kind, write.name) for write in change.writes}
     others = sum(item.value is not None and key not in named for key, item in standing.items())
-    lines.append(f"{alike} items stand as they are in the file, {others} are not named in it and stay")
+    lines.append(f"{unchanged} items stand as they are in the file, {others} are not named in it and stay")
     value = {
         "differences": [asdict(one) for one in changes if one.sign != "="],
-        "alike": alike,
+        "alike": unchanged,
         "others": others,
     }
-    print_and_exit(value, lines, as_json, EXIT_FINDINGS if len(changes) > alike else EXIT_OK)
+    print_and_exit(value, lines, as_json, EXIT_FINDINGS if len(changes) > unchanged else EXIT_OK)
 
 
 @config.command("apply")
--- a/mesh/cli/judge.py
+++ b/mesh/cli/judge.py
@@ -1,4 +1,4 @@
-"""What is not as it should be, found in what was heard of the mesh. No I/O."""
+"""Finds problems in a snapshot of the mesh. No I/O."""
 
 from __future__ import annotations
 
@@ -10,15 +10,13 @@
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.membership.instance_lifecycle import SILENT_HEARTBEATS
 
-CONFLICT_REPORT_MS = 600_000.0  # how long a refused order is told of
-MAX_CLOCK_OFFSET_S = (
-    2.0  # a clock further off than this from the others' is told; retries and log lines suffer from it
-)
+CONFLICT_REPORT_MS = 600_000.0  # refused orders older than this are not reported
+MAX_CLOCK_OFFSET_S = 2.0  # from the median; a larger offset disturbs retries and log times
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """``kind`` groups those that are alike, ``subject`` says where, ``mend`` what to do."""
+    """``kind`` groups similar findings, ``subject`` is the place, ``mend`` the remedy."""
 
     kind: str
     subject: str
@@ -30,7 +28,7 @@
 
 
 def findings(snapshot: MeshSnapshot) -> list[Finding]:
-    """All that is wrong, the gravest kinds first, each kind in the order of names."""
+    """All problems, the most severe kinds first, each kind sorted by name."""
     return [
         *_members(snapshot),
         *_core(snapshot),
@@ -46,7 +44,7 @@
 
 
 def member_zones(snapshot: MeshSnapshot) -> dict[str, str]:
-    """Whose disks count, by address, with their zone, as any control process that answers has it."""
+    """The members' zones by address, as reported by the control processes that answer."""
     found: dict[str, str] = {}
     for process in snapshot.answering(CONTROLLER):
         for address, place in object_field(process.status, "members").items():
@@ -55,9 +53,9 @@
 
 
 def _members(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    there = {text_field(process.status, "ip") for process in snapshot.answering(CONTROLLER)}
+    answering = {text_field(process.status, "ip") for process in snapshot.answering(CONTROLLER)}
     for address in member_zones(snapshot):
-        if address not in there:
+        if address not in answering:
             yield Finding(
                 "member missing",
                 address,
@@ -83,31 +81,36 @@
                 "hears too few others: it takes no change and may miss some",
                 "start the missing members or mend the network between them",
             )
-        rivalled = object_field(process.status or {}, "votes").get("rivalled", [])
-        fresh = [one for one in rivalled if number_field(one, "ago_ms") < CONFLICT_REPORT_MS]
-        if fresh:
-            named = f"{fresh[0].get('kind')} {fresh[0].get('name')} r{fresh[0].get('version')}"
+        conflicts = object_field(process.status or {}, "votes").get("rivalled", [])
+        recent = [one for one in conflicts if number_field(one, "ago_ms") < CONFLICT_REPORT_MS]
+        if recent:
+            named = f"{recent[0].get('kind')} {recent[0].get('name')} r{recent[0].get('version')}"
             yield Finding(
                 "rivalled number",
                 process.node,
-                f"refused {len(fresh)} orders in ten minutes since others have their numbers, last {named}",
+                f"refused {len(recent)} orders in ten minutes since others have their numbers, last {named}",
                 "two operators use the same versions; read back and send under higher ones",
             )
 
 
 def _tolerance(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    """What a process with contact says; one word of it is enough."""
+    """One control process with contact is enough for a finding."""
     for process in snapshot.answering(CONTROLLER):
-        borne, asked = object_field(process.status, "borne"), object_field(process.status, "tolerates")
-        less = [kind for kind in asked if borne and 0 < number_field(asked, kind) > number_field(borne, kind)]
-        if less and process.status is not None and process.status.get("in_touch"):
-            told = ", ".join(
-                f"{kind} {number_field(borne, kind):.0f} of {number_field(asked, kind):.0f}" for kind in less
+        tolerable, required = object_field(process.status, "borne"), object_field(process.status, "tolerates")
+        reduced = [
+            kind
+            for kind in required
+            if tolerable and 0 < number_field(required, kind) > number_field(tolerable, kind)
+        ]
+        if reduced and process.status is not None and process.status.get("in_touch"):
+            shortfall = ", ".join(
+                f"{kind} {number_field(tolerable, kind):.0f} of {number_field(required, kind):.0f}"
+                for kind in reduced
             )
             yield Finding(
                 "fewer losses borne",
                 "-",
-                f"more losses that orders would go on after: {told}",
+                f"more losses that orders would go on after: {shortfall}",
                 "start or replace the members that are down (members show)",
             )
             return
@@ -176,19 +179,19 @@
 
 def _proxies(snapshot: MeshSnapshot) -> Iterator[Finding]:
     for process in snapshot.answering(PROXY):
-        told = process.status
-        assert told is not None
-        if told.get("ending"):
+        status = process.status
+        assert status is not None
+        if status.get("ending"):
             continue
-        if not told.get("ready"):
+        if not status.get("ready"):
             yield Finding(
                 "not ready",
                 process.node,
                 "has no configuration yet, or none that is known to be whole",
                 "look at the control processes; it asks them by itself",
             )
-        control = object_field(told, "control")
-        if told.get("ready") and control.get("without_ms") is not None:
+        control = object_field(status, "control")
+        if status.get("ready") and control.get("without_ms") is not None:
             without_s, behind_s = (
                 number_field(control, name) / 1000.0 for name in ("without_ms", "behind_ms")
             )
@@ -199,7 +202,7 @@
                 f"it goes on by a configuration that may be {behind_s:.1f} s old",
                 "start the missing members or mend the network to the core; it takes the newest by itself",
             )
-        upstream, beat_ms = object_field(told, "upstream"), number_field(told, "beat_ms", 1500.0)
+        upstream, beat_ms = object_field(status, "upstream"), number_field(status, "beat_ms", 1500.0)
         silent = number_field(upstream, "silent_ms")
         if not upstream:
             what = "no upstream has announced itself beside it"
@@ -213,17 +216,17 @@
 
 
 def _clocks(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    told = snapshot.answering()
-    if not told:
+    answering = snapshot.answering()
+    if not answering:
         return
-    usual = median(process.clock_offset_s for process in told)
-    for process in told:
-        off = process.clock_offset_s - usual
-        if abs(off) - process.clock_error_s > MAX_CLOCK_OFFSET_S:
+    median_offset_s = median(process.clock_offset_s for process in answering)
+    for process in answering:
+        offset_s = process.clock_offset_s - median_offset_s
+        if abs(offset_s) - process.clock_error_s > MAX_CLOCK_OFFSET_S:
             yield Finding(
                 "clock off",
                 process.node,
-                f"{abs(off):.1f} s {'ahead of' if off > 0 else 'behind'} the others",
+                f"{abs(offset_s):.1f} s {'ahead of' if offset_s > 0 else 'behind'} the others",
                 "set that machine's clock; its log lines and its own item's version go by it",
             )
 
@@ -241,7 +244,7 @@
 
 
 def group_by_kind(found: list[Finding]) -> dict[str, list[Finding]]:
-    """By kind, in the order of the findings."""
+    """Groups findings by kind, in their order."""
     kinds: dict[str, list[Finding]] = {}
     for finding in found:
         kinds.setdefault(finding.kind, []).append(finding)
@@ -249,7 +252,7 @@
 
 
 def process_state(snapshot: MeshSnapshot, process: Process) -> str:
-    """How a process stands, in a word or two."""
+    """A process's state in one or two words."""
     if process.status is None:
         return process.why or "no answer"
     if process.status.get("ending"):
--- a/mesh/cli/members.py
+++ b/mesh/cli/members.py
@@ -1,4 +1,4 @@
-"""`members`: who counts, how many more losses are borne, and an operator's word that a machine is gone."""
+"""`members`: shows the members and the losses that they tolerate, and removes a machine that is gone."""
 
 from __future__ import annotations
 
@@ -41,10 +41,11 @@
     process = pick_controller(view, as_json)
     reply = asyncio.run(ask(process.address, "members", wait))
     holder = _holder(view, reply)
-    if holder is not None and holder.node != process.node:  # it alone knows what keeps a silent member
-        told = asyncio.run(ask(holder.address, "members", wait))
-        if isinstance(told, Answered):
-            process, reply = holder, told
+    # Only the holder knows why a silent member is kept
+    if holder is not None and holder.node != process.node:
+        answer = asyncio.run(ask(holder.address, "members", wait))
+        if isinstance(answer, Answered):
+            process, reply = holder, answer
     if isinstance(reply, Unreachable):
         fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; ask another with --at", as_json)
     if not isinstance(reply, Answered):
@@ -81,26 +82,29 @@
 
 
 def pick_controller(snapshot: MeshSnapshot, as_json: bool) -> Process:
-    """One that can act where there is one."""
-    able = snapshot.answering(CONTROLLER)
-    if not able:
+    """A control process that answers, preferably one with contact; exits if there is none."""
+    controllers = snapshot.answering(CONTROLLER)
+    if not controllers:
         fail(EXIT_NO_ANSWER, "no control process answers; check --at and whether they run", as_json)
-    return min(able, key=lambda process: not (process.status or {}).get("in_touch"))
+    return min(controllers, key=lambda process: not (process.status or {}).get("in_touch"))
 
 
 def _holder(snapshot: MeshSnapshot, reply: object) -> Process | None:
-    """Of the duty `members`, where it answers as well."""
+    """The holder of the duty `members`, if it answers."""
     name = text_field(reply.value, "holder") if isinstance(reply, Answered) else ""
     return next((process for process in snapshot.answering(CONTROLLER) if process.node == name), None)
 
 
-def member_lines(told: Mapping[str, Any]) -> list[str]:
-    way = ", a change is under way" if told.get("joint") else ""
+def member_lines(answer: Mapping[str, Any]) -> list[str]:
+    suffix = ", a change is under way" if answer.get("joint") else ""
     lines = [
-        line(f"epoch {number_field(told, 'epoch'):.0f}{way}; {tolerated_losses(object_field(told, 'borne'))}")
+        line(
+            f"epoch {number_field(answer, 'epoch'):.0f}{suffix}; "
+            f"{tolerated_losses(object_field(answer, 'borne'))}"
+        )
     ]
     rows, why = [], []
-    listed = told.get("members")
+    listed = answer.get("members")
     for row in listed if isinstance(listed, list) else []:
         counts = "counts" if row.get("counts") else "joins" if row.get("joins") else "no"
         if row.get("before") and not row.get("counts"):
@@ -114,8 +118,8 @@
         if text_field(row, "stays"):
             why += wrapped(f"{row.get('address')} stays: {text_field(row, 'stays')}")
     lines += ["", *table(("member", "node", "zone", "counts", "disk", "level", "state"), rows)]
-    if why or text_field(told, "waits"):
+    if why or text_field(answer, "waits"):
         lines += ["", *why]
-    if text_field(told, "waits"):
-        lines += wrapped(f"waits: {text_field(told, 'waits')}")
+    if text_field(answer, "waits"):
+        lines += wrapped(f"waits: {text_field(answer, 'waits')}")
     return lines
--- a/mesh/cli/mesh_snapshot.py
+++ b/mesh/cli/mesh_snapshot.py
@@ -1,7 +1,7 @@
-"""What was heard of the mesh, as the command line judges and prints it. No I/O.
+"""The state of the mesh as the processes report it, for the commands to evaluate and print. No I/O.
 
-What a process told is kept as it came: one of another version may leave fields out or bring others, so every
-field is read with a stand-in.
+Answers are kept unchanged: a process of another version may omit or add fields, so every field is read with a
+default.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """One process that was asked for its status. ``told`` is None where it did not answer, ``why`` says why;
-    ``ahead_s`` is by how much its clock is ahead of this one's, known to ``within_s``."""
+    """A process that was asked for its status. ``status`` is None if it did not answer, for the reason
+    ``why``; its clock is ``clock_offset_s`` ahead of the local one, give or take ``clock_error_s``."""
 
-    name: str  # as the roll or --at has it
+    name: str  # from the roll or --at
     address: Address
     status: JsonObject | None
     why: str = ""
@@ -38,88 +38,88 @@
 
     @property
     def digest(self) -> str:
-        """Of the charter that it holds; "" where that is not known."""
+        """The digest of the charter that it holds; "" if not known."""
         return text_field(object_field(self.status, "charter"), "digest")
 
 
 @dataclass(frozen=True, slots=True)
 class MeshSnapshot:
-    """``processes``: those of the roll and those of ``--at``, by name; ``nodes`` and ``instances``: what
-    stands in the roll, by name."""
+    """``processes``: those in the roll and those given with ``--at``, sorted by name; ``nodes`` and
+    ``instances``: the roll's entries by name."""
 
     processes: tuple[Process, ...]
     nodes: Mapping[str, JsonObject] = field(default_factory=dict)
     instances: Mapping[str, JsonObject] = field(default_factory=dict)
 
     def role_of(self, process: Process) -> str:
-        """As the process says itself, else as the membership has it; "" where neither is known."""
+        """The role that the process reports, else the one in the roll; "" if neither is known."""
         return process.role or text_field(self.nodes.get(process.name), "role")
 
     def answering(self, role: str = "") -> list[Process]:
-        """Those that answered, of one role or (for "") of any."""
+        """The processes that answered, of one role or (for "") of any."""
         return [p for p in self.processes if p.status is not None and role in ("", p.role)]
 
     def instances_by_service(self) -> dict[str, list[tuple[str, JsonObject]]]:
-        """Instances by service, both in the order of their names."""
+        """Instances by service, both sorted by name."""
         found: dict[str, list[tuple[str, JsonObject]]] = {}
         for name, value in sorted(self.instances.items()):
             found.setdefault(text_field(value, "plant"), []).append((name, value))
         return dict(sorted(found.items()))
 
     def processes_by_digest(self) -> dict[str, list[Process]]:
-        """Processes by the digest of the charter that they hold; the one that counts is first: held by most
-        of the control processes that hear enough others, then by most of all."""
+        """Processes by the digest of the charter that they hold. The reference is first: held by the most
+        control processes with contact, then by the most processes."""
         found: dict[str, list[Process]] = {}
         for process in self.answering():
             if process.digest:
                 found.setdefault(process.digest, []).append(process)
 
-        def standing(entry: tuple[str, list[Process]]) -> tuple[int, int, str]:
-            sound = sum(bool(p.status and p.status.get("in_touch")) for p in entry[1])
-            return sound, len(entry[1]), entry[0]
+        def rank(entry: tuple[str, list[Process]]) -> tuple[int, int, str]:
+            in_contact = sum(bool(p.status and p.status.get("in_touch")) for p in entry[1])
+            return in_contact, len(entry[1]), entry[0]
 
-        return dict(sorted(found.items(), key=standing, reverse=True))
+        return dict(sorted(found.items(), key=rank, reverse=True))
 
 
-def object_field(told: JsonObject | None, name: str) -> JsonObject:
-    """A field that is an object; an empty one where it is not."""
-    value = told.get(name) if told is not None else None
+def object_field(fields: JsonObject | None, name: str) -> JsonObject:
+    """The field if it is an object, else an empty one."""
+    value = fields.get(name) if fields is not None else None
     return value if isinstance(value, Mapping) else {}
 
 
-def text_field(told: JsonObject | None, name: str) -> str:
-    """A field that is text; "" where it is not."""
-    value = told.get(name) if told is not None else None
+def text_field(fields: JsonObject | None, name: str) -> str:
+    """The field if it is a string, else ""."""
+    value = fields.get(name) if fields is not None else None
     return value if isinstance(value, str) else ""
 
 
-def number_field(told: JsonObject | None, name: str, default: float = 0.0) -> float:
-    """A field that is a number; ``instead`` where it is not."""
-    value = told.get(name) if told is not None else None
+def number_field(fields: JsonObject | None, name: str, default: float = 0.0) -> float:
+    """The field if it is a number, else ``default``."""
+    value = fields.get(name) if fields is not None else None
     return value if isinstance(value, int | float) and not isinstance(value, bool) else default
 
 
 def read_items(page: object) -> list[Item]:
-    """Items of an answer, without stamps; what is none is passed over."""
+    """The items of an answer, without stamps; malformed ones are skipped."""
     found = []
-    for one in page if isinstance(page, Sequence) and not isinstance(page, str) else ():
+    for row in page if isinstance(page, Sequence) and not isinstance(page, str) else ():
         if (
-            isinstance(one, Sequence)
-            and len(one) == 4
-            and isinstance(one[0], str)
-            and isinstance(one[1], str)
+            isinstance(row, Sequence)
+            and len(row) == 4
+            and isinstance(row[0], str)
+            and isinstance(row[1], str)
         ):
-            if isinstance(one[2], int) and (one[3] is None or isinstance(one[3], dict)):
-                found.append(Item(one[0], one[1], one[2], one[3]))
+            if isinstance(row[2], int) and (row[3] is None or isinstance(row[3], dict)):
+                found.append(Item(row[0], row[1], row[2], row[3]))
     return found
 
 
 def newest_items(copies: Iterable[Iterable[Item]]) -> dict[Key, Item]:
-    """Of several copies the item that rules under each key, dropped ones too."""
+    """The item of the highest rank under each key among several copies, dropped ones included."""
     found: dict[Key, Item] = {}
     for copy in copies:
         for item in copy:
-            held = found.get(item.key)
-            if held is None or outranks(item, held):
+            current = found.get(item.key)
+            if current is None or outranks(item, current):
                 found[item.key] = item
     return found
--- a/mesh/cli/options.py
+++ b/mesh/cli/options.py
@@ -1,4 +1,4 @@
-"""What all commands share: how the mesh is found, how answers are printed, how a command ends."""
+"""Shared by all commands: options, finding the mesh, printing results, exit codes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def fail(code: int, reason: str, as_json: bool) -> NoReturn:
-    """Ends with one line on standard error, and with --json the same on standard output."""
+    """Exits with ``code`` after one line on standard error and, with --json, an object on standard output."""
     typer.echo(line(reason) if not as_json else reason, err=True)
     if as_json:
         typer.echo(json.dumps({"error": reason}))
@@ -46,13 +46,13 @@
 
 
 def print_and_exit(value: Any, lines: Sequence[str], as_json: bool, code: int = EXIT_OK) -> NoReturn:
-    """Prints ``value`` as JSON or ``lines``, and ends with ``code``."""
+    """Prints ``value`` as JSON, or ``lines``, and exits with ``code``."""
     typer.echo(json.dumps(value, indent=1) if as_json else "\n".join(lines))
     raise typer.Exit(code)
 
 
 def contact_addresses(at: list[str] | None, settings: Path | None, as_json: bool) -> list[Address]:
-    """Where to ask. Ends with USAGE where neither says it."""
+    """The addresses to ask. Exits with EXIT_USAGE if neither option gives any."""
     if at:
         addresses = [read_address(one) for one in at]
         if None in addresses:
@@ -65,18 +65,18 @@
     if settings is None:
         fail(EXIT_USAGE, "--at: missing; give HOST:PORT of any process, or --settings FILE", as_json)
     try:
-        told = parse_settings(settings.read_text(encoding="utf-8"))
-    except (OSError, UnicodeDecodeError) as fault:
-        fail(EXIT_USAGE, f"--settings: {settings} cannot be read ({fault}); give a settings file", as_json)
-    if isinstance(told, InvalidSettings):
-        fail(EXIT_USAGE, f"--settings: {settings}: {told.findings[0]}", as_json)
-    port = told.port_range[0]
-    return list(dict.fromkeys([*((host, port) for host, _ in told.seeds), (told.ip, port)]))
+        parsed = parse_settings(settings.read_text(encoding="utf-8"))
+    except (OSError, UnicodeDecodeError) as error:
+        fail(EXIT_USAGE, f"--settings: {settings} cannot be read ({error}); give a settings file", as_json)
+    if isinstance(parsed, InvalidSettings):
+        fail(EXIT_USAGE, f"--settings: {settings}: {parsed.findings[0]}", as_json)
+    port = parsed.port_range[0]
+    return list(dict.fromkeys([*((host, port) for host, _ in parsed.seeds), (parsed.ip, port)]))
 
 
-def run_or_exit(coming: Coroutine[Any, Any, T | Unreachable], as_json: bool) -> T:
-    """Runs it; ends with NOBODY where nobody answered."""
-    outcome = asyncio.run(coming)
+def run_or_exit(awaitable: Coroutine[Any, Any, T | Unreachable], as_json: bool) -> T:
+    """Runs a coroutine and returns its result; exits with EXIT_NO_ANSWER if no process answered."""
+    outcome = asyncio.run(awaitable)
     if isinstance(outcome, Unreachable):
         fail(EXIT_NO_ANSWER, f"{outcome.why}; check --at and whether the processes run", as_json)
     return outcome
--- a/mesh/cli/ownership.py
+++ b/mesh/cli/ownership.py
@@ -1,4 +1,4 @@
-"""`ownership`: which upstream holds which keys of a divided service."""
+"""`ownership`: which upstream holds which keys of a sharded service."""
 
 from __future__ import annotations
 
@@ -59,9 +59,9 @@
     if not isinstance(reply, Answered):
         fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     services = {
-        name: with_only_key(told, key)
-        for name, told in object_field(reply.value, "services").items()
-        if isinstance(told, dict) and service in ("", name)
+        name: with_only_key(key_map, key)
+        for name, key_map in object_field(reply.value, "services").items()
+        if isinstance(key_map, dict) and service in ("", name)
     }
     if service and not services:
         fail(
@@ -72,20 +72,20 @@
     print_and_exit({"node": process.node, "services": services}, ownership_lines(services), as_json, EXIT_OK)
 
 
-def with_only_key(told: Mapping[str, Any], key: int | None) -> dict[str, Any]:
-    """The map, or its row with that key alone."""
-    rows = [row for row in told.get("rows", []) if key is None or row[0] <= key <= row[1]]
-    return {**told, "rows": rows}
+def with_only_key(key_map: Mapping[str, Any], key: int | None) -> dict[str, Any]:
+    """The map, reduced to the row of ``key`` if one is given."""
+    rows = [row for row in key_map.get("rows", []) if key is None or row[0] <= key <= row[1]]
+    return {**key_map, "rows": rows}
 
 
 def ownership_lines(services: Mapping[str, Mapping[str, Any]]) -> list[str]:
-    """As lines."""
+    """The maps as lines."""
     lines: list[str] = []
-    for name, told in services.items():
-        rows = told.get("rows", [])
+    for name, key_map in services.items():
+        rows = key_map.get("rows", [])
         vacant = sum(row[1] - row[0] + 1 for row in rows if not row[2])
         moving = sum(row[4] is not None for row in rows)
-        head = f"{name}: map {number_field(told, 'version'):.0f}, {len(rows)} rows, {moving} in motion"
+        head = f"{name}: map {number_field(key_map, 'version'):.0f}, {len(rows)} rows, {moving} in motion"
         lines += [line(head + (f", {vacant} keys without a holder" if vacant else "")), ""]
         cells = [
             (
--- a/mesh/cli/rollout.py
+++ b/mesh/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`rollout`: changes on their way through the sidecars, and the operator's word for those held back."""
+"""`rollout`: shows the rollout of changes to the sidecars, and holds or releases staged ones."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 rollout = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="Changes as they go out in stages.")
 
-NAMES_WIDTH = 60  # columns for names
+NAMES_WIDTH = 60  # in columns
 Item = Annotated[str, typer.Argument(metavar="ITEM", help="KIND/NAME; a name alone is a route's.")]
 Name = Annotated[str, typer.Argument(metavar="ROUTE", help="The route's name.")]
 Next = Annotated[bool, typer.Option("--next", help="For the route's next version, if it comes within 60 s.")]
@@ -45,15 +45,15 @@
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json
     )
-    node, told = _ask_core(snapshot, wait, as_json, "rollouts")
-    rows: list[JsonObject] = [one for one in told.get("rollouts", []) if isinstance(one, dict)]
+    node, answer = _ask_core(snapshot, wait, as_json, "rollouts")
+    rows: list[JsonObject] = [one for one in answer.get("rollouts", []) if isinstance(one, dict)]
     lines = [
-        f"at {node}: {told.get('sidecars')} sidecars",
-        *change_lines(rows, int(number_field(told, "sidecars"))),
+        f"at {node}: {answer.get('sidecars')} sidecars",
+        *change_lines(rows, int(number_field(answer, "sidecars"))),
     ]
-    lines += vote_lines(object_field(told, "votes"))
+    lines += vote_lines(object_field(answer, "votes"))
     open_now = any(one.get("missing") or one.get("worse") for one in rows)
-    print_and_exit({"node": node, **told}, lines, as_json, EXIT_FINDINGS if open_now else EXIT_OK)
+    print_and_exit({"node": node, **answer}, lines, as_json, EXIT_FINDINGS if open_now else EXIT_OK)
 
 
 @rollout.command("explain")
@@ -76,11 +76,11 @@
     )
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json)
     node, core = _ask_core(snapshot, wait, as_json, "rollout", kind=kind, name=name)
-    told, silent = _ask_sidecars(snapshot, wait, "rollout", name=name) if kind == ROUTE else ([], [])
-    value = {"node": node, "core": core, "sidecars": told, "silent": silent}
+    answers, silent = _ask_sidecars(snapshot, wait, "rollout", name=name) if kind == ROUTE else ([], [])
+    value = {"node": node, "core": core, "sidecars": answers, "silent": silent}
     print_and_exit(
         value,
-        explain_lines(kind, name, core, told, silent),
+        explain_lines(kind, name, core, answers, silent),
         as_json,
         EXIT_FINDINGS if core.get("missing") else EXIT_OK,
     )
@@ -116,18 +116,18 @@
     word: str, route: str, at_next: bool, at: Any, settings: Any, wait: float, as_json: bool
 ) -> NoReturn:
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (PROXY,)), as_json)
-    told, silent = _ask_sidecars(snapshot, wait, "order", name=route, order=word, next=at_next)
-    if not told:
+    answers, silent = _ask_sidecars(snapshot, wait, "order", name=route, order=word, next=at_next)
+    if not answers:
         fail(EXIT_NO_ANSWER, "no sidecar answers; check --at and whether they run", as_json)
-    value = {"sidecars": told, "silent": silent}
-    more = [f"no answer from {len(silent)} sidecars: {join_names(silent, NAMES_WIDTH)}"] if silent else []
+    value = {"sidecars": answers, "silent": silent}
+    notes = [f"no answer from {len(silent)} sidecars: {join_names(silent, NAMES_WIDTH)}"] if silent else []
     if at_next:
         print_and_exit(
-            value, [f"{len(told)} sidecars: {word} for the next version within 60 s", *more], as_json
+            value, [f"{len(answers)} sidecars: {word} for the next version within 60 s", *notes], as_json
         )
-    obeyed = [one for one in told if one.get("obeyed") is not None]
+    obeyed = [one for one in answers if one.get("obeyed") is not None]
     if not obeyed:
-        standing = ", ".join(sorted({f"r{v}" for one in told if (v := one.get("in_force")) is not None}))
+        standing = ", ".join(sorted({f"r{v}" for one in answers if (v := one.get("in_force")) is not None}))
         fail(
             EXIT_REFUSED,
             f"{route}: {standing or 'nothing'} is in force, nothing is held back; send a higher version, or "
@@ -135,20 +135,20 @@
             as_json,
         )
     print_and_exit(
-        value, [f"{word}: {len(obeyed)} of {len(told)} sidecars still held it back", *more], as_json
+        value, [f"{word}: {len(obeyed)} of {len(answers)} sidecars still held it back", *notes], as_json
     )
 
 
 def _ask_core(
-    snapshot: MeshSnapshot, wait: float, as_json: bool, question: str, **what: Any
+    snapshot: MeshSnapshot, wait: float, as_json: bool, question: str, **fields: Any
 ) -> tuple[str, JsonObject]:
-    """The answer of the first control process that hears enough others, else of any; ends where none has."""
-    able = sorted(
+    """The answer of a control process, those with contact first; exits if there is none."""
+    controllers = sorted(
         snapshot.answering(CONTROLLER), key=lambda p: (not (p.status or {}).get("in_touch"), p.node)
     )
     why = "no control process answers; check --at and whether they run"
-    for process in able:
-        reply = asyncio.run(ask(process.address, question, wait, **what))
+    for process in controllers:
+        reply = asyncio.run(ask(process.address, question, wait, **fields))
         if isinstance(reply, Answered):
             return process.node, reply.value
         if isinstance(reply, Refused):
@@ -158,35 +158,35 @@
 
 
 def _ask_sidecars(
-    snapshot: MeshSnapshot, wait: float, question: str, **what: Any
+    snapshot: MeshSnapshot, wait: float, question: str, **fields: Any
 ) -> tuple[list[JsonObject], list[str]]:
-    """The sidecars' answers, each with its node, and those that gave none."""
-    sides = [p for p in snapshot.processes if snapshot.role_of(p) == PROXY]
+    """The sidecars' answers, each with its node, and the names of those that did not answer."""
+    sidecars = [p for p in snapshot.processes if snapshot.role_of(p) == PROXY]
 
     async def one(process: Process) -> Answered | Refused | Unreachable:
-        return await ask(process.address, question, wait, **what)
+        return await ask(process.address, question, wait, **fields)
 
-    async def all_sides() -> list[Answered | Refused | Unreachable]:
-        return await gather_bounded(one, sides)
+    async def ask_all() -> list[Answered | Refused | Unreachable]:
+        return await gather_bounded(one, sidecars)
 
-    told: list[JsonObject] = []
+    answers: list[JsonObject] = []
     silent = []
-    for process, reply in zip(sides, asyncio.run(all_sides()), strict=True):
+    for process, reply in zip(sidecars, asyncio.run(ask_all()), strict=True):
         if isinstance(reply, Answered):
-            told.append({**reply.value, "node": process.node})
+            answers.append({**reply.value, "node": process.node})
         else:
             silent.append(process.node)
-    return told, silent
+    return answers, silent
 
 
 def change_lines(rows: list[JsonObject], sidecars: int) -> list[str]:
-    """A line for each change, the newest first."""
+    """A table of the changes, the newest first."""
     if not rows:
         return ["no change since this control process started"]
     cells = []
     for one in rows:
         took = f"{one['took_ms']} ms" if one.get("took_ms") is not None else "-"
-        word = "worse: " + ", ".join(one.get("worse", [])) if one.get("worse") else ""
+        verdict = "worse: " + ", ".join(one.get("worse", [])) if one.get("worse") else ""
         cells.append(
             [
                 f"{number_field(one, 'ago_ms') / 1000.0:.1f} s",
@@ -194,7 +194,7 @@
                 join_names([str(name) for name in one.get("named", [])], 30),
                 f"{sidecars - int(number_field(one, 'missing'))} of {sidecars}",
                 took,
-                word or ("sound" if one.get("sound") else "-"),
+                verdict or ("sound" if one.get("sound") else "-"),
                 join_names([str(name) for name in one.get("lack", [])], 24) or "-",
             ]
         )
@@ -202,7 +202,7 @@
 
 
 def vote_lines(votes: JsonObject) -> list[str]:
-    """Open votes, and a line for each number that an order was refused for."""
+    """The number of open votes, and a line for each refused order of a version that another order has."""
     count = int(number_field(votes, "open"))
     lines = [f"{count} votes are open: they are decided within seconds"] if count else []
     for one in votes.get("rivalled", []):
@@ -213,16 +213,16 @@
 
 
 def part_name(passed: JsonObject) -> str:
-    """What does not go in stages has no first part."""
+    """The stage that a sidecar belongs to; changes that are not staged have only one."""
     if passed.get("kind") not in {kind.value for kind in STAGED}:
         return "all"
     return "first" if passed.get("first") else "rest"
 
 
 def explain_lines(
-    kind: str, name: str, core: JsonObject, told: list[JsonObject], silent: list[str]
+    kind: str, name: str, core: JsonObject, answers: list[JsonObject], silent: list[str]
 ) -> list[str]:
-    """The item as the core has it, and each version's way at the sidecars."""
+    """The item's state at the control plane, and each version's rollout at the sidecars."""
     state = "dropped" if core.get("dropped") else "set"
     confirmed = int(number_field(core, "sidecars") - number_field(core, "missing"))
     lines = [
@@ -241,13 +241,13 @@
     new_n, new_bad, old_n, old_bad = [*core.get("word", []), 0, 0, 0, 0][:4]
     if new_n:
         lines.append(f"  its calls: {new_bad} of {new_n} failed, before it {old_bad} of {old_n}")
-    for one in told:
+    for one in answers:
         if one.get("dry"):
             lines.append(f"  {one['node']}: {one['dry']} had no live upstream when the route came")
-    versions = sorted({int(p["version"]) for one in told for p in one.get("passes", [])}, reverse=True)
+    versions = sorted({int(p["version"]) for one in answers for p in one.get("passes", [])}, reverse=True)
     for version in versions[:4]:
         rows = []
-        for one in told:
+        for one in answers:
             for passed in one.get("passes", []):
                 if passed["version"] == version:
                     after = passed.get("after_ms")
--- a/mesh/cli/shape.py
+++ b/mesh/cli/shape.py
@@ -1,4 +1,4 @@
-"""The answers of the commands as lines. No I/O."""
+"""Formats the commands' results as lines. No I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from mesh.cli.text import join_names, line, table, tolerated_losses, wrapped
 from mesh.data_plane.membership import CONTROLLER, PROXY, ROLE_NAMES
 
-MAX_ROWS = 10  # of the core, of services and of other digests in `status`, which keeps to a screen
-MAX_ALIKE_FINDINGS = 10  # findings of one kind that `doctor` prints; --json has all
+MAX_ROWS = 10  # of each table in `status`, which must fit on a screen
+MAX_ALIKE_FINDINGS = 10  # of one kind in `doctor`; --json has all
 
 
 def service_counts(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
-    """Upstreams counted by service; those without one that takes calls are first."""
+    """The upstreams of each service, counted; services without a settled upstream are first."""
     found = []
     for service, instances in snapshot.instances_by_service().items():
         settled = sum(value.get("state") == "settled" for _, value in instances)
@@ -33,7 +33,7 @@
 
 
 def configurations(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
-    """The configurations that are held, the one that counts first, and by whom."""
+    """The configurations held in the mesh with their holders, the reference first."""
     return [
         {
             "digest": digest,
@@ -67,13 +67,13 @@
 
 
 def status_lines(snapshot: MeshSnapshot, found: Sequence[Finding]) -> list[str]:
-    """At most some 50 lines, whatever the size of the mesh."""
+    """At most about 50 lines, regardless of the size of the mesh."""
     lines = []
     if found:
         lines.append("NOT AS IT SHOULD BE (doctor tells what to do)")
-        for kind, alike in group_by_kind(list(found)).items():
-            lead = f"  {kind:<22}{len(alike):>5}  "
-            lines.append(line(lead + join_names([finding.subject for finding in alike], 100 - len(lead))))
+        for kind, similar in group_by_kind(list(found)).items():
+            label = f"  {kind:<22}{len(similar):>5}  "
+            lines.append(line(label + join_names([finding.subject for finding in similar], 100 - len(label))))
     else:
         lines.append("all is as it should be")
     lines.append("")
@@ -86,26 +86,26 @@
     )
     lines += duty_lines(snapshot) + member_lines(snapshot)
     for at, held in enumerate(configurations(snapshot)[:MAX_ROWS]):
-        lead = "configuration" if at == 0 else "  other"
-        told = f"{lead} {held['items']} items, {held['dropped']} dropped, digest {held['digest']}: "
-        told += f"{len(held['held_by'])} processes"
+        label = "configuration" if at == 0 else "  other"
+        header = f"{label} {held['items']} items, {held['dropped']} dropped, digest {held['digest']}: "
+        header += f"{len(held['held_by'])} processes"
         if at:
-            told += f" ({join_names(held['held_by'], max(96 - len(told), 10))})"
-        lines.append(line(told))
+            header += f" ({join_names(held['held_by'], max(96 - len(header), 10))})"
+        lines.append(line(header))
     lines += ["", *core_lines(snapshot), "", *_service_summary(service_counts(snapshot))]
     return lines
 
 
 def duty_lines(snapshot: MeshSnapshot) -> list[str]:
-    """Who has which duty, by the highest epoch that any control process knows."""
+    """The holder of each duty, by the highest epoch that any control process reports."""
     found: dict[str, tuple[float, str]] = {}
     for process in snapshot.answering(CONTROLLER):
-        told = object_field(process.status, "duties")
-        for duty in told:
-            standing = object_field(told, duty)
-            epoch = number_field(standing, "epoch")
+        holders = object_field(process.status, "duties")
+        for duty in holders:
+            duty_status = object_field(holders, duty)
+            epoch = number_field(duty_status, "epoch")
             if epoch > found.get(duty, (0.0, ""))[0]:
-                found[duty] = epoch, text_field(standing, "holder")
+                found[duty] = epoch, text_field(duty_status, "holder")
     return [
         line(f"{'duties':<12}{duty} by {holder}, epoch {epoch:.0f}")
         for duty, (epoch, holder) in sorted(found.items())[:MAX_ROWS]
@@ -113,11 +113,13 @@
 
 
 def member_lines(snapshot: MeshSnapshot) -> list[str]:
-    """Under which epoch who counts, and how many more losses are borne, by a process with the newest."""
-    told = [p.status for p in snapshot.answering(CONTROLLER) if p.status is not None and "epoch" in p.status]
-    if not told:
+    """The members' epoch and the losses that they tolerate, from the process with the newest epoch."""
+    statuses = [
+        p.status for p in snapshot.answering(CONTROLLER) if p.status is not None and "epoch" in p.status
+    ]
+    if not statuses:
         return []
-    newest = max(told, key=lambda one: (bool(one.get("in_touch")), number_field(one, "epoch")))
+    newest = max(statuses, key=lambda one: (bool(one.get("in_touch")), number_field(one, "epoch")))
     count = f"{len(object_field(newest, 'members'))} count, epoch {number_field(newest, 'epoch'):.0f}"
     return [line(f"{'members':<12}{count}; {tolerated_losses(object_field(newest, 'borne'))}")]
 
@@ -126,16 +128,16 @@
     controllers = snapshot.answering(CONTROLLER)
     rows = []
     for process in controllers[:MAX_ROWS]:
-        told = process.status or {}
-        disk = "refuses" if told.get("refused") else "whole" if told.get("whole") else "not whole"
+        status = process.status or {}
+        disk = "refuses" if status.get("refused") else "whole" if status.get("whole") else "not whole"
         rows.append(
             (
                 *(
                     process.node,
                     process.role,
-                    text_field(told, "zone"),
-                    text_field(told, "ip"),
-                    text_field(told, "control"),
+                    text_field(status, "zone"),
+                    text_field(status, "ip"),
+                    text_field(status, "control"),
                 ),
                 *(disk, process_state(snapshot, process)),
             )
@@ -178,26 +180,26 @@
 
 def doctor_lines(found: Sequence[Finding]) -> list[str]:
     lines = []
-    for kind, alike in group_by_kind(list(found)).items():
-        for finding in alike[:MAX_ALIKE_FINDINGS]:
+    for kind, similar in group_by_kind(list(found)).items():
+        for finding in similar[:MAX_ALIKE_FINDINGS]:
             lines += wrapped(f"{kind}: {finding.subject}: {finding.what}")
-        if len(alike) > MAX_ALIKE_FINDINGS:
-            rest = [finding.subject for finding in alike[MAX_ALIKE_FINDINGS:]]
-            lines.append(line(f"  and {len(rest)} more alike: {join_names(rest, 70)}"))
-        for mend in dict.fromkeys(finding.mend for finding in alike):
+        if len(similar) > MAX_ALIKE_FINDINGS:
+            omitted = [finding.subject for finding in similar[MAX_ALIKE_FINDINGS:]]
+            lines.append(line(f"  and {len(omitted)} more alike: {join_names(omitted, 70)}"))
+        for mend in dict.fromkeys(finding.mend for finding in similar):
             lines += wrapped(f"  -> {mend}", "     ")
     return lines or ["nothing is found"]
 
 
-def merge_upstreams(told: Sequence[JsonObject]) -> list[dict[str, Any]]:
-    """Upstreams of one service as several sidecars see them, in one row each."""
-    seen: dict[str, list[JsonObject]] = {}
-    for one in told:
-        upstreams = one.get("upstreams")
+def merge_upstreams(answers: Sequence[JsonObject]) -> list[dict[str, Any]]:
+    """One row for each upstream of a service, merged from the answers of several sidecars."""
+    views_by_instance: dict[str, list[JsonObject]] = {}
+    for answer in answers:
+        upstreams = answer.get("upstreams")
         for upstream in upstreams if isinstance(upstreams, list) else []:
-            seen.setdefault(text_field(upstream, "instance"), []).append(upstream)
+            views_by_instance.setdefault(text_field(upstream, "instance"), []).append(upstream)
     found = []
-    for instance, views in sorted(seen.items()):
+    for instance, views in sorted(views_by_instance.items()):
         used = [snapshot for snapshot in views if "active" in snapshot]
         ws = [number_field(snapshot, "w") for snapshot in used if snapshot.get("w") is not None]
         found.append(
@@ -229,9 +231,9 @@
     )
 
 
-def route_lines(node: str, told: JsonObject) -> list[str]:
-    """The answer to `routes try`."""
-    route = object_field(told, "route")
+def route_lines(node: str, answer: JsonObject) -> list[str]:
+    """The output of `routes try`."""
+    route = object_field(answer, "route")
     lines = wrapped(
         f"at {node}: route {text_field(route, 'name')} r{number_field(route, 'version'):.0f}, "
         f"{text_field(route, 'kind')}, "
@@ -239,7 +241,7 @@
         f"{number_field(route, 'aim_ms'):g} ms, trials {number_field(route, 'trials'):.0f}, priority "
         f"{number_field(route, 'priority'):.0f}"
     )
-    services = told.get("services")
+    services = answer.get("services")
     for service in services if isinstance(services, list) else []:
         lines.append(
             line(f"service {text_field(service, 'service')}, share {number_field(service, 'share'):.1%}")
@@ -260,7 +262,7 @@
 
 
 def trace_lines(attempt: str, entries: Sequence[JsonObject], where: Mapping[str, str]) -> list[str]:
-    """The answer to `trace`; ``where``: the node of each instance."""
+    """The output of `trace`; ``where``: the node of each instance."""
     lines = [line(f"attempt {attempt}")]
     for entry in entries:
         ago = number_field(entry, "ago_ms") / 1000.0
--- a/mesh/cli/state.py
+++ b/mesh/cli/state.py
@@ -1,4 +1,4 @@
-"""`state`: the control processes' disks, checked and copied while they run."""
+"""`state`: checks, copies and restores the control processes' disks while they run."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from mesh.cli.text import wrapped
 from mesh.data_plane.membership import CONTROLLER
 
-STATUS_WAIT_S = 2.0  # for the processes' status; the longer wait is for their disks
+STATUS_WAIT_S = 2.0  # for statuses; the longer wait is for disks
 
 state = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="The state on the core's disks.")
 
@@ -63,20 +63,24 @@
         if not row["findings"]:
             moving = "; changes came meanwhile, so memory was not compared" if row.get("moving") else ""
             lines.append(f"{row['node']}: {row.get('items')} items, digest {row.get('disk')}{moving}")
-    bad = any(row["findings"] for row in rows)
-    print_and_exit(rows, lines, as_json, EXIT_FINDINGS if bad else EXIT_OK)
-
-
-def disk_findings(told: JsonObject) -> list[str]:
-    """What a process's answer says against its disk."""
-    findings = told.get("findings")
-    said = [str(one) for one in findings] if isinstance(findings, list) else []
-    if not said and not told.get("moving") and text_field(told, "disk") != text_field(told, "memory"):
-        said.append(
-            f"disk holds {number_field(told, 'items'):.0f} items, digest {text_field(told, 'disk')}, memory "
-            f"{text_field(told, 'memory')}; look for refusals of the disk in its log, then start it again"
+    has_findings = any(row["findings"] for row in rows)
+    print_and_exit(rows, lines, as_json, EXIT_FINDINGS if has_findings else EXIT_OK)
+
+
+def disk_findings(answer: JsonObject) -> list[str]:
+    """The problems of a disk in its process's answer."""
+    findings = answer.get("findings")
+    reasons = [str(one) for one in findings] if isinstance(findings, list) else []
+    if (
+        not reasons
+        and not answer.get("moving")
+        and text_field(answer, "disk") != text_field(answer, "memory")
+    ):
+        reasons.append(
+            f"disk holds {number_field(answer, 'items'):.0f} items, digest {text_field(answer, 'disk')}, "
+            f"memory {text_field(answer, 'memory')}; look for refusals of the disk in its log, then start it again"
         )
-    return said
+    return reasons
 
 
 @state.command("restore")
@@ -103,24 +107,24 @@
         take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
         as_json,
     )
-    able = [p for p in snapshot.answering(CONTROLLER) if where in ("", p.node)]
-    able.sort(key=lambda p: not (p.status or {}).get("whole"))
-    if not able:
+    candidates = [p for p in snapshot.answering(CONTROLLER) if where in ("", p.node)]
+    candidates.sort(key=lambda p: not (p.status or {}).get("whole"))
+    if not candidates:
         fail(EXIT_NO_ANSWER, "no such control process answers; check --at and whether it runs", as_json)
-    process = able[0]
+    process = candidates[0]
     reply = asyncio.run(ask(process.address, "restore", wait, copy=copy, lost=list(lost or ())))
     if isinstance(reply, Unreachable):
         fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; it may be done: look at status", as_json)
     if not isinstance(reply, Answered):
         fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
-    told = reply.value
-    names = ", ".join(str(one) for one in told.get("members", []))
+    answer = reply.value
+    names = ", ".join(str(one) for one in answer.get("members", []))
     lines = wrapped(
-        f"{process.node}: {number_field(told, 'items'):.0f} items lead, "
-        f"epoch {number_field(told, 'epoch'):.0f}, "
+        f"{process.node}: {number_field(answer, 'items'):.0f} items lead, "
+        f"epoch {number_field(answer, 'epoch'):.0f}, "
         f"counted: {names}; the others come to count by themselves"
     )
-    print_and_exit({"node": process.node, **told}, lines, as_json)
+    print_and_exit({"node": process.node, **answer}, lines, as_json)
 
 
 @state.command("backup")
@@ -137,13 +141,13 @@
         take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
         as_json,
     )
-    able = [p for p in snapshot.answering(CONTROLLER) if where in ("", p.node)]
-    able.sort(key=lambda p: not ((p.status or {}).get("in_touch") and (p.status or {}).get("whole")))
-    if not able and where and where not in snapshot.nodes:
+    candidates = [p for p in snapshot.answering(CONTROLLER) if where in ("", p.node)]
+    candidates.sort(key=lambda p: not ((p.status or {}).get("in_touch") and (p.status or {}).get("whole")))
+    if not candidates and where and where not in snapshot.nodes:
         fail(EXIT_USAGE, f"--from: no node {where} is known; nodes lists them", as_json)
-    if not able:
+    if not candidates:
         fail(EXIT_NO_ANSWER, "no such control process answers; check --at and whether it runs", as_json)
-    process = able[0]
+    process = candidates[0]
     reply = asyncio.run(ask(process.address, "backup", wait, to=to))
     if isinstance(reply, Unreachable):
         fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; the copy may still be made: look there", as_json)
--- a/mesh/cli/text.py
+++ b/mesh/cli/text.py
@@ -10,11 +10,11 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[object]], indent: str = "") -> list[str]:
-    """Lines of columns, the head first; the widest columns are cut until a line fits WIDTH."""
+    """Aligned columns below a header; the widest columns are truncated until a line fits WIDTH."""
     cells = [list(head), *([_cell_text(cell) for cell in row] for row in rows)]
     widths = [max(len(row[at]) for row in cells) for at in range(len(head))]
-    room = WIDTH - len(indent) - len(GAP) * (len(widths) - 1)
-    while sum(widths) > room and max(widths) > 4:
+    available = WIDTH - len(indent) - len(GAP) * (len(widths) - 1)
+    while sum(widths) > available and max(widths) > 4:
         widths[widths.index(max(widths))] -= 1
     return [
         (
@@ -31,36 +31,36 @@
 
 
 def wrapped(text: str, indent: str = "  ") -> list[str]:
-    """A text over several lines at its spaces, those after the first indented."""
+    """Wraps a text at its spaces; lines after the first are indented."""
     plain = _cell_text(text)
     first, *words = plain.lstrip(" ").split(" ")
-    lines, now = [], " " * (len(plain) - len(plain.lstrip(" "))) + first
+    lines, current = [], " " * (len(plain) - len(plain.lstrip(" "))) + first
     for word in words:
-        if len(now) + 1 + len(word) > WIDTH:
-            lines.append(now)
-            now = indent + word
+        if len(current) + 1 + len(word) > WIDTH:
+            lines.append(current)
+            current = indent + word
         else:
-            now = f"{now} {word}"
-    return [_truncate(one, WIDTH) for one in [*lines, now]]
+            current = f"{current} {word}"
+    return [_truncate(one, WIDTH) for one in [*lines, current]]
 
 
-def join_names(found: Sequence[str], room: int) -> str:
-    """The first names that fit ``room`` columns, and how many more there are."""
+def join_names(items: Sequence[str], width: int) -> str:
+    """The first names that fit into ``room`` columns, and the number of the others."""
     shown = ""
-    for at, name in enumerate(found):
-        more = f" and {len(found) - at} more"
+    for at, name in enumerate(items):
+        suffix = f" and {len(items) - at} more"
         longer = f"{shown}, {name}" if shown else name
-        if len(longer) + (len(more) if at + 1 < len(found) else 0) > room:
-            return f"{shown}{more}" if shown else _truncate(name, room)
+        if len(longer) + (len(suffix) if at + 1 < len(items) else 0) > width:
+            return f"{shown}{suffix}" if shown else _truncate(name, width)
         shown = longer
     return shown
 
 
-def tolerated_losses(told: Mapping[str, Any]) -> str:
-    """How many more losses are borne, in words."""
-    if told.get("machines") == -1:
+def tolerated_losses(losses: Mapping[str, Any]) -> str:
+    """How many more losses the members tolerate."""
+    if losses.get("machines") == -1:
         return "orders do not go on now"
-    kinds = [f"{kind} {told.get(kind, '?')}" for kind in ("machines", "zones", "regions")]
+    kinds = [f"{kind} {losses.get(kind, '?')}" for kind in ("machines", "zones", "regions")]
     return f"losses borne now: {', '.join(kinds)}"
 
 
@@ -71,8 +71,8 @@
         return "yes" if cell else "no"
     if isinstance(cell, float):
         return f"{cell:.4g}"
-    told = str(cell)
-    return told if told.isprintable() else "".join(c if c.isprintable() else "?" for c in told)
+    text = str(cell)
+    return text if text.isprintable() else "".join(c if c.isprintable() else "?" for c in text)
 
 
 def _truncate(text: str, width: int) -> str:
--- a/mesh/cli/write_client.py
+++ b/mesh/cli/write_client.py
@@ -1,7 +1,7 @@
-"""An operator's HTTP calls to the control processes, by the rules that the platform's operator keeps.
+"""An operator's HTTP calls to the control processes, with the retry rules of the platform's operator.
 
-The next process after a failure, a 5xx, a 408, a 429 or silence, with a pause that grows; a 307 followed
-twice; the same call exactly as it was, until there is a clear answer.
+After a failure, a 5xx, a 408, a 429 or a timeout the same call goes to the next process after a growing
+pause, until there is a definite answer. A 307 is followed twice.
 """
 
 from __future__ import annotations
@@ -17,21 +17,19 @@
 from mesh.membership.instance_commands import read_address
 from mesh.transport.link import Address
 
-ANSWER_TIMEOUT_S, ANSWER_TIMEOUT_PER_BYTE_S = (
-    1.0,
-    2e-6,
-)  # how long an answer may take, and more for each byte sent
+# For one answer, and in addition for each byte sent.
+ANSWER_TIMEOUT_S, ANSWER_TIMEOUT_PER_BYTE_S = 1.0, 2e-6
 MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 1.0
 MAX_REDIRECTS = 2
-FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})  # a call ends there
-MAX_OTHER_ERRORS = 3  # any other 4xx ends it at this try
+FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})  # end a call at once
+MAX_OTHER_ERRORS = 3  # so many other 4xx end a call
 RETRIED_STATUSES = frozenset({408, 429})
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete HTTP answer."""
 
     status: int
     body: bytes
@@ -40,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A 200, by whom and at which try."""
+    """A 2xx answer, with its sender and the number of tries."""
 
     body: bytes
     address: Address
@@ -49,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A clear no."""
+    """A definite refusal."""
 
     status: int
     reason: str
@@ -57,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Indeterminate:
-    """No clear answer in the time: it may be in force. ``heard``: something answered at all."""
+    """No definite answer in time: the change may be in force. ``any_answer``: some process answered."""
 
     reason: str
     any_answer: bool
@@ -67,7 +65,7 @@
 
 
 async def call(address: Address, method: bytes, path: bytes, body: bytes, within_s: float) -> Reply | None:
-    """One call on a connection of its own; None where no whole answer comes in time. Raises nothing."""
+    """Makes one call over a separate connection; None if no complete answer arrives in time. Never raises."""
     reader = http.Reader(httptools.HttpResponseParser, MAX_BODY_BYTES)
     try:
         async with asyncio.timeout(within_s):
@@ -96,17 +94,17 @@
     within_s: float,
     pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
 ) -> Outcome:
-    """One call of the operator, at these processes in turn, until it is clear or ``within_s`` is over."""
+    """Sends a call to the processes in turn until one answers definitely or ``within_s`` has passed."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + within_s
-    wait, tries, others, any_answer, reason = MIN_PAUSE_S, 0, 0, False, "nobody answers"
-    while addresses and loop.time() < until:
+    deadline = loop.time() + within_s
+    pause_s, tries, other_errors, any_answer, reason = MIN_PAUSE_S, 0, 0, False, "nobody answers"
+    while addresses and loop.time() < deadline:
         address = addresses[tries % len(addresses)]
         tries += 1
-        silence = min(
-            ANSWER_TIMEOUT_S + ANSWER_TIMEOUT_PER_BYTE_S * len(body), max(until - loop.time(), 0.01)
+        timeout_s = min(
+            ANSWER_TIMEOUT_S + ANSWER_TIMEOUT_PER_BYTE_S * len(body), max(deadline - loop.time(), 0.01)
         )
-        reply, address = await _call_following_redirects(address, method, path, body, silence)
+        reply, address = await _call_following_redirects(address, method, path, body, timeout_s)
         if reply is not None:
             any_answer = True
             if 200 <= reply.status < 300:
@@ -115,38 +113,38 @@
             if reply.status in FINAL_STATUSES:
                 return Rejected(reply.status, error_reason(reply.body))
             if 400 <= reply.status < 500 and reply.status not in RETRIED_STATUSES:
-                others += 1
-                if others == MAX_OTHER_ERRORS:
+                other_errors += 1
+                if other_errors == MAX_OTHER_ERRORS:
                     return Rejected(reply.status, error_reason(reply.body))
-        if loop.time() + wait < until:
-            await pause(wait)
-            wait = min(2.0 * wait, MAX_PAUSE_S)
+        if loop.time() + pause_s < deadline:
+            await pause(pause_s)
+            pause_s = min(2.0 * pause_s, MAX_PAUSE_S)
         elif tries >= len(addresses):
             break
     return Indeterminate(reason, any_answer)
 
 
 async def _call_following_redirects(
-    address: Address, method: bytes, path: bytes, body: bytes, silence: float
+    address: Address, method: bytes, path: bytes, body: bytes, timeout_s: float
 ) -> tuple[Reply | None, Address]:
-    """The answer, FOLLOWED redirections on, and who gave it."""
-    for followed in range(MAX_REDIRECTS + 1):
-        reply = await call(address, method, path, body, silence)
-        if reply is None or reply.status != 307 or followed == MAX_REDIRECTS:
+    """The answer after up to MAX_REDIRECTS redirects, and its sender."""
+    for redirects in range(MAX_REDIRECTS + 1):
+        reply = await call(address, method, path, body, timeout_s)
+        if reply is None or reply.status != 307 or redirects == MAX_REDIRECTS:
             return reply, address
         host, _, rest = reply.location.removeprefix("http://").partition("/")
         to = read_address(host)
         if to is None:
             return reply, address
         address, path = to, b"/" + rest.encode("latin-1", "replace")
-    raise AssertionError("the last one returns")
+    raise AssertionError("the last iteration returns")
 
 
 def error_reason(body: bytes) -> str:
-    """The reason in an answer's body, in one line."""
+    """The error in an answer's body, as one line."""
     try:
-        told = msgspec.json.decode(body)
+        fields = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError):
-        told = None
-    reason = told.get("error") if isinstance(told, dict) else None
+        fields = None
+    reason = fields.get("error") if isinstance(fields, dict) else None
     return " ".join(str(reason).split())[:300] if reason else "no reason given"
