--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -9,7 +9,7 @@
 
 from mesh.control_plane.contact_probes import ContactProbes
 from mesh.control_plane.key_assignment import KeyAssignment
-from mesh.control_plane.leases import ReapingDuty
+from mesh.control_plane.leases import NodeReaper
 from mesh.control_plane.member_changes import MemberChanges
 from mesh.control_plane.member_set import MemberSet
 from mesh.control_plane.proposals import ProposerHost
@@ -34,7 +34,7 @@
     member_set: MemberSet
     membership: Membership
     rollouts: Rollouts
-    reaping: ReapingDuty
+    node_reaper: NodeReaper
     member_changes: MemberChanges
     contact_probes: ContactProbes
     proposer_host: ProposerHost
@@ -124,9 +124,9 @@
 def status(sources: IntrospectionSources, clock: float) -> JsonObject:
     """The state of this process. ``members``: by address, with zone and region; ``refused``: why the disk
     refused the last batch, else ""; ``contact``: the proof, for how long it has held, and who has answered
-    recently; ``control``: the address for operator calls; ``duties``: holder and epoch of each, as known
-    here, and whether this process performs it; ``borne``: how many more losses of each kind orders survive,
-    -1 if they are not decided now."""
+    recently; ``control``: the address for operator calls; ``duties``: holder and epoch of each lease, as
+    known here, and whether this process holds it; ``borne``: how many more losses of each kind
+    configuration writes survive, -1 if they are not decided now."""
     settings, disk_writer = sources.settings, sources.disk_writer
     tolerance, view = settings.tolerance, sources.member_set.view()
     return {
@@ -140,7 +140,7 @@
         "in_touch": sources.contact_probes.has_contact(),
         "contact": sources.contact_probes.status(),
         "votes": votes(sources),
-        "duties": {**sources.reaping.status(), **sources.member_changes.status()},
+        "duties": {**sources.node_reaper.status(), **sources.member_changes.status()},
         "epoch": view.epoch,
         "joint": view.joint,
         "borne": sources.member_changes.losses(),
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -32,7 +32,7 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-PROPOSER_DUTY = "keys"  # the name by which the proposer is chosen
+PROPOSER_RANKING = "keys"  # the name by which the proposer is chosen
 CHECK_INTERVAL_S = 0.1  # between two checks for changes
 FIRST_MAP_DELAY_S = 1.5  # after the first upstream is known: the others are known by then
 REBALANCE_INTERVAL_S = 0.6  # between two versions that balance the load
@@ -186,7 +186,9 @@
 
     def _is_proposer(self, now: float) -> bool:
         names = {name for name, info in self._membership.nodes.items() if info.get("role") == CONTROLLER}
-        return first_live(PROPOSER_DUTY, names | {self._node}, self._live_controllers(now, 0.0)) == self._node
+        return (
+            first_live(PROPOSER_RANKING, names | {self._node}, self._live_controllers(now, 0.0)) == self._node
+        )
 
     def _update_map(self, now: float, service: str) -> None:
         candidates = self._candidates(now, service)
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -1,4 +1,4 @@
-"""The duty `reaping`: its holder drops nodes that are gone for good.
+"""The lease `reaping`: its holder drops nodes that are gone for good.
 
 The holder queries all reachable control processes, under its epoch, for how long the nodes that are silent
 here have been silent there; a process that knows a higher epoch refuses.
@@ -18,7 +18,7 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership import failure_detection
-from mesh.membership.lease import DUTY, REAPING, Claim, DutyLease, Hold, LeaseRecord, lease_value, read_lease
+from mesh.membership.lease import LEASE, REAPING, Claim, Hold, Lease, LeaseRecord, lease_value, read_lease
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from mesh.replication.store_answers import StoreFull
@@ -58,8 +58,8 @@
     return failure_detection.SilenceReport(dict(zip(nodes, silent, strict=True)), linked_s)
 
 
-class ReapingDuty:
-    """Holds the duty `reaping` when it is this process's turn, and answers the queries of its holder."""
+class NodeReaper:
+    """Holds the lease `reaping` when it is this process's turn, and answers the queries of its holder."""
 
     def __init__(
         self,
@@ -82,11 +82,11 @@
         self._member_set, self._event_log, self._on_change = member_set, event_log, on_change
         self._has_contact = has_contact
         now = self._loop.time()
-        self.lease = DutyLease(REAPING, node, thresholds.suspect_s)
+        self.lease = Lease(REAPING, node, thresholds.suspect_s)
         self._started_at = now
         self.tracker = failure_detection.SilenceTracker(now)
         self._next_check_at = now
-        self._held_epoch = 0  # the epoch under which this process holds the duty; 0: it does not
+        self._held_epoch = 0  # the epoch under which this process holds the lease; 0: it does not
         self._count = 0
         self._round: QueryRound | None = None
         self._kept_zones: set[str] = set()  # zones, as last logged
@@ -99,7 +99,7 @@
         for item in items:
             if item.kind == NODE and item.value is not None:
                 self.tracker.note_contact(now, item.name)
-            elif item.kind == DUTY and item.name == REAPING:
+            elif item.kind == LEASE and item.name == REAPING:
                 try:
                     self.lease.note(now, read_lease(item.version, item.value))
                 except ValueError as fault:
@@ -113,7 +113,7 @@
         self.tracker.note_link_contact(channel.link.last_received_at, channel.node, channel.link.up_since)
 
     def tick(self, now: float) -> None:
-        """Claims, releases or performs the duty; called several times a second."""
+        """Claims, releases or acts under the lease; called several times a second."""
         if now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_INTERVAL_S
@@ -127,7 +127,7 @@
             now, names | {self.node}, self.live_controllers(now, self.thresholds.suspect_s)
         )
         if isinstance(decided, Claim):
-            item = self._membership_store.write(DUTY, REAPING, decided.epoch, lease_value(self.node))
+            item = self._membership_store.write(LEASE, REAPING, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
                 self.lease.note_claimed(now, decided.epoch)
                 self._on_change([item])
@@ -254,7 +254,7 @@
     # Frames
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was a frame of this duty. Raises KeyError, TypeError or ValueError if it is
+        """Whether it was a frame of this lease. Raises KeyError, TypeError or ValueError if it is
         malformed."""
         kind = head["t"]
         if kind not in ("heard", "hears", "overtaken") or channel.peer_hello.get("role") != CONTROLLER:
@@ -275,7 +275,7 @@
             or not isinstance(nodes, list)
             or len(nodes) > failure_detection.MAX_QUERIED_NODES
         ):
-            raise ValueError("a query for an unknown duty, or for too many nodes")
+            raise ValueError("a query for an unknown lease, or for too many nodes")
         epoch = self._member_set.view().epoch
         # A holder with an older view may count a majority that no longer is one.
         old_view = int(head.get("e", epoch)) < epoch
@@ -307,6 +307,6 @@
         self._conclude(now)
 
     def status(self) -> dict[str, Any]:
-        """For operators: holder and epoch of the duty, and whether this process performs it."""
+        """For operators: holder and epoch of the lease, and whether this process holds it."""
         newest = self.lease.latest
         return {REAPING: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held_epoch)}}
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -1,4 +1,4 @@
-"""The duty `members`: its holder works out the next change of members and proposes it, see
+"""The lease `members`: its holder works out the next change of members and proposes it, see
 `mesh.replication.reconfiguration`; each process logs when fewer losses are tolerable than configured.
 
 Two holders at once do no harm: each epoch is a slot of the configuration store, so one view is decided for
@@ -11,7 +11,7 @@
 from typing import Any
 
 from mesh.control_plane.joining import LINK_ALIVE_S, Joining
-from mesh.control_plane.leases import ReapingDuty
+from mesh.control_plane.leases import NodeReaper
 from mesh.control_plane.member_set import MemberSet
 from mesh.control_plane.member_silence import MemberSilence
 from mesh.control_plane.proposals import ProposerHost
@@ -20,8 +20,8 @@
 from mesh.event_log import events
 from mesh.event_log.log import EventLog
 from mesh.membership import failure_detection
-from mesh.membership.lease import DUTY, Claim, DutyLease, Hold, LeaseRecord, lease_value, read_lease
-from mesh.membership.lease import MEMBERS as MEMBERS_DUTY
+from mesh.membership.lease import LEASE, Claim, Hold, Lease, LeaseRecord, lease_value, read_lease
+from mesh.membership.lease import MEMBERS as MEMBERS_LEASE
 from mesh.replication.items import Item
 from mesh.replication.membership_epochs import MEMBERS, VIEW, View, write_view
 from mesh.replication.proposer import Decided
@@ -36,14 +36,14 @@
 from mesh.runtime.introspection_calls import JsonObject, Refusal
 from mesh.transport.frames import Head
 
-CLAIM_DELAY_SHARE = 1 / 8  # of contact_ms, for which a process ranks first before it claims the duty
+CLAIM_DELAY_SHARE = 1 / 8  # of contact_ms, for which a process ranks first before it claims the lease
 DECIDE_TIMEOUT_S = 2.0
 RETRY_DELAY_S = 0.25  # after a proposal that was not decided
 REMOVE_TIMEOUT_S = 5.0
 
 
 class MemberChanges:
-    """Holds the duty `members` when it is this process's turn, and answers operators about members."""
+    """Holds the lease `members` when it is this process's turn, and answers operators about members."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         member_set: MemberSet,
         proposer_host: ProposerHost,
         joining: Joining,
-        reaping: ReapingDuty,
+        node_reaper: NodeReaper,
         event_log: EventLog,
         on_change: Callable[[list[Item]], None],
     ) -> None:
@@ -62,12 +62,12 @@
         self._loop = asyncio.get_running_loop()
         self.node, self.thresholds = node, thresholds
         self._membership_store, self._membership, self._member_set = membership_store, membership, member_set
-        self._proposer_host, self.joining, self._reaping = proposer_host, joining, reaping
+        self._proposer_host, self.joining, self._node_reaper = proposer_host, joining, node_reaper
         self._event_log, self._on_change = event_log, on_change
         now = self._loop.time()
-        self.lease = DutyLease(MEMBERS_DUTY, node, thresholds.suspect_s * CLAIM_DELAY_SHARE)
+        self.lease = Lease(MEMBERS_LEASE, node, thresholds.suspect_s * CLAIM_DELAY_SHARE)
         self.member_silence = MemberSilence(
-            node, thresholds, self.lease, membership, member_set, reaping, event_log
+            node, thresholds, self.lease, membership, member_set, node_reaper, event_log
         )
         self._held_epoch = 0
         self._last_live_at = now  # when this process could last act
@@ -86,14 +86,14 @@
     def items_changed(self, items: list[Item]) -> None:
         """Reads the lease from membership items that have changed."""
         for item in items:
-            if item.kind == DUTY and item.name == MEMBERS_DUTY:
+            if item.kind == LEASE and item.name == MEMBERS_LEASE:
                 try:
                     self.lease.note(self._loop.time(), read_lease(item.version, item.value))
                 except ValueError as fault:
                     self._event_log.emit(events.PROGRAM_ERROR, where=f"duty {item.name}", what=str(fault))
 
     def tick(self, now: float) -> None:
-        """Claims, releases or performs the duty; called several times a second."""
+        """Claims, releases or acts under the lease; called several times a second."""
         view = self._member_set.view()
         self.member_silence.tick(now, view)
         self.joining.forget_absent(view)
@@ -104,22 +104,22 @@
                 events.MEMBERS_CHANGED, epoch=view.epoch, count=counts, before=before or None
             )
         self._log_losses(now, view)
-        live = self._reaping.live_controllers(now, self.thresholds.suspect_s * CLAIM_DELAY_SHARE)
+        live = self._node_reaper.live_controllers(now, self.thresholds.suspect_s * CLAIM_DELAY_SHARE)
         decided = self.lease.decide(now, self._candidates(view), live)
         if isinstance(decided, Claim):
-            item = self._membership_store.write(DUTY, MEMBERS_DUTY, decided.epoch, lease_value(self.node))
+            item = self._membership_store.write(LEASE, MEMBERS_LEASE, decided.epoch, lease_value(self.node))
             if isinstance(item, Item):
                 self.lease.note_claimed(now, decided.epoch)
                 self._on_change([item])
                 decided = Hold(decided.epoch)
         if isinstance(decided, Hold) and self._held_epoch != decided.epoch:
             self._held_epoch = decided.epoch
-            self._event_log.emit(events.DUTY_TAKEN, duty=MEMBERS_DUTY, epoch=decided.epoch)
+            self._event_log.emit(events.DUTY_TAKEN, duty=MEMBERS_LEASE, epoch=decided.epoch)
         if self.node in live:
             self._last_live_at = now
         if not self._held_epoch:
             return
-        # A process that ranks first now has to claim the duty before this one gives it up, or nobody would
+        # A process that ranks first now has to claim the lease before this one gives it up, or nobody would
         # perform it. A new view leaves this process without contact for a moment.
         if self.lease.latest != LeaseRecord(self._held_epoch, self.node):
             self._release(f"{self.lease.latest.holder} has it")
@@ -133,7 +133,7 @@
         return {node for address, node in self._nodes().items() if address in view.members}
 
     def _release(self, why: str) -> None:
-        self._event_log.emit(events.DUTY_RELEASED, duty=MEMBERS_DUTY, epoch=self._held_epoch, why=why)
+        self._event_log.emit(events.DUTY_RELEASED, duty=MEMBERS_LEASE, epoch=self._held_epoch, why=why)
         self._held_epoch = 0
         self.member_silence.stop()
 
@@ -165,7 +165,7 @@
             self._retry_at = self._loop.time() + RETRY_DELAY_S
 
     def handle_frame(self, channel: Channel, head: Head) -> bool:
-        """Whether it was a frame of this duty. Raises KeyError, TypeError or ValueError if it is
+        """Whether it was a frame of this lease. Raises KeyError, TypeError or ValueError if it is
         malformed."""
         return self.member_silence.handle_frame(channel, head)
 
@@ -247,10 +247,10 @@
         return reason or ("" if not view.joint else "the change under way comes first")
 
     def status(self) -> JsonObject:
-        """For operators: holder and epoch of the duty, and whether this process performs it."""
+        """For operators: holder and epoch of the lease, and whether this process holds it."""
         newest = self.lease.latest
         return {
-            MEMBERS_DUTY: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held_epoch)}
+            MEMBERS_LEASE: {"epoch": newest.epoch, "holder": newest.holder, "here": bool(self._held_epoch)}
         }
 
     def _nodes(self) -> dict[str, str]:
--- a/mesh/control_plane/member_messages.py
+++ b/mesh/control_plane/member_messages.py
@@ -1,4 +1,4 @@
-"""The frames in which the holder of the duty `members` queries the other control processes for how long
+"""The frames in which the holder of the lease `members` queries the other control processes for how long
 members have been silent there. Unknown fields are ignored, so that later releases may add some."""
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class ClaimSuperseded(msgspec.Struct, frozen=True, tag_field="t", tag="outdone"):
-    """Refuses a query: there is a claim of the duty under a higher epoch."""
+    """Refuses a query: there is a claim of the lease under a higher epoch."""
 
     epoch: int
     holder: str
@@ -67,5 +67,5 @@
 
 
 def lease_record(frame: SilenceQuery | ClaimSuperseded) -> LeaseRecord:
-    """The claim of the duty that the frame refers to. Raises ValueError if it is malformed."""
+    """The claim of the lease that the frame refers to. Raises ValueError if it is malformed."""
     return read_lease(frame.epoch, lease_value(frame.holder))
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -1,4 +1,4 @@
-"""Finds members with which a majority has no contact: the holder of the duty `members` queries the others.
+"""Finds members with which a majority has no contact: the holder of the lease `members` queries the others.
 The answers are assessed by `membership.failure_detection` together with other nodes of the zone;
 `replication.reconfiguration` decides what follows."""
 
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from mesh.control_plane import member_messages
-from mesh.control_plane.leases import ANSWER_TIMEOUT_S, ReapingDuty
+from mesh.control_plane.leases import ANSWER_TIMEOUT_S, NodeReaper
 from mesh.control_plane.member_messages import ClaimSuperseded, SilenceAnswer, SilenceQuery
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.data_plane.membership import CONTROLLER, Membership
@@ -26,7 +26,7 @@
     is_majority,
     min_silence,
 )
-from mesh.membership.lease import MEMBERS, DutyLease
+from mesh.membership.lease import MEMBERS, Lease
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place
 from mesh.replication.reconfiguration import Absence
@@ -48,25 +48,25 @@
 
 
 class MemberSilence:
-    """The queries of the holder of the duty `members`, and the answers of the others."""
+    """The queries of the holder of the lease `members`, and the answers of the others."""
 
     def __init__(
         self,
         node: str,
         thresholds: SilenceThresholds,
-        lease: DutyLease,
+        lease: Lease,
         membership: Membership,
         member_set: MemberSet,
-        reaping: ReapingDuty,
+        node_reaper: NodeReaper,
         event_log: EventLog,
     ) -> None:
-        """``node``: this process; ``lease``: of the duty, under which it queries."""
+        """``node``: this process; ``lease``: of member changes, under which it queries."""
         self._loop = asyncio.get_running_loop()
         self._node, self.thresholds, self._lease = node, thresholds, lease
         self._suspect_thresholds = SilenceThresholds(
             thresholds.suspect_s, thresholds.suspect_s, thresholds.zone_gone_s
         )
-        self._membership, self._member_set, self._reaping = membership, member_set, reaping
+        self._membership, self._member_set, self._node_reaper = membership, member_set, node_reaper
         self._event_log = event_log
         self._started_at = self._loop.time()
         self.tracker = SilenceTracker(self._started_at)  # of members by address
@@ -84,7 +84,7 @@
             self.tracker.note_link_contact(channel.link.last_received_at, address, channel.link.up_since)
 
     def stop(self) -> None:
-        """Another process holds the duty now."""
+        """Another process holds the lease now."""
         self._round, self._absences = None, {}
 
     def absences(self, now: float) -> Mapping[str, Absence]:
@@ -123,7 +123,7 @@
             name
             for name, zone in self._other_nodes(view).items()
             if zone in zones
-            and self._reaping.tracker.silent_s(now, name) >= self.thresholds.partition_window_s
+            and self._node_reaper.tracker.silent_s(now, name) >= self.thresholds.partition_window_s
         ]
 
     def _other_nodes(self, view: View) -> dict[str, str]:
@@ -137,7 +137,7 @@
 
     def _tracker_of(self, name: str) -> SilenceTracker:
         """Members are tracked by address, other nodes by name."""
-        return self.tracker if name in self._member_set.view().names else self._reaping.tracker
+        return self.tracker if name in self._member_set.view().names else self._node_reaper.tracker
 
     def _conclude(self, now: float) -> None:
         query, view = self._round, self._member_set.view()
@@ -176,7 +176,7 @@
     # Operators
 
     def describe_wait(self, now: float, view: View, address: str) -> str:
-        """Why the holder of the duty does not remove a member that is not heard here; "" if the next change
+        """Why the holder of the lease does not remove a member that is not heard here; "" if the next change
         removes it."""
         silent_s, bound_s = self.tracker.silent_s(now, address), self.thresholds.suspect_s
         if silent_s < bound_s:
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -19,7 +19,7 @@
 from mesh.control_plane.introspection import IntrospectionSources, question_handlers
 from mesh.control_plane.joining import Joining
 from mesh.control_plane.key_assignment import KeyAssignment
-from mesh.control_plane.leases import ReapingDuty
+from mesh.control_plane.leases import NodeReaper
 from mesh.control_plane.member_changes import MemberChanges
 from mesh.control_plane.member_set import MemberSet, address_of
 from mesh.control_plane.operator_api import OperatorApi, unresolved_answer
@@ -143,7 +143,7 @@
         )
         self.operator_api = self._make_operator_api()
         self.http_server = HttpServer(self.operator_api.handle)
-        self.reaping = ReapingDuty(
+        self.node_reaper = NodeReaper(
             settings.node,
             self.own_address,
             silence_thresholds(bounds.contact_ms, settings.beat_period_ms),
@@ -201,7 +201,7 @@
             self.member_set,
             self.proposer_host,
             self.joining,
-            self.reaping,
+            self.node_reaper,
             event_log,
             lambda items: self._changed(MEMBERSHIP_STORE, items),
         )
@@ -214,7 +214,7 @@
             self.member_set,
             self.membership,
             self.rollouts,
-            self.reaping,
+            self.node_reaper,
             self.member_changes,
             self.contact_probes,
             self.proposer_host,
@@ -254,7 +254,7 @@
             self.member_set,
             self.proposer_host,
             self.contact_probes.may_act,
-            self.reaping.live_controllers,
+            self.node_reaper.live_controllers,
             self.event_log,
         )
         assignment.load_restored()
@@ -305,7 +305,7 @@
         self.rollouts.tick(now)
         self.confirmations.tick(now)
         self.proposer_host.tick(now)
-        self.reaping.tick(now)
+        self.node_reaper.tick(now)
         self.member_changes.tick(now)
         self.key_assignment.tick(now)
         self.anti_entropy.tick(now)
@@ -366,7 +366,7 @@
             self.tombs.note(self.loop.time(), [item for item in items if item.value is None])
         else:
             self.membership.apply(items)
-            self.reaping.items_changed(items)
+            self.node_reaper.items_changed(items)
             self.member_changes.items_changed(items)
             self.tombs.note(self.loop.time(), items)
             if any(item.kind == NODE for item in items):
@@ -388,7 +388,7 @@
         handlers = (
             self.key_assignment.handle_frame,
             self.contact_probes.handle_frame,
-            self.reaping.handle_frame,
+            self.node_reaper.handle_frame,
             self.anti_entropy.handle_frame,
         )
         if any(handle(channel, head) for handle in handlers) or channel.peer_hello.get("role") != CONTROLLER:
@@ -432,7 +432,7 @@
     def _channel_closed(self, channel: Channel) -> None:
         """Takes over the items stamped by that peer, since it may never send them to others."""
         self.contact_probes.link_closed(channel)
-        self.reaping.link_closed(channel)
+        self.node_reaper.link_closed(channel)
         self.anti_entropy.link_closed(channel)
         if channel.peer_hello.get("role") == CONTROLLER:
             self._resend_pending(address_of(channel))
--- a/mesh/membership/rendezvous.py
+++ b/mesh/membership/rendezvous.py
@@ -1,5 +1,5 @@
 """Rendezvous hashing: selects the peers that each process connects to and the order in which processes take a
-duty. No I/O.
+lease. No I/O.
 
 Each pair of names has a fixed weight that every process computes alike; the names with the highest weights
 are selected. A name that joins or leaves changes only the selections that it is part of.
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -119,9 +119,9 @@
                         self.say(f"{machine.name} still has {proof.name}, cut off for {BOUND_S:g} s")
                     else:
                         self.lost_at.setdefault((machine.name, proof), now)
-                if self.sure(machine, Proof.ORDERS, 1.2) and program.reaping._held_epoch:
+                if self.sure(machine, Proof.ORDERS, 1.2) and program.node_reaper._held_epoch:
                     if machine.life is not None and machine.life.frozen_until <= now - 1.2:
-                        self.say(f"{machine.name} keeps its duty, cut off")
+                        self.say(f"{machine.name} keeps its lease, cut off")
             for machine, program in self.programs(core=False):
                 self._sidecar(machine, program, now)
             yield self.env.timeout(LOOK_S)
--- a/simulation/mesh/drops.py
+++ b/simulation/mesh/drops.py
@@ -10,7 +10,7 @@
 from mesh.data_plane.membership import INSTANCE, NODE
 from mesh.event_log import events
 from mesh.event_log.events import Event
-from mesh.membership.lease import DUTY, REAPING
+from mesh.membership.lease import LEASE, REAPING
 from mesh.replication.items import Key
 from simulation.mesh.world import Life, Machine, World
 
@@ -50,16 +50,16 @@
     def _judge(self, by: Machine, node: str) -> None:
         """No process that the dropping one reaches may have heard the node of late, or know a higher epoch;
         it reaches more than half of the members; and no zone goes all at once."""
-        now, reaping = float(self.env.now), by.program.reaping
+        now, node_reaper = float(self.env.now), by.program.node_reaper
         for machine, program in self.programs(core=True):
             if machine is not by and self.wire.parted(by.ip, machine.ip):
                 continue
             for channel in program.channels.open:
                 if channel.node == node and now - channel.link.last_received_at < HEARD_S:
                     self._say(f"{by.name} drops {node}, which {machine.name} hears")
-            newest = program.reaping.lease.latest
-            if machine is not by and reaping._held_epoch < newest.epoch:
-                self._say(f"{by.name} drops under {reaping._held_epoch}, {machine.name} knows {newest}")
+            newest = program.node_reaper.lease.latest
+            if machine is not by and node_reaper._held_epoch < newest.epoch:
+                self._say(f"{by.name} drops under {node_reaper._held_epoch}, {machine.name} knows {newest}")
         if 2 * self.reaches(by) <= self.witness.members():
             self._say(f"{by.name} drops {node} and is cut off from most")
         zone = self.zone(self.machines[node])
@@ -85,14 +85,16 @@
         return {name for name, machine in self.machines.items() if machine.program is not None}
 
     def holders(self) -> set[str]:
-        """Control processes that act on the duty now."""
-        return {machine.name for machine, program in self.programs(core=True) if program.reaping._held_epoch}
+        """Control processes that act under the lease now."""
+        return {
+            machine.name for machine, program in self.programs(core=True) if program.node_reaper._held_epoch
+        }
 
     def standing(self) -> tuple[int, str]:
         """The claim in the membership store where all control processes have the same one, else (0, "")."""
         found = set()
         for _, program in self.programs(core=True):
-            item = program.membership_store.items.get((DUTY, REAPING))
+            item = program.membership_store.items.get((LEASE, REAPING))
             found.add((item.version, item.value["holder"]) if item is not None else (0, ""))
         return next(iter(found)) if len(found) == 1 else (0, "")
 
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -177,7 +177,7 @@
 
 
 def holder_is_replaced(world: ZonedWorld) -> Script:
-    """Three times the one that has the duty `members` is the one that is lost."""
+    """Three times the one that holds the lease `members` is the one that is lost."""
     for number in range(3):
         holder = world.controllers()[0].program.member_changes.lease.latest.holder
         yield from world.replaced(11 + number, world.machines[holder])
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -28,8 +28,8 @@
 CONTACT_S, SETTLE_S = 3.0, 2.0
 LINKS_S = 2.0  # all links stand again by then
 QUIET_FRAMES = 6  # of a second in which nothing changes: upstreams' beats make none
-ON_ITS_WAY_S = 0.2  # a duty may be claimed at any moment, and its claim travels like any news
-QUIET_TRIES = 8  # seconds of which one must be so: a duty may change hands
+ON_ITS_WAY_S = 0.2  # a lease may be claimed at any moment, and its claim propagates like any update
+QUIET_TRIES = 8  # seconds of which one must be so: a lease may change hands
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -12,12 +12,12 @@
 
 from mesh.cli import shape
 from mesh.cli.mesh_snapshot import MeshSnapshot, Process
-from mesh.control_plane.leases import ANSWER_TIMEOUT_S, LINK_ALIVE_S, MAX_DROPPED_NODES, ReapingDuty
+from mesh.control_plane.leases import ANSWER_TIMEOUT_S, LINK_ALIVE_S, MAX_DROPPED_NODES, NodeReaper
 from mesh.data_plane.membership import CONTROLLER, INSTANCE, NODE, PROXY, Membership
 from mesh.data_plane.peer_links import PeerLinks
 from mesh.event_log.log import EventLog
 from mesh.membership.failure_detection import MAX_QUERIED_NODES, silence_thresholds
-from mesh.membership.lease import DUTY, REAPING, LeaseRecord, first_live
+from mesh.membership.lease import LEASE, REAPING, LeaseRecord, first_live
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 
@@ -42,7 +42,7 @@
             members=lambda: members, view=lambda: SimpleNamespace(epoch=self.view, names=frozenset(members))
         )
         channels: Any = self.channels
-        self.reaping = ReapingDuty(
+        self.node_reaper = NodeReaper(
             ME,
             f"ip-{ME}",
             SPANS,
@@ -55,9 +55,9 @@
             self.took,
         )
         loop: Any = SimpleNamespace(time=lambda: self.now)
-        self.reaping._loop = loop
-        self.reaping._next_check_at = self.reaping._started_at = 0.0
-        self.reaping.tracker = type(self.reaping.tracker)(0.0)
+        self.node_reaper._loop = loop
+        self.node_reaper._next_check_at = self.node_reaper._started_at = 0.0
+        self.node_reaper.tracker = type(self.node_reaper.tracker)(0.0)
         for name in CORES:
             self.node(name, CONTROLLER, f"ip-{name}")
         for at in range(sides):
@@ -81,7 +81,7 @@
 
     def took(self, items: list[Item]) -> None:
         self.membership.apply(items)
-        self.reaping.items_changed(items)
+        self.node_reaper.items_changed(items)
 
     def go_on(self, until: float, hear: Callable[[], None] = lambda: None) -> None:
         while self.now < until:
@@ -89,11 +89,11 @@
             for channel in self.channels.open:
                 channel.link.last_received_at = self.now
             hear()
-            self.reaping.tick(self.now)
+            self.node_reaper.tick(self.now)
 
     def hear(self, name: str, head: dict[str, Any]) -> bool:
         (channel,) = [one for one in self.channels.open if one.node == name]
-        return self.reaping.handle_frame(channel, head)
+        return self.node_reaper.handle_frame(channel, head)
 
     def answer(self, name: str, silent_s: float) -> None:
         question = questions(self, name)[-1]
@@ -125,7 +125,7 @@
 
     def hear() -> None:
         for name in keep:
-            alone.reaping.tracker.note_contact(alone.now, name)
+            alone.node_reaper.tracker.note_contact(alone.now, name)
 
     alone.go_on(SPANS.gone_s + 1.0, hear)
     for name in OTHERS:
@@ -177,7 +177,7 @@
         alone = asked()
         alone.answer(OTHERS[0], 60.0)
         if overtaken == "by a claim":
-            alone.took_all([(DUTY, REAPING, 2, {"holder": OTHERS[1]})])
+            alone.took_all([(LEASE, REAPING, 2, {"holder": OTHERS[1]})])
         elif overtaken == "by an order":
             order = {"n": 1, "duty": REAPING, "epoch": 2, "holder": OTHERS[1], "nodes": []}
             alone.hear(OTHERS[1], {"t": "heard", **order})
@@ -189,7 +189,7 @@
         assert alone.dropped == []
         alone.go_on(alone.now + 1.0)
         assert "I602 duty left duty=reaping epoch=1" in alone.log.getvalue()
-        assert alone.reaping.status() == {
+        assert alone.node_reaper.status() == {
             REAPING: {
                 "epoch": 1 if overtaken == "out of touch" else 2,
                 "holder": ME if overtaken == "out of touch" else OTHERS[1],
@@ -204,7 +204,7 @@
     def test() -> None:
         alone = Alone()
         alone.go_on(5.0)
-        alone.reaping.lease.note(5.0, LeaseRecord(6, OTHERS[1]))
+        alone.node_reaper.lease.note(5.0, LeaseRecord(6, OTHERS[1]))
         order = {"t": "heard", "n": 3, "duty": REAPING, "holder": OTHERS[0], "nodes": ["s0", "?"]}
         alone.hear(OTHERS[0], {**order, "epoch": 5})
         assert alone.sent[OTHERS[0]][-1] == {"t": "overtaken", "epoch": 6, "holder": OTHERS[1]}
@@ -216,7 +216,7 @@
             "silent": [4.5, 0.0],
             "linked": [None, None],
         }
-        assert alone.reaping.lease.latest == LeaseRecord(7, OTHERS[0])
+        assert alone.node_reaper.lease.latest == LeaseRecord(7, OTHERS[0])
         for bad in (
             {"epoch": 0},
             {"duty": "other"},
@@ -225,7 +225,7 @@
         ):
             with pytest.raises(ValueError):
                 alone.hear(OTHERS[0], {**order, "epoch": 8, **bad})
-        assert alone.reaping.lease.latest.epoch <= 8
+        assert alone.node_reaper.lease.latest.epoch <= 8
 
     run(test)
 
@@ -269,7 +269,7 @@
         alone.node("s0", PROXY, "10.0.1.1", version=2)
         gone: Any = alone.channel("s1", PROXY)
         gone.link.last_received_at = alone.now
-        alone.reaping.link_closed(gone)
+        alone.node_reaper.link_closed(gone)
         alone.go_on(alone.now + SPANS.gone_s - 1.0)
         assert not questions(alone, OTHERS[0])
         alone.go_on(alone.now + 2.0)
@@ -282,8 +282,8 @@
 def test_one_that_is_silent_or_not_in_touch_itself_is_passed_over(why: str) -> None:
     def test() -> None:
         alone = Alone()
-        alone.reaping.node = second = OTHERS[0]
-        alone.reaping.lease._node = second
+        alone.node_reaper.node = second = OTHERS[0]
+        alone.node_reaper.lease._node = second
         alone.channels.open = [alone.channel(ME, CONTROLLER)]
         if why == "not whole":
             alone.channels.open[0].peer_complete = False
@@ -292,8 +292,8 @@
             while alone.now < 8.0:
                 alone.now += 0.5
                 alone.channels.open[0].link.last_received_at = alone.now - LINK_ALIVE_S - 0.1
-                alone.reaping.tick(alone.now)
-        assert alone.membership_store.items[DUTY, REAPING].value == {"holder": second}
+                alone.node_reaper.tick(alone.now)
+        assert alone.membership_store.items[LEASE, REAPING].value == {"holder": second}
 
     run(test)
 
@@ -308,7 +308,7 @@
 
         def hear() -> None:
             for name in keep:
-                alone.reaping.tracker.note_contact(alone.now, name)
+                alone.node_reaper.tracker.note_contact(alone.now, name)
 
         alone.go_on(alone.now + 3.0, hear)
         for name in OTHERS:
--- a/tests/mesh/test_duty_turn.py
+++ b/tests/mesh/test_duty_turn.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from mesh.membership.lease import (
-    DUTY,
+    LEASE,
     MAX_EPOCH,
     REAPING,
     TENURE_FACTOR,
     Claim,
-    DutyLease,
     Hold,
+    Lease,
     LeaseRecord,
     Standby,
     first_live,
@@ -38,9 +38,9 @@
     return found
 
 
-def holding(node: str, now: float = 0.0) -> tuple[DutyLease, float]:
+def holding(node: str, now: float = 0.0) -> tuple[Lease, float]:
     """A lease with epoch 1 claimed, and the time of the claim."""
-    lease = DutyLease(REAPING, node, STABLE_S)
+    lease = Lease(REAPING, node, STABLE_S)
     assert lease.decide(now, NAMES, NAMES) == Standby()
     now += STABLE_S
     assert lease.decide(now, NAMES, NAMES) == Claim(1)
@@ -60,7 +60,7 @@
 
 def test_only_the_first_that_is_live_claims_and_only_once_it_has_been_so_for_a_while() -> None:
     one, two = order()[:2]
-    lease = DutyLease(REAPING, two, STABLE_S)
+    lease = Lease(REAPING, two, STABLE_S)
     for now in range(100):
         assert lease.decide(float(now), NAMES, NAMES) == Standby()
     alone = set(NAMES) - {one}
@@ -83,7 +83,7 @@
 
 def test_a_life_does_not_act_under_a_claim_of_the_one_before() -> None:
     one = order()[0]
-    lease = DutyLease(REAPING, one, STABLE_S)
+    lease = Lease(REAPING, one, STABLE_S)
     lease.note(0.0, LeaseRecord(7, one))
     assert lease.decide(0.0, NAMES, NAMES) == Standby()
     assert lease.decide(STABLE_S, NAMES, NAMES) == Claim(8)
@@ -104,7 +104,7 @@
 @settings(max_examples=200)
 @given(st.lists(claims, max_size=8))
 def test_claims_end_the_same_in_every_order_and_as_the_roll_has_them(records: list[LeaseRecord]) -> None:
-    leases = [DutyLease(REAPING, "c1", STABLE_S) for _ in range(2)]
+    leases = [Lease(REAPING, "c1", STABLE_S) for _ in range(2)]
     roll = Store("s", 10)
     for lease, received in zip(leases, (records, records[::-1]), strict=True):
         for record in received:
@@ -112,10 +112,10 @@
             taken = lease.note(0.0, record)
             assert taken == (lease.latest == record) and lease.latest.epoch >= before.epoch
     for record in records:
-        roll.merge([Item(DUTY, REAPING, record.epoch, lease_value(record.holder), "x", 1)], {})
+        roll.merge([Item(LEASE, REAPING, record.epoch, lease_value(record.holder), "x", 1)], {})
     assert leases[0].latest == leases[1].latest
     if records:
-        item = roll.items[DUTY, REAPING]
+        item = roll.items[LEASE, REAPING]
         assert read_lease(item.version, item.value) == leases[0].latest
 
 
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -17,7 +17,7 @@
 from mesh.event_log import events
 from mesh.membership import failure_detection
 from mesh.membership.failure_detection import RECONNECT_S, SilenceTracker, silence_thresholds
-from mesh.membership.lease import REAPING, DutyLease, LeaseRecord, first_live
+from mesh.membership.lease import REAPING, Lease, LeaseRecord, first_live
 from mesh.rollout.report import REPORT
 from simulation.mesh.drops import Drops
 from simulation.mesh.world import Machine, Script
@@ -234,7 +234,7 @@
             return
         assert [by for _, by, _ in world.dropped] == [after.name]
         program = after.program
-        assert program.reaping.lease.latest == LeaseRecord(2, after.name)
+        assert program.node_reaper.lease.latest == LeaseRecord(2, after.name)
         if how == "killed":
             world.restart(holder, 0.0)
         world.heal()
@@ -267,7 +267,7 @@
         one, two = (world.machines[name] for name in order()[:2])
         world.cut([one], [two])
         yield world.env.timeout(60.0)
-        newest = max(program.reaping.lease.latest.epoch for _, program in world.programs(core=True))
+        newest = max(program.node_reaper.lease.latest.epoch for _, program in world.programs(core=True))
         assert 2 <= newest <= 1 + 60.0 / (4.0 * SPANS.suspect_s)
         assert world.dropped == []
 
@@ -278,9 +278,9 @@
     """The holder is overtaken and does not hear of it; with one node gone it goes on asking."""
     holder, after = (world.machines[name] for name in order()[:2])
     for machine in world.controllers():
-        machine.program.reaping.lease.note(0.0, LeaseRecord(5, after.name))
-    reaping = holder.program.reaping
-    lease = reaping.lease = DutyLease(REAPING, holder.name, SPANS.suspect_s)
+        machine.program.node_reaper.lease.note(0.0, LeaseRecord(5, after.name))
+    node_reaper = holder.program.node_reaper
+    lease = node_reaper.lease = Lease(REAPING, holder.name, SPANS.suspect_s)
     now = float(world.env.now)
     lease.latest, lease._claimed, lease._first_since = LeaseRecord(1, holder.name), 1, now
     world.power_off(world.machines["s1"])
@@ -303,7 +303,7 @@
         holder, _, third = (world.machines[name] for name in order())
         cut_off(world, "s1")
         yield world.env.timeout(GONE_S - 3.0)
-        while holder.program.reaping._round is None:
+        while holder.program.node_reaper._round is None:
             yield world.env.timeout(0.0005)
         assert world.dropped == []
         world.freeze(holder, 4.0)  # the answers wait for it; meanwhile the node comes back
@@ -350,13 +350,13 @@
 
 
 def epoch_is_not_checked(patch: pytest.MonkeyPatch) -> None:
-    real = DutyLease.note
+    real = Lease.note
 
-    def note(self: DutyLease, now: float, standing: LeaseRecord) -> bool:
+    def note(self: Lease, now: float, standing: LeaseRecord) -> bool:
         real(self, now, standing)
         return True
 
-    patch.setattr(DutyLease, "note", note)
+    patch.setattr(Lease, "note", note)
 
 
 def drops_while_cut_from_most(patch: pytest.MonkeyPatch) -> None:
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -182,7 +182,7 @@
         ):
             channel.link.send(frame)
         yield world.env.timeout(1.0)
-        assert core.config_store.items[R1].version == 3 and core.reaping.lease.latest.epoch < 99
+        assert core.config_store.items[R1].version == 3 and core.node_reaper.lease.latest.epoch < 99
 
     assert played(sidecar) == []
 
