--- a/mesh/cli/state.py
+++ b/mesh/cli/state.py
@@ -78,7 +78,8 @@
     ):
         reasons.append(
             f"disk holds {number_field(answer, 'items'):.0f} items, digest {text_field(answer, 'disk')}, "
-            f"memory {text_field(answer, 'memory')}; look for refusals of the disk in its log, then start it again"
+            f"memory {text_field(answer, 'memory')}; "
+            f"look for refusals of the disk in its log, then start it again"
         )
     return reasons
 
--- a/tests/mesh/test_cli_judge.py
+++ b/tests/mesh/test_cli_judge.py
@@ -1,4 +1,4 @@
-"""What is not as it should be, and a screen that holds it whatever the size of the mesh."""
+"""The findings about a mesh, and that the output fits a screen regardless of the mesh's size."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 def core(at: int, **fields: Any) -> Process:
-    told = {
+    status = {
         **{"node": f"core-{at}", "role": CONTROLLER, "ip": f"10.0.0.{at}", "zone": "z", "charter": CHARTER},
         **{"counted": True, "whole": True, "refused": "", "in_touch": True, "control": f"10.0.0.{at}:9"},
         "members": {f"10.0.0.{member}": ["z", "r"] for member in range(3)},
     }
-    return Process(f"core-{at}", (f"10.0.0.{at}", 7), {**told, **fields})
+    return Process(f"core-{at}", (f"10.0.0.{at}", 7), {**status, **fields})
 
 
 def side(at: int, **fields: Any) -> Process:
     upstream = {"instance": f"i-{at}", "silent_ms": 300.0, "gone": False}
-    told = {
+    status = {
         **{"node": f"side-{at}", "role": PROXY, "ready": True, "charter": CHARTER, "beat_ms": 500.0},
         "upstream": upstream,
     }
-    return Process(f"side-{at}", (f"10.1.{at // 250}.{at % 250}", 7), {**told, **fields})
+    return Process(f"side-{at}", (f"10.1.{at // 250}.{at % 250}", 7), {**status, **fields})
 
 
 def snapshot(*processes: Process) -> MeshSnapshot:
@@ -51,10 +51,10 @@
     return MeshSnapshot(processes, nodes, instances)
 
 
-SOUND = (core(0), core(1), core(2), side(0), side(1), side(2))
+HEALTHY = (core(0), core(1), core(2), side(0), side(1), side(2))
 
 
-def silent(process: Process) -> Process:
+def unanswered(process: Process) -> Process:
     return replace(process, status=None, why="cannot be reached")
 
 
@@ -64,17 +64,17 @@
 
 
 def test_nothing_is_found_where_all_is_as_it_should_be() -> None:
-    assert findings(snapshot(*SOUND)) == []
+    assert findings(snapshot(*HEALTHY)) == []
 
 
 @pytest.mark.parametrize(
-    ("at", "spoil", "kind", "subject"),
+    ("at", "disturb", "kind", "subject"),
     [
-        (1, silent, "member missing", "10.0.0.1"),
+        (1, unanswered, "member missing", "10.0.0.1"),
         (1, lambda p: with_status(p, in_touch=False), "core cut", "core-1"),
         (1, lambda p: with_status(p, whole=False), "disk not whole", "core-1"),
         (1, lambda p: with_status(p, refused="no space"), "disk refuses", "core-1"),
-        (4, silent, "no answer", "side-1"),
+        (4, unanswered, "no answer", "side-1"),
         (4, lambda p: with_status(p, node="side-9"), "other node there", "side-1"),
         (
             4,
@@ -97,31 +97,29 @@
     ],
 )
 def test_each_trouble_is_found_where_it_is_and_nothing_else(
-    at: int, spoil: Callable[[Process], Process], kind: str, subject: str
+    at: int, disturb: Callable[[Process], Process], kind: str, subject: str
 ) -> None:
-    processes = list(SOUND)
-    processes[at] = spoil(processes[at])
+    processes = list(HEALTHY)
+    processes[at] = disturb(processes[at])
     found = findings(snapshot(*processes))
     assert [(one.kind, one.subject) for one in found] == [(kind, subject)]
     assert found[0].mend and "\n" not in found[0].line()
 
 
 def test_an_instance_whose_node_nobody_knows_is_found() -> None:
-    there = snapshot(*SOUND)
-    nodes = {name: value for name, value in there.nodes.items() if name != "side-1"}
-    found = findings(MeshSnapshot(tuple(p for p in SOUND if p.name != "side-1"), nodes, there.instances))
+    view = snapshot(*HEALTHY)
+    nodes = {name: value for name, value in view.nodes.items() if name != "side-1"}
+    found = findings(MeshSnapshot(tuple(p for p in HEALTHY if p.name != "side-1"), nodes, view.instances))
     assert [(one.kind, one.subject) for one in found] == [("instance without node", "i-1")]
 
 
 def test_a_core_that_is_wholly_out_of_reach_is_found_first() -> None:
-    found = findings(snapshot(*[silent(p) for p in SOUND[:3]], *SOUND[3:]))
+    found = findings(snapshot(*[unanswered(p) for p in HEALTHY[:3]], *HEALTHY[3:]))
     assert found[0].kind == "core out of reach"
 
 
 def test_a_clock_that_the_wait_for_the_answer_may_explain_is_not_found() -> None:
-    near = [
-        replace(p, clock_offset_s=5.0, clock_error_s=0.0) for p in SOUND
-    ]  # this process's own clock is off
+    near = [replace(p, clock_offset_s=5.0, clock_error_s=0.0) for p in HEALTHY]  # the local clock is off
     near[3] = replace(near[3], clock_offset_s=5.0 + MAX_CLOCK_OFFSET_S + 1.0, clock_error_s=1.5)
     assert findings(snapshot(*near)) == []
 
@@ -130,35 +128,37 @@
     old = {**CHARTER, "items": 8, "digest": "b" * 16}
     found = findings(
         snapshot(
-            *SOUND[:3], *[with_status(p, charter=old) for p in SOUND[3:]], with_status(side(3), charter=old)
+            *HEALTHY[:3],
+            *[with_status(p, charter=old) for p in HEALTHY[3:]],
+            with_status(side(3), charter=old),
         )
     )
     assert {(one.kind, one.subject) for one in found} == {("behind", f"side-{at}") for at in range(4)}
 
 
 def test_a_thousand_nodes_in_trouble_keep_to_a_screen_and_name_the_trouble_first() -> None:
-    processes = [core(0), core(1), silent(core(2)), *(side(at) for at in range(1000))]
+    processes = [core(0), core(1), unanswered(core(2)), *(side(at) for at in range(1000))]
     for at in range(3, 503):
-        processes[at] = silent(processes[at])
+        processes[at] = unanswered(processes[at])
     for at in range(503, 603):
         digest = f"{at % 30:016x}"
         processes[at] = with_status(processes[at], charter={**CHARTER, "digest": digest}, upstream=None)
-    there = snapshot(*processes)
-    lines = shape.status_lines(there, findings(there))
+    view = snapshot(*processes)
+    lines = shape.status_lines(view, findings(view))
     assert len(lines) <= 50 and max(map(len, lines)) <= 100
     assert lines[0].startswith("NOT AS IT SHOULD BE") and lines[1].split()[:3] == ["member", "missing", "1"]
     assert any(line.split()[:3] == ["no", "answer", "500"] and "more" in line for line in lines)
     assert "proxies     500 of 1000 answer" in lines
-    told_all = shape.doctor_lines(findings(there))
-    assert len(told_all) <= 120 and max(map(len, told_all)) <= 100
-    assert max(map(len, shape.node_lines([shape.process_row(there, p) for p in there.processes]))) <= 100
+    doctor_lines = shape.doctor_lines(findings(view))
+    assert len(doctor_lines) <= 120 and max(map(len, doctor_lines)) <= 100
+    assert max(map(len, shape.node_lines([shape.process_row(view, p) for p in view.processes]))) <= 100
 
 
 def test_lines_keep_to_their_width_whatever_is_in_them() -> None:
     lines = text.table(("a", "b", "c"), [("x" * 300, "y" * 90, 1), ("\x1b[31m", "\n", None)], "  ")
     assert max(map(len, lines)) == text.WIDTH and all(line.isprintable() for line in lines)
-    for told in ("w" * 300, "word " * 90, "  -> " + "a b " * 80):
-        assert all(len(line) <= text.WIDTH for line in text.wrapped(told))
+    for long in ("w" * 300, "word " * 90, "  -> " + "a b " * 80):
+        assert all(len(line) <= text.WIDTH for line in text.wrapped(long))
     assert text.wrapped("  -> a b") == ["  -> a b"]
     assert (
         text.join_names(["one", "two", "three"], 16) == "one and 2 more"
@@ -172,8 +172,8 @@
         Process("b", ("h", 2), {"role": CONTROLLER, "members": 3, "charter": [], "unknown": 4}),
         Process("c", ("h", 3), {"role": PROXY, "upstream": 3, "beat_ms": "x", "node": 7}),
     ]
-    there = MeshSnapshot(tuple(odd), {"a": {}, "b": {"role": 3}}, {"i": {"plant": None}})
-    assert findings(there) and shape.status_lines(there, findings(there))
+    view = MeshSnapshot(tuple(odd), {"a": {}, "b": {"role": 3}}, {"i": {"plant": None}})
+    assert findings(view) and shape.status_lines(view, findings(view))
     assert read_items([["k", "n", 1, None], ["k", "n"], 3, ["k", "n", "1", None], [1, "n", 1, {}]]) != []
     assert read_items({"no": "list"}) == []
 
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -41,7 +41,7 @@
 
 
 class Mesh:
-    """Runs in a loop of its own thread."""
+    """Two control processes and two sidecars, on an event loop in a separate thread."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -75,7 +75,7 @@
             disk.mkdir()
             name = f"core-{at}"
             where = self.folder / f"{name}.toml"
-            # A core of two bears no loss, and status says so where one is asked for.
+            # Two control processes tolerate no loss; a higher setting would be a finding in `status`.
             write_settings(where, name, ip, "supervisor", self.ports, CORES, state_dir=str(disk), machines=0)
             self.cores.append(Controller(self._settings(name), EventLog(name, io.StringIO())))
             await self.cores[-1].start()
@@ -101,7 +101,7 @@
         self.do(self._beat())
 
     def ask(self, at: int, path: str) -> str:
-        """One request at that sidecar; its id."""
+        """Sends one request to that sidecar; returns its attempt id."""
 
         async def one() -> str:
             client = await Client.to((SIDES[at], self.ports[2]))
@@ -264,7 +264,7 @@
 
 
 def test_a_change_is_checked_compared_taken_and_then_in_force_everywhere(mesh: Mesh) -> None:
-    stands = write(mesh, told(mesh, "config", "get"))  # as it is printed it can be sent
+    stands = write(mesh, told(mesh, "config", "get"))  # the printed form can be sent
     mesh.beat()
     assert run(mesh, "config", "check", stands).exit_code == 0
     assert told(mesh, "config", "diff", stands) == {"differences": [], "alike": 3, "others": 0}
@@ -272,7 +272,7 @@
     file = write(mesh, change(route("read", "/read/", "red", 4, trials=3), route("new", "/new/", "blue")))
     found = told(mesh, "config", "check", file, code=1)["findings"]
     assert [(one["item"], one["field"]) for one in found] == [
-        ("route new", "response.plant")  # as the mesh would refuse it
+        ("route new", "response.plant")  # the reason for which the mesh would refuse it
     ]
     result = run(mesh, "config", "diff", file)
     assert result.exit_code == 1
--- a/tests/mesh/test_cli_ownership.py
+++ b/tests/mesh/test_cli_ownership.py
@@ -1,8 +1,8 @@
-"""What operators see of keys."""
+"""The output of `ownership show`."""
 
 from mesh.cli.ownership import ownership_lines, with_only_key
 
-TOLD = {
+KEY_MAP = {
     "version": 7,
     "rows": [
         [0, 4095, "i-1", 3, None, None, 0.25],
@@ -13,7 +13,7 @@
 
 
 def test_rows_are_shown_with_what_moves_and_what_nobody_holds() -> None:
-    head, _, columns, *rows = ownership_lines({"red": TOLD})
+    head, _, columns, *rows = ownership_lines({"red": KEY_MAP})
     assert head == "red: map 7, 3 rows, 1 in motion, 57344 keys without a holder"
     assert columns.split() == ["keys", "holder", "fence", "leaves", "traffic"]
     assert [row.split() for row in rows if row] == [
@@ -24,6 +24,6 @@
 
 
 def test_one_keys_row_is_shown_alone() -> None:
-    assert [row[:2] for row in with_only_key(TOLD, 5000)["rows"]] == [[4096, 8191]]
-    assert with_only_key(TOLD, None) == TOLD
+    assert [row[:2] for row in with_only_key(KEY_MAP, 5000)["rows"]] == [[4096, 8191]]
+    assert with_only_key(KEY_MAP, None) == KEY_MAP
     assert ownership_lines({}) == ["no service is divided by key"]
--- a/tests/mesh/test_cli_questions.py
+++ b/tests/mesh/test_cli_questions.py
@@ -1,4 +1,4 @@
-"""Operators' questions over a link: answered once each, bounded, and never the end of the process."""
+"""Operators' questions over a link: each is answered once, within bounds, and none ends the process."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from rigs.mesh_peers import play, turns
 
 
-class Wire:
-    """Stands for a link."""
+class FakeLink:
+    """Replaces a link and records what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[Head] = []
@@ -40,51 +40,53 @@
 
 def test_what_is_no_question_ends_its_link_and_a_bad_one_is_told() -> None:
     handlers = {"a": lambda head: {"x": head["x"] + 1}, "no": lambda head: Refusal("not here")}
-    wire = Wire()
-    asker = OperatorLink(wire, handlers)  # type: ignore[arg-type]
-    asker.handle_frame({"t": "ask", "n": 1, "q": "a", "x": 4})
-    asker.handle_frame({"t": "ask", "n": 2, "q": "a"})
-    asker.handle_frame({"t": "ask", "n": 3, "q": "b"})
-    asker.handle_frame({"t": "ask", "n": 4, "q": "no"})
-    assert wire.sent[0] == {"t": "told", "n": 1, "a": {"x": 5}}
-    assert [one["n"] for one in wire.sent] == [1, 2, 3, 4] and all("e" in one for one in wire.sent[1:])
-    assert "a, no" in wire.sent[2]["e"] and not wire.closed
+    fake_link = FakeLink()
+    operator_link = OperatorLink(fake_link, handlers)  # type: ignore[arg-type]
+    operator_link.handle_frame({"t": "ask", "n": 1, "q": "a", "x": 4})
+    operator_link.handle_frame({"t": "ask", "n": 2, "q": "a"})
+    operator_link.handle_frame({"t": "ask", "n": 3, "q": "b"})
+    operator_link.handle_frame({"t": "ask", "n": 4, "q": "no"})
+    assert fake_link.sent[0] == {"t": "told", "n": 1, "a": {"x": 5}}
+    assert [one["n"] for one in fake_link.sent] == [1, 2, 3, 4] and all(
+        "e" in one for one in fake_link.sent[1:]
+    )
+    assert "a, no" in fake_link.sent[2]["e"] and not fake_link.closed
     for head in ({"t": "call", "n": 1}, {"t": "ask", "q": "a"}, {"t": "ask", "n": 1}):
-        wire.closed = ""
-        asker.handle_frame(head)
-        assert wire.closed
+        fake_link.closed = ""
+        operator_link.handle_frame(head)
+        assert fake_link.closed
 
 
 def test_so_many_questions_wait_and_no_more() -> None:
     async def run() -> None:
-        gate, wire = asyncio.Event(), Wire()
+        release, fake_link = asyncio.Event(), FakeLink()
 
         async def slow(head: Head) -> dict[str, Any]:
-            await gate.wait()
+            await release.wait()
             return {}
 
-        asker = OperatorLink(wire, {"slow": slow})  # type: ignore[arg-type]
+        operator_link = OperatorLink(fake_link, {"slow": slow})  # type: ignore[arg-type]
         for number in range(MAX_PENDING_QUESTIONS + 1):
-            asker.handle_frame({"t": "ask", "n": number, "q": "slow"})
+            operator_link.handle_frame({"t": "ask", "n": number, "q": "slow"})
         await turns()
-        assert [one["n"] for one in wire.sent] == [MAX_PENDING_QUESTIONS] and "e" in wire.sent[0]
-        gate.set()
+        assert [one["n"] for one in fake_link.sent] == [MAX_PENDING_QUESTIONS] and "e" in fake_link.sent[0]
+        release.set()
         await turns()
-        assert sorted(one["n"] for one in wire.sent[1:]) == list(range(MAX_PENDING_QUESTIONS))
-        asker.handle_frame({"t": "ask", "n": 9, "q": "slow"})
+        assert sorted(one["n"] for one in fake_link.sent[1:]) == list(range(MAX_PENDING_QUESTIONS))
+        operator_link.handle_frame({"t": "ask", "n": 9, "q": "slow"})
         await turns()
-        assert wire.sent[-1] == {"t": "told", "n": 9, "a": {}}
+        assert fake_link.sent[-1] == {"t": "told", "n": 9, "a": {}}
 
     play(run)
 
 
 def test_the_oldest_operator_makes_room_for_one_more() -> None:
-    questions, wires = OperatorLinks({}), [Wire() for _ in range(MAX_OPERATOR_LINKS + 2)]
-    questions.adopt(wires[0])  # type: ignore[arg-type]
-    questions.handle_lost(wires[0])  # type: ignore[arg-type]
-    for wire in wires[1:]:
-        questions.adopt(wire)  # type: ignore[arg-type]
-    assert [bool(wire.closed) for wire in wires] == [False, True] + [False] * MAX_OPERATOR_LINKS
+    questions, links = OperatorLinks({}), [FakeLink() for _ in range(MAX_OPERATOR_LINKS + 2)]
+    questions.adopt(links[0])  # type: ignore[arg-type]
+    questions.handle_lost(links[0])  # type: ignore[arg-type]
+    for fake_link in links[1:]:
+        questions.adopt(fake_link)  # type: ignore[arg-type]
+    assert [bool(fake_link.closed) for fake_link in links] == [False, True] + [False] * MAX_OPERATOR_LINKS
 
 
 def test_pages_hold_every_item_once_and_are_cut_by_bytes_too(monkeypatch: Any) -> None:
@@ -119,9 +121,9 @@
 
 
 async def serve(questions: OperatorLinks | None) -> tuple[Address, asyncio.Server]:
-    """A process that answers; None: one of an older version, which ends such a link."""
+    """Starts a server that answers questions; None: an older version, which closes such a link."""
 
-    def met(link: Link, head: Head, body: bytes) -> None:
+    def handle_frame(link: Link, head: Head, body: bytes) -> None:
         if isinstance(link.peer, OperatorLink):
             link.peer.handle_frame(head)
         elif questions is not None and head.get("for") == "operate":
@@ -129,7 +131,9 @@
         else:
             link.close("no hello")
 
-    server = await listen(("127.0.0.1", 0), lambda: Link(lambda _: None, met, lambda link, why: None))
+    server = await listen(
+        ("127.0.0.1", 0), lambda: Link(lambda _: None, handle_frame, lambda link, why: None)
+    )
     host, port = server.sockets[0].getsockname()[:2]
     return (host, port), server
 
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -1,4 +1,4 @@
-"""`rollout` against real programs on loopback, and what it makes of answers of any kind."""
+"""`rollout` against real programs on loopback, and its output for answers of other versions."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
         at = write(found, change(route("read", "/read/", "red"), services=("red", "blue")))
         told(found, "config", "apply", at)
         found.wait(lambda: all(side.routes.get("read") for side in found.sides))
-        time.sleep(2.0)  # real programs: who was not in contact for so long takes all at once
+        time.sleep(2.0)  # a sidecar without contact for so long applies changes at once
         yield found
     finally:
         found.stop()
 
 
 def move(mesh: Mesh) -> int:
-    """Sends the route to the other service; its version."""
+    """Routes to the other service; returns the new version."""
     item = mesh.cores[0].config_store.items["route", "read"]
     assert item.value is not None
     service = {"red": "blue", "blue": "red"}[item.value["response"]["plant"]]
--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -1,4 +1,4 @@
-"""The rings of the latest calls: bounded in number and in bytes, without the bodies of the calls."""
+"""The rings of recent calls: bounded in number and in bytes, without the bodies of the calls."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mesh.data_plane.introspection import why
 from mesh.data_plane.traces import MAX_TRIES, RING_SIZE, FirstHopTraces, Ring, SecondHopTraces, describe_end
 
-MOST_BYTES = 6000  # of the largest entry, with everything that only it refers to
+MAX_ENTRY_BYTES = 6000  # including all objects that an entry refers to
 
 
 def asked(attempt: str, tries: int = 1, taken: float = 0.0, **fields: Any) -> Any:
@@ -38,7 +38,7 @@
     return Call(attempt, b"GET", b"/", [], b"x" * 100_000, instance, caller, 100.0)
 
 
-def weight(thing: Any) -> int:
+def deep_size(thing: Any) -> int:
     """Bytes of an object and of all that it refers to, except types and classes."""
     seen: dict[int, int] = {}
     todo = [thing]
@@ -62,10 +62,10 @@
     first, second = FirstHopTraces(), SecondHopTraces()
     first.record(1.0, asked("a" * 128, tries=500), Failed(True))
     (entry,) = first.notable
-    assert entry[8] == 500 and len(entry[7]) == MAX_TRIES and weight(entry) < MOST_BYTES
+    assert entry[8] == 500 and len(entry[7]) == MAX_TRIES and deep_size(entry) < MAX_ENTRY_BYTES
     second.record(1.0, call("a" * 100_000, "i" * 100_000, "c" * 100_000), 0.0, 0.5, Unclear("w" * 100_000))
     (other,) = second.notable
-    assert weight(other) < MOST_BYTES
+    assert deep_size(other) < MAX_ENTRY_BYTES
 
 
 def test_a_flood_of_fine_calls_does_not_push_out_the_others() -> None:
--- a/tests/mesh/test_cli_write_client.py
+++ b/tests/mesh/test_cli_write_client.py
@@ -1,4 +1,4 @@
-"""An operator's call, by the platform's rules: where it goes next, and when it ends."""
+"""An operator's call under the platform's retry rules: where it goes next, and when it ends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Core:
-    """Control processes that answer as they are told; each answer in its turn, the last for ever."""
+    """Control processes with scripted answers, given in turn; the last one repeats."""
 
     def __init__(self, *answers: Sequence[Answer | None]) -> None:
         self.answers = [list(one) for one in answers]
@@ -25,7 +25,7 @@
         self.hangs = asyncio.Event()
 
     async def send(self, within_s: float = 5.0) -> Outcome:
-        desks = []
+        servers = []
         addresses = []
         for at in range(len(self.answers)):
 
@@ -42,15 +42,15 @@
                     location = f"http://{host}:{port}/configuration"
                 return Answer(answer.status, answer.body, location)
 
-            desks.append(HttpServer(handle))
-            addresses.append(await desks[-1].listen(("127.0.0.1", 0)))
+            servers.append(HttpServer(handle))
+            addresses.append(await servers[-1].listen(("127.0.0.1", 0)))
 
         async def pause(wait: float) -> None:
             self.pauses.append(wait)
 
         outcome = await send(addresses, b"PATCH", b"/configuration", BODY, within_s, pause)
         self.hangs.set()
-        for http_server in desks:
+        for http_server in servers:
             http_server.stop()
         return outcome
 
