--- a/mesh/cli/bearing.py
+++ b/mesh/cli/bearing.py
@@ -40,12 +40,12 @@
 
 
 def review_change(
-    change: ConfigurationWrite, standing: Mapping[Key, Item], facts: MeshFacts
+    change: ConfigurationWrite, configuration: Mapping[Key, Item], facts: MeshFacts
 ) -> list[ChangeFinding]:
     """All objections to sending ``change`` now; what the mesh would refuse is first."""
 
     def current_item(kind: str, name: str) -> tuple[int, dict[str, Any] | None] | None:
-        item = standing.get((kind, name))
+        item = configuration.get((kind, name))
         if item is None:
             return None
         return item.version, dict(item.value) if item.value is not None else None
@@ -55,9 +55,9 @@
     if refused is not None:
         what, _, mend = refused.reason.partition("; ")
         found.append(ChangeFinding(refused.item, refused.field, what, mend))
-    found += _versions(change, standing)
+    found += _versions(change, configuration)
     routes = [read_route(w.name, w.version, w.value) for w in change.writes if w.kind == ROUTE and w.value]
-    found += _shadowed(change, standing)
+    found += _shadowed(change, configuration)
     for route in routes:
         found += _services(route, facts)
         found += _aim(route, facts)
@@ -67,9 +67,9 @@
     return found
 
 
-def _versions(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
+def _versions(change: ConfigurationWrite, configuration: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
     for write in change.writes:
-        item = standing.get((write.kind, write.name))
+        item = configuration.get((write.kind, write.name))
         if item is None or write.version > item.version:
             continue
         name = item_label(write.kind, write.name)
@@ -86,9 +86,9 @@
     return Item(write.kind, write.name, write.version, write.value)
 
 
-def apply_change(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> dict[Key, Item]:
+def apply_change(change: ConfigurationWrite, configuration: Mapping[Key, Item]) -> dict[Key, Item]:
     """The configuration after the change."""
-    found = dict(standing)
+    found = dict(configuration)
     for write in change.writes:
         current = found.get((write.kind, write.name))
         if current is None or write.version > current.version:
@@ -96,11 +96,11 @@
     return found
 
 
-def _shadowed(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
+def _shadowed(change: ConfigurationWrite, configuration: Mapping[Key, Item]) -> Iterator[ChangeFinding]:
     """Routes that no request can reach, where the change is involved."""
     named = {write.name for write in change.writes if write.kind == ROUTE}
     same_match: dict[tuple[str, str], list[Route]] = {}
-    for item in apply_change(change, standing).values():
+    for item in apply_change(change, configuration).values():
         if item.kind == ROUTE and item.value is not None:
             route = read_route(item.name, item.version, dict(item.value))
             same_match.setdefault((route.host, route.prefix), []).append(route)
@@ -173,13 +173,13 @@
     fields: tuple[str, ...]
 
 
-def differences(change: ConfigurationWrite, standing: Mapping[Key, Item]) -> list[Difference]:
+def differences(change: ConfigurationWrite, configuration: Mapping[Key, Item]) -> list[Difference]:
     """The difference of each item of the change, sorted by kind and name."""
     found = []
     for write in sorted(change.writes, key=lambda write: (write.kind, write.name)):
-        name, item = item_label(write.kind, write.name), standing.get((write.kind, write.name))
+        name, item = item_label(write.kind, write.name), configuration.get((write.kind, write.name))
         fields: tuple[str, ...] = ()
-        stands = item.version if item is not None else None
+        current_version = item.version if item is not None else None
         if item is not None and write.version < item.version:
             sign = "<"
         elif item is not None and write.version == item.version:
@@ -191,7 +191,7 @@
             sign = "+"
         else:
             sign, fields = "~", tuple(_fields(dict(item.value), write.value))[:MAX_FIELDS]
-        found.append(Difference(sign, name, write.version, stands, fields))
+        found.append(Difference(sign, name, write.version, current_version, fields))
     return found
 
 
--- a/mesh/cli/config.py
+++ b/mesh/cli/config.py
@@ -102,10 +102,10 @@
     snapshot = await take_snapshot(addresses, wait)
     if isinstance(snapshot, Unreachable):
         return snapshot
-    standing = await read_merged_items(snapshot.answering(), "charter", wait)
-    if isinstance(standing, Unreachable):
-        return standing
-    return snapshot, {key: item for key, item in standing.items() if bearing.is_configuration(key)}
+    configuration = await read_merged_items(snapshot.answering(), "charter", wait)
+    if isinstance(configuration, Unreachable):
+        return configuration
+    return snapshot, {key: item for key, item in configuration.items() if bearing.is_configuration(key)}
 
 
 def control_addresses(snapshot: MeshSnapshot) -> list[Address]:
@@ -129,9 +129,9 @@
     """The newest configuration, whole, or one item of it; always JSON."""
     addresses = contact_addresses(at, settings, as_json)
     if held:
-        _, standing = run_or_exit(_current_configuration(addresses, wait), as_json)
+        _, configuration = run_or_exit(_current_configuration(addresses, wait), as_json)
         content = render(
-            (i.kind, i.name, i.version, dict(i.value)) for i in standing.values() if i.value is not None
+            (i.kind, i.name, i.version, dict(i.value)) for i in configuration.values() if i.value is not None
         )
     else:
         snapshot = run_or_exit(take_snapshot(addresses, wait, (CONTROLLER,)), as_json)
@@ -182,10 +182,10 @@
 ) -> None:
     """Judges a change before it is sent: by itself, by what stands, and by what the mesh can bear now."""
     change = decode_or_exit(read_file(file, as_json), as_json)
-    snapshot, standing = run_or_exit(
+    snapshot, configuration = run_or_exit(
         _current_configuration(contact_addresses(at, settings, as_json), wait), as_json
     )
-    findings = bearing.review_change(change, standing, asyncio.run(_facts(snapshot, wait)))
+    findings = bearing.review_change(change, configuration, asyncio.run(_facts(snapshot, wait)))
     lines = [line for finding in findings for line in wrapped(finding.line())]
     summary = f"{len(change.writes)} items: nothing speaks against them"
     value = {"items": len(change.writes), "findings": [asdict(finding) for finding in findings]}
@@ -212,8 +212,10 @@
 ) -> None:
     """What sending a change would do: + new, ~ changed, - dropped, < older than what stands."""
     change = decode_or_exit(read_file(file, as_json), as_json)
-    _, standing = run_or_exit(_current_configuration(contact_addresses(at, settings, as_json), wait), as_json)
-    changes = bearing.differences(change, standing)
+    _, configuration = run_or_exit(
+        _current_configuration(contact_addresses(at, settings, as_json), wait), as_json
+    )
+    changes = bearing.differences(change, configuration)
     lines, unchanged = [], 0
     for one in changes:
         if one.sign == "=":
@@ -223,7 +225,7 @@
         lines += wrapped(f"{one.sign} {one.item}: {before}r{one.version}")
         lines += [line for field in one.fields for line in wrapped(f"    {field}", "      ")]
     named = {(write.kind, write.name) for write in change.writes}
-    others = sum(item.value is not None and key not in named for key, item in standing.items())
+    others = sum(item.value is not None and key not in named for key, item in configuration.items())
     lines.append(f"{unchanged} items stand as they are in the file, {others} are not named in it and stay")
     value = {
         "differences": [asdict(one) for one in changes if one.sign != "="],
--- a/mesh/cli/rollout.py
+++ b/mesh/cli/rollout.py
@@ -113,29 +113,29 @@
 
 
 def _order(
-    word: str, route: str, at_next: bool, at: Any, settings: Any, wait: float, as_json: bool
+    command: str, route: str, at_next: bool, at: Any, settings: Any, wait: float, as_json: bool
 ) -> NoReturn:
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (PROXY,)), as_json)
-    answers, silent = _ask_sidecars(snapshot, wait, "order", name=route, order=word, next=at_next)
+    answers, silent = _ask_sidecars(snapshot, wait, "order", name=route, order=command, next=at_next)
     if not answers:
         fail(EXIT_NO_ANSWER, "no sidecar answers; check --at and whether they run", as_json)
     value = {"sidecars": answers, "silent": silent}
     notes = [f"no answer from {len(silent)} sidecars: {join_names(silent, NAMES_WIDTH)}"] if silent else []
     if at_next:
         print_and_exit(
-            value, [f"{len(answers)} sidecars: {word} for the next version within 60 s", *notes], as_json
+            value, [f"{len(answers)} sidecars: {command} for the next version within 60 s", *notes], as_json
         )
     obeyed = [one for one in answers if one.get("obeyed") is not None]
     if not obeyed:
-        standing = ", ".join(sorted({f"r{v}" for one in answers if (v := one.get("in_force")) is not None}))
+        in_force = ", ".join(sorted({f"r{v}" for one in answers if (v := one.get("in_force")) is not None}))
         fail(
             EXIT_REFUSED,
-            f"{route}: {standing or 'nothing'} is in force, nothing is held back; send a higher version, or "
+            f"{route}: {in_force or 'nothing'} is in force, nothing is held back; send a higher version, or "
             "order --next",
             as_json,
         )
     print_and_exit(
-        value, [f"{word}: {len(obeyed)} of {len(answers)} sidecars still held it back", *notes], as_json
+        value, [f"{command}: {len(obeyed)} of {len(answers)} sidecars still held it back", *notes], as_json
     )
 
 
@@ -229,18 +229,20 @@
         f"{kind} {name} r{core.get('version')}, {state}: in force at {confirmed} of {core.get('sidecars')}"
     ]
     for node, since in core.get("lack", []):
-        heard_of = (
+        last_report = (
             "never heard of"
             if since is None
             else f"last report {number_field({'s': since}, 's') / 1000.0:.1f} s ago"
         )
-        lines.append(f"  {node} has not confirmed it: {heard_of}")
+        lines.append(f"  {node} has not confirmed it: {last_report}")
     if kind != ROUTE:
         return [*lines, "  taken whole at once by each sidecar as it comes to know it"]
     lines += wrapped(f"  first part: {', '.join(str(one) for one in core.get('first', []))}", "    ")
-    new_n, new_bad, old_n, old_bad = [*core.get("word", []), 0, 0, 0, 0][:4]
-    if new_n:
-        lines.append(f"  its calls: {new_bad} of {new_n} failed, before it {old_bad} of {old_n}")
+    new_calls, new_failures, old_calls, old_failures = [*core.get("word", []), 0, 0, 0, 0][:4]
+    if new_calls:
+        lines.append(
+            f"  its calls: {new_failures} of {new_calls} failed, before it {old_failures} of {old_calls}"
+        )
     for one in answers:
         if one.get("dry"):
             lines.append(f"  {one['node']}: {one['dry']} had no live upstream when the route came")
