--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -39,7 +39,7 @@
 MAX_PROMISE_BYTES = 8 << 20  # of the states in one promise
 ROW_OVERHEAD_BYTES = 200  # estimated bytes of a row beside its content
 DISK_FULL = "disk: no room for more; drop some items and wait until they are forgotten"
-MAX_PAGED_ORDERS = 8  # partly received orders that are kept; the oldest is discarded
+MAX_PAGED_WRITES = 8  # partly received writes that are kept; the oldest is discarded
 
 
 class AcceptorHost:
@@ -128,7 +128,7 @@
         return None
 
     def has_room(self, writes: Mapping[Slot, Value]) -> bool:
-        """Whether the disk has room for what an order sets; drops and views always fit."""
+        """Whether the disk has room for what a write sets; drops and views always fit."""
         sets = [value for (kind, _, _), value in writes.items() if value is not None and kind != VIEW]
         return not sets or self._disk_writer.has_room(
             ROW_OVERHEAD_BYTES * len(sets) + sum(map(_encoded_size, sets))
@@ -143,7 +143,7 @@
     # Decided items
 
     def apply(self, items: Sequence[Item], vector: Mapping[str, int], complete: bool = False) -> None:
-        """Merges decided items of any source. ``complete``: they are all the items of their order."""
+        """Merges decided items of any source. ``complete``: they are all the items of their write."""
         changed = self._config_store.merge(items, vector)
         if isinstance(changed, StoreFull):
             self._event_log.emit(events.STATE_FULL, reason=changed.reason)
@@ -205,7 +205,7 @@
         return True
 
     def _collect_pages(self, channel: Channel, head: Head) -> list[Any] | None:
-        """All rows of an order once its last page has arrived; None before. Acknowledges each other page."""
+        """All rows of a write once its last page has arrived; None before. Acknowledges each other page."""
         index, count, key = int(head["p"]), int(head["of"]), (address_of(channel), decode_ballot(head["b"]))
         if count == 1:
             return list(head["w"])
@@ -213,7 +213,7 @@
         if index != len(pages):
             return None
         self._pages[key] = [*pages, head["w"]]
-        while len(self._pages) > MAX_PAGED_ORDERS:
+        while len(self._pages) > MAX_PAGED_WRITES:
             del self._pages[next(iter(self._pages))]
         if index + 1 < count:
             channel.link.send({"t": "accepted", "b": head["b"], "e": head["e"], "p": index})
--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -1,9 +1,9 @@
-"""Delays the acknowledgement of an order that propagates slowly until the proxies in contact have confirmed
+"""Delays the acknowledgement of a write that propagates slowly until the proxies in contact have confirmed
 it, or until its time bound.
 
-Most orders propagate faster than they are confirmed and are acknowledged at once. An order waits if it is
-large, or if live proxies have not confirmed an earlier order for some time, since it then queues behind that
-order on the same links. It waits for the live proxies on links of this process that have run for contact_ms,
+Most writes propagate faster than they are confirmed and are acknowledged at once. A write waits if it is
+large, or if live proxies have not confirmed an earlier write for some time, since it then queues behind that
+write on the same links. It waits for the live proxies on links of this process that have run for contact_ms,
 for those that other control processes report as behind, and for a short time for all that have ever confirmed
 anything. A proxy that cannot be reached delays nothing for long.
 """
@@ -23,8 +23,8 @@
 from mesh.replication.items import Item
 from mesh.rollout.report import RolloutReport, required_vector
 
-LARGE_ORDER_ITEMS = 64  # an order of at least so many items waits
-OVERDUE_S = 0.5  # an order that is unconfirmed for longer delays the next ones
+LARGE_WRITE_ITEMS = 64  # a write of at least so many items waits
+OVERDUE_S = 0.5  # a write that is unconfirmed for longer delays the next ones
 BOUND_SHARE = 0.5  # of the time that operators allow for an acknowledgement
 EXTRA_S_PER_ITEM = 0.003  # further time that operators allow for each route
 LINK_ALIVE_S = 0.6  # a link that received nothing for longer does not show that its proxy runs
@@ -32,20 +32,20 @@
 PEER_REPORT_VALID_S = 1.2  # validity of the names of proxies behind that another control process sent
 MAX_BEHIND_NAMES = 16  # in one report
 POLL_S = 0.02  # between two checks for confirmations
-MAX_ORDERS_KEPT = 64  # latest orders whose confirmation is tracked
+MAX_WRITES_KEPT = 64  # latest writes whose confirmation is tracked
 
-RequiredVector = Mapping[str, int]  # by source, the lowest number of a vector that includes all of an order
+RequiredVector = Mapping[str, int]  # by source, the lowest number of a vector that includes all of a write
 
 
-class DecidedOrder(Struct, frozen=True):
-    """A decided order: the vector that confirms it, and when it became known here, in loop time."""
+class DecidedWrite(Struct, frozen=True):
+    """A decided write: the vector that confirms it, and when it became known here, in loop time."""
 
     required_vector: RequiredVector
     known_at: float
 
 
 class Confirmations:
-    """Tracks which proxies have confirmed the orders known to one control process."""
+    """Tracks which proxies have confirmed the writes known to one control process."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._started_at = self._loop.time()
         self.update_bounds(ack_ms, contact_ms)
         self._reports, self._channels, self._event_log = reports, channels, event_log
-        self._orders: deque[DecidedOrder] = deque(maxlen=MAX_ORDERS_KEPT)
+        self._writes: deque[DecidedWrite] = deque(maxlen=MAX_WRITES_KEPT)
         # By control process: when it reported, and the names of the proxies that are behind.
         self._peer_reports: dict[str, tuple[float, frozenset[str]]] = {}
         # By proxy: its incarnation, and when that became known.
@@ -72,12 +72,12 @@
         self._ack_s, self._contact_s = ack_ms / 1000.0, contact_ms / 1000.0
 
     def bound_s(self, count: int) -> float:
-        """An order of so many items is acknowledged within this time of its decision, confirmed or not."""
+        """A write of so many items is acknowledged within this time of its decision, confirmed or not."""
         return BOUND_SHARE * (self._ack_s + EXTRA_S_PER_ITEM * count)
 
     def items_changed(self, items: Sequence[Item]) -> None:
-        """Tracks an order: items of the configuration that have changed together."""
-        self._orders.append(DecidedOrder(required_vector(items), self._loop.time()))
+        """Tracks a write: items of the configuration that have changed together."""
+        self._writes.append(DecidedWrite(required_vector(items), self._loop.time()))
 
     def tick(self, now: float) -> None:
         """Notes new incarnations of linked proxies; called several times a second."""
@@ -116,18 +116,18 @@
         }
 
     def _waited_for(self, now: float, decided_at: float) -> set[str]:
-        """The proxies whose confirmation an order decided at that time waits for."""
+        """The proxies whose confirmation a write decided at that time waits for."""
         if now - decided_at >= UNLINKED_WAIT_S:
             return self._in_touch(now)
         linked = {channel.node for channel in self._channels.open}
         return self._in_touch(now) | (self._reports.keys() - linked)
 
     def find_behind(self) -> list[str]:
-        """Live proxies on links of this process that have not confirmed an overdue order."""
+        """Live proxies on links of this process that have not confirmed an overdue write."""
         now = self._loop.time()
         live = self._live_proxies(now)
-        overdue = [order for order in self._orders if OVERDUE_S < now - order.known_at < 2.0 * self._ack_s]
-        return sorted(set().union(*(self._lacking(live, order.required_vector) for order in overdue)))[
+        overdue = [write for write in self._writes if OVERDUE_S < now - write.known_at < 2.0 * self._ack_s]
+        return sorted(set().union(*(self._lacking(live, write.required_vector) for write in overdue)))[
             :MAX_BEHIND_NAMES
         ]
 
@@ -141,29 +141,29 @@
         )
 
     def has_overdue(self, now: float) -> bool:
-        """Whether a proxy in contact has not confirmed an overdue order."""
+        """Whether a proxy in contact has not confirmed an overdue write."""
         return any(
-            now - order.known_at > OVERDUE_S and self._lacking(self._in_touch(now), order.required_vector)
-            for order in self._orders
-            if now - order.known_at < 2.0 * self._ack_s
+            now - write.known_at > OVERDUE_S and self._lacking(self._in_touch(now), write.required_vector)
+            for write in self._writes
+            if now - write.known_at < 2.0 * self._ack_s
         )
 
     def _decided_at(self, items: Sequence[Item]) -> float:
-        """When the last of these items became known here. An order may name items that were in force long
+        """When the last of these items became known here. A write may name items that were in force long
         before, and its parts may arrive one after the other, so each item is looked up separately."""
         return max((self._known_at(item) for item in items), default=self._started_at)
 
     def _known_at(self, item: Item) -> float:
-        """When that item became known here; the time of the oldest kept order if it is older."""
-        for order in self._orders:
-            if order.required_vector.get(item.source, 0) >= item.number:
-                return order.known_at
-        return self._orders[0].known_at if len(self._orders) == MAX_ORDERS_KEPT else self._started_at
+        """When that item became known here; the time of the oldest kept write if it is older."""
+        for write in self._writes:
+            if write.required_vector.get(item.source, 0) >= item.number:
+                return write.known_at
+        return self._writes[0].known_at if len(self._writes) == MAX_WRITES_KEPT else self._started_at
 
     async def wait_confirmed(self, items: Sequence[Item], within_s: float) -> bool:
-        """Waits until the order of these items may be acknowledged; False if that takes longer."""
+        """Waits until the write of these items may be acknowledged; False if that takes longer."""
         started_at = now = self._loop.time()
-        if len(items) < LARGE_ORDER_ITEMS and not self.has_overdue(now):
+        if len(items) < LARGE_WRITE_ITEMS and not self.has_overdue(now):
             return True
         required, decided_at = required_vector(items), self._decided_at(items)
         while lacking := self._lacking(self._waited_for(now, decided_at), required):
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -60,7 +60,7 @@
         self.contact = QuorumContact(REPLY_VALID_SHARE * contact_ms / 1000.0)
         self._next_probe_at = self._contact_changed_at = self._loop.time()
         self._had_contact = False  # as last logged
-        self.find_behind: Callable[[], list[str]] = list  # live proxies that lack an order
+        self.find_behind: Callable[[], list[str]] = list  # live proxies that lack a write
         self.on_behind: Callable[[str, Any], None] = _ignore_behind  # receives those of a peer
         self._probe_timer: asyncio.TimerHandle | None = None
         self._links: dict[Channel, None] = {}  # to other control processes, oldest first
@@ -97,7 +97,7 @@
         return self.proof(settled=True) >= Proof.READS
 
     def may_act(self) -> bool:
-        """Whether the members that answered can decide an order; true on at most one side of a partition."""
+        """Whether the members that answered can decide a write; true on at most one side of a partition."""
         return self.proof() is Proof.ORDERS
 
     def redirect_address(self) -> str:
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -158,7 +158,7 @@
         return self._answer_unresolved(outcome.reason)
 
     async def _acknowledge(self, slots: Collection[Slot], within_s: float) -> Answer:
-        """Acknowledges a decided order once it is in force at all proxies that are waited for."""
+        """Acknowledges a decided write once it is in force at all proxies that are waited for."""
         items = [self._config_store.items.get((kind, name)) for kind, name, _ in slots]
         if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
             return Answer(200, b"{}")
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -272,7 +272,7 @@
         assert settings.ports.control is not None
         await self.http_server.listen(settings.ports.control)
         first = self.acceptor.required_ceiling(self.acceptor.floor + 1)
-        self.acceptor_host.spawn(self.acceptor_host.raise_ceiling(first))  # before the first order needs it
+        self.acceptor_host.spawn(self.acceptor_host.raise_ceiling(first))  # before the first write needs it
         self._publish_node()
         self._update_known_peers()
         self.joining.start()
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -1,5 +1,5 @@
-"""Drives the ballots of orders, each a write of one or more items that are decided together, and recovers
-open votes whose proposer is gone."""
+"""Drives the ballots of writes, each of one or more items that are decided together, and recovers open votes
+whose proposer is gone."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
 
-ORDER_TIMEOUT_S = 3.0  # an order is pursued for this long, whether or not its caller still waits
+WRITE_TIMEOUT_S = 3.0  # a write is pursued for this long, whether or not its caller still waits
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.4  # bounds of the random delay after an interrupted ballot
 MAX_IMMEDIATE_BALLOTS = 3  # consecutive ballots without a backoff
 OPEN_VOTE_TIMEOUT_S, RANK_DELAY_S = 1.0, 0.3  # an open vote is recovered after timeout + rank * delay
 READ_GRACE_S = 0.03  # a read leaves an open vote to its proposer for this long
-MAX_PENDING_ORDERS = 256  # concurrent orders; further ones are answered as busy
+MAX_PENDING_WRITES = 256  # concurrent writes; further ones are answered as busy
 MAX_RECOVERED_VOTES = 2000  # of one recovery
 MAX_RECOVERED_BYTES = 2 << 20  # of one recovery, as JSON
-MAX_CONFLICTS = 16  # latest slots lost to other orders, kept for operators
+MAX_CONFLICTS = 16  # latest slots lost to other writes, kept for operators
 
 Outcome = Decided | Conflict | Unresolved
 Step = Decided | Conflict | Unresolved | Retry
@@ -63,13 +63,13 @@
             self.done.set_result(step)
 
 
-class _Order(Struct, eq=False):
+class _PendingWrite(Struct, eq=False):
     proposer: Proposer
     task: asyncio.Task[Outcome]
 
 
 class ProposerHost:
-    """The orders and reads of this process, and the open votes that it recovers."""
+    """The writes and reads of this process, and the open votes that it recovers."""
 
     def __init__(
         self,
@@ -89,28 +89,28 @@
         self.reads = QuorumReads(config_store, member_set, acceptor_host)
         self._highest_round = 0
         self._ballots: dict[Ballot, _RunningBallot] = {}
-        self._orders: dict[tuple[Any, ...], _Order] = {}
+        self._pending_writes: dict[tuple[Any, ...], _PendingWrite] = {}
         self._recovery_since: dict[Slot, float] = {}  # open votes: when first seen, or last recovered
         # When first seen, never reset by a recovery; the age of votes read from disk is unknown.
         self._open_since = dict.fromkeys(self._acceptor.votes, float("-inf"))
         self._recovery_task: asyncio.Task[None] | None = None
         self.conflicts: deque[tuple[float, Slot]] = deque(maxlen=MAX_CONFLICTS)
 
-    # Orders
+    # Writes
 
     async def decide(self, writes: Mapping[Slot, Value], within_s: float) -> Outcome:
-        """Decides one order, or gives up waiting after ``within_s``. The order is pursued for ORDER_TIMEOUT_S
-        even if the caller leaves; the same order sent here meanwhile shares its ballots."""
+        """Decides one write, or gives up waiting after ``within_s``. The write is pursued for WRITE_TIMEOUT_S
+        even if the caller leaves; the same write sent here meanwhile shares its ballots."""
         proposer = Proposer(self._incarnation, writes, self._member_set.tolerance)
         key = tuple(sorted((slot, digest_of(value)) for slot, value in writes.items()))
-        pending = self._orders.get(key)
+        pending = self._pending_writes.get(key)
         if pending is None:
             refused = self._check_room(writes) if self.acceptor_host.has_room(writes) else DISK_FULL
             if refused:
                 return Unresolved(refused)
-            task = self._loop.create_task(self._run(proposer, ORDER_TIMEOUT_S))
-            pending = self._orders[key] = _Order(proposer, task)
-            task.add_done_callback(lambda _: self._orders.pop(key, None))
+            task = self._loop.create_task(self._run(proposer, WRITE_TIMEOUT_S))
+            pending = self._pending_writes[key] = _PendingWrite(proposer, task)
+            task.add_done_callback(lambda _: self._pending_writes.pop(key, None))
         await asyncio.wait([pending.task], timeout=within_s)
         if not pending.task.done():
             return pending.proposer.timed_out()
@@ -120,9 +120,9 @@
         return outcome
 
     def _check_room(self, writes: Collection[Slot]) -> str:
-        """The reason why another order is rejected now; "" if there is room."""
-        if len(self._orders) >= MAX_PENDING_ORDERS:
-            return f"{MAX_PENDING_ORDERS} orders wait already"
+        """The reason why another write is rejected now; "" if there is room."""
+        if len(self._pending_writes) >= MAX_PENDING_WRITES:
+            return f"{MAX_PENDING_WRITES} orders wait already"
         keys = {(kind, name) for kind, name, _ in [*writes, *self._acceptor.votes]}
         count = len(self._config_store.items) + sum(key not in self._config_store.items for key in keys)
         if count > self._config_store.max_items and count > len(self._config_store.items):
@@ -132,7 +132,7 @@
         return ""
 
     async def _run(self, proposer: Proposer, within_s: float) -> Outcome:
-        """Runs ballots until one ends the order or ``within_s`` has passed."""
+        """Runs ballots until one ends the write or ``within_s`` has passed."""
         until, pause, immediate = self._loop.time() + within_s, FIRST_BACKOFF_S, 0
         while True:
             step = await self._run_ballot(proposer, until)
@@ -237,7 +237,7 @@
             running.finish(step)
 
     def _announce(self, chosen: Chosen) -> None:
-        """Applies a decided order here and notifies the other members, which hold its contents already."""
+        """Applies a decided write here and notifies the other members, which hold its contents already."""
         items, vector = self.acceptor_host.stamp_items(chosen.writes.items())
         self.acceptor_host.apply(items, vector, chosen.complete)
         message = {
@@ -348,7 +348,7 @@
     async def _recover_due(self, due: list[Slot]) -> None:
         try:
             self._event_log.emit(events.VOTES_COMPLETED, items=len(due))
-            await self._recover(due, ORDER_TIMEOUT_S)
+            await self._recover(due, WRITE_TIMEOUT_S)
             now = self._loop.time()
             self._recovery_since.update((slot, now) for slot in due if slot in self._recovery_since)
         finally:
--- a/mesh/control_plane/quorum_reads.py
+++ b/mesh/control_plane/quorum_reads.py
@@ -70,7 +70,7 @@
 
     async def wait_until_current(self, kind: str, until: float) -> bool:
         """Waits until the store has all items of that kind that were decided before the call. Open votes are
-        left to their proposers, so that a read never interrupts an order; False if these votes or the answers
+        left to their proposers, so that a read never interrupts a write; False if these votes or the answers
         take too long."""
         open_votes = await self.collect_open_votes(until, kind)
         if open_votes is None:
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -26,7 +26,7 @@
 from mesh.transport.frames import Head
 
 MAX_LOST = 64
-IMPORT_ORDER_ITEMS, IMPORT_ORDER_TIMEOUT_S = 500, 5.0  # of one order of an import
+IMPORT_WRITE_ITEMS, IMPORT_WRITE_TIMEOUT_S = 500, 5.0  # of one write of an import
 
 
 class RestoreCommand:
@@ -78,14 +78,14 @@
             self._busy = False
 
     async def _import_copy(self, copy: str) -> JsonObject | Refusal:
-        """Imports a copy into a mesh that started again empty, by ordinary orders."""
+        """Imports a copy into a mesh that started again empty, by ordinary writes."""
         kept = self._read_copy(copy)
         if isinstance(kept, Refusal):
             return kept
         writes = [((i.kind, i.name, i.version), i.value) for i in kept.items if i.kind != VIEW]
-        for at in range(0, len(writes), IMPORT_ORDER_ITEMS):
+        for at in range(0, len(writes), IMPORT_WRITE_ITEMS):
             outcome = await self._proposer_host.decide(
-                dict(writes[at : at + IMPORT_ORDER_ITEMS]), IMPORT_ORDER_TIMEOUT_S
+                dict(writes[at : at + IMPORT_WRITE_ITEMS]), IMPORT_WRITE_TIMEOUT_S
             )
             if not isinstance(outcome, Decided):
                 return Refusal(f"{at} of {len(writes)} items are in force; restore again")
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -2,7 +2,7 @@
 disk delays only those who wait for it.
 
 A decided item is already durable as votes on enough disks. Its row is therefore written with the next batch
-that somebody waits for, or after LAZY_WRITE_S: an order costs one sync, not two.
+that somebody waits for, or after LAZY_WRITE_S: a write costs one sync, not two.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
         await future
 
     def has_room(self, more_bytes: int) -> bool:
-        """Whether the disk has room for so many more bytes of orders."""
+        """Whether the disk has room for so many more bytes of writes."""
         return self._disk_store.fits(more_bytes)
 
     def mark_founded(self) -> None:
--- a/tests/mesh/test_control_confirmations.py
+++ b/tests/mesh/test_control_confirmations.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from mesh.control_plane.confirmations import LARGE_ORDER_ITEMS, Confirmations
+from mesh.control_plane.confirmations import LARGE_WRITE_ITEMS, Confirmations
 from mesh.data_plane.membership import PROXY
 from mesh.dissemination.peers import Channels
 from mesh.event_log.log import EventLog
@@ -25,7 +25,7 @@
     return Item("route", name, 1, {}, source, number)
 
 
-ROUTES = [item(f"r{at}", "c1", at + 1) for at in range(LARGE_ORDER_ITEMS)]
+ROUTES = [item(f"r{at}", "c1", at + 1) for at in range(LARGE_WRITE_ITEMS)]
 EARLIER_ITEM = item("service", "c0", 7)  # decided long before, and part of the order
 
 
@@ -73,7 +73,7 @@
         rig.confirmations.items_changed([EARLIER_ITEM])
         rig.advance(60.0)
         rig.confirmations.items_changed(ROUTES)
-        bound_s = rig.confirmations.bound_s(LARGE_ORDER_ITEMS + 1)
+        bound_s = rig.confirmations.bound_s(LARGE_WRITE_ITEMS + 1)
         assert (
             bound_s - STEP_S
             <= await rig.acknowledged_after_s([EARLIER_ITEM, *ROUTES])
@@ -90,7 +90,7 @@
         rig.confirmations.items_changed(ROUTES[:40])
         rig.advance(1.0)
         rig.confirmations.items_changed(ROUTES[40:])
-        bound_s = rig.confirmations.bound_s(LARGE_ORDER_ITEMS)
+        bound_s = rig.confirmations.bound_s(LARGE_WRITE_ITEMS)
         assert bound_s - STEP_S <= await rig.acknowledged_after_s(ROUTES) <= bound_s + CALL_TIMEOUT_S
 
     play(test, TEST_TIMEOUT_S)
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -15,7 +15,7 @@
 from mesh.control_plane.operator_api import RESPONSE_TIMEOUT_S
 from mesh.control_plane.proposals import (
     MAX_IMMEDIATE_BALLOTS,
-    MAX_PENDING_ORDERS,
+    MAX_PENDING_WRITES,
     OPEN_VOTE_TIMEOUT_S,
     RANK_DELAY_S,
     ProposerHost,
@@ -178,8 +178,8 @@
 
 
 def test_more_orders_than_may_wait_are_told_to_come_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(proposals_module, "MAX_PENDING_ORDERS", 3)
-    assert MAX_PENDING_ORDERS == 256
+    monkeypatch.setattr(proposals_module, "MAX_PENDING_WRITES", 3)
+    assert MAX_PENDING_WRITES == 256
 
     def many(world: World) -> Script:
         sent = [(0, order([f"r{at}"], 1, 1)) for at in range(5)]
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -165,7 +165,7 @@
         for _, program in world.programs(core=True):
             proposer_host = program.proposer_host
             assert not (
-                proposer_host._orders
+                proposer_host._pending_writes
                 or proposer_host._ballots
                 or proposer_host.reads.pending_count
                 or proposer_host.acceptor_host.acceptor.votes
