--- a/mesh/control_plane/anti_entropy.py
+++ b/mesh/control_plane/anti_entropy.py
@@ -187,13 +187,13 @@
             )
 
     def _apply(self, channel: Channel, name: str, items: list[Item]) -> None:
-        taken = self._stores[name].repair(items)
-        if isinstance(taken, StoreFull):
-            self._event_log.emit(events.STATE_FULL, reason=taken.reason)
-        elif taken:
-            self._event_log.emit(events.REPAIR_DONE, peer=channel.node, items=len(taken))
-            self._on_change(name, taken)
-            self._push_to_proxies(name, taken)
+        repaired = self._stores[name].repair(items)
+        if isinstance(repaired, StoreFull):
+            self._event_log.emit(events.STATE_FULL, reason=repaired.reason)
+        elif repaired:
+            self._event_log.emit(events.REPAIR_DONE, peer=channel.node, items=len(repaired))
+            self._on_change(name, repaired)
+            self._push_to_proxies(name, repaired)
             self._next_comparison_at = self._loop.time() + RETRY_S
 
     def _push_to_proxies(self, name: str, items: list[Item]) -> None:
--- a/mesh/control_plane/disk_opening.py
+++ b/mesh/control_plane/disk_opening.py
@@ -67,7 +67,7 @@
     assert isinstance(first, Item)
     acceptor.learn((VIEW, MEMBERS, 1), first.value)
     if settings.ip in founders:
-        disk_writer.mark_founded()
+        disk_writer.mark_initial()
     disk_writer.mark_items([first])
 
 
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -25,7 +25,7 @@
 
 
 class IntrospectionSources(Struct):
-    """The parts of a control process that are shown. ``steady``: its monotonic clock, in seconds."""
+    """The parts of a control process that are shown. ``monotonic``: its monotonic clock, in seconds."""
 
     settings: Settings
     config_store: Store
@@ -41,7 +41,7 @@
     key_assignment: KeyAssignment
     control: str
     stopping: asyncio.Event
-    steady: Callable[[], float]
+    monotonic: Callable[[], float]
 
 
 def question_handlers(sources: IntrospectionSources, clock: Callable[[], float]) -> dict[str, Handler]:
@@ -61,7 +61,7 @@
 def votes(sources: IntrospectionSources) -> JsonObject:
     """``open``: the number of undecided votes known here; ``rivalled``: slots for which this process
     recently refused an order because another order has them, newest first."""
-    now, proposer_host = sources.steady(), sources.proposer_host
+    now, proposer_host = sources.monotonic(), sources.proposer_host
     conflicts = [
         {"ago_ms": round((now - at) * 1000.0), "kind": kind, "name": name, "version": version}
         for at, (kind, name, version) in reversed(proposer_host.conflicts)
@@ -72,7 +72,7 @@
 def rollouts(sources: IntrospectionSources) -> JsonObject:
     """The latest rollouts, newest first: the number of items, the number of sidecars that have not confirmed
     all of them, some of their names, and the verdict on the canaries; and the votes."""
-    now, known = sources.steady(), sources.rollouts
+    now, known = sources.monotonic(), sources.rollouts
     rows = []
     for rollout in list(known.rollouts)[: -MAX_SHOWN - 1 : -1]:
         names = sorted(f"{name} r{version}" for (_, name), version in rollout.versions.items())
@@ -103,7 +103,7 @@
     item = sources.config_store.items.get((kind, name))
     if item is None or kind == VIEW:
         return Refusal(f"{kind} {name[:80]!r}: no such item; config get shows all")
-    lack, now = sources.rollouts.unconfirmed(item.key), sources.steady()
+    lack, now = sources.rollouts.unconfirmed(item.key), sources.monotonic()
     reported_at = sources.rollouts.reported_at
     draw = sources.membership.canary_selection()
     new, old = sources.rollouts.canary_tallies(item.key)
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -242,14 +242,14 @@
         instances = self._membership.instances_at(name)
         keys = [(NODE, name), *((INSTANCE, instance) for instance in instances)]
         held = [self._membership_store.items[key] for key in keys if key in self._membership_store.items]
-        taken = self._membership_store.write_all(failure_detection.drop_writes(held))
-        if isinstance(taken, StoreFull):
-            self._event_log.emit(events.STATE_FULL, reason=taken.reason)
+        outcome = self._membership_store.write_all(failure_detection.drop_writes(held))
+        if isinstance(outcome, StoreFull):
+            self._event_log.emit(events.STATE_FULL, reason=outcome.reason)
             return
         self._event_log.emit(
             events.NODE_DROPPED, peer=name, silent_s=round(silent_s), instances=len(instances)
         )
-        self._on_change(taken)
+        self._on_change(outcome)
 
     # Frames
 
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -176,7 +176,7 @@
     # Operators
 
     def describe_wait(self, now: float, view: View, address: str) -> str:
-        """Why the holder of the lease does not remove a member that is not heard here; "" if the next change
+        """Why the holder of the lease does not remove a member that is silent here; "" if the next change
         removes it."""
         silent_s, bound_s = self.tracker.silent_s(now, address), self.thresholds.suspect_s
         if silent_s < bound_s:
--- a/mesh/control_plane/program.py
+++ b/mesh/control_plane/program.py
@@ -67,7 +67,7 @@
         )
         self.reports = Store(incarnation, 2 * MAX_MEMBERSHIP_ITEMS)  # up to two of each sidecar
         self.membership = Membership()
-        self.tombs = Tombstones()
+        self.tombstones = Tombstones()
         self.disk_writer, self.acceptor = open_disk(settings, self.config_store, event_log)
         self.channels = Channels(
             settings.node,
@@ -164,14 +164,14 @@
             event_log,
             self._changed,
         )
-        safekeeping = DiskCommands(
+        disk_commands = DiskCommands(
             settings.state_dir,
             settings.limits.disk_mb,
             self.config_store,
             self.disk_writer,
             self.anti_entropy.check_disk,
         )
-        restoring = RestoreCommand(
+        restore_command = RestoreCommand(
             settings.state_dir,
             settings.limits.disk_mb,
             self.config_store,
@@ -223,8 +223,8 @@
             self.stopping,
             self.loop.time,
         )
-        answers = {**question_handlers(self.introspection, time.time), **safekeeping.handlers()}
-        self.operator_links = OperatorLinks({**answers, **restoring.handlers()})
+        answers = {**question_handlers(self.introspection, time.time), **disk_commands.handlers()}
+        self.operator_links = OperatorLinks({**answers, **restore_command.handlers()})
         self._server: asyncio.Server | None = None
         self._last_linked_at = self.loop.time()  # when a peer link was last open
 
@@ -311,7 +311,7 @@
         self.anti_entropy.tick(now)
         self.tombstone_collection.tick(now)
         self.catch_up.tick(now)
-        for key in self.tombs.pop_expired(now):
+        for key in self.tombstones.pop_expired(now):
             self.membership_store.remove_tombstone(key)
             self.reports.remove_tombstone(key)
         # Checked before the open links, which survive a freeze of this process.
@@ -363,12 +363,12 @@
         elif name == REPORTS:
             self.rollouts.reports_changed([item for item in items if item.kind == REPORT])
             self.key_assignment.reports_changed([item for item in items if item.kind == KEY_REPORT])
-            self.tombs.note(self.loop.time(), [item for item in items if item.value is None])
+            self.tombstones.note(self.loop.time(), [item for item in items if item.value is None])
         else:
             self.membership.apply(items)
             self.node_reaper.items_changed(items)
             self.member_changes.items_changed(items)
-            self.tombs.note(self.loop.time(), items)
+            self.tombstones.note(self.loop.time(), items)
             if any(item.kind == NODE for item in items):
                 self._update_known_peers()
                 self._drop_reports([item.name for item in items if item.kind == NODE and item.value is None])
--- a/mesh/control_plane/write_batches.py
+++ b/mesh/control_plane/write_batches.py
@@ -122,7 +122,7 @@
         """Whether the disk has room for so many more bytes of writes."""
         return self._disk_store.fits(more_bytes)
 
-    def mark_founded(self) -> None:
+    def mark_initial(self) -> None:
         """Marks an empty disk of the very first start as complete: nothing was acknowledged before it."""
         self.complete = True
         self.put_row(pack_complete(True))
--- a/mesh/data_plane/call_messages.py
+++ b/mesh/data_plane/call_messages.py
@@ -30,7 +30,7 @@
     node: str
     purpose: str = msgspec.field(name="for")
     incarnation: str = msgspec.field(name="life")
-    core: list[str]
+    controllers: list[str] = msgspec.field(name="core")
     window: int = 0
 
 
--- a/mesh/data_plane/control_contact.py
+++ b/mesh/data_plane/control_contact.py
@@ -17,7 +17,7 @@
 
 
 class ControlContact:
-    """Contact of one sidecar: when a control process with contact was last heard from, and what has been
+    """Contact of one sidecar: when a frame last came from a control process with contact, and what has been
     logged."""
 
     def __init__(self, contact_ms: float, channels: Channels, event_log: EventLog) -> None:
@@ -32,13 +32,13 @@
         self._bound_s = REPLY_VALID_SHARE * contact_ms / 1000.0
 
     def _last_contact(self) -> float | None:
-        """When a control process with contact that had sent everything was last heard from; None if never."""
+        """When a frame last came from a control process with contact that had sent all; None if never."""
         self._channels.complete_within(0.0)  # updates last_complete_at
         return self._channels.last_complete_at if self._channels.last_complete_at > 0.0 else None
 
     def staleness_s(self, now: float) -> float | None:
         """How old the configuration here may be, in seconds: the control process had its contact proven
-        within the bound before it was heard from. None if there has been no contact in this incarnation."""
+        within the bound before that. None if there has been no contact in this incarnation."""
         last_contact = self._last_contact()
         return now - last_contact + self._bound_s if last_contact is not None else None
 
--- a/mesh/data_plane/incoming_calls.py
+++ b/mesh/data_plane/incoming_calls.py
@@ -245,7 +245,7 @@
 
     def leave(self) -> None:
         """Stops accepting calls because this process is shutting down. Calls without a complete body never
-        run; the first hop is told so and may send them elsewhere. Calls at the upstream continue while there
+        run; the first hop is notified and may send them elsewhere. Calls at the upstream continue while there
         is time."""
         for number in list(self._receiving):
             entry = self._receiving[number].entry
--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -40,7 +40,7 @@
 
 def status(proxy: Proxy, clock: float) -> JsonObject:
     """The state of the sidecar. Times in milliseconds. ``whole_ms``: since a process with all acknowledged
-    items was last heard from, null if never. ``control``: see `ControlContact.status`."""
+    items last sent a frame, null if never. ``control``: see `ControlContact.status`."""
     settings, now = proxy.settings, proxy.loop.time()
     balancers = list(proxy.balancers.by_service.items())[:MAX_SHOWN]
     proxy.channels.complete_within(0.0)  # updates last_complete_at
@@ -71,14 +71,14 @@
 
 def _upstream(proxy: Proxy) -> JsonObject | None:
     """The upstream beside it; None before its first heartbeat."""
-    upstream, beat = proxy.upstream, proxy.upstream.heartbeat
-    if beat is None:
+    upstream, heartbeat = proxy.upstream, proxy.upstream.heartbeat
+    if heartbeat is None:
         return None
     return {
-        "instance": beat.instance,
-        "service": beat.plant,
-        "state": beat.state,
-        "capacity": beat.capacity,
+        "instance": heartbeat.instance,
+        "service": heartbeat.plant,
+        "state": heartbeat.state,
+        "capacity": heartbeat.capacity,
         "gone": upstream.gone,
         "silent_ms": round(proxy.balancers.now() - upstream.heartbeat_at),
         "running": len(proxy.upstream_dispatch.running),
@@ -95,10 +95,14 @@
     known = dict(proxy.membership.instances_of(service)[:MAX_SHOWN])
     if balancer is None and not known:
         return Refusal(f"service {service[:80]!r}: no upstream of it is known, and none was asked for here")
-    return {"service": service, "used": balancer is not None, "upstreams": _standings(proxy, balancer, known)}
+    return {
+        "service": service,
+        "used": balancer is not None,
+        "upstreams": _upstream_rows(proxy, balancer, known),
+    }
 
 
-def _standings(
+def _upstream_rows(
     proxy: Proxy, service_balancer: ServiceBalancer | None, known: dict[str, Any]
 ) -> list[JsonObject]:
     balancer = service_balancer.balancer if service_balancer is not None else None
@@ -114,7 +118,7 @@
         }
         if service_balancer is not None and server is not None:
             assert isinstance(balancer, Balancer)
-            entry |= _standing(proxy, balancer, server)
+            entry |= _upstream_row(proxy, balancer, server)
             if value and not proxy.peer_links.reaches(str(value.get("node"))):
                 entry["why"] = "its node cannot be reached from here"
         else:
@@ -123,7 +127,7 @@
     return entries
 
 
-def _standing(proxy: Proxy, balancer: Balancer, server: Server) -> JsonObject:
+def _upstream_row(proxy: Proxy, balancer: Balancer, server: Server) -> JsonObject:
     return {
         "w": None if server.w is None else round(server.w, 3),
         "deficit": round(server.deficit, 3),
@@ -252,7 +256,7 @@
     until in force or superseded, null while held. ``word``: the results of its first calls, if this sidecar
     is a canary."""
     now, stages = proxy.loop.time(), proxy.staged_routes
-    standing, watched = proxy.routes.get(name), stages.monitor.watched.get(name)
+    current_route, watched = proxy.routes.get(name), stages.monitor.watched.get(name)
     passes = []
     for activation in stages.activation.history:
         if activation.key != (ROUTE, name):
@@ -274,7 +278,7 @@
         passes.append(entry)
     return {
         "node": proxy.settings.node,
-        "in_force": standing.version if standing is not None else None,
+        "in_force": current_route.version if current_route is not None else None,
         "behind": stages.contact.is_behind(now),
         "dry": stages.unserved.get(name, ""),
         "passes": passes,
@@ -284,16 +288,16 @@
 def order(proxy: Proxy, name: str, command: str, at_next: bool) -> JsonObject:
     """Applies an operator's hold or go. ``obeyed``: the version held here, null if there was none."""
     activation = proxy.staged_routes.apply_command(name, RolloutCommand(command), at_next)
-    standing = proxy.routes.get(name)
+    current_route = proxy.routes.get(name)
     return {
         "node": proxy.settings.node,
         "obeyed": activation.version if activation is not None else None,
-        "in_force": standing.version if standing is not None else None,
+        "in_force": current_route.version if current_route is not None else None,
     }
 
 
 def answers(proxy: Proxy) -> JsonObject:
-    """How long upstream responses below 500 took lately, in milliseconds from the request's arrival, by route
+    """How long upstream responses below 500 took recently, in milliseconds from the request's arrival, by route
     and by service: their number, the least and the median."""
     rings = proxy.balancers.traces
     kept = [
--- a/mesh/data_plane/keyed_balancer.py
+++ b/mesh/data_plane/keyed_balancer.py
@@ -1,7 +1,7 @@
 """Balancer of a sharded service: a request goes only to the upstream that holds its key.
 
 Takes the events and returns the actions of `hareloom.interface`, like `hareloom.Balancer`, which would have a
-single candidate for each key. No I/O; times are milliseconds of the caller's steady clock.
+single candidate for each key. No I/O; times are milliseconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
--- a/mesh/data_plane/peer_calls.py
+++ b/mesh/data_plane/peer_calls.py
@@ -46,7 +46,7 @@
 
 RECONNECT_S, MAX_RECONNECT_S = 0.1, 1.0  # pause after a failed connect, doubled up to the maximum
 CONNECT_WAIT_S = 0.2  # longest wait of calls for a first link; a connect to a dead machine hangs
-MAX_CORE_ADDRESSES = 8  # control processes sent in the greeting
+MAX_CONTROLLER_ADDRESSES = 8  # control processes sent in the greeting
 IDLE = "idle"
 IDLE_S = 20.0  # a link without calls is closed after this time
 # After this many silent links in a row the peer counts as a release that sends no incarnation.
@@ -70,7 +70,7 @@
     loop: asyncio.AbstractEventLoop
     turns: PacedTurns
     on_reachable: Callable[[str, bool], None]
-    core: Callable[[], Mapping[str, Address]]
+    known_controllers: Callable[[], Mapping[str, Address]]
 
 
 class PeerLink:
@@ -204,13 +204,13 @@
             return
         self.link, self.incarnation_known, self.refused_connects = link, False, 0
         self.transfer = BodyTransfer(link, 0)  # until the peer says that it supports pieces
-        core = [f"{host}:{port}" for host, port in self.context.core().values()]
+        controllers = [f"{host}:{port}" for host, port in self.context.known_controllers().values()]
         link.send(
             Greeting(
                 node=self.context.node,
                 purpose="calls",
                 incarnation=self.context.incarnation,
-                core=select_top(self.node, core, MAX_CORE_ADDRESSES),
+                controllers=select_top(self.node, controllers, MAX_CONTROLLER_ADDRESSES),
                 window=WINDOW_BYTES,
             )
         )
--- a/mesh/data_plane/peer_links.py
+++ b/mesh/data_plane/peer_links.py
@@ -38,7 +38,7 @@
         )
         self.loop = asyncio.get_running_loop()
         self.last_number = 0
-        self.core: Callable[[], Mapping[str, Address]] = dict  # known control processes
+        self.known_controllers: Callable[[], Mapping[str, Address]] = dict
         self._links: dict[str, PeerLink] = {}
         self._retiring: set[str] = set()  # nodes that are no longer known but have open calls
         self.turns = PacedTurns(self.loop)  # for the calls of lost links, over all links
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -21,7 +21,7 @@
 from mesh.data_plane.introspection import operator_handlers
 from mesh.data_plane.key_holds import KeyHolds
 from mesh.data_plane.membership import NODE, PROXY, ROLE_NAMES, Membership
-from mesh.data_plane.peer_calls import MAX_CORE_ADDRESSES
+from mesh.data_plane.peer_calls import MAX_CONTROLLER_ADDRESSES
 from mesh.data_plane.peer_links import PeerLinks
 from mesh.data_plane.request_dispatch import RequestDispatcher
 from mesh.data_plane.route_preparation import prepare
@@ -87,12 +87,15 @@
             settings.upstream, DEFAULT_MAX_CONNECTIONS, event_log, bounds.drain_ms
         )
         self.upstream_dispatch = UpstreamDispatch(
-            self.upstream, self.upstream_connections, event_log, lambda told: self.registry.publish(told)
+            self.upstream,
+            self.upstream_connections,
+            event_log,
+            lambda updates: self.registry.publish(updates),
         )
         self.peer_links = PeerLinks(
             settings.node, self.upstream_dispatch, event_log, self._on_reachable, self.incarnation
         )
-        self.peer_links.core = lambda: self.membership.controllers()
+        self.peer_links.known_controllers = lambda: self.membership.controllers()
         self._reported_controllers: dict[str, Address] = {}  # learned from other proxies
         self.sessions: CallSessions[End] = CallSessions(
             int(SESSION_MEMORY_SHARE * settings.limits.memory_mb * 1e6)
@@ -397,7 +400,7 @@
         membership replaces them."""
         if self.membership.controllers() or not isinstance(addresses, list):
             return
-        for address in map(read_address, addresses[:MAX_CORE_ADDRESSES]):
+        for address in map(read_address, addresses[:MAX_CONTROLLER_ADDRESSES]):
             if address is not None and len(self._reported_controllers) < MAX_REPORTED_CONTROLLERS:
                 self._reported_controllers.setdefault(address[0], address)
         self._update_channels()
--- a/mesh/membership/failure_detection.py
+++ b/mesh/membership/failure_detection.py
@@ -1,5 +1,5 @@
 """Failure detection: decides which nodes are gone for good, so that their items may be dropped. No I/O; all
-times are seconds of the caller's steady clock.
+times are seconds of the caller's monotonic clock.
 
 A node is gone when it has been silent for `SilenceThresholds.gone_s` to every control process that answers,
 and these include more than half of the members. Silence counts only while the listener itself was running.
--- a/mesh/membership/instance_lifecycle.py
+++ b/mesh/membership/instance_lifecycle.py
@@ -1,5 +1,5 @@
 """The lifecycle of the upstream beside this sidecar: its current incarnation, and what is published about it.
-No I/O; times are milliseconds of the caller's steady clock.
+No I/O; times are milliseconds of the caller's monotonic clock.
 
 The instance id identifies an incarnation. `sample_count` tells a late heartbeat of an incarnation from a new
 one, and the later of two incarnations from the earlier. A published item has the version ``sample_count``
--- a/mesh/rollout/staged_activation.py
+++ b/mesh/rollout/staged_activation.py
@@ -1,5 +1,5 @@
 """Activation of changed items at one sidecar: which come into force at once, which are held back, and until
-when. No I/O; times are seconds of the caller's steady clock.
+when. No I/O; times are seconds of the caller's monotonic clock.
 
 An item is known, prepared, in force, confirmed; a higher version overtakes it at any moment. Invariants:
 
