--- a/mesh/data_plane/introspection.py
+++ b/mesh/data_plane/introspection.py
@@ -297,7 +297,7 @@
 
 
 def answers(proxy: Proxy) -> JsonObject:
-    """How long upstream responses below 500 took recently, in milliseconds from the request's arrival, by route
+    """How long recent upstream responses below 500 took, in milliseconds from the request's arrival, by route
     and by service: their number, the least and the median."""
     rings = proxy.balancers.traces
     kept = [
