--- a/mesh/data_plane/body_transfer.py
+++ b/mesh/data_plane/body_transfer.py
@@ -65,7 +65,7 @@
         body, reservation, on_complete = found
         body.add(part)
         self._link.send(BodyAck(number=number, count=body.confirm()))
-        if body.whole:
+        if body.complete:
             del self._incoming[number]
             self._add_open(-1)
             on_complete(body.data, reservation)
--- a/mesh/transport/body_pieces.py
+++ b/mesh/transport/body_pieces.py
@@ -123,7 +123,7 @@
         self.data += part
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether all bytes have arrived."""
         return len(self.data) == self.size
 
--- a/tests/mesh/test_storage_power.py
+++ b/tests/mesh/test_storage_power.py
@@ -157,7 +157,7 @@
 
 
 def check_power_failures(folders: Iterator[Path], syncs: bool = True) -> int:
-    """Tries each outcome of a power failure at each step, at once or after a restart; returns their number."""
+    """Tries each outcome of a power failure at each step, at once or after a restart; counts them."""
     count = 0
     with pytest.MonkeyPatch.context() as patch:
         machine = Machine(next(folders), patch, syncs)
--- a/tests/mesh/test_transport_body_pieces.py
+++ b/tests/mesh/test_transport_body_pieces.py
@@ -99,9 +99,9 @@
         assert 0 < unconfirmed <= LINK_WINDOW_BYTES + PIECE_BYTES
         for number, data in in_flight:
             body = received[number]
-            assert not body.whole
+            assert not body.complete
             body.add(data)
             bodies.confirm(number, body.confirm())
         in_flight.clear()
     assert {number: bytes(body.data) for number, body in received.items()} == sent_bodies
-    assert all(body.whole for body in received.values())
+    assert all(body.complete for body in received.values())
