--- a/anisestair/rpc/__init__.py
+++ b/anisestair/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""MessagePack-RPC beside HTTP, through the same machines and decisions. Off, none of it is loaded."""
+"""MessagePack-RPC next to HTTP, with the same state machines and balancer. Loaded only when it is enabled."""
--- a/anisestair/rpc/upstream.py
+++ b/anisestair/rpc/upstream.py
@@ -1,4 +1,4 @@
-"""A shared connection to an upstream: calls under msgids of its own, answered in any order."""
+"""A shared connection to an upstream: calls get msgids of this connection and are answered in any order."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from anisestair.rpc.codec import Kind
 from anisestair.rpc.meaning import Meaning
 
-# Calls whose answer has not come, those given up with them. Past it the oldest are forgotten: an answer to
-# what is not known any more is dropped, like one to what never was.
-MOST_UNANSWERED = 4096
-STRAYS = 16  # answers to nothing known, on one connection; past it the other side has lost count
+# Calls without a response, including those that were given up. Beyond this the oldest are forgotten, and
+# their responses are dropped like those to unknown msgids.
+MAX_UNANSWERED = 4096
+MAX_STRAYS = 16  # responses with an unknown msgid on one connection; beyond this it counts as out of step
 
 
 class RpcConnection(Line, asyncio.Protocol):
-    """``carried`` gives the calls that the machine still holds on this connection."""
+    """``carried`` returns the calls that the state machine still holds on the connection of that number."""
 
     def __init__(
         self, wires: Wires, number: int, meaning: Meaning, carried: Callable[[int], tuple[Call, ...]]
@@ -29,18 +29,18 @@
         super().__init__(wires, number)
         self._meaning, self._carried = meaning, carried
         self.reader = codec.Reader()
-        self._next = 0  # msgid
+        self._next_msgid = 0
         self._unanswered: dict[int, Call] = {}
         self._paused = False
-        # Written one by one, and none while part of the last is kept back: which calls have left is then
-        # known of each. Without that, one that the kernel took just before the end would pass for one that
-        # never ran.
+        # Calls are written one at a time, and none while part of the previous one is still buffered, so that
+        # it is known of each call whether it was sent. Otherwise a call that the kernel accepted just before
+        # the connection closed would count as never executed.
         self._queue: deque[tuple[Call, bytes]] = deque()
-        self._last: Call = ("", -1)  # written last
+        self._last_written: Call = ("", -1)
         self._strays = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # A late answer may stand unread while nothing is in hand; only an end makes it useless.
+        # A late response may be readable while no call is open; only the close of the peer makes it unusable.
         self.up(transport, select.POLLRDHUP)
 
     def pause_writing(self) -> None:
@@ -48,37 +48,39 @@
 
     def resume_writing(self) -> None:
         self._paused = False
-        self._write_on()
-        self._tell()
+        self._write_queued()
+        self._report_unsent()
 
-    def _tell(self) -> None:
-        """How many of the calls have bytes on this side: the queue, and the one that is kept back."""
+    def _report_unsent(self) -> None:
+        """Reports how many calls have unsent bytes: those queued, and the one that is partly buffered."""
         calls = self._carried(self.number)
         unsent = sum(call in calls for call, _ in self._queue)
-        self.wires.feed(ev.Held(self.number, unsent + (self._paused and self._last in calls)))
+        self.wires.feed(ev.Held(self.number, unsent + (self._paused and self._last_written in calls)))
 
-    def _write_on(self) -> None:
+    def _write_queued(self) -> None:
         assert self.transport is not None
         while self._queue and not self._paused:
             call, data = self._queue.popleft()
-            if call in self._carried(self.number):  # nothing is sent any more for what was given up here
-                self._last = call
+            if call in self._carried(self.number):  # a call that was given up here is not sent
+                self._last_written = call
                 self.transport.write(data)
 
     def write(self, call: Call, method: bytes, params: bytes) -> None:
         assert self.transport is not None
-        while (msgid := self._next) in self._unanswered:  # round once, and one may still be answered
-            self._next = (self._next + 1) % (codec.MAX_MSGID + 1)
-        self._next = (msgid + 1) % (codec.MAX_MSGID + 1)
+        while (
+            msgid := self._next_msgid
+        ) in self._unanswered:  # msgids have wrapped around, and this one is still in use
+            self._next_msgid = (self._next_msgid + 1) % (codec.MAX_MSGID + 1)
+        self._next_msgid = (msgid + 1) % (codec.MAX_MSGID + 1)
         self._unanswered[msgid] = call
-        if len(self._unanswered) > MOST_UNANSWERED:
+        if len(self._unanswered) > MAX_UNANSWERED:
             del self._unanswered[next(iter(self._unanswered))]
         self._queue.append((call, codec.write_request(msgid, method, params)))
-        self._write_on()
-        if self.transport.is_closing():  # the write itself failed: nothing of it has left
+        self._write_queued()
+        if self.transport.is_closing():  # the write itself failed: no byte of it was sent
             self._paused = True
         if self._paused or self._queue:
-            self._tell()
+            self._report_unsent()
 
     def data_received(self, data: bytes) -> None:
         fault = False
@@ -87,15 +89,15 @@
         except codec.BadMessage:
             fault = True
         for message in self.reader.take():
-            self._answered(message)
-        if fault or self._strays > STRAYS:
+            self._on_message(message)
+        if fault or self._strays > MAX_STRAYS:
             self.wires.feed(ev.Spoilt(self.number))
 
-    def _answered(self, message: codec.Message) -> None:
+    def _on_message(self, message: codec.Message) -> None:
         call = self._unanswered.pop(message.msgid, None) if message.kind is Kind.RESPONSE else None
         if call is None:
-            # A second answer, one to nothing, or no answer at all: msgids are not used again here, so that it
-            # can be nobody's.
+            # A duplicate response, one with an unknown msgid, or no response at all. Msgids are not reused
+            # before the counter wraps, so it belongs to no other call.
             self._strays += 1
             return
         self.wires.answered(self.number, call, message, self._meaning.outcome(message.error), True)
