--- a/anisestair/rpc/meaning.py
+++ b/anisestair/rpc/meaning.py
@@ -1,8 +1,7 @@
-"""What an RPC call means: its class by its method, its key, its outcome by an error, and the errors of our
-own.
+"""Interprets RPC calls: class by method, idempotency key, outcome by error, and the proxy's own errors.
 
-The protocol has no headers, so an operator's file says which methods are which class, and where in the params
-a key or an id stands. A method that nothing matches is refused, never guessed.
+The protocol has no headers, so the operator's file maps methods to classes, and gives the paths in the params
+of keys and ids. A method that no pattern matches is refused; its class is never guessed.
 """
 
 from __future__ import annotations
@@ -21,10 +20,10 @@
 Path = tuple[int | str, ...]
 
 NIL = b"\xc0"
-MAX_KEY = 128  # bytes of a key or an id
+MAX_KEY = 128  # bytes; bound on a key or an id
 
-# The codes of our own errors: [error] is a map with "code", and "retry_after_ms" where a client may come
-# back.
+# The codes of errors created by the proxy. Such an error is a map with "code", and with "retry_after_ms" if
+# the client may retry.
 CODES = {
     Final.REFUSED: "refused",
     Final.FAILED: "failed",
@@ -35,7 +34,7 @@
 
 
 class BadCall(Exception):
-    """A call that goes nowhere: the code of the error that it is answered with, and why in words."""
+    """A call that is not forwarded. ``code`` goes into the error response, the text only into the log."""
 
     def __init__(self, code: str, why: str) -> None:
         super().__init__(why)
@@ -44,19 +43,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """What an operator says of the methods that a pattern matches: a name, or the start of one and a
+    """The operator's settings for the methods that a pattern matches: a name, or a prefix followed by
     ``*``."""
 
     pattern: str
     klass: str
-    deadline_ms: float = 0.0  # 0: the class's
-    key: Path = ()  # where in params the idempotency key stands
-    id: Path = ()  # and an id by which the application knows the call: in the log, and in hand once at a time
-    deadline: Path = ()  # and where the milliseconds that are left are put for the upstream
+    deadline_ms: float = 0.0  # 0: that of the class
+    key: Path = ()  # path of the idempotency key in params
+    id: Path = ()  # path of the application's id of the call, for the log; one open call per id
+    deadline: Path = ()  # path at which the upstream gets the remaining time in ms
 
 
 class Meaning:
-    """Raises ValueError, which names the pattern at fault, for rules that contradict the classes."""
+    """Maps calls to requests by the rules. Raises ValueError, naming the pattern, where a rule contradicts
+    the classes."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         turned_away: tuple[object, ...],
         classes: Mapping[str, api.RequestClass],
     ) -> None:
-        # Looked at for each call: a reload may change what they hold.
+        # Read for each call, because a reload may change their content.
         self._classes, self._turned_away = classes, turned_away
         self._exact: dict[bytes, Rule] = {}
         self._prefixes: list[tuple[bytes, Rule]] = []
@@ -84,7 +84,7 @@
                 raise ValueError(f"{rule.pattern}: pattern: given twice")
             else:
                 self._exact[name] = rule
-        # The longest start wins, whatever the order in the file: two orders would be two meanings of a sale.
+        # The longest prefix wins, so that the order in the file does not affect how a call is classified.
         self._prefixes.sort(key=lambda item: -len(item[0]))
         starts = [start for start, _ in self._prefixes]
         if len(set(starts)) != len(starts):
@@ -97,7 +97,7 @@
         return found
 
     def request(self, message: codec.Message, name: str, now: float) -> api.Request:
-        """The module's view of a call, under an id of ours; raises BadCall."""
+        """Returns the balancer's request for a call, under an id of the sidecar; raises BadCall."""
         rule = self.rule(message.name)
         if rule is None:
             raise BadCall(UNKNOWN_METHOD, "no pattern of the operator's file matches the method")
@@ -116,11 +116,11 @@
         if rule.key and not _is_key(pick(message.params, rule.key)):
             raise BadCall(BAD_CALL, f"no key at {list(rule.key)} in params")
         if message.kind is codec.Kind.NOTIFICATION and klass.effect is Effect.UNSAFE:
-            raise BadCall(BAD_CALL, "a notification of an unsafe class: its outcome could not be told")
+            raise BadCall(BAD_CALL, "a notification of an unsafe class: its outcome could not be reported")
         return api.Request(name, klass.name, now + (rule.deadline_ms or klass.deadline_ms))
 
     def params(self, message: codec.Message, left_ms: int) -> bytes:
-        """The params as they go on: as they came, but for the time that is left, where a rule says where."""
+        """The params to forward: unchanged, except for the remaining time if a rule gives a path for it."""
         rule = self.rule(message.name)
         return (
             message.params
@@ -129,16 +129,16 @@
         )
 
     def outcome(self, error: bytes) -> Outcome:
-        """An upstream's answer by its error: any but nil, and those of its word for "turned away unseen", may
-        come after the call has run."""
+        """The outcome of a response by its error. FULL means that the call was rejected without being run;
+        after any other error but nil it may have run."""
         if error == NIL:
             return Outcome.OK
-        said = _unpacked(error)
-        return Outcome.FULL if any(_matches(said, item) for item in self._turned_away) else Outcome.ERROR
+        decoded = _unpacked(error)
+        return Outcome.FULL if any(_matches(decoded, item) for item in self._turned_away) else Outcome.ERROR
 
 
 def error_of(final: Final, retry_after_ms: float) -> dict[str, object]:
-    """The error object of a final outcome without an upstream's answer."""
+    """The error object of a final outcome without a response of an upstream."""
     return own_error(CODES[final], retry_after_ms if final is Final.REFUSED else 0.0)
 
 
@@ -150,7 +150,7 @@
 
 
 def pick(params: bytes, path: Path) -> object:
-    """What stands at a path of places and names in packed params; None where nothing does."""
+    """The value at a path of indexes and names in encoded params; None if there is none."""
     found = _unpacked(params)
     for step in path:
         if isinstance(found, list) and isinstance(step, int):
@@ -163,8 +163,8 @@
 
 
 def put(params: bytes, path: Path, value: int) -> bytes:
-    """Packed params with that number in place of what stands at the path, and every other byte as it was.
-    Where nothing stands there nothing changes: a call is not given arguments that its method may not know."""
+    """Returns encoded params with the value at the path replaced, and every other byte unchanged. A path that
+    does not exist is not added, as the method may not accept such an argument."""
     walk = msgpack.Unpacker(raw=True, strict_map_key=False, object_pairs_hook=_dict)
     walk.feed(params)
     try:
@@ -179,7 +179,7 @@
 
 
 def _go_to(walk: Any, params: bytes, step: int | str) -> bool:
-    """Move on from before a container to before its element."""
+    """Advances from the start of a container to that of its element; False if there is no such element."""
     first = params[walk.tell()]
     if isinstance(step, int) and (0x90 <= first <= 0x9F or first in (0xDC, 0xDD)):
         length: int = walk.read_array_header()
@@ -201,19 +201,21 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _matches(said: object, word: object) -> bool:
-    """A word is matched by itself, and a table by a map that has all that it has."""
-    if isinstance(word, str):
-        return said == word.encode()
-    if isinstance(word, dict):
-        return isinstance(said, dict) and all(
-            name.encode() in said and _matches(said[name.encode()], value) for name, value in word.items()
+def _matches(error: object, pattern: object) -> bool:
+    """Whether an error matches a pattern: a string if equal, a table if the map has all of its entries."""
+    if isinstance(pattern, str):
+        return error == pattern.encode()
+    if isinstance(pattern, dict):
+        return isinstance(error, dict) and all(
+            name.encode() in error and _matches(error[name.encode()], value)
+            for name, value in pattern.items()
         )
-    return type(said) is type(word) and said == word
+    return type(error) is type(pattern) and error == pattern
 
 
 def _unpacked(data: bytes) -> Any:
-    """With maps as dicts of those keys that Python can hold; of repeats the last. Strings are bytes."""
+    """Decodes a value, None if invalid. Maps keep only bytes and int keys, the last of repeated ones; strings
+    are returned as bytes."""
     try:
         return msgpack.unpackb(data, raw=True, strict_map_key=False, object_pairs_hook=_dict)
     except (ValueError, msgpack.UnpackException):
--- a/anisestair/rpc/setup.py
+++ b/anisestair/rpc/setup.py
@@ -1,4 +1,4 @@
-"""A sidecar with MessagePack-RPC on, from the operator's table."""
+"""Builds a sidecar with MessagePack-RPC enabled, from the operator's table."""
 
 from __future__ import annotations
 
@@ -29,5 +29,5 @@
         raise ConfigError(f"[[rpc.methods]] {fault}") from None
     lane = Lane(meaning, table.calls_per_connection)
     sidecar = Sidecar(config, offset_ms, most_upstream, lane, storms)
-    sidecar.classes = classes  # one table, which a reload changes for both fronts
+    sidecar.classes = classes  # one table, which a reload changes for both frontends
     return sidecar, RpcFrontend(sidecar, meaning, most_clients, table.calls_in_hand)
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC through a real sidecar, between stand-ins that fail as scripted."""
+"""MessagePack-RPC through a real sidecar, with scripted faults of its clients and upstreams."""
 
 from __future__ import annotations
 
@@ -138,7 +138,7 @@
     [
         ("order.cancel", [{"id": "c"}], "unknown_method"),
         ("order.sale2", [{"id": "c"}], "unknown_method"),
-        ("listing.add", [{"id": "c"}], "bad_call"),  # no key: repeats could not be told apart
+        ("listing.add", [{"id": "c"}], "bad_call"),  # no key: repeats could not be recognized
         ("listing.add", [{"id": "c", "key": ""}], "bad_call"),
         ("listing.add", [{"id": "c", "key": "k" * 129}], "bad_call"),
         ("listing.add", [], "bad_call"),
@@ -157,7 +157,7 @@
 
 
 def test_a_connection_that_dies_ends_each_call_as_its_own_rule_says() -> None:
-    # Three in flight, one of them a sale: that may have run and fails, the keyed ones go again in the cell.
+    # Of three calls in flight, the unsafe sale may have run and fails; the keyed ones are retried.
     first = {"a", "b", "c"}
 
     def once(call: str) -> str:
@@ -310,7 +310,7 @@
 
 
 def test_half_a_message_and_answers_unread_end_a_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("anisestair.rpc.frontend.PATIENCE_S", 0.1)
+    monkeypatch.setattr("anisestair.rpc.frontend.STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with world(await server()) as there:
@@ -394,8 +394,8 @@
 
 
 def test_of_calls_behind_a_full_socket_each_ends_by_whether_it_had_left() -> None:
-    # What the kernel has taken may have run and fails; what stands on this side, the half written one with
-    # it, never ran, and is served over another connection.
+    # Calls accepted by the kernel may have run and fail. Calls still buffered here, including the one that is
+    # partly written, never ran and are served over another connection.
     async def test() -> None:
         executed: Counter[str] = Counter()
         order = await server("ok", executed)
@@ -420,7 +420,7 @@
             while not any(item.unsent for item in there.sidecar.lives.connections.values()):
                 futures.append(caller.send("order.sale", {"id": f"c{len(futures)}"}, body))
                 await asyncio.sleep(0)
-                assert len(futures) < 2000, "no buffer of the kernel is so large"
+                assert len(futures) < 2000, "no kernel buffer is this large"
             futures += [caller.send("order.sale", {"id": f"d{number}"}) for number in range(5)]
             await until(lambda: len(there.sidecar.lives.exchanges) == len(futures))
             (connection,) = there.sidecar.lives.connections.values()
@@ -429,7 +429,7 @@
             first[0].transport.abort()
             errors = [(await answer(item))[0] for item in futures]
             failed = [error for error in errors if error == {"code": "failed"}]
-            assert len(failed) == len(futures) - len(held), "they had left"
+            assert len(failed) == len(futures) - len(held), "exactly the calls that were sent fail"
             assert sum(executed.values()) == errors.count(None) > 0 and max(executed.values()) == 1
             assert all(error is None or error["code"] in ("failed", "refused") for error in errors)
 
@@ -466,7 +466,7 @@
             assert len(there.sidecar.lives.connections) == len(order.connections) == 5
             order.release.set()
             errors = [(await answer(item))[0] for item in futures]
-            # The rest waits, is served when there is room, or hears that it never ran.
+            # The other calls are served once a descriptor is free, or are refused without having run.
             assert errors.count(None) >= 5 and all(
                 item is None or item["code"] == "refused" for item in errors
             )
@@ -476,7 +476,7 @@
 
 
 def test_a_client_that_does_not_read_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("anisestair.rpc.frontend.PATIENCE_S", 0.2)
+    monkeypatch.setattr("anisestair.rpc.frontend.STALL_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         order = await server()
@@ -487,7 +487,7 @@
                 writer.write(msgpack.packb([0, number, "order.sale", [{"id": f"c{number}"}, b"x" * 60_000]]))
             await until(lambda: bool(there.frontend._clients))
             await until(lambda: not there.frontend._clients)
-            assert len(order.seen) < 400, "what its answers had no room for was not begun"
+            assert len(order.seen) < 400, "calls without buffer space for their responses must not be started"
             await until(lambda: not there.sidecar.lives.exchanges)
             writer.transport.abort()
 
@@ -511,7 +511,7 @@
     async def test() -> None:
         order = await server(lambda call: "late" if call == "held" else "ok")
         async with world(order) as there:
-            there.frontend._most = 3
+            there.frontend._max_clients = 3
             busy = await there.caller()
             held = busy.send("order.sale", {"id": "held"})
             await asyncio.wait_for(order.calls.get(), PATIENCE_S)
@@ -620,7 +620,7 @@
 
 
 def test_twenty_thousand_calls_under_faults() -> None:
-    """Each gets exactly one outcome, that is its own and true; no sale runs twice; nothing is left."""
+    """Each call gets exactly one correct outcome of its own, no sale runs twice, and no state is left."""
     chance = random.Random(11)
 
     async def test() -> None:
@@ -629,7 +629,7 @@
         keys: set[str] = set()
         for number in range(4):
             if number % 2 == 0:
-                keys = set()  # a cell of two, which drop each other's repeats
+                keys = set()  # two servers form a cell and deduplicate by the same keys
             order = RpcServer(seeded(random.Random(number), FAULTS), executed, keys)
             await order.start()
             order.release.set()
@@ -660,11 +660,11 @@
                         assert error["id"] == name
                     else:
                         outcomes[error["code"]] += 1
-                        assert error["code"] != "refused" or ran == 0, "a refusal is a promise"
+                        assert error["code"] != "refused" or ran == 0, "a refused call must not have run"
 
             callers = [await there.caller() for _ in range(CALLERS)]
-            lanes = [calls(caller) for caller in callers for _ in range(2)]
-            await asyncio.gather(*lanes)
+            workers = [calls(caller) for caller in callers for _ in range(2)]
+            await asyncio.gather(*workers)
             assert not any(caller.strange or caller.open for caller in callers)
             await until(lambda: not there.sidecar.lives.exchanges)
             assert not there.sidecar._records and not there.sidecar.balancer.requests
--- a/tests/test_rpc_codec.py
+++ b/tests/test_rpc_codec.py
@@ -1,4 +1,4 @@
-"""The codec against `msgpack` itself: the same boundaries for any split, and no errors but its own."""
+"""The codec compared with `msgpack`: the same message boundaries for any split, and no other exceptions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from anisestair.rpc import codec
 from anisestair.rpc.codec import BadMessage, Kind, Message, Reader
 
-# Whatever MessagePack can hold, as bytes: the widths of integers too, which no packer would choose by itself.
+# Encoded MessagePack values of all kinds, including integer widths that a packer would not choose.
 LEAVES = st.one_of(
     st.none().map(msgpack.packb),
     st.booleans().map(msgpack.packb),
@@ -34,7 +34,7 @@
 
 
 def mapping(items: list[tuple[bytes, bytes]]) -> bytes:
-    """Keys may be anything, and repeat."""
+    """An encoded map; its keys may be of any type and repeat."""
     doubled = [*items, *items[:1]]
     return b"\xde" + len(doubled).to_bytes(2, "big") + b"".join(key + value for key, value in doubled)
 
@@ -58,7 +58,7 @@
 )
 
 
-def again(message: Message) -> bytes:
+def encode(message: Message) -> bytes:
     if message.kind is Kind.REQUEST:
         return codec.write_request(message.msgid, message.method, message.params)
     if message.kind is Kind.RESPONSE:
@@ -80,7 +80,7 @@
     stream = b"".join(messages)
     places = sorted({0, len(stream), *(cut % (len(stream) + 1) for cut in cuts)})
     found = read(*(stream[start:end] for start, end in pairwise(places)))
-    assert [again(message) for message in found] == messages
+    assert [encode(message) for message in found] == messages
 
 
 @settings(max_examples=300, deadline=None)
@@ -93,14 +93,14 @@
     while ends[-1] < len(stream):
         unpacker.skip()
         ends.append(unpacker.tell())
-    assert [stream[start:end] for start, end in pairwise(ends)] == [again(item) for item in read(stream)]
+    assert [stream[start:end] for start, end in pairwise(ends)] == [encode(item) for item in read(stream)]
 
 
 def test_byte_by_byte_and_in_the_middle_of_everything() -> None:
     big = codec.write_request(7, b"\xa4sale", array([b"\xc5\x10\x00" + b"x" * 4096, b"\xcf" + b"\xff" * 8]))
     stream = big + codec.write_response(7, b"\xc0", mapping([(b"\x01", b"\xa1\xff")]))
     found = read(*(stream[at : at + 1] for at in range(len(stream))))
-    assert b"".join(map(again, found)) == stream
+    assert b"".join(map(encode, found)) == stream
     assert (found[0].kind, found[0].msgid, found[0].name) == (Kind.REQUEST, 7, b"sale")
 
 
@@ -116,7 +116,7 @@
             reader.feed(part)
     except BadMessage:
         with pytest.raises(BadMessage):
-            reader.feed(b"\x94")  # it stays so
+            reader.feed(b"\x94")  # the error is permanent
 
 
 @settings(max_examples=300, deadline=None)
@@ -128,7 +128,7 @@
         found = read(changed)
     except BadMessage:
         return
-    # The width of a msgid is not kept; all that is passed on stands there as it came, in its order.
+    # The integer width of a msgid is not kept; all forwarded parts occur unchanged and in their order.
     place = 0
     for item in found:
         for piece in (item.method, item.params, item.error, item.result):
@@ -136,7 +136,7 @@
 
 
 def test_a_msgid_of_nothing_may_be_written_wide() -> None:
-    # Found by the property above: the message with a byte changed held such a one.
+    # A case found by the property above.
     (found,) = read(b"\x94\x00\xcc\x00\xd9\x00\xdc\x00\x00")
     assert (found.kind, found.msgid, found.name, found.params) == (Kind.REQUEST, 0, b"", b"\xdc\x00\x00")
 
@@ -151,7 +151,7 @@
         (b"\xc0", "not MessagePack", None),
         (b"\x92\x00\x01", "an array of 2", None),
         (b"\x94\x03\x01\xa1m\x90", "neither 0, 1 nor 2", None),
-        (b"\x94\xc3\x01\xa1m\x90", "neither 0, 1 nor 2", None),  # true equals 1, and is none
+        (b"\x94\xc3\x01\xa1m\x90", "neither 0, 1 nor 2", None),  # True == 1 in Python, but is not an integer
         (b"\x93\x00\x01\xa1m", "3 elements in a request", None),
         (b"\x94\x02\xa1m\x90\x90", "4 elements in a notification", None),
         (b"\x94\x00\xff\xa1m\x90", "msgid", None),
@@ -167,7 +167,7 @@
         (b"\x94\x00\x05\xa1m\xdc\x40\x01" + b"\xc0" * 10, "not MessagePack", 5),
         (b"\x94\x00\x05\xa1m\x91\xdf\xff\xff\xff\xff", "not MessagePack", 5),
         (b"\x94\x00\x05\xa1m\x92" + (b"\xc5\xa0\x00" + b"x" * 40960) * 2, "a message of more than", 5),
-        (b"\x94\x01\x05\xc0" + nested(codec.MAX_DEPTH + 1), "deep", None),  # no one is owed an error
+        (b"\x94\x01\x05\xc0" + nested(codec.MAX_DEPTH + 1), "deep", None),  # a response gets no error
     ],
 )
 def test_a_bound_and_a_form_are_kept(stream: bytes, reason: str, msgid: int | None) -> None:
@@ -176,7 +176,7 @@
     with pytest.raises(BadMessage, match=reason) as fault:
         reader.feed(good + stream)
     assert fault.value.msgid == msgid
-    assert [again(item) for item in reader.take()] == [good], "what was whole before counts"
+    assert [encode(item) for item in reader.take()] == [good], "messages completed before the error are kept"
 
 
 def test_what_is_just_within_the_bounds_is_read() -> None:
@@ -184,7 +184,7 @@
     for params in (nested(codec.MAX_DEPTH), array([b"\xc0"] * codec.MAX_LENGTH), b"\x91" + body):
         stream = codec.write_request(1, b"\xa1m", params)
         assert len(stream) <= codec.MAX_MESSAGE
-        assert again(read(stream)[0]) == stream
+        assert encode(read(stream)[0]) == stream
 
 
 def test_half_a_message_is_known_as_one() -> None:
