--- a/anisestair/http/codec.py
+++ b/anisestair/http/codec.py
@@ -1,7 +1,7 @@
-"""What the three sides share of HTTP/1.1: messages read with httptools, messages written as bytes. No I/O.
+"""HTTP/1.1 codec of clients, upstreams and discovery: parses with httptools, encodes to bytes. No I/O.
 
-A message that is whole within a bound is handed over whole. A longer one, where the reader has a budget for
-such, is handed over as it begins, with a `Body` to which the rest goes as it comes.
+A message whose body fits within a limit is returned complete. If the reader has a buffer budget, a longer
+message is returned once its head is read, with a `Body` that receives the rest as a stream.
 """
 
 from __future__ import annotations
@@ -17,36 +17,35 @@
 from anisestair.flow.budget import READ_BYTES, Body, Budget
 
 MAX_BODY = 64 * 1024
-# Bytes of a message that are not its body, as they come: head, chunk sizes with what is added to them,
-# trailers, all interim answers. The parser gathers a header without end and tells of it only at that end.
+# Limit on the received bytes of a message outside its body: head, chunk sizes and extensions, trailers, all
+# interim responses. The parser buffers a header of any length and reports it only when it ends.
 MAX_HEAD = 16 * 1024
-# And so many of them for each byte of a body: a chunk of one byte has a line for its size, and one at its
-# end.
-FRAMING_A_BYTE = 8
-SLICE = 4 * 1024  # so much is parsed between two looks at that bound, which is kept to within this
+# Bytes added to that limit for each body byte: a one-byte chunk carries a size line and a line end.
+FRAMING_BYTES_PER_BODY_BYTE = 8
+SLICE = 4 * 1024  # bytes parsed between two checks of that limit, which may be exceeded by up to this
 
 Headers = list[tuple[bytes, bytes]]  # names in lower case
 
-# Meant for one connection only (RFC 9110, 7.6.1), or written anew for the next one.
+# Valid for a single connection (RFC 9110, 7.6.1), or generated anew for the next one.
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade"
     b" content-length expect".split()
 )
 
 
-# What the receiver needs, however a sender's Connection header is worded: with these dropped, a request would
-# run under no id, and a repeat without the key that keeps it from running twice.
-NEEDED = frozenset({b"x-correlation-id", b"idempotency-key"})
+# Forwarded even if the sender's Connection header lists them: without these a request would run without an
+# id, and a retry without the key that prevents it from running twice.
+ALWAYS_FORWARDED = frozenset({b"x-correlation-id", b"idempotency-key"})
 
 
-# What says where a message ends; looked for in one pass, as every message has its headers read.
-FRAMING = frozenset({b"content-length", b"transfer-encoding", b"expect"})
+# Headers that determine where a message ends; collected in a single pass, since this runs for every message.
+FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"expect"})
 
 STATUS_LINES = {item.value: b"HTTP/1.1 %d %s" % (item.value, item.phrase.encode()) for item in HTTPStatus}
 
 
 class BadMessage(Exception):
-    """The other side sent what cannot be read; ``status`` is what a server answers it with."""
+    """The peer sent a message that cannot be parsed; ``status`` is for the server's response."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status.phrase)
@@ -55,7 +54,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request (method, target) or an answer (status), read whole."""
+    """A parsed request (method, target) or response (status), with its body or a stream of it."""
 
     method: bytes = b""
     target: bytes = b""
@@ -63,9 +62,9 @@
     headers: Headers = field(default_factory=list)
     body: bytes = b""
     keep_alive: bool = True
-    stream: Body | None = None  # instead of a body, where that is long
-    old: bool = False  # HTTP/1.0: it knows no chunks
-    hold: object = None  # what its reader keeps for as long as it is in hand
+    stream: Body | None = None  # used in place of ``body`` when that is long
+    old: bool = False  # HTTP/1.0, which has no chunked encoding
+    hold: object = None  # a resource that the receiver keeps while it handles the message
 
     def get(self, name: bytes) -> str | None:
         """The value of the first header of that name (in lower case)."""
@@ -79,12 +78,12 @@
         dropped = HOP_BY_HOP
         for key, value in self.headers:
             if key == b"connection":
-                dropped |= {token.strip().lower() for token in value.split(b",")} - NEEDED
+                dropped |= {token.strip().lower() for token in value.split(b",")} - ALWAYS_FORWARDED
         return [item for item in self.headers if item[0] not in dropped]
 
 
 class Reader:
-    """Collects the messages of one direction of a connection; ``take`` hands over those that are whole."""
+    """Parses one direction of a connection; ``take`` returns the messages that are complete."""
 
     def __init__(
         self,
@@ -94,51 +93,51 @@
     ) -> None:
         self._parser = parser(self)
         self.max_body, self.max_head, self._budget = max_body, MAX_HEAD, budget
-        self.stream: Body | None = None  # the rest of the message being read goes there
-        self._carried = 0  # bytes of its body so far
-        self._length: int | None = None  # of the body being read, where that is told
-        self.keeps = True  # the last message that ended lets the connection go on
-        self._whole: list[Message] = []
+        self.stream: Body | None = None  # receives the rest of the message being read
+        self._carried = 0  # body bytes of the message being read, so far
+        self._length: int | None = None  # declared length of the body being read
+        self.keeps = True  # the last complete message allows the connection to be reused
+        self._complete: list[Message] = []
         self._message = Message()
         self._body = bytearray()
-        self._spent = 0  # bytes of this message so far, less its body
+        self._overhead_bytes = 0  # bytes of the message being read outside its body, so far
         self._in_head = True
-        self._fault = HTTPStatus.BAD_REQUEST
-        self.expects_continue = False  # the other side waits for a go-ahead before it sends its body
-        self.until_eof = False  # the answer being read has no length and ends with the connection
-        self.partial = False  # part of a message has come, or something that can't be the start of one
+        self._error_status = HTTPStatus.BAD_REQUEST
+        self.expects_continue = False  # the client waits for 100 Continue before it sends the body
+        self.until_eof = False  # the response being read has no length and ends with the connection
+        self.partial = False  # part of a message has been read, or bytes that cannot start one
 
     def feed(self, data: bytes) -> None:
-        """What is whole before a BadMessage can be taken all the same."""
+        """Parse received bytes. Messages completed before a BadMessage can still be taken."""
         step = SLICE if self.stream is None else max(len(data), 1)
         for start in range(0, len(data), step):
             part = data[start : start + step]
-            self._spent += len(part)
+            self._overhead_bytes += len(part)
             try:
                 self._parser.feed_data(part)
             except (httptools.HttpParserError, httptools.HttpParserUpgrade):
                 self.partial = True
-                raise BadMessage(self._fault) from None
-            if self._spent > self.max_head + FRAMING_A_BYTE * self._carried:
+                raise BadMessage(self._error_status) from None
+            if self._overhead_bytes > self.max_head + FRAMING_BYTES_PER_BODY_BYTE * self._carried:
                 raise BadMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def take(self) -> list[Message]:
-        whole, self._whole = self._whole, []
+        whole, self._complete = self._complete, []
         return whole
 
     def end(self) -> None:
-        """The connection ended; an answer that was to end with it is whole now."""
+        """Handle the end of the connection, which completes a response without a length."""
         if self.until_eof:
             self.on_message_complete()
         elif self.stream is not None:
             self.stream.cut()
 
     def close(self) -> None:
-        """Nothing more is read. The parser holds this object's methods: the two would wait for the collector
-        of cycles, and in the meantime thousands of dead connections' memory cannot be used again."""
+        """Release the parser. It references this object's methods: the cycle would stay until the garbage
+        collector runs, and the memory of thousands of closed connections could not be reused until then."""
         del self._parser
 
-    # Called by httptools; whatever is raised in here reaches feed() as an HttpParserError.
+    # Callbacks of httptools; an exception raised in one reaches feed() as an HttpParserError.
 
     def on_message_begin(self) -> None:
         self._in_head, self._carried, self.partial = True, 0, True
@@ -147,19 +146,19 @@
         self._message.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._in_head:  # a trailer must not pass for a header (RFC 9110, 6.5.1)
-            # The parser leaves white space behind a value, which is no part of it (RFC 9112, 5).
+        if self._in_head:  # trailers must not be merged into the headers (RFC 9110, 6.5.1)
+            # The parser keeps trailing white space, which is not part of the value (RFC 9112, 5).
             self._message.headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
         self._in_head = False
         message, framing = self._message, dict[bytes, bytes]()
         for key, value in message.headers:
-            if key in FRAMING:
+            if key in FRAMING_HEADERS:
                 framing.setdefault(key, value)
         length = framing.get(b"content-length")
         if length is not None and b"transfer-encoding" in framing:
-            self._refuse(HTTPStatus.BAD_REQUEST)  # the two may hide another message in the body
+            self._refuse(HTTPStatus.BAD_REQUEST)  # both together allow request smuggling
         self._length = int(length) if length is not None else None
         if self._length is not None and self._length > self.max_body and self._budget is None:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -177,21 +176,21 @@
 
     @property
     def in_body(self) -> bool:
-        """Part of a message has come, and its head is whole: how the rest comes is its sender's pace."""
+        """Whether the head of the message being read is complete, so that its sender sets the pace."""
         return self.partial and not self._in_head
 
     @property
     def open_ended(self) -> bool:
-        """The body being read has no known length, and its message has not begun."""
+        """Whether the body being read has no known length and its message is not being streamed yet."""
         return self.in_body and self.stream is None and self._length is None
 
     @property
     def carried(self) -> int:
-        """Bytes of the body being read that have come."""
+        """Received bytes of the body being read."""
         return self._carried
 
     def begin(self) -> None:
-        """Hand over the message being read as it is, whatever of it has come; its head is whole."""
+        """Stream the message being read, if its head is complete, instead of waiting for its end."""
         if self.stream is not None or not self.in_body or self._budget is None:
             return
         if not self._budget.admits():
@@ -203,13 +202,13 @@
             self._body = bytearray()
         self._message.stream = self.stream
         self._message.keep_alive = self._parser.should_keep_alive() and not self.until_eof
-        self._whole.append(self._message)
+        self._complete.append(self._message)
 
     def on_body(self, part: bytes) -> None:
-        self._spent -= len(part)
+        self._overhead_bytes -= len(part)
         self._carried += len(part)
-        # One that will be too long begins with its first bytes: until then another attempt can take its
-        # place.
+        # A body known to be too long is streamed from its first byte on: until then, another attempt can
+        # replace this one.
         if self.stream is None and (self._carried > self.max_body or (self._length or 0) > self.max_body):
             if self._budget is None:
                 self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -221,27 +220,27 @@
 
     def on_message_complete(self) -> None:
         message, stream = self._message, self.stream
-        # A long one is not copied once more: nothing is added to it after this.
+        # A long body is not copied again: nothing is appended to it after this.
         message.body = bytes(self._body) if len(self._body) <= MAX_BODY else cast(bytes, self._body)
-        self._message, self._body = Message(), bytearray()  # an idle connection holds nothing of the last one
+        self._message, self._body = Message(), bytearray()  # an idle connection keeps no data
         message.keep_alive = self._parser.should_keep_alive() and not self.until_eof
         self.expects_continue = self.until_eof = self.partial = False
         self.keeps = message.keep_alive
         if stream is not None:
-            self.stream, self._spent = None, 0
+            self.stream, self._overhead_bytes = None, 0
             stream.end()
-        elif message.method or message.status >= 200:  # an interim answer announces the real one
-            self._whole.append(message)
-            self._spent = 0
+        elif message.method or message.status >= 200:  # interim responses (1xx) are dropped
+            self._complete.append(message)
+            self._overhead_bytes = 0
 
     def _refuse(self, status: HTTPStatus) -> None:
-        self._fault = status
+        self._error_status = status
         raise BadMessage(status)
 
 
 class Buffered(asyncio.BufferedProtocol):
-    """A connection that reads no more at a time than a budget counts on. What a read brings is copied out of
-    the one buffer at once."""
+    """A connection that reads at most READ_BYTES at a time, as the budget assumes. All connections share one
+    buffer, from which each read is copied at once."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return _READ
@@ -265,7 +264,7 @@
 
 
 def stream_framing(length: int | None) -> tuple[bytes, bytes]:
-    """The header that says where a body ends which is not here whole."""
+    """The header that delimits a streamed body."""
     if length is None:
         return b"transfer-encoding", b"chunked"
     return b"content-length", b"%d" % length
@@ -281,15 +280,15 @@
 def write_request(
     method: bytes, target: bytes, headers: Headers, body: bytes | bytearray | Body = b""
 ) -> bytes:
-    """The whole request, or its head where the body is a stream."""
+    """Encode the complete request, or only its head if the body is a stream."""
     if isinstance(body, Body):
         return _write(b"%s %s HTTP/1.1" % (method, target), [*headers, stream_framing(body.length)], b"")
     return request_head(method, target, headers, len(body)) + body
 
 
 def request_head(method: bytes, target: bytes, headers: Headers, length: int) -> bytes:
-    """Of a request whose body has so many bytes."""
-    # A GET without a body says nothing of a length; every other method has to (RFC 9110, 8.6).
+    """Encode the head of a request with a body of ``length`` bytes."""
+    # A GET without a body has no Content-Length; other methods send it (RFC 9110, 8.6).
     framing = [(b"content-length", b"%d" % length)] if length or method != b"GET" else []
     return _write(b"%s %s HTTP/1.1" % (method, target), [*headers, *framing], b"")
 
@@ -297,8 +296,8 @@
 def write_response(
     status: int, headers: Headers, body: bytes | bytearray | Body, close: bool, chunks: bool = True
 ) -> bytes:
-    """The whole answer, or its head where the body is a stream. Without chunks a stream of no known length
-    ends with its connection."""
+    """Encode the complete response, or only its head if the body is a stream. Without ``chunks``, a stream of
+    unknown length ends with the connection."""
     if not isinstance(body, Body):
         framing, body = [(b"content-length", b"%d" % len(body))], body
     else:
--- a/mesh/data_plane/client_connection.py
+++ b/mesh/data_plane/client_connection.py
@@ -42,7 +42,11 @@
 
     def feed(self, data: bytes) -> None:
         super().feed(data)
-        if self._in_head and self._spent > http.SLICE and not self._head.grow(self._spent - self._head.size):
+        if (
+            self._in_head
+            and self._overhead_bytes > http.SLICE
+            and not self._head.grow(self._overhead_bytes - self._head.size)
+        ):
             raise http.BadMessage(HTTPStatus.SERVICE_UNAVAILABLE)
 
     def on_message_begin(self) -> None:
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -90,10 +90,10 @@
 
     def on_message_complete(self) -> None:
         """Stores the reservation with its response."""
-        before = len(self._whole)
+        before = len(self._complete)
         super().on_message_complete()
         self._body = bytearray()
-        if len(self._whole) > before:
+        if len(self._complete) > before:
             self._complete_reservations.append(self._reservation)
             self._reservation = Reservation(self._memory)
 
--- a/rigs/mesh_peers/messages.py
+++ b/rigs/mesh_peers/messages.py
@@ -13,8 +13,8 @@
 async def read_message(reader: http.Reader, stream: asyncio.StreamReader) -> http.Message | None:
     """The next message of a connection; None at its end, or where it breaks."""
     while True:
-        if reader._whole:
-            return reader._whole.pop(0)
+        if reader._complete:
+            return reader._complete.pop(0)
         try:
             data = await stream.read(65536)
         except ConnectionError:
@@ -23,4 +23,4 @@
             reader.feed(data)
         else:
             reader.end()
-            return reader._whole.pop(0) if reader._whole else None
+            return reader._complete.pop(0) if reader._complete else None
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -38,14 +38,14 @@
 async def read_message(reader: http.Reader, stream: asyncio.StreamReader) -> http.Message | None:
     """The next message of a connection; None at its end."""
     while True:
-        if reader._whole:
-            return reader._whole.pop(0)
+        if reader._complete:
+            return reader._complete.pop(0)
         data = await stream.read(65536)
         if data:
             reader.feed(data)
         else:
             reader.end()
-            return reader._whole.pop(0) if reader._whole else None
+            return reader._complete.pop(0) if reader._complete else None
 
 
 class Peer:
