--- a/anisestair/http/codec.py
+++ b/anisestair/http/codec.py
@@ -63,7 +63,7 @@
     body: bytes = b""
     keep_alive: bool = True
     stream: Body | None = None  # used in place of ``body`` when that is long
-    old: bool = False  # HTTP/1.0, which has no chunked encoding
+    http_1_0: bool = False  # HTTP/1.0, which has no chunked encoding
     hold: object = None  # a resource that the receiver keeps while it handles the message
 
     def get(self, name: bytes) -> str | None:
@@ -96,7 +96,7 @@
         self.stream: Body | None = None  # receives the rest of the message being read
         self._carried = 0  # body bytes of the message being read, so far
         self._length: int | None = None  # declared length of the body being read
-        self.keeps = True  # the last complete message allows the connection to be reused
+        self.keep_alive = True  # the last complete message allows the connection to be reused
         self._complete: list[Message] = []
         self._message = Message()
         self._body = bytearray()
@@ -162,7 +162,7 @@
         self._length = int(length) if length is not None else None
         if self._length is not None and self._length > self.max_body and self._budget is None:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        message.old = self._parser.get_http_version() == "1.0"
+        message.http_1_0 = self._parser.get_http_version() == "1.0"
         if isinstance(self._parser, httptools.HttpRequestParser):
             message.method = self._parser.get_method()
             self.expects_continue = framing.get(b"expect", b"").lower() == b"100-continue"
@@ -225,7 +225,7 @@
         self._message, self._body = Message(), bytearray()  # an idle connection keeps no data
         message.keep_alive = self._parser.should_keep_alive() and not self.until_eof
         self.expects_continue = self.until_eof = self.partial = False
-        self.keeps = message.keep_alive
+        self.keep_alive = message.keep_alive
         if stream is not None:
             self.stream, self._overhead_bytes = None, 0
             stream.end()
--- a/anisestair/http/frontend.py
+++ b/anisestair/http/frontend.py
@@ -324,8 +324,8 @@
         # At an end, what was read together with this request is answered first.
         close = not message.keep_alive or (self.frontend.closing and not (self.waiting or self.unread))
         if isinstance(body, Body):
-            self.chunks = body.length is None and not message.old
-            self.closes = close or body.length is None and message.old
+            self.chunks = body.length is None and not message.http_1_0
+            self.closes = close or body.length is None and message.http_1_0
             self.passing = body
             self.transport.set_write_buffer_limits(high=self.frontend.sidecar.budget.high_water_mark())
             self.transport.write(http.write_response(status, headers, body, self.closes, self.chunks))
--- a/anisestair/http/upstream.py
+++ b/anisestair/http/upstream.py
@@ -52,7 +52,7 @@
     return Outcome.ERROR
 
 
-class IdleLife:
+class IdleLimit:
     """How long a connection may stand idle and be used again, learnt from how requests on kept ones ended.
 
     It covers peers that let go sooner than they announce, and what lies between them and this, where no end
@@ -92,11 +92,11 @@
         self.bound = min((LIFE_LEAST_S * LIFE_STEP ** (step - 1) for step in out), default=self._longest)
 
 
-class Line(asyncio.BaseProtocol):
+class UpstreamConnection(asyncio.BaseProtocol):
     """A connection of any protocol. Where it is in its life is the machine's to know."""
 
-    def __init__(self, wires: Wires, number: int) -> None:
-        self.wires, self.number = wires, number
+    def __init__(self, pool: ConnectionPool, number: int) -> None:
+        self.pool, self.number = pool, number
         self.transport: asyncio.Transport | None = None
         self.deadline: asyncio.TimerHandle | None = None  # for coming up
         self.idle_since: float | None = None  # on the loop's clock; None before its first rest
@@ -109,7 +109,7 @@
         self.transport.set_write_buffer_limits(high=0)
         self.poll = select.poll()
         self.poll.register(transport.get_extra_info("socket").fileno(), watched)
-        self.wires.up(self)
+        self.pool.up(self)
 
     def wait(self, deadline: asyncio.TimerHandle | None) -> None:
         if self.deadline is not None:
@@ -122,27 +122,27 @@
         return not self.transport.is_closing() and not self.poll.poll(0)
 
     def rest(self) -> None:
-        self.idle_since = self.wires.loop.time()
-        self.wires.resting(self)
+        self.idle_since = self.pool.loop.time()
+        self.pool.mark_idle(self)
 
     def close(self) -> None:
         self.wait(None)
-        self.wires.resting_no_more(self)
+        self.pool.mark_in_use(self)
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.wait(None)
-        self.wires.lost(self.number)
+        self.pool.lost(self.number)
 
 
-class Connection(Line, http.Buffered):
+class HttpConnection(UpstreamConnection, http.Buffered):
     """HTTP/1.1: one call at a time."""
 
-    def __init__(self, wires: Wires, number: int) -> None:
-        super().__init__(wires, number)
+    def __init__(self, pool: ConnectionPool, number: int) -> None:
+        super().__init__(pool, number)
         self.call: Call | None = None  # what the next whole answer is to
-        self.reader = http.response_reader(budget=wires.budget)
+        self.reader = http.response_reader(budget=pool.budget)
         self.sending: Body | None = None  # the rest of a request's body, as it comes
         self.passing: Body | None = None  # the rest of an answer, as it goes on
         self.choked = self.uploaded = False
@@ -159,7 +159,7 @@
     def pause_writing(self) -> None:
         self.choked = True
         if self.sending is None:
-            self.wires.feed(ev.Held(self.number, 1))
+            self.pool.feed(ev.Held(self.number, 1))
 
     def resume_writing(self) -> None:
         self.choked = False
@@ -172,21 +172,21 @@
         """The last byte of the request has gone."""
         if self.call is not None and self.uploaded:
             self.uploaded = False
-            self.wires.left(self.call)
-        self.wires.feed(ev.Held(self.number, 0))
+            self.pool.left(self.call)
+        self.pool.feed(ev.Held(self.number, 0))
 
     def write(self, call: Call, payload: bytes, body: Body | None = None) -> None:
         assert self.transport is not None
-        self.wires.resting_no_more(self)
+        self.pool.mark_in_use(self)
         self.call = call
-        self.idled = 0.0 if self.idle_since is None else self.wires.loop.time() - self.idle_since
+        self.idled = 0.0 if self.idle_since is None else self.pool.loop.time() - self.idle_since
         self.learnt = False
         if body is not None:
             self._send(payload, body)
             return
         self.transport.write(payload)
         if self.transport.is_closing():  # the write itself failed: nothing has left
-            self.wires.feed(ev.Held(self.number, 1))
+            self.pool.feed(ev.Held(self.number, 1))
 
     # A request whose body goes on as it comes
 
@@ -194,8 +194,8 @@
         """It counts as being written until its last byte has gone: an upstream does not begin before that."""
         assert self.transport is not None
         self.sending, self.uploaded = body, True
-        self.transport.set_write_buffer_limits(high=self.wires.budget.high_water_mark())
-        self.wires.feed(ev.Held(self.number, 1))
+        self.transport.set_write_buffer_limits(high=self.pool.budget.high_water_mark())
+        self.pool.feed(ev.Held(self.number, 1))
         self.transport.write(head)
         body.attach(self)
 
@@ -220,7 +220,10 @@
     def usable(self) -> bool:
         """Nothing may have come in while it stood idle. The kernel is asked, since an end that this loop has
         not read yet would turn the next request into one that may have run."""
-        if self.idle_since is not None and self.wires.loop.time() - self.idle_since > self.wires.life.bound:
+        if (
+            self.idle_since is not None
+            and self.pool.loop.time() - self.idle_since > self.pool.idle_limit.bound
+        ):
             return False
         return super().usable()
 
@@ -228,7 +231,7 @@
         """Once for each request: whether the connection still carried it."""
         if not self.learnt:
             self.learnt = True
-            self.wires.life.learn(self.idled, broke, self.wires.loop.time())
+            self.pool.idle_limit.learn(self.idled, broke, self.pool.loop.time())
 
     def rest(self) -> None:
         self.call = None
@@ -253,15 +256,15 @@
 
     def data_received(self, data: bytes) -> None:
         if self.call is None:  # nothing was asked: it is nobody's answer
-            self.wires.feed(ev.Spoilt(self.number))
+            self.pool.feed(ev.Spoilt(self.number))
             return
         self.learn(broke=False)
-        self.moved = self.wires.loop.time()
+        self.moved = self.pool.loop.time()
         try:
             self.reader.feed(data)
         except http.BadMessage:
             if not self.answered():
-                self.wires.feed(ev.Spoilt(self.number))
+                self.pool.feed(ev.Spoilt(self.number))
         else:
             self.answered()
         if self.passing is not None and self.passing.full and self.transport is not None:
@@ -280,14 +283,14 @@
         if outcome_of(answer) is not Outcome.OK:  # its status has said all
             call, self.call = self.call, None
             answer.stream.drop()
-            self.wires.answered(self.number, call, answer, outcome_of(answer), False)
+            self.pool.answered(self.number, call, answer, outcome_of(answer), False)
             return
         self.passing = body = answer.stream
         body.resume = self._go_on
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.wires.loop.call_later(STILL_S, self._look)
-        self.wires.begun(self.number, self.call, answer)
+        self.timer = self.pool.loop.call_later(STILL_S, self._look)
+        self.pool.begun(self.number, self.call, answer)
 
     def _go_on(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -299,12 +302,12 @@
         if body is None:
             return
         if body.full:
-            self.moved = self.wires.loop.time()
-        still = self.wires.loop.time() - self.moved
+            self.moved = self.pool.loop.time()
+        still = self.pool.loop.time() - self.moved
         if still >= STILL_S:
-            self.wires.feed(ev.Spoilt(self.number))
+            self.pool.feed(ev.Spoilt(self.number))
         else:
-            self.timer = self.wires.loop.call_later(STILL_S - still, self._look)
+            self.timer = self.pool.loop.call_later(STILL_S - still, self._look)
 
     def _hold_back_no_longer(self) -> None:
         self.timer = None
@@ -312,7 +315,7 @@
             try:
                 self.reader.begin()
             except http.BadMessage:
-                self.wires.feed(ev.Spoilt(self.number))
+                self.pool.feed(ev.Spoilt(self.number))
             else:
                 self.answered()
 
@@ -324,7 +327,7 @@
             return self._passed(answers)
         if not answers or self.call is None:
             if self.call is not None and self.timer is None and self.reader.open_ended:
-                self.timer = self.wires.loop.call_later(HELD_BACK_S, self._hold_back_no_longer)
+                self.timer = self.pool.loop.call_later(HELD_BACK_S, self._hold_back_no_longer)
             return bool(answers)
         if answers[0].stream is not None:
             self._begin(answers[0])
@@ -334,7 +337,7 @@
             self.timer = None
         call, self.call = self.call, None
         clean = len(answers) == 1 and not self.reader.partial and answers[0].keep_alive
-        self.wires.answered(self.number, call, answers[0], outcome_of(answers[0]), clean)
+        self.pool.answered(self.number, call, answers[0], outcome_of(answers[0]), clean)
         return True
 
     def _passed(self, behind: list[http.Message]) -> bool:
@@ -348,8 +351,8 @@
             self.timer.cancel()
             self.timer = None
         if call is not None:
-            clean = not (behind or self.reader.partial) and self.reader.keeps
-            self.wires.feed(ev.Answered(self.number, call, Outcome.OK, clean))
+            clean = not (behind or self.reader.partial) and self.reader.keep_alive
+            self.pool.feed(ev.Answered(self.number, call, Outcome.OK, clean))
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -359,7 +362,7 @@
         super().connection_lost(exc)
 
 
-class Wires:
+class ConnectionPool:
     """The sockets of all connections to upstreams, by the numbers that the machine gives them.
 
     ``feed`` takes what happens on them; ``arrived`` an answer, just before the event that tells of it.
@@ -378,8 +381,8 @@
         self.loop = asyncio.get_running_loop()
         self.feed, self._arrived, self.left, self.budget = feed, arrived, left, budget
         self.retune(limits)
-        self._connections: dict[int, Line] = {}
-        self._resting: dict[int, Line] = {}
+        self._connections: dict[int, UpstreamConnection] = {}
+        self._resting: dict[int, UpstreamConnection] = {}
         self._sweeper: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -389,12 +392,12 @@
         self._connect_timeout = limits.connect_timeout_ms / 1000.0
         if limits.idle_ms != self._idle_ms:
             self._idle_ms = limits.idle_ms
-            self.life = IdleLife(max(limits.idle_ms - IDLE_MARGIN_MS, limits.idle_ms / 2.0) / 1000.0)
+            self.idle_limit = IdleLimit(max(limits.idle_ms - IDLE_MARGIN_MS, limits.idle_ms / 2.0) / 1000.0)
 
-    def __getitem__(self, number: int) -> Line:
+    def __getitem__(self, number: int) -> UpstreamConnection:
         return self._connections[number]
 
-    def open(self, line: Line, address: Address) -> None:
+    def open(self, line: UpstreamConnection, address: Address) -> None:
         self._connections[line.number] = connection = line
         task = self.loop.create_task(self._open(connection, address))
         self._tasks.add(task)
@@ -403,7 +406,7 @@
         # connection that already carries a request, or leave one behind that nobody holds.
         connection.wait(self.loop.call_later(self._connect_timeout, self._not_up, connection, False, task))
 
-    async def _open(self, connection: Line, address: Address) -> None:
+    async def _open(self, connection: UpstreamConnection, address: Address) -> None:
         short = False
         try:
             await self.loop.create_connection(lambda: connection, *address)
@@ -414,7 +417,9 @@
             pass
         self._not_up(connection, short)
 
-    def _not_up(self, connection: Line, short: bool, task: asyncio.Task[None] | None = None) -> None:
+    def _not_up(
+        self, connection: UpstreamConnection, short: bool, task: asyncio.Task[None] | None = None
+    ) -> None:
         """It is given up here and now. The task hears of its end only in a later turn, after what may have
         come in this one: a connection that came up there would carry a request, and be closed under it
         without a word to anybody. A loop that had stood still for longer than the time-out met both at
@@ -425,26 +430,26 @@
             connection.wait(None)
             self.feed(ev.NotUp(connection.number, short))
 
-    def up(self, connection: Line) -> None:
+    def up(self, connection: UpstreamConnection) -> None:
         if connection.number in self._connections:
             self.feed(ev.Up(connection.number))
         else:  # given up in the very turn in which it came up
             connection.close()
 
-    def resting(self, connection: Line) -> None:
+    def mark_idle(self, connection: UpstreamConnection) -> None:
         """One timer for all that rest: they come and go with every request."""
         self._resting[connection.number] = connection
         if self._sweeper is None:
-            self._sweeper = self.loop.call_later(self.life.bound, self._sweep)
+            self._sweeper = self.loop.call_later(self.idle_limit.bound, self._sweep)
 
-    def resting_no_more(self, connection: Line) -> None:
+    def mark_in_use(self, connection: UpstreamConnection) -> None:
         self._resting.pop(connection.number, None)
 
     def _sweep(self) -> None:
         """End those that have rested for as long as one may; they lie in the order in which they began to."""
         self._sweeper, now = None, self.loop.time()
         for connection in list(self._resting.values()):
-            due = (connection.idle_since or 0.0) + self.life.bound
+            due = (connection.idle_since or 0.0) + self.idle_limit.bound
             if due > now:
                 self._sweeper = self.loop.call_at(due, self._sweep)
                 return
--- a/anisestair/rpc/frontend.py
+++ b/anisestair/rpc/frontend.py
@@ -11,7 +11,7 @@
 from typing import Any, cast
 
 from anisestair.endpoints import address
-from anisestair.http.upstream import Line, Wires
+from anisestair.http.upstream import ConnectionPool, UpstreamConnection
 from anisestair.lifecycle.connection import Call
 from anisestair.lifecycle.exchange import Final
 from anisestair.rpc import codec, meaning
@@ -40,8 +40,10 @@
     def __init__(self, meaning: Meaning, calls: int) -> None:
         self._meaning, self.calls = meaning, calls
 
-    def connection(self, wires: Wires, number: int, carried: Callable[[int], tuple[Call, ...]]) -> Line:
-        return RpcConnection(wires, number, self._meaning, carried)
+    def connection(
+        self, pool: ConnectionPool, number: int, carried: Callable[[int], tuple[Call, ...]]
+    ) -> UpstreamConnection:
+        return RpcConnection(pool, number, self._meaning, carried)
 
 
 class RpcAsk:
--- a/anisestair/rpc/upstream.py
+++ b/anisestair/rpc/upstream.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from anisestair.http.upstream import Line, Wires
+from anisestair.http.upstream import ConnectionPool, UpstreamConnection
 from anisestair.lifecycle import events as ev
 from anisestair.lifecycle.connection import Call
 from anisestair.rpc import codec
@@ -20,13 +20,13 @@
 MAX_STRAYS = 16  # responses with an unknown msgid on one connection; beyond this it counts as out of step
 
 
-class RpcConnection(Line, asyncio.Protocol):
+class RpcConnection(UpstreamConnection, asyncio.Protocol):
     """``carried`` returns the calls that the state machine still holds on the connection of that number."""
 
     def __init__(
-        self, wires: Wires, number: int, meaning: Meaning, carried: Callable[[int], tuple[Call, ...]]
+        self, pool: ConnectionPool, number: int, meaning: Meaning, carried: Callable[[int], tuple[Call, ...]]
     ) -> None:
-        super().__init__(wires, number)
+        super().__init__(pool, number)
         self._meaning, self._carried = meaning, carried
         self.reader = codec.Reader()
         self._next_msgid = 0
@@ -55,7 +55,7 @@
         """Reports how many calls have unsent bytes: those queued, and the one that is partly buffered."""
         calls = self._carried(self.number)
         unsent = sum(call in calls for call, _ in self._queue)
-        self.wires.feed(ev.Held(self.number, unsent + (self._paused and self._last_written in calls)))
+        self.pool.feed(ev.Held(self.number, unsent + (self._paused and self._last_written in calls)))
 
     def _write_queued(self) -> None:
         assert self.transport is not None
@@ -91,7 +91,7 @@
         for message in self.reader.take():
             self._on_message(message)
         if fault or self._strays > MAX_STRAYS:
-            self.wires.feed(ev.Spoilt(self.number))
+            self.pool.feed(ev.Spoilt(self.number))
 
     def _on_message(self, message: codec.Message) -> None:
         call = self._unanswered.pop(message.msgid, None) if message.kind is Kind.RESPONSE else None
@@ -100,4 +100,4 @@
             # before the counter wraps, so it belongs to no other call.
             self._strays += 1
             return
-        self.wires.answered(self.number, call, message, self._meaning.outcome(message.error), True)
+        self.pool.answered(self.number, call, message, self._meaning.outcome(message.error), True)
--- a/anisestair/sidecar.py
+++ b/anisestair/sidecar.py
@@ -18,7 +18,7 @@
 from anisestair.endpoints import Address, EndpointList
 from anisestair.flow.budget import Body, Budget
 from anisestair.http import codec as http
-from anisestair.http.upstream import Connection, Line, Wires
+from anisestair.http.upstream import ConnectionPool, HttpConnection, UpstreamConnection
 from anisestair.lifecycle import Lives
 from anisestair.lifecycle import events as ev
 from anisestair.lifecycle.connection import Call
@@ -97,7 +97,9 @@
     lane: str
     calls: int  # at once on one connection to an upstream
 
-    def connection(self, wires: Wires, number: int, carried: Callable[[int], tuple[Call, ...]]) -> Line:
+    def connection(
+        self, pool: ConnectionPool, number: int, carried: Callable[[int], tuple[Call, ...]]
+    ) -> UpstreamConnection:
         """A connection that has not been opened yet; ``carried`` gives the calls the machine holds on it."""
 
 
@@ -156,7 +158,9 @@
         self._grace: asyncio.TimerHandle | None = None
         self.lives = Lives(most_upstream, config.settings.limits.max_attempts)
         self.budget = Budget(config.memory_mb)
-        self.wires = Wires(config.settings.limits, self.feed, self._arrived, self._left_whole, self.budget)
+        self.pool = ConnectionPool(
+            config.settings.limits, self.feed, self._arrived, self._left_whole, self.budget
+        )
         self.discovery = Discovery(config.discovery, config.known.seq, offset_ms, self.listed)
         self._records: dict[str, Record] = {}
         self._addresses: dict[str, Address] = {}
@@ -190,7 +194,7 @@
             self.finals.setdefault(name, [0, 0, 0])
         # A bound on any request: open ones have as many as when they were taken.
         self.lives.max_attempts = max(self.lives.max_attempts, settings.limits.max_attempts)
-        self.wires.retune(settings.limits)
+        self.pool.retune(settings.limits)
         self._late_ms = LATE_AIMS * min(item.aim_ms for item in settings.classes)
         self.handle(api.Retune(retune.between(settings, self.former)))
         self._grace = self.loop.call_later(GRACE_S, self._new_forms_only)
@@ -211,7 +215,7 @@
         """End, with an answer to whatever is still owed one."""
         self.feed(ev.End())
         await self.discovery.close()
-        self.wires.close()
+        self.pool.close()
 
     # The application and discovery
 
@@ -403,21 +407,21 @@
         del self._records[request]
 
     def _open(self, connection: int, server: str) -> None:
-        line: Line
+        line: UpstreamConnection
         if self._storms is not None:
             self._storms.opened(self.now())
         if self._rpc is not None and self._rpc_name(server):
-            line = self._rpc.connection(self.wires, connection, self._carried)
+            line = self._rpc.connection(self.pool, connection, self._carried)
         else:
-            line = Connection(self.wires, connection)
-        self.wires.open(line, self._addresses[server])
+            line = HttpConnection(self.pool, connection)
+        self.pool.open(line, self._addresses[server])
 
     def _carried(self, connection: int) -> tuple[Call, ...]:
         found = self.lives.connections.get(connection)
         return found.calls if found is not None else ()
 
     def _write(self, connection: int, call: Call, kept: bool) -> None:
-        wire = self.wires[connection]
+        wire = self.pool[connection]
         if kept and not wire.usable():
             self.feed(ev.Unusable(connection, call))
             return
@@ -441,10 +445,10 @@
             record.guard = self.loop.call_at(record.deadline / 1000.0, self._overdue, call[0])
 
     def _rest(self, connection: int) -> None:
-        self.wires[connection].rest()
+        self.pool[connection].rest()
 
     def _close(self, connection: int) -> None:
-        self.wires[connection].close()
+        self.pool[connection].close()
 
     def _arrived(self, call: Call, answer: Any) -> None:
         if call[0] in self._records:
--- a/tests/test_connects.py
+++ b/tests/test_connects.py
@@ -9,7 +9,7 @@
 import pytest
 
 from anisestair.flow.budget import Budget
-from anisestair.http.upstream import Connection, Wires
+from anisestair.http.upstream import ConnectionPool, HttpConnection
 from anisestair.lifecycle import events as ev
 from hareloom import interface as api
 
@@ -49,12 +49,12 @@
             monkeypatch.setattr(loop, "create_connection", connect)
             fed: list[ev.Event] = []
             limits = api.Limits(connect_timeout_ms=1.0)
-            wires = Wires(limits, fed.append, lambda *it: None, lambda call: None, Budget(None))
-            connection = Connection(wires, 1)
-            wires.open(connection, ("127.0.0.1", 1))
+            pool = ConnectionPool(limits, fed.append, lambda *it: None, lambda call: None, Budget(None))
+            connection = HttpConnection(pool, 1)
+            pool.open(connection, ("127.0.0.1", 1))
             (await made).wait(None)  # its time-out, rung by hand
-            (task,) = wires._tasks
-            wires._not_up(connection, False, task)
+            (task,) = pool._tasks
+            pool._not_up(connection, False, task)
             connection.connection_made(transport)
             await asyncio.wait([task])
             assert fed == [ev.NotUp(1, False)]
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -13,8 +13,7 @@
 
 from anisestair.flow.budget import Budget
 from anisestair.http import codec as http
-from anisestair.http.upstream import Connection as HttpConnection
-from anisestair.http.upstream import Wires
+from anisestair.http.upstream import ConnectionPool, HttpConnection
 from anisestair.lifecycle import Lives
 from anisestair.lifecycle import events as ev
 from anisestair.lifecycle.connection import Connection, Stage, is_unsent
@@ -233,22 +232,24 @@
     async def test() -> None:
         events: list[ev.Event] = []
         limits = api.Limits(connect_timeout_ms=9000.0)
-        wires = Wires(limits, events.append, lambda call, answer: None, lambda call: None, Budget(None))
-        wires.loop.create_connection = never  # type: ignore[assignment, method-assign]
-        wires.open(HttpConnection(wires, 1), ("127.0.0.1", 1))
-        connection, late = wires[1], Transport()
-        (task,) = wires._tasks
+        pool = ConnectionPool(
+            limits, events.append, lambda call, answer: None, lambda call: None, Budget(None)
+        )
+        pool.loop.create_connection = never  # type: ignore[assignment, method-assign]
+        pool.open(HttpConnection(pool, 1), ("127.0.0.1", 1))
+        connection, late = pool[1], Transport()
+        (task,) = pool._tasks
         await asyncio.sleep(0)
         task.cancel()  # as the connect timeout does
         await until(lambda: events == [ev.NotUp(1, False)])
         connection.connection_made(late)
         assert late.aborted and len(events) == 1
         # Once the connection is established, the connect timeout no longer applies.
-        wires.open(HttpConnection(wires, 2), ("127.0.0.1", 1))
-        connection, soon = wires[2], Transport()
+        pool.open(HttpConnection(pool, 2), ("127.0.0.1", 1))
+        connection, soon = pool[2], Transport()
         connection.connection_made(soon)
         assert events[-1] == ev.Up(2) and connection.deadline is None and not soon.aborted
-        wires.close()
+        pool.close()
 
     ours, theirs = socket.socketpair()
     with ours, theirs:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,7 +16,7 @@
 from anisestair.discovery import WATCH_MS, unix_offset_ms
 from anisestair.endpoints import parse_list
 from anisestair.http import codec as http
-from anisestair.http.upstream import IdleLife
+from anisestair.http.upstream import IdleLimit
 from hareloom import interface as api
 
 
@@ -213,7 +213,7 @@
                 assert await ask(b"break"), "out for one"
                 assert await ask(b"serve")
             upstream.close()  # refused from here on
-            await until(lambda: not there.sidecar.wires._connections)
+            await until(lambda: not there.sidecar.pool._connections)
             await ask(b"serve")
             assert not await ask(b"serve")
 
@@ -301,7 +301,7 @@
             assert (answer.status, answer.body) == (200, b"good")
             if not at_once:
                 upstream.peers[0].writer.write(behind)
-                await until(lambda: not there.sidecar.wires._connections)
+                await until(lambda: not there.sidecar.pool._connections)
             answer = await client.ask("r2")
             assert (answer.status, answer.body, len(upstream.peers)) == (200, b"good", 2)
 
@@ -359,7 +359,7 @@
             client.send("r1")
             await upstream.seen.get()
             # As when the kernel has not taken all; the buffers here are larger than any body.
-            (connection,) = there.sidecar.wires._connections.values()
+            (connection,) = there.sidecar.pool._connections.values()
             connection.pause_writing()
             upstream.peers[0].reset()
             answer = await client.read()
@@ -378,7 +378,7 @@
             assert late.status == 502, "it may have run: a failure"
             assert not there.sidecar.in_hand("r1")
             # While it is open the attempt is still out, and another would be a second copy.
-            await until(lambda: not there.sidecar.wires._connections)
+            await until(lambda: not there.sidecar.pool._connections)
             gate.open.set()
             # One answer a request: the late one is neither sent after it nor taken for the next one's.
             assert (await client.ask("r2", body=b"next")).body == b"done:next"
@@ -413,7 +413,7 @@
         async with world(discovery, host("s-1", upstream.dial)) as there:
             client = await there.client()
             assert (await client.ask("r1")).status == 200
-            (connection,) = there.sidecar.wires._connections.values()
+            (connection,) = there.sidecar.pool._connections.values()
             connection.transport.pause_reading()  # the loop will not see it: the kernel has to be asked
             upstream.peers[0].reset()
             await upstream.ended.wait()
@@ -475,7 +475,7 @@
 
 
 def test_resets_that_fresh_connections_meet_as_well_teach_nothing_and_what_is_learnt_fades() -> None:
-    life, now = IdleLife(4.5), 0.0
+    life, now = IdleLimit(4.5), 0.0
     for number in range(400):
         now += 0.01
         life.learn(0.0 if number % 3 else 1.0, number % 5 == 0, now)
@@ -829,14 +829,14 @@
             client.send("r1")
             await upstream.seen.get()
             (record,) = there.sidecar._records.values()
-            (above,), (below,) = there.frontend._connections, there.sidecar.wires._connections.values()
+            (above,), (below,) = there.frontend._connections, there.sidecar.pool._connections.values()
             dead = [weakref.ref(item) for item in (record, above.reader, below.reader)]
             del record, above, below
             gate.open.set()
             assert await client.read() is not None
             client.writer.close()
             upstream.peers[0].reset()
-            await until(lambda: not (there.frontend._connections or there.sidecar.wires._connections))
+            await until(lambda: not (there.frontend._connections or there.sidecar.pool._connections))
             await asyncio.sleep(0)
             assert [item() for item in dead] == [None] * 3
 
