--- a/tests/test_codec_memory.py
+++ b/tests/test_codec_memory.py
@@ -1,4 +1,4 @@
-"""What a connection's reader holds of the messages that it has handed over."""
+"""A reader keeps no reference to the messages that were taken from it."""
 
 import sys
 
@@ -23,4 +23,4 @@
         assert message.body == BODY
         of_body = sys.getrefcount(message.body)
         of_message = sys.getrefcount(message)
-        assert (of_message, of_body) == (2, 2), "held by whoever took it alone"
+        assert (of_message, of_body) == (2, 2), "only the caller holds references"
--- a/tests/test_connects.py
+++ b/tests/test_connects.py
@@ -1,4 +1,4 @@
-"""A connection whose time-out and whose first sign of life meet in one turn of the loop."""
+"""A connection whose connect timeout and establishment fall into one iteration of the loop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Closable(asyncio.Transport):
-    """A transport as uvloop's is once its connect was cancelled: closed, and silent about it."""
+    """Acts like a uvloop transport after its connect was cancelled: closed, without a callback."""
 
     def __init__(self, pair: socket.socket) -> None:
         super().__init__({"socket": pair})
@@ -29,8 +29,8 @@
 
 
 def test_a_time_out_is_final_for_what_comes_up_in_the_same_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop stood still: the time-out is rung, then the connection is told of, and only then does the
-    task hear that it was cancelled. Nothing may go out on what is closed by that."""
+    """After a blocked loop, the timeout fires, then connection_made is called, and only then is the connect
+    task cancelled. No request may be sent on the connection that this closes."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
@@ -52,7 +52,7 @@
             pool = ConnectionPool(limits, fed.append, lambda *it: None, lambda call: None, Budget(None))
             connection = HttpConnection(pool, 1)
             pool.open(connection, ("127.0.0.1", 1))
-            (await made).wait(None)  # its time-out, rung by hand
+            (await made).wait(None)  # cancels the timer; the test calls its callback itself
             (task,) = pool._tasks
             pool._not_up(connection, False, task)
             connection.connection_made(transport)
