--- a/mesh/data_plane/key_holds.py
+++ b/mesh/data_plane/key_holds.py
@@ -16,7 +16,7 @@
 from mesh.ownership.key_map import OWNERSHIP, KeyMap, read_key
 from mesh.ownership.key_report import KEY_REPORT, write_report
 from mesh.ownership.lease_terms import lease_terms_for
-from mesh.ownership.server_holds import BeatKeys, ServerHolds
+from mesh.ownership.server_holds import HeartbeatKeys, ServerHolds
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from mesh.transport.frames import Head
@@ -37,7 +37,7 @@
         node: str,
         service: str,
         hold_max_ms: float,
-        beat_ms: float,
+        heartbeat_ms: float,
         maps: KeyMaps,
         reports: Store,
         version: int,
@@ -48,7 +48,7 @@
         incarnations. ``instances_here`` returns the upstreams at this machine, from the membership."""
         self._instances_here = instances_here
         self._loop = asyncio.get_running_loop()
-        self._node, self._service, self._beat_s = node, service, beat_ms / 1000.0
+        self._node, self._service, self._heartbeat_s = node, service, heartbeat_ms / 1000.0
         self._maps, self._reports, self._version, self._channels = maps, reports, version, channels
         self.holds = ServerHolds(lease_terms_for(hold_max_ms), self._loop.time())
         self._queries: dict[int, float] = {}  # time sent, by number, the latest last
@@ -131,8 +131,10 @@
             await self._wait(DRAIN_WAIT_S, lambda: self._all_keys_leaving(heartbeat.instance))
         else:
             await self._wait(NEXT_KEYS_WAIT_S, lambda: not self._awaits_keys(heartbeat.instance))
-        reported = BeatKeys(heartbeat.instance, heartbeat.sample_count, heartbeat.holds, heartbeat.released)
-        grant = self.holds.answer_beat(self._loop.time(), reported, self._map)
+        reported = HeartbeatKeys(
+            heartbeat.instance, heartbeat.sample_count, heartbeat.holds, heartbeat.released
+        )
+        grant = self.holds.answer_heartbeat(self._loop.time(), reported, self._map)
         if heartbeat.released or heartbeat.holds:
             self._report_soon()
         return grant.answer_fields() if grant is not None else {}
@@ -170,7 +172,7 @@
         self._report_at = now + REPORT_S
         releases = self.holds.releases(now, self._map)
         report = write_report(
-            releases, self.holds.silent_upstream(now, self._beat_s), self._maps.take_counts()
+            releases, self.holds.silent_upstream(now, self._heartbeat_s), self._maps.take_counts()
         )
         self._last_report = report
         self._version += 1
--- a/mesh/ownership/key_report.py
+++ b/mesh/ownership/key_report.py
@@ -17,8 +17,8 @@
 
 
 class KeyReport(Struct, frozen=True):
-    """``silent_upstream``: the upstream beside the proxy if its beats have ceased; ``counts``: requests since
-    the last report, by service and bucket."""
+    """``silent_upstream``: the upstream beside the proxy if its heartbeats have ceased; ``counts``: requests
+    since the last report, by service and bucket."""
 
     releases: Sequence[Release]
     silent_upstream: str
--- a/mesh/ownership/server_holds.py
+++ b/mesh/ownership/server_holds.py
@@ -1,5 +1,5 @@
-"""The holds that a proxy grants to the upstream beside it in answers to its beats, and the releases that it
-reports. No I/O; times are seconds of the proxy's monotonic clock."""
+"""The holds that a proxy grants to the upstream beside it in answers to its heartbeats, and the releases that
+it reports. No I/O; times are seconds of the proxy's monotonic clock."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from mesh.ownership.lease_terms import UPSTREAM_CLOCK_ERROR, LeaseTerms
 
 RowKey = tuple[str, int, int, int]  # holder, first and last key, fence
-SILENT_AFTER_BEATS = 2.2  # beat periods after which an upstream is reported as silent
+SILENT_AFTER_HEARTBEATS = 2.2  # heartbeat periods after which an upstream is reported as silent
 MAX_RELEASES = 512
-CONFIRMING_BEATS = 2  # beats that confirm an instance as the running one
+CONFIRMING_HEARTBEATS = 2  # heartbeats that confirm an instance as the running one
 MIN_CONFIRMING_GAP_S = (
-    1.0  # least time between these, because late beats of an ended instance are read together
+    1.0  # least time between these, because late heartbeats of an ended instance are read together
 )
-MAX_GRANT_ROWS = 56  # an answer to a beat has at most 4 KiB
+MAX_GRANT_ROWS = 56  # an answer to a heartbeat has at most 4 KiB
 
 
 class HeldRow(Struct, frozen=True, array_like=True):
-    """A row of a beat's ``holds``."""
+    """A row of a heartbeat's ``holds``."""
 
     first: int
     last: int
@@ -31,15 +31,15 @@
 
 
 class ReleasedRow(Struct, frozen=True, array_like=True):
-    """A row of a beat's ``released``."""
+    """A row of a heartbeat's ``released``."""
 
     first: int
     last: int
     handover: str = ""
 
 
-class BeatKeys(Struct, frozen=True):
-    """The key fields of a beat."""
+class HeartbeatKeys(Struct, frozen=True):
+    """The key fields of a heartbeat."""
 
     instance: str
     sample_count: int
@@ -48,7 +48,7 @@
 
 
 class Grant(Struct, frozen=True):
-    """The key fields of the answer: all rows that the upstream holds, and how long, from sending its beat."""
+    """The key fields of the answer: all rows that the upstream holds, and how long, from its heartbeat on."""
 
     rows: Sequence[Row]
     hold_ms: int
@@ -68,13 +68,13 @@
         self._confirmed_at: float | None = None  # when the request was sent that confirmed the map held here
         self._pending: list[tuple[int, float]] = []  # confirmed versions not received yet, and when
         self._granted_until = started_at + terms.lease_s  # end of all grants, by any clock
-        self._instance, self._beat_at = "", started_at
-        self._sample_counts: dict[str, int] = {}  # by instance, of its newest beat
+        self._instance, self._heartbeat_at = "", started_at
+        self._sample_counts: dict[str, int] = {}  # by instance, of its newest heartbeat
         self._ended: set[str] = set()  # instances that have ended
-        self._ending: set[str] = set()  # earlier instances that have ended if another one continues to beat
-        self._beats_in_a_row = 0  # beats of this instance without another's in between
-        self._counted_beat_at = started_at  # when the last of them was counted
-        self._omitted: dict[RowKey, int] = {}  # omitted rows, by the first beat answered without them
+        self._ending: set[str] = set()  # earlier instances that have ended if another one sends further ones
+        self._consecutive_heartbeats = 0  # heartbeats of this instance without another's in between
+        self._counted_heartbeat_at = started_at  # when the last of them was counted
+        self._omitted: dict[RowKey, int] = {}  # omitted rows, by the first heartbeat answered without them
         self._releases: dict[RowKey, Release] = {}
 
     def confirm_version(self, asked_at: float, version: int, key_map: KeyMap | None) -> None:
@@ -96,22 +96,24 @@
         self._omitted = {key: count for key, count in self._omitted.items() if key in leaving}
         self._releases = {key: release for key, release in self._releases.items() if key in leaving}
 
-    def answer_beat(self, now: float, beat: BeatKeys, key_map: KeyMap | None) -> Grant | None:
-        """The grant in the answer to this beat; None if the answer renews nothing."""
-        if beat.instance in self._ended or beat.sample_count <= self._sample_counts.get(beat.instance, -1):
+    def answer_heartbeat(self, now: float, heartbeat: HeartbeatKeys, key_map: KeyMap | None) -> Grant | None:
+        """The grant in the answer to this heartbeat; None if the answer renews nothing."""
+        if heartbeat.instance in self._ended or heartbeat.sample_count <= self._sample_counts.get(
+            heartbeat.instance, -1
+        ):
             return None
-        self._sample_counts[beat.instance], self._beat_at = beat.sample_count, now
-        self._track_instance(now, beat.instance)
+        self._sample_counts[heartbeat.instance], self._heartbeat_at = heartbeat.sample_count, now
+        self._track_instance(now, heartbeat.instance)
         if key_map is None:
             return None
-        self._detect_releases(beat, key_map)
+        self._detect_releases(heartbeat, key_map)
         hold_s = self.terms.hold_s(now, self._confirmed_at) if self._confirmed_at is not None else 0.0
         if not hold_s:
             return None
         rows = []
-        for row in key_map.rows_held_by(beat.instance):
+        for row in key_map.rows_held_by(heartbeat.instance):
             if row.leaving:
-                self._omitted.setdefault(_row_key(row), beat.sample_count)
+                self._omitted.setdefault(_row_key(row), heartbeat.sample_count)
             else:
                 rows.append(row)
         if rows:
@@ -119,29 +121,34 @@
         return Grant(rows[:MAX_GRANT_ROWS], int(hold_s * 1000.0))
 
     def _track_instance(self, now: float, instance: str) -> None:
-        """Records a beat of that instance. An earlier instance has ended once this one has continued to beat:
-        beats may be read out of order, and a late beat of an ended instance must not end the running one."""
+        """Records a heartbeat of that instance. An earlier instance has ended once this one has continued to
+        send them: heartbeats may be read out of order, and a late one must not end the running instance."""
         if instance != self._instance:
             if self._instance:
                 self._ending.add(self._instance)
-            self._instance, self._beats_in_a_row = instance, 0
+            self._instance, self._consecutive_heartbeats = instance, 0
         self._ending.discard(instance)
-        if not self._beats_in_a_row or now - self._counted_beat_at >= MIN_CONFIRMING_GAP_S:
-            self._beats_in_a_row, self._counted_beat_at = self._beats_in_a_row + 1, now
-        if self._beats_in_a_row >= CONFIRMING_BEATS:
+        if not self._consecutive_heartbeats or now - self._counted_heartbeat_at >= MIN_CONFIRMING_GAP_S:
+            self._consecutive_heartbeats, self._counted_heartbeat_at = self._consecutive_heartbeats + 1, now
+        if self._consecutive_heartbeats >= CONFIRMING_HEARTBEATS:
             self._ended |= self._ending
             self._ending.clear()
 
-    def _detect_releases(self, beat: BeatKeys, key_map: KeyMap) -> None:
+    def _detect_releases(self, heartbeat: HeartbeatKeys, key_map: KeyMap) -> None:
         """Adds releases for rows that an earlier answer omitted and that the upstream no longer holds."""
-        for row in key_map.rows_held_by(beat.instance):
+        for row in key_map.rows_held_by(heartbeat.instance):
             key = _row_key(row)
             omitted = self._omitted.get(key)
-            if not row.leaving or omitted is None or omitted >= beat.sample_count or key in self._releases:
+            if (
+                not row.leaving
+                or omitted is None
+                or omitted >= heartbeat.sample_count
+                or key in self._releases
+            ):
                 continue
-            if any(row.overlaps(held.first, held.last) for held in beat.holds):
+            if any(row.overlaps(held.first, held.last) for held in heartbeat.holds):
                 continue
-            released = [one for one in beat.released if row.overlaps(one.first, one.last)]
+            released = [one for one in heartbeat.released if row.overlaps(one.first, one.last)]
             self._add_release(row, released[0].handover if released else "")
 
     def _add_release(self, row: Row, handover: str) -> None:
@@ -166,13 +173,17 @@
         if instance not in (self._instance, *self._ended):
             self._ending.add(instance)
 
-    def silent_upstream(self, now: float, beat_s: float) -> str:
-        """The upstream that has missed several beats; "" if there is none."""
-        return self._instance if self._instance and now - self._beat_at > SILENT_AFTER_BEATS * beat_s else ""
+    def silent_upstream(self, now: float, heartbeat_s: float) -> str:
+        """The upstream that has missed several heartbeats; "" if there is none."""
+        return (
+            self._instance
+            if self._instance and now - self._heartbeat_at > SILENT_AFTER_HEARTBEATS * heartbeat_s
+            else ""
+        )
 
     def may_hold(self, key_map: KeyMap, key: int) -> bool:
         """Whether the upstream beside this proxy may run a request for that key, as far as known here; before
-        its first beat it decides by itself."""
+        its first heartbeat it decides by itself."""
         if not self._instance:
             return True
         row = key_map.row_for_key(key)
--- a/rigs/key_model.py
+++ b/rigs/key_model.py
@@ -19,7 +19,7 @@
 from mesh.ownership.key_load import KeyLoad
 from mesh.ownership.key_map import KEYS, KeyMap, Row
 from mesh.ownership.lease_terms import UPSTREAM_CLOCK_ERROR, LeaseTerms
-from mesh.ownership.server_holds import BeatKeys, HeldRow, ReleasedRow, ServerHolds
+from mesh.ownership.server_holds import HeartbeatKeys, HeldRow, ReleasedRow, ServerHolds
 from statecheck import Model, Violation
 from statecheck.model import State
 
@@ -132,7 +132,7 @@
         holds = ServerHolds(TERMS, -10.0)
         first_map = KeyMap(0, len(rows), rows)
         holds.confirm_version(0.0, 0, first_map)
-        grant = holds.answer_beat(0.0, BeatKeys(HERE, 0, (), ()), first_map)
+        grant = holds.answer_heartbeat(0.0, HeartbeatKeys(HERE, 0, (), ()), first_map)
         assert grant is not None
         held = tuple(HeldRow(row.first, row.last, row.fence) for row in grant.rows)
         until = grant.hold_ms / 1000.0 / (1.0 - UPSTREAM_CLOCK_ERROR)
@@ -274,8 +274,8 @@
             return proxy, server._replace(beat=None)
         if kind == "serve":
             held = load(proxy.held)
-            told = BeatKeys(HERE, beat.number, beat.holds, beat.released)
-            grant = held.answer_beat(now, told, self._map(maps, proxy.known))
+            told = HeartbeatKeys(HERE, beat.number, beat.holds, beat.released)
+            grant = held.answer_heartbeat(now, told, self._map(maps, proxy.known))
             rows = None
             if grant is not None:
                 rows = tuple(HeldRow(row.first, row.last, row.fence) for row in grant.rows)
--- a/simulation/mesh/key_seeds.py
+++ b/simulation/mesh/key_seeds.py
@@ -13,7 +13,7 @@
 from mesh.ownership.assignment import Release
 from mesh.ownership.key_map import KeyMap, Row
 from mesh.ownership.lease_terms import LeaseTerms
-from mesh.ownership.server_holds import BeatKeys, Grant, ServerHolds
+from mesh.ownership.server_holds import Grant, HeartbeatKeys, ServerHolds
 
 Patch = Any
 
@@ -60,22 +60,22 @@
 
 def what_leaves_is_granted() -> Patch:
     """Clause 3: an answer has rows that are to leave."""
-    beat = ServerHolds.answer_beat
+    beat = ServerHolds.answer_heartbeat
 
-    def answers(self: ServerHolds, now: float, told: BeatKeys, key_map: KeyMap | None) -> Grant | None:
+    def answers(self: ServerHolds, now: float, told: HeartbeatKeys, key_map: KeyMap | None) -> Grant | None:
         grant = beat(self, now, told, key_map)
         if grant is None or key_map is None:
             return grant
         return Grant(key_map.rows_held_by(told.instance), grant.hold_ms)
 
-    return mock.patch.object(ServerHolds, "answer_beat", answers)
+    return mock.patch.object(ServerHolds, "answer_heartbeat", answers)
 
 
 def word_without_an_omission() -> Patch:
     """Clause 5: the word is given with the first beat after a row is to leave."""
     hear = ServerHolds._detect_releases
 
-    def hears(self: ServerHolds, beat: BeatKeys, key_map: KeyMap) -> None:
+    def hears(self: ServerHolds, beat: HeartbeatKeys, key_map: KeyMap) -> None:
         hear(self, beat, key_map)
         for row in key_map.rows_held_by(beat.instance):
             if row.leaving:
@@ -89,7 +89,7 @@
     words = ServerHolds.releases
 
     def gives(self: ServerHolds, now: float, key_map: KeyMap | None) -> list[Release]:
-        if now - self._beat_at > 2.0:
+        if now - self._heartbeat_at > 2.0:
             self._granted_until = now - 1.0
         return words(self, now, key_map)
 
