--- a/anisestair/admin/__init__.py
+++ b/anisestair/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: whether this process is ready, and its figures. Loaded only where one is named."""
+"""The admin interface: readiness and statistics over HTTP. Loaded only if an address for it is configured."""
--- a/anisestair/admin/calls.py
+++ b/anisestair/admin/calls.py
@@ -1,4 +1,4 @@
-"""What an operator's call is answered with. No I/O."""
+"""Builds the responses of the admin interface, without I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def answer(message: http.Message, pages: dict[bytes, Page]) -> bytes:
-    """A whole answer, always with a length. Paths are told apart before methods."""
+    """Returns a complete response, always with a length. The path is checked before the method."""
     page = pages.get(message.target.partition(b"?")[0])
     if page is None:
         return refusal(HTTPStatus.NOT_FOUND)
--- a/anisestair/admin/figures.py
+++ b/anisestair/admin/figures.py
@@ -1,4 +1,4 @@
-"""The figures that an operator's call shows. Where each is counted: docs/design/admin.md."""
+"""The statistics that the admin interface reports. docs/design/admin.md says where each is counted."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 def report(sidecar: Sidecar) -> dict[str, Any]:
-    """May be asked for by another thread than the one that counts: every figure is a single number, or a list
-    that is replaced whole, and may be as old as the event that is being handled."""
+    """Returns the statistics; safe to call from another thread than the one that counts. Each figure is a
+    single number or a list that is replaced as a whole, and may lag by the event being handled."""
     finals = list(sidecar.finals.items())
     found: dict[str, Any] = {
         name: {klass: counts[place] for klass, counts in finals if klass} for place, name in enumerate(FINALS)
--- a/anisestair/admin/readiness.py
+++ b/anisestair/admin/readiness.py
@@ -1,13 +1,13 @@
-"""Whether this process is ready to serve, as a machine without I/O."""
+"""Whether this process is ready to serve, as a state machine without I/O."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import NamedTuple
 
-# How long discovery may leave its first call unanswered before the list of the configuration counts alone:
-# one that has anything newer to tell answers at once, and one that has not waits with its answer for seconds.
-KNOWN_COUNTS_MS = 300.0
+# How long a start waits for the first response of discovery before it relies on the configured list alone.
+# Discovery responds at once if it has a newer list, and otherwise holds the call open for seconds.
+DISCOVERY_WAIT_MS = 300.0
 
 
 class Stage(Enum):
@@ -16,24 +16,24 @@
     ENDING = "ending"
 
 
-class Lists(NamedTuple):
-    """What is known of upstreams: how many take requests, and how discovery's own calls have gone."""
+class UpstreamStatus(NamedTuple):
+    """The number of upstreams that take requests, and the results of the calls to discovery."""
 
     usable: int
-    heard: bool  # a list has come from discovery
-    failed: bool  # a call to it has failed
+    list_received: bool  # discovery has sent a list
+    call_failed: bool  # a call to discovery did not succeed
 
 
-def may_serve(waited_ms: float, lists: Lists) -> bool:
-    """Whether a start has what it takes, ``waited_ms`` after it began."""
-    if not lists.usable:
+def may_serve(waited_ms: float, upstreams: UpstreamStatus) -> bool:
+    """Whether a process may begin to serve, ``waited_ms`` after its start."""
+    if not upstreams.usable:
         return False
-    return lists.heard or lists.failed or waited_ms >= KNOWN_COUNTS_MS
+    return upstreams.list_received or upstreams.call_failed or waited_ms >= DISCOVERY_WAIT_MS
 
 
 class Readiness:
-    """Ready lasts until the end: a discovery that is lost, or a list that becomes empty, leaves a process
-    that serves as well as any that would replace it. What is ending is never ready again."""
+    """The stage of the process, which stays READY until shutdown, even if discovery is lost or the list of
+    upstreams becomes empty: a replacement could serve no better. An ending process is never ready again."""
 
     def __init__(self) -> None:
         self.stage = Stage.STARTING
@@ -46,12 +46,12 @@
         self.stage = Stage.ENDING
 
 
-def why(stage: Stage, lists: Lists) -> str:
-    """One line for an operator."""
+def why(stage: Stage, upstreams: UpstreamStatus) -> str:
+    """Returns a one-line reason for the stage, for operators."""
     if stage is Stage.READY:
         return "ready"
     if stage is Stage.ENDING:
         return "ending: open requests are answered, new connections go elsewhere"
-    if not lists.usable:
+    if not upstreams.usable:
         return "starting: no upstream in the list takes requests yet"
     return "starting: discovery has not answered yet"
--- a/anisestair/admin/setup.py
+++ b/anisestair/admin/setup.py
@@ -1,4 +1,4 @@
-"""The operators' address of one sidecar, from its parts."""
+"""Builds the admin interface of one sidecar."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 from http import HTTPStatus
 
 from anisestair.admin.figures import report
-from anisestair.admin.readiness import Lists, Stage, why
-from anisestair.admin.server import MOST, AdminServer
+from anisestair.admin.readiness import Stage, UpstreamStatus, why
+from anisestair.admin.server import MAX_CONNECTIONS, AdminServer
 from anisestair.endpoints import Address
 from anisestair.sidecar import Sidecar
 
-SPARE = MOST + 8  # descriptors that this takes of the budget: its connections, listener, selector and wake
+ADMIN_DESCRIPTORS = MAX_CONNECTIONS + 8  # for its connections, listener, selector and wake-up sockets
 
 
-def start(address: Address, sidecar: Sidecar, stage: Callable[[], tuple[Stage, Lists]]) -> AdminServer:
-    """Raises OSError where the address cannot be had."""
+def start(
+    address: Address, sidecar: Sidecar, stage: Callable[[], tuple[Stage, UpstreamStatus]]
+) -> AdminServer:
+    """Starts the admin interface. Raises OSError if the address cannot be bound."""
 
     def health() -> tuple[HTTPStatus, bytes]:
-        at, lists = stage()
+        at, upstreams = stage()
         status = HTTPStatus.OK if at is Stage.READY else HTTPStatus.SERVICE_UNAVAILABLE
-        return status, json.dumps({"stage": at.value, "why": why(at, lists)}).encode()
+        return status, json.dumps({"stage": at.value, "why": why(at, upstreams)}).encode()
 
     def stats() -> tuple[HTTPStatus, bytes]:
         return HTTPStatus.OK, json.dumps(report(sidecar)).encode()
--- a/anisestair/recovery/duty.py
+++ b/anisestair/recovery/duty.py
@@ -8,7 +8,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from anisestair.admin.readiness import Lists, Readiness, Stage, may_serve
+from anisestair.admin.readiness import Readiness, Stage, UpstreamStatus, may_serve
 from anisestair.configure.effective import Config
 from anisestair.endpoints import Address
 from anisestair.http.frontend import Frontend
@@ -50,9 +50,9 @@
     def _now() -> float:
         return time.monotonic() * 1000.0
 
-    def _lists(self) -> Lists:
+    def _lists(self) -> UpstreamStatus:
         sidecar = self._sidecar
-        return Lists(sidecar.usable, sidecar.heard, sidecar.unheard)
+        return UpstreamStatus(sidecar.usable, sidecar.heard, sidecar.unheard)
 
     async def start(self) -> Address:
         """Listen for clients and open the admin interface; return the clients' address. Client connections
@@ -128,7 +128,7 @@
 
     def _used_descriptors(self) -> int:
         """Return the descriptors that this process holds, or may need without accepting connections."""
-        calls = self._admin.held() if self._admin is not None else 0
+        calls = self._admin.open_connections() if self._admin is not None else 0
         return FIXED_DESCRIPTORS + calls + self._frontend.held() + self._upstream_connections_needed()
 
     def _upstream_connections_needed(self) -> int:
--- a/anisestair/serving.py
+++ b/anisestair/serving.py
@@ -40,7 +40,7 @@
     if config.mgmt is not None:
         from anisestair.admin import setup as admin  # not loaded where nobody calls
 
-        spare += admin.SPARE
+        spare += admin.ADMIN_DESCRIPTORS
     each = (config.sockets - spare) // 2
     table, listener = operator.rpc if operator is not None else None, None
     storms = None
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: calls, figures, readiness, and callers that mean harm."""
+"""The admin interface: requests, statistics, readiness, and misbehaving clients."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from anisestair.admin import readiness, server, setup
 from anisestair.admin.figures import report
-from anisestair.admin.readiness import Lists, Readiness, Stage
+from anisestair.admin.readiness import Readiness, Stage, UpstreamStatus
 from anisestair.admin.server import AdminServer
 from anisestair.http import codec as http
 from anisestair.lifecycle import Lives
@@ -41,7 +41,7 @@
 
 
 def call(address: tuple[str, int], data: bytes) -> bytes:
-    """What comes back until the connection ends; a reset counts as an end."""
+    """Returns the bytes received until the connection closes or is reset."""
     with socket.create_connection(address, timeout=10) as sock:
         got = b""
         try:
@@ -75,15 +75,15 @@
 
 
 def test_callers_that_send_half_a_call_take_nothing_from_others(admin: AdminServer) -> None:
-    """More than may be there at once: the longest silent ones give way, a whole call never does."""
+    """Beyond the limit on connections the oldest incomplete ones are closed; a complete request is served."""
     held = []
-    for number in range(2 * server.MOST):
+    for number in range(2 * server.MAX_CONNECTIONS):
         sock = socket.create_connection(admin.address)
         sock.sendall(b"GET /admin/st"[: number % 13])
         held.append(sock)
         if number % 8 == 0:
             assert call(admin.address, GET % b"/admin/stats").startswith(b"HTTP/1.1 200")
-    assert admin.held() <= server.MOST
+    assert admin.open_connections() <= server.MAX_CONNECTIONS
     for sock in held:
         sock.close()
 
@@ -91,7 +91,7 @@
 def test_half_a_call_is_told_that_its_time_is_over(
     admin: AdminServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "CALL_S", 0.05)
+    monkeypatch.setattr(server, "REQUEST_TIMEOUT_S", 0.05)
     assert call(admin.address, b"GET /admin/stats HT").startswith(b"HTTP/1.1 408")
 
 
@@ -100,10 +100,10 @@
         upstream = Upstream()
         await upstream.start()
         async with world(FakeDiscovery(), host("s-1", upstream.dial)) as there:
-            stage = (Stage.READY, Lists(1, True, False))
+            stage = (Stage.READY, UpstreamStatus(1, True, False))
             admin = setup.start(("127.0.0.1", 0), there.sidecar, lambda: stage)
             try:
-                # On the loop's own thread: nothing else of the loop can run meanwhile.
+                # These calls block the loop's thread, so nothing else of the loop can run.
                 assert call(admin.address, GET % b"/admin/health").startswith(b"HTTP/1.1 200")
                 body = call(admin.address, GET % b"/admin/stats").partition(b"\r\n\r\n")[2]
                 assert json.loads(body)["known_upstreams"] == 1
@@ -115,8 +115,8 @@
 
 
 def test_the_figures_are_what_clients_and_upstreams_saw() -> None:
-    """Served, failed, turned away by the upstream, a class that is not known, and one that its client
-    leaves."""
+    """Requests that are served, fail, are rejected by the upstream, have an unknown class, or are cancelled
+    by their client."""
 
     async def answer(peer: Peer, message: http.Message) -> None:
         if message.body == b"leave":
@@ -135,7 +135,7 @@
                 (await client.ask(f"r{n}", body=body)).status
                 for n, body in enumerate([b"ok", b"fail", b"full"])
             ]
-            await client.ask("r9", klass="nobody")  # no request was taken
+            await client.ask("r9", klass="nobody")  # rejected before it counts as a request
             leaver = await there.client()
             leaver.send("r10", body=b"leave")
             while upstream.seen.qsize() < len(upstream.requests) or upstream.requests[-1].body != b"leave":
@@ -152,7 +152,7 @@
             )
             assert found["upstream_tries"] == len(upstream.requests)
             assert (found["known_upstreams"], found["in_progress"]) == (2, 0)
-            assert found["skipped_upstreams"] >= 1  # the one that drains
+            assert found["skipped_upstreams"] >= 1  # the draining one
         upstream.close()
 
     asyncio.run(run())
@@ -160,7 +160,7 @@
 
 @given(st.data())
 def test_owed_and_tries_are_what_a_ledger_of_its_own_counts(data: st.DataObject) -> None:
-    """Any order of events: taken = settled + owed, and tries = attempts whose last byte has left."""
+    """For any order of events, taken = settled + owed, and tries = attempts that were sent in full."""
     lives = Lives(2, 3)
     lives.handle(ev.Listed((ev.Listing("s", True, 1),), True))
     taken = settled = whole = 0
@@ -219,13 +219,13 @@
         assert lives.tries == whole
 
 
-LISTS = st.builds(Lists, st.integers(0, 2), st.booleans(), st.booleans())
+UPSTREAM_STATUSES = st.builds(UpstreamStatus, st.integers(0, 2), st.booleans(), st.booleans())
 
 
-@given(LISTS, st.floats(0.0, 2000.0))
-def test_a_start_may_serve_once_a_list_counts(lists: Lists, waited: float) -> None:
-    counts = lists.heard or lists.failed or waited >= readiness.KNOWN_COUNTS_MS
-    assert readiness.may_serve(waited, lists) == (counts and lists.usable > 0)
+@given(UPSTREAM_STATUSES, st.floats(0.0, 2000.0))
+def test_a_start_may_serve_once_a_list_counts(status: UpstreamStatus, waited: float) -> None:
+    counts = status.list_received or status.call_failed or waited >= readiness.DISCOVERY_WAIT_MS
+    assert readiness.may_serve(waited, status) == (counts and status.usable > 0)
 
 
 @given(st.lists(st.sampled_from(["ready", "end"])))
@@ -234,7 +234,7 @@
     for step in steps:
         state.ready() if step == "ready" else state.end()
     assert state.stage is (Stage.ENDING if "end" in steps else Stage.READY if steps else Stage.STARTING)
-    assert readiness.why(state.stage, Lists(0, False, False)).startswith(state.stage.value)
+    assert readiness.why(state.stage, UpstreamStatus(0, False, False)).startswith(state.stage.value)
 
 
 def test_the_thread_ends_when_it_is_told() -> None:
