--- a/anisestair/http/frontend.py
+++ b/anisestair/http/frontend.py
@@ -1,4 +1,4 @@
-"""The application's side: its connections, and exactly one answer to each of its requests."""
+"""Client side of the sidecar: accepts connections and sends exactly one response to each request."""
 
 from __future__ import annotations
 
@@ -27,40 +27,39 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-ACCEPT_AGAIN_S = 0.1  # pause after accept itself has failed, for want of descriptors or memory
-READ_AHEAD = 8  # requests read from one connection beyond the one in hand
-REFUSED_LINGER_S = 1.0  # how long what a refused client still sends is read, so that it gets its answer
-# A connection with no request open may go after this. One that has never sent a whole request does; the
-# others while more than this share of the bound is taken: those kept for good would crowd the rest out.
-IDLE_S, ROOMY = 2.0, 0.3
-# While connections that have asked take more than this share, each new one's first request sends away the
-# longest idle, however short that is. An application's own bound may be lower than ours (it is a third of
-# the descriptors), and connections that asked once and stay fill it where we cannot see those that wait. It
-# covers any client that leaves connections open, and costs new ones where so many are used in turn.
+ACCEPT_RETRY_S = 0.1  # pause after accept failed for lack of descriptors or memory
+READ_AHEAD = 8  # pipelined requests read from a connection beyond the current one
+REFUSED_LINGER_S = 1.0  # how long further input of a rejected client is drained, so that it gets its response
+# An idle connection may be closed after this time. One that has never sent a complete request is; others are
+# while more than this share of the connection limit is used, or connections kept open forever would fill it.
+IDLE_S, ROOMY_SHARE = 2.0, 0.3
+# While connections that have sent a request use more than this share of the limit, the first request on each
+# new one closes the longest idle, however short its idle time. An application's own limit may be lower than
+# ours (a third of the descriptors); connections left open fill it, and those that wait there are not visible
+# here. This covers any client that leaves connections open; clients that use so many in turn must reconnect.
 CROWDED = 0.5
-# From the first byte of a request (of a connection's first: from its start) to the last. Clients that send
-# half a request and wait are owed an answer within 3 s.
+# Time limit from the first byte of a request (for the first one: from the start of the connection) to the
+# last. Clients that send half a request and wait must get a response within 3 s.
 REQUEST_S = 2.5
-SLOWEST = (
-    16 * 1024
-)  # bytes a second that a body brings at the least, over its whole time, with REQUEST_S to spare
-UNKNOWN = 32 * 1024 * 1024  # bytes of a body that does not say how many it has
-STILL_S = 10.0  # a client that takes nothing of its answer for so long has gone
-SWEEP_S = 0.25  # how often those times are looked at: one timer, not one for each connection and request
-EVICTED = 8  # at the bound, so large a part (an eighth) of the connections is closed at most at a time
-# Order of an end: connections go on being taken and kept, since others that start anew may not be up yet;
-# then answers close them and those left idle are closed, then the rest.
+# Minimum average rate of a request body in bytes per second, with REQUEST_S as allowance.
+MIN_BODY_BYTES_PER_S = 16 * 1024
+ASSUMED_BODY_BYTES = 32 * 1024 * 1024  # assumed size in bytes of a body without a declared length
+STALL_TIMEOUT_S = 10.0  # a client that reads nothing of its response for this long is disconnected
+SWEEP_S = 0.25  # interval at which these limits are checked, by one timer for all connections
+EVICTION_DIVISOR = 8  # at the connection limit, at most one in this many connections is closed at a time
+# Shutdown sequence: connections are still accepted and kept open, since replacements may not be up yet; then
+# responses close them and idle ones are closed; then the rest are.
 ACCEPT_S, SETTLE_S, EXIT_S = 0.5, 0.1, 3.55
-# Where another process takes the new connections there is no haste: an idle connection that is closed under a
-# request on its way costs that request. What comes as late as this is still answered before the end.
-FADE_S = 2.9
+# If another process accepts new connections, idle ones are closed only after this: closing one while a
+# request is in transit loses it. A request that arrives as late as this is still answered before the exit.
+SHARED_SOCKET_DRAIN_S = 2.9
 
 
-# The protocol's forms. What does not fit is refused here: an upstream may take it for something else.
+# Syntax required by the protocol; an upstream might interpret other requests differently.
 ID = re.compile(rb"[!-~]{1,128}")
 TARGET = re.compile(rb"/[!\"$-~]*")
-WHOLE = re.compile(rb"[0-9]{1,12}")
-ONCE = frozenset(
+WHOLE_NUMBER = re.compile(rb"[0-9]{1,12}")
+SINGLE_HEADERS = frozenset(
     b"host x-correlation-id x-service-class x-time-left-ms idempotency-key x-repeat x-weight-hint".split()
 )
 METHODS = {Effect.SAFE: b"GET", Effect.KEYED: b"POST", Effect.UNSAFE: b"POST"}
@@ -72,16 +71,16 @@
     classes: Mapping[str, api.RequestClass],
     former: Mapping[str, api.RequestClass],
 ) -> api.Request | None:
-    """The module's view of a request; None if it does not keep to the protocol. ``former`` has classes as
-    they were, for requests that fit no class as it is."""
+    """Convert to the balancer's request; None if it violates the protocol. ``former`` has the previous
+    classes, for requests that match no current class."""
     fields: dict[bytes, bytes] = {}
     for name, value in message.headers:
-        if name in ONCE:
+        if name in SINGLE_HEADERS:
             if name in fields:
-                return None  # each side might take another one
+                return None  # receivers might pick different values
             fields[name] = value
     request, left = fields.get(b"x-correlation-id", b""), fields.get(b"x-time-left-ms", b"")
-    if not (ID.fullmatch(request) and WHOLE.fullmatch(left)):
+    if not (ID.fullmatch(request) and WHOLE_NUMBER.fullmatch(left)):
         return None
     named, key = fields.get(b"x-service-class", b"").decode("latin-1"), fields.get(b"idempotency-key")
     if (
@@ -92,76 +91,78 @@
     ):
         return None
     klass = classes.get(named)
-    if klass is None or not fits(klass, message.method, key):
+    if klass is None or not matches_class(klass, message.method, key):
         klass = former.get(named)
-        if klass is None or not fits(klass, message.method, key):
+        if klass is None or not matches_class(klass, message.method, key):
             return None
     hint = fields.get(b"x-weight-hint", b"")
-    body_ms = still_coming_ms(message)
+    body_ms = remaining_body_ms(message)
     return api.Request(
         request=request.decode("ascii"),
         klass=klass.name,
-        # No client waits longer than that in all, and what is told would be kept for as long.
+        # No client waits longer than its class's deadline, and state is kept until the request's deadline.
         deadline=now + min(float(left), klass.deadline_ms) + body_ms,
-        cost_ms=int(hint) / 1000.0 if WHOLE.fullmatch(hint) else None,
+        cost_ms=int(hint) / 1000.0 if WHOLE_NUMBER.fullmatch(hint) else None,
         retry=fields.get(b"x-repeat") == b"1",
         body_ms=body_ms,
     )
 
 
-def fits(klass: api.RequestClass, method: bytes, key: bytes | None) -> bool:
-    """Whether a request has the form of its class."""
+def matches_class(klass: api.RequestClass, method: bytes, key: bytes | None) -> bool:
+    """Whether the method and the idempotency key match the effect of the class."""
     return method == METHODS[klass.effect] and (key is not None) == (klass.effect is Effect.KEYED)
 
 
-def still_coming_ms(message: http.Message) -> float:
-    """How long the rest of a body may take, at the slowest that a client may send it."""
+def remaining_body_ms(message: http.Message) -> float:
+    """How long the rest of a body may take at the minimum rate, in milliseconds."""
     stream = message.stream
     if stream is None or stream.ended:
         return 0.0
-    rest = UNKNOWN if stream.length is None else max(stream.length - stream.total, 0)
-    return (REQUEST_S + rest / SLOWEST) * 1000.0
+    rest = ASSUMED_BODY_BYTES if stream.length is None else max(stream.length - stream.total, 0)
+    return (REQUEST_S + rest / MIN_BODY_BYTES_PER_S) * 1000.0
 
 
 def unread(source: socket.socket | ThreadedListener) -> bool:
-    """Something stands in the kernel that this loop has not read yet."""
+    """Whether the kernel holds input (or pending connections) that this loop has not read yet."""
     poll = select.poll()
     poll.register(source.fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 class Host(Protocol):
-    """What a connection needs of whatever takes its requests."""
+    """What a client connection requires of the object that handles its requests."""
 
     budget: Budget
 
     def now(self) -> float:
-        """Milliseconds of a steady clock."""
+        """Return the time of a monotonic clock in milliseconds."""
 
     def client_gone(self, request: str) -> None:
-        """Nobody is there for that request any more."""
+        """Report that the client of that request has disconnected."""
 
 
 class ClientConnection(http.Buffered):
+    """A connection of a client, whose requests are handled one at a time and in order."""
+
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
         self.reader = http.request_reader(frontend.sidecar.budget)
-        self.passing: Body | None = None  # the rest of an answer, as it comes
-        self.chunks = self.closes = False  # it goes on in chunks; the connection ends with it
-        self.heard = 0.0  # when the body that is coming in began to
-        self.waiting: deque[tuple[float, http.Message]] = deque()  # read whole, with the time of that
-        self.unread = b""  # has come, and is parsed when what came before it has been answered
-        self.choked = False  # the client does not read its answers
-        self.fault: http.BadMessage | None = None  # what comes next cannot be read
-        self.refused = False  # and the client has been told so
+        self.passing: Body | None = None  # the response body being streamed
+        self.chunks = self.closes = False  # it is sent in chunks; the connection closes after it
+        self.heard = 0.0  # when the body being received started
+        self.waiting: deque[tuple[float, http.Message]] = deque()  # parsed requests, with the time of that
+        self.unread = b""  # received bytes, parsed once earlier requests are answered
+        self.choked = False  # the client does not read its responses
+        self.fault: http.BadMessage | None = None  # the next message cannot be parsed
+        self.refused = False  # and the client has got the error response
         self.transport: asyncio.Transport | None = None
-        self.current: http.Message | None = None  # the request in hand
-        self.request = ""  # and its id, while the sidecar has it
-        self.since = time.monotonic()  # its start, its last answer or the first byte after that
-        self.asked = False  # a whole request has come
+        self.current: http.Message | None = None  # the request being handled
+        self.request = ""  # its id while the sidecar handles it
+        self.since = time.monotonic()  # time of its start, its last response or the first byte after that
+        self.asked = False  # a complete request has been received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by their class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from it
 
     def data_received(self, data: bytes) -> None:
         if self.refused:
@@ -184,7 +185,7 @@
             self.advance()
 
     def parse(self) -> None:
-        """Read on, but not far beyond the request in hand: thousands fit into what one read may bring."""
+        """Parse input, but not far beyond the current request: one read may contain thousands of requests."""
         now, reader = self.frontend.sidecar.now(), self.reader
         while self.unread and self.fault is None and len(self.waiting) <= READ_AHEAD:
             if reader.stream is not None:
@@ -209,21 +210,21 @@
             self.frontend.asks()
 
     def pace(self) -> None:
-        """A body may come as slowly as its client sends it, down to a least; a head may not."""
+        """Extend the time limit of a body as long as it keeps the minimum rate; a head has a fixed limit."""
         if self.reader.in_body:
             now = time.monotonic()
             self.heard = self.heard or now
-            self.since = min(now, self.heard + self.reader.carried / SLOWEST)
+            self.since = min(now, self.heard + self.reader.carried / MIN_BODY_BYTES_PER_S)
         else:
             self.heard = 0.0
 
     def gathering(self) -> bool:
-        """The next request is long, and more of it is to come before it goes on."""
+        """Whether the next request is streamed and not enough of its body has been received to forward it."""
         stream = self.waiting[0][1].stream
         return stream is not None and not stream.ready
 
     def advance(self) -> None:
-        """Go on with what has come, a request at a time and in its order."""
+        """Handle the received requests one at a time and in order."""
         if self.transport is None or self.transport.is_closing() or self.refused:
             return
         self.parse()
@@ -232,14 +233,14 @@
             if self.gathering():
                 break
             taken, self.current = self.waiting.popleft()
-            if self.current.stream is not None:  # its time counts from its last byte
+            if self.current.stream is not None:  # its time counts from here, once enough has been received
                 taken = self.frontend.sidecar.now()
             self.begin(taken, self.current)
             if self.refused:
                 return
         if self.transport.is_closing():
             return
-        if self.fault is not None and self.reader.stream is not None:  # a body that cannot be read on
+        if self.fault is not None and self.reader.stream is not None:  # the rest of a body cannot be parsed
             self.refuse(self.fault)
         elif self.current is None and self.fault is not None and not self.waiting:
             self.refuse(self.fault)
@@ -249,9 +250,9 @@
             self.transport.resume_reading()
 
     def refuse(self, fault: http.BadMessage) -> None:
-        """The last answer of a connection that is read no further."""
+        """Send an error response as the last one of this connection, and discard further input."""
         assert self.transport is not None
-        if self.request:  # its body is not whole, and it has no other answer than this
+        if self.request:  # its body is incomplete, and this is its only response
             self.leave()
         self.let_go()
         self.fault, self.current = fault, None
@@ -260,17 +261,17 @@
         self.linger()
 
     def linger(self) -> None:
-        """Ends a connection behind its last answer, and passes over what still comes until its client has
-        closed it too: closing with unread input would reset the connection, and the answer with it."""
+        """Close the sending side after the last response and discard input until the client closes too: a
+        close with unread input would reset the connection and lose the response."""
         assert self.transport is not None
         self.refused, self.unread = True, b""
         self.transport.resume_reading()
         self.transport.write_eof()
         loop = self.frontend.loop
-        loop.call_later(REFUSED_LINGER_S, self._end_linger, loop.time() + STILL_S)
+        loop.call_later(REFUSED_LINGER_S, self._end_linger, loop.time() + STALL_TIMEOUT_S)
 
     def _end_linger(self, latest: float) -> None:
-        """A client that does not close is not waited for; one that still reads its answer is, for a while."""
+        """Abort, unless the client is still reading its response and ``latest`` has not passed."""
         assert self.transport is not None
         loop = self.frontend.loop
         if self.transport.get_write_buffer_size() and loop.time() < latest:
@@ -279,11 +280,11 @@
             self.transport.abort()
 
     def advice(self, fault: http.BadMessage) -> http.Headers:
-        """What such an answer tells besides its status."""
+        """Return the headers of such an error response."""
         return []
 
     def begin(self, taken: float, message: http.Message) -> None:
-        """A whole request, in its turn: it gets one ``answer``."""
+        """Handle the current request, for which ``answer`` is called exactly once."""
         sidecar = cast("Sidecar", self.frontend.sidecar)
         path = message.target.partition(b"?")[0]
         if not TARGET.fullmatch(message.target):
@@ -298,19 +299,19 @@
         else:
             request = read_request(message, taken, sidecar.classes, sidecar.former)
             if request is None or sidecar.in_hand(request.request):
-                # The connection ends as well: some ask the same again and again as fast as they are answered.
+                # The connection is closed as well: some clients retry at once, as fast as they get responses.
                 self.refuse(http.BadMessage(HTTPStatus.BAD_REQUEST))
             else:
                 self.request = request.request
                 sidecar.take(request, sidecar.asks(message, self.answer))
 
     def leave(self) -> None:
-        """Nobody is there for the request in hand any more."""
+        """Report to the sidecar that the client of the current request has disconnected."""
         request, self.request = self.request, ""
         self.frontend.sidecar.client_gone(request)
 
     def let_go(self) -> None:
-        """Of every body that is here for this connection."""
+        """Drop all request bodies of this connection."""
         held = [self.current, *(message for _, message in self.waiting)]
         for message in held:
             if message is not None and message.stream is not None:
@@ -321,7 +322,7 @@
         self.since = time.monotonic()
         if message is None or self.transport is None:
             return
-        # At an end, what was read together with this request is answered first.
+        # During a shutdown, requests read together with this one are answered first.
         close = not message.keep_alive or (self.frontend.closing and not (self.waiting or self.unread))
         if isinstance(body, Body):
             self.chunks = body.length is None and not message.http_1_0
@@ -335,7 +336,7 @@
         self.transport.write(http.write_response(status, headers, body, close or unread))
         self.answered(message, close, unread)
 
-    # An answer that goes on as it comes
+    # Streaming of a response body
 
     def part(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -351,7 +352,7 @@
         self.answered(message, self.closes, unread)
 
     def body_cut(self) -> None:
-        """The client has to see it: short of its length or of its last chunk, or by a reset."""
+        """Let the client detect the truncation: by a missing rest or last chunk, or by a reset."""
         body, self.passing = self.passing, None
         if self.transport is None or body is None or self.transport.is_closing():
             return
@@ -363,8 +364,8 @@
         self.transport.abort()
 
     def answered(self, message: http.Message, close: bool, unread: bool) -> None:
-        """The one answer has been written. ``unread``: part of its request has not come, and would be taken
-        for the next one."""
+        """Finish a request whose response has been written. ``unread``: part of its body is still to come,
+        and would be parsed as the next request."""
         assert self.transport is not None
         if message.stream is not None:
             message.stream.drop()
@@ -375,7 +376,7 @@
             self.transport.close()
         else:
             self.frontend.resting[self] = None
-            if self.waiting or self.unread or self.fault is not None:  # what is not paused needs no push
+            if self.waiting or self.unread or self.fault is not None:  # otherwise data_received continues
                 self.frontend.loop.call_soon(self.advance)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -386,7 +387,7 @@
         self.let_go()
 
     def idle(self) -> bool:
-        """Nothing is in hand, and nothing stands unread in the kernel either."""
+        """Whether no request is being handled or received, and the kernel has no unread input."""
         if self.current is not None or self.transport is None or self.fault is not None:
             return False
         if self.waiting or self.unread or self.reader.partial or self.transport.is_closing():
@@ -399,32 +400,32 @@
 
 
 class Frontend:
-    """Listens, and holds a bounded number of connections, none of them for ever without a request."""
+    """Listens, limits the number of client connections, and closes idle ones."""
 
     connection: type[ClientConnection] = ClientConnection
     request_s = REQUEST_S
-    choked_s = REQUEST_S  # a client that takes nothing of its answers for so long has gone
-    # Where clients are told how long a connection may rest, none is closed idle sooner, but at the very bound
-    # of connections; and each that has rested for longer is. Seconds; None: they are told nothing.
+    choked_s = REQUEST_S  # a client that reads nothing for this long is disconnected
+    # The idle time announced to clients, in seconds; None: none is announced. A connection is closed once it
+    # has been idle for longer, and sooner only at the connection limit.
     quiescent_s: float | None = None
 
     def __init__(self, sidecar: Host, most: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.sidecar = sidecar
         self.stopping = self.closing = False
-        self._most, self._crowd = most, most * CROWDED
+        self._most, self._crowded_count = most, most * CROWDED
         self._connections: set[ClientConnection] = set()
-        self._askers = 0  # connections that have sent a request
-        self.resting: dict[ClientConnection, None] = {}  # nothing has come since the answer; longest first
+        self._active_count = 0  # number of connections that have sent a request
+        self.resting: dict[ClientConnection, None] = {}  # idle since their last response, longest first
         self._tasks: set[asyncio.Task[None]] = set()
         self._empty = asyncio.Event()
         self._listener: socket.socket | ThreadedListener | None = None
-        self._inherited = self._held = self._patient = False
+        self._inherited = self._held = self._sharing_limit = False
         self._sweeper: asyncio.TimerHandle | None = None
 
     def listen(self, address: Address, inherited: socket.socket | ThreadedListener | None = None) -> Address:
-        """On a socket of its own, or on one that is shared with others: of that nothing is changed, and it is
-        accepted from once `hold` says so."""
+        """Listen on a new socket, or on an ``inherited`` one that is shared with another process. The options
+        of that are not changed, and connections are accepted from it after ``hold(False)``."""
         if inherited is None:
             family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
             self._listener = listener = socket.create_server(address, family=family, backlog=BACKLOG)
@@ -438,9 +439,9 @@
 
     def _accept(self) -> None:
         if len(self._connections) >= self._most:
-            # What has come waits in the backlog until a connection has ended; some are made to.
+            # New connections wait in the backlog until others have closed; some are closed for that.
             self._pause()
-            if not self._patient:
+            if not self._sharing_limit:
                 self._make_room()
         while self._listener is not None and len(self._connections) < self._most:
             try:
@@ -452,7 +453,7 @@
             except OSError as fault:
                 log.error("accept: %s", fault)
                 self._pause()
-                self.loop.call_later(ACCEPT_AGAIN_S, self._resume)
+                self.loop.call_later(ACCEPT_RETRY_S, self._resume)
                 return
             client.setblocking(False)
             connection = self.connection(self)
@@ -462,9 +463,9 @@
             task.add_done_callback(self._tasks.discard)
 
     def asks(self) -> None:
-        """A connection's first request has come: it is an application's."""
-        self._askers += 1
-        while self._askers > self._crowd and self.resting and not self._patient:
+        """Count a connection that received its first request; close the longest idle one if crowded."""
+        self._active_count += 1
+        while self._active_count > self._crowded_count and self.resting and not self._sharing_limit:
             connection = next(iter(self.resting))
             if time.monotonic() - connection.since < (self.quiescent_s or 0.0):
                 return
@@ -474,10 +475,10 @@
                 return
 
     def _make_room(self) -> None:
-        """Close what is of least use: connections that are refused, then those that never sent a request, so
-        that a crowd of silent ones does not drive out the application's own, then the longest idle."""
+        """Close the least useful connections: rejected ones, then those without any request, so that silent
+        connections do not displace the application's own, then the longest idle."""
         of_use = sorted(self._connections, key=lambda item: (item.fault is None, item.asked, item.since))
-        left = max(self._most // EVICTED, 1)
+        left = max(self._most // EVICTION_DIVISOR, 1)
         for connection in of_use:
             if connection.fault is not None or connection.idle():
                 connection.close()
@@ -492,10 +493,10 @@
             if connection.fault is not None or connection.refused or connection.transport is None:
                 continue
             if connection.passing is not None:
-                if connection.choked and age > STILL_S:
+                if connection.choked and age > STALL_TIMEOUT_S:
                     connection.transport.abort()
             elif connection.reader.stream is not None and connection.reader.stream.full:
-                continue  # it waits for us
+                continue  # the client waits for this side
             elif connection.current is not None and connection.reader.stream is None:
                 continue
             elif connection.choked:
@@ -508,48 +509,48 @@
                 if age > self.quiescent_s if self.quiescent_s is not None else not connection.asked:
                     if connection.idle():
                         connection.close()
-                elif self.quiescent_s is None or not connection.asked:  # not yet: opened ahead of its request
+                elif self.quiescent_s is None or not connection.asked:  # opened ahead of its first request
                     kept.append(connection)
         kept.sort(key=lambda item: item.since)
-        over = 0 if self._patient else len(self._connections) - int(self._most * ROOMY)
+        over = 0 if self._sharing_limit else len(self._connections) - int(self._most * ROOMY_SHARE)
         for connection in kept[: max(over, 0)]:
             if connection.idle():
                 connection.close()
-        full = len(self._connections) >= self._most and not self._patient
+        full = len(self._connections) >= self._most and not self._sharing_limit
         if full and self._listener is not None and unread(self._listener):
             self._make_room()
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
     def hold(self, held: bool) -> None:
-        """Whether new connections are left to another process that shares the listening socket."""
+        """Set whether new connections are left to another process that shares the listening socket."""
         if held is self._held or self.stopping:
             return
         self._held = held
         if held:
-            self._yield()
+            self._stop_accepting()
         else:
             self._resume()
 
-    def _yield(self) -> None:
-        """What has been accepted already is this process's to serve all the same."""
+    def _stop_accepting(self) -> None:
+        """Stop accepting; connections that are already accepted are still served."""
         if isinstance(self._listener, socket.socket):
             self.loop.remove_reader(self._listener)
         else:
             self._leave(True)
 
     def allow(self, most: int, patient: bool) -> None:
-        """So many connections from now on. While another process shares them (``patient``) what is over waits
-        in the backlog, and nothing idle is closed for it."""
-        self._most, self._patient = most, patient
+        """Set the connection limit. While another process shares it (``patient``), further connections wait
+        in the backlog and no idle ones are closed for them."""
+        self._most, self._sharing_limit = most, patient
         if len(self._connections) < most:
             self._resume()
 
     def held(self) -> int:
-        """Connections that are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     def _pause(self) -> None:
-        """At the bound: what comes waits in the backlog."""
+        """Stop accepting at the connection limit; new connections wait in the backlog."""
         if self._listener is not None:
             self.loop.remove_reader(self._listener)
             self._leave(True)
@@ -560,7 +561,7 @@
             self.loop.add_reader(self._listener, self._accept)
 
     def _leave(self, left: bool) -> None:
-        """Whether new connections are left in the backlog, as far as a thread of its own accepts them."""
+        """Set whether a ThreadedListener leaves new connections in the backlog."""
         if self._listener is not None and not isinstance(self._listener, socket.socket):
             self._listener.hold(left)
 
@@ -574,24 +575,24 @@
     def lost(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
         self.resting.pop(connection, None)
-        self._askers -= connection.asked
+        self._active_count -= connection.asked
         if len(self._connections) == self._most - 1:
             self._resume()
         if not self._connections:
             self._empty.set()
 
     async def stop(self, accept_s: float = ACCEPT_S, exit_s: float | None = None) -> None:
-        """End in order: nothing that a client has sent, or sends while it cannot know yet, is lost. What is
-        still open ``exit_s`` seconds from now, or EXIT_S, is given up.
+        """Shut down without losing requests, including those sent before clients can notice the shutdown.
+        Connections still open after ``exit_s`` seconds (default EXIT_S) are abandoned.
 
-        Where the socket is shared, new connections are another's from the start, and what is open ends with
-        its next answer; a connection that stands idle ends only once nothing has come on it for a while."""
+        If the socket is shared, another process accepts new connections from the start, and open ones close
+        with their next response; idle ones are closed only after a period without requests."""
         self.stopping = True
         ends = self.loop.time() + (EXIT_S if exit_s is None else exit_s)
         if self._inherited:
             self.closing = True
-            self._yield()
-            await self._fade()
+            self._stop_accepting()
+            await self._drain_shared()
             self._accept()
         else:
             await asyncio.sleep(accept_s)
@@ -615,9 +616,9 @@
             except TimeoutError:
                 log.warning("%d connections were open at the end", len(self._connections))
 
-    async def _fade(self) -> None:
-        """Let clients use up their connections, for so long as that may take."""
-        until = self.loop.time() + FADE_S
-        await asyncio.sleep(2.0 * SETTLE_S)  # what was being accepted has come by then
+    async def _drain_shared(self) -> None:
+        """Wait until the clients' connections are closed by responses, for at most SHARED_SOCKET_DRAIN_S."""
+        until = self.loop.time() + SHARED_SOCKET_DRAIN_S
+        await asyncio.sleep(2.0 * SETTLE_S)  # connections being accepted are established by then
         while self._connections and self.loop.time() < until:
             await asyncio.sleep(SETTLE_S)
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -201,7 +201,7 @@
         loop = asyncio.get_running_loop()
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
         there.take("input_limits", "input_limits", TOLD)
-        client_listener._most, client_listener._crowd = 10, 5.0
+        client_listener._most, client_listener._crowded_count = 10, 5.0
         clients = [await there.client() for _ in range(8)]
         for at, client in enumerate(clients[:7]):  # beyond all shares; one has sent no request yet
             assert (await client.ask(f"a{at}", "/read/ok")).status == 200
