--- a/anisestair/configure/judge_app.py
+++ b/anisestair/configure/judge_app.py
@@ -23,7 +23,7 @@
 from hareloom.interface import Effect, RequestClass
 
 if TYPE_CHECKING:  # loaded where there is an operator's file: most applications have none
-    from anisestair.rpc.meaning import Meaning, Rule
+    from anisestair.rpc.meaning import CallRules, Rule
 
 # The usual names of an application's files, in a folder of its own.
 PLATFORM_NAME, OPERATOR_NAME, APP_NAME = "config.json", "sidecar.toml", "app.toml"
@@ -232,12 +232,12 @@
     return Rule(item.pattern, item.klass, item.deadline_ms, item.key, item.id, item.deadline)
 
 
-def meaning_of(config: Config, table: RpcTable) -> Meaning:
+def meaning_of(config: Config, table: RpcTable) -> CallRules:
     """Raises ValueError, as the sidecar's start does."""
-    from anisestair.rpc.meaning import Meaning
+    from anisestair.rpc.meaning import CallRules
 
     rules = tuple(map(_rule, table.methods))
-    return Meaning(rules, table.turned_away, {item.name: item for item in config.settings.classes})
+    return CallRules(rules, table.turned_away, {item.name: item for item in config.settings.classes})
 
 
 def rpc(config: Config, table: RpcTable, app: App | None) -> list[Finding]:
@@ -273,7 +273,7 @@
 
 
 def _meaningless(said: str, table: RpcTable) -> Finding:
-    """Meaning's line, "pattern: field: what", at its place."""
+    """The error of CallRules, "pattern: field: what", at its place."""
     pattern, _, rest = said.partition(": ")
     field, _, what = rest.partition(": ")
     numbers = [n for n, item in enumerate(table.methods) if item.pattern == pattern]
@@ -389,7 +389,7 @@
     return []
 
 
-def _methods(call: Call, config: Config, table: RpcTable, rules: Meaning) -> list[Finding]:
+def _methods(call: Call, config: Config, table: RpcTable, rules: CallRules) -> list[Finding]:
     """A call's methods, by the patterns that really take them: exact ones, then the longest start."""
     found: list[Finding] = []
     classes = {item.name: item for item in config.settings.classes}
--- a/anisestair/rpc/frontend.py
+++ b/anisestair/rpc/frontend.py
@@ -16,7 +16,7 @@
 from anisestair.lifecycle.exchange import Final
 from anisestair.rpc import codec, meaning
 from anisestair.rpc.codec import Kind, Message
-from anisestair.rpc.meaning import BadCall, Meaning
+from anisestair.rpc.meaning import BadCall, CallRules
 from anisestair.rpc.upstream import RpcConnection
 from anisestair.sidecar import Sidecar
 from hareloom.interface import Outcome
@@ -37,13 +37,13 @@
 
     lane = LANE
 
-    def __init__(self, meaning: Meaning, calls: int) -> None:
-        self._meaning, self.calls = meaning, calls
+    def __init__(self, call_rules: CallRules, calls: int) -> None:
+        self._call_rules, self.calls = call_rules, calls
 
     def connection(
         self, pool: ConnectionPool, number: int, carried: Callable[[int], tuple[Call, ...]]
     ) -> UpstreamConnection:
-        return RpcConnection(pool, number, self._meaning, carried)
+        return RpcConnection(pool, number, self._call_rules, carried)
 
 
 class RpcAsk:
@@ -51,18 +51,20 @@
 
     lane = LANE
 
-    def __init__(self, message: Message, meaning: Meaning, respond: Callable[[bytes, bytes], None]) -> None:
-        self._message, self._meaning, self._respond = message, meaning, respond
+    def __init__(
+        self, message: Message, call_rules: CallRules, respond: Callable[[bytes, bytes], None]
+    ) -> None:
+        self._message, self._call_rules, self._respond = message, call_rules, respond
 
     def write(self, wire: Any, call: Call, left_ms: int) -> None:
-        wire.write(call, self._message.method, self._meaning.params(self._message, left_ms))
+        wire.write(call, self._message.method, self._call_rules.params(self._message, left_ms))
 
     def sendable(self) -> bool:
         return True  # the message is kept in full until the call has its outcome
 
     def reply(self, final: Final, arrived: Any, retry_after_ms: float) -> None:
         failed = final is Final.FAILED and arrived is not None
-        if final is Final.SERVED or failed and self._meaning.outcome(arrived.error) is Outcome.ERROR:
+        if final is Final.SERVED or failed and self._call_rules.outcome(arrived.error) is Outcome.ERROR:
             # An upstream's own error says more than a code of the proxy.
             self._respond(arrived.error, arrived.result)
         else:
@@ -140,7 +142,7 @@
         name = self.frontend.next_request_id()
         notified = message.kind is Kind.NOTIFICATION
         try:
-            request = self.frontend.meaning.request(message, name, sidecar.now())
+            request = self.frontend.call_rules.request(message, name, sidecar.now())
             if sidecar.in_hand(request.request):
                 raise BadCall(meaning.BAD_CALL, f"{request.request} is already in progress")
         except BadCall as fault:
@@ -160,7 +162,7 @@
 
         if not notified:
             self.open[message.msgid] = request.request
-        sidecar.take(request, RpcAsk(message, self.frontend.meaning, respond))
+        sidecar.take(request, RpcAsk(message, self.frontend.call_rules, respond))
 
     def is_stalled(self, now: float) -> bool:
         """Whether a partial message or a write pause has lasted longer than STALL_TIMEOUT_S."""
@@ -176,9 +178,9 @@
 class RpcFrontend:
     """Accepts clients: at most ``most`` connections, each with at most ``in_hand`` open calls."""
 
-    def __init__(self, sidecar: Sidecar, meaning: Meaning, most: int, in_hand: int) -> None:
+    def __init__(self, sidecar: Sidecar, call_rules: CallRules, most: int, in_hand: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.sidecar, self.meaning, self.in_hand = sidecar, meaning, in_hand
+        self.sidecar, self.call_rules, self.in_hand = sidecar, call_rules, in_hand
         self._max_clients = most
         self._clients: set[RpcClient] = set()
         self._requests = 0
--- a/anisestair/rpc/meaning.py
+++ b/anisestair/rpc/meaning.py
@@ -54,7 +54,7 @@
     deadline: Path = ()  # path at which the upstream gets the remaining time in ms
 
 
-class Meaning:
+class CallRules:
     """Maps calls to requests by the rules. Raises ValueError, naming the pattern, where a rule contradicts
     the classes."""
 
--- a/anisestair/rpc/setup.py
+++ b/anisestair/rpc/setup.py
@@ -5,7 +5,7 @@
 from anisestair.configure.effective import Config, ConfigError
 from anisestair.configure.operator_tables import RpcTable
 from anisestair.rpc.frontend import Lane, RpcFrontend
-from anisestair.rpc.meaning import Meaning, Rule
+from anisestair.rpc.meaning import CallRules, Rule
 from anisestair.sidecar import Sidecar, Watcher
 
 
@@ -24,10 +24,10 @@
     )
     classes = {item.name: item for item in config.settings.classes}
     try:
-        meaning = Meaning(rules, table.turned_away, classes)
+        call_rules = CallRules(rules, table.turned_away, classes)
     except ValueError as fault:
         raise ConfigError(f"[[rpc.methods]] {fault}") from None
-    lane = Lane(meaning, table.calls_per_connection)
+    lane = Lane(call_rules, table.calls_per_connection)
     sidecar = Sidecar(config, offset_ms, most_upstream, lane, storms)
     sidecar.classes = classes  # one table, which a reload changes for both frontends
-    return sidecar, RpcFrontend(sidecar, meaning, most_clients, table.calls_in_hand)
+    return sidecar, RpcFrontend(sidecar, call_rules, most_clients, table.calls_in_hand)
--- a/anisestair/rpc/upstream.py
+++ b/anisestair/rpc/upstream.py
@@ -12,7 +12,7 @@
 from anisestair.lifecycle.connection import Call
 from anisestair.rpc import codec
 from anisestair.rpc.codec import Kind
-from anisestair.rpc.meaning import Meaning
+from anisestair.rpc.meaning import CallRules
 
 # Calls without a response, including those that were given up. Beyond this the oldest are forgotten, and
 # their responses are dropped like those to unknown msgids.
@@ -24,10 +24,14 @@
     """``carried`` returns the calls that the state machine still holds on the connection of that number."""
 
     def __init__(
-        self, pool: ConnectionPool, number: int, meaning: Meaning, carried: Callable[[int], tuple[Call, ...]]
+        self,
+        pool: ConnectionPool,
+        number: int,
+        call_rules: CallRules,
+        carried: Callable[[int], tuple[Call, ...]],
     ) -> None:
         super().__init__(pool, number)
-        self._meaning, self._carried = meaning, carried
+        self._call_rules, self._carried = call_rules, carried
         self.reader = codec.Reader()
         self._next_msgid = 0
         self._unanswered: dict[int, Call] = {}
@@ -100,4 +104,4 @@
             # before the counter wraps, so it belongs to no other call.
             self._strays += 1
             return
-        self.pool.answered(self.number, call, message, self._meaning.outcome(message.error), True)
+        self.pool.answered(self.number, call, message, self._call_rules.outcome(message.error), True)
