--- a/anisestair/discovery.py
+++ b/anisestair/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: its list in typed form, and the watch that keeps it up to date."""
+"""Client of the discovery service: a watch that delivers the list of upstreams and its updates."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 log = logging.getLogger(__name__)
 
-# How long discovery may wait for something new before it answers. Until then a watch that has gone silent (a
-# machine that vanished, something between that let the connection go) looks like one with nothing to tell,
-# and all upstreams may have been replaced; what it has to tell counts as told after 6 s. The next call of a
-# watch is no new one to discovery, so that short waits cost little; with very many sidecars they would.
+# How long discovery may wait for a change before it responds (long polling). Until then, a dead watch (a lost
+# machine, a connection dropped by an intermediary) looks like one without changes, while all upstreams may be
+# replaced; changes must arrive within 6 s. Discovery treats the next call as part of the same watch, so that
+# short waits cost little, except with very many sidecars.
 WATCH_MS = 2_500
-# How much longer an answer may take before the call counts as failed: a watch's first call may wait in turn.
+# Extra time for a response before the call fails; the first call of a watch may be queued by discovery.
 OVERDUE_MS, NEXT_OVERDUE_MS = 3_000, 1_500
 MAX_LIST = 4 * 1024 * 1024  # bytes; a list of some ten thousand upstreams
 
 
 def unix_offset_ms(now_ms: float) -> float:
-    """What turns Unix time into the module's clock. Taken once: an upstream's start, told again, must come
-    out as the same instant, or it would count as another start."""
+    """Return the offset from Unix time to the balancer's clock. Computed once: a start time that is reported
+    again must convert to the same instant, or it would count as a restart."""
     return now_ms - time.time() * 1000.0
 
 
 class Discovery:
-    """One call after the other, each answered to ``tell``: by a list, or by None when it failed.
+    """Calls discovery repeatedly and passes each result to ``tell``: a list, or None if the call failed.
 
-    A failed call ends the watch; the next begins when ``watch`` is called again.
+    A failed call ends the watch; ``watch`` starts a new one.
     """
 
     def __init__(
         self, where: Address, seq: int, offset_ms: float, tell: Callable[[EndpointList | None], None]
     ) -> None:
         self._where, self._offset_ms, self._tell = where, offset_ms, tell
-        self._seq: int | None = seq  # what the next watch goes on from; None: the whole list comes first
+        self._seq: int | None = seq  # version the next watch continues from; None: starts with the full list
         self._task: asyncio.Task[None] | None = None
 
     def watch(self) -> None:
@@ -47,8 +47,8 @@
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def move(self, where: Address) -> None:
-        """Another service from now on. It counts its versions by itself, and its list may differ from what
-        the old one told: it has to send the whole. Nothing of the old watch is told after this."""
+        """Switch to another service. It numbers its versions independently and its list may differ, so the
+        full list is requested. Nothing of the old watch is reported after this."""
         if self._task is not None:
             self._task.cancel()
         self._where, self._seq, self._task = where, None, None
@@ -66,7 +66,7 @@
                 reader, writer = await asyncio.open_connection(*self._where)
             overdue = OVERDUE_MS
             while True:
-                # The next call goes out at once: one that comes later is a new watch to discovery.
+                # The next call is sent at once: discovery treats a later one as a new watch.
                 async with asyncio.timeout((WATCH_MS + overdue) / 1000.0):
                     message = await self._call(reader, writer)
                 if message.status != 200:
@@ -79,9 +79,14 @@
                     writer.close()
                     async with asyncio.timeout(OVERDUE_MS / 1000.0):
                         reader, writer = await asyncio.open_connection(*self._where)
-        except (OSError, ValueError, RecursionError, http.BadMessage) as fault:  # recursion: JSON nested deep
+        except (
+            OSError,
+            ValueError,
+            RecursionError,
+            http.BadMessage,
+        ) as fault:  # RecursionError: deeply nested JSON
             log.warning("discovery: call failed: %s", str(fault) or type(fault).__name__)
-            # Not from within the task: the module may ask again in answer, and the task must have ended.
+            # Not called within the task: the callback may call watch(), which needs the task to have ended.
             asyncio.get_running_loop().call_soon(self._tell, None)
         finally:
             if writer is not None:
@@ -103,4 +108,4 @@
             for message in answer.take():
                 return message
             if not data:
-                raise ConnectionResetError("the connection ended before the answer")
+                raise ConnectionResetError("the connection was closed before the response")
--- a/anisestair/endpoints.py
+++ b/anisestair/endpoints.py
@@ -1,4 +1,4 @@
-"""Discovery's list in typed form; reading it does no I/O."""
+"""Parses the list of upstreams from discovery into typed records. No I/O."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
+    """A full or partial list of upstreams, with their addresses."""
+
     seq: int
     whole: bool
     entries: tuple[api.ServerEntry, ...]
-    addresses: dict[str, Address]  # where to connect; may differ from one sidecar, and list, to the next
-    rpc: dict[str, Address] = dataclass_field(
-        default_factory=dict
-    )  # and where to for MessagePack-RPC, if it speaks that
+    addresses: dict[str, Address]  # by server name; may differ between sidecars and between lists
+    rpc: dict[str, Address] = dataclass_field(default_factory=dict)  # of MessagePack-RPC endpoints
 
     def event(self, kind: api.ListKind | None = None) -> api.ServerList:
         kind = kind or (api.ListKind.FULL if self.whole else api.ListKind.DELTA)
@@ -41,7 +41,7 @@
 
 
 def parse_list(data: Any, offset_ms: float) -> EndpointList:
-    """Discovery's JSON; ValueError names the field that cannot be used."""
+    """Parse discovery's JSON; a ValueError names the invalid field."""
     entries, addresses, rpc = [], {}, {}
     field = "seq"
     try:
@@ -49,13 +49,13 @@
         field = "whole"
         whole = data["whole"]
         if not isinstance(whole, bool):
-            raise ValueError("neither true nor false")
+            raise ValueError("not a boolean")
         field = "hosts"
         for number, host in enumerate(data["hosts"]):
             field = f"hosts[{number}].host"
             name = host["host"]
             if not isinstance(name, str) or not name or name in addresses:
-                raise ValueError("not a name of its own")
+                raise ValueError("name is missing, empty or duplicate")
             field = f"hosts[{number}].dial"
             addresses[name] = address(host["dial"])
             field = f"hosts[{number}].dial_rpc"
--- a/anisestair/recovery/duty.py
+++ b/anisestair/recovery/duty.py
@@ -52,7 +52,7 @@
 
     def _lists(self) -> UpstreamStatus:
         sidecar = self._sidecar
-        return UpstreamStatus(sidecar.usable, sidecar.heard, sidecar.unheard)
+        return UpstreamStatus(sidecar.usable, sidecar.list_received, sidecar.discovery_failed)
 
     async def start(self) -> Address:
         """Listen for clients and open the admin interface; return the clients' address. Client connections
--- a/anisestair/retuning.py
+++ b/anisestair/retuning.py
@@ -1,4 +1,4 @@
-"""SIGHUP: another file for a sidecar that serves, read off its loop's way. Loaded with the first one."""
+"""Reloads the configuration at SIGHUP, in a thread beside the event loop. Imported at the first SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Retuning:
-    """Files are taken one after the other; of signals that come while one is read, one more reading comes."""
+    """Reloads one at a time; signals received during a reload cause a single further one."""
 
     def __init__(self, config: Config, before: retune.Shape, offset_ms: float, sidecar: Sidecar) -> None:
         self._config, self._shape, self._offset_ms, self._sidecar = config, before, offset_ms, sidecar
@@ -42,7 +42,7 @@
                 return
 
     def _read(self) -> tuple[Config, retune.Shape]:
-        # What the environment says of discovery is as old as the process.
+        # BALANCER_DISCOVERY was set when the process started; the file may be newer.
         environ = {key: value for key, value in os.environ.items() if key != "BALANCER_DISCOVERY"}
         data = platform_file.read(environ)
         return retune.judge(data, self._shape, environ, self._offset_ms), retune.shape(data)
@@ -53,7 +53,7 @@
         for line in retune.changes(old.settings, config.settings):
             log.info("%s: %s", old.name, line)
         for name in retune.at_a_start(old, config):
-            log.warning("%s: %s differs: for that, start anew", old.name, name)
+            log.warning("%s: %s differs: restart to apply it", old.name, name)
         log.info("%s: discovery is at %s:%d", old.name, *config.discovery)
         self._config = replace(old, settings=config.settings, discovery=config.discovery)
         self._shape = shape
--- a/anisestair/serving.py
+++ b/anisestair/serving.py
@@ -1,4 +1,4 @@
-"""A sidecar that serves: its start, signals, and an orderly end."""
+"""Runs a serving sidecar: startup, signals and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
         loop.add_signal_handler(number, stop.set)
     spare = SPARE_SOCKETS
     if config.mgmt is not None:
-        from anisestair.admin import setup as admin  # not loaded where nobody calls
+        from anisestair.admin import setup as admin  # loaded only if the admin interface is enabled
 
         spare += admin.ADMIN_DESCRIPTORS
     each = (config.sockets - spare) // 2
     table, listener = operator.rpc if operator is not None else None, None
     storms = None
     if operator is not None and operator.storms is not None:
-        from anisestair.storms import report  # not loaded where it is off
+        from anisestair.storms import report  # loaded only if enabled
 
         storms = report.Reported(config, operator.storms.show)
     if table is None:
         sidecar, clients = Sidecar(config, offset_ms, each, storms=storms), each
     else:
-        from anisestair.rpc import setup  # not loaded where it is off
+        from anisestair.rpc import setup  # loaded only if enabled
 
-        clients = each // 2  # the application's connections, of both protocols together
+        clients = each // 2  # limit of client connections of both protocols together
         sidecar, listener = setup.start(config, offset_ms, each, table, each - clients, storms)
 
     retuning = None
@@ -61,7 +61,7 @@
     def reread() -> None:
         nonlocal retuning
         if retuning is None:
-            from anisestair.retuning import Retuning  # not loaded before the first time
+            from anisestair.retuning import Retuning  # loaded at the first SIGHUP
 
             retuning = Retuning(config, shape, offset_ms, sidecar)
         retuning.signalled()
@@ -81,8 +81,8 @@
         log.info("%s: listening for MessagePack-RPC on %s", config.name, await listener.listen(table.listen))
     if storms is not None:
         await storms.listen()
-    # Connections wait in the backlog meanwhile: before it they would be refused. The program that is started
-    # goes on whatever is found (startup).
+    # Checks run after listen(), so that connections wait in the backlog and are not refused. The findings are
+    # only printed and do not stop the program (see startup).
     for line in startup.lines(os.environ, file):
         print(f"anisestair: {line}", file=sys.stderr)
     await stop.wait()
@@ -101,8 +101,8 @@
 
 
 def run_with(files: list[str]) -> int:
-    """Serve with what an operator's file switches on."""
-    from anisestair.configure import operator_file  # not loaded without one
+    """Serve with the features that an operator's file enables."""
+    from anisestair.configure import operator_file  # loaded only if a file is given
 
     try:
         if len(files) != 1:
@@ -115,7 +115,7 @@
 
 def run_sidecar(operator: Operator | None = None, file: Path | None = None) -> int:
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
-    offset_ms = unix_offset_ms(time.monotonic() * 1000.0)  # the loop's clock is the monotonic one
+    offset_ms = unix_offset_ms(time.monotonic() * 1000.0)  # the event loop uses the monotonic clock
     try:
         data = platform_file.read(os.environ)
         config, shape = effective(data, os.environ, offset_ms), retune.shape(data)
--- a/anisestair/sidecar.py
+++ b/anisestair/sidecar.py
@@ -1,5 +1,5 @@
-"""The host of the module and of the machines: what happens goes in as events, what they say is carried
-out."""
+"""Runs the balancer and the lifecycle state machines: passes events to them and performs their actions and
+effects."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 log = logging.getLogger(__name__)
 
-SPARE_SOCKETS = 32  # descriptors that are neither the application's nor upstreams': logs, discovery, the loop
-GRACE_S = 1.2  # after SIGHUP, by then all clients use the classes of the new file
-LATE_AIMS = 0.05  # an alarm that is late by less than this share of the shortest aim says nothing
+SPARE_SOCKETS = 32  # descriptors for other uses than clients and upstreams: logs, discovery, the event loop
+GRACE_S = 1.2  # time after SIGHUP by which all clients use the classes of the new file
+LATE_SHARE_OF_TARGET = 0.05  # a timer delay below this share of the shortest latency target is ignored
 
 Answer = Callable[[int, http.Headers, "bytes | Body"], None]
 
-# What a client is told of each final outcome but SERVED.
+# Status of the response for each final outcome except SERVED.
 STATUS = {
     Final.REFUSED: HTTPStatus.SERVICE_UNAVAILABLE,
     Final.FAILED: HTTPStatus.BAD_GATEWAY,
@@ -45,18 +45,18 @@
 
 
 class Ask(Protocol):
-    """A request in the protocol in which it came: how it goes on, and how its client is told."""
+    """A request in the protocol of its client: how it is forwarded and how it is answered."""
 
-    lane: str  # what goes before a server's name for the endpoint that speaks this protocol
+    lane: str  # prefix of a server's name for its endpoint of this protocol
 
-    def write(self, wire: Any, call: Call, left_ms: int) -> None:
-        """Put it on a connection of this lane, with the time that is left."""
+    def write(self, connection: Any, call: Call, left_ms: int) -> None:
+        """Send it on a connection of this lane, with the remaining time."""
 
     def reply(self, final: Final, arrived: Any, retry_after_ms: float) -> None:
-        """The one answer; ``arrived`` is the last that came from an upstream."""
+        """Send the only response to the client; ``arrived`` is the last response from an upstream."""
 
     def sendable(self) -> bool:
-        """Whether another attempt can have it whole."""
+        """Whether another attempt can send the complete request."""
 
 
 class HttpAsk:
@@ -64,18 +64,18 @@
 
     def __init__(self, message: http.Message, answer: Answer) -> None:
         self._message, self._answer = message, answer
-        self._headers: http.Headers | None = None  # those that go on, once they have been picked out
+        self._headers: http.Headers | None = None  # the forwarded headers, computed by the first write
 
-    def write(self, wire: Any, call: Call, left_ms: int) -> None:
+    def write(self, connection: Any, call: Call, left_ms: int) -> None:
         message = self._message
         if self._headers is None:
             self._headers = [item for item in message.end_to_end() if item[0] != b"x-time-left-ms"]
         headers = [*self._headers, (b"x-time-left-ms", b"%d" % left_ms)]
         if message.stream is None:
-            wire.write(call, http.write_request(message.method, message.target, headers, message.body))
+            connection.write(call, http.write_request(message.method, message.target, headers, message.body))
         else:
             head = http.write_request(message.method, message.target, headers, message.stream)
-            wire.write(call, head, message.stream)
+            connection.write(call, head, message.stream)
 
     def sendable(self) -> bool:
         return self._message.stream is None or self._message.stream.replayable
@@ -92,33 +92,33 @@
 
 
 class RpcLane(Protocol):
-    """What the driver needs of MessagePack-RPC, where that is on."""
+    """What the sidecar requires of MessagePack-RPC, if that is enabled."""
 
     lane: str
-    calls: int  # at once on one connection to an upstream
+    calls: int  # maximum of concurrent calls on one connection to an upstream
 
     def connection(
         self, pool: ConnectionPool, number: int, carried: Callable[[int], tuple[Call, ...]]
     ) -> UpstreamConnection:
-        """A connection that has not been opened yet; ``carried`` gives the calls the machine holds on it."""
+        """Create a connection without opening it; ``carried`` returns the calls outstanding on it."""
 
 
 class Watcher(Protocol):
-    """What the driver needs of the watch for storms, where that is on."""
+    """What the sidecar requires of the retry storm detection, if that is enabled."""
 
     def told(self, now: float, event: api.Event) -> object:
-        """Before the module is told."""
+        """Observe an event before the balancer handles it."""
 
     def said(self, now: float, action: api.Action) -> api.Action:
-        """The module's action as it goes on: a refusal may get other advice."""
+        """Return the balancer's action to perform: a refusal may get a different retry delay."""
 
     def opened(self, now: float) -> None:
-        """A connection to an upstream is begun."""
+        """Observe that a connection to an upstream is being opened."""
 
 
 @dataclass(slots=True, eq=False)
 class Sending:
-    """When an attempt began, in the module's milliseconds, and its time-out."""
+    """The start of an attempt, in milliseconds of the balancer's clock, and its timeout."""
 
     sent: float
     expiry: asyncio.TimerHandle
@@ -126,21 +126,23 @@
 
 @dataclass(slots=True, eq=False, weakref_slot=True)
 class Record:
-    """What the machines need not know of an exchange: its bytes, and the timers on it."""
+    """The part of an exchange kept outside the state machines: its bytes and timers."""
 
     ask: Ask
-    deadline: float  # in the module's milliseconds
-    klass: str = ""  # none for a probe
-    left_ms: float = 0.0  # where its body is still coming: what its client will wait once that has left
+    deadline: float  # milliseconds of the balancer's clock
+    klass: str = ""  # empty for a probe
+    left_ms: float = 0.0  # while the body is being received: the time left once it has been sent
     guard: asyncio.TimerHandle | None = None
     sendings: list[Sending] = field(default_factory=list)
-    arrived: Any = None  # the last answer; the next event tells of it
+    arrived: Any = None  # the last response, set just before its event
     retry_after_ms: float = 0.0
-    probed: str = ""  # a probe, of this server
+    probed: str = ""  # the probed server, if this is a probe
 
 
 class Sidecar:
-    asks = HttpAsk  # what it takes of a client's connection; other hosts of connections load nothing of this
+    """Connects clients, upstreams and discovery with the balancer and the lifecycle state machines."""
+
+    asks = HttpAsk  # creates the Ask of a client's message; other hosts of client connections do not load it
 
     def __init__(
         self,
@@ -154,36 +156,34 @@
         self.settings = config.settings
         self.balancer = Balancer(config.settings, config.seed)
         self.classes = {item.name: item for item in config.settings.classes}
-        self.former: dict[str, api.RequestClass] = {}  # classes as they were, for a while after a change
+        self.former: dict[str, api.RequestClass] = {}  # previous classes, for GRACE_S after a change
         self._grace: asyncio.TimerHandle | None = None
         self.lives = Lives(most_upstream, config.settings.limits.max_attempts)
         self.budget = Budget(config.memory_mb)
         self.pool = ConnectionPool(
-            config.settings.limits, self.feed, self._arrived, self._left_whole, self.budget
+            config.settings.limits, self.feed, self._arrived, self._request_sent, self.budget
         )
         self.discovery = Discovery(config.discovery, config.known.seq, offset_ms, self.listed)
         self._records: dict[str, Record] = {}
         self._addresses: dict[str, Address] = {}
         self._probes = 0
-        # Final outcomes by class: served, refused, failed.
+        # Number of final outcomes by class: served, refused, failed.
         self.finals: dict[str, list[int]] = {name: [0, 0, 0] for name in ("", *self.classes)}
-        self.known = self.usable = 0  # upstreams in the list, and those of them that take requests
-        self._ready: dict[str, bool] = {}  # of each
-        self.reloads = [0, 0]  # files taken and turned down at SIGHUP
-        self.heard = self.unheard = False  # a list has come from discovery; a call to it has failed
+        self.known = self.usable = 0  # number of listed upstreams, and of those that accept requests
+        self._ready: dict[str, bool] = {}  # by upstream
+        self.reloads = [0, 0]  # number of files applied and rejected at SIGHUP
+        self.list_received = self.discovery_failed = False  # discovery sent a list; a call to it failed
         self._rpc, self._storms = rpc, storms
-        self._late_ms = LATE_AIMS * min(item.aim_ms for item in config.settings.classes)
+        self._late_ms = LATE_SHARE_OF_TARGET * min(item.aim_ms for item in config.settings.classes)
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._list(config.known, config.known.event(ListKind.CACHED))
-        if (
-            not config.settings.asks_for_list
-        ):  # pushed lists come unasked: the agent is watched from the start
+        if not config.settings.asks_for_list:  # lists are pushed: the watch starts at once
             self.discovery.watch()
 
     def retune(self, settings: api.Settings) -> None:
-        """Other settings from now on. For a while some clients go on naming classes that are dropped, and
-        using the old forms of those that have changed: these are taken by the old rules."""
+        """Apply new settings. For GRACE_S, requests for dropped classes, and requests that match the previous
+        form of a changed class, are handled by the previous settings of the class."""
         if self._grace is not None:
             self._grace.cancel()
         self.former = retune.former(self.settings, settings)
@@ -192,27 +192,27 @@
         self.classes.update((item.name, item) for item in settings.classes)
         for name in self.classes:
             self.finals.setdefault(name, [0, 0, 0])
-        # A bound on any request: open ones have as many as when they were taken.
+        # A limit for all requests: open ones keep the number of attempts valid at their start.
         self.lives.max_attempts = max(self.lives.max_attempts, settings.limits.max_attempts)
         self.pool.retune(settings.limits)
-        self._late_ms = LATE_AIMS * min(item.aim_ms for item in settings.classes)
+        self._late_ms = LATE_SHARE_OF_TARGET * min(item.aim_ms for item in settings.classes)
         self.handle(api.Retune(retune.between(settings, self.former)))
-        self._grace = self.loop.call_later(GRACE_S, self._new_forms_only)
+        self._grace = self.loop.call_later(GRACE_S, self._end_grace)
 
-    def _new_forms_only(self) -> None:
+    def _end_grace(self) -> None:
         self._grace = None
         self.former = {}
         self.handle(api.Retune(self.settings))
 
     def now(self) -> float:
-        """The one clock, in the module's milliseconds: the loop's, whose own reading is of whole ones."""
+        """Return the time of the event loop's clock in milliseconds; loop.time() has only whole ones."""
         return time.monotonic() * 1000.0
 
     def in_hand(self, request: str) -> bool:
         return request in self.lives.exchanges
 
     async def close(self) -> None:
-        """End, with an answer to whatever is still owed one."""
+        """Shut down, after a response to each open request."""
         self.feed(ev.End())
         await self.discovery.close()
         self.pool.close()
@@ -225,8 +225,8 @@
         record = self._records[request.request] = Record(ask, request.deadline, klass)
         if request.body_ms > 0.0:
             record.left_ms = request.deadline - self.now() - request.body_ms
-        # Whatever the module does, a request gets its answer by then. Not before: the module's own last word
-        # comes a tick earlier, and may be a refusal where this can only be a failure.
+        # A request gets a response at its deadline even if the balancer fails to decide. Not before: the
+        # balancer decides at the latest one tick earlier, maybe on a refusal; this is always a failure.
         record.guard = self.loop.call_at(request.deadline / 1000.0, self._overdue, request.request)
         self.handle(request)
 
@@ -234,15 +234,15 @@
         self.feed(ev.Settle(request, Final.GONE))
 
     def _overdue(self, request: str) -> None:
-        log.error("request %s: no decision in its time", request)
+        log.error("request %s: no decision before its deadline", request)
         self.feed(ev.Settle(request, Final.OVERDUE))
 
     def listed(self, endpoints: EndpointList | None) -> None:
         if endpoints is None:
-            self.unheard = True
+            self.discovery_failed = True
             self.handle(api.ServerList(ListKind.LOST))
         else:
-            self.heard = True
+            self.list_received = True
             self._list(endpoints, endpoints.event())
 
     def _list(self, endpoints: EndpointList, event: api.ServerList) -> None:
@@ -261,10 +261,10 @@
                 listings.append(ev.Listing(name, ready, life, self._rpc.calls))
                 if rpc is not None:
                     self._addresses[name] = rpc
-        # The machines come first, since the module may send to a new upstream at once; the attempts that the
-        # list ends come last, so that the module doesn't choose the same upstream for them again.
+        # The state machines are updated first, since the balancer may send to a new upstream at once.
+        # Attempts ended by the list are reported last, so that it does not choose the same upstream again.
         effects = self.lives.handle(ev.Listed(tuple(listings), endpoints.whole))
-        # Looked at by the size of the change, but where the whole list has come.
+        # Costs time by the size of the change, except for a full list.
         named = list(self._ready) if endpoints.whole else []
         named += [entry.server for entry in endpoints.entries]
         for server in named:
@@ -280,13 +280,13 @@
         self._carry_out(effects)
 
     def _rpc_name(self, server: str) -> bool:
-        """Whether that endpoint speaks MessagePack-RPC."""
+        """Whether that name denotes a MessagePack-RPC endpoint."""
         return self._rpc is not None and server.startswith(self._rpc.lane)
 
-    # The module: events in, actions out
+    # The balancer: events in, actions out
 
     def handle(self, event: api.Event) -> None:
-        """Give an event to the module. What is raised while one is handled waits its turn."""
+        """Pass an event to the balancer. Events raised while one is handled are queued."""
         self._events.append(event)
         if self._handling:
             return
@@ -305,8 +305,8 @@
             for action in self.balancer.handle(now, event):
                 self._act(now, action if storms is None else storms.said(now, action))
         except Exception:
-            # A fault in the decisions costs the request at hand its answer, not all others the sidecar.
-            log.exception("the module failed on %r", event)
+            # An error in the balancer fails the current request only and does not stop the sidecar.
+            log.exception("the balancer failed on %r", event)
             self.feed(ev.Settle(getattr(event, "request", ""), Final.FAULT))
 
     def _act(self, now: float, action: api.Action) -> None:
@@ -314,7 +314,7 @@
             self._send(now, action.request, action.server, action.timeout_ms)
         elif isinstance(action, api.SetTimer):
             due = now + action.delay_ms
-            self.loop.call_at(due / 1000.0, self._ring, due, action.token)
+            self.loop.call_at(due / 1000.0, self._timer_fired, due, action.token)
         elif isinstance(action, api.Cancel):
             self.feed(ev.GiveUp(action.request, action.attempt, Outcome.CANCELLED))
         elif isinstance(action, api.Refuse):
@@ -328,9 +328,9 @@
         else:
             self.discovery.watch()
 
-    def _ring(self, due: float, token: int) -> None:
-        """An alarm of the module's. One that is late tells how far behind this process is: the module then
-        works with less effort."""
+    def _timer_fired(self, due: float, token: int) -> None:
+        """Handle a timer of the balancer. A late one shows how far this process lags; the balancer then
+        spends less work per decision."""
         late = self.now() - due
         if late > self._late_ms:
             self.handle(api.Late(late))
@@ -345,13 +345,13 @@
         record.sendings.append(Sending(now, expiry))
         in_time = timeout > 0.0 and record.ask.sendable()
         if record.ask.lane:
-            # A server that does not speak the protocol says nothing of itself by that: never sent.
+            # Not counted against a server without an endpoint of this protocol: reported as never sent.
             server = record.ask.lane + server
             in_time = in_time and server in self._addresses
         self.feed(ev.Choose(request, server, in_time))
 
     def _probe(self, now: float, server: str) -> None:
-        """An exchange of our own. Its id has a space, which no client's has."""
+        """Send a health probe. Its id contains a space, which no client's id may contain."""
         self._probes += 1
         name, timeout = f"probe {self._probes}", self.settings.limits.connect_timeout_ms
         message = http.Message(method=b"GET", target=b"/health", headers=[(b"host", server.encode())])
@@ -360,30 +360,30 @@
         self.feed(ev.Take(name))
         self._send(now, name, server, timeout)
 
-    # The machines: events in, effects out
+    # The lifecycle state machines: events in, effects out
 
     def feed(self, event: ev.Event) -> None:
         self._carry_out(self.lives.handle(event))
 
     def _carry_out(self, effects: list[ev.Effect]) -> None:
         for effect in effects:
-            _DO[type(effect)](self, *effect)
+            _EFFECT_HANDLERS[type(effect)](self, *effect)
 
     def _reply(self, request: str, final: Final, number: int | None) -> None:
         record = self._records[request]
-        self._unguard(record)
+        self._cancel_guard(record)
         if getattr(record.arrived, "stream", None) is None or final is not Final.SERVED:
             self.finals[record.klass][min(final, Final.FAILED)] += 1
         record.ask.reply(final, record.arrived, record.retry_after_ms)
 
     def _passed(self, request: str, whole: bool) -> None:
-        """An answer that had begun has ended. A client whose answer was cut off has not got it."""
+        """Record the end of a streamed response; one that was cut off counts as failed."""
         record = self._records[request]
         self.finals[record.klass][0 if whole else Final.FAILED] += 1
         if not whole:
             record.arrived.stream.cut()
 
-    def _unguard(self, record: Record) -> None:
+    def _cancel_guard(self, record: Record) -> None:
         if record.guard is not None:
             record.guard.cancel()
             record.guard = None
@@ -400,37 +400,37 @@
             self.handle(api.AttemptEnded(request, number, outcome, latency, closed))
 
     def _left(self, request: str) -> None:
-        self._unguard(self._records[request])
+        self._cancel_guard(self._records[request])
         self.handle(api.ClientGone(request))
 
     def _forget(self, request: str) -> None:
         del self._records[request]
 
     def _open(self, connection: int, server: str) -> None:
-        line: UpstreamConnection
+        upstream: UpstreamConnection
         if self._storms is not None:
             self._storms.opened(self.now())
         if self._rpc is not None and self._rpc_name(server):
-            line = self._rpc.connection(self.pool, connection, self._carried)
+            upstream = self._rpc.connection(self.pool, connection, self._carried)
         else:
-            line = HttpConnection(self.pool, connection)
-        self.pool.open(line, self._addresses[server])
+            upstream = HttpConnection(self.pool, connection)
+        self.pool.open(upstream, self._addresses[server])
 
     def _carried(self, connection: int) -> tuple[Call, ...]:
         found = self.lives.connections.get(connection)
         return found.calls if found is not None else ()
 
     def _write(self, connection: int, call: Call, kept: bool) -> None:
-        wire = self.pool[connection]
-        if kept and not wire.usable():
+        upstream = self.pool[connection]
+        if kept and not upstream.usable():
             self.feed(ev.Unusable(connection, call))
             return
         record = self._records[call[0]]
         expires = record.sendings[call[1]].expiry.when()
-        record.ask.write(wire, call, max(int((expires - self.loop.time()) * 1000.0), 1))
+        record.ask.write(upstream, call, max(int((expires - self.loop.time()) * 1000.0), 1))
 
-    def _left_whole(self, call: Call) -> None:
-        """The last byte of a long body has gone to its upstream: time counts from here on."""
+    def _request_sent(self, call: Call) -> None:
+        """Restart the time limits once the last byte of a streamed request has been sent."""
         record = self._records.get(call[0])
         if record is None or record.left_ms <= 0.0:
             return
@@ -455,7 +455,7 @@
             self._records[call[0]].arrived = answer
 
 
-_DO: dict[type, Callable[..., Any]] = {
+_EFFECT_HANDLERS: dict[type, Callable[..., Any]] = {
     ev.Reply: Sidecar._reply,
     ev.Passed: Sidecar._passed,
     ev.Ended: Sidecar._ended,
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -273,7 +273,7 @@
             new.send("new", method=b"GET", body=b"")
             answer = await new.read()
             assert answer is not None and answer.status == 200
-            there.sidecar._new_forms_only()
+            there.sidecar._end_grace()
             again = await there.client()
             assert (await again.ask("post")).status == 400  # from here on only the new form
             assert set(report(there.sidecar)["passed"]) == {"sale", "listing"}  # what was counted stays
