--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -14,7 +14,7 @@
 import time
 from typing import Any
 
-from simulation.mesh.plays import order
+from simulation.mesh.plays import patch_body
 from simulation.mesh.world import Script, World
 
 CORES = (3, 5)
@@ -28,7 +28,7 @@
     def script(world: World) -> Script:
         yield from world.boot(cores, proxies=1)
         yield world.env.timeout(1.0)
-        yield from world.commit(world.controllers(), order(["r0"], 1, 1))
+        yield from world.commit(world.controllers(), patch_body(["r0"], 1, 1))
         yield world.env.timeout(1.0)
         sent = [0, 0]
         carry = world.wire.send
@@ -45,7 +45,7 @@
         for number in range(orders):
             began = float(world.env.now)
             answer = yield from world.patch(
-                machines[number % cores], order([f"r{number % 7}"], number + 2, 1)
+                machines[number % cores], patch_body([f"r{number % 7}"], number + 2, 1)
             )
             assert answer is not None and answer.status == 200
             took.append(float(world.env.now) - began)
@@ -72,7 +72,7 @@
     def script(world: World) -> Script:
         yield from world.boot(3, proxies=1)
         yield world.env.timeout(1.0)
-        body = order([f"r{n}" for n in range(routes)], 1, 1)
+        body = patch_body([f"r{n}" for n in range(routes)], 1, 1)
         began, cpu = float(world.env.now), time.process_time()
         answer = yield from world.patch(world.controllers()[0], body)
         told["cpu_ms"] = round((time.process_time() - cpu) * 1000.0)
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -1,5 +1,5 @@
-"""Control machines that are cut off for 20 s, in virtual time, with orders and rivalled orders on both sides,
-lives that begin, and what contact must never allow.
+"""Control machines that are cut off for 20 s, in virtual time, with writes and conflicting ones on both
+sides, restarts, and what contact must never allow.
 
 Many drawn ones: ``python -m benchmarks.contact_plays``.
 """
@@ -38,7 +38,7 @@
 Cut = Callable[["Cuts", Machine], Script]
 
 
-def order(name: str, version: int, horizon_ms: int) -> bytes:
+def patch_body(name: str, version: int, horizon_ms: int) -> bytes:
     rule = {
         "name": name,
         "kind": "idempotent",
@@ -187,12 +187,12 @@
 
     # What goes on meanwhile
 
-    def orders(self, at: Machine, name: str, every_s: float, draw: random.Random) -> Script:
-        """One operator, with orders to this machine alone, each sent again until it is taken or too old."""
+    def repeat_writes(self, at: Machine, name: str, every_s: float, draw: random.Random) -> Script:
+        """One operator, with writes to this machine alone, each repeated until it is accepted or too old."""
         version = 1
         while True:
             version += 1
-            body = order(name, version, 500 + version)
+            body = patch_body(name, version, 500 + version)
             for _ in range(4):
                 answer = yield from self.patch(at, body)
                 if answer is not None and answer.status < 500:
@@ -204,13 +204,13 @@
             yield self.env.timeout(every_s * draw.uniform(0.5, 1.5))
 
     def races(self, one: Machine, other: Machine, every_s: float, draw: random.Random) -> Script:
-        """Two orders of one number, to both sides at once, a few milliseconds apart."""
+        """Two writes of one number, to both sides at once, a few milliseconds apart."""
         version = 1
         while True:
             version += 1
-            first = self.env.process(self.patch(one, order("race", version, 700)))
+            first = self.env.process(self.patch(one, patch_body("race", version, 700)))
             yield self.env.timeout(draw.uniform(0.0, 0.02))
-            yield first & self.env.process(self.patch(other, order("race", version, 900)))
+            yield first & self.env.process(self.patch(other, patch_body("race", version, 900)))
             yield self.env.timeout(every_s * draw.uniform(0.5, 1.5))
 
     def beginners(self, seeds: list[Machine], every_s: float, draw: random.Random) -> Script:
@@ -353,7 +353,7 @@
         world.env.process(world.witness.watch())
         world.env.process(world.monitor())
         at = draw.choice(world.controllers())
-        yield from world.commit([at], order("last", 1, 800))
+        yield from world.commit([at], patch_body("last", 1, 800))
         across = draw.choice(others(world, at))
         struck = world.env.event()
 
@@ -363,8 +363,8 @@
             return 0.0
 
         world.counting, world.at, world.fault = True, number, strikes
-        world.env.process(world.orders(at, "here", draw.uniform(0.1, 0.5), draw))
-        world.env.process(world.orders(across, "there", draw.uniform(0.1, 0.5), draw))
+        world.env.process(world.repeat_writes(at, "here", draw.uniform(0.1, 0.5), draw))
+        world.env.process(world.repeat_writes(across, "there", draw.uniform(0.1, 0.5), draw))
         world.env.process(world.races(at, across, draw.uniform(0.2, 1.0), draw))
         if number >= 0:
             yield struck | world.env.timeout(2.0)
--- a/simulation/mesh/members.py
+++ b/simulation/mesh/members.py
@@ -1,5 +1,5 @@
 """What befalls the members of a core: machines that come, are told to end, go for good and come back. Plays
-of them, by hand and drawn; what is played through ends in a core that confirms orders."""
+of them, by hand and drawn; what is played through ends in a core that confirms writes."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def confirms(world: World, version: int, within_s: float = ACK_S) -> Script:
-    """An order is acknowledged in time by those that run."""
+    """A write is acknowledged in time by those that run."""
     began = world.env.now
     running = [machine for machine, _ in world.programs(core=True)]
     answer = yield from world.commit(running, change(version))
@@ -119,7 +119,7 @@
 
 
 def lost_replaced_and_lost(world: World) -> Script:
-    """One is gone for good, its successor counts; a loss later orders go on, and so again."""
+    """One is gone for good, its successor counts; after a further loss writes still succeed, and so again."""
     for number in (11, 12, 13):
         go(world, world.controllers()[0])
         yield from confirms(world, 2 * number)
--- a/simulation/mesh/plays.py
+++ b/simulation/mesh/plays.py
@@ -1,5 +1,5 @@
 """Drawn plays of operators who rival each other while machines are lost, cut off, frozen and stalled. What
-must hold is the witness's; that in the end every order has a clear answer, the same as before, is looked at
+must hold is the witness's; that in the end every write has a clear answer, the same as before, is looked at
 here."""
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 NAMES = ("r1", "r2", "r3")
 OPERATORS = 3
-TRIES = 6  # of one operator for one order, before he goes on
+TRIES = 6  # of one operator for one write, before the next one
 CALM_S = 3.5  # after a trouble, before the next one
-CLEAR_S = 6.0  # after all is well again, until every order of one item has a clear answer
+CLEAR_S = 6.0  # after all is well again, until every write of one item has a clear answer
 
 
-def order(names: Sequence[str], version: int, trials: int, drop: bool = False) -> bytes:
-    """One order of these routes under one version; ``trials`` tells contents apart."""
+def patch_body(names: Sequence[str], version: int, trials: int, drop: bool = False) -> bytes:
+    """The body of one write of these routes under one version; ``trials`` makes contents differ."""
     if drop:
         return json.dumps(
             {"remove": {"routes": [{"name": n, "epoch": f"r{version}"} for n in names]}}
@@ -134,7 +134,7 @@
             body = draw.choice(sorted(sent))
         else:
             several = draw.sample(NAMES, draw.choice((1, 1, 1, 2, 3)))
-            body = order(sorted(several), version, draw.choice((1, 2, 2 + at)), draw.random() < 0.15)
+            body = patch_body(sorted(several), version, draw.choice((1, 2, 2 + at)), draw.random() < 0.15)
         machines = world.controllers()
         draw.shuffle(machines)
         answer = yield from world.commit(machines, body, TRIES)
@@ -159,7 +159,7 @@
 def _again(
     world: World, draw: random.Random, body: bytes, before: Answer | None, counts: Counter[str]
 ) -> Script:
-    """Any order, sent once more to anybody: clear by now, and no other than it was."""
+    """Any write, sent once more to any process: its answer is clear by now and the same as before."""
     until, answer = world.env.now + CLEAR_S, None
     while world.env.now < until and (answer is None or answer.status >= 500):
         answer = yield from world.patch(draw.choice(world.controllers()), body)
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -46,7 +46,7 @@
         return self._zones.setdefault(machine.name, "abc"[(number - 1) % self.layout.zones])
 
     def confirmed(self) -> Script:
-        """A new order is acknowledged in time."""
+        """A new write is acknowledged in time."""
         self.version += 1
         yield from confirms(self, self.version)
 
@@ -106,7 +106,7 @@
         return counts(self, self.controllers())
 
     def replaced(self, number: int, old: Machine, then: Callable[[Machine], None] | None = None) -> Script:
-        """The machine is lost for good and its successor starts; each is one loss that orders go on after.
+        """The machine is lost for good and its successor starts; each is one loss after which writes go on.
         The predecessor must be out `convergence_s` after the successor's start, when the next loss is
         allowed."""
         go(self, old)
@@ -168,7 +168,7 @@
 
 
 def bears_one_more(world: ZonedWorld) -> Script:
-    """Each member in turn is lost for a while, and orders go on."""
+    """Each member in turn is lost for a while, and writes go on."""
     for machine in world.controllers():
         world.power_off(machine)
         yield from world.confirmed()
@@ -254,7 +254,7 @@
 
 def zone_is_cut_after_its_replacement(world: ZonedWorld) -> Script:
     """The zone of the replaced machine is cut off in the seconds after the successor's start; that is one
-    lost zone, and orders go on."""
+    lost zone, and writes go on."""
     for number, after_s in enumerate((0.3, 1.0, 2.0, 3.0)):
         old = world.controllers()[-1]
         go(world, old)
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -1,6 +1,6 @@
 """What must hold, whatever befalls the machines: said as lines in ``broken`` where it does not.
 
-The witness knows all contents that were ever acknowledged, by number, and all orders that were refused for a
+The witness knows all contents that were ever acknowledged, by number, and all writes that were refused for a
 rival. Each read, each change of each process's configuration, each disk and each sidecar is compared with
 them for ever after.
 """
@@ -49,7 +49,7 @@
         self.sent: dict[Key, dict[int, set[bytes]]] = {}  # valid contents by version
         self.acked: dict[Key, tuple[int, float]] = {}  # the highest version acknowledged, and when
         self.contents: dict[Slot, bytes] = {}  # acknowledged
-        self.orders: dict[Slot, dict[bytes, set[bytes]]] = {}  # bodies that had each content, by number
+        self.bodies: dict[Slot, dict[bytes, set[bytes]]] = {}  # bodies that had each content, by number
         self.acked_orders: set[bytes] = set()
         self.rivalled: set[bytes] = set()  # bodies that were answered 409
         self.reads = self.acks = 0
@@ -73,7 +73,7 @@
                 key = (write.kind, write.name)
                 self.sent.setdefault(key, {}).setdefault(write.version, set()).add(told)
                 number = (*key, write.version)
-                self.orders.setdefault(number, {}).setdefault(told, set()).add(body)
+                self.bodies.setdefault(number, {}).setdefault(told, set()).add(body)
 
     def answered(
         self,
@@ -120,7 +120,7 @@
 
     def _stand(self, keys: Collection[Key]) -> None:
         """They are acknowledged: nobody may hold anything else under their numbers, now or ever. Each disk is
-        read once for all of them: an order may have a thousand."""
+        read once for all of them: a write may have a thousand."""
         for core in (True, False):
             for other, program in self.world.programs(core):
                 for key in keys:
@@ -139,7 +139,7 @@
         number, told = (item.kind, item.name, item.version), canonical_content(item)
         if self.contents.get(number, told) != told:
             self._say(f"{who} has another content of {number} than was acknowledged")
-        bodies = self.orders.get(number, {}).get(told)
+        bodies = self.bodies.get(number, {}).get(told)
         if bodies and bodies <= self.rivalled:
             self._say(f"{who} has {number} as it was refused for a rival")
 
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -13,7 +13,7 @@
 from mesh.event_log import events
 from mesh.replication.quorum_contact import PROBE_INTERVAL_SHARE, Proof
 from simulation.mesh import contact_seeds as seeds
-from simulation.mesh.cuts import BOUND_S, CUTS, NEWEST_S, Cuts, order, others, play
+from simulation.mesh.cuts import BOUND_S, CUTS, NEWEST_S, Cuts, others, patch_body, play
 from simulation.mesh.world import Machine, Script, World
 
 CONTROLLERS = {"halves": 4}
@@ -79,7 +79,7 @@
         assert isinstance(world, Cuts)
         yield from world.boot(cores, proxies)
         world.env.process(world.monitor())
-        yield from world.commit(world.controllers(), order("last", 1, 800))
+        yield from world.commit(world.controllers(), patch_body("last", 1, 800))
         yield world.env.timeout(1.0)
         yield from script(world)
 
@@ -99,7 +99,7 @@
     def script(world: Cuts) -> Script:
         side, at = world.machines["s1"], world.controllers()[0]
         isolate(world, at, side)
-        yield from world.commit(others(world, at), order("last", 2, 700))
+        yield from world.commit(others(world, at), patch_body("last", 2, 700))
         yield world.env.timeout(20.0)
         program = side.program
         assert program.configured() and program.config_store.items["route", "last"].version == 1
@@ -124,7 +124,7 @@
         at = world.controllers()[0]
         isolate(world, at)
         yield world.env.timeout(BOUND_S + 0.2)
-        yield from world.commit(others(world, at), order("last", 2, 700))
+        yield from world.commit(others(world, at), patch_body("last", 2, 700))
         new = world.add("n1", "10.0.2.1", core=False)
         world.seeds_of["n1"] = [at]
         world.cut([new], others(world, at))
@@ -145,11 +145,11 @@
         world.cut([at], cores[2:])
         yield world.env.timeout(BOUND_S + 0.5)
         assert at.program.contact_probes.proof() is Proof.NONE
-        for method, body in ((b"GET", b""), (b"PATCH", order("last", 2, 700))):
+        for method, body in ((b"GET", b""), (b"PATCH", patch_body("last", 2, 700))):
             answer = yield from world.call(at, method, body)
             assert (answer.status, answer.location) == (307, f"http://{near.ip}:8146/configuration")
-        world.witness.sends(order("last", 2, 700), True)
-        answer = yield from world.commit([at], order("last", 2, 700))
+        world.witness.sends(patch_body("last", 2, 700), True)
+        answer = yield from world.commit([at], patch_body("last", 2, 700))
         assert answer.status == 200
 
     assert run_world(script, cores=5) == []
@@ -162,7 +162,7 @@
         at = world.controllers()[0]
         world.freeze(at, 20.0)
         yield world.env.timeout(1.0)
-        yield from world.commit(others(world, at), order("last", 2, 700))
+        yield from world.commit(others(world, at), patch_body("last", 2, 700))
         yield world.env.timeout(18.7)
         new = world.add("n1", "10.0.2.1", core=False)
         world.seeds_of["n1"] = [at]
@@ -173,7 +173,7 @@
         yield from world.until(new.program.configured, NEWEST_S, "n1 is ready")
         assert new.program.config_store.items["route", "last"].version == 2
 
-    calls = [(b"GET", b""), (b"PATCH", order("last", 3, 600))]
+    calls = [(b"GET", b""), (b"PATCH", patch_body("last", 3, 600))]
     assert run_world(script) == []
 
 
--- a/tests/mesh/test_large_orders_world.py
+++ b/tests/mesh/test_large_orders_world.py
@@ -16,8 +16,8 @@
 LINK_BYTES_S = 3.25e6 / 8 * 0.45  # of a proxy's link: the share of 3.25 Mbit/s that calls leave
 
 
-def order(version: int, names: list[str]) -> bytes:
-    """An order of routes of realistic length."""
+def patch_body(version: int, names: list[str]) -> bytes:
+    """The body of a write of routes of realistic length."""
     rules = [
         {
             "name": name,
@@ -49,7 +49,7 @@
         self.version += 1
         version = self.version
         self.routes[version] = names[-1]
-        answer = yield from self.world.commit(self.world.controllers(), order(version, names))
+        answer = yield from self.world.commit(self.world.controllers(), patch_body(version, names))
         assert answer is not None and answer.status == 200
         self.acked[version] = float(self.world.env.now)
         self.world.env.process(self._check_in_force(version))
@@ -157,7 +157,7 @@
 
 def compressed_bytes() -> int:
     """The bytes of one large order in one page, and of everything else that a restart receives."""
-    return len(zlib.compress(order(1, large(1)), 1)) + 12_000
+    return len(zlib.compress(patch_body(1, large(1)), 1)) + 12_000
 
 
 CHOKED_BYTES_S = LINK_BYTES_S / 5.0  # one page takes long, but less than the silence that closes a link
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -24,7 +24,7 @@
 from mesh.replication.acceptor import Decision
 from mesh.replication.proposer import Proposer, Retry, Unresolved
 from simulation.mesh import troubles
-from simulation.mesh.plays import order, play
+from simulation.mesh.plays import patch_body, play
 from simulation.mesh.wire import End
 from simulation.mesh.world import Life, Script, World
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("cores", [3, 4, 5])
 def test_of_three_orders_of_one_number_one_is_acknowledged_and_the_others_are_refused(cores: int) -> None:
     def three(world: World) -> Script:
-        bodies = [order(["r1"], 1, trials) for trials in (1, 2, 3)]
+        bodies = [patch_body(["r1"], 1, trials) for trials in (1, 2, 3)]
         yield from send_concurrently(world, *enumerate(bodies))
         statuses = []
         for at, body in enumerate(bodies):
@@ -99,8 +99,8 @@
 
 def test_a_drop_and_a_set_of_one_version_are_rivals() -> None:
     def drop_or_set(world: World) -> Script:
-        yield from world.commit(world.controllers(), order(["r1"], 1, 1))
-        bodies = [order(["r1"], 2, 2), order(["r1"], 2, 0, drop=True)]
+        yield from world.commit(world.controllers(), patch_body(["r1"], 1, 1))
+        bodies = [patch_body(["r1"], 2, 2), patch_body(["r1"], 2, 0, drop=True)]
         yield from send_concurrently(world, *enumerate(bodies))
         first = yield from first_clear_answer(world, 0, bodies[0])
         second = yield from first_clear_answer(world, 1, bodies[1])
@@ -111,7 +111,7 @@
 
 def test_the_same_order_is_200_at_any_time_at_any_process_and_another_content_never() -> None:
     def again(world: World) -> Script:
-        one, two, rival = order(["r1"], 1, 1), order(["r1"], 2, 2), order(["r1"], 1, 3)
+        one, two, rival = patch_body(["r1"], 1, 1), patch_body(["r1"], 2, 2), patch_body(["r1"], 1, 3)
         for body in (one, one, two, one):  # the last one: overtaken after it was in force
             for at in range(3):
                 assert (yield from first_clear_answer(world, at, body)).status == 200
@@ -121,10 +121,10 @@
         for at in range(3):
             assert (yield from first_clear_answer(world, at, one)).status == 200
             assert (yield from first_clear_answer(world, at, rival)).status == 409
-        late = order(["r2"], 3, 1)  # versions 1 and 2 of r2 are first sent after version 3 is in force
+        late = patch_body(["r2"], 3, 1)  # versions 1 and 2 of r2 are first sent after version 3 is in force
         assert (yield from first_clear_answer(world, 0, late)).status == 200
-        assert (yield from first_clear_answer(world, 1, order(["r2"], 2, 1))).status == 200
-        assert (yield from first_clear_answer(world, 2, order(["r2"], 2, 2))).status == 409
+        assert (yield from first_clear_answer(world, 1, patch_body(["r2"], 2, 1))).status == 200
+        assert (yield from first_clear_answer(world, 2, patch_body(["r2"], 2, 2))).status == 409
 
     assert run_world(again) == []
 
@@ -132,7 +132,7 @@
 def test_orders_that_cross_on_two_items_do_not_lock_each_other() -> None:
     def cross(world: World) -> Script:
         for version in range(1, 6):
-            bodies = [order(["r1", "r2"], version, 1), order(["r2", "r1"], version, 2)]
+            bodies = [patch_body(["r1", "r2"], version, 1), patch_body(["r2", "r1"], version, 2)]
             began = world.env.now
             yield from send_concurrently(world, *enumerate(bodies))
             first = yield from first_clear_answer(world, 0, bodies[0])
@@ -145,11 +145,11 @@
 
 def test_a_large_order_of_which_one_route_is_rivalled_is_refused_whole() -> None:
     def large(world: World) -> Script:
-        yield from world.commit(world.controllers(), order(["r1"], 1, 1))
+        yield from world.commit(world.controllers(), patch_body(["r1"], 1, 1))
         names = [f"r{n}" for n in range(1, 161)]
-        answer = yield from first_clear_answer(world, 1, order(names, 1, 2))
+        answer = yield from first_clear_answer(world, 1, patch_body(names, 1, 2))
         assert answer.status == 409 and b"route r1" in answer.body
-        answer = yield from first_clear_answer(world, 1, order(names, 2, 2))
+        answer = yield from first_clear_answer(world, 1, patch_body(names, 2, 2))
         assert answer.status == 200
         assert len(world.controllers()[2].program.config_store.items) >= 160
 
@@ -161,7 +161,7 @@
 
     def pages(world: World) -> Script:
         names = [f"r{n}" for n in range(40)]
-        answer = yield from world.patch(world.controllers()[0], order(names, 1, 2))
+        answer = yield from world.patch(world.controllers()[0], patch_body(names, 1, 2))
         assert answer.status == 200
 
     assert run_world(pages) == []
@@ -170,7 +170,7 @@
 def test_eight_orders_at_once_are_all_acknowledged_in_time() -> None:
     def eight(world: World) -> Script:
         began = world.env.now
-        sent = [(at % 3, order([f"r{at}"], 1, 1)) for at in range(8)]
+        sent = [(at % 3, patch_body([f"r{at}"], 1, 1)) for at in range(8)]
         assert (yield from send_concurrently(world, *sent)) == [200] * 8
         assert world.env.now - began < RESPONSE_TIMEOUT_S
 
@@ -182,7 +182,7 @@
     assert MAX_PENDING_WRITES == 256
 
     def many(world: World) -> Script:
-        sent = [(0, order([f"r{at}"], 1, 1)) for at in range(5)]
+        sent = [(0, patch_body([f"r{at}"], 1, 1)) for at in range(5)]
         assert sorted((yield from send_concurrently(world, *sent))) == [200, 200, 200, 503, 503]
 
     assert run_world(many) == []
@@ -211,9 +211,9 @@
         cores = world.controllers()
         cores[1].disk.hangs_until = world.env.now + 2.0
         began = world.env.now
-        answer = yield from world.patch(cores[0], order(["r1"], 1, 1))
+        answer = yield from world.patch(cores[0], patch_body(["r1"], 1, 1))
         assert answer.status == 200 and world.env.now - began < 0.1
-        assert (yield from world.patch(cores[1], order(["r1"], 1, 1))).status == 200
+        assert (yield from world.patch(cores[1], patch_body(["r1"], 1, 1))).status == 200
         yield world.env.timeout(2.5)
 
     assert run_world(stalled) == []
@@ -222,7 +222,7 @@
 def test_what_its_proposer_left_half_voted_is_decided_within_the_stated_time() -> None:
     def left(world: World) -> Script:
         first, *others = world.controllers()
-        world.env.process(world.patch(first, order(["r1", "r2"], 1, 1)))
+        world.env.process(world.patch(first, patch_body(["r1", "r2"], 1, 1)))
         while not any(machine.program.acceptor.votes for machine in others):
             yield world.env.timeout(0.0005)
         world.kill(first)
@@ -230,12 +230,13 @@
         yield world.env.timeout(OPEN_VOTE_TIMEOUT_S + 3 * RANK_DELAY_S + 0.1)
         assert values_in_force(world) == {(1, 1)}
         assert not any(machine.program.acceptor.votes for machine in others)
-        rival = order(["r1"], 1, 2)  # with a service: 409 for several items needs an answer of all members
+        # The body also sets a service: a 409 for several items needs an answer of all members.
+        rival = patch_body(["r1"], 1, 2)
         assert (yield from world.patch(others[0], rival)).status == 503
         world.start(first)
         yield world.env.timeout(1.0)
         assert (yield from first_clear_answer(world, 1, rival)).status == 409
-        assert (yield from first_clear_answer(world, 0, order(["r1", "r2"], 1, 1))).status == 200
+        assert (yield from first_clear_answer(world, 0, patch_body(["r1", "r2"], 1, 1))).status == 200
 
     assert run_world(left) == []
 
@@ -243,7 +244,7 @@
 def test_a_read_brings_an_open_vote_to_its_decision_first() -> None:
     def reads(world: World) -> Script:
         first, *others = world.controllers()
-        world.env.process(world.patch(first, order(["r1"], 1, 1)))
+        world.env.process(world.patch(first, patch_body(["r1"], 1, 1)))
         while not all(machine.program.acceptor.votes for machine in others):
             yield world.env.timeout(0.0005)
         world.kill(first)
@@ -265,7 +266,7 @@
 
     def then(world: World) -> Script:
         monkeypatch.setattr(ProposerHost, "_run_ballot", refused_ballot)
-        yield from world.patch(world.controllers()[0], order(["r1"], 1, 1))
+        yield from world.patch(world.controllers()[0], patch_body(["r1"], 1, 1))
         monkeypatch.undo()
 
     assert run_world(then) == []
@@ -277,11 +278,11 @@
         cores = world.controllers()
         for machine in cores[1:]:
             machine.disk.hangs_until = world.env.now + 1.2
-        answer = yield from world.patch(cores[0], order(["r1"], 1, 1))
+        answer = yield from world.patch(cores[0], patch_body(["r1"], 1, 1))
         assert answer.status == 503 and answer.retry_after_s > 0.0
         yield world.env.timeout(0.6)
         assert values_in_force(world) == {(1, 1)}
-        assert (yield from world.patch(cores[2], order(["r1"], 1, 1))).status == 200
+        assert (yield from world.patch(cores[2], patch_body(["r1"], 1, 1))).status == 200
 
     assert run_world(leaves) == []
 
@@ -290,15 +291,15 @@
     def lost(world: World) -> Script:
         cores = world.controllers()
         for version in (1, 2, 3):
-            yield from world.commit(cores, order(["r1"], version, version))
+            yield from world.commit(cores, patch_body(["r1"], version, version))
         for machine in cores:
             troubles.wiped(world, machine.life, None)  # type: ignore[arg-type]
             yield world.env.timeout(3.0)
             yield from world.joined([machine])
         for machine in cores:
             assert isinstance(machine.program.acceptor.state((*R1, 1)), Decision)
-        assert (yield from first_clear_answer(world, 2, order(["r1"], 1, 9))).status == 409
-        assert (yield from first_clear_answer(world, 2, order(["r1"], 1, 1))).status == 200
+        assert (yield from first_clear_answer(world, 2, patch_body(["r1"], 1, 9))).status == 409
+        assert (yield from first_clear_answer(world, 2, patch_body(["r1"], 1, 1))).status == 200
 
     assert run_world(lost) == []
 
@@ -313,7 +314,7 @@
     world.env.process(world.witness.watch())
     world.counting = True
     cores = world.controllers()
-    bodies = [order(["r1", "r2"], 1, 1), order(["r1"], 1, 2)]
+    bodies = [patch_body(["r1", "r2"], 1, 1), patch_body(["r1"], 1, 2)]
     one = world.env.process(world.commit(cores, bodies[0], 30))
     other = world.env.process(world.commit(cores[1:], bodies[1], 30))
     yield one & other
@@ -336,7 +337,7 @@
     world.counting = True
     cores = world.controllers()
     for at, version in ((0, 1), (1, 2), (2, 1)):
-        answer = yield from world.commit(cores[at:], order(["r1"], version, version), 30)
+        answer = yield from world.commit(cores[at:], patch_body(["r1"], version, version), 30)
         assert answer is not None and answer.status == 200
     world.counting = False
     yield world.env.timeout(3.0)
