--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,5 +1,5 @@
-"""Other settings under load: which files are taken, what binds when, and that no request changes its
-class."""
+"""Reload of settings under load: which files are accepted, when they take effect, and that no request changes
+its class."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def change(at: list[Any], value: Any) -> dict[str, Any]:
-    """The good file with another value at a place; None takes the key away."""
+    """The valid file with one value replaced; None removes the key."""
     data = copy.deepcopy(GOOD)
     place: Any = data
     for key in at[:-1]:
@@ -63,7 +63,7 @@
 
 
 def places(data: Any, at: tuple[Any, ...] = ()) -> list[list[Any]]:
-    """All keys that a file may not lack."""
+    """All required keys of a file."""
     found = []
     items = data.items() if isinstance(data, dict) else enumerate(data) if isinstance(data, list) else ()
     for key, item in items:
@@ -128,7 +128,7 @@
         platform_file.read({"BALANCER_CONFIG": str(path)})
 
 
-# The module
+# The balancer
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
 CLASS = st.builds(
@@ -153,12 +153,12 @@
 def test_no_order_of_changes_alters_an_open_request_or_loses_one(
     first: api.Settings, data: st.DataObject
 ) -> None:
-    """Each request ends by the class and the number of attempts under which it was taken, and only once."""
+    """Each request ends once, by the class and the number of attempts valid when it was accepted."""
     balancer, now, settings = Balancer(first, 1), 0.0, first
     entries = tuple(api.ServerEntry(f"s{number}") for number in range(3))
     balancer.handle(now, api.ServerList(api.ListKind.FULL, 1, entries))
     taken: dict[str, tuple[api.RequestClass, int]] = {}
-    sends: dict[str, list[bool]] = {}  # of each: may its attempts so far have run
+    sends: dict[str, list[bool]] = {}  # by request: whether each attempt so far may have run
     out: list[tuple[str, int]] = []
     final: set[str] = set()
     timers: list[tuple[float, int]] = []
@@ -241,8 +241,8 @@
 
 
 def test_a_request_ends_under_the_rules_that_it_was_taken_under() -> None:
-    """A sale is out while sales become safe to repeat: it is reset, and never goes again. The next one is, as
-    a GET."""
+    """A sale is outstanding while sales become safe to retry: it is reset and not retried. The next one is,
+    as a GET."""
 
     async def run() -> None:
         release, seen = asyncio.Event(), []
@@ -261,7 +261,7 @@
             client.send("old")
             await upstream.seen.get()
             there.sidecar.retune(with_classes(SALE | {"idempotency": "free"}))
-            late = await there.client()  # one that does not know of it yet: the old form, by the old rules
+            late = await there.client()  # a client not updated yet: the old form, by the old rules
             late.send("late")
             await upstream.seen.get()
             release.set()
@@ -275,15 +275,15 @@
             assert answer is not None and answer.status == 200
             there.sidecar._end_grace()
             again = await there.client()
-            assert (await again.ask("post")).status == 400  # from here on only the new form
-            assert set(report(there.sidecar)["passed"]) == {"sale", "listing"}  # what was counted stays
+            assert (await again.ask("post")).status == 400  # only the new form is accepted from here on
+            assert set(report(there.sidecar)["passed"]) == {"sale", "listing"}  # the counts are kept
         upstream.close()
 
     asyncio.run(run())
 
 
 def test_sighups_under_load_lose_nothing_and_are_counted(tmp_path: Path) -> None:
-    """One file in three is bad; each is taken or turned down before the next is written."""
+    """One file in three is invalid; each is applied or rejected before the next is written."""
 
     async def run() -> None:
         upstream = Upstream(serve)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar over loopback sockets, with the real Balancer: what each side is owed."""
+"""The sidecar over loopback sockets, with the real Balancer: its behaviour towards each peer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def run(test: Callable[[Upstream, FakeDiscovery], Awaitable[None]], handler: object = serve) -> None:
-    """A test's coroutine, given an upstream and discovery."""
+    """Run a test's coroutine with an upstream and a discovery service."""
 
     async def play() -> None:
         upstream, discovery = Upstream(handler), FakeDiscovery()  # type: ignore[arg-type]
@@ -31,12 +31,12 @@
         finally:
             upstream.close()
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program runs
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as in production
         runner.run(play())
 
 
 async def send_back(peer: Peer, message: http.Message) -> None:
-    """Answers with the status that the request's body names, marked as unprocessed if it says so."""
+    """Answers with the status named in the request body, marked as unprocessed if the body says so."""
     status, _, mark = message.body.partition(b" ")
     headers = [(b"x-unprocessed", b"1"), (b"retry-after", b"9")] if mark else [(b"retry-after", b"9")]
     await peer.answer(int(status), b"upstream's words", headers)
@@ -46,7 +46,7 @@
     async def test(upstream: Upstream, discovery: FakeDiscovery) -> None:
         async with world(discovery, host("s-1", upstream.dial)) as there:
             client = await there.client()
-            named = b"x-private, X-Correlation-Id, Idempotency-Key"  # the last two are not for one connection
+            named = b"x-private, X-Correlation-Id, Idempotency-Key"  # the last two stay end-to-end
             key = [(b"idempotency-key", b"k1"), (b"connection", named), (b"x-private", b"1")]
             answer = await client.ask("r1", "listing", target=b"/api?q=1", body=b"\x00\r\n", headers=key)
             assert (answer.status, answer.body) == (200, b"done:\x00\r\n")
@@ -59,8 +59,8 @@
     run(test)
 
 
-# An upstream's refusal promises that nothing ran to this sidecar alone: passed on, it would let the client
-# repeat a request that has run. Without its mark a 503 says nothing of that either.
+# A refusal by an upstream implies only for this sidecar that nothing ran: forwarded, it would let the client
+# retry a request that has run. A 503 without the header gives no such guarantee either.
 @pytest.mark.parametrize(
     ("said", "status"),
     [
@@ -99,7 +99,7 @@
         ({"request": "r" * 129}, 400),
         ({"headers": [(b"x-correlation-id", b"r9")]}, 400),
         ({"headers": [(b"x-service-class", b"listing")]}, 400),
-        ({"headers": [(b"idempotency-key", b"k")]}, 400),  # a sale, which has none
+        ({"headers": [(b"idempotency-key", b"k")]}, 400),  # a sale, which takes no key
         ({"klass": "listing", "headers": [(b"idempotency-key", b"")]}, 400),
         ({"klass": "listing", "headers": [(b"idempotency-key", b"k"), (b"idempotency-key", b"l")]}, 400),
         ({"method": b"GET"}, 400),
@@ -156,7 +156,7 @@
     run(test)
 
 
-SOON_S = 2.0  # for what has to happen by itself; idle and given-up connections end only after that
+SOON_S = 2.0  # time limit for events that need no request; idle and abandoned connections close later
 
 
 class Gate:
@@ -171,7 +171,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Until something is so that no event tells of: well before any time-out makes it so as well."""
+    """Poll for a condition without an event; fails well before any timeout could make it true."""
     async with asyncio.timeout(SOON_S):
         while not condition():
             await asyncio.sleep(0.005)
@@ -209,10 +209,10 @@
                 return there.sidecar.balancer.servers["s-1"].active
 
             assert await ask(b"serve")
-            for _ in range(3):  # with an answer between them, however many
+            for _ in range(3):  # any number, with a success between them
                 assert await ask(b"break"), "out for one"
                 assert await ask(b"serve")
-            upstream.close()  # refused from here on
+            upstream.close()  # new connections are refused from here on
             await until(lambda: not there.sidecar.pool._connections)
             await ask(b"serve")
             assert not await ask(b"serve")
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize(
     ("written", "status"),
     [
-        (b"HTTP/1.1 200 OK\r\n\r\nto the end", 200),  # as long as the connection: whole at its end
+        (b"HTTP/1.1 200 OK\r\n\r\nto the end", 200),  # delimited by the end of the connection
         (b"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nto the end", 200),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 65537\r\n\r\n", 502),
         (b"SSH-2.0-somebody\r\n", 502),
@@ -276,7 +276,7 @@
 GOOD = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood"
 
 
-# What belongs to no request must not become the next one's answer, and the good one before it is good.
+# Bytes that belong to no request must not become the next response; the valid one before them is delivered.
 @pytest.mark.parametrize(
     "behind",
     [
@@ -308,7 +308,7 @@
     run(test, more)
 
 
-# None of these has an end, or one that can be believed: all bounds are on what comes, not on what is parsed.
+# These messages never end, or declare a false length: all limits apply to received, not to parsed bytes.
 @pytest.mark.parametrize(
     ("head", "again"),
     [
@@ -358,7 +358,7 @@
             client = await there.client()
             client.send("r1")
             await upstream.seen.get()
-            # As when the kernel has not taken all; the buffers here are larger than any body.
+            # Simulates a full send buffer of the kernel, since the buffers here are larger than any body.
             (connection,) = there.sidecar.pool._connections.values()
             connection.pause_writing()
             upstream.peers[0].reset()
@@ -377,10 +377,10 @@
             late = await client.ask("r1", left=400, body=b"late")
             assert late.status == 502, "it may have run: a failure"
             assert not there.sidecar.in_hand("r1")
-            # While it is open the attempt is still out, and another would be a second copy.
+            # While it is open, the attempt is outstanding, and another would run the request twice.
             await until(lambda: not there.sidecar.pool._connections)
             gate.open.set()
-            # One answer a request: the late one is neither sent after it nor taken for the next one's.
+            # One response per request: the late one is neither sent later nor matched to the next request.
             assert (await client.ask("r2", body=b"next")).body == b"done:next"
 
     run(test, gate)
@@ -401,7 +401,7 @@
             assert (await client.ask("r1")).status == 200
             assert (await client.ask("r2", body=b"last")).status == 200
             assert len(upstream.peers) == 1
-            # An end not seen before writing would make an unsafe request one that may have run.
+            # With a close unnoticed before the write, it would be unknown whether an unsafe request ran.
             assert (await client.ask("r3")).status == 200
             assert len(upstream.peers) == 2
 
@@ -414,7 +414,7 @@
             client = await there.client()
             assert (await client.ask("r1")).status == 200
             (connection,) = there.sidecar.pool._connections.values()
-            connection.transport.pause_reading()  # the loop will not see it: the kernel has to be asked
+            connection.transport.pause_reading()  # the loop misses the reset: the kernel must be polled
             upstream.peers[0].reset()
             await upstream.ended.wait()
             assert (await client.ask("r2")).status == 200
@@ -424,7 +424,7 @@
 
 def test_connection_close_is_honoured() -> None:
     async def closing(peer: Peer, message: http.Message) -> None:
-        await peer.answer(200, b"", close=True)  # but it leaves the closing to the other side
+        await peer.answer(200, b"", close=True)  # but leaves it to the sidecar to close
 
     async def test(upstream: Upstream, discovery: FakeDiscovery) -> None:
         async with world(discovery, host("s-1", upstream.dial)) as there:
@@ -453,7 +453,7 @@
     answered: dict[Peer, float] = {}
 
     async def lets_go_early(peer: Peer, message: http.Message) -> None:
-        # Long before the time in the settings, and unseen until the next request comes.
+        # Long before the idle time in the settings, and not visible until the next request is sent.
         if time.monotonic() - answered.get(peer, math.inf) > 0.1:
             peer.reset()
         else:
@@ -513,7 +513,9 @@
             client = await there.client()
             assert (await client.ask("r1")).status == 200
             discovery.tell(2, host("s-1", other.dial))
-            await asyncio.wait_for(upstream.ended.wait(), SOON_S)  # its idle connection leads nowhere now
+            await asyncio.wait_for(
+                upstream.ended.wait(), SOON_S
+            )  # the idle connection to the old address is closed
             assert (await client.ask("r2")).status == 200
             assert (len(upstream.requests), len(other.requests)) == (1, 1)
         other.close()
@@ -527,7 +529,7 @@
             client = await there.client()
             assert (await client.ask("r1")).status == 200
             discovery.tell(2, host("s-1", upstream.dial, born_ms=time.time() * 1000.0 - 5000.0))
-            # Those to its earlier process would reset the next request, which then may have run.
+            # Connections to its earlier process would reset the next request, which then may have run.
             await asyncio.wait_for(upstream.ended.wait(), SOON_S)
             assert (await client.ask("r2")).status == 200 and len(upstream.peers) == 2
 
@@ -543,7 +545,7 @@
             await until(lambda: there.sidecar.in_hand("r1"))
             discovery.tell(2, host("s-1", upstream.dial))
             answer = await client.read()
-            # With the list given to the module first, its send would find no such upstream yet.
+            # If the balancer got the list first, its send would find no such upstream yet.
             assert answer is not None and answer.status == 200
 
     run(test)
@@ -580,7 +582,7 @@
         async with world(discovery, host("s-1", upstream.dial)) as there:
             await discovery.seen.get()
             discovery.fail(200, body)
-            again = await asyncio.wait_for(discovery.seen.get(), PATIENCE_S)  # once the module says so
+            again = await asyncio.wait_for(discovery.seen.get(), PATIENCE_S)  # when the balancer asks for it
             assert again.target.startswith(b"/v1/endpoints?after=1&")
             assert (await (await there.client()).ask("r1")).status == 200, "the old list stands"
 
@@ -598,7 +600,7 @@
                 again = await asyncio.wait_for(discovery.seen.get(), PATIENCE_S)
                 waits.append(time.monotonic() - told)
                 assert again.target.startswith(b"/v1/endpoints?after=%d&" % seq)
-            # A later call begins a new watch. The best of three: the machine may be busy.
+            # A later call would begin a new watch. The best of three is used, since the machine may be busy.
             assert min(waits) < 0.2 and len(discovery.peers) == 1
             discovery.fail()  # a reset
             again = await asyncio.wait_for(discovery.seen.get(), PATIENCE_S)
@@ -615,10 +617,10 @@
             await discovery.seen.get()
             discovery.tell(2)
             await discovery.seen.get()
-            # It is not answered, and its connection stays open.
+            # The call gets no response, and its connection stays open.
             again = await asyncio.wait_for(discovery.seen.get(), 6.0)
             assert again.target.startswith(b"/v1/endpoints?after=2&") and len(discovery.peers) == 2
-            discovery.answers.put_nowait(None)  # the call given up
+            discovery.answers.put_nowait(None)  # for the abandoned call
             discovery.tell(3, host("s-1", upstream.dial))
             await discovery.seen.get()
             assert (await (await there.client()).ask("r1")).status == 200
@@ -636,12 +638,12 @@
             there.sidecar.discovery._tell = told.append
             await discovery.seen.get()
             discovery.fail()
-            await until(lambda: told == [None])  # nobody asks again: as in a back-off
+            await until(lambda: told == [None])  # no watch is started again, as during a back-off
             there.sidecar.discovery.move(to)
             assert (await asyncio.wait_for(new.seen.get(), SOON_S)).target == b"/v1/endpoints"
-            # An answer that is on its way at the next move is the old service's, and is told no more.
+            # A response in transit at the next move is from the old service and must not be reported.
             new.tell(1)
-            await asyncio.sleep(0)  # the stand-in writes it
+            await asyncio.sleep(0)  # lets the fake discovery write it
             there.sidecar.discovery.move(to)
             assert (await asyncio.wait_for(new.seen.get(), SOON_S)).target == b"/v1/endpoints"
             assert told == [None]
@@ -663,7 +665,7 @@
     assert started is not None and abs(started - (5000.0 - (time.time() * 1000.0 - 1e12))) < 1000.0
 
 
-# The application's side
+# Client side
 
 
 def test_a_client_that_has_gone_away_is_forgotten() -> None:
@@ -704,7 +706,7 @@
             await upstream.seen.get()
             (connection,) = there.frontend._connections
             await until(lambda: bool(connection.unread))
-            # As objects they take a multiple of their bytes: hundreds of such clients would fill the memory.
+            # Parsed requests take several times their bytes: hundreds of such clients would fill the memory.
             assert len(connection.waiting) < 40
             gate.open.set()
             for number in range(400):
@@ -731,7 +733,7 @@
     async def test(upstream: Upstream, discovery: FakeDiscovery) -> None:
         async with world(discovery, host("s-1", upstream.dial)) as there:
             client = await there.client()
-            for _ in range(100):  # asked again and again before the first answer
+            for _ in range(100):  # retried many times before the first response
                 client.send("r1", "unheard-of")
             answer = await client.read()
             assert answer is not None and (answer.status, answer.keep_alive) == (400, False)
@@ -760,7 +762,7 @@
     async def test(upstream: Upstream, discovery: FakeDiscovery) -> None:
         async with world(discovery, host("s-1", upstream.dial), most=8) as there:
             clients = []
-            for number in range(7):  # the application could open no eighth
+            for number in range(7):  # the application could not open an eighth
                 clients.append(await there.client())
                 assert (await clients[-1].ask(f"r{number}")).status == 200
             for client in clients[:3]:
@@ -795,7 +797,7 @@
             for number, client in enumerate(kept):
                 assert (await client.ask(f"r{number}")).status == 200
             assert await silent.read() is None
-            # Of those that have asked, the longest idle go until most of the room is free.
+            # Of connections with requests, the longest idle are closed until most of the limit is free.
             assert await kept[0].read() is None and await kept[3].read() is None
             assert (await kept[5].ask("r9")).status == 200
 
@@ -822,7 +824,7 @@
 
 
 def test_what_has_ended_is_freed_without_the_collector() -> None:
-    # Left to the collector of cycles, dead connections and exchanges pile up between two of its rounds.
+    # With reference cycles, closed connections and exchanges would accumulate until the collector runs.
     async def test(upstream: Upstream, discovery: FakeDiscovery) -> None:
         async with world(discovery, host("s-1", upstream.dial)) as there:
             client = await there.client()
@@ -881,7 +883,7 @@
             await upstream.seen.get()
             end = asyncio.create_task(there.frontend.stop(accept_s=1.0))
             await until(lambda: there.frontend.stopping)
-            for request in ("r2", "r3"):  # the others may not have started again yet
+            for request in ("r2", "r3"):  # replacements may not have started yet
                 answer = await client.ask(request)
                 assert (answer.status, answer.keep_alive) == (200, True)
             await until(lambda: there.frontend.closing)
@@ -894,7 +896,7 @@
     run(test, serve_or_hold)
 
 
-# Whatever the module does
+# Failures of the balancer
 
 
 def test_a_request_that_the_module_forgets_is_answered_in_its_time() -> None:
