--- a/mesh/cli/client.py
+++ b/mesh/cli/client.py
@@ -134,7 +134,7 @@
 
 
 async def read_store(address: Address, store: str, within_s: float) -> list[Item] | Unreachable:
-    """All items in a process's ``store`` (charter or roll); each page must arrive within ``within_s``."""
+    """All items in a process's ``store`` ("charter" or "roll"); each page must arrive within ``within_s``."""
     link = ProcessLink(address)
     found: list[Item] = []
     try:
@@ -190,11 +190,13 @@
     first = await find_processes(addresses, within_s)
     if not first:
         return Unreachable(f"nobody answers at {', '.join(f'{host}:{port}' for host, port in addresses)}")
-    roll = await read_merged_items(first, "roll", within_s)
-    if isinstance(roll, Unreachable):
-        return roll
-    nodes = {i.name: i.value for i in roll.values() if i.kind == NODE and i.value is not None}
-    instances = {i.name: i.value for i in roll.values() if i.kind == INSTANCE and i.value is not None}
+    membership_items = await read_merged_items(first, "roll", within_s)
+    if isinstance(membership_items, Unreachable):
+        return membership_items
+    nodes = {i.name: i.value for i in membership_items.values() if i.kind == NODE and i.value is not None}
+    instances = {
+        i.name: i.value for i in membership_items.values() if i.kind == INSTANCE and i.value is not None
+    }
     known = {process.address: process for process in first}
     found, others = [], []
     for name, value in sorted(nodes.items()):
@@ -210,7 +212,7 @@
             others.append((name, address))
         else:
             found.append(Process(name, address, None, "not asked"))
-    found += known.values()  # given by address and not in the roll yet
+    found += known.values()  # given by address and not in the membership store yet
     found += await gather_bounded(lambda other: ask_status(*other, within_s), others)
     snapshot = MeshSnapshot(tuple(sorted(found, key=lambda p: p.name)), nodes, instances)
     differing = {p.name for group in list(snapshot.processes_by_digest().values())[1:] for p in group}
--- a/mesh/cli/judge.py
+++ b/mesh/cli/judge.py
@@ -156,11 +156,11 @@
     groups = list(snapshot.processes_by_digest().values())
     for group in groups[1:]:
         for process in sorted(group, key=lambda p: p.node):
-            charter = object_field(process.status, "charter")
+            held = object_field(process.status, "charter")
             yield Finding(
                 "behind",
                 process.node,
-                f"holds {number_field(charter, 'items'):.0f} items, digest {process.digest}, unlike most",
+                f"holds {number_field(held, 'items'):.0f} items, digest {process.digest}, unlike most",
                 "look again in 4 s; where it stays so, look at its links to the control processes",
             )
 
--- a/mesh/cli/members.py
+++ b/mesh/cli/members.py
@@ -90,7 +90,7 @@
 
 
 def _holder(snapshot: MeshSnapshot, reply: object) -> Process | None:
-    """The holder of the duty `members`, if it answers."""
+    """The holder of the lease `members`, if it answers."""
     name = text_field(reply.value, "holder") if isinstance(reply, Answered) else ""
     return next((process for process in snapshot.answering(CONTROLLER) if process.node == name), None)
 
--- a/mesh/cli/mesh_snapshot.py
+++ b/mesh/cli/mesh_snapshot.py
@@ -21,7 +21,7 @@
     """A process that was asked for its status. ``status`` is None if it did not answer, for the reason
     ``why``; its clock is ``clock_offset_s`` ahead of the local one, give or take ``clock_error_s``."""
 
-    name: str  # from the roll or --at
+    name: str  # from the membership store or --at
     address: Address
     status: JsonObject | None
     why: str = ""
@@ -38,21 +38,21 @@
 
     @property
     def digest(self) -> str:
-        """The digest of the charter that it holds; "" if not known."""
+        """The digest of the configuration that it holds; "" if not known."""
         return text_field(object_field(self.status, "charter"), "digest")
 
 
 @dataclass(frozen=True, slots=True)
 class MeshSnapshot:
-    """``processes``: those in the roll and those given with ``--at``, sorted by name; ``nodes`` and
-    ``instances``: the roll's entries by name."""
+    """``processes``: those in the membership store and those given with ``--at``, by name; ``nodes`` and
+    ``instances``: the store's entries by name."""
 
     processes: tuple[Process, ...]
     nodes: Mapping[str, JsonObject] = field(default_factory=dict)
     instances: Mapping[str, JsonObject] = field(default_factory=dict)
 
     def role_of(self, process: Process) -> str:
-        """The role that the process reports, else the one in the roll; "" if neither is known."""
+        """The role that the process reports, else the one in the membership store; "" if neither is known."""
         return process.role or text_field(self.nodes.get(process.name), "role")
 
     def answering(self, role: str = "") -> list[Process]:
@@ -67,7 +67,7 @@
         return dict(sorted(found.items()))
 
     def processes_by_digest(self) -> dict[str, list[Process]]:
-        """Processes by the digest of the charter that they hold. The reference is first: held by the most
+        """Processes by the digest of the configuration they hold. The reference is first: held by the most
         control processes with contact, then by the most processes."""
         found: dict[str, list[Process]] = {}
         for process in self.answering():
--- a/mesh/cli/shape.py
+++ b/mesh/cli/shape.py
@@ -97,18 +97,18 @@
 
 
 def duty_lines(snapshot: MeshSnapshot) -> list[str]:
-    """The holder of each duty, by the highest epoch that any control process reports."""
+    """The holder of each lease, by the highest epoch that any control process reports."""
     found: dict[str, tuple[float, str]] = {}
     for process in snapshot.answering(CONTROLLER):
         holders = object_field(process.status, "duties")
-        for duty in holders:
-            duty_status = object_field(holders, duty)
-            epoch = number_field(duty_status, "epoch")
-            if epoch > found.get(duty, (0.0, ""))[0]:
-                found[duty] = epoch, text_field(duty_status, "holder")
+        for lease in holders:
+            lease_status = object_field(holders, lease)
+            epoch = number_field(lease_status, "epoch")
+            if epoch > found.get(lease, (0.0, ""))[0]:
+                found[lease] = epoch, text_field(lease_status, "holder")
     return [
-        line(f"{'duties':<12}{duty} by {holder}, epoch {epoch:.0f}")
-        for duty, (epoch, holder) in sorted(found.items())[:MAX_ROWS]
+        line(f"{'duties':<12}{lease} by {holder}, epoch {epoch:.0f}")
+        for lease, (epoch, holder) in sorted(found.items())[:MAX_ROWS]
     ]
 
 
