--- a/anisestair/http/frontend.py
+++ b/anisestair/http/frontend.py
@@ -149,7 +149,7 @@
         self.reader = http.request_reader(frontend.sidecar.budget)
         self.passing: Body | None = None  # the response body being streamed
         self.chunks = self.closes = False  # it is sent in chunks; the connection closes after it
-        self.heard = 0.0  # when the body being received started
+        self.body_started_at = 0.0  # when the body being received started
         self.waiting: deque[tuple[float, http.Message]] = deque()  # parsed requests, with the time of that
         self.unread = b""  # received bytes, parsed once earlier requests are answered
         self.choked = False  # the client does not read its responses
@@ -159,7 +159,7 @@
         self.current: http.Message | None = None  # the request being handled
         self.request = ""  # its id while the sidecar handles it
         self.since = time.monotonic()  # time of its start, its last response or the first byte after that
-        self.asked = False  # a complete request has been received
+        self.has_sent_request = False  # a complete request has been received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from it
@@ -205,18 +205,18 @@
             if self.reader.expects_continue and self.transport is not None:
                 self.reader.expects_continue = False
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if self.waiting and not self.asked:
-            self.asked = True
+        if self.waiting and not self.has_sent_request:
+            self.has_sent_request = True
             self.frontend.asks()
 
     def pace(self) -> None:
         """Extend the time limit of a body as long as it keeps the minimum rate; a head has a fixed limit."""
         if self.reader.in_body:
             now = time.monotonic()
-            self.heard = self.heard or now
-            self.since = min(now, self.heard + self.reader.carried / MIN_BODY_BYTES_PER_S)
+            self.body_started_at = self.body_started_at or now
+            self.since = min(now, self.body_started_at + self.reader.carried / MIN_BODY_BYTES_PER_S)
         else:
-            self.heard = 0.0
+            self.body_started_at = 0.0
 
     def gathering(self) -> bool:
         """Whether the next request is streamed and not enough of its body has been received to forward it."""
@@ -477,9 +477,11 @@
     def _make_room(self) -> None:
         """Close the least useful connections: rejected ones, then those without any request, so that silent
         connections do not displace the application's own, then the longest idle."""
-        of_use = sorted(self._connections, key=lambda item: (item.fault is None, item.asked, item.since))
+        least_useful_first = sorted(
+            self._connections, key=lambda item: (item.fault is None, item.has_sent_request, item.since)
+        )
         left = max(self._most // EVICTION_DIVISOR, 1)
-        for connection in of_use:
+        for connection in least_useful_first:
             if connection.fault is not None or connection.idle():
                 connection.close()
                 left -= 1
@@ -506,10 +508,16 @@
                 if age > self.request_s:
                     connection.refuse(http.BadMessage(HTTPStatus.REQUEST_TIMEOUT))
             elif age > IDLE_S:
-                if age > self.quiescent_s if self.quiescent_s is not None else not connection.asked:
+                if (
+                    age > self.quiescent_s
+                    if self.quiescent_s is not None
+                    else not connection.has_sent_request
+                ):
                     if connection.idle():
                         connection.close()
-                elif self.quiescent_s is None or not connection.asked:  # opened ahead of its first request
+                elif (
+                    self.quiescent_s is None or not connection.has_sent_request
+                ):  # opened ahead of its first request
                     kept.append(connection)
         kept.sort(key=lambda item: item.since)
         over = 0 if self._sharing_limit else len(self._connections) - int(self._most * ROOMY_SHARE)
@@ -575,7 +583,7 @@
     def lost(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
         self.resting.pop(connection, None)
-        self._active_count -= connection.asked
+        self._active_count -= connection.has_sent_request
         if len(self._connections) == self._most - 1:
             self._resume()
         if not self._connections:
--- a/mesh/data_plane/client_connection.py
+++ b/mesh/data_plane/client_connection.py
@@ -119,7 +119,7 @@
     def may_close(self, now: float) -> bool:
         """Whether the client sends nothing more on it, as far as can be known: it has been idle for longer
         than announced, or has sent no request for some time after it was opened."""
-        idle_s = self._announced_idle_s + TRANSIT_S if self.asked else FIRST_REQUEST_S
+        idle_s = self._announced_idle_s + TRANSIT_S if self.has_sent_request else FIRST_REQUEST_S
         return now - self.idle_since >= idle_s and self.idle()
 
     def reads(self) -> bool:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -54,7 +54,7 @@
             assert (seen.method, seen.target, seen.body) == (b"POST", b"/api?q=1", b"\x00\r\n")
             assert (seen.get(b"x-correlation-id"), seen.get(b"idempotency-key")) == ("r1", "k1")
             assert 0 < int(seen.get(b"x-time-left-ms") or "") <= 1000
-            assert seen.get(b"x-private") is None, "a header for one connection went on"
+            assert seen.get(b"x-private") is None, "a hop-by-hop header was forwarded"
 
     run(test)
 
@@ -210,7 +210,7 @@
 
             assert await ask(b"serve")
             for _ in range(3):  # any number, with a success between them
-                assert await ask(b"break"), "out for one"
+                assert await ask(b"break"), "taken out of rotation after a single reset"
                 assert await ask(b"serve")
             upstream.close()  # new connections are refused from here on
             await until(lambda: not there.sidecar.pool._connections)
@@ -228,7 +228,7 @@
                 await client.ask(f"r{number}", body=b"break" if number % 3 == 2 else b"serve")
             for number in range(3):
                 await client.ask(f"s{number}", body=b"break")
-                assert server.active, "three in a row are no sign where every third breaks"
+                assert server.active, "three resets in a row are no evidence if every third request breaks"
             for number in range(8):
                 await client.ask(f"t{number}", body=b"break")
             assert not server.active
@@ -375,7 +375,7 @@
         async with world(discovery, host("s-1", upstream.dial)) as there:
             client = await there.client()
             late = await client.ask("r1", left=400, body=b"late")
-            assert late.status == 502, "it may have run: a failure"
+            assert late.status == 502, "it may have run, so it must fail"
             assert not there.sidecar.in_hand("r1")
             # While it is open, the attempt is outstanding, and another would run the request twice.
             await until(lambda: not there.sidecar.pool._connections)
@@ -469,24 +469,24 @@
             assert got[0] == 200 and got.count(502) <= 3 and got[6:] == [200] * 6
             for number in range(20):
                 assert (await client.ask(f"s{number}")).status == 200
-            assert len(upstream.peers) <= 13, "those in use are kept"
+            assert len(upstream.peers) <= 13, "connections in use are kept"
 
     run(test, lets_go_early)
 
 
 def test_resets_that_fresh_connections_meet_as_well_teach_nothing_and_what_is_learnt_fades() -> None:
-    life, now = IdleLimit(4.5), 0.0
+    limit, now = IdleLimit(4.5), 0.0
     for number in range(400):
         now += 0.01
-        life.learn(0.0 if number % 3 else 1.0, number % 5 == 0, now)
-    assert life.bound == 4.5
+        limit.learn(0.0 if number % 3 else 1.0, number % 5 == 0, now)
+    assert limit.bound == 4.5
     for idle in (2.0, 1.0) * 10:
-        life.learn(idle, True, now)
-    assert 0.5 < life.bound <= 1.0
-    life.learn(0.0, False, now + 60.0)
-    assert life.bound <= 1.0, "not at once"
-    life.learn(0.0, False, now + 600.0)
-    assert life.bound == 4.5
+        limit.learn(idle, True, now)
+    assert 0.5 < limit.bound <= 1.0
+    limit.learn(0.0, False, now + 60.0)
+    assert limit.bound <= 1.0, "the limit is not raised at once"
+    limit.learn(0.0, False, now + 600.0)
+    assert limit.bound == 4.5
 
 
 def test_an_upstream_that_is_gone_is_let_go() -> None:
@@ -584,7 +584,7 @@
             discovery.fail(200, body)
             again = await asyncio.wait_for(discovery.seen.get(), PATIENCE_S)  # when the balancer asks for it
             assert again.target.startswith(b"/v1/endpoints?after=1&")
-            assert (await (await there.client()).ask("r1")).status == 200, "the old list stands"
+            assert (await (await there.client()).ask("r1")).status == 200, "the previous list stays in force"
 
     run(test)
 
@@ -724,7 +724,7 @@
             client = await there.client()
             client.send("r1", "listing", left=999_999_999_999)
             asked = await asyncio.wait_for(upstream.seen.get(), SOON_S)
-            assert int(asked.get(b"x-time-left-ms") or "") <= 4000, "the class's own"
+            assert int(asked.get(b"x-time-left-ms") or "") <= 4000, "limited by the deadline of the class"
 
     run(test, gate)
 
@@ -750,7 +750,7 @@
             first, second = await there.client(), await there.client()
             assert (await first.ask("r1")).status == (await second.ask("r2")).status == 200
             assert (await (await there.client()).ask("r3")).status == 200
-            assert await first.read() is None, "it had been idle for longest"
+            assert await first.read() is None, "the longest idle connection is closed"
             assert (await second.ask("r4")).status == 200
 
     run(test)
@@ -766,7 +766,7 @@
                 clients.append(await there.client())
                 assert (await clients[-1].ask(f"r{number}")).status == 200
             for client in clients[:3]:
-                assert await client.read() is None, "beyond half of the room the longest idle goes"
+                assert await client.read() is None, "above half of the limit, the longest idle is closed"
             for number, client in enumerate(clients[3:]):
                 assert (await client.ask(f"s{number}")).status == 200
 
@@ -781,7 +781,7 @@
             silent = [
                 await there.client() for _ in range(8)
             ]  # later than it, and more than there is room for
-            assert await silent[0].read() is None, "the first that never asked has made room"
+            assert await silent[0].read() is None, "the oldest without a request is closed to make room"
             assert (await usual.ask("r2")).status == 200
             assert (await (await there.client()).ask("r3")).status == 200
 
@@ -916,7 +916,7 @@
         classes = [{"name": "sale", "promise-ms": 9000.0, "give-up-ms": 9000.0, "late-share": 0.5}]
         async with world(discovery, settings={"classes": classes, "tick-ms": 1.0}) as there:
             answer = await (await there.client()).ask("r1", left=300)
-            assert answer.status == 503, "never sent: trying again is harmless"
+            assert answer.status == 503, "never sent, so a retry is harmless"
 
     run(test)
 
