--- a/mesh/dissemination/pull_exchange.py
+++ b/mesh/dissemination/pull_exchange.py
@@ -112,7 +112,8 @@
 
     def record_pull(self, head: Head, peer_source: str) -> set[str]:
         """Records the peer's pull request. Returns the stores of which the peer may lack more than before:
-        all at first, then those whose vector entries it has removed."""
+        all at first, then those whose vector entries it has removed. Whatever else its vector covers, it no
+        longer lacks."""
         regressed = set[str]()
         if self._peer_vectors is None:
             self._peer_vectors = {name: {peer_source: ABOVE_ANY_NUMBER} for name in self._stores}
