--- a/tests/mesh/test_membership_instance_lifecycle.py
+++ b/tests/mesh/test_membership_instance_lifecycle.py
@@ -122,6 +122,14 @@
     assert upstream.drain_started_at == 0.0
 
 
+def test_a_late_heartbeat_of_the_current_incarnation_changes_nothing() -> None:
+    """A repeated heartbeat, read long after a replacement, publishes the end of the replaced incarnation."""
+    upstream = make()
+    upstream.on_heartbeat(0.0, heartbeat(1))
+    upstream.on_heartbeat(100.0, heartbeat(1, "i-2"))
+    assert upstream.on_heartbeat(100.0 + 5 * BEAT_MS, heartbeat(1, "i-2")) == []
+
+
 def test_a_new_life_ends_the_one_before_and_for_good_once_it_has_beaten_on() -> None:
     upstream = make()
     (last,) = upstream.on_heartbeat(0.0, heartbeat(5, state=DECAYING))
