--- a/tests/mesh/test_runtime_startup.py
+++ b/tests/mesh/test_runtime_startup.py
@@ -87,6 +87,9 @@
     with multiprocessing.get_context("spawn").Pool(1) as pool:
         ended = pool.apply_async(started_under_hangups, (str(tmp_path / "boot.toml"),))
         assert ended.get(timeout=20.0) == 0  # a process that the signal killed returns no result
+        # The worker ignores SIGTERM by now, so leaving the pool, which sends it, could wait for ever.
+        pool.close()
+        pool.join()
 
 
 ENDS_UNDER_SIGNALS = """
