--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -26,10 +26,10 @@
 
 import msgspec
 
-from rigs.soak.draw import Phase, Size, generate_plan, mesh_size
-from rigs.soak.faults import FAULTS
 from rigs.soak.plan import Plan, decode_plan
-from rigs.soak.play import Result, Soak
+from rigs.soak.plan_generator import Phase, Size, generate_plan, mesh_size
+from rigs.soak.runner import Result, Soak
+from rigs.soak.seeded_faults import SEEDED_FAULTS
 from rigs.soak.shrink import shrink
 
 MAX_FINDINGS_SHOWN = 6
@@ -89,7 +89,7 @@
     parser.add_argument("--seconds", type=float, default=120.0)
     parser.add_argument("--size", choices=[one.value for one in Size], default=Size.SMALL.value)
     parser.add_argument("--jobs", type=int, default=1)
-    parser.add_argument("--without", nargs="*", default=[], choices=sorted(FAULTS))
+    parser.add_argument("--without", nargs="*", default=[], choices=sorted(SEEDED_FAULTS))
     parser.add_argument("--only", nargs="*", default=[], choices=[one.name.lower() for one in Phase])
     parser.add_argument("--shrink", type=int, default=0, metavar="N")
     parser.add_argument("--plan", type=Path)
--- a/rigs/soak/configuration_ledger.py
+++ b/rigs/soak/configuration_ledger.py
@@ -15,7 +15,7 @@
 
 from msgspec import Struct
 
-from rigs.soak.contact import DisturbanceRecord
+from rigs.soak.disturbances import DisturbanceRecord
 from rigs.soak.plan import DropItem, Item, RouteItem
 
 MAX_VERSIONS_SHOWN = 4  # of a route, in a finding
--- a/rigs/soak/link_troubles.py
+++ b/rigs/soak/link_faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from rigs.relay import Faults
-from rigs.soak.contact import Disturbance, DisturbanceRecord
+from rigs.soak.disturbances import Disturbance, DisturbanceRecord
 from rigs.soak.nodes import Node
 from rigs.soak.plan import CutLinks, DegradeLinks, ResetLinks
 
--- a/rigs/soak/machines.py
+++ b/rigs/soak/machines.py
@@ -10,8 +10,8 @@
 from rigs.mesh_demo import CORE, SIDE, net
 from rigs.mesh_peers import free_ports
 from rigs.soak.configuration_ledger import ConfigurationLedger, Finding
-from rigs.soak.contact import DisturbanceRecord
-from rigs.soak.link_troubles import LinkFaults
+from rigs.soak.disturbances import DisturbanceRecord
+from rigs.soak.link_faults import LinkFaults
 from rigs.soak.nodes import HEARTBEAT_MS, Layout, Node
 from rigs.soak.plan import Plan
 from rigs.soak.request_ledger import RequestLedger
--- a/rigs/soak/node.py
+++ b/rigs/soak/node_program.py
@@ -1,6 +1,6 @@
 """One process of a soak: a shipped program, optionally behind a relay and with seeded faults.
 
-    python -m rigs.soak.node PROGRAM IP PORT [FAULT ...]
+    python -m rigs.soak.node_program PROGRAM IP PORT [FAULT ...]
 
 PORT 0: no relay. The ledgers have to detect each seeded fault.
 """
@@ -17,7 +17,7 @@
 from mesh.data_plane.program import Proxy  # noqa: E402
 from mesh.runtime.startup import run  # noqa: E402
 from rigs.relayed_process import dial_from, listen_at  # noqa: E402
-from rigs.soak.faults import FAULTS  # noqa: E402
+from rigs.soak.seeded_faults import SEEDED_FAULTS  # noqa: E402
 
 
 def main(arguments: list[str]) -> int:
@@ -27,7 +27,7 @@
     if int(port):
         listen_at(int(port))
     for name in faults:
-        FAULTS[name]()
+        SEEDED_FAULTS[name]()
     return run(Controller if program == "control_plane" else Proxy)
 
 
--- a/rigs/soak/nodes.py
+++ b/rigs/soak/nodes.py
@@ -17,7 +17,7 @@
 from rigs.lost_links.between import Between
 from rigs.mesh_peers import Address, call, write_settings
 from rigs.soak.configuration_ledger import Finding
-from rigs.soak.contact import Disturbance, DisturbanceRecord
+from rigs.soak.disturbances import Disturbance, DisturbanceRecord
 from rigs.soak.plan import SettingsChange
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -255,7 +255,7 @@
             self.disk.mkdir(exist_ok=True)
         self.write_settings()
         layout, port = self._layout, self._layout.relayed_peer_port if self.relay is not None else 0
-        module = ("-m", "rigs.soak.node", self.program, self.ip, str(port), *layout.seeded_faults)
+        module = ("-m", "rigs.soak.node_program", self.program, self.ip, str(port), *layout.seeded_faults)
         self._signals_sent = set()
         with (layout.folder / f"{self.name}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
--- a/rigs/soak/request_ledger.py
+++ b/rigs/soak/request_ledger.py
@@ -13,7 +13,7 @@
 from mesh.data_plane.call_state import NOT_EXECUTED_STATUSES
 from rigs.shutdown_world.judgement import EXCUSED_S, LAST_SIXTH
 from rigs.soak.configuration_ledger import Finding, Request
-from rigs.soak.contact import DisturbanceRecord
+from rigs.soak.disturbances import DisturbanceRecord
 
 PROXY_4XX = frozenset({400, 401, 403, 405, 411, 413, 414, 431})
 MAX_DENIED, MAX_DENIED_SHARE = 5, 1 / 500
--- a/rigs/soak/play.py
+++ b/rigs/soak/runner.py
@@ -16,13 +16,13 @@
 from rigs.soak import plan as events
 from rigs.soak.clients import ConnectionUse, RouteTarget, SoakClient
 from rigs.soak.configuration_ledger import ConfigurationLedger, Finding
-from rigs.soak.contact import ALL_NODES, Bounds, DisturbanceRecord
+from rigs.soak.disturbances import ALL_NODES, Bounds, DisturbanceRecord
+from rigs.soak.fault_injection import FaultInjector
 from rigs.soak.machines import Machines, make_layout
 from rigs.soak.nodes import ROOT, Node
-from rigs.soak.orders import Operators, body_of
+from rigs.soak.operators import Operators, body_of
 from rigs.soak.plan import Plan, RouteItem
 from rigs.soak.request_ledger import RequestLedger
-from rigs.soak.troubles import FaultInjector
 
 START_TIMEOUT_S = 40.0
 READ_INTERVAL_S = 0.7
--- a/rigs/soak/faults.py
+++ b/rigs/soak/seeded_faults.py
@@ -113,7 +113,7 @@
     return disable
 
 
-FAULTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "ignores_changes": _ignores_changes,
     "goes_back": _reverts_versions,
     "takes_what_is_invalid": _accepts_invalid_writes,
--- a/tests/mesh/test_soak_configuration.py
+++ b/tests/mesh/test_soak_configuration.py
@@ -9,8 +9,8 @@
 import pytest
 
 from rigs.soak.configuration_ledger import ConfigurationLedger, Request, WriteRecord
-from rigs.soak.contact import Bounds, DisturbanceRecord
-from rigs.soak.orders import body_of, routes_of
+from rigs.soak.disturbances import Bounds, DisturbanceRecord
+from rigs.soak.operators import body_of, routes_of
 from rigs.soak.plan import DropItem, InvalidWrite, Item, RouteItem, Share
 
 NODE, INCARNATION = "proxy-0", 1
--- a/tests/mesh/test_soak_processes.py
+++ b/tests/mesh/test_soak_processes.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from rigs.soak.draw import generate_plan
 from rigs.soak.plan import Plan, decode_plan
-from rigs.soak.play import Result, Soak
+from rigs.soak.plan_generator import generate_plan
+from rigs.soak.runner import Result, Soak
 
 PLANS = Path(__file__).parent / "soak_plans"
 SHORT_S = 25.0
--- a/tests/mesh/test_soak_requests.py
+++ b/tests/mesh/test_soak_requests.py
@@ -6,9 +6,9 @@
 
 from rigs.soak import plan as events
 from rigs.soak.configuration_ledger import Finding, Request
-from rigs.soak.contact import Bounds, DisturbanceRecord
-from rigs.soak.draw import Phase, generate_plan
+from rigs.soak.disturbances import Bounds, DisturbanceRecord
 from rigs.soak.plan import Plan, decode_plan
+from rigs.soak.plan_generator import Phase, generate_plan
 from rigs.soak.request_ledger import MAX_CUTS, MIN_ADDED_REQUESTS, End, RequestLedger, SentRequest
 from rigs.soak.shrink import shrink
 
