--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -35,7 +35,7 @@
 
 from anisestair.http import codec as http
 from mesh.cli.client import Answered, ask
-from rigs.mesh_peers import Operator, change, free_ports, route, write_settings
+from rigs.mesh_peers import Operator, free_ports, patch_body, route, write_settings
 from simulation.mesh.wire import End
 from simulation.mesh.witness import Witness
 from simulation.mesh.world import Machine, World
@@ -76,7 +76,7 @@
 def orders(first: int, last: int, version: int) -> list[dict[str, Any]]:
     """Of routes with these numbers, in orders of BATCH."""
     return [
-        change(
+        patch_body(
             *(route(f"n{n}", f"/n{n}/", "p", version) for n in range(at, min(at + BATCH, last))),
             services=["p"] if at == first and version == 1 else [],
         )
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -27,7 +27,7 @@
 from benchmarks.mesh_request import WARM, Calls
 from rigs.fleet import HttpMessages, Load, head_value
 from rigs.mesh_demo import CORE, ROOT, SIDE, Mesh
-from rigs.mesh_peers import Address, Client, Operator, Upstream, change, polled, route
+from rigs.mesh_peers import Address, Client, Operator, Upstream, patch_body, polled, route
 
 AIM = 1.2
 START_S = 10.0
@@ -242,7 +242,7 @@
 
 
 async def _take_up(mesh: Mesh) -> None:
-    body = change(
+    body = patch_body(
         route("read", "/read/", SERVICE, horizon_ms=HORIZON_MS, setpoint_ms=HORIZON_MS),
         services=(SERVICE, ELSEWHERE),
     )
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -32,7 +32,7 @@
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from rigs.mesh_demo import CORE, SIDE, Mesh
-from rigs.mesh_peers import Client, Operator, Upstream, change, polled, route
+from rigs.mesh_peers import Client, Operator, Upstream, patch_body, polled, route
 
 START_S = 20.0
 CONNECTIONS = 500
@@ -76,14 +76,14 @@
 
 async def _ready(mesh: Mesh) -> None:
     await Operator([mesh.control(CORE)]).change(
-        change(route("read", "/read/", "red"), services=("red",)), START_S
+        patch_body(route("read", "/read/", "red"), services=("red",)), START_S
     )
     await polled(lambda: mesh.ready(SIDE), START_S)
 
     async def serves() -> bool:
-        client = await Client.to(mesh.outbound(SIDE))
-        served = (await client.ask("warm", "/read/ok")).status == 200
-        client.leave()
+        client = await Client.connect(mesh.outbound(SIDE))
+        served = (await client.request("warm", "/read/ok")).status == 200
+        client.abort()
         return served
 
     await polled(serves, START_S)
@@ -91,9 +91,9 @@
 
 async def _send_bodies(mesh: Mesh) -> list[asyncio.Task[http.Message]]:
     async def one(number: int) -> http.Message:
-        client = await Client.to(mesh.outbound(SIDE))
-        answer = await client.ask(f"b{number}", "/read/ok", body=b"x" * BODY_BYTES)
-        client.leave()
+        client = await Client.connect(mesh.outbound(SIDE))
+        answer = await client.request(f"b{number}", "/read/ok", body=b"x" * BODY_BYTES)
+        client.abort()
         return answer
 
     return [asyncio.create_task(one(number)) for number in range(BODIES)]
@@ -124,11 +124,11 @@
         mesh.beats(0, upstream)
         await _ready(mesh)
         note("ready")
-        clients = [await Client.to(mesh.outbound(SIDE)) for _ in range(CONNECTIONS)]
+        clients = [await Client.connect(mesh.outbound(SIDE)) for _ in range(CONNECTIONS)]
         await asyncio.sleep(0.5)
         note("connections")
         for number, client in enumerate(clients):
-            await client.ask(f"a{number}", "/read/ok")
+            await client.request(f"a{number}", "/read/ok")
         note("requests")
         bodies = await _send_bodies(mesh)
         await asyncio.sleep(0.05)
@@ -136,7 +136,7 @@
         await asyncio.gather(*bodies)
         note("bodies answered")
         for client in clients:
-            client.leave()
+            client.abort()
         await asyncio.sleep(0.5)
         note("closed")
         return found
--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -29,7 +29,7 @@
 
 from mesh.data_plane.membership import PROXY
 from mesh.transport.link import HEARTBEAT
-from rigs.mesh_peers import change, route
+from rigs.mesh_peers import patch_body, route
 from simulation.mesh.clock import LIFE
 from simulation.mesh.wire import End
 from simulation.mesh.world import Machine, World
@@ -148,7 +148,7 @@
             world.start(machine)
             yield from world.joined([machine])
         rules = [route(f"r{n}", f"/r{n}/", "p") for n in range(ROUTES)]
-        yield from world.commit(cores, body(change(*rules, services=("p",))))
+        yield from world.commit(cores, body(patch_body(*rules, services=("p",))))
         yield world.env.timeout(SETTLE_S)  # the witness looks whether all have it
         sides: list[Machine] = []
         while len(sides) < self.proxies - self.join:
@@ -206,7 +206,7 @@
             acknowledged: list[float] = []
 
             def commits(number: int = number, rule: dict[str, Any] = rule) -> Script:
-                yield from self.world.commit([cores[number % len(cores)]], body(change(rule)))
+                yield from self.world.commit([cores[number % len(cores)]], body(patch_body(rule)))
                 acknowledged.append(self._now())  # noqa: B023
 
             self.world.env.process(commits())
--- a/benchmarks/mesh_request.py
+++ b/benchmarks/mesh_request.py
@@ -39,7 +39,7 @@
 from mesh.runtime.settings import Settings, parse_settings
 from rigs.fleet import TICKS, HttpMessages, Load, head_value
 from rigs.mesh_demo import CORE, SIDE, Mesh
-from rigs.mesh_peers import Address, Operator, Upstream, change, polled, route
+from rigs.mesh_peers import Address, Operator, Upstream, patch_body, polled, route
 
 AIM_MS = 0.8
 START_S = 10.0
@@ -136,7 +136,7 @@
 async def _take_up(mesh: Mesh, upstreams: list[Upstream]) -> None:
     """Until both proxies route the service's calls."""
     await Operator([mesh.control(CORE)]).change(
-        change(route("read", "/read/", SERVICE), services=(SERVICE, ELSEWHERE)), START_S
+        patch_body(route("read", "/read/", SERVICE), services=(SERVICE, ELSEWHERE)), START_S
     )
 
     for at in range(len(upstreams)):
--- a/rigs/lost_links/callers.py
+++ b/rigs/lost_links/callers.py
@@ -63,27 +63,27 @@
         door = 0
         while not self.ending:
             if client is not None and chance.random() < NEW_CONNECTION:
-                client.leave()
+                client.abort()
                 client = None
             if client is None:
                 door = next(self._doors)
                 try:
-                    client = await Client.to(address)
+                    client = await Client.connect(address)
                 except (OSError, TimeoutError):
                     await asyncio.sleep(AGAIN_S)
                     continue
             batch = self._send(client, place, door, chance)
             if chance.random() < LEAVES:
                 await asyncio.sleep(chance.uniform(0.0, 0.05))
-                client.leave()
+                client.abort()
                 self._all(batch, told.LEFT)
                 client = None
             elif not await self._read(client, batch):
-                client.leave()
+                client.abort()
                 client = None
             await asyncio.sleep(chance.expovariate(1.0 / self.pause_s))
         if client is not None:
-            client.leave()
+            client.abort()
 
     def _send(self, client: Client, place: int, door: int, chance: random.Random) -> list[str]:
         """A batch; gives its keys in order."""
--- a/rigs/lost_links/play.py
+++ b/rigs/lost_links/play.py
@@ -22,7 +22,7 @@
 from rigs.lost_links.ledger import Ledger, Lost, Trouble
 from rigs.lost_links.upstreams import Witness
 from rigs.mesh_demo import CORE, SIDE, Mesh
-from rigs.mesh_peers import Operator, change, free_ports, polled, route
+from rigs.mesh_peers import Operator, free_ports, patch_body, polled, route
 from rigs.relay import Faults
 
 START_S = 30.0
@@ -122,7 +122,7 @@
             )
             for one in ROUTES
         ]
-        await operator.change(change(*rules, services=("red", "blue")), START_S)
+        await operator.change(patch_body(*rules, services=("red", "blue")), START_S)
         for place in self.places:
             await polled(lambda at=place.at: self.mesh.ready(SIDE + at), START_S)  # type: ignore[misc]
         for place in self.places:
--- a/rigs/lost_links/upstreams.py
+++ b/rigs/lost_links/upstreams.py
@@ -58,23 +58,23 @@
         self._weights = [1.0 - sum(shares), *shares]
         self._begun = 0
 
-    def came(self, message: http.Message) -> None:
+    def on_request(self, message: http.Message) -> None:
         """Nothing is kept: a run is long."""
 
-    async def _serve(
+    async def _handle(
         self, message: http.Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         key = message.target.rpartition(b"/")[2].decode("latin-1")
         attempt = message.get(b"attempt-id") or ""
         if not message.target.startswith(b"/at-"):
-            writer.write(self._write(200, attempt, b""))
+            writer.write(self._encode_response(200, attempt, b""))
             return True
         if message.get(b"target-instance") not in (None, self.instance):
-            writer.write(self._write(421, attempt, b"", marks=[(b"not-executed", b"1")]))
+            writer.write(self._encode_response(421, attempt, b"", extra_headers=[(b"not-executed", b"1")]))
             return True
         (way,) = self.chance.choices(self._ways, self._weights)
         if way == "full":
-            writer.write(self._write(503, attempt, b"", marks=[(b"not-executed", b"1")]))
+            writer.write(self._encode_response(503, attempt, b"", extra_headers=[(b"not-executed", b"1")]))
             return True
         self._begun += 1
         run = Run(attempt, self.instance, self.service, self.node, time.monotonic())
@@ -92,9 +92,9 @@
     async def _answer_as(
         self, way: str, run: Run, attempt: str, body: bytes, writer: asyncio.StreamWriter
     ) -> bool:
-        good = self._write(200, attempt, body, seal=run.seal)
+        good = self._encode_response(200, attempt, body, seal=run.seal)
         # Whole and sealed, but another's: whoever gets it is told so by its body.
-        stray = self._write(200, "f" * 16, b"nobody's " + self.instance.encode(), seal="stray")
+        stray = self._encode_response(200, "f" * 16, b"nobody's " + self.instance.encode(), seal="stray")
         goes_on = True
         if way == "reset":
             return False
@@ -119,11 +119,11 @@
         elif way == "overlong":
             writer.write(good + b"more than was said")
         elif way == "unsealed":
-            writer.write(self._write(200, attempt, body))
+            writer.write(self._encode_response(200, attempt, body))
         elif way == "unnamed":
-            writer.write(self._write(200, "", body, seal="unnamed"))
+            writer.write(self._encode_response(200, "", body, seal="unnamed"))
         elif way in ("500", "503", "429"):
-            writer.write(self._write(int(way), attempt, body))
+            writer.write(self._encode_response(int(way), attempt, body))
         else:
             writer.write(good)
         await writer.drain()
--- a/rigs/mesh_demo.py
+++ b/rigs/mesh_demo.py
@@ -27,8 +27,8 @@
     Operator,
     Upstream,
     call,
-    change,
     free_ports,
+    patch_body,
     polled,
     route,
     write_settings,
@@ -143,11 +143,11 @@
 
     async def _beat(self, machine: int, upstream: Upstream) -> None:
         while True:
-            await upstream.tell(self.control(machine))
+            await upstream.send_heartbeat(self.control(machine))
             await asyncio.sleep(BEAT_S)
 
     async def ready(self, machine: int) -> bool:
-        return (await call(self.at(machine, 3), b"GET", b"/readiness", within_s=1.0))[0] == 200
+        return (await call(self.at(machine, 3), b"GET", b"/readiness", timeout_s=1.0))[0] == 200
 
     async def kill(self, node: str) -> None:
         process = self.processes[node]
@@ -202,7 +202,7 @@
         while True:
             began, what = time.perf_counter(), "no connection"
             try:
-                client = client or await Client.to(self.mesh.outbound(SIDE + at))
+                client = client or await Client.connect(self.mesh.outbound(SIDE + at))
                 self._count += 1
                 client.send(f"{self._count:016x}", "/read/ok")
                 answer = await client.read()
@@ -260,7 +260,7 @@
             await mesh.proxy(at, upstream)
         say(f"{CONTROLLERS} controllers and {len(SERVICES)} proxies on {mesh.net}.*")
         operator = Operator([mesh.control(CORE + at) for at in range(CONTROLLERS)])
-        await operator.change(change(route("read", "/read/", "red"), services=("red", "blue")), START_S)
+        await operator.change(patch_body(route("read", "/read/", "red"), services=("red", "blue")), START_S)
         for at in range(len(SERVICES)):
             await polled(lambda at=at: mesh.ready(SIDE + at), START_S)  # type: ignore[misc]
         say("configuration acknowledged, all proxies ready")
@@ -289,14 +289,14 @@
     load.phase("calm, the route goes to red")
     await asyncio.sleep(1.0)
     load.phase("the route is given to blue")
-    await operator.change(change(route("read", "/read/", "blue", 2)))
+    await operator.change(patch_body(route("read", "/read/", "blue", 2)))
     say(f"acknowledged; within {await load.until_all('blue') * 1000:.0f} ms all answers are of blue")
     await asyncio.sleep(0.5)
 
     load.phase("controller-0 is killed, then the route is given back to red")
     say(f"kill -9 {mesh.processes['controller-0'].pid}: controller-0")
     await mesh.kill("controller-0")
-    await operator.change(change(route("read", "/read/", "red", 3)))
+    await operator.change(patch_body(route("read", "/read/", "red", 3)))
     say(f"acknowledged by two; within {await load.until_all('red') * 1000:.0f} ms all answers are of red")
     await asyncio.sleep(0.5)
 
--- a/rigs/mesh_peers/__init__.py
+++ b/rigs/mesh_peers/__init__.py
@@ -1,10 +1,10 @@
-"""What surrounds the mesh, for its tests: upstreams, clients, an operator, settings files, and waiting."""
+"""Stand-ins for the mesh's environment in tests: upstreams, clients, an operator, settings files, waiting."""
 
 from rigs.mesh_peers.client import Client, call
-from rigs.mesh_peers.messages import MOST_BODY, Address, read_message
-from rigs.mesh_peers.operator import Operator, change, route, service
+from rigs.mesh_peers.messages import MAX_BODY_BYTES, Address, read_message
+from rigs.mesh_peers.operator import Operator, patch_body, route, service
 from rigs.mesh_peers.settings_file import free_ports, write_settings
-from rigs.mesh_peers.upstream import GOOD, NOT_RUN, OWN, WAYS, Upstream
+from rigs.mesh_peers.upstream import BEHAVIORS, COMPLETE_RESPONSES, ERROR_STATUSES, NOT_EXECUTED, Upstream
 from rigs.mesh_peers.waiting import (
     PATIENCE_S,
     POLL_S,
@@ -19,17 +19,17 @@
 )
 
 __all__ = [
-    "GOOD",
-    "MOST_BODY",
-    "NOT_RUN",
-    "OWN",
+    "COMPLETE_RESPONSES",
+    "MAX_BODY_BYTES",
+    "NOT_EXECUTED",
+    "ERROR_STATUSES",
     "PATIENCE_S",
     "POLL_S",
     "STEP_S",
-    "WAYS",
+    "BEHAVIORS",
     "Address",
     "call",
-    "change",
+    "patch_body",
     "Client",
     "free_ports",
     "move",
--- a/rigs/mesh_peers/client.py
+++ b/rigs/mesh_peers/client.py
@@ -1,4 +1,4 @@
-"""A client that sends requests one behind another, and single calls to a process's HTTP port."""
+"""A client that pipelines requests on one connection, and single calls to a process's HTTP port."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 import httptools
 
 from anisestair.http import codec as http
-from rigs.mesh_peers.messages import MOST_BODY, Address, read_message
+from rigs.mesh_peers.messages import MAX_BODY_BYTES, Address, read_message
 from rigs.mesh_peers.waiting import PATIENCE_S, soon
 
 
 class Client:
-    """One connection of a client."""
+    """One client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._stream, self._writer = reader, writer
-        self._reader = http.Reader(httptools.HttpResponseParser, MOST_BODY)
+        self._reader = http.Reader(httptools.HttpResponseParser, MAX_BODY_BYTES)
 
     @staticmethod
-    async def to(address: Address) -> Client:
-        """Raises OSError where it cannot be had."""
+    async def connect(address: Address) -> Client:
+        """Raises OSError if the connection fails."""
         return Client(*await soon(asyncio.open_connection(*address)))
 
     def send(
         self,
         attempt: str,
         path: str = "/read/x",
-        left_ms: int = 4000,
+        time_remaining_ms: int = 4000,
         headers: http.Headers | None = None,
         body: bytes = b"",
         chunks: Sequence[bytes] = (),
         host: str = "h.example",
     ) -> None:
-        """One request, behind those that are not answered yet; in ``chunks``, where there are some."""
+        """Sends a request without waiting for earlier responses; with ``chunks`` its body is chunked."""
         head: http.Headers = [(b"host", host.encode()), (b"attempt-id", attempt.encode())]
-        if left_ms:
-            head.append((b"time-remaining", b"%d" % left_ms))
+        if time_remaining_ms:
+            head.append((b"time-remaining", b"%d" % time_remaining_ms))
         head += headers or []
         method = b"POST" if body or chunks else b"GET"
         if not chunks:
@@ -51,34 +51,34 @@
     def write(self, data: bytes) -> None:
         self._writer.write(data)
 
-    async def read(self, within_s: float = PATIENCE_S) -> http.Message | None:
-        """The next answer; None where the connection ends first. Raises TimeoutError."""
-        return await asyncio.wait_for(read_message(self._reader, self._stream), within_s)
+    async def read(self, timeout_s: float = PATIENCE_S) -> http.Message | None:
+        """Reads the next response; None if the connection ends first. Raises TimeoutError."""
+        return await asyncio.wait_for(read_message(self._reader, self._stream), timeout_s)
 
-    async def ask(self, attempt: str, path: str = "/read/x", **fields: Any) -> http.Message:
+    async def request(self, attempt: str, path: str = "/read/x", **fields: Any) -> http.Message:
         self.send(attempt, path, **fields)
-        answer = await self.read()
-        assert answer is not None, "the connection ended without an answer"
-        return answer
+        response = await self.read()
+        assert response is not None, "the connection ended without a response"
+        return response
 
-    def leave(self) -> None:
+    def abort(self) -> None:
         self._writer.transport.abort()
 
 
 async def call(
-    address: Address, method: bytes, path: bytes, body: bytes = b"", within_s: float = PATIENCE_S
+    address: Address, method: bytes, path: bytes, body: bytes = b"", timeout_s: float = PATIENCE_S
 ) -> tuple[int, bytes]:
-    """One call on a connection of its own; its status and body, 0 and nothing where no answer comes."""
+    """Makes a call on a new connection; returns the status and body, or 0 and b"" without a response."""
     try:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             stream, writer = await asyncio.open_connection(*address)
             try:
                 head = [(b"host", b"control"), (b"content-type", b"application/json")]
                 writer.write(http.write_request(method, path, head, body))
-                reader = http.Reader(httptools.HttpResponseParser, MOST_BODY)
-                answer = await read_message(reader, stream)
+                reader = http.Reader(httptools.HttpResponseParser, MAX_BODY_BYTES)
+                response = await read_message(reader, stream)
             finally:
                 writer.transport.abort()
     except (OSError, TimeoutError):
         return 0, b""
-    return (answer.status, answer.body) if answer is not None else (0, b"")
+    return (response.status, response.body) if response is not None else (0, b"")
--- a/rigs/mesh_peers/messages.py
+++ b/rigs/mesh_peers/messages.py
@@ -1,4 +1,4 @@
-"""Whole HTTP messages off a stream, as the stand-ins read them."""
+"""Reads complete HTTP messages from a stream."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from anisestair.http import codec as http
 
 Address = tuple[str, int]
-MOST_BODY = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 async def read_message(reader: http.Reader, stream: asyncio.StreamReader) -> http.Message | None:
-    """The next message of a connection; None at its end, or where it breaks."""
+    """Reads the next message of a connection; None if the connection ends or fails."""
     while True:
         if reader._complete:
             return reader._complete.pop(0)
--- a/rigs/mesh_peers/operator.py
+++ b/rigs/mesh_peers/operator.py
@@ -1,4 +1,4 @@
-"""The operator: configuration writes as the operators write them, sent and read back."""
+"""The operator: encodes and sends configuration writes, and reads the configuration back."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class Operator:
-    """Changes the configuration and reads it back, at any of the processes that take its calls."""
+    """Changes the configuration and reads it back, through any of the given processes."""
 
     def __init__(self, addresses: Sequence[Address]) -> None:
         self.addresses = list(addresses)
 
-    async def change(self, body: Mapping[str, Any], within_s: float = 10.0) -> None:
-        """Sent, exactly as it was, to one after another until it is taken. Raises TimeoutError; an answer of
-        4xx is an AssertionError."""
-        sent, turn = json.dumps(body).encode(), 0
+    async def change(self, body: Mapping[str, Any], timeout_s: float = 10.0) -> None:
+        """Sends the same bytes to one process after another until one acknowledges them. Raises TimeoutError,
+        or AssertionError for a 4xx response."""
+        encoded, turn = json.dumps(body).encode(), 0
 
-        async def taken() -> bool:
+        async def acknowledged() -> bool:
             nonlocal turn
             address = self.addresses[turn % len(self.addresses)]
             turn += 1
-            status, said = await call(address, b"PATCH", b"/configuration", sent, within_s=1.5)
-            assert not 400 <= status < 500, (status, said)
+            status, response = await call(address, b"PATCH", b"/configuration", encoded, timeout_s=1.5)
+            assert not 400 <= status < 500, (status, response)
             return status == 200
 
-        await polled(taken, within_s)
+        await polled(acknowledged, timeout_s)
 
-    async def read(self, address: Address, within_s: float = 10.0) -> dict[str, Any]:
-        """The newest configuration as that process gives it. Raises TimeoutError."""
+    async def read(self, address: Address, timeout_s: float = 10.0) -> dict[str, Any]:
+        """Reads the configuration from that process. Raises TimeoutError."""
         found: dict[str, Any] = {}
 
         async def read() -> bool:
-            status, body = await call(address, b"GET", b"/configuration", within_s=1.5)
+            status, body = await call(address, b"GET", b"/configuration", timeout_s=1.5)
             if status == 200:
                 found.update(json.loads(body))
             return status == 200
 
-        await polled(read, within_s)
+        await polled(read, timeout_s)
         return found
 
 
 def route(
     name: str, prefix: str, service: str, version: int = 1, effectful: bool = False, **fields: Any
 ) -> dict[str, Any]:
-    """A rule as the operator writes it."""
+    """Returns a route as the operator writes it."""
     return {
         "name": name,
         "kind": "effectful" if effectful else "idempotent",
@@ -66,7 +66,7 @@
 
 
 def service(name: str) -> dict[str, Any]:
-    """A service as the operator writes it."""
+    """Returns a service as the operator writes it."""
     return {
         "name": name,
         "health_path": "/health",
@@ -77,8 +77,10 @@
     }
 
 
-def change(*rules: dict[str, Any], services: Sequence[str] = (), host: str = "h.example") -> dict[str, Any]:
-    """A call that sets rules under one host, and services."""
+def patch_body(
+    *rules: dict[str, Any], services: Sequence[str] = (), host: str = "h.example"
+) -> dict[str, Any]:
+    """Returns the body of a call that sets routes under one host, and services."""
     groups = [service(name) for name in services]
     ports = [{"host": host, "control_law": list(rules)}] if rules else []
     return {"apply": {"input_ports": ports, "plant_groups": groups}, "remove": {"routes": []}}
--- a/rigs/mesh_peers/settings_file.py
+++ b/rigs/mesh_peers/settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files of both programs, and ports for them."""
+"""Writes settings files for both programs, and finds free ports for them."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def free_ports(ips: Sequence[str], count: int) -> list[int]:
-    """Numbers that are free on 127.0.0.1 and on each of these."""
+    """Returns port numbers that are free on 127.0.0.1 and on each of these addresses."""
     found: list[int] = []
-    held: list[socket.socket] = []
+    sockets: list[socket.socket] = []
     try:
         while len(found) < count:
-            held.append(first := socket.create_server(("127.0.0.1", 0)))
+            sockets.append(first := socket.create_server(("127.0.0.1", 0)))
             number = first.getsockname()[1]
             try:
-                held += [socket.create_server((ip, number)) for ip in ips if ip != "127.0.0.1"]
+                sockets += [socket.create_server((ip, number)) for ip in ips if ip != "127.0.0.1"]
             except OSError:
                 continue
             found.append(number)
     finally:
-        for one in held:
+        for one in sockets:
             one.close()
     return found
 
@@ -32,7 +32,7 @@
 def _toml(value: object) -> str:
     if isinstance(value, dict):
         return "{" + ", ".join(f"{key} = {_toml(part)}" for key, part in value.items()) + "}"
-    return json.dumps(value)  # texts, numbers, truths and lists of these are written alike
+    return json.dumps(value)  # strings, numbers, booleans and lists of them have the same form
 
 
 def write_settings(
@@ -47,12 +47,12 @@
     state_dir: str = "",
     machines: int = 1,
     cold_boot: bool = True,
-    beat_period_ms: int = 500,
+    heartbeat_period_ms: int = 500,
     **bounds: float,
 ) -> None:
-    """A settings file. ``ports``: of peers, control, outbound and readiness, in this order; the first is
-    where other processes are found, so it is one for all machines. ``machines``: that may be lost
-    at once; ``bounds`` go to ``envelope``."""
+    """Writes a settings file. ``ports``: of peers, control, outbound and readiness, in this order. The first
+    is the port at which processes reach each other, so all machines use the same. ``machines``: how many
+    may be lost at once; ``bounds``: the values of ``envelope``."""
     peers, control, outbound, readiness = ports
     file: dict[str, object] = {
         "node": node,
@@ -67,7 +67,7 @@
         "cold_boot": cold_boot,
         "counted": serves == "supervisor",
         "state_dir": state_dir,
-        "beat_period_ms": beat_period_ms,
+        "beat_period_ms": heartbeat_period_ms,
         "plant": service,
         "zones": {"z": "r"},
         "ports": {
--- a/rigs/shutdown_world/client.py
+++ b/rigs/shutdown_world/client.py
@@ -70,7 +70,7 @@
 
     def _leave(self) -> None:
         if self._connection is not None:
-            self._connection.leave()
+            self._connection.abort()
             self._connection = None
 
     async def _connect(self) -> bool:
@@ -135,7 +135,7 @@
         loop = asyncio.get_running_loop()
         for at in range(count):
             try:
-                answer = await self._connection.read(within_s=60.0)
+                answer = await self._connection.read(timeout_s=60.0)
             except (ConnectionError, http.BadMessage):
                 answer = None
             await self._way()
--- a/rigs/shutdown_world/upstream.py
+++ b/rigs/shutdown_world/upstream.py
@@ -17,7 +17,7 @@
         super().__init__(instance, "s", runs=runs, capacity=12, keep_alive="timeout=5")
         self.ended_at: dict[str, float] = {}  # seconds of the loop, by Attempt-Id
 
-    async def _serve(
+    async def _handle(
         self, message: http.Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         attempt = message.get(b"attempt-id") or ""
@@ -25,4 +25,4 @@
         loop = asyncio.get_running_loop()
         self.ended_at[attempt] = loop.time() + work_s
         await asyncio.sleep(work_s)
-        return await super()._serve(message, reader, writer)
+        return await super()._handle(message, reader, writer)
--- a/rigs/shutdown_world/world.py
+++ b/rigs/shutdown_world/world.py
@@ -75,7 +75,7 @@
         self.proxy.balancers._random.seed(self.node)  # the same draws in each play of a plan
         await self.proxy.start()
         self._watch()
-        assert await self.upstream.tell((self.ip, ports[1])) == 200
+        assert await self.upstream.send_heartbeat((self.ip, ports[1])) == 200
 
     def _watch(self) -> None:
         begin = self.proxy.request_dispatcher.begin
@@ -123,7 +123,7 @@
 
     async def connect(self) -> Client:
         """A client's connection to the first. Raises OSError."""
-        return await Client.to(self.outbound)
+        return await Client.connect(self.outbound)
 
     async def play(self) -> Result:
         """From the start of both to the end of the first."""
--- a/rigs/soak/clients.py
+++ b/rigs/soak/clients.py
@@ -95,7 +95,7 @@
 
     def _disconnect(self) -> None:
         if self._connection is not None:
-            self._connection.leave()
+            self._connection.abort()
             self._connection = None
 
     async def _connect(self) -> bool:
@@ -104,11 +104,11 @@
             return False
         incarnation = node.incarnation
         try:
-            connection = await Client.to(node.outbound)
+            connection = await Client.connect(node.outbound)
         except (OSError, TimeoutError):
             return False
         if node.incarnation != incarnation:  # it is unknown which of them accepted the connection
-            connection.leave()
+            connection.abort()
             return False
         self._connection, self._incarnation = connection, incarnation
         self._usable_until = asyncio.get_running_loop().time() + DEFAULT_KEEP_ALIVE_S
@@ -165,7 +165,7 @@
         assert self._connection is not None
         for at, one in enumerate(sent):
             try:
-                response = await self._connection.read(within_s=RESPONSE_TIMEOUT_S)
+                response = await self._connection.read(timeout_s=RESPONSE_TIMEOUT_S)
             except TimeoutError:
                 self._record_end(sent[at:], End.OPEN)
                 return True
--- a/rigs/soak/fault_injection.py
+++ b/rigs/soak/fault_injection.py
@@ -118,17 +118,17 @@
         if event.late_s:
             await polled(lambda: self._heartbeat_acknowledged(node), HEARTBEAT_WAIT_S)
             await asyncio.sleep(event.late_s)
-            await upstream.tell(node.control)
+            await upstream.send_heartbeat(node.control)
 
     async def _drain_and_deregister(self, node: Node) -> None:
         """Announces that the upstream drains, lets it serve for DRAIN_S, and deregisters it."""
         upstream = self._machines.upstreams[node.name]
         for _ in range(4):
-            if await upstream.tell(node.control, "decaying") // 100 == 2:
+            if await upstream.send_heartbeat(node.control, "decaying") // 100 == 2:
                 break
             await asyncio.sleep(0.3)
         await asyncio.sleep(DRAIN_S + 0.3)
-        await call(node.control, b"DELETE", b"/instances/" + upstream.instance.encode(), within_s=1.0)
+        await call(node.control, b"DELETE", b"/instances/" + upstream.instance.encode(), timeout_s=1.0)
 
     async def _heartbeat_acknowledged(self, node: Node) -> bool:
         """Whether a heartbeat of the current upstream was acknowledged."""
--- a/rigs/soak/machines.py
+++ b/rigs/soak/machines.py
@@ -135,6 +135,6 @@
 
     async def _send_heartbeats(self, node: Node, upstream: SoakUpstream) -> None:
         while True:
-            if await upstream.tell(node.control) // 100 == 2:
+            if await upstream.send_heartbeat(node.control) // 100 == 2:
                 upstream.heartbeat_acknowledged = True
             await asyncio.sleep(HEARTBEAT_MS / 1000.0)
--- a/rigs/soak/nodes.py
+++ b/rigs/soak/nodes.py
@@ -316,7 +316,7 @@
             if self.process is None or self.process.returncode is not None:
                 continue
             incarnation = self.incarnation
-            status, _ = await call(target[0], b"GET", target[1], within_s=1.0)
+            status, _ = await call(target[0], b"GET", target[1], timeout_s=1.0)
             if incarnation == self.incarnation and status:
                 if self._responding_incarnation < incarnation:
                     self._responding_incarnation = incarnation
@@ -351,7 +351,7 @@
             service=self.service,
             state_dir=str(self.disk) if self.is_controller else "",
             cold_boot=self.cold_boot,
-            beat_period_ms=HEARTBEAT_MS,
+            heartbeat_period_ms=HEARTBEAT_MS,
             retry_ratio=values.retry_ratio,
             settle_ms=values.settle_ms,
             contact_ms=values.contact_ms,
--- a/rigs/soak/operators.py
+++ b/rigs/soak/operators.py
@@ -87,7 +87,7 @@
     async def read(self, node: str, address: Address) -> bool:
         """Reads the configuration at that controller and checks it; returns False without a response."""
         asked_at = self.now()
-        status, body = await call(address, b"GET", b"/configuration", within_s=TIMEOUT_S)
+        status, body = await call(address, b"GET", b"/configuration", timeout_s=TIMEOUT_S)
         if status != 200:
             return False
         self.ledger.check_read(routes_of(json.loads(body)), node, asked_at, self.now())
--- a/rigs/soak/upstream.py
+++ b/rigs/soak/upstream.py
@@ -37,15 +37,15 @@
         behavior = behavior_of(message)
         return "ok" if behavior in PROCESSING_S else behavior
 
-    def came(self, message: http.Message) -> None:
+    def on_request(self, message: http.Message) -> None:
         """Keeps no messages, since a soak is long."""
 
-    async def _serve(
+    async def _handle(
         self, message: http.Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         behavior, attempt = behavior_of(message), message.get(b"attempt-id") or ""
         if behavior in NOT_PROCESSED or message.get(b"target-instance") not in (None, self.instance):
-            return await super()._serve(message, reader, writer)
+            return await super()._handle(message, reader, writer)
         now = asyncio.get_running_loop().time
         run = self._requests.record_run(attempt, self.service, self.instance, now())
         sent = self._requests.sent.get(attempt)
@@ -53,7 +53,7 @@
             self._configuration.check_run(sent.request, self.service, now())
         try:
             await asyncio.sleep(PROCESSING_S.get(behavior, 0.0))
-            return await super()._serve(message, reader, writer)
+            return await super()._handle(message, reader, writer)
         finally:
             run.ended_at, run.aborted = now(), self._closed or behavior in ABORTING
 
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -40,7 +40,7 @@
 
     async def client(self) -> Client:
         """A connection of a client."""
-        return await Client.to(self.outbound)
+        return await Client.connect(self.outbound)
 
     async def open(self, count: int) -> None:
         """Waits until so many connections of clients are open."""
@@ -51,14 +51,14 @@
     """Runs ``test`` on one sidecar, which has ended when this returns."""
 
     async def run() -> None:
-        upstream = Upstream(way=lambda message: message.target.rpartition(b"/")[2].decode())
+        upstream = Upstream(behavior=lambda message: message.target.rpartition(b"/")[2].decode())
         await upstream.start()
         there = Beside(folder, free_ports(["127.0.0.1"], 4), upstream, grace_s)
         proxy = there.proxy
         await proxy.start()
         there.take("plant", "s", {"name": "s", "epoch": "r1"})
         there.take("route", "read", {**route("read", "/read/", "s", horizon_ms=30_000), "host": "h.example"})
-        assert await upstream.tell(there.control) == 200
+        assert await upstream.send_heartbeat(there.control) == 200
         try:
             await test(there)
         finally:
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -19,7 +19,7 @@
 from mesh.configuration.routes import Route
 from mesh.data_plane.upstream_connections import ResponseReceived
 from mesh.rollout.report import REPORT, read
-from rigs.mesh_peers import change, route
+from rigs.mesh_peers import patch_body, route
 from simulation.mesh.world import Life, Machine, Script, World
 
 TAKES_S = 0.03
@@ -194,7 +194,7 @@
 
     def commits(self, version: int, *rules: dict[str, Any], services: Sequence[str] = ()) -> Script:
         """One operator's change; its acknowledgement is kept."""
-        body = json.dumps(change(*rules, services=services)).encode()
+        body = json.dumps(patch_body(*rules, services=services)).encode()
         answer = yield from self.commit(self.controllers(), body)
         if answer is not None and answer.status == 200:
             for rule in rules:
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -25,13 +25,13 @@
 from mesh.runtime.introspection_calls import Refusal
 from mesh.runtime.settings import Settings, parse_settings
 from mesh.storage.lmdb_store import DiskStore, Fresh
-from rigs.mesh_peers import Client, Upstream, change, free_ports, polled, route, write_settings
+from rigs.mesh_peers import Client, Upstream, free_ports, patch_body, polled, route, write_settings
 
 T = TypeVar("T")
 NET = f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}"
 CORES, SIDES = [f"{NET}.71", f"{NET}.72"], [f"{NET}.81", f"{NET}.82"]
 START_S = 10.0
-FIRST = change(
+FIRST = patch_body(
     route("read", "/read/", "red", trials=2), route("pay", "/pay/", "red", effectful=True), services=("red",)
 )
 
@@ -95,7 +95,7 @@
 
     async def _beat(self) -> None:
         for ip, upstream in zip(SIDES, self.upstreams, strict=True):
-            assert await upstream.tell((ip, self.ports[1])) == 200
+            assert await upstream.send_heartbeat((ip, self.ports[1])) == 200
 
     def beat(self) -> None:
         self.do(self._beat())
@@ -104,11 +104,11 @@
         """Sends one request to that sidecar; returns its attempt id."""
 
         async def one() -> str:
-            client = await Client.to((SIDES[at], self.ports[2]))
+            client = await Client.connect((SIDES[at], self.ports[2]))
             self.asked += 1
             attempt = f"{self.asked:016x}"
-            await client.ask(attempt, path)
-            client.leave()
+            await client.request(attempt, path)
+            client.abort()
             return attempt
 
         return self.do(one())
@@ -269,7 +269,7 @@
     assert run(mesh, "config", "check", stands).exit_code == 0
     assert told(mesh, "config", "diff", stands) == {"differences": [], "alike": 3, "others": 0}
 
-    file = write(mesh, change(route("read", "/read/", "red", 4, trials=3), route("new", "/new/", "blue")))
+    file = write(mesh, patch_body(route("read", "/read/", "red", 4, trials=3), route("new", "/new/", "blue")))
     found = told(mesh, "config", "check", file, code=1)["findings"]
     assert [(one["item"], one["field"]) for one in found] == [
         ("route new", "response.plant")  # the reason for which the mesh would refuse it
@@ -285,7 +285,7 @@
     result = run(mesh, "config", "apply", file)
     assert result.exit_code == 4 and "names the unknown service blue" in result.output
 
-    file = write(mesh, change(route("read", "/read/", "red", 4, trials=3)))
+    file = write(mesh, patch_body(route("read", "/read/", "red", 4, trials=3)))
     result = run(mesh, "config", "apply", file)
     assert result.exit_code == 0 and "1 items are in force" in result.stdout
     mesh.wait(lambda: all(side.routes._by_name["read"].version == 4 for side in mesh.sides))
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -11,7 +11,7 @@
 
 from mesh.cli.rollout import change_lines, explain_lines
 from mesh.rollout.staged_activation import PENDING_COMMAND_S
-from rigs.mesh_peers import change, route
+from rigs.mesh_peers import patch_body, route
 
 
 @pytest.fixture(scope="module")
@@ -19,7 +19,7 @@
     found = Mesh(tmp_path_factory.mktemp("rollout"))
     try:
         found.beat()
-        at = write(found, change(route("read", "/read/", "red"), services=("red", "blue")))
+        at = write(found, patch_body(route("read", "/read/", "red"), services=("red", "blue")))
         told(found, "config", "apply", at)
         found.wait(lambda: all(side.routes.get("read") for side in found.sides))
         time.sleep(2.0)  # a sidecar without contact for so long applies changes at once
@@ -34,7 +34,7 @@
     assert item.value is not None
     service = {"red": "blue", "blue": "red"}[item.value["response"]["plant"]]
     version = item.version + 1
-    told(mesh, "config", "apply", write(mesh, change(route("read", "/read/", service, version))))
+    told(mesh, "config", "apply", write(mesh, patch_body(route("read", "/read/", service, version))))
     return version
 
 
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -42,7 +42,7 @@
     def __init__(self, upstream: Upstream, rules: tuple[dict[str, Any], ...]) -> None:
         event_log = EventLog("t", io.StringIO())
         life = Life("n1", "z", 500.0, 2000.0)
-        beat = read_heartbeat(upstream.instance, upstream.beat())
+        beat = read_heartbeat(upstream.instance, upstream.heartbeat_body())
         assert isinstance(beat, Heartbeat)
         life.on_heartbeat(0.0, beat)
         self.upstream, self.routes, self.known = upstream, RouteTable(), True
@@ -71,11 +71,11 @@
         self.address = self.client_listener.listen(("127.0.0.1", 0))
 
     async def client(self) -> Client:
-        return await Client.to(self.address)
+        return await Client.connect(self.address)
 
     async def came(self) -> str:
         """The id of the next request at the upstream."""
-        return (await soon(self.upstream.comes.get())).get(b"attempt-id") or ""
+        return (await soon(self.upstream.incoming.get())).get(b"attempt-id") or ""
 
 
 def beside(
@@ -84,7 +84,7 @@
     rules: tuple[dict[str, Any], ...] = (READ, PAY),
 ) -> None:
     async def run() -> None:
-        upstream = Upstream(way=way, capacity=32)
+        upstream = Upstream(behavior=way, capacity=32)
         await upstream.start()
         sidecar = Sidecar(upstream, rules)
         sidecar.start()
@@ -123,8 +123,10 @@
             (b"te", b"trailers"),
         ]
         body = bytes(range(256)) * 300
-        answer = await client.ask("a1", "/read/x?q=%20&r=1", left_ms=900, headers=sent, body=body)
-        (seen,) = sidecar.upstream.seen
+        answer = await client.request(
+            "a1", "/read/x?q=%20&r=1", time_remaining_ms=900, headers=sent, body=body
+        )
+        (seen,) = sidecar.upstream.received
         assert (seen.method, seen.target, seen.body) == (b"POST", b"/read/x?q=%20&r=1", body)
         told = [
             (name, value)
@@ -140,7 +142,7 @@
         ]
         assert 0 < int(seen.get(b"time-remaining") or "") <= 900
         assert [name for name, _ in seen.headers].count(b"time-remaining") == 1
-        assert (answer.status, answer.body) == (200, sidecar.upstream.body(seen))
+        assert (answer.status, answer.body) == (200, sidecar.upstream.response_body(seen))
         assert {name for name, _ in answer.headers} == {b"attempt-id", b"response-seal", b"content-length"}
 
     beside(test)
@@ -150,9 +152,9 @@
     async def test(sidecar: Sidecar) -> None:
         client = await sidecar.client()
         parts = [b"a" * 5, b"\r\n0\r\n\r\n", b"b" * 70_000]
-        answer = await client.ask("a1", "/pay/x", chunks=parts)
-        (seen,) = sidecar.upstream.seen
-        assert seen.body == b"".join(parts) and answer.body == sidecar.upstream.body(seen)
+        answer = await client.request("a1", "/pay/x", chunks=parts)
+        (seen,) = sidecar.upstream.received
+        assert seen.body == b"".join(parts) and answer.body == sidecar.upstream.response_body(seen)
         assert seen.get(b"transfer-encoding") is None
 
     beside(test)
@@ -161,9 +163,9 @@
 def test_the_time_told_is_no_longer_than_the_route_holds_a_request() -> None:
     async def test(sidecar: Sidecar) -> None:
         client = await sidecar.client()
-        for attempt, left_ms, most in ("a1", 60_000, 4000), ("a2", 300, 300), ("a3", 0, 4000):
-            await client.ask(attempt, left_ms=left_ms)
-            told = int(sidecar.upstream.seen[-1].get(b"time-remaining") or "")
+        for attempt, time_remaining_ms, most in ("a1", 60_000, 4000), ("a2", 300, 300), ("a3", 0, 4000):
+            await client.request(attempt, time_remaining_ms=time_remaining_ms)
+            told = int(sidecar.upstream.received[-1].get(b"time-remaining") or "")
             assert most - 250 < told <= most
 
     beside(test)
@@ -171,7 +173,7 @@
 
 def test_the_upstreams_own_failure_comes_back_as_it_is() -> None:
     async def test(sidecar: Sidecar) -> None:
-        answer = await (await sidecar.client()).ask("a1", "/pay/500")
+        answer = await (await sidecar.client()).request("a1", "/pay/500")
         assert (answer.status, answer.body) == (500, b"own words")
 
     beside(test, by_path)
@@ -206,12 +208,12 @@
 def test_a_request_that_is_still_out_at_its_deadline_is_answered_504_and_ended_at_the_upstream() -> None:
     async def test(sidecar: Sidecar) -> None:
         client = await sidecar.client()
-        client.send("a1", "/pay/hold", left_ms=800)
+        client.send("a1", "/pay/hold", time_remaining_ms=800)
         await sidecar.came()
         move(0.8 + DEADLINE_SLACK_MS / 1000.0)
         answer = await client.read()
         assert answer and answer.status == 504
-        await until(lambda: not sidecar.upstream.open)
+        await until(lambda: not sidecar.upstream.open_connections)
 
     beside(test, by_path)
 
@@ -223,13 +225,13 @@
     async def test(sidecar: Sidecar) -> None:
         client = await sidecar.client()
         for path, host in ("/other/x", "h.example"), ("/read/x", "other.example"), ("/read", "h.example"):
-            assert (await client.ask("a1", path, host=host)).status == 404
+            assert (await client.request("a1", path, host=host)).status == 404
         sidecar.known = False
-        answer = await client.ask("a2", "/other/x")
+        answer = await client.request("a2", "/other/x")
         assert answer.status == 503 and float(answer.get(b"retry-after") or "0") > 0.0
-        assert (await client.ask("a3", "/read/x")).status == 200  # a known route is served
+        assert (await client.request("a3", "/read/x")).status == 200  # a known route is served
         sidecar.routes.remove("read")
-        assert (await client.ask("a4", "/read/x")).status == 503
+        assert (await client.request("a4", "/read/x")).status == 503
 
     beside(test)
 
@@ -247,7 +249,7 @@
         answer = await client.read()
         assert answer and answer.status == 400 and answer.get(b"connection") == "close"
         assert await client.read() is None
-        assert not sidecar.upstream.seen
+        assert not sidecar.upstream.received
 
     beside(test)
 
@@ -273,7 +275,7 @@
         client.write(head)
         answer = await client.read()
         assert answer and answer.status == 400
-        assert not sidecar.upstream.seen
+        assert not sidecar.upstream.received
 
     beside(test)
 
@@ -282,11 +284,11 @@
     async def test(sidecar: Sidecar) -> None:
         sidecar.client_listener.apply_limits(InputLimits(body_bytes=10))
         client = await sidecar.client()
-        assert (await client.ask("a1", body=b"x" * 10)).status == 200
-        assert (await client.ask("a2", body=b"x" * 11)).status == 413
+        assert (await client.request("a1", body=b"x" * 10)).status == 200
+        assert (await client.request("a2", body=b"x" * 11)).status == 413
         client = await sidecar.client()
-        assert (await client.ask("a3", chunks=[b"x" * 6, b"x" * 5])).status == 413
-        assert len(sidecar.upstream.seen) == 1
+        assert (await client.request("a3", chunks=[b"x" * 6, b"x" * 5])).status == 413
+        assert len(sidecar.upstream.received) == 1
 
     beside(test)
 
@@ -337,7 +339,7 @@
             f"a{at}" for at in range(MAX_PIPELINED)
         }
         await turns()
-        assert sidecar.upstream.comes.empty() and sidecar.request_dispatcher.open_requests == MAX_PIPELINED
+        assert sidecar.upstream.incoming.empty() and sidecar.request_dispatcher.open_requests == MAX_PIPELINED
         sidecar.upstream.release.set()
         answers = [await client.read() for _ in range(MAX_PIPELINED + 4)]
         assert [answer and answer.get(b"attempt-id") for answer in answers] == [
@@ -354,7 +356,7 @@
             client.send(attempt, path)
         assert {await sidecar.came() for _ in range(2)} == {"a1", "a2"}
         await turns()
-        assert sidecar.upstream.comes.empty()
+        assert sidecar.upstream.incoming.empty()
         sidecar.upstream.release.set()
         assert {await sidecar.came() for _ in range(2)} == {"a3", "a4"}
         answers = [await client.read() for _ in range(4)]
@@ -395,7 +397,7 @@
         answer = await client.read()
         assert answer is not None and answer.get(b"connection") == "close"
         assert await client.read() is None
-        assert [message.get(b"attempt-id") for message in sidecar.upstream.seen] == ["a1"]
+        assert [message.get(b"attempt-id") for message in sidecar.upstream.received] == ["a1"]
 
     beside(test, by_path)
 
@@ -422,8 +424,10 @@
         client.send("a2", "/read/hold")
         other.send("b", "/read/hold")
         assert {await sidecar.came() for _ in range(3)} == {"a1", "a2", "b"}
-        client.leave()
-        await until(lambda: sidecar.request_dispatcher.open_requests == 1 and sidecar.upstream.open == 1)
+        client.abort()
+        await until(
+            lambda: sidecar.request_dispatcher.open_requests == 1 and sidecar.upstream.open_connections == 1
+        )
         sidecar.upstream.release.set()
         answer = await other.read()
         assert answer and answer.status == 200
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -472,7 +472,7 @@
     more."""
 
     async def test(bench: Bench, far: RemotePeer) -> None:
-        upstream = Upstream(way=lambda _: "hold", capacity=1)
+        upstream = Upstream(behavior=lambda _: "hold", capacity=1)
         await upstream.start()
         ports = free_ports(["127.0.0.1"], 4)
         file = tmp_path / "side.toml"
@@ -482,7 +482,7 @@
         told = parse_settings(file.read_text())
         assert isinstance(told, Settings), told
         proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is opened
-        beat = read_heartbeat(upstream.instance, upstream.beat())
+        beat = read_heartbeat(upstream.instance, upstream.heartbeat_body())
         assert isinstance(beat, Heartbeat)
         proxy.upstream.on_heartbeat(proxy.balancers.now(), beat)
         link = Link(lambda _: None, proxy._on_frame, proxy._on_link_lost)
@@ -490,7 +490,7 @@
         for number in range(3):
             head = replace(call(f"a{number}"), target=b"/x", max_wait_ms=500.0).head(number)
             proxy._on_frame(link, head, b"")
-        await until(lambda: len(upstream.seen) == 2)
+        await until(lambda: len(upstream.received) == 2)
         proxy._on_link_lost(link, "cut")
         try:
             assert not proxy.upstream_dispatch.running and not len(proxy.upstream_dispatch.queue)
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -68,11 +68,12 @@
         ended: list[object] = []
         repeat = replace(passing("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
         proxy.upstream_dispatch.accept(repeat, ended.append)
-        assert (await soon(there.upstream.comes.get())).get(b"attempt-id") == "b1"
+        assert (await soon(there.upstream.incoming.get())).get(b"attempt-id") == "b1"
 
         client = await there.client()
-        assert (await client.ask("own", "/read/ok", left_ms=2000)).status == 200  # the upstream's own call
-        assert (await client.ask("other", "/read/ok", left_ms=900)).status == 200
+        # "own" is the upstream's own call.
+        assert (await client.request("own", "/read/ok", time_remaining_ms=2000)).status == 200
+        assert (await client.request("other", "/read/ok", time_remaining_ms=900)).status == 200
         assert [(call.attempt, call.repeat) for call in sent.calls] == [("own", True), ("other", False)]
         budget = proxy.balancers.by_service["s"].budget
         assert (budget.charged, budget.spent) == (1, 0)
@@ -81,7 +82,7 @@
         await until(lambda: bool(ended))
         await turns()
         assert len(proxy.upstream_dispatch.repeats) == 0
-        assert (await client.ask("later", "/read/ok", left_ms=2000)).status == 200
+        assert (await client.request("later", "/read/ok", time_remaining_ms=2000)).status == 200
         assert not sent.calls[-1].repeat
 
     beside(tmp_path, test)
--- a/tests/mesh/test_data_plane_rollouts.py
+++ b/tests/mesh/test_data_plane_rollouts.py
@@ -55,14 +55,14 @@
             except ConnectionError:
                 answer = None
             if answer is None:
-                ran = {message.get(b"attempt-id") for message in self.there.upstream.seen}
+                ran = {message.get(b"attempt-id") for message in self.there.upstream.received}
                 self.lost += [one for one in burst[at:] if one in ran]
                 return False
             self.answered += 1
             if answer.status != 200:
                 self.failed.append((attempt, answer.status))
             if answer.get(b"connection") == "close":
-                ran = {message.get(b"attempt-id") for message in self.there.upstream.seen}
+                ran = {message.get(b"attempt-id") for message in self.there.upstream.received}
                 self.lost += [one for one in burst[at + 1 :] if one in ran]
                 return False
         return True
@@ -111,7 +111,7 @@
     async def test(there: Beside) -> None:
         traffic = Traffic(there, ("/read/hold",))
         clients = [asyncio.get_running_loop().create_task(traffic.client(f"c{at}", 1)) for at in range(4)]
-        await until(lambda: len(there.upstream.seen) == len(clients))
+        await until(lambda: len(there.upstream.received) == len(clients))
         for connection in list(there.proxy.client_listener._connections)[:2]:
             connection.close()
         await until(lambda: len(traffic.lost) == 2)
@@ -165,7 +165,7 @@
         source = connection.transport.get_extra_info("socket")
         source.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
         client = Client(stream, writer)
-        client.send("a1", "/read/ok", body=body, left_ms=30_000)
+        client.send("a1", "/read/ok", body=body, time_remaining_ms=30_000)
         await until(lambda: connection.choked)
         there.take("input_limits", "input_limits", {**LIMITS, "header_lag_ms": 100})
         client_listener._sweep()
@@ -185,7 +185,7 @@
 def test_the_bounds_that_settings_tell_anew_hold_from_then_on(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
         proxy, client = there.proxy, await there.client()
-        assert (await client.ask("a1", "/read/ok")).status == 200
+        assert (await client.request("a1", "/read/ok")).status == 200
         bounds = replace(proxy.settings.bounds, retry_ratio=0.0, retry_slack=2.0, drain_ms=700.0)
         proxy.apply_settings(replace(proxy.settings, bounds=bounds))
         budget = proxy.balancers.by_service["s"].budget
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -71,9 +71,9 @@
         keep(there)
         client = await there.client()
         client.send("a1", "/read/hold")
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         client.send("a2", "/read/ok")
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         (connection,) = there.proxy.client_listener._connections
         await until(lambda: connection._slots[-1].reply is not None)  # type: ignore[attr-defined]
         ends = ending(there)
@@ -83,7 +83,7 @@
         assert [answer and answer.status for answer in answers] == [200, 200]
         assert [answer and answer.get(b"connection") for answer in answers] == [None, "close"]
         assert await client.read() is None
-        client.leave()
+        client.abort()
         await passed(NOTICE_S + 0.2)
         await soon(ends)
 
@@ -103,8 +103,8 @@
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (503, "close")
         assert answer.get(b"retry-after") == f"{DEFAULT_RETRY_S:.3f}"
-        assert there.upstream.seen == [] and not there.proxy.request_dispatcher.open_requests
-        client.leave()
+        assert there.upstream.received == [] and not there.proxy.request_dispatcher.open_requests
+        client.abort()
         await soon(ends)
 
     beside(tmp_path, test, grace_s=GRACE_S)
@@ -115,7 +115,7 @@
         keep(there)
         client = await there.client()
         client.send("a1", "/read/hold")
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         ends = ending(there)
         await passed(shutdown_times(GRACE_S).last_request_s + 0.1)
         client.send("a2", "/read/ok")
@@ -124,8 +124,8 @@
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (200, "close")
         assert await client.read() is None
-        assert [one.get(b"attempt-id") for one in there.upstream.seen] == ["a1"]
-        client.leave()
+        assert [one.get(b"attempt-id") for one in there.upstream.received] == ["a1"]
+        client.abort()
         await soon(ends)
 
     beside(tmp_path, test, grace_s=GRACE_S)
@@ -135,15 +135,16 @@
     async def test(there: Beside) -> None:
         keep(there)
         client = await there.client()
-        answer = await client.ask("a1", "/read/ok")
+        answer = await client.request("a1", "/read/ok")
         assert answer.get(b"keep-alive") == "timeout=2"
         ends = ending(there)
         await turns()
         await passed(1.9)
         assert there.proxy.client_listener.held() == 1
-        answer = await client.ask("a2", "/read/ok")  # in time, so it is served; its connection closes with it
+        # Sent in time, so it is served; its connection closes with it.
+        answer = await client.request("a2", "/read/ok")
         assert (answer.status, answer.get(b"connection"), answer.get(b"keep-alive")) == (200, "close", None)
-        client.leave()
+        client.abort()
         await passed(NOTICE_S)
         await soon(ends)
 
@@ -154,9 +155,9 @@
     async def test(there: Beside) -> None:
         loop = asyncio.get_running_loop()
         early, late = await there.client(), await there.client()
-        await early.ask("a1", "/read/ok")
+        await early.request("a1", "/read/ok")
         await passed(2.0)
-        await late.ask("a2", "/read/ok")
+        await late.request("a2", "/read/ok")
         bounds = replace(there.proxy.settings.bounds, grace_s=2.5)
         there.proxy.apply_settings(replace(there.proxy.settings, bounds=bounds))  # announces a shorter time
         assert there.proxy.client_listener.idle_s == 1
@@ -180,9 +181,9 @@
             there.take("input_limits", "input_limits", {"quiescent_ms": quiescent_ms})
             assert client_listener.idle_s == told
             client = await there.client()
-            answer = await client.ask("a1", "/read/ok")
+            answer = await client.request("a1", "/read/ok")
             assert answer.get(b"keep-alive") == (f"timeout={told}" if told else None)
-            client.leave()
+            client.abort()
         bounds = replace(there.proxy.settings.bounds, grace_s=20.0)
         there.take("input_limits", "input_limits", {"quiescent_ms": 15_000})
         there.proxy.apply_settings(replace(there.proxy.settings, bounds=bounds))
@@ -204,9 +205,9 @@
             socket.create_connection(there.outbound)
         client = Client(*await asyncio.open_connection(sock=connection))
         await passed(FIRST_REQUEST_S / 2)
-        answer = await client.ask("a1", "/read/ok")
+        answer = await client.request("a1", "/read/ok")
         assert (answer.status, answer.get(b"connection")) == (200, "close")
-        client.leave()
+        client.abort()
         await soon(ends)
 
     beside(tmp_path, test, grace_s=GRACE_S)
@@ -217,7 +218,7 @@
         keep(there)
         client_listener, client = there.proxy.client_listener, await there.client()
         client.send("a1", "/read/hold")
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         ends = ending(there)
         await turns()
         there.upstream.release.set()
@@ -229,8 +230,8 @@
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"connection")) == (200, "close")
         assert await client.read() is None
-        assert len(there.upstream.seen) == 1
-        client.leave()
+        assert len(there.upstream.received) == 1
+        client.abort()
         await passed(NOTICE_S)
         await soon(ends)
 
@@ -246,7 +247,7 @@
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
         client = await there.client()
         client.send("a1", "/read/hold", body=body)
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         ends = ending(there)
         await turns()
         there.upstream.release.set()
@@ -257,7 +258,7 @@
         assert not ends.done()
         answer = await client.read()
         assert answer is not None and answer.body.endswith(body)
-        client.leave()
+        client.abort()
         await soon(ends)
 
     beside(tmp_path, test, grace_s=GRACE_S)
@@ -276,7 +277,7 @@
         )
         clients = [await there.client() for _ in range(10)]
         for at, client in enumerate(clients):  # nine for an upstream with eight slots
-            client.send(f"a{at}", "/read/hold", left_ms=30_000)
+            client.send(f"a{at}", "/read/hold", time_remaining_ms=30_000)
         await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         (waiting,) = (call for _, _, call in proxy.upstream_dispatch.queue._waiting)
         proxy.upstream_dispatch.queue._expiries.clear()  # its wait does not end
@@ -328,7 +329,7 @@
             socket.create_connection(there.peers)
         other.send(3, "/read/ok")  # crosses GoAway
         await turns()
-        assert len(there.upstream.seen) == 2 and link.owed_replies == 0
+        assert len(there.upstream.received) == 2 and link.owed_replies == 0
         other.writer.close()
         await passed(0.3)
         await soon(ends)
@@ -365,7 +366,7 @@
         assert await other.end() == NotExecuted(RejectReason.LEAVING)
         other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest arrives too late
         await turns()
-        assert there.upstream.seen == [] and not link.peer.receiving and link.owed_replies == 0
+        assert there.upstream.received == [] and not link.peer.receiving and link.owed_replies == 0
         assert there.proxy.request_dispatcher.bodies.held_bytes == 0
         other.writer.close()
 
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -61,7 +61,7 @@
     left = list(ways)
 
     async def run() -> None:
-        upstream = Upstream(way=lambda _: left.pop(0) if left else "ok", keep_alive=keep_alive)
+        upstream = Upstream(behavior=lambda _: left.pop(0) if left else "ok", keep_alive=keep_alive)
         await upstream.start()
         pool = UpstreamConnectionPool(upstream.address, most, EventLog("t", io.StringIO()))
         try:
@@ -77,7 +77,7 @@
     async def test(bench: Bench) -> None:
         for attempt in ("a1", "a2", "a3"):
             await bench.good(attempt)
-        assert bench.upstream.opened == 1
+        assert bench.upstream.connections_opened == 1
 
     tapped(test)
 
@@ -86,7 +86,7 @@
     async def test(bench: Bench) -> None:
         await bench.good("a1")
         await bench.good("a2")
-        assert bench.upstream.opened == 1
+        assert bench.upstream.connections_opened == 1
 
     tapped(test, ["stray"])
 
@@ -94,7 +94,7 @@
 def test_a_connection_with_answers_to_others_alone_is_given_up() -> None:
     async def test(bench: Bench) -> None:
         assert isinstance(await bench.ask("a1"), ExchangeFailed)
-        await until(lambda: not bench.upstream.open)
+        await until(lambda: not bench.upstream.open_connections)
 
     tapped(test, ["strays"])
 
@@ -102,9 +102,9 @@
 def test_the_second_of_two_answers_is_nobodys_and_the_connection_ends() -> None:
     async def test(bench: Bench) -> None:
         await bench.good("a1")
-        await until(lambda: not bench.upstream.open)
+        await until(lambda: not bench.upstream.open_connections)
         await bench.good("a2")
-        assert bench.upstream.opened == 2
+        assert bench.upstream.connections_opened == 2
 
     tapped(test, ["twice"])
 
@@ -112,8 +112,8 @@
 def test_an_answer_too_many_that_comes_while_the_connection_is_idle_ends_it() -> None:
     async def test(bench: Bench) -> None:
         await bench.good("a1")
-        bench.upstream.say(bench.upstream.answer(bench.upstream.seen[0]))
-        await until(lambda: not bench.upstream.open)
+        bench.upstream.send_unsolicited(bench.upstream.response(bench.upstream.received[0]))
+        await until(lambda: not bench.upstream.open_connections)
         assert not bench.connections._idle and not bench.connections._open
         await bench.good("a2")
 
@@ -128,11 +128,11 @@
         assert connection is not None and connection._transport is not None
         connection._transport.pause_reading()  # this process reads late
         assert connection.usable(0.0)
-        bench.upstream.say(b"x")
+        bench.upstream.send_unsolicited(b"x")
         await until(lambda: bool(connection._poll.poll(0)))
         await bench.good("a2")
-        assert bench.upstream.opened == 2
-        await until(lambda: bench.upstream.open == 1)
+        assert bench.upstream.connections_opened == 2
+        await until(lambda: bench.upstream.open_connections == 1)
 
     tapped(test)
 
@@ -153,13 +153,13 @@
             move(kept_s - 0.3)
             bench.connections.close_expired()
             await bench.good("a2")  # from here on for the same time again
-            assert bench.upstream.opened == 1
+            assert bench.upstream.connections_opened == 1
         move(kept_s)
         await bench.good("a3")
-        assert bench.upstream.opened == 2
+        assert bench.upstream.connections_opened == 2
         move(kept_s)
         bench.connections.close_expired()
-        await until(lambda: not bench.upstream.open)
+        await until(lambda: not bench.upstream.open_connections)
         assert not bench.connections._open
 
     tapped(test, keep_alive=told)
@@ -194,7 +194,7 @@
         assert isinstance(await bench.ask("a1"), ExchangeFailed)
         assert bench.upstream.runs["a1"] == 1
         await bench.good("a2")
-        assert bench.upstream.opened == 2
+        assert bench.upstream.connections_opened == 2
 
     tapped(test, [way])
 
@@ -207,13 +207,13 @@
         assert await bench.ask("b") == NotSent(refused=False)  # one that is being opened counts
         held.append(await coming)
         assert await bench.ask("b") == NotSent(refused=False)
-        await until(lambda: len(bench.upstream.seen) == 3)
-        assert bench.upstream.opened == 3 and bench.upstream.runs["b"] == 0
+        await until(lambda: len(bench.upstream.received) == 3)
+        assert bench.upstream.connections_opened == 3 and bench.upstream.runs["b"] == 0
         bench.upstream.release.set()
         for asked in held:
             assert isinstance(await soon(asked.outcome), ResponseReceived)
         await bench.good("b")
-        assert bench.upstream.opened == 3
+        assert bench.upstream.connections_opened == 3
 
     tapped(test, ["hold"] * 3, most=3)
 
@@ -227,7 +227,7 @@
         first = bench.connections._idle[-1]
         await bench.good("b")
         await bench.good("a1")
-        assert bench.upstream.opened == 2 and bench.connections._idle[-1] is not first
+        assert bench.upstream.connections_opened == 2 and bench.connections._idle[-1] is not first
 
     tapped(test)
 
@@ -236,7 +236,7 @@
     async def test(bench: Bench) -> None:
         await bench.good("a1")
         await bench.good("a1")
-        assert bench.upstream.opened == 2 and len(bench.connections._open) == 1
+        assert bench.upstream.connections_opened == 2 and len(bench.connections._open) == 1
 
     tapped(test, most=1)
 
@@ -248,7 +248,7 @@
         for at in range(5):
             await bench.good(f"a{at}")
         assert bench.connections._recent == {b"a2", b"a3", b"a4"}
-        assert len(bench.connections._recent_order) == 3 and bench.upstream.opened == 1
+        assert len(bench.connections._recent_order) == 3 and bench.upstream.connections_opened == 1
 
     tapped(test)
 
@@ -256,7 +256,7 @@
 def test_a_call_that_is_dropped_ends_its_connection_and_has_no_outcome() -> None:
     async def test(bench: Bench) -> None:
         asked = await bench.begin("a1")
-        await soon(bench.upstream.comes.get())
+        await soon(bench.upstream.incoming.get())
         assert asked.connection is not None
         asked.connection.drop()
         await until(lambda: not bench.connections._open)
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -32,7 +32,7 @@
         self.upstream, self.upstream_dispatch, self.told = upstream, upstream_dispatch, told
 
     def beat(self, state: str = "settled") -> None:
-        beat = read_heartbeat(self.upstream.instance, self.upstream.beat(state))
+        beat = read_heartbeat(self.upstream.instance, self.upstream.heartbeat_body(state))
         assert isinstance(beat, Heartbeat)
         self.upstream_dispatch.upstream.on_heartbeat(self.upstream_dispatch.now(), beat)
 
@@ -57,12 +57,12 @@
         """Fills all slots of the upstream with calls that it holds."""
         at_once, _ = call_limits(self.upstream_dispatch.upstream)
         held = [self.take(f"held-{at}") for at in range(at_once)]
-        await until(lambda: len(self.upstream.seen) == at_once)
+        await until(lambda: len(self.upstream.received) == at_once)
         return held
 
     async def runs(self) -> str:
         """The next request that reaches the upstream."""
-        return (await soon(self.upstream.comes.get())).get(b"attempt-id") or ""
+        return (await soon(self.upstream.incoming.get())).get(b"attempt-id") or ""
 
 
 def behind(
@@ -72,7 +72,7 @@
     most: int = 50,
 ) -> None:
     async def run() -> None:
-        upstream, told = Upstream(way=way, capacity=capacity), list[InstanceUpdate]()
+        upstream, told = Upstream(behavior=way, capacity=capacity), list[InstanceUpdate]()
         await upstream.start()
         event_log = EventLog("t", io.StringIO())
         life, connections = (
@@ -112,7 +112,7 @@
         )
         answer = await soon(end)
         assert isinstance(answer, UpstreamResponse) and answer.status == 200
-        (seen,) = bench.upstream.seen
+        (seen,) = bench.upstream.received
         assert (seen.method, seen.target, seen.body) == (b"POST", b"/x?q=1", b"\x00\r\n")
         names = [name for name, _ in seen.headers]
         assert len(names) == len(set(names))
@@ -121,7 +121,7 @@
         assert (told[b"attempt-id"], told[b"x-own"]) == (b"a1", b"1")
         assert 0 < int(told[b"time-remaining"]) <= 700
         assert {name for name, _ in answer.headers} == {b"attempt-id", b"response-seal"}
-        assert answer.body == bench.upstream.body(seen)
+        assert answer.body == bench.upstream.response_body(seen)
         assert bench.upstream_dispatch.load == (1, 0, 1)
 
     behind(test)
@@ -197,7 +197,7 @@
         assert isinstance(await soon(bench.take("a")[1]), UpstreamResponse)
         move(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
         assert bench.take("a")[1].result() == NotExecuted(RejectReason.LEAVING)
-        assert len(bench.upstream.seen) == 1
+        assert len(bench.upstream.received) == 1
 
     behind(test)
 
@@ -211,7 +211,7 @@
         assert not end.done()
         move(RESPONSE_GRACE_S)
         assert isinstance(await soon(end), Unclear)
-        await until(lambda: not bench.upstream.open)
+        await until(lambda: not bench.upstream.open_connections)
         assert not bench.upstream_dispatch.running
 
     behind(test, held)
@@ -233,12 +233,12 @@
         )  # it waits longest, and no call has a lower rank
         assert bench.take("least", rank=-1.0)[1].result() == NotExecuted(RejectReason.FULL)
         assert bench.take("hasty", max_wait_ms=0.0)[1].result() == NotExecuted(RejectReason.FULL)
-        assert len(bench.upstream.seen) == at_once
+        assert len(bench.upstream.received) == at_once
         bench.upstream.release.set()
         for _, end in [*taken, *line[1:]]:
             assert isinstance(await soon(end), UpstreamResponse)
         assert isinstance(await soon(more), UpstreamResponse)
-        assert len(bench.upstream.seen) == at_once + waiting
+        assert len(bench.upstream.received) == at_once + waiting
         assert not bench.upstream_dispatch.running and not len(bench.upstream_dispatch.queue)
 
     behind(test, held, capacity=2)
@@ -341,7 +341,7 @@
         move(0.6)
         bench.upstream.release.set()
         assert isinstance(await soon(end), UpstreamResponse)
-        assert 0 < int(bench.upstream.seen[-1].get(b"time-remaining") or "") <= 400
+        assert 0 < int(bench.upstream.received[-1].get(b"time-remaining") or "") <= 400
 
     behind(test, held)
 
@@ -371,7 +371,8 @@
         assert running is not None
         bench.upstream_dispatch.drop(running)
         assert isinstance(await soon(waits), UpstreamResponse)
-        await until(lambda: bench.upstream.open == len(taken))  # except the dropped one's and the one of "w"
+        # All except the dropped call's, and in addition the one of "w".
+        await until(lambda: bench.upstream.open_connections == len(taken))
         assert not end.done()
 
     behind(test, held)
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -91,9 +91,9 @@
         proxy, upstream = there.proxy, Upstream("i-dead", "s")
         upstream.address = there.upstream.address
         told(proxy, "i-dead", FINAL_VERSION, None)
-        assert await upstream.tell(there.control) == 503
+        assert await upstream.send_heartbeat(there.control) == 503
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
-        assert await there.upstream.tell(there.control) == 200
+        assert await there.upstream.send_heartbeat(there.control) == 200
 
     beside(tmp_path, test)
 
@@ -119,7 +119,7 @@
         assert (await call(there.readiness, b"GET", b"/"))[0] == 503
         for attempt in ("a1", "a2"):  # new connections are accepted, and close with their response
             client = await there.client()
-            answer = await client.ask(attempt, "/read/ok")
+            answer = await client.request(attempt, "/read/ok")
             # its own upstream accepts nothing new, and there is no other
             assert (answer.status, answer.get(b"connection")) == (503, "close")
             assert await client.read() is None
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -34,7 +34,7 @@
 def test_a_head_may_be_as_long_as_the_operators_say_now(tmp_path: Path) -> None:
     async def test(there: Beside) -> None:
         async def status(client: Client, size: int) -> int:
-            return (await client.ask("a1", "/read/ok", headers=[(b"x-own", b"x" * size)])).status
+            return (await client.request("a1", "/read/ok", headers=[(b"x-own", b"x" * size)])).status
 
         client, other = await there.client(), await there.client()
         assert await status(other, 60_000) == 431
@@ -54,10 +54,10 @@
         body = b"x" * (9 << 20)
         client = await there.client()
         there.take("input_limits", "input_limits", TOLD)
-        answer = await client.ask("a1", "/read/ok", body=body)
+        answer = await client.request("a1", "/read/ok", body=body)
         assert answer.status == 200 and answer.body.endswith(body)
         there.take("input_limits", "input_limits", {**TOLD, "body_bytes": 8 << 20})
-        assert (await client.ask("a2", "/read/ok", body=body)).status == 413
+        assert (await client.request("a2", "/read/ok", body=body)).status == 413
         assert there.proxy.request_dispatcher.bodies.held_bytes == 0
 
     beside(tmp_path, test)
@@ -71,7 +71,7 @@
         bodies = there.proxy.request_dispatcher.bodies = BufferQuota(2 * 1000, 900)
         held = await there.client()
         held.send("a1", "/read/hold", body=b"x" * 600)
-        assert (await soon(there.upstream.comes.get())).body == b"x" * 600 and bodies.held_bytes == 600
+        assert (await soon(there.upstream.incoming.get())).body == b"x" * 600 and bodies.held_bytes == 600
         for size, status in (400, 200), (401, 503), (901, 503):
             client = await there.client()
             client.write(HEAD % (b"ok", b"a2", b"expect: 100-continue\r\ncontent-length: %d\r\n" % size))
@@ -85,11 +85,11 @@
                 assert told.startswith(b"HTTP/1.1 503") and b"retry-after" in told
             assert bodies.held_bytes == 600
         client = await there.client()  # a body without a length, for which memory runs out midway
-        assert (await client.ask("a3", "/read/ok", chunks=[b"x" * 300, b"x" * 101])).status == 503
+        assert (await client.request("a3", "/read/ok", chunks=[b"x" * 300, b"x" * 101])).status == 503
         there.upstream.release.set()
         answer = await held.read()
         assert answer is not None and answer.status == 200 and bodies.held_bytes == 0
-        assert len(there.upstream.seen) == 2
+        assert len(there.upstream.received) == 2
 
     beside(tmp_path, test)
 
@@ -112,7 +112,7 @@
             client.write(sent)
             if end == "leaves":
                 await until(lambda: bodies.held_bytes > 0)
-                client.leave()
+                client.abort()
             else:
                 answer = await client.read()
                 assert answer is not None and answer.status == int(end), sent
@@ -130,11 +130,13 @@
         heads.max_bytes = heads.max_message_bytes = 40_000
         held = await there.client()
         held.send("a1", "/read/hold", headers=[(b"x-own", b"x" * 25_000)])
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         assert 20_000 < heads.held_bytes < 30_000
         other = await there.client()
-        assert (await other.ask("a2", "/read/ok", headers=[(b"x-own", b"x" * 20_000)])).status == 503
-        assert (await (await there.client()).ask("a3", "/read/ok", headers=[(b"x-own", b"x")])).status == 200
+        assert (await other.request("a2", "/read/ok", headers=[(b"x-own", b"x" * 20_000)])).status == 503
+        assert (
+            await (await there.client()).request("a3", "/read/ok", headers=[(b"x-own", b"x")])
+        ).status == 200
         there.upstream.release.set()
         answer = await held.read()
         assert answer is not None and answer.status == 200
@@ -151,11 +153,11 @@
         answers = there.proxy.request_dispatcher.buffers.answers
         answers.max_bytes = answers.max_message_bytes = 50_000
         client = await there.client()
-        answer = await client.ask("a1", "/read/ok", body=b"x" * size)
+        answer = await client.request("a1", "/read/ok", body=b"x" * size)
         assert answer.status == (502 if size > answers.max_bytes else 200)
         assert there.upstream.runs["a1"] >= 1
         await until(lambda: answers.held_bytes == 0)
-        assert (await client.ask("a2", "/read/ok")).status == 200
+        assert (await client.request("a2", "/read/ok")).status == 200
 
     beside(tmp_path, test)
 
@@ -164,17 +166,17 @@
     async def test(there: Beside) -> None:
         there.take("input_limits", "input_limits", TOLD)
         answers = there.proxy.request_dispatcher.buffers.answers
-        client = await Client.to(there.outbound)
+        client = await Client.connect(there.outbound)
         client.send("a1", "/read/ok", body=b"x" * (9 << 20))
-        await until(lambda: len(there.upstream.seen) == 1 and answers.held_bytes > 1 << 20)
+        await until(lambda: len(there.upstream.received) == 1 and answers.held_bytes > 1 << 20)
         told = there.proxy.request_dispatcher.buffers.usage()["answers"]
         assert told["held_bytes"] == answers.memory <= told["most_bytes"]
         answer = await client.read()
         assert answer is not None and answer.status == 200
         await until(lambda: answers.held_bytes == 0)
         client.send("a2", "/read/ok", body=b"x" * (9 << 20))
-        await until(lambda: len(there.upstream.seen) == 2 and answers.held_bytes > 1 << 20)
-        client.leave()
+        await until(lambda: len(there.upstream.received) == 2 and answers.held_bytes > 1 << 20)
+        client.abort()
         await until(lambda: answers.held_bytes == 0)
 
     beside(tmp_path, test)
@@ -204,7 +206,7 @@
         client_listener._most, client_listener._crowded_count = 10, 5.0
         clients = [await there.client() for _ in range(8)]
         for at, client in enumerate(clients[:7]):  # beyond all shares; one has sent no request yet
-            assert (await client.ask(f"a{at}", "/read/ok")).status == 200
+            assert (await client.request(f"a{at}", "/read/ok")).status == 200
         await there.open(8)
         for _ in range(6):
             move(0.13 * 15.0)
@@ -213,8 +215,8 @@
         late = await there.client()
         await there.open(8)  # connections are short: only the one that never sent a request was closed
         for at, client in enumerate(clients[:7]):
-            assert (await client.ask(f"b{at}", "/read/ok")).status == 200
-        assert (await late.ask("c", "/read/ok")).status == 200
+            assert (await client.request(f"b{at}", "/read/ok")).status == 200
+        assert (await late.request("c", "/read/ok")).status == 200
         move(1.01 * 15.0)
         client_listener._sweep()
         await there.open(0)
@@ -234,14 +236,14 @@
         await there.open(1)
         move(0.8 * 15.0)
         client_listener._sweep()
-        assert (await early.ask("a1", "/read/ok")).status == 200
+        assert (await early.request("a1", "/read/ok")).status == 200
         there.take("input_limits", "input_limits", None)  # without operators' limits it may not
         silent = await there.client()
         await there.open(2)
         move(IDLE_S + 0.1)
         client_listener._sweep()
         assert await silent.read() is None
-        assert (await early.ask("a2", "/read/ok")).status == 200
+        assert (await early.request("a2", "/read/ok")).status == 200
 
     beside(tmp_path, test)
 
@@ -252,8 +254,8 @@
     async def test(there: Beside) -> None:
         proxy, loop = there.proxy, asyncio.get_running_loop()
         client = await there.client()
-        client.send("a1", "/read/hold", left_ms=30_000)
-        await soon(there.upstream.comes.get())
+        client.send("a1", "/read/hold", time_remaining_ms=30_000)
+        await soon(there.upstream.incoming.get())
         given: list[tuple[float, float | None]] = []
         stop = proxy.client_listener.stop
 
@@ -330,7 +332,7 @@
         proxy, loop, body = there.proxy, asyncio.get_running_loop(), b"x" * 8_000_000
         other = await Other.to(there)
         other.send(1, "/read/hold", body)
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         ends = loop.create_task(proxy.stop())
         await turns()
         move(NOTICE_S)
@@ -354,7 +356,7 @@
     async def test(there: Beside) -> None:
         client = await there.client()
         client.send("a1", "/read/hold")
-        await soon(there.upstream.comes.get())
+        await soon(there.upstream.incoming.get())
         settings = there.proxy.settings
         there.proxy.apply_settings(
             replace(settings, seeds=(("127.0.0.8", 1),), bounds=replace(settings.bounds))
@@ -401,10 +403,10 @@
         proxy.channels.last_complete_at = asyncio.get_running_loop().time()
         client = await there.client()
         assert (await call(there.readiness, b"GET", b"/"))[0] == 503
-        assert (await client.ask("a1", "/read/ok")).status == 503
+        assert (await client.request("a1", "/read/ok")).status == 503
         there.take("plant", "s", {"name": "s", "epoch": "r1"})
         assert (await call(there.readiness, b"GET", b"/"))[0] == 200
-        assert (await client.ask("a2", "/none/ok")).status == 404
+        assert (await client.request("a2", "/none/ok")).status == 404
 
     beside(tmp_path, test)
 
@@ -419,7 +421,7 @@
         proxy, upstream, path = there.proxy, there.upstream, b"/instances/i-1"
 
         async def told(method: bytes, body: bytes = b"") -> int:
-            status, said = await call(there.control, method, path, body, within_s=1.0)
+            status, said = await call(there.control, method, path, body, timeout_s=1.0)
             assert len(said) <= 4096
             return status
 
@@ -429,16 +431,17 @@
             return await soon(ended)
 
         assert await told(b"PUT", b"no beat") == 400  # and nothing of it is applied
-        assert await told(b"PUT", upstream.beat("decaying")) == 200
+        assert await told(b"PUT", upstream.heartbeat_body("decaying")) == 200
         assert isinstance(await passes("b1"), UpstreamResponse)
         move(0.9 * DRAIN_SHARE * 2.0)
-        assert await told(b"PUT", upstream.beat("decaying")) == 200  # again: the time counts from the first
+        # Repeated; the time counts from the first one.
+        assert await told(b"PUT", upstream.heartbeat_body("decaying")) == 200
         assert isinstance(await passes("b2"), UpstreamResponse)
         move(0.2 * DRAIN_SHARE * 2.0)
         assert await passes("b3") == NotExecuted(RejectReason.LEAVING)
         assert await told(b"DELETE") == 200 and await told(b"DELETE") == 200
         assert await passes("b4") == NotExecuted(RejectReason.DOWN)
-        assert await told(b"PUT", upstream.beat()) == 200  # late: that incarnation has ended
+        assert await told(b"PUT", upstream.heartbeat_body()) == 200  # late: that incarnation has ended
         assert await passes("b5") == NotExecuted(RejectReason.DOWN)
 
     beside(tmp_path, test)
--- a/tests/mesh/test_mesh_process.py
+++ b/tests/mesh/test_mesh_process.py
@@ -23,8 +23,8 @@
     Operator,
     Upstream,
     call,
-    change,
     free_ports,
+    patch_body,
     polled,
     route,
     until,
@@ -54,8 +54,8 @@
     process: asyncio.subprocess.Process
     log: Path
 
-    async def ended(self, within_s: float) -> int:
-        return await asyncio.wait_for(self.process.wait(), within_s)
+    async def ended(self, timeout_s: float) -> int:
+        return await asyncio.wait_for(self.process.wait(), timeout_s)
 
     async def kill(self) -> None:
         if self.process.returncode is None:
@@ -129,7 +129,7 @@
 
     async def _beat(self, at: int) -> None:
         while True:
-            await self.upstreams[at].tell(self.control(21 + at))
+            await self.upstreams[at].send_heartbeat(self.control(21 + at))
             await asyncio.sleep(0.4)  # the period of an upstream's beats
 
     async def stop(self) -> None:
@@ -148,18 +148,18 @@
         return f"{self.asked:016x}"
 
     async def client(self, at: int) -> Client:
-        return await Client.to(self.at(21 + at, 2))
+        return await Client.connect(self.at(21 + at, 2))
 
     async def ask(self, at: int, path: str, body: bytes = b"") -> http.Message:
         """One request on a connection of its own."""
         client = await self.client(at)
         try:
-            return await client.ask(self.id(), path, body=body)
+            return await client.request(self.id(), path, body=body)
         finally:
-            client.leave()
+            client.abort()
 
     async def ready(self, at: int) -> bool:
-        return (await call(self.at(21 + at, 3), b"GET", b"/readiness", within_s=1.0))[0] == 200
+        return (await call(self.at(21 + at, 3), b"GET", b"/readiness", timeout_s=1.0))[0] == 200
 
     async def serves(self, at: int, path: str, instances: set[str]) -> None:
         """Until requests at that machine have been answered by each of these upstreams."""
@@ -194,7 +194,7 @@
         await there.stop()
 
 
-FIRST = change(
+FIRST = patch_body(
     route("read", "/read/", "red"), route("pay", "/pay/", "blue", effectful=True), services=("red", "blue")
 )
 
@@ -234,14 +234,14 @@
         assert (await there.ask(0, "/new/ok")).status == 404
         for at in range(MACHINES):
             attempt = (await there.ask(at, "/pay/ok")).get(b"attempt-id")
-            (seen,) = [one for one in there.upstreams[2].seen if one.get(b"attempt-id") == attempt]
+            (seen,) = [one for one in there.upstreams[2].received if one.get(b"attempt-id") == attempt]
             assert seen.get(b"calling-service") == SERVICES[at]
             assert seen.get(b"target-instance") == "i-2"
 
         # A change, at one
         first = Operator([there.control(11)])
         await first.change(
-            change(route("pay", "/pay/", "red", 2, effectful=True), route("new", "/new/", "blue"))
+            patch_body(route("pay", "/pay/", "red", 2, effectful=True), route("new", "/new/", "blue"))
         )
         wanted = {"read": "r1", "pay": "r2", "new": "r1"}
         for at in range(MACHINES):
@@ -255,7 +255,7 @@
         assert await core.ended(2.0) == -signal.SIGKILL
         for at in (1, 2):
             assert names(await operator.read(there.control(11 + at))) == wanted
-        await operator.change(change(route("late", "/late/", "red", 5)))
+        await operator.change(patch_body(route("late", "/late/", "red", 5)))
         for at in range(MACHINES):
             await there.serves(at, "/late/ok", {"i-0", "i-1"})
         assert (await there.ask(1, "/pay/ok")).status == 200
@@ -280,7 +280,7 @@
     until none is taken any more; gives how many were answered."""
     client = await there.client(2)
     for count in range(1, 100_000):
-        answer = await client.ask(there.id(), "/read/ok")
+        answer = await client.request(there.id(), "/read/ok")
         assert answer.status == 200, answer
         if answer.get(b"connection") == "close":
             assert await client.read() is None
@@ -316,7 +316,9 @@
             assert answer is not None and (answer.status, answer.get(b"attempt-id")) == (200, attempt)
         assert await asyncio.wait_for(busy, GRACE_S) > 10
         assert await program.ended(GRACE_S) == 0
-        paid = {one.get(b"attempt-id") or "" for one in upstreams[2].seen if one.target.startswith(b"/pay/")}
+        paid = {
+            one.get(b"attempt-id") or "" for one in upstreams[2].received if one.target.startswith(b"/pay/")
+        }
         assert held.keys() & paid and all(there.runs[attempt] == 1 for attempt in paid)
         for at in (0, 1):
             assert (await there.ask(at, "/read/ok")).status == 200
--- a/tests/mesh/test_restore.py
+++ b/tests/mesh/test_restore.py
@@ -16,7 +16,7 @@
 from mesh.replication.membership_epochs import EMPTY_VIEW, View
 from mesh.replication.quorum import Place, Tolerance
 from mesh.replication.restore import EPOCH_STEP, restored_view
-from rigs.mesh_peers import change, polled, route
+from rigs.mesh_peers import patch_body, polled, route
 
 ONE = Tolerance(1, 0, 0)
 ABC = View(5, {name: Place("z", "r") for name in "abc"})
@@ -80,7 +80,7 @@
 async def begun(mesh: Mesh) -> None:
     for at in range(3):
         await mesh.start(at, cold=True)
-    await mesh.operator.change(change(route("one", "/one/", "p"), services=["p"]))
+    await mesh.operator.change(patch_body(route("one", "/one/", "p"), services=["p"]))
     await mesh.level(2, 20.0)
 
 
@@ -121,7 +121,7 @@
         assert "1 items lead" in told.stdout or "2 items lead" in told.stdout, told.stdout
         await mesh.level(1, 20.0)
         assert await routes(mesh, 1) == {"one": "r1"}
-        await mesh.operator.change(change(route("one", "/one/", "p", 2)))
+        await mesh.operator.change(patch_body(route("one", "/one/", "p", 2)))
         await mesh.start(2, cold=False)  # it comes back with its disk after all
         await mesh.level(2, 20.0)
         assert "W409" in (mesh.folder / "core-2.log").read_text()
--- a/tests/mesh/test_transport_http_calls.py
+++ b/tests/mesh/test_transport_http_calls.py
@@ -50,7 +50,7 @@
 
 def test_calls_one_behind_another_are_worked_on_one_at_a_time_and_in_order() -> None:
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        client = await Client.to(address)
+        client = await Client.connect(address)
         handler.gate.clear()
         client.write(request_bytes(b"/a", b"content-length: 2", body=b"xy"))
         assert await soon(handler.started.get()) == b"/a"
@@ -73,7 +73,7 @@
             return answers.pop(0)
 
         http_server.handle = handle
-        client = await Client.to(address)
+        client = await Client.connect(address)
         client.write(request_bytes(b"/a") + request_bytes(b"/b", b"connection: close"))
         first, second = await client.read(), await client.read()
         assert first and second
@@ -110,7 +110,7 @@
 
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         handler.gate.clear()
-        at_bound, over = await Client.to(address), await Client.to(address)
+        at_bound, over = await Client.connect(address), await Client.connect(address)
         at_bound.write(request_bytes(b"/a"))
         over.write(request_bytes(b"/b"))
         assert {await soon(handler.started.get()), await soon(handler.started.get())} == {b"/a", b"/b"}
@@ -127,7 +127,7 @@
     monkeypatch.setattr(module, "MAX_BODY_BYTES", 10)
 
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        client = await Client.to(address)
+        client = await Client.connect(address)
         for length, status in (10, 200), (11, 413):
             client.write(request_bytes(b"/a", b"content-length: %d" % length, body=b"x" * 10))
             answer = await client.read()
@@ -139,7 +139,7 @@
 
 def test_what_is_no_call_is_answered_400_and_closed() -> None:
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        client = await Client.to(address)
+        client = await Client.connect(address)
         client.write(b"nonsense\r\n\r\n")
         answer = await client.read()
         assert answer and answer.status == 400 and await client.read() is None
@@ -154,7 +154,7 @@
     monkeypatch.setattr(module, "MAX_CONNECTIONS", 3)
 
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        clients = [await Client.to(address) for _ in range(3)]
+        clients = [await Client.connect(address) for _ in range(3)]
         for client in reversed(clients):  # the last one opened has been idle for longest
             client.write(request_bytes(b"/x"))
             assert await client.read()
@@ -162,13 +162,13 @@
         handler.gate.clear()
         clients[0].write(request_bytes(b"/a"))
         await soon(handler.started.get())
-        clients.append(await Client.to(address))
+        clients.append(await Client.connect(address))
         assert await clients[2].read() is None
         await until(lambda: len(http_server._connections) == 3)
         for at, path in (1, b"/b"), (3, b"/c"):
             clients[at].write(request_bytes(path))
             assert await soon(handler.started.get()) == path
-        late = await Client.to(address)  # all others are busy, so it is closed
+        late = await Client.connect(address)  # all others are busy, so it is closed
         assert await late.read() is None
         handler.gate.set()
         answers = [await clients[at].read() for at in (0, 1, 3)]
@@ -179,14 +179,14 @@
 
 def test_at_an_end_calls_in_hand_are_answered_and_idle_connections_close() -> None:
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        idle, busy = await Client.to(address), await Client.to(address)
+        idle, busy = await Client.connect(address), await Client.connect(address)
         handler.gate.clear()
         busy.write(request_bytes(b"/a"))
         await soon(handler.started.get())
         http_server.stop()
         assert await idle.read() is None
         with pytest.raises(OSError):
-            await Client.to(address)
+            await Client.connect(address)
         handler.gate.set()
         answer = await busy.read()
         assert answer and answer.body == b"/a" and answer.get(b"connection") == "close"
@@ -197,7 +197,7 @@
 
 def test_a_whole_call_ahead_of_one_that_cannot_be_read_is_answered() -> None:
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        client = await Client.to(address)
+        client = await Client.connect(address)
         client.write(request_bytes(b"/a") + b"nonsense\r\n\r\n")
         answer = await client.read()
         assert answer and answer.body == b"/a"
@@ -211,7 +211,7 @@
             raise RuntimeError("a fault of the handler")
 
         http_server.handle = handle
-        client = await Client.to(address)
+        client = await Client.connect(address)
         client.write(request_bytes(b"/a"))
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         async with asyncio.timeout(0.3):
@@ -223,7 +223,7 @@
 
 def test_what_comes_behind_the_last_answer_does_not_reset_it() -> None:
     async def test(http_server: HttpServer, _: GatedHandler, address: Address) -> None:
-        client = await Client.to(address)
+        client = await Client.connect(address)
         client.write(request_bytes(b"/a", b"connection: close"))
         await until(lambda: any(connection._lingering for connection in http_server._connections))
         client.write(b"x" * 100_000)
@@ -240,7 +240,7 @@
 
 def test_at_an_end_a_call_that_is_coming_in_is_waited_for_and_answered() -> None:
     async def test(http_server: HttpServer, _: GatedHandler, address: Address) -> None:
-        client, stuck = await Client.to(address), await Client.to(address)
+        client, stuck = await Client.connect(address), await Client.connect(address)
         for one in client, stuck:
             one.write(request_bytes(b"/a", b"content-length: 2", body=b"x"))
         await until(
@@ -251,7 +251,7 @@
         client.write(b"y")
         answer = await client.read()
         assert answer is not None and (answer.body, answer.get(b"connection")) == (b"/axy", "close")
-        client.leave()
+        client.abort()
         await until(lambda: http_server.busy == 1)
         move(module.PARTIAL_CALL_S)
         assert http_server.busy == 0  # a partial call that has paused does not delay the shutdown
@@ -261,7 +261,7 @@
 
 def test_a_call_that_is_still_in_hand_at_the_exit_has_the_word_that_is_given_for_it() -> None:
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
-        client, done = await Client.to(address), await Client.to(address)
+        client, done = await Client.connect(address), await Client.connect(address)
         done.write(request_bytes(b"/b", b"connection: close"))
         answer = await done.read()
         assert answer is not None and answer.status == 200
