--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -26,7 +26,7 @@
 
 from benchmarks.mesh_request import WARM, Calls
 from rigs.fleet import HttpMessages, Load, head_value
-from rigs.mesh_demo import CORE, ROOT, SIDE, Mesh
+from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, ROOT, Mesh
 from rigs.mesh_peers import Address, Client, Operator, Upstream, patch_body, polled, route
 
 AIM = 1.2
@@ -229,7 +229,7 @@
 
 def _with_memory(mesh: Mesh) -> None:
     """Proxies with room for all bodies, whatever the usual file says."""
-    write = mesh.write_proxy
+    write = mesh.write_proxy_settings
 
     def written(at: int, upstream: Upstream) -> Path:
         path = write(at, upstream)
@@ -238,7 +238,7 @@
         path.write_text(text.replace("memory_mb = 200", f"memory_mb = {MEMORY_MB}"))
         return path
 
-    mesh.write_proxy = written  # type: ignore[method-assign]
+    mesh.write_proxy_settings = written  # type: ignore[method-assign]
 
 
 async def _take_up(mesh: Mesh) -> None:
@@ -253,12 +253,12 @@
         "quiescent_ms": 15000,
         "epoch": "r1",
     }
-    await Operator([mesh.control(CORE)]).change(body, START_S)
+    await Operator([mesh.control(FIRST_CONTROLLER_HOST)]).change(body, START_S)
     for at in range(2):
 
         async def serves(at: int = at) -> bool:
             try:
-                return (await short_calls(mesh.outbound(SIDE + at), 1)).served == 1
+                return (await short_calls(mesh.outbound(FIRST_PROXY_HOST + at), 1)).served == 1
             except OSError:  # it does not listen yet
                 return False
 
@@ -267,17 +267,17 @@
 
 async def one_round(folder: Path, given: argparse.Namespace) -> dict[str, Any]:
     """The mesh is started, measured and ended."""
-    mesh = Mesh.of(folder, 1, 2)
+    mesh = Mesh.create(folder, 1, 2)
     _with_memory(mesh)
-    there = await Beside.start([f"{mesh.net}.{SIDE + at}" for at in range(2)])
+    there = await Beside.start([f"{mesh.network}.{FIRST_PROXY_HOST + at}" for at in range(2)])
     try:
-        await mesh.controller(0)
+        await mesh.start_controller(0)
         for at, service in enumerate((ELSEWHERE, SERVICE)):
             upstream = Upstream(f"i-{at}", service, lambda _: "ok", capacity=64)
-            upstream.address = (f"{mesh.net}.{SIDE + at}", there.ports[at])
-            await mesh.proxy(at, upstream)
+            upstream.address = (f"{mesh.network}.{FIRST_PROXY_HOST + at}", there.ports[at])
+            await mesh.start_proxy(at, upstream)
         await _take_up(mesh)
-        address = mesh.outbound(SIDE)
+        address = mesh.outbound(FIRST_PROXY_HOST)
         await short_calls(address, WARM)
         alone = await short_calls(address, given.calls)
         rate = given.rate * 1e6 / given.bodies
@@ -297,7 +297,7 @@
             "long_mb_per_s": bodies * (given.mib << 20) / 1e6 / sent["seconds"],
         }
     except BaseException:
-        print(mesh.told())
+        print(mesh.log_tails())
         raise
     finally:
         await mesh.stop()
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -31,7 +31,7 @@
 from mesh.data_plane.membership import Membership
 from mesh.replication.items import Item
 from mesh.replication.store import Store
-from rigs.mesh_demo import CORE, SIDE, Mesh
+from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
 from rigs.mesh_peers import Client, Operator, Upstream, patch_body, polled, route
 
 START_S = 20.0
@@ -75,13 +75,13 @@
 
 
 async def _ready(mesh: Mesh) -> None:
-    await Operator([mesh.control(CORE)]).change(
+    await Operator([mesh.control(FIRST_CONTROLLER_HOST)]).change(
         patch_body(route("read", "/read/", "red"), services=("red",)), START_S
     )
-    await polled(lambda: mesh.ready(SIDE), START_S)
+    await polled(lambda: mesh.is_ready(FIRST_PROXY_HOST), START_S)
 
     async def serves() -> bool:
-        client = await Client.connect(mesh.outbound(SIDE))
+        client = await Client.connect(mesh.outbound(FIRST_PROXY_HOST))
         served = (await client.request("warm", "/read/ok")).status == 200
         client.abort()
         return served
@@ -91,7 +91,7 @@
 
 async def _send_bodies(mesh: Mesh) -> list[asyncio.Task[http.Message]]:
     async def one(number: int) -> http.Message:
-        client = await Client.connect(mesh.outbound(SIDE))
+        client = await Client.connect(mesh.outbound(FIRST_PROXY_HOST))
         answer = await client.request(f"b{number}", "/read/ok", body=b"x" * BODY_BYTES)
         client.abort()
         return answer
@@ -101,7 +101,7 @@
 
 async def stages(folder: Path) -> dict[str, dict[str, dict[str, float]]]:
     """Anonymous megabytes and threads of each program at each stage."""
-    mesh = Mesh.of(folder, 1, 1)
+    mesh = Mesh.create(folder, 1, 1)
     mesh.command = lambda program, _: (
         *("-S", "-m", "rigs.import_trace", str(folder / program), f"mesh.{program}"),
     )
@@ -116,15 +116,15 @@
 
     try:
         upstream = Upstream("i-0", "red", lambda _: "ok", capacity=64)
-        await upstream.start(f"{mesh.net}.{SIDE}")
-        await mesh.controller(0)
-        settings = mesh.write_proxy(0, upstream)
+        await upstream.start(f"{mesh.network}.{FIRST_PROXY_HOST}")
+        await mesh.start_controller(0)
+        settings = mesh.write_proxy_settings(0, upstream)
         settings.write_text(settings.read_text().replace("file_handles = 1000", "file_handles = 4100"))
-        await mesh.again("proxy-0", "data_plane")
-        mesh.beats(0, upstream)
+        await mesh.restart("proxy-0", "data_plane")
+        mesh.start_heartbeats(0, upstream)
         await _ready(mesh)
         note("ready")
-        clients = [await Client.connect(mesh.outbound(SIDE)) for _ in range(CONNECTIONS)]
+        clients = [await Client.connect(mesh.outbound(FIRST_PROXY_HOST)) for _ in range(CONNECTIONS)]
         await asyncio.sleep(0.5)
         note("connections")
         for number, client in enumerate(clients):
@@ -141,7 +141,7 @@
         note("closed")
         return found
     except BaseException:
-        print(mesh.told())
+        print(mesh.log_tails())
         raise
     finally:
         await mesh.stop()
--- a/benchmarks/mesh_request.py
+++ b/benchmarks/mesh_request.py
@@ -38,7 +38,7 @@
 from mesh.event_log.log import EventLog
 from mesh.runtime.settings import Settings, parse_settings
 from rigs.fleet import TICKS, HttpMessages, Load, head_value
-from rigs.mesh_demo import CORE, SIDE, Mesh
+from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
 from rigs.mesh_peers import Address, Operator, Upstream, patch_body, polled, route
 
 AIM_MS = 0.8
@@ -135,7 +135,7 @@
 
 async def _take_up(mesh: Mesh, upstreams: list[Upstream]) -> None:
     """Until both proxies route the service's calls."""
-    await Operator([mesh.control(CORE)]).change(
+    await Operator([mesh.control(FIRST_CONTROLLER_HOST)]).change(
         patch_body(route("read", "/read/", SERVICE), services=(SERVICE, ELSEWHERE)), START_S
     )
 
@@ -143,7 +143,7 @@
 
         async def serves(at: int = at) -> bool:
             try:
-                return (await closed_loop(mesh.outbound(SIDE + at), 1, 1)).served == 1
+                return (await closed_loop(mesh.outbound(FIRST_PROXY_HOST + at), 1, 1)).served == 1
             except OSError:  # it does not listen yet
                 return False
 
@@ -154,20 +154,22 @@
     """The first of another service, so that all calls are for the second."""
     found = []
     for at, service in enumerate((ELSEWHERE, SERVICE)):
-        server = await asyncio.get_running_loop().create_server(Sealed, f"{mesh.net}.{SIDE + at}", 0)
+        server = await asyncio.get_running_loop().create_server(
+            Sealed, f"{mesh.network}.{FIRST_PROXY_HOST + at}", 0
+        )
         upstream = Upstream(f"i-{at}", service, lambda _: "ok", capacity=64)
-        upstream.address = (f"{mesh.net}.{SIDE + at}", server.sockets[0].getsockname()[1])
+        upstream.address = (f"{mesh.network}.{FIRST_PROXY_HOST + at}", server.sockets[0].getsockname()[1])
         found.append(upstream)
     return found
 
 
 async def one_round(folder: Path, count: int) -> dict[str, dict[str, float]]:
-    mesh = Mesh.of(folder, 1, 2)
+    mesh = Mesh.create(folder, 1, 2)
     upstreams = await _upstreams(mesh)
     try:
-        await mesh.controller(0)
+        await mesh.start_controller(0)
         for at, upstream in enumerate(upstreams):
-            await mesh.proxy(at, upstream)
+            await mesh.start_proxy(at, upstream)
         await _take_up(mesh, upstreams)
         pids = {"first": mesh.processes["proxy-0"].pid, "second": mesh.processes["proxy-1"].pid}
         idle = {name: cpu_ms(pid) for name, pid in pids.items()}
@@ -175,8 +177,8 @@
         standing = costs(idle, {name: cpu_ms(pid) for name, pid in pids.items()}, 1)
         found = {}
         ways = {
-            "two_hops": mesh.outbound(SIDE),
-            "one_hop": mesh.outbound(SIDE + 1),
+            "two_hops": mesh.outbound(FIRST_PROXY_HOST),
+            "one_hop": mesh.outbound(FIRST_PROXY_HOST + 1),
             "direct": upstreams[1].address,
         }
         for (name, address), connections in itertools.product(ways.items(), IN_FLIGHT):
@@ -194,7 +196,7 @@
         found["idle"] = {"both_cpu_ms_per_s": standing["both"]}
         return found
     except BaseException:
-        print(mesh.told())
+        print(mesh.log_tails())
         raise
     finally:
         await mesh.stop()
@@ -250,13 +252,13 @@
 async def _within(mesh: Mesh, upstreams: list[Upstream]) -> AsyncIterator[Within]:
     settings = []
     for at, upstream in enumerate(upstreams):
-        found = parse_settings(mesh.write_proxy(at, upstream).read_text())
+        found = parse_settings(mesh.write_proxy_settings(at, upstream).read_text())
         assert isinstance(found, Settings), found
         settings.append(found)
     there = Within(settings)
     there.up.wait(START_S)
     for at, upstream in enumerate(upstreams):
-        mesh.beats(at, upstream)
+        mesh.start_heartbeats(at, upstream)
     try:
         yield there
     finally:
@@ -265,15 +267,15 @@
 
 async def profiled(folder: Path, count: int) -> cProfile.Profile:
     """Of so many calls over two hops."""
-    mesh = Mesh.of(folder, 1, 2)
+    mesh = Mesh.create(folder, 1, 2)
     upstreams = await _upstreams(mesh)
     try:
-        await mesh.controller(0)
+        await mesh.start_controller(0)
         async with _within(mesh, upstreams) as there:
             await _take_up(mesh, upstreams)
-            await closed_loop(mesh.outbound(SIDE), 1, WARM)
+            await closed_loop(mesh.outbound(FIRST_PROXY_HOST), 1, WARM)
             there.mark()
-            await closed_loop(mesh.outbound(SIDE), 1, count)
+            await closed_loop(mesh.outbound(FIRST_PROXY_HOST), 1, count)
         return there.profile
     finally:
         await mesh.stop()
--- a/rigs/lost_links/play.py
+++ b/rigs/lost_links/play.py
@@ -21,7 +21,7 @@
 from rigs.lost_links.callers import LONGEST_FREEZE_S, Callers, Route
 from rigs.lost_links.ledger import Ledger, Lost, Trouble
 from rigs.lost_links.upstreams import Witness
-from rigs.mesh_demo import CORE, SIDE, Mesh
+from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
 from rigs.mesh_peers import Operator, free_ports, patch_body, polled, route
 from rigs.relay import Faults
 
@@ -66,8 +66,10 @@
         self.folder, self.size = folder, size
         self.chance = random.Random(seed)
         self.ledger = Ledger()
-        self.mesh = Mesh.of(folder, 1, size.proxies)
-        (self.beside,) = free_ports([f"{self.mesh.net}.{SIDE + at}" for at in range(size.proxies)], 1)
+        self.mesh = Mesh.create(folder, 1, size.proxies)
+        (self.beside,) = free_ports(
+            [f"{self.mesh.network}.{FIRST_PROXY_HOST + at}" for at in range(size.proxies)], 1
+        )
         self.mesh.command = lambda program, _: (
             *("-m", "rigs.lost_links.hop", program, str(self.beside), str(folder)),
             *size.without,
@@ -93,24 +95,24 @@
                 await task
             await self.callers.end()
         except BaseException:
-            print(self.mesh.told(), file=sys.stderr)
+            print(self.mesh.log_tails(), file=sys.stderr)
             raise
         finally:
             await self._stop()
         self._read_lost()
 
     async def _start(self) -> None:
-        size, net = self.size, self.mesh.net
-        await self.mesh.controller(0)
+        size, net = self.size, self.mesh.network
+        await self.mesh.start_controller(0)
         for at in range(size.proxies):
-            ip = f"{net}.{SIDE + at}"
+            ip = f"{net}.{FIRST_PROXY_HOST + at}"
             relay = Between(ip, self.beside, self.chance.getrandbits(32), at=(ip, self.mesh.ports[0]))
             place = Place(at, ("red", "blue")[at % 2], relay)
             self.places.append(place)
             await self._new_upstream(place)
             assert place.upstream is not None
-            await self.mesh.proxy(at, place.upstream)
-        operator = Operator([self.mesh.control(CORE)])
+            await self.mesh.start_proxy(at, place.upstream)
+        operator = Operator([self.mesh.control(FIRST_CONTROLLER_HOST)])
         rules = [
             route(
                 one.prefix.strip("/"),
@@ -124,9 +126,9 @@
         ]
         await operator.change(patch_body(*rules, services=("red", "blue")), START_S)
         for place in self.places:
-            await polled(lambda at=place.at: self.mesh.ready(SIDE + at), START_S)  # type: ignore[misc]
+            await polled(lambda at=place.at: self.mesh.is_ready(FIRST_PROXY_HOST + at), START_S)  # type: ignore[misc]
         for place in self.places:
-            self.callers.add(place.at, self.mesh.outbound(SIDE + place.at), size.connections)
+            self.callers.add(place.at, self.mesh.outbound(FIRST_PROXY_HOST + place.at), size.connections)
 
     async def _new_upstream(self, place: Place) -> None:
         """Another life at the place's address; the one before it has ended."""
@@ -146,18 +148,18 @@
             self.size.broken,
             self.size.large,
         )
-        await upstream.start(f"{self.mesh.net}.{SIDE + place.at}", port)
+        await upstream.start(f"{self.mesh.network}.{FIRST_PROXY_HOST + place.at}", port)
         place.upstream = upstream
 
     def _beats(self, place: Place) -> None:
         """Of the life that is there now, instead of those before it."""
         assert place.upstream is not None
-        for task in [one for one in self.mesh.beating if one.get_name() == str(place.at)]:
+        for task in [one for one in self.mesh.heartbeat_tasks if one.get_name() == str(place.at)]:
             task.cancel()
-            self.mesh.beating.discard(task)
-        before = set(self.mesh.beating)
-        self.mesh.beats(place.at, place.upstream)
-        for task in self.mesh.beating - before:
+            self.mesh.heartbeat_tasks.discard(task)
+        before = set(self.mesh.heartbeat_tasks)
+        self.mesh.start_heartbeats(place.at, place.upstream)
+        for task in self.mesh.heartbeat_tasks - before:
             task.set_name(str(place.at))
 
     async def _stop(self) -> None:
@@ -287,7 +289,7 @@
         place.service = "blue" if place.service == "red" else "red"
         place.node = f"proxy-{place.at}-{place.lives + 1}"
         await self._new_upstream(place)
-        self.mesh.write_proxy(place.at, place.upstream)
+        self.mesh.write_proxy_settings(place.at, place.upstream)
         written = (self.folder / f"proxy-{place.at}.toml").read_text()
         (self.folder / f"{place.node}.toml").write_text(
             written.replace(f'"proxy-{place.at}"', f'"{place.node}"')
@@ -296,9 +298,9 @@
 
     async def _again(self, place: Place) -> None:
         """Its sidecar starts; the upstream beside it is the same, or a new one."""
-        await self.mesh.again(place.node, "data_plane")
+        await self.mesh.restart(place.node, "data_plane")
         self._beats(place)
-        await polled(lambda: self.mesh.ready(SIDE + place.at), RESTART_S)
+        await polled(lambda: self.mesh.is_ready(FIRST_PROXY_HOST + place.at), RESTART_S)
 
 
 Deed = Callable[[Play, Place], Awaitable[None]]
--- a/rigs/mesh_demo.py
+++ b/rigs/mesh_demo.py
@@ -1,9 +1,9 @@
-"""A small mesh of real processes on loopback, each node on an address of its own: started, and ended by pid.
+"""A small mesh of real processes on loopback, with its own address for each node.
 
     python -m rigs.mesh_demo
 
-Three controllers and six proxies with stand-in upstreams. Under load a route is given to another service,
-then a controller is killed, then a proxy; what the clients of each machine saw is printed. It ends by itself.
+Starts three controllers and six proxies with stand-in upstreams. Under load a route changes to another
+service, then a controller is killed, then a proxy. It prints what the clients of each machine saw, and exits.
 """
 
 from __future__ import annotations
@@ -35,75 +35,81 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-WHOLE_S = 18.0  # the demonstration; what takes longer ends it with a line that says so
-START_S = 8.0  # for so many interpreters on few cores
-SPREAD_S = 4.0  # a change is in force everywhere by then
-BEAT_S = 0.4  # between two beats of an upstream
-ASK_S = 0.02  # between two requests of a client
+DEMO_TIMEOUT_S = 18.0
+START_TIMEOUT_S = 8.0  # for nine interpreters on few cores
+PROPAGATION_TIMEOUT_S = 4.0  # until a change is in force everywhere
+HEARTBEAT_INTERVAL_S = 0.4
+REQUEST_INTERVAL_S = 0.02  # of a client
 CONTROLLERS, SERVICES = 3, ("red", "red", "red", "red", "blue", "blue")
 
-CORE, SIDE = 11, 41  # the last part of a node's address, for the first of each
+FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST = 11, 41  # the last part of the first node's address
 
 
-def net() -> str:
-    """The first parts of loopback addresses that no other process of this machine uses for the same."""
+def loopback_network() -> str:
+    """Returns the first three parts of loopback addresses that are specific to this process."""
     number = os.getpid() % 60_000
     return f"127.{1 + number % 250}.{1 + number // 250}"
 
 
 @dataclass
 class Mesh:
-    """Processes of both programs whose files are in ``folder``; ports are one for all machines."""
+    """Processes of both programs, with their files in ``folder``; all machines use the same ports."""
 
     folder: Path
-    net: str
+    network: str
     ports: Sequence[int]  # of peers, control, outbound and readiness
     seeds: Sequence[str]
     processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
-    beating: set[asyncio.Task[None]] = field(default_factory=set)
-    command: Callable[[str, str], Sequence[str]] = lambda program, _: ("-m", f"mesh.{program}")  # and node
+    heartbeat_tasks: set[asyncio.Task[None]] = field(default_factory=set)
+    command: Callable[[str, str], Sequence[str]] = lambda program, _node: ("-m", f"mesh.{program}")
 
     @staticmethod
-    def of(folder: Path, controllers: int, proxies: int) -> Mesh:
-        here = net()
-        ips = [f"{here}.{CORE + at}" for at in range(controllers)] + [
-            f"{here}.{SIDE + at}" for at in range(proxies)
+    def create(folder: Path, controllers: int, proxies: int) -> Mesh:
+        network = loopback_network()
+        ips = [f"{network}.{FIRST_CONTROLLER_HOST + at}" for at in range(controllers)] + [
+            f"{network}.{FIRST_PROXY_HOST + at}" for at in range(proxies)
         ]
-        return Mesh(folder, here, free_ports(ips, 4), ips[: min(controllers, 3)])
+        return Mesh(folder, network, free_ports(ips, 4), ips[: min(controllers, 3)])
 
-    def at(self, machine: int, port: int) -> Address:
-        return f"{self.net}.{machine}", self.ports[port]
+    def address(self, machine: int, port: int) -> Address:
+        return f"{self.network}.{machine}", self.ports[port]
 
     def control(self, machine: int) -> Address:
-        return self.at(machine, 1)
+        return self.address(machine, 1)
 
     def outbound(self, machine: int) -> Address:
-        return self.at(machine, 2)
+        return self.address(machine, 2)
 
-    async def controller(self, at: int) -> None:
+    async def start_controller(self, at: int) -> None:
         node = f"controller-{at}"
         disk = self.folder / f"disk-{at}"
         disk.mkdir()
-        self._write(node, CORE + at, "supervisor", state_dir=str(disk))
+        self._write_settings(node, FIRST_CONTROLLER_HOST + at, "supervisor", state_dir=str(disk))
         await self._start(node, "control_plane")
 
-    async def proxy(self, at: int, upstream: Upstream) -> None:
-        """One beside this upstream, which has begun to listen; it tells the sidecar that it is there."""
-        self.write_proxy(at, upstream)
+    async def start_proxy(self, at: int, upstream: Upstream) -> None:
+        """Starts a proxy beside this upstream, which listens already, and the upstream's heartbeats."""
+        self.write_proxy_settings(at, upstream)
         await self._start(f"proxy-{at}", "data_plane")
-        self.beats(at, upstream)
-
-    def write_proxy(self, at: int, upstream: Upstream) -> Path:
-        """Its settings file."""
-        return self._write(
-            f"proxy-{at}", SIDE + at, "auxiliary", upstream=upstream.address, service=upstream.service
+        self.start_heartbeats(at, upstream)
+
+    def write_proxy_settings(self, at: int, upstream: Upstream) -> Path:
+        """Writes the settings file of a proxy."""
+        return self._write_settings(
+            f"proxy-{at}",
+            FIRST_PROXY_HOST + at,
+            "auxiliary",
+            upstream=upstream.address,
+            service=upstream.service,
         )
 
-    def beats(self, at: int, upstream: Upstream) -> None:
-        """The upstream tells the sidecar beside it that it is there, until the mesh is stopped."""
-        self.beating.add(asyncio.get_running_loop().create_task(self._beat(SIDE + at, upstream)))
+    def start_heartbeats(self, at: int, upstream: Upstream) -> None:
+        """Starts the heartbeats of the upstream to the proxy beside it, until the mesh is stopped."""
+        self.heartbeat_tasks.add(
+            asyncio.get_running_loop().create_task(self._send_heartbeats(FIRST_PROXY_HOST + at, upstream))
+        )
 
-    def _write(
+    def _write_settings(
         self,
         node: str,
         machine: int,
@@ -116,7 +122,7 @@
         write_settings(
             path,
             node,
-            f"{self.net}.{machine}",
+            f"{self.network}.{machine}",
             serves,
             self.ports,
             self.seeds,
@@ -126,8 +132,8 @@
         )
         return path
 
-    async def again(self, node: str, program: str) -> None:
-        """One that has ended, with its settings file as it is now."""
+    async def restart(self, node: str, program: str) -> None:
+        """Starts an ended process again with its current settings file."""
         await self._start(node, program)
 
     async def _start(self, node: str, program: str) -> None:
@@ -141,13 +147,13 @@
                 preexec_fn=end_with_parent,
             )
 
-    async def _beat(self, machine: int, upstream: Upstream) -> None:
+    async def _send_heartbeats(self, machine: int, upstream: Upstream) -> None:
         while True:
             await upstream.send_heartbeat(self.control(machine))
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def ready(self, machine: int) -> bool:
-        return (await call(self.at(machine, 3), b"GET", b"/readiness", timeout_s=1.0))[0] == 200
+    async def is_ready(self, machine: int) -> bool:
+        return (await call(self.address(machine, 3), b"GET", b"/readiness", timeout_s=1.0))[0] == 200
 
     async def kill(self, node: str) -> None:
         process = self.processes[node]
@@ -156,84 +162,89 @@
             await process.wait()
 
     async def stop(self) -> None:
-        """Every process has ended when this returns."""
-        for task in self.beating:
+        """Ends every process and waits for its exit."""
+        for task in self.heartbeat_tasks:
             task.cancel()
         for node in self.processes:
             await self.kill(node)
 
-    def told(self, most: int = 800) -> str:
-        """The last bytes of each log."""
+    def log_tails(self, max_chars: int = 800) -> str:
+        """Returns the last part of each log."""
         return "\n".join(
-            f"--- {node}\n{(self.folder / f'{node}.log').read_text()[-most:]}" for node in self.processes
+            f"--- {node}\n{(self.folder / f'{node}.log').read_text()[-max_chars:]}" for node in self.processes
         )
 
 
 @dataclass
-class Seen:
-    """What the clients of one machine saw while one thing went on: answers by status and upstream."""
+class PhaseResult:
+    """What the clients of one machine saw during a phase: responses by status and upstream."""
 
-    answers: Counter[str] = field(default_factory=Counter)
+    responses: Counter[str] = field(default_factory=Counter)
     longest_ms: float = 0.0
 
-    def line(self) -> str:
-        told = ", ".join(f"{count} x {what}" for what, count in sorted(self.answers.items()))
-        return f"{told or 'nothing'}; longest {self.longest_ms:.0f} ms"
+    def summary(self) -> str:
+        counts = ", ".join(f"{count} x {outcome}" for outcome, count in sorted(self.responses.items()))
+        return f"{counts or 'nothing'}; longest {self.longest_ms:.0f} ms"
 
 
 class Load:
-    """A client at each machine that asks one request after another, and again where its connection broke."""
+    """A client at each machine that sends one request after another, and reconnects after a failure."""
 
     def __init__(self, mesh: Mesh, machines: int) -> None:
         self.mesh, self.machines = mesh, machines
-        self.seen: dict[str, list[Seen]] = {}
-        self.now = [Seen() for _ in range(machines)]
-        self.last = [""] * machines  # upstream, or what there was instead
+        self.results: dict[str, list[PhaseResult]] = {}
+        self.current = [PhaseResult() for _ in range(machines)]
+        self.last_outcomes = [""] * machines
         self._count = 0
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self._ask_on(at)) for at in range(machines)]
+        self.tasks = [loop.create_task(self._run_client(at)) for at in range(machines)]
 
-    def phase(self, name: str) -> None:
-        """What is seen from now on is of this."""
-        self.now = self.seen[name] = [Seen() for _ in range(self.machines)]
+    def begin_phase(self, name: str) -> None:
+        """Counts outcomes from now on for this phase."""
+        self.current = self.results[name] = [PhaseResult() for _ in range(self.machines)]
 
-    async def _ask_on(self, at: int) -> None:
+    async def _run_client(self, at: int) -> None:
         client: Client | None = None
         while True:
-            began, what = time.perf_counter(), "no connection"
+            began, outcome = time.perf_counter(), "no connection"
             try:
-                client = client or await Client.connect(self.mesh.outbound(SIDE + at))
+                client = client or await Client.connect(self.mesh.outbound(FIRST_PROXY_HOST + at))
                 self._count += 1
                 client.send(f"{self._count:016x}", "/read/ok")
-                answer = await client.read()
-                what = self._what(answer)
-                if answer is None:
+                response = await client.read()
+                outcome = self._outcome(response)
+                if response is None:
                     client = None
             except (OSError, TimeoutError, http.BadMessage):
                 client = None
             took_ms = (time.perf_counter() - began) * 1000.0
-            seen = self.now[at]
-            seen.answers[what] += 1
-            seen.longest_ms = max(seen.longest_ms, took_ms)
-            self.last[at] = what
-            await asyncio.sleep(ASK_S if client is not None else 5 * ASK_S)
+            result = self.current[at]
+            result.responses[outcome] += 1
+            result.longest_ms = max(result.longest_ms, took_ms)
+            self.last_outcomes[at] = outcome
+            await asyncio.sleep(REQUEST_INTERVAL_S if client is not None else 5 * REQUEST_INTERVAL_S)
 
     @staticmethod
-    def _what(answer: http.Message | None) -> str:
-        if answer is None:
+    def _outcome(response: http.Message | None) -> str:
+        if response is None:
             return "connection cut"
-        if answer.status == 200:
-            return "200 of " + answer.body.partition(b"-")[0].decode()
-        return str(answer.status)
+        if response.status == 200:
+            return "200 of " + response.body.partition(b"-")[0].decode()
+        return str(response.status)
 
-    async def until_all(self, service: str, besides: int = -1) -> float:
-        """Seconds until the last answer at each machine is of this service. Raises TimeoutError."""
+    async def wait_for_service(self, service: str, except_machine: int = -1) -> float:
+        """Waits until the last response at each machine is of this service; returns the seconds that it took.
+        Raises TimeoutError."""
         began = time.perf_counter()
 
-        async def look() -> bool:
-            return all(last == f"200 of {service}" for at, last in enumerate(self.last) if at != besides)
+        async def all_served() -> bool:
+            return all(
+                last == f"200 of {service}"
+                for at, last in enumerate(self.last_outcomes)
+                if at != except_machine
+            )
 
-        await polled(look, SPREAD_S)
+        await polled(all_served, PROPAGATION_TIMEOUT_S)
         return time.perf_counter() - began
 
     def stop(self) -> None:
@@ -241,81 +252,86 @@
             task.cancel()
 
 
-async def play(folder: Path) -> None:
-    """Raises TimeoutError where something does not come about in its time."""
+async def run_demo(folder: Path) -> None:
+    """Raises TimeoutError if a step takes too long."""
     began = time.perf_counter()
 
-    def say(text: str) -> None:
+    def report(text: str) -> None:
         print(f"{time.perf_counter() - began:5.1f} s  {text}", flush=True)
 
-    mesh = Mesh.of(folder, CONTROLLERS, len(SERVICES))
+    mesh = Mesh.create(folder, CONTROLLERS, len(SERVICES))
     upstreams = []
     try:
         for at in range(CONTROLLERS):
-            await mesh.controller(at)
+            await mesh.start_controller(at)
         for at, service in enumerate(SERVICES):
             upstream = Upstream(f"{service}-{at}", service, lambda _: "ok", capacity=8)
-            await upstream.start(f"{mesh.net}.{SIDE + at}")
+            await upstream.start(f"{mesh.network}.{FIRST_PROXY_HOST + at}")
             upstreams.append(upstream)
-            await mesh.proxy(at, upstream)
-        say(f"{CONTROLLERS} controllers and {len(SERVICES)} proxies on {mesh.net}.*")
-        operator = Operator([mesh.control(CORE + at) for at in range(CONTROLLERS)])
-        await operator.change(patch_body(route("read", "/read/", "red"), services=("red", "blue")), START_S)
+            await mesh.start_proxy(at, upstream)
+        report(f"{CONTROLLERS} controllers and {len(SERVICES)} proxies on {mesh.network}.*")
+        operator = Operator([mesh.control(FIRST_CONTROLLER_HOST + at) for at in range(CONTROLLERS)])
+        await operator.change(
+            patch_body(route("read", "/read/", "red"), services=("red", "blue")), START_TIMEOUT_S
+        )
         for at in range(len(SERVICES)):
-            await polled(lambda at=at: mesh.ready(SIDE + at), START_S)  # type: ignore[misc]
-        say("configuration acknowledged, all proxies ready")
+            await polled(lambda at=at: mesh.is_ready(FIRST_PROXY_HOST + at), START_TIMEOUT_S)  # type: ignore[misc]
+        report("configuration acknowledged, all proxies ready")
         load = Load(mesh, len(SERVICES))
         try:
-            await _troubles(mesh, load, operator, say)
+            await _run_phases(mesh, load, operator, report)
         finally:
             load.stop()
     except BaseException:
-        print(mesh.told())
+        print(mesh.log_tails())
         raise
     finally:
         await mesh.stop()
         for upstream in upstreams:
             upstream.close()
-    left = [node for node, process in mesh.processes.items() if process.returncode is None]
-    say(f"ended; still running: {', '.join(left) or 'none'}")
-    for name, machines in load.seen.items():
+    still_running = [node for node, process in mesh.processes.items() if process.returncode is None]
+    report(f"ended; still running: {', '.join(still_running) or 'none'}")
+    for name, machines in load.results.items():
         print(name)
-        for at, seen in enumerate(machines):
-            print(f"    clients at proxy-{at} (beside {SERVICES[at]}): {seen.line()}")
+        for at, result in enumerate(machines):
+            print(f"    clients at proxy-{at} (beside {SERVICES[at]}): {result.summary()}")
 
 
-async def _troubles(mesh: Mesh, load: Load, operator: Operator, say: Callable[[str], None]) -> None:
-    await load.until_all("red")
-    load.phase("calm, the route goes to red")
+async def _run_phases(mesh: Mesh, load: Load, operator: Operator, report: Callable[[str], None]) -> None:
+    await load.wait_for_service("red")
+    load.begin_phase("no faults, the route goes to red")
     await asyncio.sleep(1.0)
-    load.phase("the route is given to blue")
+    load.begin_phase("the route changes to blue")
     await operator.change(patch_body(route("read", "/read/", "blue", 2)))
-    say(f"acknowledged; within {await load.until_all('blue') * 1000:.0f} ms all answers are of blue")
+    report(
+        f"acknowledged; within {await load.wait_for_service('blue') * 1000:.0f} ms all responses are of blue"
+    )
     await asyncio.sleep(0.5)
 
-    load.phase("controller-0 is killed, then the route is given back to red")
-    say(f"kill -9 {mesh.processes['controller-0'].pid}: controller-0")
+    load.begin_phase("controller-0 is killed, then the route changes back to red")
+    report(f"kill -9 {mesh.processes['controller-0'].pid}: controller-0")
     await mesh.kill("controller-0")
     await operator.change(patch_body(route("read", "/read/", "red", 3)))
-    say(f"acknowledged by two; within {await load.until_all('red') * 1000:.0f} ms all answers are of red")
+    report(
+        f"acknowledged by two; all responses are of red after"
+        f" {await load.wait_for_service('red') * 1000:.0f} ms"
+    )
     await asyncio.sleep(0.5)
 
-    load.phase("proxy-0 is killed")
-    say(f"kill -9 {mesh.processes['proxy-0'].pid}: proxy-0")
+    load.begin_phase("proxy-0 is killed")
+    report(f"kill -9 {mesh.processes['proxy-0'].pid}: proxy-0")
     await mesh.kill("proxy-0")
     await asyncio.sleep(2.0)
-    await load.until_all("red", besides=0)
+    await load.wait_for_service("red", except_machine=0)
 
 
 def main() -> int:
     with tempfile.TemporaryDirectory() as folder, suppress(KeyboardInterrupt):
         try:
             with asyncio.Runner() as runner:
-                runner.run(asyncio.wait_for(play(Path(folder)), WHOLE_S))
+                runner.run(asyncio.wait_for(run_demo(Path(folder)), DEMO_TIMEOUT_S))
         except TimeoutError:
-            print(
-                f"mesh_demo: it did not come about within {WHOLE_S:g} s: see the logs above", file=sys.stderr
-            )
+            print(f"mesh_demo: not finished within {DEMO_TIMEOUT_S:g} s: see the logs above", file=sys.stderr)
             return 1
     return 0
 
--- a/rigs/soak/machines.py
+++ b/rigs/soak/machines.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from rigs.mesh_demo import CORE, SIDE, net
+from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, loopback_network
 from rigs.mesh_peers import free_ports
 from rigs.soak.configuration_ledger import ConfigurationLedger, Finding
 from rigs.soak.disturbances import DisturbanceRecord
@@ -22,9 +22,9 @@
 
 def make_layout(plan: Plan, folder: Path, seeded_faults: tuple[str, ...]) -> Layout:
     """Chooses addresses and ports that are currently free."""
-    network = net()
-    controllers = [CORE + at for at in range(plan.controllers + SPARE_CONTROLLERS)]
-    proxies = [SIDE + at for at in range(len(plan.services))]
+    network = loopback_network()
+    controllers = [FIRST_CONTROLLER_HOST + at for at in range(plan.controllers + SPARE_CONTROLLERS)]
+    proxies = [FIRST_PROXY_HOST + at for at in range(len(plan.services))]
     ports = free_ports([f"{network}.{host}" for host in controllers + proxies], 5)
     peer, relayed_peer, control, outbound, readiness = ports
     return Layout(
@@ -52,7 +52,9 @@
         self.proxies: dict[str, Node] = {}
         self.listed_controllers: list[Node] = []  # as in the operators' list
         self.upstreams: dict[str, SoakUpstream] = {}
-        self._controller_hosts = iter(range(CORE, CORE + plan.controllers + SPARE_CONTROLLERS))
+        self._controller_hosts = iter(
+            range(FIRST_CONTROLLER_HOST, FIRST_CONTROLLER_HOST + plan.controllers + SPARE_CONTROLLERS)
+        )
         self._heartbeat_tasks: dict[str, asyncio.Task[None]] = {}
         disturbances.controller_names = self.controller_names
         self.links = LinkFaults(disturbances, self.node, self.controller_names)
@@ -78,7 +80,7 @@
         for node in self.controllers.values():
             node.start()
         for at, service in enumerate(self._plan.services):
-            node = self._make_node(f"proxy-{at}", SIDE + at, "data_plane")
+            node = self._make_node(f"proxy-{at}", FIRST_PROXY_HOST + at, "data_plane")
             self.proxies[node.name] = node
             await self.start_upstream(node, service, 1, 0)
             node.start()
--- a/tests/mesh/test_runtime_imports.py
+++ b/tests/mesh/test_runtime_imports.py
@@ -16,7 +16,7 @@
 import pytest
 
 from mesh.runtime.import_policy import LIBRARIES, OWN_PACKAGES, STANDARD_LIBRARY
-from rigs.mesh_demo import SIDE, Mesh
+from rigs.mesh_demo import FIRST_PROXY_HOST, Mesh
 from rigs.mesh_peers import Upstream, polled
 
 ROOT = Path(__file__).parent.parent.parent
@@ -45,13 +45,13 @@
     monkeypatch.setenv("PYTHONPATH", LIBRARIES_PATH)
 
     async def start() -> dict[str, str]:
-        mesh = Mesh.of(tmp_path, 1, 1)
+        mesh = Mesh.create(tmp_path, 1, 1)
         mesh.command = arguments
         try:
-            await mesh.controller(0)
+            await mesh.start_controller(0)
             upstream = Upstream("i-0", "red", lambda _: "ok")
-            await upstream.start(f"{mesh.net}.{SIDE}")
-            await mesh.proxy(0, upstream)
+            await upstream.start(f"{mesh.network}.{FIRST_PROXY_HOST}")
+            await mesh.start_proxy(0, upstream)
             logs = {"control_plane": tmp_path / "controller-0.log", "data_plane": tmp_path / "proxy-0.log"}
 
             async def started() -> bool:
