--- a/lab/socket_servers.py
+++ b/lab/socket_servers.py
@@ -15,7 +15,7 @@
 from lab.servers import DEAD, UP, Attempt, Server, ServerHost
 from lab.streams import lognormal, turned
 from rigs import fleet
-from rigs.relay import Door, Faults, TcpRelay
+from rigs.relay import Faults, FaultyListener, TcpRelay
 
 ANSWERS = {
     Outcome.OK: b"200 OK",
@@ -196,7 +196,10 @@
         self.sides: set[Side] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.count = 0  # attempts that came
-        self.doors = tuple(Door(lambda found, speaks=kind: self._accept(found, speaks)) for kind in SIDES)  # type: ignore[misc]
+        self.doors = tuple(
+            FaultyListener(lambda found, speaks=kind: self._accept(found, speaks))  # type: ignore[misc]
+            for kind in SIDES
+        )
         for door in self.doors:
             door.serve()
         simulation = cast(SocketServerHost, self.simulation)
@@ -224,9 +227,9 @@
             return
         for relay in self.relays.get(place[0], ()):
             faults = Faults(link.there, link.back, link.late_ms, 0.0, link.loss, link.reset)
-            relay.set(faults)
+            relay.set_faults(faults)
             if link.dead_before >= self.clock.now - 1.0 and link.dead_before >= 0.0:
-                relay.half_open()
+                relay.make_half_open()
 
     def _cut(self) -> None:
         for side in list(self.sides):
--- a/rigs/lost_links/play.py
+++ b/rigs/lost_links/play.py
@@ -224,18 +224,18 @@
             pair.reset()
 
     async def _while(self, place: Place, faults: Faults, seconds: float) -> None:
-        place.relay.set(faults)
+        place.relay.set_faults(faults)
         await asyncio.sleep(seconds)
-        place.relay.set(Faults())
+        place.relay.set_faults(Faults())
 
     async def _silent(self, place: Place) -> None:
-        await self._while(place, Faults(there=False, back=False), self.chance.uniform(0.2, 1.5))
+        await self._while(place, Faults(to_target=False, to_client=False), self.chance.uniform(0.2, 1.5))
 
     async def _silent_there(self, place: Place) -> None:
-        await self._while(place, Faults(there=False), self.chance.uniform(0.2, 1.5))
+        await self._while(place, Faults(to_target=False), self.chance.uniform(0.2, 1.5))
 
     async def _silent_back(self, place: Place) -> None:
-        await self._while(place, Faults(back=False), self.chance.uniform(0.2, 1.5))
+        await self._while(place, Faults(to_client=False), self.chance.uniform(0.2, 1.5))
 
     async def _slow(self, place: Place) -> None:
         late_ms = self.chance.uniform(20.0, 200.0)
--- a/rigs/mesh_demo.py
+++ b/rigs/mesh_demo.py
@@ -304,7 +304,7 @@
     load.begin_phase("the route changes to blue")
     await operator.change(patch_body(route("read", "/read/", "blue", 2)))
     report(
-        f"acknowledged; within {await load.wait_for_service('blue') * 1000:.0f} ms all responses are of blue"
+        f"acknowledged; all responses are of blue after {await load.wait_for_service('blue') * 1000:.0f} ms"
     )
     await asyncio.sleep(0.5)
 
--- a/rigs/relay.py
+++ b/rigs/relay.py
@@ -1,9 +1,9 @@
-"""Links that fail: a relay on loopback between two addresses, for connections and for datagrams.
+"""Injects network faults: a relay on loopback between two addresses, for connections and for datagrams.
 
-What a link does is a value that can change at any time: nothing passes one way or both, everything is late,
-part of it is lost (over TCP that is lateness: what is lost is sent again), connections are reset, or stand
-open with nobody behind them. While a link is cut a new connection neither succeeds nor fails. No
-privileges, nothing of the kernel's: the relay is an ordinary pair of sockets. Draws come from a seed.
+The faults of a link can change at any time: one or both directions are cut, all data is delayed, part of
+it is lost (over TCP that means late: what is lost is retransmitted), connections are reset, or are half-open
+without a peer. While a link is cut, a new connection neither succeeds nor fails. The relay consists of
+ordinary sockets and needs no privileges and no kernel support. Random draws come from a seed.
 """
 
 from __future__ import annotations
@@ -17,27 +17,28 @@
 from dataclasses import dataclass
 from typing import cast
 
-HELD_MOST = 1 << 20  # bytes a cut connection holds each way; then its sender has to wait, as it would
-AGAIN_MS = 200.0  # TCP sends again what was lost after so long, then twice that
-DATAGRAMS_HELD = 4096  # under way through one relay; more are dropped, as a full queue would
+MAX_BUFFERED_BYTES = 1 << 20  # per direction of a cut connection; beyond that its sender has to wait
+RETRANSMIT_MS = 200.0  # TCP retransmits lost data after this time, then after twice that
+MAX_QUEUED_DATAGRAMS = 4096  # through one relay; more are dropped, as by a full queue
 
 
 @dataclass(slots=True)
 class Faults:
-    """What a link does now. Shares are of messages (datagrams, or what one read of a connection brings)."""
+    """The current faults of a link. Probabilities are per message (a datagram, or the data of one read of a
+    connection)."""
 
-    there: bool = True  # whether anything passes from those who dial to the address behind the relay
-    back: bool = True
-    delay_ms: float = 0.0  # each way, beyond what loopback takes
-    jitter_ms: float = 0.0  # and up to so much more, drawn for each message
+    to_target: bool = True  # whether data passes from the client to the target
+    to_client: bool = True  # whether data passes from the target to the client
+    delay_ms: float = 0.0  # in each direction, in addition to loopback's own
+    jitter_ms: float = 0.0  # maximum additional delay, drawn for each message
     loss: float = 0.0
     reset: float = 0.0
-    twice: float = 0.0  # datagrams that arrive twice; a connection's bytes never do
-    bytes_s: float = 0.0  # what a connection carries each way in a second; 0: as much as comes
+    duplicate: float = 0.0  # of datagrams only
+    bytes_s: float = 0.0  # maximum bytes per second of a connection in each direction; 0: unlimited
 
 
-class Door:
-    """A port that serves, refuses, or neither accepts nor refuses."""
+class FaultyListener:
+    """A port that accepts connections, refuses them, or leaves them pending."""
 
     def __init__(
         self, accepted: Callable[[socket.socket], None], port: int = 0, host: str = "127.0.0.1"
@@ -56,17 +57,17 @@
     def _accept(self, listener: socket.socket) -> None:
         while True:
             try:
-                found, _ = listener.accept()
+                connection, _ = listener.accept()
             except OSError:
                 return
-            found.setblocking(False)
-            self._accepted(found)
+            connection.setblocking(False)
+            self._accepted(connection)
 
     def refuse(self) -> None:
         self._open.close()
 
     def hang(self) -> None:
-        """More wait there than the backlog holds: a connect neither succeeds nor fails."""
+        """Fills the backlog, so that a connection attempt neither succeeds nor fails."""
         self.refuse()
         full = self._open.enter_context(socket.create_server((self.host, self.port), backlog=0))
         for _ in range(4):
@@ -75,124 +76,127 @@
             filler.connect_ex(full.getsockname())
 
 
-class End(asyncio.Protocol):
-    """One side of a relayed connection."""
+class RelayEndpoint(asyncio.Protocol):
+    """One side of a relayed connection, with the data that waits to be written to it."""
 
-    def __init__(self, pair: Pair, dialled: bool) -> None:
-        self.pair, self.dialled = pair, dialled
+    def __init__(self, connection: RelayedConnection, is_client: bool) -> None:
+        self.connection, self.is_client = connection, is_client
         self.transport: asyncio.Transport | None = None
-        self.queue: deque[tuple[float, bytes | None]] = deque()  # to write here, and when; None: the end
-        self.size = 0
-        self.free_at = 0.0  # when what was pushed here has passed a narrow link
-        self.alarm: asyncio.TimerHandle | None = None
+        self.queue: deque[tuple[float, bytes | None]] = deque()  # due times and data; None: end of stream
+        self.queued_bytes = 0
+        self.link_free_at = 0.0  # when all data queued here has passed a link of limited bandwidth
+        self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.pair.up()
+        self.connection.on_faults_changed()
 
     def data_received(self, data: bytes) -> None:
-        self.pair.pass_on(self, data)
+        self.connection.forward(self, data)
 
     def eof_received(self) -> bool:
-        self.pair.pass_on(self, None)
+        self.connection.forward(self, None)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pair.lost(self, exc)
+        self.connection.on_lost(self, exc)
 
-    def push(self, due: float, data: bytes | None) -> None:
+    def enqueue(self, due: float, data: bytes | None) -> None:
         self.queue.append((max(due, self.queue[-1][0] if self.queue else 0.0), data))
-        self.size += len(data or b"")
+        self.queued_bytes += len(data or b"")
         self.flush()
 
-    def widen(self) -> None:
-        """The link is narrow no more: what waited for its turn goes now."""
+    def lift_bandwidth_limit(self) -> None:
+        """Makes all queued data due now."""
         now = asyncio.get_running_loop().time()
-        self.free_at = 0.0
+        self.link_free_at = 0.0
         self.queue = deque((min(due, now), data) for due, data in self.queue)
 
     def flush(self) -> None:
-        """Writes what is due, if the link lets it through."""
-        if self.alarm is not None:
-            self.alarm.cancel()
-            self.alarm = None
+        """Writes the data that is due, unless the link is cut."""
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
         loop = asyncio.get_running_loop()
-        if self.transport is None or not self.pair.passes(self):
+        if self.transport is None or not self.connection.passes(self):
             return
         while self.queue:
             due, data = self.queue[0]
             if due > loop.time():
-                self.alarm = loop.call_at(due, self.flush)
+                self.timer = loop.call_at(due, self.flush)
                 return
             self.queue.popleft()
             if self.transport.is_closing():
                 continue
             if data is None:
-                with suppress(OSError):  # it was reset, and the loop has not told so yet
+                with suppress(OSError):  # the socket was reset, and the loop has not reported it yet
                     if self.transport.can_write_eof():
                         self.transport.write_eof()
             else:
-                self.size -= len(data)
+                self.queued_bytes -= len(data)
                 self.transport.write(data)
-        self.pair.room(self)
+        self.connection.resume_sender(self)
 
 
-class Pair:
-    """A connection through the relay: the one that was dialled, and the one to the address behind."""
+class RelayedConnection:
+    """A connection through the relay: one side to the client that connected, one to the target."""
 
     def __init__(self, relay: TcpRelay) -> None:
-        self.relay, self.dead = relay, False
-        self.source = ""  # the host that dialled
-        self.front, self.behind = End(self, True), End(self, False)
+        self.relay, self.half_open = relay, False
+        self.source = ""  # the host that connected
+        self.client_side, self.target_side = RelayEndpoint(self, True), RelayEndpoint(self, False)
 
     @property
     def faults(self) -> Faults:
-        """What this connection's link does now."""
+        """The current faults of this connection's link."""
         return self.relay.faults_of(self.source)
 
-    def up(self) -> None:
-        for end in (self.front, self.behind):
-            if end.free_at and not self.faults.bytes_s:
-                end.widen()
-            if end.transport is not None:
-                end.flush()
+    def on_faults_changed(self) -> None:
+        for endpoint in (self.client_side, self.target_side):
+            if endpoint.link_free_at and not self.faults.bytes_s:
+                endpoint.lift_bandwidth_limit()
+            if endpoint.transport is not None:
+                endpoint.flush()
 
-    def passes(self, end: End) -> bool:
-        """Whether what is to be written at this end may be."""
+    def passes(self, endpoint: RelayEndpoint) -> bool:
+        """Whether data may be written to this endpoint."""
         faults = self.faults
-        return not self.dead and (faults.there if end is self.behind else faults.back)
+        return not self.half_open and (faults.to_target if endpoint is self.target_side else faults.to_client)
 
-    def pass_on(self, end: End, data: bytes | None) -> None:
-        if self.dead:
-            return  # half open: nobody is there to take it, and nobody to say so
-        faults, chance, late = self.faults, self.relay.chance, 0.0
+    def forward(self, endpoint: RelayEndpoint, data: bytes | None) -> None:
+        if self.half_open:
+            return  # the peer is gone without notice: the data is discarded silently
+        faults, rng, delay_ms = self.faults, self.relay.rng, 0.0
         if data is not None:
-            if faults.reset and chance.random() < faults.reset:
+            if faults.reset and rng.random() < faults.reset:
                 self.abort()
                 return
-            late = faults.delay_ms + faults.jitter_ms * chance.random()
-            again = AGAIN_MS
-            while faults.loss and again < 10_000.0 and chance.random() < faults.loss:
-                late, again = late + again, 2.0 * again
-        other = self.behind if end is self.front else self.front
+            delay_ms = faults.delay_ms + faults.jitter_ms * rng.random()
+            retransmit_ms = RETRANSMIT_MS
+            while faults.loss and retransmit_ms < 10_000.0 and rng.random() < faults.loss:
+                delay_ms, retransmit_ms = delay_ms + retransmit_ms, 2.0 * retransmit_ms
+        other = self.target_side if endpoint is self.client_side else self.client_side
         passes_at = asyncio.get_running_loop().time()
         if faults.bytes_s:
-            passes_at = other.free_at = max(passes_at, other.free_at) + len(data or b"") / faults.bytes_s
-        other.push(passes_at + late / 1000.0, data)
-        if other.size > HELD_MOST and end.transport is not None:
-            end.transport.pause_reading()
-
-    def room(self, end: End) -> None:
-        other = self.behind if end is self.front else self.front
+            passes_at = other.link_free_at = (
+                max(passes_at, other.link_free_at) + len(data or b"") / faults.bytes_s
+            )
+        other.enqueue(passes_at + delay_ms / 1000.0, data)
+        if other.queued_bytes > MAX_BUFFERED_BYTES and endpoint.transport is not None:
+            endpoint.transport.pause_reading()
+
+    def resume_sender(self, endpoint: RelayEndpoint) -> None:
+        """Resumes reading from the side that sends to this endpoint."""
+        other = self.target_side if endpoint is self.client_side else self.client_side
         if other.transport is not None and not other.transport.is_closing():
             other.transport.resume_reading()
 
-    def lost(self, end: End, exc: Exception | None) -> None:
-        other = self.behind if end is self.front else self.front
-        if other.alarm is not None:
-            other.alarm.cancel()
-        self.relay.pairs.discard(self)
-        if other.transport is None or self.dead:
+    def on_lost(self, endpoint: RelayEndpoint, exc: Exception | None) -> None:
+        other = self.target_side if endpoint is self.client_side else self.client_side
+        if other.timer is not None:
+            other.timer.cancel()
+        self.relay.connections.discard(self)
+        if other.transport is None or self.half_open:
             return
         if exc is None and self.passes(other) and other.queue:
             other.flush()
@@ -202,93 +206,94 @@
             other.transport.abort()
 
     def abort(self) -> None:
-        for end in (self.front, self.behind):
-            if end.transport is not None:
-                end.transport.abort()
-        self.relay.pairs.discard(self)
+        for endpoint in (self.client_side, self.target_side):
+            if endpoint.transport is not None:
+                endpoint.transport.abort()
+        self.relay.connections.discard(self)
 
 
 class TcpRelay:
-    """Connections to its port go on to an address, as its ``faults`` let them. ``at``: where it listens."""
+    """Relays connections from its own port to a target address, subject to its ``faults``. ``at``: the
+    address at which it listens."""
 
-    pair = Pair
+    connection_type = RelayedConnection
 
     def __init__(self, host: str, port: int, seed: int, at: tuple[str, int] = ("127.0.0.1", 0)) -> None:
-        self._target, self.chance = (host, port), random.Random(seed)
+        self._target, self.rng = (host, port), random.Random(seed)
         self.faults = Faults()
-        self._by_source: dict[str, Faults] = {}
-        self.pairs: set[Pair] = set()
+        self._faults_by_source: dict[str, Faults] = {}
+        self.connections: set[RelayedConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._door = Door(self._accepted, at[1], at[0])
-        self._door.serve()
-        self.port = self._door.port
+        self._listener = FaultyListener(self._accepted, at[1], at[0])
+        self._listener.serve()
+        self.port = self._listener.port
 
-    def set(self, faults: Faults) -> None:
-        """From now on. While nothing passes there, no connection comes up either."""
+    def set_faults(self, faults: Faults) -> None:
+        """Sets the faults from now on. While nothing passes to the target, new connections stay pending."""
         before, self.faults = self.faults, faults
-        if before.there != faults.there:
-            (self._door.serve if faults.there else self._door.hang)()
-        for pair in list(self.pairs):
-            pair.up()
+        if before.to_target != faults.to_target:
+            (self._listener.serve if faults.to_target else self._listener.hang)()
+        for connection in list(self.connections):
+            connection.on_faults_changed()
 
     def faults_of(self, source: str) -> Faults:
-        """What the link from that host does now."""
-        return self._by_source.get(source, self.faults)
+        """Returns the current faults of the link from that host."""
+        return self._faults_by_source.get(source, self.faults)
 
-    def set_from(self, source: str, faults: Faults | None) -> None:
-        """From now on, for connections from that host alone; None: as for all others."""
+    def set_faults_from(self, source: str, faults: Faults | None) -> None:
+        """Sets the faults of connections from that host; None: as for all others."""
         if faults is None:
-            self._by_source.pop(source, None)
+            self._faults_by_source.pop(source, None)
         else:
-            self._by_source[source] = faults
-        for pair in list(self.pairs):
-            pair.up()
+            self._faults_by_source[source] = faults
+        for connection in list(self.connections):
+            connection.on_faults_changed()
 
-    def half_open(self) -> None:
-        """Those behind are gone for all connections that are open now, and nothing says so."""
-        for pair in self.pairs:
-            pair.dead = True
+    def make_half_open(self) -> None:
+        """Makes all open connections half-open: the target is gone without notice."""
+        for connection in self.connections:
+            connection.half_open = True
 
-    def _accepted(self, found: socket.socket) -> None:
-        task = asyncio.get_running_loop().create_task(self._connect(found))
+    def _accepted(self, accepted: socket.socket) -> None:
+        task = asyncio.get_running_loop().create_task(self._connect(accepted))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, found: socket.socket) -> None:
-        loop, pair = asyncio.get_running_loop(), self.pair(self)
+    async def _connect(self, accepted: socket.socket) -> None:
+        loop, connection = asyncio.get_running_loop(), self.connection_type(self)
         try:
-            pair.source = found.getpeername()[0]
-            await loop.create_connection(lambda: pair.behind, *self._target)
-        except OSError:  # refused behind: the one that dialled is reset
-            found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            found.close()
+            connection.source = accepted.getpeername()[0]
+            await loop.create_connection(lambda: connection.target_side, *self._target)
+        except OSError:  # the target refused the connection: reset the client
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+            accepted.close()
             return
-        self.pairs.add(pair)
-        await loop.connect_accepted_socket(lambda: pair.front, found)
+        self.connections.add(connection)
+        await loop.connect_accepted_socket(lambda: connection.client_side, accepted)
 
     def close(self) -> None:
-        self._door.refuse()
+        self._listener.refuse()
         for task in list(self._tasks):
             task.cancel()
-        for pair in list(self.pairs):
-            pair.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
 class UdpRelay(asyncio.DatagramProtocol):
-    """Datagrams between two members: what one sends to its port goes on to the other from a port that
-    stands for the sender, as its ``faults`` let them. One relay is one direction of a pair."""
+    """Relays datagrams between two members: those sent to its port go on to the target from a port that
+    represents the sender, subject to its ``faults``. One relay serves one direction."""
 
     def __init__(self, target: tuple[str, int], seed: int) -> None:
-        self._target, self.chance, self.faults = target, random.Random(seed), Faults()
-        self._under_way = 0
+        self._target, self.rng, self.faults = target, random.Random(seed), Faults()
+        self._in_flight = 0
         self.dropped = 0
         self.transport: asyncio.DatagramTransport
 
     @classmethod
-    async def begin(cls, target: tuple[str, int], seed: int) -> UdpRelay:
+    async def start(cls, target: tuple[str, int], seed: int) -> UdpRelay:
         loop = asyncio.get_running_loop()
-        _, made = await loop.create_datagram_endpoint(lambda: cls(target, seed), ("127.0.0.1", 0))
-        return made
+        _, relay = await loop.create_datagram_endpoint(lambda: cls(target, seed), ("127.0.0.1", 0))
+        return relay
 
     @property
     def port(self) -> int:
@@ -298,16 +303,16 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: object) -> None:
-        faults, chance = self.faults, self.chance
-        for _ in range(1 + (faults.twice > 0.0 and chance.random() < faults.twice)):
-            late = faults.delay_ms + faults.jitter_ms * chance.random()
-            if not faults.there or chance.random() < faults.loss or self._under_way >= DATAGRAMS_HELD:
+        faults, rng = self.faults, self.rng
+        for _ in range(1 + (faults.duplicate > 0.0 and rng.random() < faults.duplicate)):
+            delay_ms = faults.delay_ms + faults.jitter_ms * rng.random()
+            if not faults.to_target or rng.random() < faults.loss or self._in_flight >= MAX_QUEUED_DATAGRAMS:
                 self.dropped += 1
                 continue
-            self._under_way += 1
-            asyncio.get_running_loop().call_later(late / 1000.0, self._send, data)
+            self._in_flight += 1
+            asyncio.get_running_loop().call_later(delay_ms / 1000.0, self._send, data)
 
     def _send(self, data: bytes) -> None:
-        self._under_way -= 1
+        self._in_flight -= 1
         if not self.transport.is_closing():
             self.transport.sendto(data, self._target)
--- a/rigs/soak/link_faults.py
+++ b/rigs/soak/link_faults.py
@@ -72,8 +72,8 @@
         if relay is None:
             return
         there, back = (connecting, listening) in self._cut, (listening, connecting) in self._cut
-        faults = Faults(there=not there, back=not back) if there or back else None
-        relay.set_from(self._node(connecting).ip, faults)
+        faults = Faults(to_target=not there, to_client=not back) if there or back else None
+        relay.set_faults_from(self._node(connecting).ip, faults)
 
     async def degrade(self, event: DegradeLinks) -> None:
         """Degrades all links that other processes open to these nodes, for the event's duration."""
@@ -94,7 +94,7 @@
     def _set_default(self, name: str, faults: Faults) -> None:
         relay = self._node(name).relay
         if relay is not None:
-            relay.set(faults)
+            relay.set_faults(faults)
 
     def reset(self, event: ResetLinks) -> None:
         """Resets all open connections to these nodes."""
--- a/tests/mesh/test_lost_links.py
+++ b/tests/mesh/test_lost_links.py
@@ -285,13 +285,16 @@
 
         server = await asyncio.start_server(take, "127.0.0.1", 0)
         relay = Between("127.0.0.1", server.sockets[0].getsockname()[1], seed=1)
-        relay.set(Faults(bytes_s=1000.0))
+        relay.set_faults(Faults(bytes_s=1000.0))
         _, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(bytes(600_000))
         await writer.drain()
-        await until(lambda: any(end.queue for pair in relay.open() for end in (pair.front, pair.behind)), 5.0)
+        await until(
+            lambda: any(side.queue for pair in relay.open() for side in (pair.client_side, pair.target_side)),
+            5.0,
+        )
         assert len(came) < 600_000
-        relay.set(Faults())
+        relay.set_faults(Faults())
         await until(lambda: len(came) == 600_000, 5.0)
         writer.close()
         relay.close()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -193,21 +193,25 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        for faults in (Faults(there=False), Faults(back=False), Faults(there=False, back=False)):
-            relay.set(faults)
+        for faults in (
+            Faults(to_target=False),
+            Faults(to_client=False),
+            Faults(to_target=False, to_client=False),
+        ):
+            relay.set_faults(faults)
             writer.write(b"two")
             waiting = asyncio.ensure_future(reader.readexactly(3))
             await asyncio.sleep(0.05)
             assert not waiting.done()
-            relay.set(Faults())
+            relay.set_faults(Faults())
             assert await waiting == b"two"
-        relay.half_open()
+        relay.make_half_open()
         writer.write(b"lost")
         fresh_reader, fresh = await asyncio.open_connection("127.0.0.1", relay.port)
         fresh.write(b"new")
         assert await fresh_reader.readexactly(3) == b"new"
         assert reader._buffer == b""  # type: ignore[attr-defined]
-        relay.set(Faults(reset=1.0))
+        relay.set_faults(Faults(reset=1.0))
         fresh.write(b"gone")
         assert await fresh_reader.read() == b"" or True
         relay.close()
@@ -220,11 +224,11 @@
     async def play() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         relay = TcpRelay(*server.sockets[0].getsockname()[:2], seed=1)
-        relay.set(Faults(there=False))
+        relay.set_faults(Faults(to_target=False))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await asyncio.open_connection("127.0.0.1", relay.port)
-        relay.set(Faults())
+        relay.set_faults(Faults())
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"up")
         assert await reader.readexactly(2) == b"up"
@@ -241,14 +245,14 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"x")
         await reader.readexactly(1)
-        relay.set(Faults(there=False))
+        relay.set_faults(Faults(to_target=False))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(1.0):
                 while True:
                     writer.write(b"y" * 65_536)
                     await writer.drain()
-        (pair,) = relay.pairs
-        assert pair.behind.size < 2 * (1 << 20)
+        (connection,) = relay.connections
+        assert connection.target_side.queued_bytes < 2 * (1 << 20)
         relay.close()
         server.close()
 
@@ -263,18 +267,18 @@
         ):
             target.bind(("127.0.0.1", 0))
             target.setblocking(False)
-            relay = await UdpRelay.begin(target.getsockname(), seed=3)
-            relay.faults = Faults(loss=0.3, twice=0.3, delay_ms=1.0, jitter_ms=5.0)
+            relay = await UdpRelay.start(target.getsockname(), seed=3)
+            relay.faults = Faults(loss=0.3, duplicate=0.3, delay_ms=1.0, jitter_ms=5.0)
             for number in range(300):
                 source_.sendto(b"%d" % number, ("127.0.0.1", relay.port))
             loop, came = asyncio.get_running_loop(), Counter[bytes]()
-            while came.total() + relay.dropped < 300 or relay._under_way:
+            while came.total() + relay.dropped < 300 or relay._in_flight:
                 try:
                     came[await asyncio.wait_for(loop.sock_recv(target, 100), 0.2)] += 1
                 except TimeoutError:
                     continue
             assert 0.15 * 300 < 300 - len(came) < 0.45 * 300 and 20 < sum(n > 1 for n in came.values()) < 120
-            relay.faults = Faults(there=False)
+            relay.faults = Faults(to_target=False)
             source_.sendto(b"never", ("127.0.0.1", relay.port))
             before = relay.dropped
             while relay.dropped == before:
