--- a/anisestair/states/command.py
+++ b/anisestair/states/command.py
@@ -12,9 +12,9 @@
 
 from anisestair.states import bugs, policy, scenarios, storm_state, takeover
 from anisestair.states.world import World
-from statecheck import Choices, Violation, explore, lasting, run_orders
+from statecheck import Choices, Violation, check_liveness, explore, explore_choices
 from statecheck.model import Model
-from statecheck.orders import Broken
+from statecheck.orders import ViolationError
 from statecheck.trace import Trace, TraceError, load, step_through
 
 # Liveness is looked for in the smallest: it wants all edges, and no reduction.
@@ -68,13 +68,13 @@
     rows = [
         Row(
             *(name, "safety", report.states, report.transitions, report.depth, round(report.seconds, 2)),
-            *(round(report.bytes_per_state), report.complete, found.name, found.words),
+            *(round(report.bytes_per_state), report.complete, found.name, found.description),
             tuple(map(str, report.trace)),
         )
     ]
     if name in LIVENESS and report.complete:
         lasts = storm_state.Calming() if name == storm_state.NAME else model
-        live = lasting(lasts, memory_mb=memory_mb, seconds=seconds)
+        live = check_liveness(lasts, memory_mb=memory_mb, seconds=seconds)
         found, report = live.violation or Violation("", ""), live.report
         rows.append(
             Row(
@@ -86,7 +86,7 @@
                     report.depth,
                     round(report.seconds, 2),
                 ),
-                *(round(report.bytes_per_state), report.complete, found.name, found.words),
+                *(round(report.bytes_per_state), report.complete, found.name, found.description),
                 tuple(map(str, [*live.trace, *live.cycle])),
             )
         )
@@ -98,11 +98,11 @@
 
 
 def _policy(name: str, seconds: float) -> Row:
-    report = run_orders(policy.run_of(POLICIES[name]), seconds=seconds)
+    report = explore_choices(policy.run_of(POLICIES[name]), seconds=seconds)
     found = report.violation or Violation("", "")
     return Row(
         *(name, "orders", report.runs, report.choices, report.depth, round(report.seconds, 2), 0),
-        *(report.complete, found.name, found.words, tuple(report.trace), tuple(report.given)),
+        *(report.complete, found.name, found.description, tuple(report.trace), tuple(report.given)),
     )
 
 
@@ -113,7 +113,7 @@
             return replace(_policy(bug.model, seconds), kind="bug")
         model = model_of(bug.model)
         if bug.lasts:
-            live = lasting(model, seconds=seconds)
+            live = check_liveness(model, seconds=seconds)
             report, violation, trace = live.report, live.violation, live.trace
         else:
             report = explore(model, seconds=seconds, partial_order=False)
@@ -121,7 +121,7 @@
         found = violation or Violation("", "")
         return Row(
             *(bug.model, "bug", report.states, report.transitions, report.depth, round(report.seconds, 2)),
-            *(round(report.bytes_per_state), report.complete, found.name, found.words),
+            *(round(report.bytes_per_state), report.complete, found.name, found.description),
             tuple(map(str, trace)),
         )
 
@@ -152,7 +152,7 @@
         for number, (label, shown, violations) in enumerate(step_through(model, trace.events), 1):
             print(f"{number:>4}. {label}\n        {shown}")
             for violation in violations:
-                print(f"      * {violation.name}: {violation.words}")
+                print(f"      * {violation.name}: {violation.description}")
                 broken = True
 
     if trace.bug:
@@ -169,8 +169,8 @@
     choices = Choices(list(trace.choices))
     try:
         policy.run_of(POLICIES[trace.model])(choices)
-    except Broken as broken:
-        print(*choices.labels, f"* {broken.violation.name}: {broken.violation.words}", sep="\n")
+    except ViolationError as broken:
+        print(*choices.labels, f"* {broken.violation.name}: {broken.violation.description}", sep="\n")
         return 1
     except ValueError as fault:
         raise TraceError(f"model {trace.model}: {fault}") from None
--- a/anisestair/states/policy.py
+++ b/anisestair/states/policy.py
@@ -22,7 +22,7 @@
 from hareloom import interface as api
 from hareloom.interface import Outcome, ServerState
 from statecheck import Choices
-from statecheck.orders import Broken
+from statecheck.orders import ViolationError
 
 SEED = 7  # the module's own random numbers are the same in every run
 # All on one grid, so that answers, drains and leaving clients fall on one instant. The connect time-out is
@@ -115,15 +115,15 @@
             or self.balancer.limits.inflight
             or self.balancer.queue.waiting
         ):
-            raise Broken(props.NOTHING_LEFT)
+            raise ViolationError(props.NOTHING_LEFT)
         if len(self.over) != len(self.script.classes):
-            raise Broken(props.ONE_OUTCOME)
+            raise ViolationError(props.ONE_OUTCOME)
 
     def fails(self) -> None:
         if not self.broken and not self.consistent():
             self.breaks(props.NOTHING_LEFT)
         for violation in self.broken:
-            raise Broken(violation)
+            raise ViolationError(violation)
 
     # The module
 
@@ -250,7 +250,7 @@
 
 
 def run_of(script: Script) -> Callable[[Choices], None]:
-    """What `run_orders` plays."""
+    """What `explore_choices` plays."""
     scenario = Scenario(script.name, script.classes, script.cells, script.attempts, 9)
     settings = api.Settings(
         CLASSES,
--- a/anisestair/states/storm_state.py
+++ b/anisestair/states/storm_state.py
@@ -81,13 +81,13 @@
         if not after[4]:
             yield NO_ALARM
 
-    def owed(self, state: State) -> Iterable[Hashable]:
+    def obligations(self, state: State) -> Iterable[Hashable]:
         return () if state[0] is storm.State.CALM else (ENDS,)
 
-    def fair(self, event: Any) -> Hashable | None:
+    def fairness_label(self, event: Any) -> Hashable | None:
         return None
 
-    def show(self, state: State) -> str:
+    def describe(self, state: State) -> str:
         return f"{state[0].value}, toward {state[1].value if state[1] else 'nothing'} for {state[2]} looks"
 
 
@@ -100,5 +100,5 @@
     def events(self, state: State) -> Sequence[str]:
         return ["quiet"]
 
-    def fair(self, event: Any) -> Hashable | None:
+    def fairness_label(self, event: Any) -> Hashable | None:
         return "looks go on"
--- a/anisestair/states/takeover.py
+++ b/anisestair/states/takeover.py
@@ -161,14 +161,14 @@
             if any(item.accepts for item in before) and not any(item.accepts for item in alive):
                 yield LEFT_ALONE
 
-    def owed(self, state: State) -> Iterable[Hashable]:
+    def obligations(self, state: State) -> Iterable[Hashable]:
         ready = any(item.stage == READY for item in state)
         return (SOMEBODY,) if ready and not any(item.accepts for item in state) else ()
 
-    def fair(self, event: Any) -> Hashable | None:
+    def fairness_label(self, event: Any) -> Hashable | None:
         return event if event[0] in ("look", "write") else None
 
-    def show(self, state: State) -> str:
+    def describe(self, state: State) -> str:
         return "; ".join(
             f"{STAGES[item.stage]} {item.used()} of {item.share}{' accepts' if item.accepts else ''}"
             for item in state
--- a/anisestair/states/world.py
+++ b/anisestair/states/world.py
@@ -779,18 +779,18 @@
                 ]
         return events
 
-    def owed(self, state: State) -> Iterable[Hashable]:
+    def obligations(self, state: State) -> Iterable[Hashable]:
         if state == ENDED_WORLD:
             return ()
         parts = state[: len(self.scenario.classes)]
         return [f"r{request}" for request, part in enumerate(parts) if len(part) == 2 and part[0]]
 
-    def fair(self, event: Happens) -> Hashable | None:
+    def fairness_label(self, event: Happens) -> Hashable | None:
         """Only the guard on a request's time is promised: upstreams, clients and the module may stay
         silent."""
         return f"time of r{event.a}" if event.what == "overdue" else None
 
-    def show(self, state: State) -> str:
+    def describe(self, state: State) -> str:
         if state == ENDED_WORLD:
             return "the program has ended"
         count = len(self.scenario.classes)
--- a/rigs/call_model.py
+++ b/rigs/call_model.py
@@ -279,11 +279,11 @@
                 if run.state is State.WAITING and run.link == 0:
                     yield Violation("nobody's", f"a call waits at {second} and its link is lost")
 
-    def owed(self, state: Whole) -> Iterable[Any]:
+    def obligations(self, state: Whole) -> Iterable[Any]:
         """A call that has been read has an end."""
         return [call for call, one in enumerate(state[1]) if one.told == "open"]
 
-    def fair(self, event: Any) -> Any:
+    def fairness_label(self, event: Any) -> Any:
         """All that is no trouble, and no end by the clock: time out of patience, and the first hop's own."""
         if event[0] in ("lose", "unmet", "time over", "over", "leave", "turn away", "break"):
             return None
@@ -320,7 +320,7 @@
                 "size": name,
                 "states": report.states,
                 "complete": report.complete,
-                "broken": report.violation.words if report.violation is not None else None,
+                "broken": report.violation.description if report.violation is not None else None,
                 "seconds": round(report.seconds, 1),
             }
         )
--- a/statecheck/__init__.py
+++ b/statecheck/__init__.py
@@ -1,14 +1,22 @@
-"""Explicit-state exploration of any machine that is given as initial states, enabled events and a step.
+"""Explicit-state model checking of any state machine given by its initial states, events and transitions.
 
-`explore` visits every reachable state breadth first, `lasting` looks in them for an obligation that is never
-met, `run_orders` plays every order of choices of a program that cannot be stored as a state, and `trace`
-holds what they find in a form that can be read, saved and stepped again. Nothing here knows of any project's
-machines.
+`explore` checks safety properties in every reachable state, breadth first; `check_liveness` looks for
+obligations that are never fulfilled; `explore_choices` runs a program for every sequence of its choices, if
+its state cannot be stored; `trace` saves and replays counterexamples. The package depends on no project code.
 """
 
-from statecheck.liveness import lasting
+from statecheck.liveness import check_liveness
 from statecheck.model import Model, Violation
-from statecheck.orders import Choices, OrdersReport, run_orders
+from statecheck.orders import Choices, ChoicesReport, explore_choices
 from statecheck.search import Report, explore
 
-__all__ = ["Choices", "Model", "OrdersReport", "Report", "Violation", "explore", "lasting", "run_orders"]
+__all__ = [
+    "Choices",
+    "ChoicesReport",
+    "Model",
+    "Report",
+    "Violation",
+    "check_liveness",
+    "explore",
+    "explore_choices",
+]
--- a/statecheck/liveness.py
+++ b/statecheck/liveness.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from statecheck.model import Model, Violation
-from statecheck.search import Report, Store, explore
+from statecheck.search import Report, StateTable, explore
 
 
 @dataclass
-class Lasting:
+class LivenessReport:
     """An obligation that may stand for ever: the events that lead to where it does, and a cycle (empty at a
     dead end) that keeps it standing."""
 
@@ -28,7 +28,7 @@
         return Violation("owed for ever", f"{self.obligation} is owed for ever {how}")
 
 
-def lasting(model: Model, **bounds: Any) -> Lasting:
+def check_liveness(model: Model, **bounds: Any) -> LivenessReport:
     """Search, without symmetry or partial-order reduction (an obligation has a name, and a cycle's events all
     count), for a reachable dead end in which something is owed, or a cycle in which it is owed throughout and
     which weak fairness allows: every event that is fair and enabled all the way round is among the cycle's.
@@ -36,28 +36,31 @@
     A maximal strongly connected part decides: where it leaves a fair event out that is enabled in all of it,
     so does each cycle inside, and where it does not, the tour through all of it is a fair cycle.
     """
-    store, edges = Store(), list[tuple[int, int, int]]()
+    store, edges = StateTable(), list[tuple[int, int, int]]()
     report = explore(model, symmetry=False, partial_order=False, edges=edges, store=store, **bounds)
-    result = Lasting(report)
+    result = LivenessReport(report)
     if report.violation is not None or not report.complete:
         return result
     out: list[list[tuple[int, int]]] = [[] for _ in range(len(store))]
     for source, event, target in edges:
         out[source].append((event, target))
-    owed = [frozenset(model.owed(store.state(index))) for index in range(len(store))]
+    obligations = [frozenset(model.obligations(store.state(index))) for index in range(len(store))]
     for index, targets in enumerate(out):
-        if owed[index] and not targets:
-            return _found(result, store, index, min(owed[index], key=str), [])
-    for obligation in sorted(frozenset().union(*owed), key=str):
-        for part in _components(out, [obligation in item for item in owed]):
+        if obligations[index] and not targets:
+            return _found(result, store, index, min(obligations[index], key=str), [])
+    for obligation in sorted(frozenset().union(*obligations), key=str):
+        for part in _components(out, [obligation in item for item in obligations]):
             inner = [
                 (source, event, target) for source in part for event, target in out[source] if target in part
             ]
             if not inner:
                 continue
-            taken = {model.fair(store.value(event)) for _, event, _ in inner}
+            taken = {model.fairness_label(store.value(event)) for _, event, _ in inner}
             always = frozenset.intersection(
-                *(frozenset(model.fair(store.value(event)) for event, _ in out[source]) for source in part)
+                *(
+                    frozenset(model.fairness_label(store.value(event)) for event, _ in out[source])
+                    for source in part
+                )
             )
             if always - taken - {None}:
                 continue  # weak fairness leads out of it
@@ -67,7 +70,9 @@
     return result
 
 
-def _found(result: Lasting, store: Store, index: int, obligation: Hashable, cycle: list[Any]) -> Lasting:
+def _found(
+    result: LivenessReport, store: StateTable, index: int, obligation: Hashable, cycle: list[Any]
+) -> LivenessReport:
     result.obligation, result.cycle, result.report.complete = obligation, cycle, False
     path = [index]
     while store.parents[path[-1]] >= 0:
--- a/statecheck/model.py
+++ b/statecheck/model.py
@@ -18,7 +18,7 @@
     """A property that does not hold, by name, and what it says in words."""
 
     name: str
-    words: str
+    description: str
 
 
 class Model(ABC):
@@ -53,15 +53,15 @@
         and may not be returned all the way round a cycle (Clarke, Grumberg, Peled 1999, C0 to C3)."""
         return events
 
-    def owed(self, state: State) -> Iterable[Hashable]:
+    def obligations(self, state: State) -> Iterable[Hashable]:
         """Liveness: the obligations that stand in that state."""
         return ()
 
-    def fair(self, event: Any) -> Hashable | None:
+    def fairness_label(self, event: Any) -> Hashable | None:
         """The name under which an event is weakly fair: enabled for ever, it happens in the end. None: never
         promised."""
         return None
 
-    def show(self, state: State) -> str:
+    def describe(self, state: State) -> str:
         """A state for a reader of a trace; may be empty."""
         return ""
--- a/statecheck/orders.py
+++ b/statecheck/orders.py
@@ -14,11 +14,11 @@
 from statecheck.model import Violation
 
 
-class Broken(Exception):
+class ViolationError(Exception):
     """Raised by a run in which a property does not hold."""
 
     def __init__(self, violation: Violation) -> None:
-        super().__init__(violation.words)
+        super().__init__(violation.description)
         self.violation = violation
 
 
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class OrdersReport:
+class ChoicesReport:
     runs: int = 0
     choices: int = 0  # in all runs
     depth: int = 0  # most in one run
@@ -59,17 +59,17 @@
     trace: list[str] = field(default_factory=list)
 
 
-def run_orders(
+def explore_choices(
     run: Callable[[Choices], None], *, most_runs: int = 1_000_000, seconds: float = 3600.0
-) -> OrdersReport:
+) -> ChoicesReport:
     """Every sequence of choices, depth first. ``complete`` is False where a bound ended it. The bound on
     depth is the program's own: it must end by itself."""
-    report, given, start = OrdersReport(), list[int](), time.perf_counter()
+    report, given, start = ChoicesReport(), list[int](), time.perf_counter()
     while True:
         choices = Choices(given)
         try:
             run(choices)
-        except Broken as broken:
+        except ViolationError as broken:
             report.violation, report.trace = broken.violation, choices.labels
             report.given = [number for number, _ in choices.made]
         report.runs += 1
--- a/statecheck/search.py
+++ b/statecheck/search.py
@@ -17,7 +17,7 @@
 CHECK_EVERY = 1024  # states between two looks at the bounds
 
 
-class Store:
+class StateTable:
     """The states seen, each as the numbers of its parts (collapse compression), with the way back to the
     start."""
 
@@ -99,15 +99,15 @@
     memory_mb: float = 4096.0,
     seconds: float = 3600.0,
     edges: list[tuple[int, int, int]] | None = None,
-    store: Store | None = None,
+    store: StateTable | None = None,
 ) -> Report:
     """Visit all states, up to a bound on memory (as estimated by the tables' sizes) and on time.
 
     The first property found broken ends the search, with a shortest trace among the events explored.
-    ``edges`` is filled with (state, event's number, state), for `lasting`; ``store`` holds the states.
+    ``edges`` is filled with (state, event's number, state), for `check_liveness`; ``store`` holds the states.
     """
     canonical = model.canonical if symmetry else lambda state: state
-    store = Store() if store is None else store
+    store = StateTable() if store is None else store
     report, start = Report(model.name), time.perf_counter()
 
     def done(found: Violation | None, index: int, event: Any) -> Report:
@@ -172,14 +172,14 @@
 
 def _same(model: Model, canonical: Any, events: list[Any], event: Any, found: Violation) -> Any:
     """The last event, by the names of the trace: one that breaks the same property there."""
-    state = at_end(model, events)
+    state = final_state(model, events)
     for candidate in model.events(state):
         if found in model.violations(state, candidate, model.step(state, candidate)):
             return candidate
     raise RuntimeError(f"model {model.name}: canonical() relates states that do not act alike: {event}")
 
 
-def at_end(model: Model, events: list[Any]) -> State:
+def final_state(model: Model, events: list[Any]) -> State:
     """The state that a trace's events lead to, from the initial state in which they are all enabled."""
     for state in model.initial():
         try:
--- a/statecheck/trace.py
+++ b/statecheck/trace.py
@@ -35,7 +35,7 @@
             "model": self.model,
             "bug": self.bug,
             "property": self.violation.name,
-            "words": self.violation.words,
+            "words": self.violation.description,
             "events": list(self.events),
             "choices": list(self.choices),
         }
@@ -76,5 +76,5 @@
         else:
             raise TraceError(f"event {number}: {label}: cannot happen here: the model is not the one it was")
         after = model.step(state, event)
-        yield label, model.show(after), list(model.violations(state, event, after))
+        yield label, model.describe(after), list(model.violations(state, event, after))
         state = after
--- a/tests/test_statecheck.py
+++ b/tests/test_statecheck.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from statecheck import Choices, Model, Violation, explore, lasting, run_orders
+from statecheck import Choices, Model, Violation, check_liveness, explore, explore_choices
 from statecheck.model import State
-from statecheck.orders import Broken
-from statecheck.search import at_end
+from statecheck.orders import ViolationError
+from statecheck.search import final_state
 from statecheck.trace import Trace, TraceError, load, step_through
 
 TOO_FAR = Violation("too far", "a counter stays below its bound")
@@ -45,7 +45,7 @@
     def ample(self, state: State, events: Sequence[str]) -> Sequence[str]:
         return events[:1]  # the counters know nothing of each other
 
-    def show(self, state: State) -> str:
+    def describe(self, state: State) -> str:
         return str(state)
 
 
@@ -67,7 +67,7 @@
     model = Counters(3, 9, bound=4)
     report = explore(model, symmetry=symmetry, partial_order=False)
     assert (report.violation, len(report.trace), report.complete) == (TOO_FAR, 4, False)
-    assert max(at_end(model, report.trace)) == 4
+    assert max(final_state(model, report.trace)) == 4
     steps = list(step_through(model, tuple(report.trace)))
     assert [bool(violations) for _, _, violations in steps] == [False, False, False, True]
 
@@ -128,26 +128,26 @@
     def step(self, state: State, event: str) -> State:
         return ("over", state[1]) if event == "timer" else (state[0], event)
 
-    def owed(self, state: State) -> Iterable[Hashable]:
+    def obligations(self, state: State) -> Iterable[Hashable]:
         return ["an answer"] if state[0] == "owed" else []
 
-    def fair(self, event: str) -> Hashable | None:
+    def fairness_label(self, event: str) -> Hashable | None:
         return "timer" if event == "timer" and self.timer != "unfair" else None
 
 
 def test_a_fair_timer_ends_every_cycle() -> None:
-    assert lasting(Lamp()).violation is None
+    assert check_liveness(Lamp()).violation is None
 
 
 @pytest.mark.parametrize("timer", ["unfair", "none", "while off"])
 def test_a_cycle_in_which_it_is_owed_for_ever_is_found(timer: str) -> None:
     # Weak fairness promises nothing of an event that is disabled again and again.
-    found = lasting(Lamp(timer))
+    found = check_liveness(Lamp(timer))
     assert found.violation is not None and set(found.cycle) == {"on", "off"}
 
 
 def test_a_dead_end_in_which_it_is_owed_is_found() -> None:
-    found = lasting(Lamp("none", lamp=False))
+    found = check_liveness(Lamp("none", lamp=False))
     assert found.violation is not None and not found.cycle
 
 
@@ -158,7 +158,7 @@
         first = choices.pick(["a", "b"])
         seen.append((first, choices.pick(["x", "y", "z"])) if first else (first,))
 
-    report = run_orders(run)
+    report = explore_choices(run)
     assert seen == [(0,), (1, 0), (1, 1), (1, 2)]
     assert (report.runs, report.choices, report.depth, report.complete) == (4, 7, 2, True)
 
@@ -167,12 +167,12 @@
     def run(choices: Choices) -> None:
         if choices.pick(["a", "b"]) and choices.pick(["x", "y"]):
             choices.note("falls")
-            raise Broken(TOO_FAR)
+            raise ViolationError(TOO_FAR)
 
-    report = run_orders(run)
+    report = explore_choices(run)
     assert (report.violation, report.given, report.trace) == (TOO_FAR, [1, 1], ["b", "y", "falls"])
     assert not report.complete
-    with pytest.raises(Broken):
+    with pytest.raises(ViolationError):
         run(Choices(report.given))
 
 
@@ -183,12 +183,12 @@
         choices.pick(["a"] * next(wide))
 
     with pytest.raises(ValueError, match="did not repeat itself"):
-        run_orders(shrinks)
+        explore_choices(shrinks)
 
     def nine(choices: Choices) -> None:
         choices.pick(["a"] * 9)
 
-    report = run_orders(nine, most_runs=4)
+    report = explore_choices(nine, most_runs=4)
     assert (report.runs, report.complete) == (4, False)
 
 
--- a/tests/test_states.py
+++ b/tests/test_states.py
@@ -14,7 +14,7 @@
 from anisestair.states.world import ENDED_WORLD, World
 from statecheck import explore
 from statecheck.model import State
-from statecheck.search import Store, at_end
+from statecheck.search import StateTable, final_state
 
 ROOT = Path(__file__).parent.parent
 LONGEST_TRACE = 15
@@ -85,7 +85,7 @@
     model = World(scenarios.BY_NAME[name])
 
     def visited(symmetry: bool, partial_order: bool) -> set[State]:
-        store = Store()
+        store = StateTable()
         assert explore(model, symmetry=symmetry, partial_order=partial_order, store=store).complete
         return {store.state(index) for index in range(len(store))}
 
@@ -169,4 +169,4 @@
         model = World(scenarios.BY_NAME["pair-small"])
         report = explore(model)
         assert report.violation is not None
-        assert report.violation in at_end(model, report.trace)[-1]
+        assert report.violation in final_state(model, report.trace)[-1]
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -33,7 +33,7 @@
 from lab import scenario
 from lab.simulation import Simulation
 from rigs import fleet
-from statecheck import explore, lasting
+from statecheck import check_liveness, explore
 
 CALM = Figures(
     offered=100.0,
@@ -463,7 +463,7 @@
 ) -> None:
     with monkeypatch.context() as patched:
         patched.setattr(storm_rules, "OVER", 0.0)  # nothing is ever over
-        live = lasting(storm_state.Calming())
+        live = check_liveness(storm_state.Calming())
         assert live.violation is not None and live.cycle
     wanted = Judge._wanted
 
