--- a/anisestair/states/command.py
+++ b/anisestair/states/command.py
@@ -15,7 +15,7 @@
 from statecheck import Choices, Violation, check_liveness, explore, explore_choices
 from statecheck.model import Model
 from statecheck.orders import ViolationError
-from statecheck.trace import Trace, TraceError, load, step_through
+from statecheck.trace import Trace, TraceError, load_trace, step_through
 
 # Liveness is looked for in the smallest: it wants all edges, and no reduction.
 OTHERS: dict[str, type[Model]] = {
@@ -102,7 +102,13 @@
     found = report.violation or Violation("", "")
     return Row(
         *(name, "orders", report.runs, report.choices, report.depth, round(report.seconds, 2), 0),
-        *(report.complete, found.name, found.description, tuple(report.trace), tuple(report.given)),
+        *(
+            report.complete,
+            found.name,
+            found.description,
+            tuple(report.trace),
+            tuple(report.violating_choices),
+        ),
     )
 
 
@@ -138,7 +144,7 @@
 
 def _step(path: Path) -> int:
     """Play a saved counterexample again, event by event. Exit 1 where the property is broken as it was."""
-    trace = load(path)
+    trace = load_trace(path)
     if trace.bug and trace.bug not in bugs.BY_NAME:
         raise TraceError(f"{path}: bug: {trace.bug}: not known: see --list-bugs")
     if trace.model not in (*scenarios.BY_NAME, *POLICIES, *OTHERS):
--- a/statecheck/liveness.py
+++ b/statecheck/liveness.py
@@ -1,4 +1,4 @@
-"""Obligations that are never met: dead ends and fair cycles in which something is owed all the way."""
+"""Liveness checking: deadlocks and fair cycles in which an obligation is never fulfilled."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @dataclass
 class LivenessReport:
-    """An obligation that may stand for ever: the events that lead to where it does, and a cycle (empty at a
-    dead end) that keeps it standing."""
+    """The result of a liveness check. If an obligation may stay unfulfilled forever, ``trace`` leads to a
+    state where it stays so, and ``cycle`` repeats from there; an empty cycle denotes a deadlock."""
 
     report: Report
     obligation: Hashable | None = None
@@ -22,85 +22,96 @@
 
     @property
     def violation(self) -> Violation | None:
+        """The violated safety property or the obligation that may stay unfulfilled, if any."""
         if self.report.violation is not None or self.obligation is None:
             return self.report.violation
-        how = "in a fair cycle" if self.cycle else "at a dead end"
-        return Violation("owed for ever", f"{self.obligation} is owed for ever {how}")
+        where = "in a fair cycle" if self.cycle else "in a deadlock"
+        return Violation("owed for ever", f"{self.obligation} stays unfulfilled forever {where}")
 
 
 def check_liveness(model: Model, **bounds: Any) -> LivenessReport:
-    """Search, without symmetry or partial-order reduction (an obligation has a name, and a cycle's events all
-    count), for a reachable dead end in which something is owed, or a cycle in which it is owed throughout and
-    which weak fairness allows: every event that is fair and enabled all the way round is among the cycle's.
+    """Search for a reachable deadlock with an unfulfilled obligation, or for a cycle in which one is never
+    fulfilled and that weak fairness allows: each fair event that is enabled in all its states is taken in it.
 
-    A maximal strongly connected part decides: where it leaves a fair event out that is enabled in all of it,
-    so does each cycle inside, and where it does not, the tour through all of it is a fair cycle.
+    Examines the strongly connected components of the states with the obligation. If a component contains no
+    transition of a fair event that is enabled in all its states, neither does any cycle in it; otherwise a
+    tour of the whole component is a fair cycle. Runs without symmetry and partial-order reduction, since
+    obligations name concrete objects and every event of a cycle matters.
     """
     store, edges = StateTable(), list[tuple[int, int, int]]()
     report = explore(model, symmetry=False, partial_order=False, edges=edges, store=store, **bounds)
     result = LivenessReport(report)
     if report.violation is not None or not report.complete:
         return result
-    out: list[list[tuple[int, int]]] = [[] for _ in range(len(store))]
+    successors: list[list[tuple[int, int]]] = [[] for _ in range(len(store))]
     for source, event, target in edges:
-        out[source].append((event, target))
+        successors[source].append((event, target))
     obligations = [frozenset(model.obligations(store.state(index))) for index in range(len(store))]
-    for index, targets in enumerate(out):
+    for index, targets in enumerate(successors):
         if obligations[index] and not targets:
-            return _found(result, store, index, min(obligations[index], key=str), [])
+            return _with_counterexample(result, store, index, min(obligations[index], key=str), [])
     for obligation in sorted(frozenset().union(*obligations), key=str):
-        for part in _components(out, [obligation in item for item in obligations]):
-            inner = [
-                (source, event, target) for source in part for event, target in out[source] if target in part
+        for component in _components(successors, [obligation in member for member in obligations]):
+            transitions = [
+                (source, event, target)
+                for source in component
+                for event, target in successors[source]
+                if target in component
             ]
-            if not inner:
+            if not transitions:
                 continue
-            taken = {model.fairness_label(store.value(event)) for _, event, _ in inner}
+            taken = {model.fairness_label(store.part_value(event)) for _, event, _ in transitions}
             always = frozenset.intersection(
                 *(
-                    frozenset(model.fairness_label(store.value(event)) for event, _ in out[source])
-                    for source in part
+                    frozenset(
+                        model.fairness_label(store.part_value(event)) for event, _ in successors[source]
+                    )
+                    for source in component
                 )
             )
             if always - taken - {None}:
-                continue  # weak fairness leads out of it
-            return _found(
-                result, store, min(part), obligation, [store.value(event) for _, event, _ in inner[:8]]
+                continue  # weak fairness forces an event that leaves the component
+            return _with_counterexample(
+                result,
+                store,
+                min(component),
+                obligation,
+                [store.part_value(event) for _, event, _ in transitions[:8]],
             )
     return result
 
 
-def _found(
+def _with_counterexample(
     result: LivenessReport, store: StateTable, index: int, obligation: Hashable, cycle: list[Any]
 ) -> LivenessReport:
     result.obligation, result.cycle, result.report.complete = obligation, cycle, False
     path = [index]
     while store.parents[path[-1]] >= 0:
         path.append(store.parents[path[-1]])
-    result.trace = [store.value(store.via[item]) for item in reversed(path[:-1])]
+    result.trace = [store.part_value(store.reached_by[member]) for member in reversed(path[:-1])]
     return result
 
 
-def _components(out: list[list[tuple[int, int]]], inside: list[bool]) -> list[set[int]]:
-    """The strongly connected parts of the states that are ``inside`` (Tarjan 1972, with its own stack)."""
+def _components(successors: list[list[tuple[int, int]]], included: list[bool]) -> list[set[int]]:
+    """Return the strongly connected components of the ``included`` states (Tarjan 1972, iterative)."""
     order: dict[int, int] = {}
     low: dict[int, int] = {}
     stack: list[int] = []
     on_stack: set[int] = set()
     found: list[set[int]] = []
-    for root in range(len(out)):
-        if not inside[root] or root in order:
+    for root in range(len(successors)):
+        if not included[root] or root in order:
             continue
         work: list[tuple[int, int]] = [(root, 0)]
         while work:
-            node, at = work.pop()
-            if at == 0:
+            node, next_position = work.pop()
+            if next_position == 0:
                 order[node] = low[node] = len(order)
                 stack.append(node)
                 on_stack.add(node)
-            for position in range(at, len(out[node])):
-                target = out[node][position][1]
-                if not inside[target]:
+            for position in range(next_position, len(successors[node])):
+                target = successors[node][position][1]
+                if not included[target]:
                     continue
                 if target not in order:
                     work += [(node, position + 1), (target, 0)]
@@ -109,14 +120,14 @@
                     low[node] = min(low[node], order[target])
             else:
                 if low[node] == order[node]:
-                    part = set()
+                    component = set()
                     while True:
-                        item = stack.pop()
-                        on_stack.discard(item)
-                        part.add(item)
-                        if item == node:
+                        member = stack.pop()
+                        on_stack.discard(member)
+                        component.add(member)
+                        if member == node:
                             break
-                    found.append(part)
+                    found.append(component)
                 if work:
                     above = work[-1][0]
                     low[above] = min(low[above], low[node])
--- a/statecheck/model.py
+++ b/statecheck/model.py
@@ -1,4 +1,4 @@
-"""What a machine has to offer to be explored."""
+"""The interface of a model that the checker explores."""
 
 from __future__ import annotations
 
@@ -7,61 +7,64 @@
 from dataclasses import dataclass
 from typing import Any
 
-# A state is a tuple of parts, each hashable and compared by value. Parts that change rarely, or take few
-# values, make a state small: each distinct part is stored once (collapse compression, Holzmann 1997).
+# A state is a tuple of parts, each hashable and compared by value. Each distinct part is stored only once
+# (collapse compression, Holzmann 1997), so parts that change rarely or take few values need little memory.
 State = tuple[Any, ...]
-Event = Hashable  # its str() is the label in traces, and tells one enabled event from another
+Event = Hashable  # its str() is its label in traces, unique among the events enabled in one state
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A property that does not hold, by name, and what it says in words."""
+    """A violated property: its name, and a sentence that states it."""
 
     name: str
     description: str
 
 
 class Model(ABC):
-    """A machine with its surroundings, closed: whatever can happen to it is among its events."""
+    """A state machine with its environment: everything that can happen to it is one of its events."""
 
     name: str
 
     @abstractmethod
-    def initial(self) -> Iterable[State]: ...
+    def initial(self) -> Iterable[State]:
+        """Return the initial states."""
 
     @abstractmethod
     def events(self, state: State) -> Sequence[Any]:
-        """All events enabled in that state, in a fixed order. None: a state where everything may rest."""
+        """Return all events enabled in the state, in a fixed order; none in a terminal state."""
 
     @abstractmethod
     def step(self, state: State, event: Any) -> State:
-        """The one state that the event leads to. Raises nothing; what goes wrong shows in `violations`."""
+        """Return the one successor state. Raises nothing: failures are reported by `violations`."""
 
     def violations(self, before: State | None, event: Any, after: State) -> Iterable[Violation]:
-        """Safety: the properties that this step, or the state after it, breaks. ``before`` is None for an
-        initial state."""
+        """Return the safety properties that this step, or the state after it, violates. ``before`` and
+        ``event`` are None for an initial state."""
         return ()
 
     def canonical(self, state: State) -> State:
-        """One representative of all states that are alike but for names. It must be a bisimulation: from
-        alike states, alike events must lead to alike states, and break the same properties."""
+        """Return the representative of all states that are equal up to renaming (symmetry reduction). The
+        relation must be a bisimulation: from equivalent states, equivalent events must lead to equivalent
+        states and violate the same properties."""
         return state
 
     def ample(self, state: State, events: Sequence[Any]) -> Sequence[Any]:
-        """A part of the enabled events that suffices (partial-order reduction). What is returned must be
-        independent of all events left out, now and after any of those, must be invisible to the properties,
-        and may not be returned all the way round a cycle (Clarke, Grumberg, Peled 1999, C0 to C3)."""
+        """Return a subset of the enabled events that is enough to explore (partial-order reduction). It must
+        be independent of all omitted events, now and after any sequence of them, and must be invisible to the
+        properties; at least one state of every cycle must be expanded fully (conditions C0 to C3 of Clarke,
+        Grumberg, Peled 1999)."""
         return events
 
     def obligations(self, state: State) -> Iterable[Hashable]:
-        """Liveness: the obligations that stand in that state."""
+        """Return the obligations that are not yet fulfilled in the state (liveness)."""
         return ()
 
     def fairness_label(self, event: Any) -> Hashable | None:
-        """The name under which an event is weakly fair: enabled for ever, it happens in the end. None: never
-        promised."""
+        """Return a label under which the event is weakly fair: if events of that label stay enabled, one of
+        them eventually happens. None: the event may never happen."""
         return None
 
     def describe(self, state: State) -> str:
-        """A state for a reader of a trace; may be empty."""
+        """Return a readable form of the state for traces; may be empty."""
         return ""
--- a/statecheck/orders.py
+++ b/statecheck/orders.py
@@ -1,8 +1,8 @@
-"""Stateless exploration: a program is run again from its start for every sequence of choices that it can
-make.
+"""Stateless model checking: runs a program from its start for every possible sequence of choices.
 
-For what cannot be stored and compared as a state. A run asks `Choices.pick` wherever the order of things, or
-their outcome, is open; the next run repeats the choices but the last that had alternatives (Godefroid 1997).
+Used for programs whose state cannot be stored and compared. A run calls `Choices.pick` wherever the order or
+the outcome of events is open. The next run repeats the sequence up to the last choice with an untried
+alternative, and takes that one (Godefroid 1997).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ViolationError(Exception):
-    """Raised by a run in which a property does not hold."""
+    """Raised by a run that violates a property."""
 
     def __init__(self, violation: Violation) -> None:
         super().__init__(violation.description)
@@ -23,55 +23,57 @@
 
 
 class Choices:
-    """The choices of one run: those given first, then the first alternative each time."""
+    """The choices of one run: first those of a given prefix, then always the first alternative."""
 
-    def __init__(self, given: list[int]) -> None:
-        self._given = given
-        self.made: list[tuple[int, int]] = []  # picked, out of how many
+    def __init__(self, prefix: list[int]) -> None:
+        self._prefix = prefix
+        self.made: list[tuple[int, int]] = []  # index of the alternative, number of alternatives
         self.labels: list[str] = []
 
     def pick(self, labels: list[str]) -> int:
-        """The number of one of these alternatives; at least one."""
-        place = len(self.made)
-        number = self._given[place] if place < len(self._given) else 0
-        if not 0 <= number < len(labels):
+        """Return the index of the chosen alternative, of at least one."""
+        position = len(self.made)
+        index = self._prefix[position] if position < len(self._prefix) else 0
+        if not 0 <= index < len(labels):
             raise ValueError(
-                f"choice {place}: {number} out of {len(labels)}: the program did not repeat itself"
+                f"choice {position}: {index} out of {len(labels)}: the program is not deterministic"
             )
-        self.made.append((number, len(labels)))
-        self.labels.append(labels[number])
-        return number
+        self.made.append((index, len(labels)))
+        self.labels.append(labels[index])
+        return index
 
     def note(self, label: str) -> None:
-        """Something that happened without a choice, for a reader of the trace."""
+        """Add an event without alternatives to the trace."""
         self.labels.append(label)
 
 
 @dataclass
 class ChoicesReport:
+    """The result of a stateless exploration."""
+
     runs: int = 0
-    choices: int = 0  # in all runs
-    depth: int = 0  # most in one run
+    choices: int = 0  # of all runs
+    depth: int = 0  # maximum number of choices in one run
     seconds: float = 0.0
     complete: bool = False
     violation: Violation | None = None
-    given: list[int] = field(default_factory=list)  # the choices that lead to the violation
+    violating_choices: list[int] = field(default_factory=list)  # those that lead to the violation
     trace: list[str] = field(default_factory=list)
 
 
 def explore_choices(
-    run: Callable[[Choices], None], *, most_runs: int = 1_000_000, seconds: float = 3600.0
+    run: Callable[[Choices], None], *, max_runs: int = 1_000_000, seconds: float = 3600.0
 ) -> ChoicesReport:
-    """Every sequence of choices, depth first. ``complete`` is False where a bound ended it. The bound on
-    depth is the program's own: it must end by itself."""
-    report, given, start = ChoicesReport(), list[int](), time.perf_counter()
+    """Run the program for every sequence of choices, depth first. ``complete`` is False if a limit stopped
+    the exploration. There is no limit on depth: the program must terminate by itself."""
+    report, prefix, start = ChoicesReport(), list[int](), time.perf_counter()
     while True:
-        choices = Choices(given)
+        choices = Choices(prefix)
         try:
             run(choices)
-        except ViolationError as broken:
-            report.violation, report.trace = broken.violation, choices.labels
-            report.given = [number for number, _ in choices.made]
+        except ViolationError as error:
+            report.violation, report.trace = error.violation, choices.labels
+            report.violating_choices = [index for index, _ in choices.made]
         report.runs += 1
         report.choices += len(choices.made)
         report.depth = max(report.depth, len(choices.made))
@@ -84,6 +86,6 @@
         if not made:
             report.complete = True
             return report
-        given = [number for number, _ in made[:-1]] + [made[-1][0] + 1]
-        if report.runs >= most_runs or report.seconds > seconds:
+        prefix = [index for index, _ in made[:-1]] + [made[-1][0] + 1]
+        if report.runs >= max_runs or report.seconds > seconds:
             return report
