--- a/anisestair/states/bugs.py
+++ b/anisestair/states/bugs.py
@@ -1,6 +1,7 @@
-"""Seeded bugs: small named changes of the machines or of the module's rules; a model must find each.
+"""Seeded bugs: small named changes of the state machines or of the balancer's rules (mutation testing).
 
-A checker that finds nothing is believed only while it finds these. Some are bugs that this program has had.
+The models must detect each of them, or their clean results would prove little. Some are bugs that this
+program once had.
 """
 
 from __future__ import annotations
@@ -33,34 +34,36 @@
 
 @dataclass(frozen=True)
 class Bug:
+    """A function that replaces the original one while the bug is seeded."""
+
     name: str
-    words: str
-    model: str  # the scenario in which it shows
-    place: Any  # a module, a class, or the table of handlers
-    key: Any
-    changed: Callable[..., Any]
-    lasts: bool = False  # it shows as an obligation that is never met
+    description: str
+    model: str  # name of the model that detects it
+    target: Any  # the module, the class or the table of handlers that contains the original function
+    key: Any  # its name there, or its key in the table
+    replacement: Callable[..., Any]
+    violates_liveness: bool = False  # it shows as an obligation that is never fulfilled
 
     @contextmanager
     def seeded(self) -> Iterator[None]:
-        """The change, for as long as the context lasts."""
-        table = isinstance(self.place, dict)
-        sound = self.place[self.key] if table else getattr(self.place, self.key)
+        """Replace the function while the context lasts."""
+        table = isinstance(self.target, dict)
+        original = self.target[self.key] if table else getattr(self.target, self.key)
 
         def put(value: Any) -> None:
             if table:
-                self.place[self.key] = value
+                self.target[self.key] = value
             else:
-                setattr(self.place, self.key, value)
+                setattr(self.target, self.key, value)
 
-        put(self.changed)
+        put(self.replacement)
         try:
             yield
         finally:
-            put(sound)
+            put(original)
 
 
-def _begun_still_owed(self: Lives, effects: Effects, number: int, call: Call) -> None:
+def _stream_without_settling(self: Lives, effects: Effects, number: int, call: Call) -> None:
     before = self.exchanges[call[0]]
     Lives._begun(self, effects, number, call)
     exchange = self.exchanges.get(call[0])
@@ -68,7 +71,7 @@
         self.exchanges[call[0]] = exchange._replace(owed=before.owed)
 
 
-def _break_as_whole(
+def _end_truncated_stream_as_complete(
     self: Lives, effects: Effects, connection: Connection, how: Callable[[Attempt], Outcome]
 ) -> None:
     for call in connection.calls:
@@ -78,83 +81,89 @@
             self._ended(effects, call, how(self.exchanges[call[0]].attempts[call[1]]))
 
 
-def _cut_nothing(self: Lives, effects: Effects, request: str, exchange: Exchange) -> None:
+def _cut_off_nothing(self: Lives, effects: Effects, request: str, exchange: Exchange) -> None:
     return
 
 
-def _begun_for_nobody(self: Lives, effects: Effects, number: int, call: Call) -> None:
+def _stream_after_outcome(self: Lives, effects: Effects, number: int, call: Call) -> None:
     if call[0] in self.exchanges and not self.exchanges[call[0]].owed:
         effects.append(ev.Reply(call[0], Final.SERVED, call[1]))
     Lives._begun(self, effects, number, call)
 
 
-_sound_retune = Balancer.on_retune
+_original_on_retune = Balancer.on_retune
 
 
-def _retune_open_ones(self: Balancer, settings: api.Settings) -> None:
-    _sound_retune(self, settings)
-    for held in self.requests.values():
-        of = self.classes.get(held.klass.name)
-        if of is not None:
-            held.klass = of.klass
+def _retune_open_requests(self: Balancer, settings: api.Settings) -> None:
+    _original_on_retune(self, settings)
+    for pending in self.requests.values():
+        record = self.classes.get(pending.klass.name)
+        if record is not None:
+            pending.klass = record.klass
 
 
-def _retune_orphans(self: Balancer, settings: api.Settings) -> None:
-    for name, held in list(self.requests.items()):
-        if all(item.name != held.klass.name for item in settings.classes) and not held.queued:
+def _forget_requests_of_dropped_classes(self: Balancer, settings: api.Settings) -> None:
+    for name, pending in list(self.requests.items()):
+        if all(item.name != pending.klass.name for item in settings.classes) and not pending.queued:
             del self.requests[name]
-    _sound_retune(self, settings)
+    _original_on_retune(self, settings)
 
 
-_sound_accepts, _sound_share, _sound_keeps = shares.accepts, shares.share, shares._held_by
+_original_accepts, _original_share, _original_held_by = shares.accepts, shares.share, shares._held_by
 
 
-def _accepts_late(me: int, members: list[shares.Member], ready: bool) -> bool:
-    return _sound_accepts(me, members, ready) and shares.has_room(me, members, 0.0)
+def _accepts_only_with_room(me: int, members: list[shares.Member], ready: bool) -> bool:
+    return _original_accepts(me, members, ready) and shares.has_room(me, members, 0.0)
 
 
-def _accepts_beside(me: int, members: list[shares.Member], ready: bool) -> bool:
-    return _sound_accepts(me, [item for item in members if item.born < me], ready)
+def _accepts_beside_younger(me: int, members: list[shares.Member], ready: bool) -> bool:
+    return _original_accepts(me, [item for item in members if item.born < me], ready)
 
 
-def _accepts_after_none(me: int, members: list[shares.Member], ready: bool) -> bool:
+def _accepts_never_again(me: int, members: list[shares.Member], ready: bool) -> bool:
     ended = any(item.born > me and item.stage == shares.ENDING for item in members)
-    return _sound_accepts(me, members, ready) and not ended
+    return _original_accepts(me, members, ready) and not ended
 
 
-def _share_of_all(me: int, total: int, members: list[shares.Member], used: int, accepting: bool) -> int:
-    return _sound_share(me, total, [], used, accepting)
+def _share_ignoring_others(
+    me: int, total: int, members: list[shares.Member], used: int, accepting: bool
+) -> int:
+    return _original_share(me, total, [], used, accepting)
 
 
-def _share_unheld(me: int, total: int, members: list[shares.Member], used: int, accepting: bool) -> int:
-    return _sound_share(me, total, members, 0, accepting)
+def _share_ignoring_own_use(
+    me: int, total: int, members: list[shares.Member], used: int, accepting: bool
+) -> int:
+    return _original_share(me, total, members, 0, accepting)
 
 
-def _keeps_as_told(one: shares.Member, me: int, total: int) -> int:
-    return one.keeps
+def _held_as_reported(member: shares.Member, me: int, total: int) -> int:
+    return member.keeps
 
 
-def _keeps_for_any(one: shares.Member, me: int, total: int) -> int:
-    return _sound_keeps(one._replace(seen=me) if one.seen >= me else one, me, total)
+def _held_after_yielding_to_any(member: shares.Member, me: int, total: int) -> int:
+    return _original_held_by(member._replace(seen=me) if member.seen >= me else member, me, total)
 
 
-ON = lives_module._ON
+HANDLERS = lives_module._ON
 Effects = list[ev.Effect]
 
 
-def _never_ran(attempt: Attempt) -> Outcome:
+def _never_executed(attempt: Attempt) -> Outcome:
     return Outcome.CONNECT_FAILED
 
 
-def _timeout_never_left(attempt: Attempt, why: Outcome) -> Outcome:
+def _timeout_as_connect_failure(attempt: Attempt, why: Outcome) -> Outcome:
     return Outcome.CONNECT_FAILED if why is Outcome.TIMEOUT else why
 
 
-def _spent_with_calls(connection: Connection) -> Connection:
+def _closing_with_calls(connection: Connection) -> Connection:
     return connection._replace(stage=connections.Stage.SPENT)
 
 
-def _give_up_keeping(self: Lives, effects: Effects, request: str, number: int, why: Outcome) -> None:
+def _give_up_and_reuse_connection(
+    self: Lives, effects: Effects, request: str, number: int, why: Outcome
+) -> None:
     exchange = self.exchanges.get(request)
     if exchange is None or exchange.attempts[number].stage is attempts.Stage.ENDED:
         return
@@ -166,11 +175,11 @@
     self._ended(effects, (request, number), attempts.outcome_of_abandonment(attempt, why))
 
 
-def _strand_nothing(self: Lives, effects: Effects, changed: set[str]) -> None:
+def _end_no_waiting_attempts(self: Lives, effects: Effects, changed: set[str]) -> None:
     pass
 
 
-def _strand_drained_only(self: Lives, effects: Effects, changed: set[str]) -> None:
+def _end_waiting_attempts_of_drains_only(self: Lives, effects: Effects, changed: set[str]) -> None:
     for number, connection in list(self.connections.items()):
         if connection.server in changed and connection.stage is connections.Stage.CONNECTING:
             if not endpoints.accepts_new_calls(self.endpoints.get(connection.server)):
@@ -179,11 +188,11 @@
                     self._ended(effects, call, Outcome.CONNECT_FAILED)
 
 
-def _draining_takes_new(endpoint: Endpoint | None) -> bool:
+def _accepts_while_draining(endpoint: Endpoint | None) -> bool:
     return endpoint is not None
 
 
-def _keeps_any_life(endpoint: Endpoint | None, connection: Connection) -> bool:
+def _keeps_any_incarnation(endpoint: Endpoint | None, connection: Connection) -> bool:
     return endpoint is not None and endpoint.ready
 
 
@@ -195,25 +204,25 @@
     pass
 
 
-_sound_answered = Lives._answered
+_original_answered = Lives._answered
 
 
-def _keeps_after_behind(
+def _answered_always_clean(
     self: Lives, effects: Effects, number: int, call: Call, outcome: Outcome, clean: bool
 ) -> None:
-    _sound_answered(self, effects, number, call, outcome, True)
+    _original_answered(self, effects, number, call, outcome, True)
 
 
-def _late_answer_counts(
+def _count_late_response(
     self: Lives, effects: Effects, number: int, call: Call, outcome: Outcome, clean: bool
 ) -> None:
     if call[0] in self.exchanges and number in self.connections and not self.connections[number].calls:
         self._ended(effects, call, outcome)
     else:
-        _sound_answered(self, effects, number, call, outcome, clean)
+        _original_answered(self, effects, number, call, outcome, clean)
 
 
-def _stray_ignored(self: Lives, effects: Effects, number: int) -> None:
+def _ignore_unsolicited_bytes(self: Lives, effects: Effects, number: int) -> None:
     connection = self.connections.get(number)
     if connection is not None and connection.calls:
         Lives._spoilt(self, effects, number)
@@ -238,43 +247,43 @@
     self._forget(effects, request, exchange)
 
 
-def _forgotten_early(exchange: Exchange) -> bool:
+def _forgettable_early(exchange: Exchange) -> bool:
     return not exchange.owed
 
 
-def _never_forgotten(exchange: Exchange) -> bool:
+def _never_forgettable(exchange: Exchange) -> bool:
     return False
 
 
-def _not_up_kept(self: Lives, effects: Effects, number: int, short: bool) -> None:
+def _keep_failed_connection(self: Lives, effects: Effects, number: int, short: bool) -> None:
     connection = self.connections[number]
     self.connections[number] = connections.closing(connection)
     for call in connection.calls:
         self._ended(effects, call, Outcome.CONNECT_FAILED)
 
 
-def _rests_for_ever(self: Lives, number: int, connection: Connection) -> None:
+def _remove_no_idle(self: Lives, number: int, connection: Connection) -> None:
     pass
 
 
-def _room_without_closing(self: Lives, effects: Effects) -> bool:
+def _evict_nothing(self: Lives, effects: Effects) -> bool:
     return True
 
 
-def _end_forgets(self: Lives, effects: Effects) -> None:
+def _end_without_replies(self: Lives, effects: Effects) -> None:
     pass
 
 
-def _held_for_ever(self: Lives, effects: Effects, number: int, unsent: int) -> None:
+def _ignore_flush(self: Lives, effects: Effects, number: int, unsent: int) -> None:
     if unsent:
         Lives._held(self, effects, number, unsent)
 
 
-def _unusable_used(self: Lives, effects: Effects, number: int, call: Call) -> None:
+def _write_unusable(self: Lives, effects: Effects, number: int, call: Call) -> None:
     effects.append(ev.Write(number, call, False))
 
 
-def _up_writes_all(self: Lives, effects: Effects, number: int) -> None:
+def _write_all_when_established(self: Lives, effects: Effects, number: int) -> None:
     connection = self.connections.get(number)
     if connection is None or connection.stage is not connections.Stage.CONNECTING:
         return
@@ -286,7 +295,7 @@
         self._release(effects, number, connection)
 
 
-def _overdue_waits(self: Lives, effects: Effects, request: str, final: Final) -> None:
+def _wait_for_attempts_when_overdue(self: Lives, effects: Effects, request: str, final: Final) -> None:
     exchange = self.exchanges.get(request)
     if (
         final is Final.OVERDUE
@@ -297,81 +306,81 @@
     Lives._settle(self, effects, request, final)
 
 
-def _refuses_always(settings: api.Settings, now: float, held: OpenRequest) -> api.Refuse:
-    return api.Refuse(held.id, 0.0)
+def _always_refuse(settings: api.Settings, now: float, pending: OpenRequest) -> api.Refuse:
+    return api.Refuse(pending.id, 0.0)
 
 
-def _sends_sales_again(settings: api.Settings, now: float, held: OpenRequest, server: Server) -> bool:
-    return held.open and len(held.attempts) < settings.limits.max_attempts
+def _retry_unsafe(settings: api.Settings, now: float, pending: OpenRequest, server: Server) -> bool:
+    return pending.open and len(pending.attempts) < settings.limits.max_attempts
 
 
-def _may_send(
-    since: int,
-    connecting: bool,
-    grouped: bool,
+def _may_send_variant(
+    reference_attempt: int,
+    connect_margin: bool,
+    check_group: bool,
     settings: api.Settings,
     now: float,
-    held: OpenRequest,
+    pending: OpenRequest,
     server: Server,
 ) -> bool:
-    """The module's rule, with its parts to be left out."""
-    limits, klass = settings.limits, held.klass
-    if not held.open or len(held.attempts) >= limits.max_attempts:
+    """A copy of the balancer's rule, parts of which the arguments change or switch off."""
+    limits, klass = settings.limits, pending.klass
+    if not pending.open or len(pending.attempts) >= limits.max_attempts:
         return False
-    ran = [item for item in held.attempts if item.may_have_run]
+    ran = [item for item in pending.attempts if item.may_have_run]
     if not ran or klass.effect is Effect.SAFE:
         return True
     if klass.effect is Effect.UNSAFE:
         return False
-    margin = limits.connect_timeout_ms if connecting else 0.0
-    if now > ran[since].sent_at + klass.window_ms - margin - 2.0 * settings.tick_ms:
+    margin = limits.connect_timeout_ms if connect_margin else 0.0
+    if now > ran[reference_attempt].sent_at + klass.window_ms - margin - 2.0 * settings.tick_ms:
         return False
-    if klass.group is not Group.CELL or not grouped:
+    if klass.group is not Group.CELL or not check_group:
         return True
     return all(server.entry.cell == item.server.entry.cell for item in ran)
 
 
-def _first_is_answered(
+def _answer_first_call(
     self: Lives, effects: Effects, number: int, call: Call, outcome: Outcome, clean: bool
 ) -> None:
     connection = self.connections.get(number)
     calls = connection.calls if connection is not None else ()
-    _sound_answered(self, effects, number, calls[0] if calls else call, outcome, clean)
+    _original_answered(self, effects, number, calls[0] if calls else call, outcome, clean)
 
 
-def _unsent_from_the_front(connection: Connection, call: Call) -> bool:
+def _first_calls_unsent(connection: Connection, call: Call) -> bool:
     return call in connection.calls[: connection.unsent]
 
 
-def _given_up_with_the_others(self: Lives, effects: Effects, number: int, call: Call, why: Outcome) -> None:
+def _give_up_all_calls(self: Lives, effects: Effects, number: int, call: Call, why: Outcome) -> None:
     connection = connections.without_call(self.connections[number], call)
     self._close(effects, number, connection)
     self._end_calls(effects, connection, attempts.outcome_of_lost_connection)
 
 
-def _joins_any(self: Lives, server: str, endpoint: Endpoint) -> int:
+def _join_full_connection(self: Lives, server: str, endpoint: Endpoint) -> int:
     return next(iter(self.lines.get(server, ())), 0)
 
 
-def _joins_old_lives(self: Lives, server: str, endpoint: Endpoint) -> int:
+def _join_old_incarnation(self: Lives, server: str, endpoint: Endpoint) -> int:
     for number in self.lines.get(server, ()):
         if len(self.connections[number].calls) < endpoint.calls:
             return number
     return 0
 
 
-def _unusable_takes_all(self: Lives, effects: Effects, number: int, call: Call) -> None:
+def _resend_all_calls(self: Lives, effects: Effects, number: int, call: Call) -> None:
     connection = self.connections[number]
     self._close(effects, number, connection)
     for item in connection.calls:
         self._assign_connection(effects, item, connection.server, self.endpoints[connection.server])
 
 
-def _stays_in_line(self: Lives, number: int, connection: Connection) -> None:
+def _remove_no_joinable(self: Lives, number: int, connection: Connection) -> None:
     pass
 
 
-def _break_the_first(
+def _end_first_call(
     self: Lives, effects: Effects, connection: Connection, how: Callable[[Attempt], Outcome]
 ) -> None:
     for call in connection.calls[:1]:
@@ -381,233 +390,253 @@
 BUGS = (
     Bug(
         "reset-never-ran",
-        "a reset counts as never run",
+        "a lost connection counts as never executed",
         "sale-small",
         attempts,
         "outcome_of_lost_connection",
-        _never_ran,
+        _never_executed,
     ),
     Bug(
         "spoilt-never-ran",
-        "a spoilt answer counts as never run",
+        "an unreadable response counts as never executed",
         "sale-small",
         attempts,
         "outcome_of_unreadable_response",
-        _never_ran,
+        _never_executed,
     ),
     Bug(
-        *("timeout-never-left", "every time-out counts as never sent", "sale-small"),
-        *(attempts, "outcome_of_abandonment", _timeout_never_left),
+        *("timeout-never-left", "every timeout counts as a failure to connect", "sale-small"),
+        *(attempts, "outcome_of_abandonment", _timeout_as_connect_failure),
     ),
     Bug(
         *("ended-with-its-line", "an attempt that has ended ends again with its connection", "sale-small"),
-        *(connections, "closing", _spent_with_calls),
+        *(connections, "closing", _closing_with_calls),
     ),
     Bug(
-        *("given-up-line-kept", "the connection of an attempt given up is used again", "pair-small"),
-        *(ON, ev.GiveUp, _give_up_keeping),
+        *("given-up-line-kept", "the connection of an abandoned attempt is reused", "pair-small"),
+        *(HANDLERS, ev.GiveUp, _give_up_and_reuse_connection),
     ),
     Bug(
-        *("nothing-stranded", "a drain between choosing and writing is missed", "sale-small"),
-        *(Lives, "_end_waiting_attempts", _strand_nothing),
+        *("nothing-stranded", "a drain between choosing a server and writing is ignored", "sale-small"),
+        *(Lives, "_end_waiting_attempts", _end_no_waiting_attempts),
     ),
     Bug(
         *(
             "stranded-by-drain-only",
-            "an attempt waits on for a life that has ended (this program's)",
+            "an attempt keeps waiting for an incarnation that has ended (a past bug)",
             "sale-small",
         ),
-        *(Lives, "_end_waiting_attempts", _strand_drained_only),
+        *(Lives, "_end_waiting_attempts", _end_waiting_attempts_of_drains_only),
     ),
     Bug(
-        *("drain-waits", "a draining server takes new requests for its grace", "sale-small"),
-        *(endpoints, "accepts_new_calls", _draining_takes_new),
+        *("drain-waits", "a draining server gets new requests during its grace period", "sale-small"),
+        *(endpoints, "accepts_new_calls", _accepts_while_draining),
     ),
     Bug(
-        *("old-life-kept", "a line to an earlier life is kept (this program's)", "sale-small"),
-        *(endpoints, "may_keep", _keeps_any_life),
+        *("old-life-kept", "a connection to an earlier incarnation is kept (a past bug)", "sale-small"),
+        *(endpoints, "may_keep", _keeps_any_incarnation),
     ),
     Bug(
-        *("kept-while-draining", "a line to a draining server is kept", "sale-small"),
+        *("kept-while-draining", "a connection to a draining server is kept", "sale-small"),
         *(endpoints, "may_keep", _keeps_while_draining),
     ),
     Bug(
-        *("idle-left-open", "idle lines are not closed at a drain or restart", "sale-small"),
+        *("idle-left-open", "idle connections are not closed at a drain or restart", "sale-small"),
         *(Lives, "_close_idle", _close_no_idle),
     ),
     Bug(
-        *("behind-ignored", "a line is kept though something came behind an answer", "pair-small"),
-        *(ON, ev.Answered, _keeps_after_behind),
+        *("behind-ignored", "a connection is kept although bytes followed a response", "pair-small"),
+        *(HANDLERS, ev.Answered, _answered_always_clean),
     ),
     Bug(
-        *("late-answer-counts", "an answer that comes after its attempt ended is taken", "sale-uncancelled"),
-        *(ON, ev.Answered, _late_answer_counts),
+        *(
+            "late-answer-counts",
+            "a response that arrives after the end of its attempt is accepted",
+            "sale-uncancelled",
+        ),
+        *(HANDLERS, ev.Answered, _count_late_response),
     ),
     Bug(
-        *("stray-ignored", "what comes unasked on an idle line is ignored", "pair-small"),
-        *(ON, ev.Spoilt, _stray_ignored),
+        *("stray-ignored", "unsolicited bytes on an idle connection are ignored", "pair-small"),
+        *(HANDLERS, ev.Spoilt, _ignore_unsolicited_bytes),
     ),
     Bug(
-        *("settled-twice", "a request that has its outcome gets another", "sale-uncancelled"),
-        *(ON, ev.Settle, _settle_again),
+        *("settled-twice", "a request with a final outcome gets another one", "sale-uncancelled"),
+        *(HANDLERS, ev.Settle, _settle_again),
     ),
     Bug(
-        *("served-after-the-end", "an answer is passed on after the outcome", "sale-uncancelled"),
+        *("served-after-the-end", "a response is delivered after the final outcome", "sale-uncancelled"),
         *(Lives, "_ended", _reply_again),
     ),
     Bug(
-        *("forgotten-early", "a request is forgotten while an attempt is out", "sale-uncancelled"),
-        *(exchanges, "forgettable", _forgotten_early),
+        *("forgotten-early", "a request is forgotten while an attempt is in progress", "sale-uncancelled"),
+        *(exchanges, "forgettable", _forgettable_early),
     ),
     Bug(
-        *("never-forgotten", "a request that is over stays in the table", "sale-small"),
-        *(exchanges, "forgettable", _never_forgotten),
+        *("never-forgotten", "a completed request stays in the table", "sale-small"),
+        *(exchanges, "forgettable", _never_forgettable),
     ),
     Bug(
-        *("refused-line-kept", "a connection that never came up stays in the table", "sale-small"),
-        *(ON, ev.NotUp, _not_up_kept),
+        *("refused-line-kept", "a connection that was never established stays in the table", "sale-small"),
+        *(HANDLERS, ev.NotUp, _keep_failed_connection),
     ),
     Bug(
-        *("rests-for-ever", "a line that has ended stays among the idle", "sale-small"),
-        *(Lives, "_remove_idle", _rests_for_ever),
+        *("rests-for-ever", "a closed connection stays among the idle ones", "sale-small"),
+        *(Lives, "_remove_idle", _remove_no_idle),
     ),
     Bug(
-        *("room-for-nothing", "the bound on connections makes no room", "pair-at-the-bound"),
-        *(Lives, "_evict_idle", _room_without_closing),
+        *("room-for-nothing", "no idle connection is closed at the connection limit", "pair-at-the-bound"),
+        *(Lives, "_evict_idle", _evict_nothing),
     ),
     Bug(
-        *("end-forgets", "the end of the program leaves requests unanswered (this program's)", "sale-small"),
-        *(ON, ev.End, _end_forgets),
+        *("end-forgets", "requests are left unanswered at shutdown (a past bug)", "sale-small"),
+        *(HANDLERS, ev.End, _end_without_replies),
     ),
     Bug(
-        *("held-for-ever", "the kernel's word that all has left is missed", "sale-small"),
-        *(ON, ev.Held, _held_for_ever),
+        *("held-for-ever", "the event that all bytes are sent is ignored", "sale-small"),
+        *(HANDLERS, ev.Held, _ignore_flush),
     ),
     Bug(
-        *("unusable-used", "a line that was found ended is written to", "pair-small"),
-        *(ON, ev.Unusable, _unusable_used),
+        *("unusable-used", "a connection that was found closed is written to", "pair-small"),
+        *(HANDLERS, ev.Unusable, _write_unusable),
     ),
     Bug(
         *(
             "written-after-the-end",
-            "an attempt is written once its line is up, though its request is over",
+            "an attempt is written once connected, although its request is completed",
             "sale-uncancelled",
         ),
-        *(ON, ev.Up, _up_writes_all),
+        *(HANDLERS, ev.Up, _write_all_when_established),
     ),
     Bug(
-        *("overdue-waits", "the guard on a request's time waits for its attempts", "sale-uncancelled"),
-        *(ON, ev.Settle, _overdue_waits),
-        lasts=True,
+        *("overdue-waits", "the timer of a request's deadline waits for its attempts", "sale-uncancelled"),
+        *(HANDLERS, ev.Settle, _wait_for_attempts_when_overdue),
+        violates_liveness=True,
     ),
     Bug(
         "refuses-always",
-        "a request that may have run is refused",
+        "a request that may have been executed is refused",
         "sale-small",
         requests,
         "final",
-        _refuses_always,
+        _always_refuse,
     ),
     Bug(
-        *("sale-sent-again", "a sale that may have run is sent again", "sale-small"),
-        *(requests, "may_send", _sends_sales_again),
+        *("sale-sent-again", "an unsafe request that may have been executed is retried", "sale-small"),
+        *(requests, "may_send", _retry_unsafe),
     ),
     Bug(
         *("window-from-last", "the window counts from the last attempt", "listing-window"),
-        *(requests, "may_send", partial(_may_send, -1, True, True)),
+        *(requests, "may_send", partial(_may_send_variant, -1, True, True)),
     ),
     Bug(
-        *("window-for-choosing", "the window leaves no time to connect (this program's)", "listing-small"),
-        *(requests, "may_send", partial(_may_send, 0, False, True)),
+        *("window-for-choosing", "the window leaves no time to connect (a past bug)", "listing-small"),
+        *(requests, "may_send", partial(_may_send_variant, 0, False, True)),
     ),
     Bug(
-        *("first-is-answered", "answers are taken in the order of calls", "calls-two"),
-        *(ON, ev.Answered, _first_is_answered),
+        *("first-is-answered", "responses are assigned in the order of the calls", "calls-two"),
+        *(HANDLERS, ev.Answered, _answer_first_call),
     ),
     Bug(
-        *("unsent-from-the-front", "the first calls count as held back, not the last", "calls-two"),
-        *(connections, "is_unsent", _unsent_from_the_front),
+        *("unsent-from-the-front", "the first calls count as unsent, not the last ones", "calls-two"),
+        *(connections, "is_unsent", _first_calls_unsent),
     ),
     Bug(
-        *("given-up-with-others", "giving one call up ends the others on its connection", "calls-two"),
-        *(Lives, "_give_up_shared", _given_up_with_the_others),
+        *("given-up-with-others", "abandoning one call ends the others on its connection", "calls-two"),
+        *(Lives, "_give_up_shared", _give_up_all_calls),
     ),
     Bug(
-        *("joins-without-bound", "a connection takes any number of calls", "calls-three"),
-        *(Lives, "_joinable", _joins_any),
+        *("joins-without-bound", "a connection accepts any number of calls", "calls-three"),
+        *(Lives, "_joinable", _join_full_connection),
     ),
     Bug(
-        *("joins-old-lives", "a call joins a connection to an earlier life", "calls-drain"),
-        *(Lives, "_joinable", _joins_old_lives),
+        *("joins-old-lives", "a call joins a connection to an earlier incarnation", "calls-drain"),
+        *(Lives, "_joinable", _join_old_incarnation),
     ),
     Bug(
-        *("unusable-takes-all", "the calls on a line found ended are all sent again", "calls-two"),
-        *(ON, ev.Unusable, _unusable_takes_all),
+        *("unusable-takes-all", "all calls on a connection found closed are sent again", "calls-two"),
+        *(HANDLERS, ev.Unusable, _resend_all_calls),
     ),
     Bug(
-        *("stays-in-line", "a connection that has ended can still be joined", "calls-two"),
-        *(Lives, "_remove_joinable", _stays_in_line),
+        *("stays-in-line", "a closed connection can still be joined", "calls-two"),
+        *(Lives, "_remove_joinable", _remove_no_joinable),
     ),
     Bug(
-        *("breaks-the-first-only", "the end of a connection ends one of its calls", "calls-two"),
-        *(Lives, "_end_calls", _break_the_first),
+        *("breaks-the-first-only", "the end of a connection ends only one of its calls", "calls-two"),
+        *(Lives, "_end_calls", _end_first_call),
     ),
     Bug(
-        *("group-ignored", "a listing goes to another cell", "listing-cells"),
-        *(requests, "may_send", partial(_may_send, 0, True, False)),
+        *("group-ignored", "a keyed request is retried in another cell", "listing-cells"),
+        *(requests, "may_send", partial(_may_send_variant, 0, True, False)),
     ),
     Bug(
-        *("begun-and-sent-again", "a request whose answer has begun is sent again", "long-small"),
-        *(ON, ev.Begun, _begun_still_owed),
+        *("begun-and-sent-again", "a request whose response is being streamed is retried", "long-small"),
+        *(HANDLERS, ev.Begun, _stream_without_settling),
     ),
     Bug(
-        *("cut-as-whole", "an answer that breaks off is passed on as whole", "long-small"),
-        *(Lives, "_end_calls", _break_as_whole),
+        *("cut-as-whole", "a truncated response is marked as complete", "long-small"),
+        *(Lives, "_end_calls", _end_truncated_stream_as_complete),
     ),
     Bug(
-        *("left-and-passed-on", "an answer goes on although its client has left", "long-small"),
-        *(Lives, "_cut_off_response", _cut_nothing),
+        *(
+            "left-and-passed-on",
+            "a response is streamed on although its client has disconnected",
+            "long-small",
+        ),
+        *(Lives, "_cut_off_response", _cut_off_nothing),
     ),
     Bug(
-        *("begun-for-nobody", "an answer begins for a request that has its outcome", "long-uncancelled"),
-        *(ON, ev.Begun, _begun_for_nobody),
+        *(
+            "begun-for-nobody",
+            "a response is streamed for a request with a final outcome",
+            "long-uncancelled",
+        ),
+        *(HANDLERS, ev.Begun, _stream_after_outcome),
     ),
     Bug(
-        *("open-sale-loosened", "a new effect binds an open sale", "policy-sale-retune"),
-        *(Balancer, "on_retune", _retune_open_ones),
+        *("open-sale-loosened", "a new effect applies to an open request", "policy-sale-retune"),
+        *(Balancer, "on_retune", _retune_open_requests),
     ),
     Bug(
         *("dropped-and-orphaned", "an open request of a dropped class is forgotten", "policy-sale-drop"),
-        *(Balancer, "on_retune", _retune_orphans),
+        *(Balancer, "on_retune", _forget_requests_of_dropped_classes),
     ),
     Bug(
-        *("new-one-waits", "the old process stops accepting before the new one begins", takeover.NAME),
-        *(shares, "accepts", _accepts_late),
+        *("new-one-waits", "the old process stops accepting before the new one starts", takeover.NAME),
+        *(shares, "accepts", _accepts_only_with_room),
     ),
     Bug(
-        *("old-word-believed", "an older process is taken to hold what it told long ago", takeover.SLOW_NAME),
-        *(shares, "_held_by", _keeps_as_told),
+        *(
+            "old-word-believed",
+            "an outdated record of an older process is taken as current",
+            takeover.SLOW_NAME,
+        ),
+        *(shares, "_held_by", _held_as_reported),
     ),
     Bug(
-        *("left-to-the-dead", "room left to one that died is taken for one's own", takeover.SLOW_NAME),
-        *(shares, "_held_by", _keeps_for_any),
+        *(
+            "left-to-the-dead",
+            "descriptors that were left to a dead process are taken as free",
+            takeover.SLOW_NAME,
+        ),
+        *(shares, "_held_by", _held_after_yielding_to_any),
     ),
     Bug(
-        *("both-accept", "the old process goes on accepting beside a new one", takeover.NAME),
-        *(shares, "accepts", _accepts_beside),
+        *("both-accept", "the old process keeps accepting beside the new one", takeover.NAME),
+        *(shares, "accepts", _accepts_beside_younger),
     ),
     Bug(
         *("never-again", "the first process does not accept again when the new one dies", takeover.NAME),
-        *(shares, "accepts", _accepts_after_none),
-        lasts=True,
+        *(shares, "accepts", _accepts_never_again),
+        violates_liveness=True,
     ),
     Bug(
-        *("two-budgets", "each process has all descriptors for itself", takeover.NAME),
-        *(shares, "share", _share_of_all),
+        *("two-budgets", "each process uses all descriptors", takeover.NAME),
+        *(shares, "share", _share_ignoring_others),
     ),
     Bug(
-        *("kept-not-told", "the old process tells less than it holds", takeover.NAME),
-        *(shares, "share", _share_unheld),
+        *("kept-not-told", "the old process reports less than it holds", takeover.NAME),
+        *(shares, "share", _share_ignoring_own_use),
     ),
 )
 BY_NAME = {item.name: item for item in BUGS}
--- a/anisestair/states/properties.py
+++ b/anisestair/states/properties.py
@@ -1,77 +1,94 @@
-"""The properties that hold in every reachable state, in words. The monitors in `world` and `policy` check
-them."""
+"""The safety properties that must hold in every reachable state. `world` and `policy` check them.
+
+Their names occur in saved traces and in JSON output.
+"""
 
 from __future__ import annotations
 
 from statecheck import Violation
 
 ONE_OUTCOME = Violation(
-    "one outcome", "a request gets exactly one final outcome, and none after its client left"
+    "one outcome", "a request gets exactly one final outcome, and none after its client disconnected"
 )
-NOTHING_AFTER = Violation(
+NOTHING_SENT_AFTER_OUTCOME = Violation(
     "nothing after the outcome", "nothing is sent for a request after its final outcome"
 )
-NO_SECOND_RUN = Violation(
-    "no second run", "an unsafe request is sent again only if every attempt so far is known never to have run"
+NO_DUPLICATE_EXECUTION = Violation(
+    "no second run", "an unsafe request is retried only if no earlier attempt can have been executed"
+)
+RETRY_WITHIN_GROUP = Violation(
+    "one group", "a keyed request that may have been executed is retried only within its group of servers"
 )
-ONE_GROUP = Violation("one group", "a keyed request that may have run is sent again within its group only")
-IN_WINDOW = Violation(
+RETRY_WITHIN_WINDOW = Violation(
     "in the window",
-    "a keyed request goes out again no later than its window after the first send that may have run",
+    "a keyed request is retried only within its window after the first attempt that may have been executed",
 )
-PROMISE = Violation(
+REFUSED_ONLY_IF_SAFE = Violation(
     "a refusal is a promise",
-    "a request is refused only where trying again is harmless: no attempt can have run",
+    "a request is refused only if a retry is safe, since no attempt can have been executed",
 )
-DRAIN_KEPT = Violation(
+DRAIN_RESPECTED = Violation(
     "drains kept",
-    "nothing new goes to a server after the sidecar was told that it drains, is gone or has restarted",
+    "no new request is sent to a server after the list reported that it drains, was removed or has restarted",
+)
+RESPONSE_MATCHES_REQUEST = Violation(
+    "the right answer", "a response is delivered only to the request that it answers"
 )
-RIGHT_ANSWER = Violation("the right answer", "an answer reaches only the request that it was made for")
-CLEAN_LINE = Violation(
-    "a clean line", "no connection is used after anything came behind an answer, or unasked"
+CLEAN_CONNECTION = Violation(
+    "a clean line", "no connection is reused after bytes arrived that belong to no response"
 )
-ENDED_ONCE = Violation("ended once", "the module is told exactly once how an attempt ended")
-TRUE_WORD = Violation(
-    "a true word", "an attempt that may have run is not told to the module as one that never ran"
+REPORTED_ONCE = Violation("ended once", "the end of an attempt is reported to the balancer exactly once")
+REPORTED_TRUTHFULLY = Violation(
+    "a true word", "an attempt that may have been executed is not reported to the balancer as never executed"
 )
-ONE_SENDING = Violation("one sending", "an attempt is written once, on one connection")
-BOUND_KEPT = Violation(
-    "the bound kept", "there are never more connections than the bound on them, those being closed aside"
+WRITTEN_ONCE = Violation("one sending", "an attempt is written only once, on one connection")
+CONNECTION_LIMIT_KEPT = Violation(
+    "the bound kept", "the number of connections, except those being closed, never exceeds its limit"
 )
-NOTHING_LEFT = Violation(
+NO_LEAK = Violation(
     "nothing left behind",
-    "the tables hold what is owed or out, and nothing else: none of them grows for good",
+    "the tables contain exactly the open requests, attempts and connections, so that none of them leaks",
 )
-ALONE = Violation(
-    "ends alone", "giving up a request, or one of its attempts, ends no other request's attempt"
+ABANDONED_ALONE = Violation(
+    "ends alone", "abandoning a request or one of its attempts ends no attempt of another request"
 )
-CALLS_BOUND = Violation("calls bounded", "a connection never carries more calls than it may")
-ENDS_IN_ORDER = Violation(
-    "an orderly end", "at the end of the program no request that was taken is without an outcome"
+CALL_LIMIT_KEPT = Violation(
+    "calls bounded", "a connection never carries more concurrent calls than its limit"
 )
-BEGUN_ENDS = Violation(
-    "begun ends once", "an answer that has begun ends once, and the client's leaving ends it at its upstream"
+ANSWERED_AT_SHUTDOWN = Violation(
+    "an orderly end", "at shutdown every accepted request gets its final outcome"
 )
-CUT_TRUE = Violation(
-    "cut is cut", "an answer is passed on as whole only where its upstream has given all of it"
+STREAM_ENDS_ONCE = Violation(
+    "begun ends once", "a streamed response ends exactly once, also at the upstream if its client disconnects"
 )
-NO_FAULT = Violation("no fault", "no event raises an exception in the machines")
+TRUNCATION_SHOWN = Violation(
+    "cut is cut", "a streamed response is marked as complete only if the upstream has sent all of it"
+)
+NO_EXCEPTION = Violation("no fault", "no event raises an exception in the state machines")
 
 ALL = (
-    *(ONE_OUTCOME, NOTHING_AFTER, NO_SECOND_RUN, ONE_GROUP, IN_WINDOW, PROMISE, DRAIN_KEPT, RIGHT_ANSWER),
     *(
-        CLEAN_LINE,
-        ENDED_ONCE,
-        TRUE_WORD,
-        ONE_SENDING,
-        BOUND_KEPT,
-        NOTHING_LEFT,
-        ENDS_IN_ORDER,
-        NO_FAULT,
-        ALONE,
-        CALLS_BOUND,
-        BEGUN_ENDS,
-        CUT_TRUE,
+        ONE_OUTCOME,
+        NOTHING_SENT_AFTER_OUTCOME,
+        NO_DUPLICATE_EXECUTION,
+        RETRY_WITHIN_GROUP,
+        RETRY_WITHIN_WINDOW,
+        REFUSED_ONLY_IF_SAFE,
+        DRAIN_RESPECTED,
+        RESPONSE_MATCHES_REQUEST,
+    ),
+    *(
+        CLEAN_CONNECTION,
+        REPORTED_ONCE,
+        REPORTED_TRUTHFULLY,
+        WRITTEN_ONCE,
+        CONNECTION_LIMIT_KEPT,
+        NO_LEAK,
+        ANSWERED_AT_SHUTDOWN,
+        NO_EXCEPTION,
+        ABANDONED_ALONE,
+        CALL_LIMIT_KEPT,
+        STREAM_ENDS_ONCE,
+        TRUNCATION_SHOWN,
     ),
 )
--- a/tests/test_states.py
+++ b/tests/test_states.py
@@ -1,4 +1,4 @@
-"""The models of the machines: nothing broken as they are, and every seeded bug found."""
+"""The models of the lifecycle state machines: no violation as they are, and every seeded bug is detected."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 import pytest
 
 from anisestair.states import bugs, command, properties, scenarios
-from anisestair.states.command import POLICIES
-from anisestair.states.world import ENDED_WORLD, World
+from anisestair.states.command import POLICY_SCRIPTS
+from anisestair.states.world import TERMINATED, LifecycleModel
 from statecheck import explore
 from statecheck.model import State
 from statecheck.search import StateTable, final_state
 
 ROOT = Path(__file__).parent.parent
-LONGEST_TRACE = 15
+MAX_TRACE_EVENTS = 15  # a seeded bug shows after a few events
 
-# The states of each model: as many as there are, so that one which is lost, or merged with another, shows.
+# The exact number of states of each model, so that a lost state, or one merged with another, is noticed.
 STATES = {
     "sale-small": 420,
     "sale-two-servers": 10616,
@@ -45,15 +45,15 @@
 
 
 @pytest.mark.parametrize("name", [*(item.name for item in scenarios.SMALL), "takeover", "takeover-slow"])
-def test_a_model_is_covered_whole_and_breaks_nothing(name: str) -> None:
+def test_a_model_is_explored_completely_without_a_violation(name: str) -> None:
     for row in command.check(name, 1000.0, 600.0):
         assert (row.complete, row.property) == (True, ""), row
         if row.kind == "safety":
             assert row.states == STATES[name]
 
 
-@pytest.mark.parametrize("name", POLICIES)
-def test_the_module_keeps_the_rules_in_every_order(name: str) -> None:
+@pytest.mark.parametrize("name", POLICY_SCRIPTS)
+def test_the_balancer_keeps_the_properties_in_every_order_of_events(name: str) -> None:
     (row,) = command.check(name, 1000.0, 600.0)
     assert (row.complete, row.property) == (True, ""), row
     assert row.states > 50
@@ -61,19 +61,19 @@
 
 @pytest.mark.parametrize("bug", bugs.BUGS, ids=lambda bug: bug.name)
 def test_a_seeded_bug_is_found(bug: bugs.Bug) -> None:
-    row = command.hunt(bug, 600.0)
-    assert row.property and (len(row.events) <= LONGEST_TRACE or bug.model in POLICIES), row
-    # And with the reductions, on which the models without a bug rely.
-    if not bug.lasts and bug.model not in POLICIES:
+    row = command.find_bug(bug, 600.0)
+    assert row.property and (len(row.events) <= MAX_TRACE_EVENTS or bug.model in POLICY_SCRIPTS), row
+    # Also with the reductions that the models use without a bug.
+    if not bug.violates_liveness and bug.model not in POLICY_SCRIPTS:
         with bug.seeded():
             assert explore(command.model_of(bug.model)).violation is not None
 
 
-def test_there_are_bugs_of_every_kind() -> None:
+def test_the_seeded_bugs_violate_nearly_every_property() -> None:
     assert len(bugs.BUGS) >= 20 and len(bugs.BY_NAME) == len(bugs.BUGS)
-    found = {command.hunt(bug, 600.0).property for bug in bugs.BUGS if "pair" not in bug.model}
-    # A right answer for the wrong request needs two bugs at once, and nothing here raises an exception.
-    assert found >= {item.name for item in properties.ALL} - {
+    violated = {command.find_bug(bug, 600.0).property for bug in bugs.BUGS if "pair" not in bug.model}
+    # A response to the wrong request takes two bugs at once, and no seeded bug raises an exception.
+    assert violated >= {item.name for item in properties.ALL} - {
         *("the right answer", "one sending", "a clean line", "no fault", "the bound kept")
     }
 
@@ -81,27 +81,27 @@
 @pytest.mark.parametrize(
     "name", ["sale-small", "sale-uncancelled", "listing-cells", "pair-at-the-bound", "calls-two"]
 )
-def test_the_reductions_lose_no_state_that_matters(name: str) -> None:
-    model = World(scenarios.BY_NAME[name])
+def test_the_reductions_lose_no_relevant_state(name: str) -> None:
+    model = LifecycleModel(scenarios.BY_NAME[name])
 
     def visited(symmetry: bool, partial_order: bool) -> set[State]:
         store = StateTable()
         assert explore(model, symmetry=symmetry, partial_order=partial_order, store=store).complete
         return {store.state(index) for index in range(len(store))}
 
-    def settled(states: set[State]) -> set[State]:
-        """Those in which no connection is being closed: only the order of their ends is left out."""
-        return {item for item in states if item == ENDED_WORLD or not any(row[2] == 4 for row in item[-3])}
+    def without_closing(states: set[State]) -> set[State]:
+        """Return the states in which no connection is being closed: only the order of closing is reduced."""
+        return {item for item in states if item == TERMINATED or not any(row[2] == 4 for row in item[-3])}
 
     full = visited(False, False)
     assert {model.canonical(item) for item in full} == visited(True, False)
-    assert settled(visited(True, False)) == settled(visited(True, True))
+    assert without_closing(visited(True, False)) == without_closing(visited(True, True))
 
 
-def test_the_command_says_what_it_found(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_prints_its_results(capsys: pytest.CaptureFixture[str]) -> None:
     assert command.main(["--model", "sale-small"]) == 0
-    said = capsys.readouterr().out
-    assert said.count("complete") == 2 and "420" in said
+    output = capsys.readouterr().out
+    assert output.count("complete") == 2 and "420" in output
     assert command.main(["--model", "sale-small", "--json"]) == 0
     rows = json.loads(capsys.readouterr().out)
     assert [(row["kind"], row["complete"]) for row in rows] == [("safety", True), ("liveness", True)]
@@ -109,9 +109,7 @@
     assert "not complete" in capsys.readouterr().out
 
 
-def test_a_counterexample_is_saved_and_stepped_again(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_a_counterexample_is_saved_and_replayed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "t.json"
     assert command.main(["--bug", "reset-never-ran", "--save", str(file)]) == 1
     assert "   1. request r0 comes" in capsys.readouterr().out
@@ -125,9 +123,13 @@
 
 @pytest.mark.parametrize(
     ("change", "field"),
-    [({"model": "m"}, "model: m"), ({"bug": "b"}, "bug: b"), ({"events": ["pigs fly"]}, "event 1: pigs fly")],
+    [
+        ({"model": "m"}, "model: m"),
+        ({"bug": "b"}, "bug: b"),
+        ({"events": ["no such event"]}, "event 1: no such event"),
+    ],
 )
-def test_a_trace_that_does_not_fit_is_named(
+def test_a_trace_that_does_not_fit_the_model_is_reported(
     change: dict[str, object], field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "t.json"
@@ -137,26 +139,28 @@
     assert field in capsys.readouterr().err
 
 
-def test_a_policy_run_is_stepped_by_its_choices(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_policy_run_is_replayed_by_its_choices(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "t.json"
     row = command.check("policy-sale-drain", 1000.0, 600.0)[0]
-    command._save(row, "", file)
+    command._save_trace(row, "", file)
     assert command.main(["--trace", str(file)]) == 0
     assert "request r0 comes" in capsys.readouterr().out
 
 
-def test_unknown_names_are_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_unknown_names_are_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert command.main(["--bug", "none"]) == 2
     assert command.main(["--model", "none"]) == 2
     assert capsys.readouterr().err.count("\n") == 2
     assert command.main(["--list"]) == command.main(["--list-bugs"]) == 0
-    said = capsys.readouterr().out
-    assert all(name in said for name in (*scenarios.BY_NAME, *bugs.BY_NAME))
+    output = capsys.readouterr().out
+    assert all(name in output for name in (*scenarios.BY_NAME, *bugs.BY_NAME))
 
 
-def test_serving_loads_nothing_of_the_checker() -> None:
-    look = "import sys, anisestair.serving; print([n for n in sys.modules if 'state' in n])"
-    done = subprocess.run([sys.executable, "-c", look], cwd=ROOT, capture_output=True, text=True, check=True)
+def test_serving_loads_no_module_of_the_checker() -> None:
+    script = "import sys, anisestair.serving; print([n for n in sys.modules if 'state' in n])"
+    done = subprocess.run(
+        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
+    )
     assert done.stdout.strip() == "[]"
     done = subprocess.run(
         [sys.executable, "-m", "anisestair", "nonsense"], cwd=ROOT, capture_output=True, text=True
@@ -164,9 +168,9 @@
     assert (done.returncode, done.stderr.count("\n")) == (2, 1)
 
 
-def test_a_trace_of_names_changed_by_symmetry_is_one_that_can_be_played() -> None:
+def test_a_trace_found_with_symmetry_reduction_can_be_replayed() -> None:
     with bugs.BY_NAME["behind-ignored"].seeded():
-        model = World(scenarios.BY_NAME["pair-small"])
+        model = LifecycleModel(scenarios.BY_NAME["pair-small"])
         report = explore(model)
         assert report.violation is not None
         assert report.violation in final_state(model, report.trace)[-1]
