--- a/anisestair/rpc/setup.py
+++ b/anisestair/rpc/setup.py
@@ -6,7 +6,7 @@
 from anisestair.configure.operator_tables import RpcTable
 from anisestair.rpc.frontend import Lane, RpcFrontend
 from anisestair.rpc.meaning import CallRules, Rule
-from anisestair.sidecar import Sidecar, Watcher
+from anisestair.sidecar import Sidecar, StormObserver
 
 
 def start(
@@ -15,7 +15,7 @@
     most_upstream: int,
     table: RpcTable,
     most_clients: int,
-    storms: Watcher | None = None,
+    storms: StormObserver | None = None,
 ) -> tuple[Sidecar, RpcFrontend]:
     """Raises ConfigError, which names the field, for a table that contradicts the settings."""
     rules = tuple(
--- a/anisestair/serving.py
+++ b/anisestair/serving.py
@@ -47,7 +47,7 @@
     if operator is not None and operator.storms is not None:
         from anisestair.storms import report  # loaded only if enabled
 
-        storms = report.Reported(config, operator.storms.show)
+        storms = report.StormReporter(config, operator.storms.show)
     if table is None:
         sidecar, clients = Sidecar(config, offset_ms, each, storms=storms), each
     else:
--- a/anisestair/sidecar.py
+++ b/anisestair/sidecar.py
@@ -103,16 +103,16 @@
         """Create a connection without opening it; ``carried`` returns the calls outstanding on it."""
 
 
-class Watcher(Protocol):
+class StormObserver(Protocol):
     """What the sidecar requires of the retry storm detection, if that is enabled."""
 
-    def told(self, now: float, event: api.Event) -> object:
+    def observe_event(self, now: float, event: api.Event) -> object:
         """Observe an event before the balancer handles it."""
 
-    def said(self, now: float, action: api.Action) -> api.Action:
+    def adjust_action(self, now: float, action: api.Action) -> api.Action:
         """Return the balancer's action to perform: a refusal may get a different retry delay."""
 
-    def opened(self, now: float) -> None:
+    def observe_connect(self, now: float) -> None:
         """Observe that a connection to an upstream is being opened."""
 
 
@@ -150,7 +150,7 @@
         offset_ms: float,
         most_upstream: int,
         rpc: RpcLane | None = None,
-        storms: Watcher | None = None,
+        storms: StormObserver | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = config.settings
@@ -301,9 +301,9 @@
         now, storms = self.now(), self._storms
         try:
             if storms is not None:
-                storms.told(now, event)
+                storms.observe_event(now, event)
             for action in self.balancer.handle(now, event):
-                self._act(now, action if storms is None else storms.said(now, action))
+                self._act(now, action if storms is None else storms.adjust_action(now, action))
         except Exception:
             # An error in the balancer fails the current request only and does not stop the sidecar.
             log.exception("the balancer failed on %r", event)
@@ -409,7 +409,7 @@
     def _open(self, connection: int, server: str) -> None:
         upstream: UpstreamConnection
         if self._storms is not None:
-            self._storms.opened(self.now())
+            self._storms.observe_connect(self.now())
         if self._rpc is not None and self._rpc_name(server):
             upstream = self._rpc.connection(self.pool, connection, self._carried)
         else:
--- a/anisestair/states/command.py
+++ b/anisestair/states/command.py
@@ -18,7 +18,7 @@
 from statecheck.trace import Trace, TraceError, load_trace, step_through
 
 OTHER_MODELS: dict[str, type[Model]] = {
-    storm_state.NAME: storm_state.StormState,
+    storm_state.NAME: storm_state.StormDetectorModel,
     takeover.NAME: takeover.Takeover,
     takeover.SLOW_NAME: takeover.SlowTakeover,
 }
@@ -75,7 +75,7 @@
         )
     ]
     if name in LIVENESS_MODELS and report.complete:
-        liveness_model = storm_state.Calming() if name == storm_state.NAME else model
+        liveness_model = storm_state.CalmingModel() if name == storm_state.NAME else model
         liveness = check_liveness(liveness_model, memory_mb=memory_mb, seconds=seconds)
         violation, report = liveness.violation or Violation("", ""), liveness.report
         rows.append(
--- a/anisestair/storms/__init__.py
+++ b/anisestair/storms/__init__.py
@@ -1,1 +1,1 @@
-"""Storms of retries and reconnects: seen from this sidecar's own traffic, and returns that are spread."""
+"""Detects storms of retries and reconnects from the traffic of one sidecar, and spreads clients' retries."""
--- a/anisestair/storms/advice.py
+++ b/anisestair/storms/advice.py
@@ -1,9 +1,10 @@
-"""When a refused client is to come back, while a storm forms, lasts or ends. No I/O.
+"""The retry delay of refused requests while a storm forms, lasts or recedes. No I/O.
 
-One fixed advice brings all who were refused in the same moment back in the same moment. Out of calm it is
-spread at random round the module's own, client by client and sidecar by sidecar. It is not made longer: a
-line of booked returns, and twice the wait for a repeat, both cost worth in the fleet in virtual time, since
-what comes back later has less time left and is served late or not at all (docs/design/storms.md).
+Clients that are refused at the same time and given the same delay return at the same time. Outside the calm
+state the balancer's delay is therefore multiplied by a random factor for each client. The delay is not
+increased on average: assigning clients successive return times, and doubling the delay of retries, both
+lowered the objective in simulations, since clients that return later have less time left and are served late
+or not at all (docs/design/storms.md).
 
 Source: RFC 9110, section 10.2.3 (Retry-After).
 """
@@ -14,17 +15,19 @@
 
 from anisestair.storms.state import State
 
-SPREAD = 0.5  # either way
+SPREAD = 0.5  # the random factor is between 1 - SPREAD and 1 + SPREAD
 
 
-class Advice:
-    def __init__(self, most_ms: float, seed: int) -> None:
-        """``most_ms``: the longest advice that clients follow; 0 where they follow none."""
-        self._most_ms = most_ms
+class RetryDelay:
+    """Randomizes the retry delays of the balancer."""
+
+    def __init__(self, max_ms: float, seed: int) -> None:
+        """``max_ms``: the longest delay that clients follow; 0 if they follow none."""
+        self._max_ms = max_ms
         self._random = random.Random(seed)
 
-    def after(self, state: State, module_ms: float) -> float:
-        """Milliseconds; ``module_ms`` is the module's own advice, which stands in calm. 0 means none."""
-        if state is State.CALM or module_ms <= 0.0:
-            return module_ms
-        return min(module_ms * self._random.uniform(1.0 - SPREAD, 1.0 + SPREAD), self._most_ms)
+    def delay_ms(self, state: State, balancer_delay_ms: float) -> float:
+        """Return the delay to send to a client. In the calm state it is the balancer's; 0 means none."""
+        if state is State.CALM or balancer_delay_ms <= 0.0:
+            return balancer_delay_ms
+        return min(balancer_delay_ms * self._random.uniform(1.0 - SPREAD, 1.0 + SPREAD), self._max_ms)
--- a/anisestair/storms/command.py
+++ b/anisestair/storms/command.py
@@ -1,4 +1,4 @@
-"""``python -m anisestair storms show PATH``: what a running sidecar sees, as a table."""
+"""``python -m anisestair storms show PATH``: prints the storm detection table of a running sidecar."""
 
 from __future__ import annotations
 
@@ -6,31 +6,34 @@
 import socket
 import sys
 
-WAIT_S = 3.0
-MOST_BYTES = 64 * 1024  # a table has about two
+TIMEOUT_S = 3.0
+MAX_BYTES = 64 * 1024  # of the table, which usually has about 2 KiB
 
 
 def main(arguments: list[str]) -> int:
-    """Exit 0 with the table, 1 where nothing answers at PATH."""
-    words = argparse.ArgumentParser(prog="anisestair storms", description=__doc__)
-    words.add_subparsers(dest="what", required=True).add_parser(
+    """Return the exit status: 0 after printing the table, 1 if the socket at PATH does not answer."""
+    parser = argparse.ArgumentParser(prog="anisestair storms", description=__doc__)
+    parser.add_subparsers(dest="what", required=True).add_parser(
         "show", help="print the table of a running sidecar"
-    ).add_argument("path", help="the socket that [storms] show names, with or without unix:")
-    path = words.parse_args(arguments).path.removeprefix("unix:")
+    ).add_argument("path", help="the socket configured by show in [storms], with or without unix:")
+    path = parser.parse_args(arguments).path.removeprefix("unix:")
     try:
         text = _read(path)
-    except OSError as fault:
-        print(f"anisestair: {path}: {fault}: is a sidecar running whose [storms] names it?", file=sys.stderr)
+    except OSError as error:
+        print(
+            f"anisestair: {path}: {error}: is a sidecar running with this socket in [storms]?",
+            file=sys.stderr,
+        )
         return 1
     print(text, end="")
     return 0
 
 
 def _read(path: str) -> str:
-    found = b""
+    received = b""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
-        client.settimeout(WAIT_S)
+        client.settimeout(TIMEOUT_S)
         client.connect(path)
-        while len(found) < MOST_BYTES and (data := client.recv(65536)):
-            found += data
-    return found.decode("utf-8", "replace")
+        while len(received) < MAX_BYTES and (data := client.recv(65536)):
+            received += data
+    return received.decode("utf-8", "replace")
--- a/anisestair/storms/figures.py
+++ b/anisestair/storms/figures.py
@@ -1,8 +1,9 @@
-"""What a storm shows in one sidecar's own traffic, as figures over the last two seconds. No I/O, no clock.
+"""Traffic statistics of one sidecar over the last two seconds, from which retry storms are detected. No I/O.
 
-Events and actions of the decision module go in with their instants (milliseconds of the caller's clock, never
-going back); ``Sight.figures`` gives a snapshot. Memory is bounded: a ring of slots, one record a listed
-server, and a bounded number of refusals that are still to come back."""
+`TrafficMonitor` observes the events and actions of the balancer with their instants, in milliseconds of the
+caller's monotonic clock, and computes a `TrafficSnapshot`. Its memory is bounded: a ring of slots, one record
+for each listed server, and a limited number of expected retries.
+"""
 
 from __future__ import annotations
 
@@ -13,273 +14,302 @@
 from hareloom import interface as api
 from hareloom.interface import ListKind, Outcome, ServerState
 
-SLOT_MS, SLOTS = 250.0, 8  # a window of two seconds: shorter than the troubles, longer than most answers
-USUAL_MS = 15_000.0  # time constant of the usual rate of first tries; learnt in calm alone
-# A server is silent after so many attempts in a row without a word, over at least this time: one time-out is
-# a slow request, and several of one burst end together.
-SILENT_TRIES, SILENT_MS = 2, 200.0
-# Refusals whose client is still to come back, for telling repeats that are not marked. More at once than this
-# are counted no further; their repeats then look like first tries.
-MOST_DUE = 4096
-COMES_EARLY, COMES_LATE = 0.5, 1.5  # a client comes back within these shares of what it was told
-BACKOFF_MS = 100.0  # and about after this where it was told nothing
+SLOT_MS, SLOT_COUNT = 250.0, 8  # a window of 2 s: shorter than most faults, longer than most responses
+BASELINE_TIME_CONSTANT_MS = 15_000.0  # of the smoothing of the baseline rate
+# A server is unresponsive after this many consecutive attempts without a response, over at least this time: a
+# single timeout may be a slow request, and the attempts of one burst time out together.
+UNRESPONSIVE_ATTEMPTS, UNRESPONSIVE_MS = 2, 200.0
+# Refused requests whose retries are expected, by which unmarked retries are recognised. Beyond this limit
+# they are not tracked, and their retries count as original requests.
+MAX_EXPECTED_RETRIES = 4096
+EARLIEST_RETRY, LATEST_RETRY = 0.5, 1.5  # when a client retries, as multiples of the delay it was given
+DEFAULT_BACKOFF_MS = 100.0  # the assumed delay of a client that was given none
 
 
 @dataclass(slots=True)
 class Slot:
-    """Counts of a quarter of a second."""
-
-    offered: int = 0
-    marked: int = 0  # of those offered, repeats by the client's own word
-    due: float = 0.0  # refused clients that were to come back in it
-    opened: int = 0  # connections begun
-    unconnected: int = 0  # attempts that found no connection
-    sent: int = 0
-    answered: int = 0
+    """Counts over one slot of time."""
+
+    requests: int = 0  # from clients, including retries
+    marked_retries: int = 0  # requests that the client marked as retries
+    expected_retries: float = 0.0  # retries of refused requests that are expected in this slot
+    connects: int = 0  # connections that were started
+    connect_failures: int = 0  # attempts that got no connection
+    attempts: int = 0
+    successes: int = 0
     errors: int = 0
-    silent: int = 0  # attempts without a word in their time
+    timeouts: int = 0
     refused: int = 0
     failed: int = 0
 
 
-NAMES = tuple(item.name for item in fields(Slot))
+SLOT_FIELDS = tuple(item.name for item in fields(Slot))
 
 
 @dataclass(slots=True)
-class Known:
-    """What this sidecar has seen of one server."""
+class ServerActivity:
+    """The activity of one server as this sidecar observes it."""
 
     started_at: float | None
-    heard: float = -math.inf  # its last answer
-    mute: int = 0  # attempts in a row without a word
-    mute_since: float = math.inf
-    before: float = 0.0  # answers a second when it fell silent or started again
-    rate: float = 0.0  # and now, smoothed
-    counted: float = -math.inf
+    last_answer_at: float = -math.inf
+    unanswered: int = 0  # consecutive attempts without a response
+    unanswered_since: float = math.inf
+    earlier_rate: float = 0.0  # successes per second before it became unresponsive or restarted
+    rate: float = 0.0  # current successes per second, smoothed
+    rate_updated_at: float = -math.inf
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """A snapshot. Rates are per second, shares from 0 to 1, ages in milliseconds."""
-
-    offered: float  # all tries
-    first: float  # without the repeats, marked or not
-    usual: float  # first tries in calm
-    repeat_share: float  # of the tries
-    turned_share: float  # of the tries: refused or failed
-    opened: float  # connections begun
-    unconnected_share: float  # of the attempts
-    error_share: float
-    answered: float
-    servers: int  # listed
-    silent_share: float  # of them
-    returning: int  # started or heard again after silence, and not warm yet
-    back_share: float  # of what the returning ones answered before, what they answer now; 1 where none return
-    oldest_ms: float  # age of the oldest belief: the listed server that was heard longest ago, of those heard
+class TrafficSnapshot:
+    """The statistics at one instant. Rates are per second, shares from 0 to 1."""
+
+    request_rate: float  # all requests from clients, including retries
+    original_rate: float  # without retries, marked or recognised
+    baseline_rate: float  # original requests in the calm state
+    retry_share: float  # of the requests
+    unserved_share: float  # of the requests: refused or failed
+    connect_rate: float  # connections that were started
+    connect_failure_share: float  # of the attempts
+    error_share: float  # of the attempts
+    success_rate: float
+    servers: int  # number of listed servers
+    unresponsive_share: float  # of the listed servers
+    warming_servers: int  # restarted or responsive again, and not warm yet
+    warming_rate_share: (
+        float  # of their earlier rate of successes, the warming servers' present one; 1 if none
+    )
+    oldest_answer_ms: float  # age of the last response of the server that has been silent for longest
 
     @property
     def amplification(self) -> float:
-        """Tries for each first one."""
-        return self.offered / self.first if self.first > 0 else 1.0
+        """The number of requests for each original one."""
+        return self.request_rate / self.original_rate if self.original_rate > 0 else 1.0
 
 
-class Sight:
-    """Takes what the decision module is told and says."""
+class TrafficMonitor:
+    """Observes the events and actions of the balancer and computes the statistics."""
 
     def __init__(self, warm_up_ms: float) -> None:
         self.warm_up_ms = max(warm_up_ms, 1000.0)
-        self.calm = True  # whether the usual rate is learnt; the state's owner sets it
-        self.usual = 0.0
+        self.learns_baseline = True  # set by the owner: only in the calm state
+        self.baseline_rate = 0.0
         self._slots: deque[tuple[int, Slot]] = deque()
-        self._began: float | None = None
-        self._learnt = -math.inf
-        self._servers: dict[str, Known] = {}
-        self._out: dict[tuple[str, int], tuple[str, float]] = {}
-        self._tries: dict[str, int] = {}
-        self._due: deque[tuple[float, float]] = deque()
-        self._returned: dict[str, float] = {}  # when
-
-    # What goes in
-
-    def told(self, now: float, event: api.Event) -> None:
-        """An event that the module is told."""
-        slot = self._slot(now)
+        self._started_at: float | None = None
+        self._baseline_updated_at = -math.inf
+        self._servers: dict[str, ServerActivity] = {}
+        self._in_flight: dict[tuple[str, int], tuple[str, float]] = {}
+        self._attempt_counts: dict[str, int] = {}
+        self._retry_intervals: deque[tuple[float, float]] = deque()
+        self._warming_since: dict[str, float] = {}
+
+    # Observations
+
+    def observe_event(self, now: float, event: api.Event) -> None:
+        """Observe an event that the balancer handles."""
+        slot = self._current_slot(now)
         if isinstance(event, api.Request):
-            slot.offered += 1
-            slot.marked += event.retry
+            slot.requests += 1
+            slot.marked_retries += event.retry
         elif isinstance(event, api.AttemptEnded):
-            self._ended(now, slot, event)
+            self._attempt_ended(now, slot, event)
         elif isinstance(event, api.ClientGone):
-            self._tries.pop(event.request, None)
+            self._attempt_counts.pop(event.request, None)
         elif isinstance(event, api.ServerList):
-            self._listed(now, event)
+            self._apply_list(now, event)
 
-    def said(self, now: float, action: api.Action) -> None:
-        """An action that the module says."""
-        slot = self._slot(now)
+    def observe_action(self, now: float, action: api.Action) -> None:
+        """Observe an action of the balancer."""
+        slot = self._current_slot(now)
         if isinstance(action, api.Send):
-            number = self._tries.get(action.request, 0)
-            self._tries[action.request] = number + 1
-            self._out[action.request, number] = (action.server, now)
-            slot.sent += 1
+            number = self._attempt_counts.get(action.request, 0)
+            self._attempt_counts[action.request] = number + 1
+            self._in_flight[action.request, number] = (action.server, now)
+            slot.attempts += 1
         elif isinstance(action, api.Refuse):
-            self._tries.pop(action.request, None)
+            self._attempt_counts.pop(action.request, None)
             slot.refused += 1
-            wait = action.retry_after_ms or BACKOFF_MS
-            if len(self._due) < MOST_DUE:
-                due = (now + COMES_EARLY * wait, now + COMES_LATE * wait)
-                self._due.append(due)
-                slot.due += _part(due, self._slots[-1][0])
+            delay = action.retry_after_ms or DEFAULT_BACKOFF_MS
+            if len(self._retry_intervals) < MAX_EXPECTED_RETRIES:
+                interval = (now + EARLIEST_RETRY * delay, now + LATEST_RETRY * delay)
+                self._retry_intervals.append(interval)
+                slot.expected_retries += _overlap_share(interval, self._slots[-1][0])
         elif isinstance(action, api.Fail):
-            self._tries.pop(action.request, None)
+            self._attempt_counts.pop(action.request, None)
             slot.failed += 1
 
-    def opened(self, now: float) -> None:
-        """A connection to a server is begun."""
-        self._slot(now).opened += 1
+    def observe_connect(self, now: float) -> None:
+        """Observe that a connection to a server is being opened."""
+        self._current_slot(now).connects += 1
 
-    def _ended(self, now: float, slot: Slot, event: api.AttemptEnded) -> None:
-        server, sent = self._out.pop((event.request, event.attempt), ("", now))
+    def _attempt_ended(self, now: float, slot: Slot, event: api.AttemptEnded) -> None:
+        server, sent_at = self._in_flight.pop((event.request, event.attempt), ("", now))
         if event.closed:
-            self._tries.pop(event.request, None)
-        known = self._servers.get(server)
+            self._attempt_counts.pop(event.request, None)
+        activity = self._servers.get(server)
         outcome = event.outcome
-        slot.unconnected += outcome is Outcome.CONNECT_FAILED
+        slot.connect_failures += outcome is Outcome.CONNECT_FAILED
         slot.errors += outcome in (Outcome.ERROR, Outcome.RESET)
         if outcome in (Outcome.CANCELLED, Outcome.MOOT):
             return
         if outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
-            slot.silent += outcome is Outcome.TIMEOUT
-            if known is not None and known.heard <= sent:  # answers to others since: it is only slow
-                known.mute += 1
-                known.mute_since = min(known.mute_since, sent)
+            slot.timeouts += outcome is Outcome.TIMEOUT
+            # A server that has answered another request since then is only slow.
+            if activity is not None and activity.last_answer_at <= sent_at:
+                activity.unanswered += 1
+                activity.unanswered_since = min(activity.unanswered_since, sent_at)
             return
-        slot.answered += outcome is Outcome.OK
-        if known is None:
+        slot.successes += outcome is Outcome.OK
+        if activity is None:
             return
-        if self._mute(known, now):
-            self._return(server, known, now)
-        known.mute, known.mute_since, known.heard = 0, math.inf, now
+        if self._is_unresponsive(activity, now):
+            self._mark_warming(server, activity, now)
+        activity.unanswered, activity.unanswered_since, activity.last_answer_at = 0, math.inf, now
         if outcome is Outcome.OK:
-            self._count(known, now)
+            self._count_success(activity, now)
 
-    def _listed(self, now: float, event: api.ServerList) -> None:
+    def _apply_list(self, now: float, event: api.ServerList) -> None:
         if event.kind is ListKind.LOST:
             return
         if event.kind is not ListKind.DELTA:
-            named = {entry.server for entry in event.entries if entry.state is not ServerState.GONE}
-            for server in self._servers.keys() - named:
-                self._forget(server)
+            listed = {entry.server for entry in event.entries if entry.state is not ServerState.GONE}
+            for server in self._servers.keys() - listed:
+                self._forget_server(server)
         for entry in event.entries:
             if entry.state is ServerState.GONE:
-                self._forget(entry.server)
+                self._forget_server(entry.server)
                 continue
-            known = self._servers.get(entry.server)
-            if known is None:
-                self._servers[entry.server] = Known(entry.started_at)
+            activity = self._servers.get(entry.server)
+            if activity is None:
+                self._servers[entry.server] = ServerActivity(entry.started_at)
                 if entry.started_at is not None and now - entry.started_at < self.warm_up_ms:
-                    self._returned[entry.server] = now
-            elif entry.started_at not in (None, known.started_at):
-                known.started_at = entry.started_at
-                self._return(entry.server, known, now)
-                known.mute, known.mute_since = 0, math.inf
+                    self._warming_since[entry.server] = now
+            elif entry.started_at not in (None, activity.started_at):
+                activity.started_at = entry.started_at
+                self._mark_warming(entry.server, activity, now)
+                activity.unanswered, activity.unanswered_since = 0, math.inf
 
-    def _forget(self, server: str) -> None:
+    def _forget_server(self, server: str) -> None:
         self._servers.pop(server, None)
-        self._returned.pop(server, None)
-
-    def _return(self, server: str, known: Known, now: float) -> None:
-        if server not in self._returned:
-            known.before, known.rate, known.counted = self._rate(known, known.heard), 0.0, now
-        self._returned[server] = now
-
-    def _mute(self, known: Known, now: float) -> bool:
-        return known.mute >= SILENT_TRIES and now - known.mute_since >= SILENT_MS
-
-    def _count(self, known: Known, now: float) -> None:
-        known.rate = self._rate(known, now) + 1000.0 / (SLOT_MS * SLOTS)
-        known.counted = now
-
-    def _rate(self, known: Known, now: float) -> float:
-        """Answers a second, smoothed over the window."""
-        gap = max(now - known.counted, 0.0) if known.counted > -math.inf else 0.0
-        return known.rate * math.exp(-gap / (SLOT_MS * SLOTS))
-
-    # What comes out
-
-    def figures(self, now: float) -> Figures:
-        self._slot(now)  # what is too old goes
-        total = {name: 0.0 for name in NAMES}
-        for _, item in self._slots:
-            for name in NAMES:
-                total[name] += getattr(item, name)
-        began = max(self._began if self._began is not None else now, self._slots[0][0] * SLOT_MS)
-        seconds = max(now - began, SLOT_MS) / 1000.0
-        offered = total["offered"] / seconds
-        marked = total["marked"] / seconds
-        # Tries beyond the usual rate, as far as refused clients were to come back just then.
-        unmarked = max(min(offered - marked - self.usual, total["due"] / seconds - marked), 0.0)
-        if self.usual <= 0.0:
-            unmarked = 0.0
-        first = max(offered - marked - unmarked, 0.0)
-        self._learn(now, first)
-        attempts = max(total["sent"], 1.0)
-        tries = max(total["offered"], 1.0)
-        for server, since in list(self._returned.items()):
+        self._warming_since.pop(server, None)
+
+    def _mark_warming(self, server: str, activity: ServerActivity, now: float) -> None:
+        if server not in self._warming_since:
+            activity.earlier_rate, activity.rate, activity.rate_updated_at = (
+                self._decayed_rate(activity, activity.last_answer_at),
+                0.0,
+                now,
+            )
+        self._warming_since[server] = now
+
+    def _is_unresponsive(self, activity: ServerActivity, now: float) -> bool:
+        return (
+            activity.unanswered >= UNRESPONSIVE_ATTEMPTS
+            and now - activity.unanswered_since >= UNRESPONSIVE_MS
+        )
+
+    def _count_success(self, activity: ServerActivity, now: float) -> None:
+        activity.rate = self._decayed_rate(activity, now) + 1000.0 / (SLOT_MS * SLOT_COUNT)
+        activity.rate_updated_at = now
+
+    def _decayed_rate(self, activity: ServerActivity, now: float) -> float:
+        """Return the successes per second at ``now``, smoothed over the window."""
+        elapsed = max(now - activity.rate_updated_at, 0.0) if activity.rate_updated_at > -math.inf else 0.0
+        return activity.rate * math.exp(-elapsed / (SLOT_MS * SLOT_COUNT))
+
+    # Statistics
+
+    def snapshot(self, now: float) -> TrafficSnapshot:
+        """Compute the statistics and update the baseline rate."""
+        self._current_slot(now)  # drops expired slots
+        total = {name: 0.0 for name in SLOT_FIELDS}
+        for _, slot in self._slots:
+            for name in SLOT_FIELDS:
+                total[name] += getattr(slot, name)
+        window_start = max(
+            self._started_at if self._started_at is not None else now, self._slots[0][0] * SLOT_MS
+        )
+        seconds = max(now - window_start, SLOT_MS) / 1000.0
+        request_rate = total["requests"] / seconds
+        marked_rate = total["marked_retries"] / seconds
+        # Unmarked retries: requests above the baseline, as far as retries of refused ones are expected now.
+        unmarked_rate = max(
+            min(
+                request_rate - marked_rate - self.baseline_rate,
+                total["expected_retries"] / seconds - marked_rate,
+            ),
+            0.0,
+        )
+        if self.baseline_rate <= 0.0:
+            unmarked_rate = 0.0
+        original_rate = max(request_rate - marked_rate - unmarked_rate, 0.0)
+        self._update_baseline(now, original_rate)
+        attempts = max(total["attempts"], 1.0)
+        requests = max(total["requests"], 1.0)
+        for server, since in list(self._warming_since.items()):
             if now - since >= self.warm_up_ms:
-                del self._returned[server]
-        back = [self._servers[name] for name in self._returned]
-        before = sum(known.before for known in back)
-        heard = [known.heard for known in self._servers.values() if known.heard > -math.inf]
-        mute = sum(self._mute(known, now) for known in self._servers.values())
-        return Figures(
-            offered=offered,
-            first=first,
-            usual=self.usual,
-            repeat_share=(marked + unmarked) / offered if offered > 0 else 0.0,
-            turned_share=min((total["refused"] + total["failed"]) / tries, 1.0),
-            opened=total["opened"] / seconds,
-            unconnected_share=min(total["unconnected"] / attempts, 1.0),
+                del self._warming_since[server]
+        warming = [self._servers[name] for name in self._warming_since]
+        earlier_rate = sum(activity.earlier_rate for activity in warming)
+        answer_times = [
+            activity.last_answer_at
+            for activity in self._servers.values()
+            if activity.last_answer_at > -math.inf
+        ]
+        unresponsive = sum(self._is_unresponsive(activity, now) for activity in self._servers.values())
+        return TrafficSnapshot(
+            request_rate=request_rate,
+            original_rate=original_rate,
+            baseline_rate=self.baseline_rate,
+            retry_share=(marked_rate + unmarked_rate) / request_rate if request_rate > 0 else 0.0,
+            unserved_share=min((total["refused"] + total["failed"]) / requests, 1.0),
+            connect_rate=total["connects"] / seconds,
+            connect_failure_share=min(total["connect_failures"] / attempts, 1.0),
             error_share=min(total["errors"] / attempts, 1.0),
-            answered=total["answered"] / seconds,
+            success_rate=total["successes"] / seconds,
             servers=len(self._servers),
-            silent_share=mute / max(len(self._servers), 1),
-            returning=len(self._returned),
-            back_share=min(sum(self._rate(k, now) for k in back) / before, 1.0) if before > 0 else 1.0,
-            oldest_ms=max(now - min(heard), 0.0) if heard else 0.0,
+            unresponsive_share=unresponsive / max(len(self._servers), 1),
+            warming_servers=len(self._warming_since),
+            warming_rate_share=min(
+                sum(self._decayed_rate(activity, now) for activity in warming) / earlier_rate, 1.0
+            )
+            if earlier_rate > 0
+            else 1.0,
+            oldest_answer_ms=max(now - min(answer_times), 0.0) if answer_times else 0.0,
         )
 
-    def _learn(self, now: float, first: float) -> None:
-        """The usual rate, in calm alone: a storm's own tries must not come to count as usual."""
-        if self._began is None or now - self._began < SLOT_MS * SLOTS:
+    def _update_baseline(self, now: float, original_rate: float) -> None:
+        """Update the baseline rate, only in the calm state: it must not adapt to the load of a storm."""
+        if self._started_at is None or now - self._started_at < SLOT_MS * SLOT_COUNT:
             return
-        if self._learnt == -math.inf:
-            self.usual, self._learnt = first, now
-        elif self.calm:
-            part = 1.0 - math.exp(-(now - self._learnt) / USUAL_MS)
-            self.usual += part * (first - self.usual)
-        self._learnt = max(self._learnt, now)
-
-    def _slot(self, now: float) -> Slot:
-        if self._began is None:
-            self._began = now
+        if self._baseline_updated_at == -math.inf:
+            self.baseline_rate, self._baseline_updated_at = original_rate, now
+        elif self.learns_baseline:
+            weight = 1.0 - math.exp(-(now - self._baseline_updated_at) / BASELINE_TIME_CONSTANT_MS)
+            self.baseline_rate += weight * (original_rate - self.baseline_rate)
+        self._baseline_updated_at = max(self._baseline_updated_at, now)
+
+    def _current_slot(self, now: float) -> Slot:
+        if self._started_at is None:
+            self._started_at = now
         number = int(now // SLOT_MS)
         if not self._slots or self._slots[-1][0] < number:
             self._slots.append((number, Slot()))
-            while self._slots[0][0] <= number - SLOTS:
+            while self._slots[0][0] <= number - SLOT_COUNT:
                 self._slots.popleft()
-            self._fall_due()
+            self._add_expected_retries()
         return self._slots[-1][1]
 
-    def _fall_due(self) -> None:
-        """Spread each refusal's return over the slots in which it may come."""
+    def _add_expected_retries(self) -> None:
+        """Add to the newest slot its share of the expected retries, and drop intervals that have ended."""
         number, slot = self._slots[-1]
-        self._due = deque(due for due in self._due if due[1] > number * SLOT_MS)
-        slot.due += sum(_part(due, number) for due in self._due)
+        self._retry_intervals = deque(
+            interval for interval in self._retry_intervals if interval[1] > number * SLOT_MS
+        )
+        slot.expected_retries += sum(_overlap_share(interval, number) for interval in self._retry_intervals)
 
 
-def _part(due: tuple[float, float], number: int) -> float:
-    """How much of a return that may come between two instants falls into a slot."""
-    early, late = due
-    begin = number * SLOT_MS
-    return max(min(late, begin + SLOT_MS) - max(early, begin), 0.0) / max(late - early, 1e-9)
+def _overlap_share(interval: tuple[float, float], number: int) -> float:
+    """Return the share of an interval that falls into the slot with that number."""
+    start, end = interval
+    slot_start = number * SLOT_MS
+    return max(min(end, slot_start + SLOT_MS) - max(start, slot_start), 0.0) / max(end - start, 1e-9)
--- a/anisestair/storms/state.py
+++ b/anisestair/storms/state.py
@@ -1,9 +1,8 @@
-"""Calm, forming, storm, recovering: a named state from figures, with hysteresis. No I/O, no clock.
+"""Detection of retry storms: a state machine with hysteresis over traffic statistics. No I/O, no clock.
 
-``Judge.step`` is called a few times a second and gives a change where there is one, with its reason. Entering
-takes evidence of a trouble (silent servers, connections that fail, servers that return) or tries that feed on
-themselves while first tries are as usual. A burst of first tries alone is none: it is an overload, and the
-module's limit is for that.
+The owner calls ``StormDetector.update`` a few times a second. A storm forms if there is evidence of a fault
+(unresponsive servers, failed connects, errors), or if retries amplify the load while the rate of original
+requests is normal. A burst of original requests alone is an overload, which the balancer's limit handles.
 """
 
 from __future__ import annotations
@@ -11,93 +10,122 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from anisestair.storms.figures import Figures
+from anisestair.storms.figures import TrafficSnapshot
 
 
 class State(Enum):
+    """The states of a storm, in their order."""
+
     CALM = "calm"
     FORMING = "forming"
     STORM = "storm"
     RECOVERING = "recovering"
 
 
-# Evidence of a trouble: shares of the servers silent, of the attempts unconnected or in error.
-SILENT, UNCONNECTED, ERRORS = 0.08, 0.1, 0.25
-# Tries for each first one: from here on a storm forms, is one, and is over. Wide apart: near one value the
-# state would change with each window, and advice with it.
-AMPLIFIED, STORMY, OVER = 1.15, 1.5, 1.08
-TURNED, FEW_TURNED = 0.2, 0.03  # share of the tries refused or failed: of a storm, and of what is over
-BURST = 1.3  # first tries beyond so many times the usual are a burst, and amplification is its own
-# How long a reason must last. Forming is soon left again where nothing follows; a storm that pauses is not
-# over.
-ENTER_MS, LAPSE_MS, RECOVER_MS, CALM_MS = 500.0, 2000.0, 1000.0, 3000.0
-MEMORY_MS = 10_000.0  # so long evidence of a trouble counts after it was seen: repeats come later than causes
+# Evidence of a fault: shares of unresponsive servers, and of attempts without a connection or with an error.
+UNRESPONSIVE_SHARE, CONNECT_FAILURE_SHARE, ERROR_SHARE = 0.08, 0.1, 0.25
+# Requests for each original one at which a storm forms, has formed, and is over. They are far apart: near a
+# single threshold the state, and with it the retry delays, would change with each window.
+FORMING_AMPLIFICATION, STORM_AMPLIFICATION, CALM_AMPLIFICATION = 1.15, 1.5, 1.08
+# Shares of refused or failed requests at which a storm has formed, and is over.
+STORM_UNSERVED_SHARE, CALM_UNSERVED_SHARE = 0.2, 0.03
+BURST_FACTOR = 1.3  # more original requests than this multiple of the baseline are a burst
+# How long a condition must hold before a change to forming or storm, from forming back to calm, to
+# recovering, and from recovering to calm. A false alarm ends soon, and a pause does not end a storm.
+ENTER_MS, FALSE_ALARM_MS, RECOVER_MS, CALM_MS = 500.0, 2000.0, 1000.0, 3000.0
+EVIDENCE_LIFETIME_MS = 10_000.0  # how long evidence of a fault counts: retries follow their cause
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
+    """A change of the state."""
+
     before: State
     after: State
     at: float
     reason: str
 
 
-class Judge:
+class StormDetector:
+    """The current state, its reason, and the pending change."""
+
     def __init__(self) -> None:
         self.state, self.since = State.CALM, 0.0
-        self.reason = "nothing seen"
-        self._evidence_at = float("-inf")
-        self._toward: tuple[State, float] | None = None  # where the figures point, and since when
-
-    def step(self, now: float, seen: Figures) -> Change | None:
-        """At most one step along calm, forming, storm, recovering, calm (and back from the middle ones)."""
-        if evidence(seen):
-            self._evidence_at = now
-        wanted, reason, after = self._wanted(now, seen)
-        if wanted is self.state:
-            self._toward = None
+        self.reason = "no change since the start"
+        self._fault_seen_at = float("-inf")
+        self._pending: tuple[State, float] | None = None  # the state to change to, and since when
+
+    def update(self, now: float, snapshot: TrafficSnapshot) -> Change | None:
+        """Return the change of state that the statistics cause, if any. It leads to the next state in their
+        order or, from forming or recovering, back to the previous one."""
+        if has_fault_evidence(snapshot):
+            self._fault_seen_at = now
+        next_state, reason, required_ms = self._next_state(now, snapshot)
+        if next_state is self.state:
+            self._pending = None
             return None
-        if self._toward is None or self._toward[0] is not wanted:
-            self._toward = (wanted, now)
-        if now - self._toward[1] < after:
+        if self._pending is None or self._pending[0] is not next_state:
+            self._pending = (next_state, now)
+        if now - self._pending[1] < required_ms:
             return None
-        change = Change(self.state, wanted, now, reason)
-        self.state, self.since, self.reason, self._toward = wanted, now, reason, None
+        change = Change(self.state, next_state, now, reason)
+        self.state, self.since, self.reason, self._pending = next_state, now, reason, None
         return change
 
-    def _wanted(self, now: float, seen: Figures) -> tuple[State, str, float]:
-        troubled = now - self._evidence_at <= MEMORY_MS
-        burst = seen.usual > 0 and seen.first > BURST * seen.usual
-        why = words(seen)
-        feeds = seen.amplification >= AMPLIFIED and (troubled or not burst)
+    def _next_state(self, now: float, snapshot: TrafficSnapshot) -> tuple[State, str, float]:
+        """Return the state that the statistics call for, the reason, and how long they must do so."""
+        recent_fault = now - self._fault_seen_at <= EVIDENCE_LIFETIME_MS
+        burst = snapshot.baseline_rate > 0 and snapshot.original_rate > BURST_FACTOR * snapshot.baseline_rate
+        description = describe(snapshot)
+        amplified = snapshot.amplification >= FORMING_AMPLIFICATION and (recent_fault or not burst)
         if self.state is State.CALM:
-            if evidence(seen) or feeds:
-                return State.FORMING, why, ENTER_MS
+            if has_fault_evidence(snapshot) or amplified:
+                return State.FORMING, description, ENTER_MS
         elif self.state is State.FORMING:
-            if feeds and (seen.amplification >= STORMY or seen.turned_share >= TURNED):
-                return State.STORM, why, ENTER_MS
-            if not evidence(seen) and not feeds:
-                return State.CALM, f"nothing followed: {why}", LAPSE_MS
+            if amplified and (
+                snapshot.amplification >= STORM_AMPLIFICATION
+                or snapshot.unserved_share >= STORM_UNSERVED_SHARE
+            ):
+                return State.STORM, description, ENTER_MS
+            if not has_fault_evidence(snapshot) and not amplified:
+                return State.CALM, f"false alarm: {description}", FALSE_ALARM_MS
         elif self.state is State.STORM:
-            if seen.amplification < STORMY and seen.turned_share < TURNED and seen.silent_share < SILENT:
-                return State.RECOVERING, why, RECOVER_MS
-        elif feeds and (seen.amplification >= STORMY or seen.turned_share >= TURNED):
-            return State.STORM, f"again: {why}", ENTER_MS
-        elif seen.amplification < OVER and seen.turned_share < FEW_TURNED and not evidence(seen):
-            return State.CALM, why, CALM_MS
-        return self.state, why, 0.0
-
-
-def evidence(seen: Figures) -> bool:
-    """Something other than load: what a burst of first tries does not show."""
-    return seen.silent_share >= SILENT or seen.unconnected_share >= UNCONNECTED or seen.error_share >= ERRORS
+            if (
+                snapshot.amplification < STORM_AMPLIFICATION
+                and snapshot.unserved_share < STORM_UNSERVED_SHARE
+                and snapshot.unresponsive_share < UNRESPONSIVE_SHARE
+            ):
+                return State.RECOVERING, description, RECOVER_MS
+        elif amplified and (
+            snapshot.amplification >= STORM_AMPLIFICATION or snapshot.unserved_share >= STORM_UNSERVED_SHARE
+        ):
+            return State.STORM, f"again: {description}", ENTER_MS
+        elif (
+            snapshot.amplification < CALM_AMPLIFICATION
+            and snapshot.unserved_share < CALM_UNSERVED_SHARE
+            and not has_fault_evidence(snapshot)
+        ):
+            return State.CALM, description, CALM_MS
+        return self.state, description, 0.0
+
+
+def has_fault_evidence(snapshot: TrafficSnapshot) -> bool:
+    """Return whether the statistics show a fault, as opposed to an overload by original requests."""
+    return (
+        snapshot.unresponsive_share >= UNRESPONSIVE_SHARE
+        or snapshot.connect_failure_share >= CONNECT_FAILURE_SHARE
+        or snapshot.error_share >= ERROR_SHARE
+    )
 
 
-def words(seen: Figures) -> str:
-    """The figures that count, for one line of a log."""
+def describe(snapshot: TrafficSnapshot) -> str:
+    """Return the relevant statistics as one line for logs."""
     return (
-        f"{seen.offered:.0f} tries/s for {seen.first:.0f} first (usually {seen.usual:.0f}),"
-        f" {seen.turned_share:.0%} turned away, {seen.silent_share:.0%} of {seen.servers} servers silent,"
-        f" {seen.unconnected_share:.0%} of attempts unconnected, {seen.returning} returning at"
-        f" {seen.back_share:.0%} of before"
+        f"{snapshot.request_rate:.0f} requests/s, {snapshot.original_rate:.0f} without retries"
+        f" (baseline {snapshot.baseline_rate:.0f}),"
+        f" {snapshot.unserved_share:.0%} refused or failed,"
+        f" {snapshot.unresponsive_share:.0%} of {snapshot.servers} servers unresponsive,"
+        f" {snapshot.connect_failure_share:.0%} of attempts without a connection,"
+        f" {snapshot.warming_servers} servers warming up"
+        f" at {snapshot.warming_rate_share:.0%} of their earlier rate"
     )
--- a/anisestair/storms/table.py
+++ b/anisestair/storms/table.py
@@ -1,4 +1,4 @@
-"""The state of storms as a table of lines, for people. No I/O."""
+"""The state of the storm detection as a table for people. No I/O."""
 
 from __future__ import annotations
 
@@ -6,30 +6,44 @@
 
 
 def lines(watch: Watch, now: float) -> list[str]:
-    """Name, value and unit a line; then the last changes, newest last."""
-    judge, seen = watch.judge, watch.seen
-    rows = [("state", judge.state.value, f"for {max(now - judge.since, 0.0) / 1000.0:.1f} s: {judge.reason}")]
-    if seen is not None:
+    """Return the lines: name, value and unit of each statistic, then the recent changes, the newest last."""
+    detector, snapshot = watch.detector, watch.snapshot
+    rows = [
+        (
+            "state",
+            detector.state.value,
+            f"for {max(now - detector.since, 0.0) / 1000.0:.1f} s: {detector.reason}",
+        )
+    ]
+    if snapshot is not None:
         rows += [
-            ("tries", f"{seen.offered:.1f}", "a second"),
-            ("first tries", f"{seen.first:.1f}", f"a second; usually {seen.usual:.1f}"),
-            ("amplification", f"{seen.amplification:.2f}", "tries for each first one"),
-            ("repeats", f"{seen.repeat_share:.1%}", "of the tries, marked or recognised"),
-            ("turned away", f"{seen.turned_share:.1%}", "of the tries, refused or failed"),
-            ("connects", f"{seen.opened:.1f}", "a second"),
-            ("unconnected", f"{seen.unconnected_share:.1%}", "of the attempts"),
-            ("errors", f"{seen.error_share:.1%}", "of the attempts"),
-            ("answers", f"{seen.answered:.1f}", "a second"),
-            ("silent", f"{seen.silent_share:.1%}", f"of {seen.servers} servers"),
+            ("requests", f"{snapshot.request_rate:.1f}", "per second"),
             (
-                "returning",
-                str(seen.returning),
-                f"servers, at {seen.back_share:.0%} of what they answered before",
+                "originals",
+                f"{snapshot.original_rate:.1f}",
+                f"per second, without retries; baseline {snapshot.baseline_rate:.1f}",
+            ),
+            ("amplification", f"{snapshot.amplification:.2f}", "requests per original request"),
+            ("retries", f"{snapshot.retry_share:.1%}", "of requests, marked or recognised"),
+            ("unserved", f"{snapshot.unserved_share:.1%}", "of requests, refused or failed"),
+            ("connects", f"{snapshot.connect_rate:.1f}", "per second"),
+            ("connect errors", f"{snapshot.connect_failure_share:.1%}", "of attempts"),
+            ("errors", f"{snapshot.error_share:.1%}", "of attempts"),
+            ("successes", f"{snapshot.success_rate:.1f}", "per second"),
+            ("unresponsive", f"{snapshot.unresponsive_share:.1%}", f"of {snapshot.servers} servers"),
+            (
+                "warming up",
+                str(snapshot.warming_servers),
+                f"servers, at {snapshot.warming_rate_share:.0%} of their earlier rate of successes",
+            ),
+            (
+                "oldest answer",
+                f"{snapshot.oldest_answer_ms / 1000.0:.1f}",
+                "seconds ago, of the server silent for longest",
             ),
-            ("oldest belief", f"{seen.oldest_ms / 1000.0:.1f}", "seconds"),
         ]
-    made = [f"{name:<14} {value:>10}  {unit}" for name, value, unit in rows]
+    table = [f"{name:<14} {value:>10}  {unit}" for name, value, unit in rows]
     for change in watch.changes:
-        ago = (now - change.at) / 1000.0
-        made.append(f"{ago:8.1f} s ago  {change.before.value} -> {change.after.value}: {change.reason}")
-    return made
+        ago_s = (now - change.at) / 1000.0
+        table.append(f"{ago_s:8.1f} s ago  {change.before.value} -> {change.after.value}: {change.reason}")
+    return table
--- a/anisestair/storms/watch.py
+++ b/anisestair/storms/watch.py
@@ -1,52 +1,60 @@
-"""Sight, state and advice as one, for whoever hosts the module: a sidecar, or the fleet in virtual time. No
-I/O."""
+"""Storm detection for a host of the balancer: the sidecar, or the simulated fleet of `lab`. No I/O."""
 
 from __future__ import annotations
 
-from anisestair.storms.advice import Advice
-from anisestair.storms.figures import Figures, Sight
-from anisestair.storms.state import Change, Judge, State
+from anisestair.storms.advice import RetryDelay
+from anisestair.storms.figures import TrafficMonitor, TrafficSnapshot
+from anisestair.storms.state import Change, State, StormDetector
 from hareloom import interface as api
 
-STEP_MS = 250.0  # between two looks at the figures
-KEPT_CHANGES = 32  # the last ones, for the table
+UPDATE_INTERVAL_MS = 250.0
+MAX_CHANGES = 32  # the most recent changes, kept for the table
 
 
 class Watch:
-    """``told`` and ``said`` in the order in which the module hears and speaks; no timer is needed: the state
-    is looked at with what happens, and a sidecar to which nothing happens has no storm."""
+    """Observes the events and actions of the balancer in their order, and adjusts the retry delays.
+
+    It needs no timer: the state is updated when an event arrives, and without events there is no storm.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.sight = Sight(settings.rules.cold_ms)
-        self.judge = Judge()
-        self.advice = Advice(settings.limits.max_retry_after_ms, seed)
-        self.seen: Figures | None = None
+        self.monitor = TrafficMonitor(settings.rules.cold_ms)
+        self.detector = StormDetector()
+        self.retry_delay = RetryDelay(settings.limits.max_retry_after_ms, seed)
+        self.snapshot: TrafficSnapshot | None = None
         self.changes: list[Change] = []
-        self._looked = float("-inf")
+        self._updated_at = float("-inf")
 
     @property
     def state(self) -> State:
-        return self.judge.state
+        """The current state of the storm detection."""
+        return self.detector.state
 
-    def told(self, now: float, event: api.Event) -> Change | None:
-        """A change of the state, where this event's instant brings one."""
-        self.sight.told(now, event)
-        if now - self._looked < STEP_MS:
+    def observe_event(self, now: float, event: api.Event) -> Change | None:
+        """Observe an event of the balancer. Return the change of state at that instant, if any."""
+        self.monitor.observe_event(now, event)
+        if now - self._updated_at < UPDATE_INTERVAL_MS:
             return None
-        self._looked = now
-        self.seen = self.sight.figures(now)
-        change = self.judge.step(now, self.seen)
-        self.sight.calm = self.state is State.CALM
+        self._updated_at = now
+        self.snapshot = self.monitor.snapshot(now)
+        change = self.detector.update(now, self.snapshot)
+        self.monitor.learns_baseline = self.state is State.CALM
         if change is not None:
-            self.changes = [*self.changes[1 - KEPT_CHANGES :], change]
+            self.changes = [*self.changes[1 - MAX_CHANGES :], change]
         return change
 
-    def said(self, now: float, action: api.Action) -> api.Action:
-        """The action as it goes on: a refusal with the advice of the state, all others as they are."""
+    def adjust_action(self, now: float, action: api.Action) -> api.Action:
+        """Return the action to perform: a refusal with the retry delay of the state, others unchanged."""
         if isinstance(action, api.Refuse):
-            action = api.Refuse(action.request, self.advice.after(self.state, action.retry_after_ms))
-        self.sight.said(now, action)
+            action = api.Refuse(action.request, self.retry_delay.delay_ms(self.state, action.retry_after_ms))
+        self.monitor.observe_action(now, action)
         return action
 
-    def opened(self, now: float) -> None:
-        self.sight.opened(now)
+    def observe_connect(self, now: float) -> None:
+        """Observe that a connection to a server is being opened."""
+        self.monitor.observe_connect(now)
+
+    # The lab calls older revisions of this class too, so it uses their names for these methods.
+    told = observe_event
+    said = adjust_action
+    opened = observe_connect
