--- a/anisestair/configure/effective.py
+++ b/anisestair/configure/effective.py
@@ -43,7 +43,7 @@
     return int(text)
 
 
-def effective(data: Any, environ: Mapping[str, str], offset_ms: float) -> Config:
+def build_config(data: Any, environ: Mapping[str, str], offset_ms: float) -> Config:
     """Raises ConfigError for the first field that cannot be used. ``offset_ms`` turns Unix time into the
     caller's clock."""
     if not isinstance(data, dict):
--- a/anisestair/configure/judge.py
+++ b/anisestair/configure/judge.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from anisestair.configure import known_fields
-from anisestair.configure.effective import Config, ConfigError, effective
+from anisestair.configure.effective import Config, ConfigError, build_config
 from anisestair.configure.findings import Finding, Path, Role, error, warning
 from anisestair.configure.source import Document
 from hareloom.interface import Effect, RequestClass
@@ -52,7 +52,7 @@
     found += known_fields.check(document.data)
     found += variables(environ)
     try:
-        config = effective(document.data, environ, 0.0)
+        config = build_config(document.data, environ, 0.0)
     except ConfigError as fault:
         if not any(item.severity.value == "error" for item in found):
             role, path = _refused(str(fault), document, environ)
--- a/anisestair/configure/judge_app.py
+++ b/anisestair/configure/judge_app.py
@@ -17,7 +17,7 @@
 from anisestair.configure.description import convert as convert_app
 from anisestair.configure.effective import Config
 from anisestair.configure.findings import Finding, Path, Role, Severity, error, warning
-from anisestair.configure.operator_tables import MethodTable, Operator, RpcTable
+from anisestair.configure.operator_tables import MethodTable, OperatorConfig, RpcTable
 from anisestair.configure.source import Document
 from anisestair.endpoints import address
 from hareloom.interface import Effect, RequestClass
@@ -30,7 +30,7 @@
 
 REPEATS = {"never": Effect.UNSAFE, "keyed": Effect.KEYED, "free": Effect.SAFE}
 # The tables of each text, for the nearest name of a misspelt field.
-APP, OPERATOR = (App, Call, Fleet, Listen, Machine), (Operator, RpcTable, MethodTable)
+APP, OPERATOR = (App, Call, Fleet, Listen, Machine), (OperatorConfig, RpcTable, MethodTable)
 
 LOOSER = {Effect.UNSAFE: 0, Effect.KEYED: 1, Effect.SAFE: 2}
 WIDER = {"cell": 0, "zone": 1, "all": 2}
@@ -62,7 +62,7 @@
     bundle: Bundle
     findings: tuple[Finding, ...]
     config: Config | None = None
-    operator: Operator | None = None
+    operator: OperatorConfig | None = None
     app: App | None = None
 
     @property
@@ -191,13 +191,13 @@
     return [field.encode_name for struct in structs for field in msgspec.structs.fields(struct)]
 
 
-def operator_file(document: Document) -> tuple[list[Finding], Operator | None]:
+def operator_file(document: Document) -> tuple[list[Finding], OperatorConfig | None]:
     if document.flaw is not None:
         return [
             error("unreadable", Role.OPERATOR, (), document.flaw.says, known_fields.REFUSED, "write it anew")
         ], None
     try:
-        return [], msgspec.convert(document.data, Operator)
+        return [], msgspec.convert(document.data, OperatorConfig)
     except msgspec.ValidationError as fault:
         return [_typed(document, Role.OPERATOR, fault, known_fields.REFUSED, OPERATOR)], None
 
@@ -290,7 +290,9 @@
     )
 
 
-def against(app: App, config: Config, operator: Operator | None, environ: Mapping[str, str]) -> list[Finding]:
+def against(
+    app: App, config: Config, operator: OperatorConfig | None, environ: Mapping[str, str]
+) -> list[Finding]:
     """The effective configuration held against the description."""
     table = operator.rpc if operator is not None else None
     found = [*_who(app, config, table, environ), *_room(app, config, table), *_fleet(app, config)]
--- a/anisestair/configure/operator_file.py
+++ b/anisestair/configure/operator_file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from anisestair.configure.operator_tables import Operator
+from anisestair.configure.operator_tables import OperatorConfig
 
 MAX_BYTES = 1024 * 1024  # a file by hand has some kilobytes
 
@@ -17,7 +17,7 @@
     """One line: file, table and field, and what is wrong."""
 
 
-def load(path: Path) -> Operator:
+def load(path: Path) -> OperatorConfig:
     """Raises OperatorError."""
     try:
         if path.stat().st_size > MAX_BYTES:
@@ -26,6 +26,6 @@
     except (OSError, ValueError, RecursionError) as fault:
         raise OperatorError(f"{path}: {' '.join(str(fault).split())}") from None
     try:
-        return msgspec.convert(data, Operator)
+        return msgspec.convert(data, OperatorConfig)
     except msgspec.ValidationError as fault:
         raise OperatorError(f"{path}: {' '.join(str(fault).split())}") from None
--- a/anisestair/configure/operator_tables.py
+++ b/anisestair/configure/operator_tables.py
@@ -57,6 +57,6 @@
             raise ValueError(f"show: longer than {MOST_PATH} bytes, which no socket's path may be")
 
 
-class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     rpc: RpcTable | None = None
     storms: StormsTable | None = None
--- a/anisestair/configure/retune.py
+++ b/anisestair/configure/retune.py
@@ -7,24 +7,24 @@
 from dataclasses import replace
 from typing import Any
 
-from anisestair.configure.effective import Config, ConfigError, effective
+from anisestair.configure.effective import Config, ConfigError, build_config
 from hareloom import interface as api
 
-Shape = frozenset[tuple[str, ...]]
+KeyPaths = frozenset[tuple[str, ...]]
 
-FORMER = "\0"  # behind the name of a class as it was before: no class of a file has that in its name
+PREVIOUS_SUFFIX = "\0"  # behind the name of a class as it was before: no class of a file has that in its name
 # What only a start can change, and what it is called in the file.
-AT_A_START = {
+RESTART_ONLY_FIELDS = {
     "name": "name",
     "listen": "listen",
     "mgmt": "mgmt",
     "sockets": "limits.sockets",
     "memory_mb": "limits.memory_mb",
 }
-POSITIVE = ("give-up-ms", "promise-ms")
+POSITIVE_FIELDS = ("give-up-ms", "promise-ms")
 
 
-def shape(data: Any) -> Shape:
+def key_paths(data: Any) -> KeyPaths:
     """The keys of a file, by place; of classes those that all of them have. What discovery told is not looked
     into: entries come and go."""
     found: set[tuple[str, ...]] = set()
@@ -49,24 +49,24 @@
     return [item for item in classes if isinstance(item, dict)] if isinstance(classes, list) else []
 
 
-def judge(data: Any, before: Shape, environ: Mapping[str, str], offset_ms: float) -> Config:
+def check_reload(data: Any, before: KeyPaths, environ: Mapping[str, str], offset_ms: float) -> Config:
     """The configuration of a file that is to take the place of one with this shape. Raises ConfigError, which
     names the field and what to do."""
     if not isinstance(data, dict):
         raise ConfigError("not a JSON object; write the whole file anew")
-    missing = sorted(before - shape(data))
+    missing = sorted(before - key_paths(data))
     if missing:
         place = ".".join(missing[0])
         raise ConfigError(f"{place}: missing, and the file before had it; write it, or start anew without it")
     for item in _classes(data):
-        for key in POSITIVE:
+        for key in POSITIVE_FIELDS:
             _positive(item.get(key), f"settings.classes[{item.get('name')}].{key}", False)
     limits = data["settings"].get("limits") if isinstance(data.get("settings"), dict) else None
     if isinstance(limits, dict) and "max-attempts" in limits:
         _positive(limits["max-attempts"], "settings.limits.max-attempts", True)
-    found = effective(data, environ, offset_ms)
+    found = build_config(data, environ, offset_ms)
     for klass in found.settings.classes:
-        if FORMER in str(klass.name):
+        if PREVIOUS_SUFFIX in str(klass.name):
             raise ConfigError(f"settings.classes[{klass.name!r}].name: has a NUL in it; write another name")
     return found
 
@@ -78,28 +78,28 @@
         raise ConfigError(f"{field}: {value!r} is no {kind} above 0; write one")
 
 
-def former(old: api.Settings, new: api.Settings) -> dict[str, api.RequestClass]:
+def previous_classes(old: api.Settings, new: api.Settings) -> dict[str, api.RequestClass]:
     """Classes as they were, by the names that clients use, of those that have changed or are there no
     more."""
     kept = {item.name: item for item in new.classes}
     return {
-        item.name: replace(item, name=item.name + FORMER)
+        item.name: replace(item, name=item.name + PREVIOUS_SUFFIX)
         for item in old.classes
         if kept.get(item.name) != item
     }
 
 
-def between(new: api.Settings, before: Mapping[str, api.RequestClass]) -> api.Settings:
+def transitional_settings(new: api.Settings, before: Mapping[str, api.RequestClass]) -> api.Settings:
     """The settings while some clients still use the old forms."""
     return replace(new, classes=(*new.classes, *before.values()))
 
 
-def at_a_start(old: Config, new: Config) -> list[str]:
+def restart_only_changes(old: Config, new: Config) -> list[str]:
     """The fields that differ and bind at a start only."""
-    return [name for field, name in AT_A_START.items() if getattr(old, field) != getattr(new, field)]
+    return [name for field, name in RESTART_ONLY_FIELDS.items() if getattr(old, field) != getattr(new, field)]
 
 
-def changes(old: api.Settings, new: api.Settings) -> list[str]:
+def describe_changes(old: api.Settings, new: api.Settings) -> list[str]:
     """One line for each class that is added, dropped or changed."""
     was, now = ({item.name: item for item in settings.classes} for settings in (old, new))
     lines = [f"class {name} added: {now[name].effect.value}" for name in now.keys() - was.keys()]
--- a/anisestair/configure/startup.py
+++ b/anisestair/configure/startup.py
@@ -13,10 +13,10 @@
 from anisestair.configure.judge import platform
 from anisestair.configure.source import Document, decode
 
-MOST_LINES = 20  # of findings at a start: the rest is for `config check`, and the log is for the service
+MAX_LINES = 20  # of findings at a start: the rest is for `config check`, and the log is for the service
 
 
-def lines(environ: Mapping[str, str], operator: Path | None = None) -> list[str]:
+def finding_lines(environ: Mapping[str, str], operator: Path | None = None) -> list[str]:
     """One line for each finding, for standard error; none where there is nothing to say. Never raises."""
     try:
         return _lines(environ, operator)
@@ -39,8 +39,8 @@
         if tables is not None and tables.rpc is not None:
             more += judge_app.rpc(config, tables.rpc, None)
         said += [_line(text, item) for item in more]
-    if len(said) > MOST_LINES:
-        said[MOST_LINES:] = [f"{len(said) - MOST_LINES} more: python -m anisestair config check {path}"]
+    if len(said) > MAX_LINES:
+        said[MAX_LINES:] = [f"{len(said) - MAX_LINES} more: python -m anisestair config check {path}"]
     return said
 
 
--- a/anisestair/retuning.py
+++ b/anisestair/retuning.py
@@ -17,8 +17,8 @@
 class Retuning:
     """Reloads one at a time; signals received during a reload cause a single further one."""
 
-    def __init__(self, config: Config, before: retune.Shape, offset_ms: float, sidecar: Sidecar) -> None:
-        self._config, self._shape, self._offset_ms, self._sidecar = config, before, offset_ms, sidecar
+    def __init__(self, config: Config, before: retune.KeyPaths, offset_ms: float, sidecar: Sidecar) -> None:
+        self._config, self._key_paths, self._offset_ms, self._sidecar = config, before, offset_ms, sidecar
         self._task: asyncio.Task[None] | None = None
         self._again = False
 
@@ -32,31 +32,31 @@
         while True:
             self._again = False
             try:
-                config, shape = await asyncio.to_thread(self._read)
+                config, key_paths = await asyncio.to_thread(self._read)
             except ConfigError as fault:
                 self._sidecar.reloads[1] += 1
                 log.error("%s: configuration not read again: %s", self._config.name, fault)
             else:
-                self._take(config, shape)
+                self._take(config, key_paths)
             if not self._again:
                 return
 
-    def _read(self) -> tuple[Config, retune.Shape]:
+    def _read(self) -> tuple[Config, retune.KeyPaths]:
         # BALANCER_DISCOVERY was set when the process started; the file may be newer.
         environ = {key: value for key, value in os.environ.items() if key != "BALANCER_DISCOVERY"}
         data = platform_file.read(environ)
-        return retune.judge(data, self._shape, environ, self._offset_ms), retune.shape(data)
+        return retune.check_reload(data, self._key_paths, environ, self._offset_ms), retune.key_paths(data)
 
-    def _take(self, config: Config, shape: retune.Shape) -> None:
+    def _take(self, config: Config, key_paths: retune.KeyPaths) -> None:
         old = self._config
         self._sidecar.reloads[0] += 1
-        for line in retune.changes(old.settings, config.settings):
+        for line in retune.describe_changes(old.settings, config.settings):
             log.info("%s: %s", old.name, line)
-        for name in retune.at_a_start(old, config):
+        for name in retune.restart_only_changes(old, config):
             log.warning("%s: %s differs: restart to apply it", old.name, name)
         log.info("%s: discovery is at %s:%d", old.name, *config.discovery)
         self._config = replace(old, settings=config.settings, discovery=config.discovery)
-        self._shape = shape
+        self._key_paths = key_paths
         if config.settings != old.settings:
             self._sidecar.retune(config.settings)
         if config.discovery != old.discovery:
--- a/anisestair/serving.py
+++ b/anisestair/serving.py
@@ -14,22 +14,22 @@
 import uvloop
 
 from anisestair.configure import platform_file, retune, startup
-from anisestair.configure.effective import Config, ConfigError, effective
+from anisestair.configure.effective import Config, ConfigError, build_config
 from anisestair.discovery import unix_offset_ms
 from anisestair.http.frontend import Frontend
 from anisestair.sidecar import SPARE_SOCKETS, Sidecar
 
 if TYPE_CHECKING:
-    from anisestair.configure.operator_tables import Operator
+    from anisestair.configure.operator_tables import OperatorConfig
 
 log = logging.getLogger("anisestair")
 
 
 async def serve(
     config: Config,
-    shape: retune.Shape,
+    key_paths: retune.KeyPaths,
     offset_ms: float,
-    operator: Operator | None = None,
+    operator: OperatorConfig | None = None,
     file: Path | None = None,
 ) -> None:
     stop = asyncio.Event()
@@ -63,7 +63,7 @@
         if retuning is None:
             from anisestair.retuning import Retuning  # loaded at the first SIGHUP
 
-            retuning = Retuning(config, shape, offset_ms, sidecar)
+            retuning = Retuning(config, key_paths, offset_ms, sidecar)
         retuning.signalled()
 
     loop.add_signal_handler(signal.SIGHUP, reread)
@@ -83,7 +83,7 @@
         await storms.listen()
     # Checks run after listen(), so that connections wait in the backlog and are not refused. The findings are
     # only printed and do not stop the program (see startup).
-    for line in startup.lines(os.environ, file):
+    for line in startup.finding_lines(os.environ, file):
         print(f"anisestair: {line}", file=sys.stderr)
     await stop.wait()
     log.info("%s: ending", config.name)
@@ -113,15 +113,15 @@
         return 2
 
 
-def run_sidecar(operator: Operator | None = None, file: Path | None = None) -> int:
+def run_sidecar(operator: OperatorConfig | None = None, file: Path | None = None) -> int:
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     offset_ms = unix_offset_ms(time.monotonic() * 1000.0)  # the event loop uses the monotonic clock
     try:
         data = platform_file.read(os.environ)
-        config, shape = effective(data, os.environ, offset_ms), retune.shape(data)
+        config, key_paths = build_config(data, os.environ, offset_ms), retune.key_paths(data)
         del data
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, shape, offset_ms, operator, file))
+            runner.run(serve(config, key_paths, offset_ms, operator, file))
     except ConfigError as fault:
         print(f"anisestair: {fault}", file=sys.stderr)
         return 2
--- a/anisestair/sidecar.py
+++ b/anisestair/sidecar.py
@@ -186,7 +186,7 @@
         form of a changed class, are handled by the previous settings of the class."""
         if self._grace is not None:
             self._grace.cancel()
-        self.former = retune.former(self.settings, settings)
+        self.former = retune.previous_classes(self.settings, settings)
         self.settings = settings
         self.classes.clear()
         self.classes.update((item.name, item) for item in settings.classes)
@@ -196,7 +196,7 @@
         self.lives.max_attempts = max(self.lives.max_attempts, settings.limits.max_attempts)
         self.pool.retune(settings.limits)
         self._late_ms = LATE_SHARE_OF_TARGET * min(item.aim_ms for item in settings.classes)
-        self.handle(api.Retune(retune.between(settings, self.former)))
+        self.handle(api.Retune(retune.transitional_settings(settings, self.former)))
         self._grace = self.loop.call_later(GRACE_S, self._end_grace)
 
     def _end_grace(self) -> None:
@@ -221,7 +221,7 @@
 
     def take(self, request: api.Request, ask: Ask) -> None:
         self.feed(ev.Take(request.request))
-        klass = request.klass.rstrip(retune.FORMER)
+        klass = request.klass.rstrip(retune.PREVIOUS_SUFFIX)
         record = self._records[request.request] = Record(ask, request.deadline, klass)
         if request.body_ms > 0.0:
             record.left_ms = request.deadline - self.now() - request.body_ms
--- a/benchmarks/configure.py
+++ b/benchmarks/configure.py
@@ -72,7 +72,7 @@
         started = []
         for _ in range(given.rounds * 20):
             start = time.perf_counter()
-            startup.lines(os.environ | {"BALANCER_CONFIG": str(one / "config.json")})
+            startup.finding_lines(os.environ | {"BALANCER_CONFIG": str(one / "config.json")})
             started.append((time.perf_counter() - start) * 1000.0)
         found["startup_ms"] = statistics.median(started)
     print(json.dumps({key: round(value, 3) for key, value in found.items()}))
--- a/tests/test_configure_generate.py
+++ b/tests/test_configure_generate.py
@@ -393,7 +393,7 @@
     corpus.texts_of(corpus.put(stall.platform, ("settings", "rules", "cold-ms"), 0)).write(tmp_path)
     program = (
         "import sys, os; from anisestair.configure import startup; import anisestair.serving;"
-        "said = startup.lines(os.environ); assert len(said) == 1 and 'cold-start' in said[0], said;"
+        "said = startup.finding_lines(os.environ); assert len(said) == 1 and 'cold-start' in said[0], said;"
         "loaded = [n for n in ('msgspec', 'msgpack', 'anisestair.rpc', 'difflib',"
         " 'anisestair.configure.derive', 'anisestair.configure.judge_app', 'rigs') if n in sys.modules];"
         "assert not loaded, loaded"
--- a/tests/test_configure_real.py
+++ b/tests/test_configure_real.py
@@ -335,13 +335,13 @@
 def test_a_check_that_fails_by_itself_stops_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     from anisestair.configure import startup
 
-    assert len(startup.lines({})) == 1, "no such variable: one line, and no exception"
+    assert len(startup.finding_lines({})) == 1, "no such variable: one line, and no exception"
 
     def fails(*_: object) -> None:
         raise RecursionError("deep")
 
     monkeypatch.setattr(startup, "platform", fails)
-    assert startup.lines({"BALANCER_CONFIG": __file__}) == [
+    assert startup.finding_lines({"BALANCER_CONFIG": __file__}) == [
         "the configuration could not be judged: RecursionError: deep"
     ]
 
@@ -352,8 +352,8 @@
     stall = corpus.Maker("stall")
     platform = stall.platform | {f"unheard-of-{number}": 0 for number in range(100)}
     (tmp_path / "config.json").write_text(json.dumps(platform))
-    said = startup.lines({"BALANCER_CONFIG": str(tmp_path / "config.json")})
-    assert len(said) == startup.MOST_LINES + 1 and "80 more" in said[-1]
+    said = startup.finding_lines({"BALANCER_CONFIG": str(tmp_path / "config.json")})
+    assert len(said) == startup.MAX_LINES + 1 and "80 more" in said[-1]
 
 
 def test_the_platforms_own_form_starts_without_a_line(tmp_path: Path) -> None:
@@ -380,4 +380,4 @@
         "settings": settings,
     }
     (tmp_path / "config.json").write_text(json.dumps(data))
-    assert startup.lines({"BALANCER_CONFIG": str(tmp_path / "config.json")}) == []
+    assert startup.finding_lines({"BALANCER_CONFIG": str(tmp_path / "config.json")}) == []
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -25,7 +25,7 @@
 from hareloom import interface as api
 
 GOOD = config("127.0.0.1:1", host("s-1", "127.0.0.1:2"))
-SHAPE = retune.shape(GOOD)
+KEY_PATHS = retune.key_paths(GOOD)
 ENV: dict[str, str] = {}
 
 
@@ -43,12 +43,14 @@
 
 
 def test_a_good_file_is_taken_and_a_class_may_come_or_go() -> None:
-    assert retune.judge(GOOD, SHAPE, ENV, 0.0).settings == wire.parse_settings(json.dumps(SETTINGS))
+    assert retune.check_reload(GOOD, KEY_PATHS, ENV, 0.0).settings == wire.parse_settings(
+        json.dumps(SETTINGS)
+    )
     more = change(
         ["settings", "classes"], [*SETTINGS["classes"], SETTINGS["classes"][0] | {"name": "sale-v2"}]
     )
-    assert len(retune.judge(more, SHAPE, ENV, 0.0).settings.classes) == 3
-    assert retune.judge(change(["settings", "classes"], SETTINGS["classes"][1:]), SHAPE, ENV, 0.0)
+    assert len(retune.check_reload(more, KEY_PATHS, ENV, 0.0).settings.classes) == 3
+    assert retune.check_reload(change(["settings", "classes"], SETTINGS["classes"][1:]), KEY_PATHS, ENV, 0.0)
 
 
 @pytest.mark.parametrize("value", [0, -1, float("nan"), float("inf"), True, "3", 1e400, [], {}])
@@ -59,7 +61,7 @@
 )
 def test_what_is_no_number_above_0_turns_the_file_down(at: list[Any], value: Any) -> None:
     with pytest.raises(ConfigError, match=str(at[-1])):
-        retune.judge(change(at, value), SHAPE, ENV, 0.0)
+        retune.check_reload(change(at, value), KEY_PATHS, ENV, 0.0)
 
 
 def places(data: Any, at: tuple[Any, ...] = ()) -> list[list[Any]]:
@@ -79,19 +81,19 @@
 @pytest.mark.parametrize("at", places(GOOD), ids=lambda at: ".".join(map(str, at)))
 def test_a_file_that_lacks_any_key_is_turned_down(at: list[Any]) -> None:
     with pytest.raises(ConfigError):
-        retune.judge(change(at, None), SHAPE, ENV, 0.0)
+        retune.check_reload(change(at, None), KEY_PATHS, ENV, 0.0)
 
 
 @pytest.mark.parametrize("data", [None, [], "x", 3, {}, {"settings": []}, {"settings": {"classes": 3}}])
 def test_other_json_is_turned_down(data: Any) -> None:
     with pytest.raises(ConfigError):
-        retune.judge(data, SHAPE, ENV, 0.0)
+        retune.check_reload(data, KEY_PATHS, ENV, 0.0)
 
 
 def test_a_class_twice_and_a_hidden_name_are_turned_down() -> None:
     for name in ("listing", "x\0"):
         with pytest.raises(ConfigError):
-            retune.judge(change(["settings", "classes", 0, "name"], name), SHAPE, ENV, 0.0)
+            retune.check_reload(change(["settings", "classes", 0, "name"], name), KEY_PATHS, ENV, 0.0)
 
 
 def test_every_cut_of_a_good_file_is_turned_down(tmp_path: Path) -> None:
