--- a/anisestair/__main__.py
+++ b/anisestair/__main__.py
@@ -1,4 +1,4 @@
-"""The command: a sidecar that serves, or the subcommand that the first argument names. Each loads its own."""
+"""The `anisestair` command: runs a sidecar or a subcommand. Each subcommand imports only what it needs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve, with no arguments or with an operator's file; else the subcommand that the first one names."""
+    """Runs a sidecar if there are no arguments or only an operator's file, otherwise the named subcommand."""
     if not arguments or arguments[0] == "--operator":
         from anisestair import serving
 
@@ -24,14 +24,14 @@
 
         return storms.main(arguments[1:])
     print(
-        f"anisestair: {arguments[0]}: not a subcommand: config, states, storms; or none (--operator FILE)",
+        f"anisestair: {arguments[0]}: unknown subcommand; use config, states or storms, or --operator FILE",
         file=sys.stderr,
     )
     return 2
 
 
 def script() -> int:
-    """The installed command."""
+    """Entry point of the installed command."""
     return main(sys.argv[1:])
 
 
--- a/anisestair/configure/operator_file.py
+++ b/anisestair/configure/operator_file.py
@@ -1,5 +1,4 @@
-"""The operator's file, read as a sidecar starts: ``--operator FILE`` (TOML). Without it nothing of this is
-loaded."""
+"""Reads the operator's file (TOML) when a sidecar starts with ``--operator FILE``. Not loaded otherwise."""
 
 from __future__ import annotations
 
@@ -10,15 +9,15 @@
 
 from anisestair.configure.operator_tables import OperatorConfig
 
-MAX_BYTES = 1024 * 1024  # a file by hand has some kilobytes
+MAX_BYTES = 1024 * 1024  # a hand-written file has a few kilobytes
 
 
 class OperatorError(Exception):
-    """One line: file, table and field, and what is wrong."""
+    """The operator's file is invalid; the message is one line that names the file and the field."""
 
 
 def load(path: Path) -> OperatorConfig:
-    """Raises OperatorError."""
+    """Reads and validates the file. Raises OperatorError."""
     try:
         if path.stat().st_size > MAX_BYTES:
             raise OperatorError(f"{path}: larger than {MAX_BYTES} bytes: not an operator's file")
--- a/anisestair/configure/operator_tables.py
+++ b/anisestair/configure/operator_tables.py
@@ -1,6 +1,6 @@
-"""The operator's file as types: what an installation switches on beyond the platform's own configuration.
+"""Types of the operator's file, which enables optional features of an installation.
 
-Each direction has a table. Reading a file is operator_file's.
+Each feature has a table. operator_file reads the file.
 """
 
 from __future__ import annotations
@@ -11,52 +11,57 @@
 
 from anisestair.endpoints import address
 
-MOST_PATH = 100  # bytes of a Unix socket's address: sun_path holds 108, with the end and "unix:" beside it
+MAX_SOCKET_PATH_BYTES = 100  # with "unix:"; sun_path of a Unix socket holds 108 bytes with its terminator
 
 
 class MethodTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"klass": "class"}):
-    """[[rpc.methods]]: what the methods of a pattern mean."""
+    """[[rpc.methods]]: the request class of methods that match a pattern, and where their key and id are."""
 
     pattern: str
     klass: str
     deadline_ms: float = 0.0
-    key: tuple[int | str, ...] = ()  # paths in params, as of meaning.Rule
+    key: tuple[int | str, ...] = ()  # key, id and deadline are paths in params, as in meaning.Rule
     id: tuple[int | str, ...] = ()
     deadline: tuple[int | str, ...] = ()
 
 
 class RpcTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[rpc]: MessagePack-RPC on both sides."""
+    """[rpc]: MessagePack-RPC between the application, the sidecar and upstreams."""
 
     listen: str
     methods: tuple[MethodTable, ...]
-    # So many calls on a connection to an upstream: answers come in any order, but a break ends them all.
+    # Calls in flight on one upstream connection: answers may come in any order, a lost connection ends all.
     calls_per_connection: int = 32
-    calls_in_hand: int = 128  # from one connection of the application
-    turned_away: tuple[Any, ...] = ()  # errors by which an upstream says that a call never ran
+    calls_in_hand: int = 128  # calls in flight from one connection of the application
+    turned_away: tuple[Any, ...] = ()  # errors that an upstream sends only if it did not run the call
 
     def __post_init__(self) -> None:
         if not self.listen.startswith("unix:"):
             address(self.listen, lowest_port=0)
         for name in ("calls_per_connection", "calls_in_hand"):
             if not 1 <= getattr(self, name) <= 4096:
-                raise ValueError(f"{name}: not within 1 to 4096")
+                raise ValueError(f"{name}: not from 1 to 4096")
         if not self.methods:
-            raise ValueError("methods: none, so that every call would be refused")
+            raise ValueError("methods: empty; every call would be refused")
 
 
 class StormsTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[storms]: the watch for storms of retries and reconnects, and advice that spreads returns."""
+    """[storms]: detection of retry and reconnect storms, and retry-after values that spread returning
+    clients."""
 
-    show: str = ""  # a Unix socket that gives the table of what is seen to whoever connects; empty: none
+    show: str = ""  # Unix socket that sends a report of the detection to each client; empty: none
 
     def __post_init__(self) -> None:
         if self.show and not self.show.startswith("unix:/"):
-            raise ValueError('show: not "unix:" and a path from the root')
-        if len(self.show.encode()) > MOST_PATH:
-            raise ValueError(f"show: longer than {MOST_PATH} bytes, which no socket's path may be")
+            raise ValueError('show: not "unix:" followed by an absolute path')
+        if len(self.show.encode()) > MAX_SOCKET_PATH_BYTES:
+            raise ValueError(
+                f"show: longer than {MAX_SOCKET_PATH_BYTES} bytes, too long for a Unix socket address"
+            )
 
 
 class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The operator's file. A feature without its table is off."""
+
     rpc: RpcTable | None = None
     storms: StormsTable | None = None
--- a/anisestair/configure/retune.py
+++ b/anisestair/configure/retune.py
@@ -1,4 +1,4 @@
-"""Another file for a sidecar that runs: whether it is taken, and what of it binds when. No I/O."""
+"""Reload of the configuration in a running sidecar: validation, and when each change takes effect. No I/O."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 KeyPaths = frozenset[tuple[str, ...]]
 
-PREVIOUS_SUFFIX = "\0"  # behind the name of a class as it was before: no class of a file has that in its name
-# What only a start can change, and what it is called in the file.
+PREVIOUS_SUFFIX = "\0"  # marks the name of a class's previous version; names in a file may not contain it
+# Fields that change only with a restart, and their names in the file.
 RESTART_ONLY_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -25,15 +25,15 @@
 
 
 def key_paths(data: Any) -> KeyPaths:
-    """The keys of a file, by place; of classes those that all of them have. What discovery told is not looked
-    into: entries come and go."""
+    """The paths of all keys in a file. For classes only keys that all of them have. The server list is
+    skipped, since its entries come and go."""
     found: set[tuple[str, ...]] = set()
 
-    def walk(value: Any, place: tuple[str, ...]) -> None:
+    def walk(value: Any, path: tuple[str, ...]) -> None:
         for key, item in value.items():
-            found.add((*place, key))
+            found.add((*path, key))
             if isinstance(item, dict) and key != "known":
-                walk(item, (*place, key))
+                walk(item, (*path, key))
 
     if isinstance(data, dict):
         walk(data, ())
@@ -49,38 +49,39 @@
     return [item for item in classes if isinstance(item, dict)] if isinstance(classes, list) else []
 
 
-def check_reload(data: Any, before: KeyPaths, environ: Mapping[str, str], offset_ms: float) -> Config:
-    """The configuration of a file that is to take the place of one with this shape. Raises ConfigError, which
-    names the field and what to do."""
+def check_reload(data: Any, previous: KeyPaths, environ: Mapping[str, str], offset_ms: float) -> Config:
+    """The configuration in ``data``, which replaces a file with these key paths. Raises ConfigError, which
+    names the field and the remedy."""
     if not isinstance(data, dict):
-        raise ConfigError("not a JSON object; write the whole file anew")
-    missing = sorted(before - key_paths(data))
+        raise ConfigError("not a JSON object; write the complete file again")
+    missing = sorted(previous - key_paths(data))
     if missing:
-        place = ".".join(missing[0])
-        raise ConfigError(f"{place}: missing, and the file before had it; write it, or start anew without it")
+        path = ".".join(missing[0])
+        raise ConfigError(f"{path}: missing, but the previous file has it; add it, or restart without it")
     for item in _classes(data):
         for key in POSITIVE_FIELDS:
-            _positive(item.get(key), f"settings.classes[{item.get('name')}].{key}", False)
+            _require_positive(item.get(key), f"settings.classes[{item.get('name')}].{key}", False)
     limits = data["settings"].get("limits") if isinstance(data.get("settings"), dict) else None
     if isinstance(limits, dict) and "max-attempts" in limits:
-        _positive(limits["max-attempts"], "settings.limits.max-attempts", True)
-    found = build_config(data, environ, offset_ms)
-    for klass in found.settings.classes:
-        if PREVIOUS_SUFFIX in str(klass.name):
-            raise ConfigError(f"settings.classes[{klass.name!r}].name: has a NUL in it; write another name")
-    return found
+        _require_positive(limits["max-attempts"], "settings.limits.max-attempts", True)
+    config = build_config(data, environ, offset_ms)
+    for request_class in config.settings.classes:
+        if PREVIOUS_SUFFIX in str(request_class.name):
+            raise ConfigError(
+                f"settings.classes[{request_class.name!r}].name: contains a NUL character; write another name"
+            )
+    return config
 
 
-def _positive(value: Any, field: str, whole: bool) -> None:
-    right = isinstance(value, int | float) and not isinstance(value, bool)
-    if not right or not 0 < value < math.inf or whole and value != int(value):
-        kind = "whole number" if whole else "number"
-        raise ConfigError(f"{field}: {value!r} is no {kind} above 0; write one")
+def _require_positive(value: Any, field: str, integer: bool) -> None:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 < value < math.inf or integer and value != int(value):
+        kind = "whole number" if integer else "number"
+        raise ConfigError(f"{field}: {value!r} is not a {kind} above 0; write one")
 
 
 def previous_classes(old: api.Settings, new: api.Settings) -> dict[str, api.RequestClass]:
-    """Classes as they were, by the names that clients use, of those that have changed or are there no
-    more."""
+    """Previous versions of classes that were changed or removed, by the name that clients use."""
     kept = {item.name: item for item in new.classes}
     return {
         item.name: replace(item, name=item.name + PREVIOUS_SUFFIX)
@@ -89,26 +90,34 @@
     }
 
 
-def transitional_settings(new: api.Settings, before: Mapping[str, api.RequestClass]) -> api.Settings:
-    """The settings while some clients still use the old forms."""
-    return replace(new, classes=(*new.classes, *before.values()))
+def transitional_settings(new: api.Settings, previous: Mapping[str, api.RequestClass]) -> api.Settings:
+    """The new settings with the previous classes, for the time in which some clients still use those."""
+    return replace(new, classes=(*new.classes, *previous.values()))
 
 
 def restart_only_changes(old: Config, new: Config) -> list[str]:
-    """The fields that differ and bind at a start only."""
+    """The fields that differ and take effect only after a restart."""
     return [name for field, name in RESTART_ONLY_FIELDS.items() if getattr(old, field) != getattr(new, field)]
 
 
 def describe_changes(old: api.Settings, new: api.Settings) -> list[str]:
-    """One line for each class that is added, dropped or changed."""
-    was, now = ({item.name: item for item in settings.classes} for settings in (old, new))
-    lines = [f"class {name} added: {now[name].effect.value}" for name in now.keys() - was.keys()]
-    lines += [f"class {name} dropped: open requests keep it" for name in was.keys() - now.keys()]
-    for name in was.keys() & now.keys():
-        if was[name].effect is not now[name].effect:
-            lines.append(f"class {name}: {was[name].effect.value} to {now[name].effect.value}, new requests")
-        elif was[name] != now[name]:
-            lines.append(f"class {name} changed, new requests")
+    """One line for each class that is added, removed or changed, and for the number of attempts."""
+    old_classes, new_classes = ({item.name: item for item in settings.classes} for settings in (old, new))
+    lines = [
+        f"class {name} added: {new_classes[name].effect.value}"
+        for name in new_classes.keys() - old_classes.keys()
+    ]
+    lines += [
+        f"class {name} removed: open requests keep it" for name in old_classes.keys() - new_classes.keys()
+    ]
+    for name in old_classes.keys() & new_classes.keys():
+        if old_classes[name].effect is not new_classes[name].effect:
+            lines.append(
+                f"class {name}: {old_classes[name].effect.value} to {new_classes[name].effect.value},"
+                " for new requests"
+            )
+        elif old_classes[name] != new_classes[name]:
+            lines.append(f"class {name} changed, for new requests")
     if old.limits.max_attempts != new.limits.max_attempts:
-        lines.append(f"attempts: {old.limits.max_attempts} to {new.limits.max_attempts}, new requests")
+        lines.append(f"attempts: {old.limits.max_attempts} to {new.limits.max_attempts}, for new requests")
     return sorted(lines)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -313,7 +313,7 @@
                 other.write_text(json.dumps(data))
                 other.rename(file)
                 process.send_signal(signal.SIGHUP)
-                wanted = b"give-up-ms: -1 is no number above 0" if number % 3 == 0 else b"discovery is at"
+                wanted = b"give-up-ms: -1 is not a number above 0" if number % 3 == 0 else b"discovery is at"
                 while wanted not in await asyncio.wait_for(process.stderr.readline(), 20):
                     pass
             over = True
