--- a/anisestair/configure/command.py
+++ b/anisestair/configure/command.py
@@ -1,4 +1,4 @@
-"""`python -m anisestair config ...`: write, check, compare, explain and try configurations."""
+"""`python -m anisestair config ...`: generates, checks, compares, explains and tries configurations."""
 
 from __future__ import annotations
 
@@ -17,224 +17,247 @@
     OPERATOR_NAME,
     PLATFORM_NAME,
     Bundle,
-    Judged,
-    judge_bundle,
+    CheckResult,
+    check_bundle,
 )
 
-if TYPE_CHECKING:  # each subcommand loads its own: a check of one file is to be quick
-    from anisestair.configure.derive import Derived
+if TYPE_CHECKING:  # each subcommand imports only what it needs, so that checking one file is quick
+    from anisestair.configure.derive import DerivedConfig
     from anisestair.configure.description import App
     from anisestair.configure.source import Document
 
-GOOD, FOUND, UNREADABLE = 0, 1, 2
+EXIT_OK, EXIT_FINDINGS, EXIT_UNREADABLE = 0, 1, 2
 
-SAMPLE = Path(__file__).resolve().parent.parent.parent / "deploy" / "apps" / "stall.toml"
+SAMPLE_APP = Path(__file__).resolve().parent.parent.parent / "deploy" / "apps" / "stall.toml"
 
 
-class Unusable(Exception):
-    """One line for standard error, and exit 2."""
+class CommandError(Exception):
+    """The command cannot run: one line for standard error, and exit code 2."""
 
 
 def main(arguments: Sequence[str]) -> int:
-    words = argparse.ArgumentParser(prog="anisestair config", description=__doc__)
-    each = words.add_subparsers(dest="what", required=True)
-    one = each.add_parser("generate", help="write an application's configuration from its description")
-    one.add_argument("app", type=Path, help="app.toml")
-    one.add_argument("--out", type=Path, help="the folder to write to; the description's own where not given")
-    one.add_argument("--anew", action="store_true", help="keep nothing of what stands there")
-    one.set_defaults(run=generate)
-    one = each.add_parser("check", help="judge configurations; exit 0: good, 1: errors, 2: cannot be read")
-    one.add_argument("paths", type=Path, nargs="+", help="files, or folders to walk")
-    one.add_argument("--format", choices=("text", "json", "sarif"), default="text")
-    one.add_argument("--strict", action="store_true", help="warnings count as errors")
-    one.set_defaults(run=check)
-    one = each.add_parser("diff", help="what changes in behaviour from one configuration to another")
-    one.add_argument("old", type=Path)
-    one.add_argument("new", type=Path)
-    one.set_defaults(run=diff)
-    one = each.add_parser("explain", help="why a field has its value, or what a rule holds")
-    one.add_argument("field", help="as settings.limits.max-attempts, a part of one, or a rule's name")
-    one.add_argument(
-        "app", type=Path, nargs="?", default=SAMPLE, help="app.toml; a sample stall where not given"
+    """Runs the subcommand that the arguments name; returns the exit code."""
+    parser = argparse.ArgumentParser(prog="anisestair config", description=__doc__)
+    subparsers = parser.add_subparsers(dest="subcommand", required=True)
+    subparser = subparsers.add_parser(
+        "generate", help="write an application's configuration from its description"
     )
-    one.set_defaults(run=explain)
-    one = each.add_parser("schema", help="the JSON Schema of app.toml, for editors")
-    one.set_defaults(run=print_schema)
-    one = each.add_parser("try", help="10 s of calls through a real sidecar, between stand-ins on loopback")
-    one.add_argument("app", type=Path, help="app.toml; a config.json beside it is tried as it stands")
-    one.add_argument("--seconds", type=float, default=10.0)
-    one.add_argument("--seed", type=int, default=1)
-    one.add_argument("--unsafe", action="store_true", help="try it in spite of errors, to see what they do")
-    one.set_defaults(run=try_out)
+    subparser.add_argument("app", type=Path, help="app.toml")
+    subparser.add_argument(
+        "--out", type=Path, help="folder to write to; default: the folder of the description"
+    )
+    subparser.add_argument("--anew", action="store_true", help="keep no values of the existing files")
+    subparser.set_defaults(run=generate)
+    subparser = subparsers.add_parser(
+        "check", help="check configurations; exit code 0: valid, 1: errors, 2: unreadable"
+    )
+    subparser.add_argument("paths", type=Path, nargs="+", help="files, or folders to search recursively")
+    subparser.add_argument("--format", choices=("text", "json", "sarif"), default="text")
+    subparser.add_argument("--strict", action="store_true", help="warnings count as errors")
+    subparser.set_defaults(run=check)
+    subparser = subparsers.add_parser(
+        "diff", help="show how behaviour changes from one configuration to another"
+    )
+    subparser.add_argument("old", type=Path)
+    subparser.add_argument("new", type=Path)
+    subparser.set_defaults(run=diff)
+    subparser = subparsers.add_parser("explain", help="why a field has its value, or what a rule requires")
+    subparser.add_argument(
+        "field", help="a field such as settings.limits.max-attempts, a part of one, or the name of a rule"
+    )
+    subparser.add_argument(
+        "app", type=Path, nargs="?", default=SAMPLE_APP, help="app.toml; default: a sample application"
+    )
+    subparser.set_defaults(run=explain)
+    subparser = subparsers.add_parser("schema", help="print the JSON Schema of app.toml, for editors")
+    subparser.set_defaults(run=print_schema)
+    subparser = subparsers.add_parser(
+        "try", help="send 10 s of calls through a real sidecar to simulated servers on loopback"
+    )
+    subparser.add_argument("app", type=Path, help="app.toml; a config.json in its folder is used unchanged")
+    subparser.add_argument("--seconds", type=float, default=10.0)
+    subparser.add_argument("--seed", type=int, default=1)
+    subparser.add_argument("--unsafe", action="store_true", help="run despite errors, to see their effect")
+    subparser.set_defaults(run=try_configuration)
     try:
-        given = words.parse_args(arguments)
-        code: int = given.run(given)
+        options = parser.parse_args(arguments)
+        code: int = options.run(options)
         return code
-    except (Unusable, folder.NoSuchConfiguration) as fault:
+    except (CommandError, folder.ConfigurationNotFoundError) as fault:
         print(f"anisestair: {fault}", file=sys.stderr)
-        return UNREADABLE
-    except BrokenPipeError:  # the reader of a pipe has seen enough
+        return EXIT_UNREADABLE
+    except BrokenPipeError:  # the reader of a pipe has closed it
         sys.stderr.close()
-        return FOUND
+        return EXIT_FINDINGS
 
 
-def described(path: Path) -> tuple[App, Document]:
-    """A description that can be used; raises Unusable with its first error."""
-    document = folder.read(path)
-    judged = judge_bundle(Bundle(str(path), app=document), {})
-    if judged.app is None or judged.errors:
-        raise Unusable(
-            render.place(judged.bundle, judged.errors)[0].finding.line(
-                str(path), *document.place(judged.errors[0].path)
+def load_description(path: Path) -> tuple[App, Document]:
+    """Reads and validates a description; raises CommandError with its first error."""
+    document = folder.read_document(path)
+    result = check_bundle(Bundle(str(path), app=document), {})
+    if result.app is None or result.errors:
+        raise CommandError(
+            render.locate(result.bundle, result.errors)[0].finding.line(
+                str(path), *document.locate(result.errors[0].path)
             )
         )
-    return judged.app, document
+    return result.app, document
 
 
-def generate(given: argparse.Namespace) -> int:
-    from anisestair.configure.derive import keeping
+def generate(options: argparse.Namespace) -> int:
+    """Writes the configuration of an application, keeping valid edits of existing files."""
+    from anisestair.configure.derive import derive_keeping_edits
 
-    app, document = described(given.app)
-    out: Path = given.out or given.app.parent
-    older: list[Document | None] = [None, None]
-    if not given.anew:
-        older = [
-            folder.read(out / name) if (out / name).exists() else None
+    app, document = load_description(options.app)
+    out: Path = options.out or options.app.parent
+    existing: list[Document | None] = [None, None]
+    if not options.anew:
+        existing = [
+            folder.read_document(out / name) if (out / name).exists() else None
             for name in (PLATFORM_NAME, OPERATOR_NAME)
         ]
-    derived = keeping(app, document.text, older[0], older[1])
-    judged = judge_derived(derived, document)
+    derived = derive_keeping_edits(app, document.text, existing[0], existing[1])
+    result = check_generated(derived, document)
     for line in derived.kept:
         print(f"kept: {line}")
     for line in derived.dropped:
         print(f"not kept: {line}")
-    if judged.errors:  # the description asks for what its machine cannot carry
-        for item in render.place(judged.bundle, judged.errors):
+    if result.errors:  # the description asks for more than its machine can carry
+        for item in render.locate(result.bundle, result.errors):
             print(item.finding.line(item.file, item.line, item.column), file=sys.stderr)
-        return FOUND
+        return EXIT_FINDINGS
     try:
         out.mkdir(parents=True, exist_ok=True)
         for name, text in ((PLATFORM_NAME, derived.platform_text), (OPERATOR_NAME, derived.operator_text)):
-            replace(out / name, text)
-        if (out / APP_NAME).resolve() != given.app.resolve():
-            replace(out / APP_NAME, document.text)
+            write_atomically(out / name, text)
+        if (out / APP_NAME).resolve() != options.app.resolve():
+            write_atomically(out / APP_NAME, document.text)
     except OSError as fault:
-        raise Unusable(f"{out}: {fault.strerror}: nothing more was written") from None
+        raise CommandError(f"{out}: {fault.strerror}: no further file was written") from None
     print(f"{app.name}: {PLATFORM_NAME} and {OPERATOR_NAME} written to {out}")
-    return GOOD
+    return EXIT_OK
 
 
-def replace(path: Path, text: str) -> None:
-    """Whole or not at all: a sidecar may read the file at any time (SIGHUP)."""
-    beside = path.with_name(path.name + ".new")
-    beside.write_text(text, encoding="utf-8")
-    os.replace(beside, path)
+def write_atomically(path: Path, text: str) -> None:
+    """Replaces the file in one step, since a sidecar may read it at any time (SIGHUP)."""
+    temporary = path.with_name(path.name + ".new")
+    temporary.write_text(text, encoding="utf-8")
+    os.replace(temporary, path)
 
 
-def judge_derived(derived: Derived, document: Document) -> Judged:
-    from anisestair.configure.derive import judge
+def check_generated(derived: DerivedConfig, document: Document) -> CheckResult:
+    """Checks a derived configuration; findings about the description name its file."""
+    from anisestair.configure.derive import check_derived
 
-    judged = judge(derived, document.text)
-    assert judged.bundle.app is not None
-    judged.bundle.app.file = document.file  # told where it really stands
-    return judged
+    result = check_derived(derived, document.text)
+    assert result.bundle.app is not None
+    result.bundle.app.file = document.file  # findings name the file that was read
+    return result
 
 
-def check(given: argparse.Namespace) -> int:
-    found = [judge_bundle(each, folder.environ_of(each, os.environ)) for each in folder.bundles(given.paths)]
-    drifts = {}
-    if len(found) > 1:
+def check(options: argparse.Namespace) -> int:
+    """Checks files and folders and prints the findings."""
+    results = [
+        check_bundle(bundle, folder.sidecar_environ(bundle, os.environ))
+        for bundle in folder.find_bundles(options.paths)
+    ]
+    drift_findings = {}
+    if len(results) > 1:
         from anisestair.configure import judge_fleet
 
-        drifts = judge_fleet.drift(found)
-    placed = []
-    for item in found:
-        placed += render.place(item.bundle, [*item.findings, *drifts.get(item.bundle.name, [])])
-    if given.format == "json":
-        print(render.as_json(placed, len(found)))
-    elif given.format == "sarif":
-        print(render.sarif(placed))
+        drift_findings = judge_fleet.drift(results)
+    located = []
+    for item in results:
+        located += render.locate(item.bundle, [*item.findings, *drift_findings.get(item.bundle.name, [])])
+    if options.format == "json":
+        print(render.as_json(located, len(results)))
+    elif options.format == "sarif":
+        print(render.as_sarif(located))
     else:
-        for line in render.text(placed, len(found)):
+        for line in render.as_text(located, len(results)):
             print(line)
-    if any(item.finding.rule == "unreadable" for item in placed):
-        return UNREADABLE
-    if given.strict and placed or any(item.finding.severity is Severity.ERROR for item in placed):
-        return FOUND
-    return GOOD
-
-
-def effective(path: Path) -> Judged:
-    """What a file or folder comes to; raises Unusable where there is not one configuration."""
-    found = list(folder.bundles([path]))
-    if len(found) != 1 or found[0].platform is None:
-        raise Unusable(
-            f"{path}: not one application's configuration, but {len(found)} of them or no {PLATFORM_NAME}"
+    if any(item.finding.rule == "unreadable" for item in located):
+        return EXIT_UNREADABLE
+    if options.strict and located or any(item.finding.severity is Severity.ERROR for item in located):
+        return EXIT_FINDINGS
+    return EXIT_OK
+
+
+def load_effective(path: Path) -> CheckResult:
+    """The effective configuration of a file or folder; raises CommandError if there is not exactly one."""
+    bundles = list(folder.find_bundles([path]))
+    if len(bundles) != 1 or bundles[0].platform is None:
+        raise CommandError(
+            f"{path}: not exactly one configuration: found {len(bundles)}, or no {PLATFORM_NAME}"
         )
-    if found[0].platform.flaw is not None:
-        raise Unusable(f"{path}: {found[0].platform.flaw.says}")
-    return judge_bundle(found[0], folder.environ_of(found[0], {}))
+    if bundles[0].platform.failure is not None:
+        raise CommandError(f"{path}: {bundles[0].platform.failure.message}")
+    return check_bundle(bundles[0], folder.sidecar_environ(bundles[0], {}))
 
 
-def diff(given: argparse.Namespace) -> int:
+def diff(options: argparse.Namespace) -> int:
+    """Prints how behaviour changes from one configuration to another."""
     from anisestair.configure import behaviour
 
-    found = behaviour.changes(effective(given.old), effective(given.new))
-    for item in found:
-        print(f"{item.turn.value}: {item.says}")
-    if not found:
-        print("nothing changes in behaviour")
-    return FOUND if any(item.turn is behaviour.Turn.RISK for item in found) else GOOD
+    changes = behaviour.describe_changes(load_effective(options.old), load_effective(options.new))
+    for item in changes:
+        print(f"{item.impact.value}: {item.message}")
+    if not changes:
+        print("no change in behaviour")
+    return EXIT_FINDINGS if any(item.impact is behaviour.Impact.RISK for item in changes) else EXIT_OK
 
 
-def explain(given: argparse.Namespace) -> int:
+def explain(options: argparse.Namespace) -> int:
+    """Prints the reason for a field's value, or what a rule requires."""
     from anisestair.configure.derive import derive
 
-    if given.field in RULES:
-        print(f"{given.field}: {RULES[given.field]}")
-        return GOOD
-    if given.app is SAMPLE and not SAMPLE.exists():
-        raise Unusable("explain: name an app.toml: the sample is not installed")
-    app, _ = described(given.app)
-    reasons = [item for item in derive(app).reasons if given.field in dotted(item.path)]
-    exact = [item for item in reasons if dotted(item.path) == given.field]
+    if options.field in RULES:
+        print(f"{options.field}: {RULES[options.field]}")
+        return EXIT_OK
+    if options.app is SAMPLE_APP and not SAMPLE_APP.exists():
+        raise CommandError("explain: specify an app.toml: the sample application is not installed")
+    app, _ = load_description(options.app)
+    reasons = [item for item in derive(app).reasons if options.field in dotted(item.path)]
+    exact = [item for item in reasons if dotted(item.path) == options.field]
     for item in exact or reasons:
-        print(f"{dotted(item.path)} = {item.value!r} ({item.role.value}, {app.name}): {item.figures}")
+        print(f"{dotted(item.path)} = {item.value!r} ({item.role.value}, {app.name}): {item.explanation}")
     if not reasons:
-        raise Unusable(f"{given.field}: no field of what is derived for {app.name}, and no rule")
-    return GOOD
+        raise CommandError(f"{options.field}: neither a generated field of {app.name} nor a rule")
+    return EXIT_OK
 
 
-def print_schema(given: argparse.Namespace) -> int:
+def print_schema(options: argparse.Namespace) -> int:
+    """Prints the JSON Schema of app.toml."""
     from anisestair.configure.description import schema
 
     print(json.dumps(schema(), indent=2))
-    return GOOD
-
-
-def try_out(given: argparse.Namespace) -> int:
-    from anisestair.configure import trial  # loads the stand-ins
-    from anisestair.configure.derive import Derived, derive
-
-    if not 2.0 <= given.seconds <= trial.MOST_SECONDS:
-        raise Unusable(f"--seconds: not within 2 to {trial.MOST_SECONDS:g}")
-    app, document = described(given.app)
-    beside = folder.of_folder(given.app.parent)
-    if given.app.name == APP_NAME and beside.platform is not None:
-        judged = judge_bundle(beside, folder.environ_of(beside, {}))
-        if judged.config is None:
-            raise Unusable(f"{beside.platform.file}: no sidecar starts with it: see config check")
+    return EXIT_OK
+
+
+def try_configuration(options: argparse.Namespace) -> int:
+    """Runs a trial of the configuration in the description's folder, or of the derived one."""
+    from anisestair.configure import trial  # imports the simulated servers
+    from anisestair.configure.derive import DerivedConfig, derive
+
+    if not 2.0 <= options.seconds <= trial.MAX_SECONDS:
+        raise CommandError(f"--seconds: not from 2 to {trial.MAX_SECONDS:g}")
+    app, document = load_description(options.app)
+    bundle = folder.load_folder(options.app.parent)
+    if options.app.name == APP_NAME and bundle.platform is not None:
+        result = check_bundle(bundle, folder.sidecar_environ(bundle, {}))
+        if result.config is None:
+            raise CommandError(f"{bundle.platform.file}: a sidecar would not start with it: see config check")
         operator = (
-            beside.operator.data if judged.operator is not None and beside.operator is not None else None
+            bundle.operator.data if result.operator is not None and bundle.operator is not None else None
         )
-        derived = Derived(beside.platform.data, operator if operator else None, ())
-        print(f"trying {beside.platform.file} as it stands")
+        derived = DerivedConfig(bundle.platform.data, operator if operator else None, ())
+        print(f"trying {bundle.platform.file} unchanged")
     else:
         derived = derive(app)
-        judged = judge_derived(derived, document)
-    for item in render.place(judged.bundle, judged.findings):
+        result = check_generated(derived, document)
+    for item in render.locate(result.bundle, result.findings):
         print(item.finding.line(item.file, item.line, item.column), file=sys.stderr)
-    if judged.errors and not given.unsafe:
-        print("not tried: it has errors; --unsafe tries it all the same", file=sys.stderr)
-        return FOUND
-    return trial.run(app, derived, given.seconds, given.seed)
+    if result.errors and not options.unsafe:
+        print("not tried: the configuration has errors; --unsafe tries it anyway", file=sys.stderr)
+        return EXIT_FINDINGS
+    return trial.run(app, derived, options.seconds, options.seed)
--- a/anisestair/configure/description.py
+++ b/anisestair/configure/description.py
@@ -1,6 +1,7 @@
-"""The application's description: what its owner knows and writes, as types. No I/O.
+"""Types of an application's description (app.toml), written by the application's owner. No I/O.
 
-From it the configuration is derived, and against it one is judged. `schema` is its JSON Schema for editors.
+Configurations are generated from a description and checked against it. `schema` returns its JSON Schema.
+Docstrings and descriptions of the types are part of the schema, which is published as deploy/app.schema.json.
 """
 
 from __future__ import annotations
@@ -15,11 +16,10 @@
 Rate = Annotated[float, Meta(ge=0, le=100_000, description="calls a second, at this one sidecar")]
 Bytes = Annotated[int, Meta(ge=0, le=65_536, description="bytes; a body holds 64 KiB at most")]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
-Place = int | str
-Word = Annotated[str, Meta(min_length=1, max_length=128)]
+PathStep = int | str
+ShortText = Annotated[str, Meta(min_length=1, max_length=128)]
 
-# The order servers' side of a listing that is not described: what the market's servers do today.
-REMEMBERS_MS = 8000.0
+DEFAULT_REMEMBERS_MS = 8000.0  # how long the market's order servers remember keys today
 
 
 class Call(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -41,16 +41,18 @@
     request_bytes: Bytes = 1024
     answer_bytes: Bytes = 4096
     remembers_ms: Annotated[float, Meta(ge=0, le=86_400_000, description="how long servers know a key")] = (
-        REMEMBERS_MS
+        DEFAULT_REMEMBERS_MS
     )
     remembered_by: Annotated[
         Literal["cell", "zone", "all"], Meta(description="which servers know a key that one of them has seen")
     ] = "cell"
     methods: Annotated[
-        tuple[Word, ...], Meta(max_length=256, description="MessagePack-RPC: names, or starts*")
+        tuple[ShortText, ...], Meta(max_length=256, description="MessagePack-RPC: names, or starts*")
     ] = ()
-    key: Annotated[tuple[Place, ...], Meta(max_length=8, description="where in params the key stands")] = ()
-    id: Annotated[tuple[Place, ...], Meta(max_length=8, description="where in params an id stands")] = ()
+    key: Annotated[
+        tuple[PathStep, ...], Meta(max_length=8, description="where in params the key stands")
+    ] = ()
+    id: Annotated[tuple[PathStep, ...], Meta(max_length=8, description="where in params an id stands")] = ()
 
     def __post_init__(self) -> None:
         if self.wanted_ms > self.given_up_ms:
@@ -83,9 +85,9 @@
 class Listen(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Addresses: where the application connects, and where discovery is."""
 
-    http: Word = "127.0.0.1:5000"
-    rpc: Word = "127.0.0.1:7000"
-    discovery: Word = "127.0.0.1:8500"
+    http: ShortText = "127.0.0.1:5000"
+    rpc: ShortText = "127.0.0.1:7000"
+    discovery: ShortText = "127.0.0.1:8500"
 
 
 class Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -117,14 +119,14 @@
         if "rpc" in self.protocols:
             for call in self.calls:
                 if not call.methods:
-                    raise ValueError(f"calls: {call.name} has no methods, and protocols has rpc")
+                    raise ValueError(f"calls: {call.name} has no methods, but protocols contains rpc")
                 if (call.repeat == "keyed") != bool(call.key):
-                    wants = "needs a key" if call.repeat == "keyed" else "takes no key"
-                    raise ValueError(f"calls: {call.name} {wants}: repeat is {call.repeat!r}")
+                    problem = "needs a key" if call.repeat == "keyed" else "must not have a key"
+                    raise ValueError(f"calls: {call.name} {problem}: repeat is {call.repeat!r}")
 
     @property
-    def sells(self) -> bool:
-        """Whether any of its calls may run once only."""
+    def has_unrepeatable_calls(self) -> bool:
+        """Whether any call must not run more than once."""
         return any(call.repeat == "never" for call in self.calls)
 
     @property
@@ -132,8 +134,8 @@
         return "rpc" in self.protocols
 
 
-def convert(data: Any) -> App:
-    """Raises msgspec.ValidationError, whose text ends with the path at fault."""
+def parse_app(data: Any) -> App:
+    """Validates a parsed app.toml. Raises msgspec.ValidationError, whose text ends with the invalid path."""
     return msgspec.convert(data, App)
 
 
--- a/anisestair/configure/effective.py
+++ b/anisestair/configure/effective.py
@@ -1,6 +1,8 @@
-"""What a sidecar really uses: the platform's JSON with the environment over it and defaults under it.
+"""Builds a sidecar's effective configuration: the environment overrides the platform's JSON, defaults fill
+the rest.
 
-Reading a file is platform_file's; here nothing does I/O, so that the checks judge by the loader's own words.
+No I/O (platform_file reads the file), so the configuration check uses the same code and messages as the
+loader.
 """
 
 from __future__ import annotations
@@ -16,48 +18,48 @@
 
 
 class ConfigError(Exception):
-    """One line that names the field at fault."""
+    """The configuration is invalid; the message is one line that names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The effective configuration of a sidecar."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
-    known: EndpointList
+    sockets: int  # limit of the process's file descriptors
+    known: EndpointList  # last known server list
     settings: api.Settings
-    memory_mb: float | None = None  # over it the platform kills
-    mgmt: Address | None = None  # where operators call
-    inherited: int | None = (
-        None  # the descriptor of the clients' listening socket, where the platform holds it
-    )
+    memory_mb: float | None = None  # the platform kills a process that exceeds it
+    mgmt: Address | None = None  # address of the admin interface
+    inherited: int | None = None  # descriptor of the clients' listening socket, if inherited
 
 
-def _descriptor(text: str | None) -> int | None:
+def _parse_descriptor(text: str | None) -> int | None:
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= 6):
-        raise ConfigError("BALANCER_INHERITED_FD: not the number of a descriptor")
+        raise ConfigError("BALANCER_INHERITED_FD: not a file descriptor number")
     return int(text)
 
 
 def build_config(data: Any, environ: Mapping[str, str], offset_ms: float) -> Config:
-    """Raises ConfigError for the first field that cannot be used. ``offset_ms`` turns Unix time into the
-    caller's clock."""
+    """Raises ConfigError for the first invalid field. ``offset_ms`` converts Unix time to the caller's
+    clock."""
     if not isinstance(data, dict):
         raise ConfigError("BALANCER_CONFIG: not a JSON object")
 
-    def named(variable: str, field: str) -> Any:
+    def required_value(variable: str, field: str) -> Any:
         value = environ.get(variable) or data.get(field)
         if not value:
-            raise ConfigError(f"{variable}: not set, and no field {field!r} in the configuration")
+            raise ConfigError(f"{variable}: not set, and the configuration has no field {field!r}")
         return value
 
     def address_of(variable: str, field: str, lowest_port: int = 1) -> Address:
         try:
-            return address(named(variable, field), lowest_port)
+            return address(required_value(variable, field), lowest_port)
         except ValueError as fault:
             raise ConfigError(f"{variable}: {fault}") from None
 
@@ -68,7 +70,7 @@
         raise ConfigError("seed: not a hexadecimal number") from None
     sockets = data.get("limits", {}).get("sockets") if isinstance(data.get("limits"), dict) else None
     if not isinstance(sockets, int) or sockets < 128:
-        raise ConfigError("limits.sockets: not a whole number of 128 or more")
+        raise ConfigError("limits.sockets: not an integer of 128 or more")
     try:
         known = parse_list(data.get("known"), offset_ms)
     except ValueError as fault:
@@ -78,7 +80,7 @@
     except wire.WireError as fault:
         raise ConfigError(f"settings: {' '.join(str(fault).split())}") from None
     return Config(
-        name=str(named("BALANCER_NAME", "name")),
+        name=str(required_value("BALANCER_NAME", "name")),
         listen=address_of("BALANCER_LISTEN", "listen", lowest_port=0),  # 0: any free port
         discovery=address_of("BALANCER_DISCOVERY", "discovery"),
         seed=seed,
@@ -87,5 +89,5 @@
         settings=settings,
         memory_mb=memory if isinstance(memory := data["limits"].get("memory_mb"), int | float) else None,
         mgmt=address_of("BALANCER_MGMT", "mgmt", lowest_port=0) if mgmt else None,
-        inherited=_descriptor(environ.get("BALANCER_INHERITED_FD")),
+        inherited=_parse_descriptor(environ.get("BALANCER_INHERITED_FD")),
     )
--- a/anisestair/configure/judge.py
+++ b/anisestair/configure/judge.py
@@ -1,7 +1,7 @@
-"""Checks on a sidecar's effective configuration alone: the platform's JSON, the environment over it. No I/O.
+"""Checks a sidecar's effective configuration: the platform's JSON with the environment variables. No I/O.
 
-Light: a sidecar that starts runs them and prints what they find. What takes the application's description is
-in judge_app.
+A sidecar runs these checks when it starts, so this module has no costly imports. Checks that need the
+application's description are in judge_app.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from anisestair.configure import known_fields
 from anisestair.configure.effective import Config, ConfigError, build_config
-from anisestair.configure.findings import Finding, Path, Role, error, warning
+from anisestair.configure.findings import FieldPath, Finding, Role, error, warning
 from anisestair.configure.source import Document
 from hareloom.interface import Effect, RequestClass
 
-DRAIN_MS = 2000.0  # the operators' rule: nothing new to a draining server later than this
-VARIABLES = {  # what stands in the environment wins over the JSON's field
+MAX_DRAIN_GRACE_MS = 2000.0  # the operators' rule: a draining server gets nothing new after this time
+FIELD_BY_VARIABLE = {  # an environment variable overrides its field in the JSON
     "BALANCER_NAME": ("name",),
     "BALANCER_LISTEN": ("listen",),
     "BALANCER_DISCOVERY": ("discovery",),
@@ -24,10 +24,10 @@
     "BALANCER_CONFIG": (),
     "BALANCER_INHERITED_FD": (),
 }
-# Whole word, in any of the spellings of names: sale, order.sale, sales-v2, but not wholesale.
-SALE = re.compile(r"(?:^|[^a-z])sales?(?:$|[^a-z])", re.IGNORECASE)
-# The module's own names of fields that its settings refuse, as the JSON has them.
-JSON_NAMES = {
+# Matches the word within a name: sale, order.sale, sales-v2, but not wholesale.
+SALE_NAME = re.compile(r"(?:^|[^a-z])sales?(?:$|[^a-z])", re.IGNORECASE)
+# Names in the JSON of the fields that errors of hareloom's settings mention.
+JSON_FIELD_NAMES = {
     "aim_ms": "promise-ms",
     "deadline_ms": "give-up-ms",
     "worth": "importance",
@@ -35,177 +35,220 @@
     "window_ms": "window-ms",
     "idle_ms": "keepalive-ms",
 }
-TICK_SHARE = 0.25  # of the shortest promise: a tick above it makes most timers late
+MAX_TICK_SHARE = 0.25  # of the shortest promise-ms; with a longer tick most timers are late
 
 
-def names_a_sale(name: str) -> bool:
-    return SALE.search(str(name)) is not None  # the loader takes a name that is a number
+def is_sale_name(name: str) -> bool:
+    """Whether a name of a class or method contains the word sale or sales."""
+    return SALE_NAME.search(str(name)) is not None  # the loader also accepts a number as name
 
 
-def platform(document: Document, environ: Mapping[str, str]) -> tuple[list[Finding], Config | None]:
-    """What is found in the JSON as written and in what the loader makes of it with these variables; the
-    configuration itself, where the loader takes it."""
-    if document.flaw is not None:
-        would = known_fields.REFUSED
-        return [error("unreadable", Role.PLATFORM, (), document.flaw.says, would, "write it anew")], None
-    found = repeated(document, Role.PLATFORM)
-    found += known_fields.check(document.data)
-    found += variables(environ)
+def check_platform(document: Document, environ: Mapping[str, str]) -> tuple[list[Finding], Config | None]:
+    """Findings about the JSON as written and about the effective configuration, and that configuration, or
+    None if the loader rejects it."""
+    if document.failure is not None:
+        consequence = known_fields.START_REFUSED
+        return [
+            error("unreadable", Role.PLATFORM, (), document.failure.message, consequence, "write it again")
+        ], None
+    findings = check_duplicate_keys(document, Role.PLATFORM)
+    findings += known_fields.check(document.data)
+    findings += check_variables(environ)
     try:
         config = build_config(document.data, environ, 0.0)
     except ConfigError as fault:
-        if not any(item.severity.value == "error" for item in found):
-            role, path = _refused(str(fault), document, environ)
-            says = " ".join(str(fault).split())
-            found.append(error("refused-start", role, path, says, known_fields.REFUSED, "correct the field"))
-        return found, None
-    return found + rules(config), config
+        if not any(item.severity.value == "error" for item in findings):
+            role, path = _refused_field(str(fault), document, environ)
+            message = " ".join(str(fault).split())
+            findings.append(
+                error("refused-start", role, path, message, known_fields.START_REFUSED, "correct the field")
+            )
+        return findings, None
+    return findings + check_config(config), config
 
 
-def repeated(document: Document, role: Role) -> list[Finding]:
-    if not document.repeated:
+def check_duplicate_keys(document: Document, role: Role) -> list[Finding]:
+    """An error for each duplicate key."""
+    if not document.has_duplicates:
         return []
-    would = "the last one counts, and whoever reads the first one is misled"
+    consequence = "the last value is used, which a reader of the first one does not expect"
     return [
-        error("duplicate-key", role, path, f"{path[-1]!r} stands twice", would, "leave one")
-        for path, _ in document.spots[1]
+        error("duplicate-key", role, path, f"{path[-1]!r} occurs twice", consequence, "keep one")
+        for path, _ in document.positions[1]
     ]
 
 
-def variables(environ: Mapping[str, str]) -> list[Finding]:
-    """Variables that are meant for a sidecar and misspelt."""
-    found = []
+def check_variables(environ: Mapping[str, str]) -> list[Finding]:
+    """Findings about misspelt variables of a sidecar."""
+    findings = []
     for name in sorted(environ):
-        if name.startswith("BALANCER_") and name not in VARIABLES:
-            near = known_fields.nearest(name, list(VARIABLES))
-            if near and near not in environ:
-                says, would = (
-                    f"unknown variable; nearest is {near}",
-                    "it is passed over, and the JSON's field counts",
+        if name.startswith("BALANCER_") and name not in FIELD_BY_VARIABLE:
+            nearest_name = known_fields.nearest(name, list(FIELD_BY_VARIABLE))
+            if nearest_name and nearest_name not in environ:
+                message, consequence = (
+                    f"unknown variable; the nearest known one is {nearest_name}",
+                    "it is ignored, and the field in the JSON is used",
+                )
+                findings.append(
+                    error(
+                        "environment",
+                        Role.ENVIRONMENT,
+                        (name,),
+                        message,
+                        consequence,
+                        f"write {nearest_name}",
+                    )
                 )
-                found.append(error("environment", Role.ENVIRONMENT, (name,), says, would, f"write {near}"))
-    return found
+    return findings
 
 
-def origin(environ: Mapping[str, str], variable: str) -> tuple[Role, Path]:
-    """Where the effective value of a field comes from that a variable can override."""
+def value_origin(environ: Mapping[str, str], variable: str) -> tuple[Role, FieldPath]:
+    """Where the effective value of a field comes from that ``variable`` can override."""
     if environ.get(variable):
         return Role.ENVIRONMENT, (variable,)
-    return Role.PLATFORM, VARIABLES[variable]
+    return Role.PLATFORM, FIELD_BY_VARIABLE[variable]
 
 
-def _refused(said: str, document: Document, environ: Mapping[str, str]) -> tuple[Role, Path]:
-    """The field that a loader's line is about."""
-    field, _, rest = said.partition(": ")
-    if field in VARIABLES:
-        return origin(environ, field)
+def _refused_field(error_text: str, document: Document, environ: Mapping[str, str]) -> tuple[Role, FieldPath]:
+    """The field that an error of the loader is about."""
+    field, _, rest = error_text.partition(": ")
+    if field in FIELD_BY_VARIABLE:
+        return value_origin(environ, field)
     if field == "known":
-        inner = re.match(r"hosts\[(\d+)\]\.(\w+)", rest)
-        return Role.PLATFORM, ("known", "hosts", int(inner[1]), inner[2]) if inner else ("known",)
+        match = re.match(r"hosts\[(\d+)\]\.(\w+)", rest)
+        return Role.PLATFORM, ("known", "hosts", int(match[1]), match[2]) if match else ("known",)
     if field == "settings":
-        inner = re.search(r"(?:classes\[(.*)\]|(limits|rules))\.(\w+): ", rest)
-        if inner is None:
+        match = re.search(r"(?:classes\[(.*)\]|(limits|rules))\.(\w+): ", rest)
+        if match is None:
             return Role.PLATFORM, ("settings", "classes") if "classes" in rest else ("settings",)
-        name = JSON_NAMES.get(inner[3], inner[3].replace("_", "-"))
-        if inner[2]:
-            return Role.PLATFORM, ("settings", inner[2], name)
+        name = JSON_FIELD_NAMES.get(match[3], match[3].replace("_", "-"))
+        if match[2]:
+            return Role.PLATFORM, ("settings", match[2], name)
         names = [item.get("name") for item in document.data["settings"]["classes"]]
-        return Role.PLATFORM, ("settings", "classes", names.index(inner[1]), name)
+        return Role.PLATFORM, ("settings", "classes", names.index(match[1]), name)
     return Role.PLATFORM, tuple(field.split("."))
 
 
-def class_path(config: Config, klass: RequestClass, field: str) -> Path:
-    return ("settings", "classes", config.settings.classes.index(klass), field)
+def class_path(config: Config, request_class: RequestClass, field: str) -> FieldPath:
+    """The path of a request class's field in the platform's JSON."""
+    return ("settings", "classes", config.settings.classes.index(request_class), field)
 
 
-def rules(config: Config) -> list[Finding]:
-    """What would break a rule in service, by the effective configuration alone."""
-    return [*_addresses(config), *_classes(config), *_limits(config), *_cold(config)]
+def check_config(config: Config) -> list[Finding]:
+    """Violations of rules in service that need only the effective configuration."""
+    return [
+        *_check_addresses(config),
+        *_check_classes(config),
+        *_check_limits(config),
+        *_check_cold_start(config),
+    ]
 
 
-def _addresses(config: Config) -> list[Finding]:
+def _check_addresses(config: Config) -> list[Finding]:
     if config.listen != config.discovery:
         return []
-    says = "discovery is the sidecar's own address: it would ask itself"
-    would = "no drain is ever heard of, and a draining server goes on getting new calls"
-    return [error("drain", Role.PLATFORM, ("discovery",), says, would, "write discovery's address")]
+    message = "discovery is the sidecar's own address: the sidecar would query itself"
+    consequence = "no drain is ever noticed, and a draining server still gets new calls"
+    return [
+        error("drain", Role.PLATFORM, ("discovery",), message, consequence, "write the address of discovery")
+    ]
 
 
-def _classes(config: Config) -> list[Finding]:
-    found: list[Finding] = []
+def _check_classes(config: Config) -> list[Finding]:
+    findings: list[Finding] = []
     settings = config.settings
     limits = settings.limits
-    for klass in settings.classes:
+    for request_class in settings.classes:
 
-        def at(field: str, klass: RequestClass = klass) -> Path:
-            return class_path(config, klass, field)
+        def at(field: str, request_class: RequestClass = request_class) -> FieldPath:
+            return class_path(config, request_class, field)
 
-        if names_a_sale(klass.name) and klass.effect is not Effect.UNSAFE:
-            found.append(
+        if is_sale_name(request_class.name) and request_class.effect is not Effect.UNSAFE:
+            findings.append(
                 error(
                     "sale-repeats",
                     Role.PLATFORM,
                     at("idempotency"),
-                    f"class {klass.name!r} is sent again after it may have run",
+                    f"class {request_class.name!r} is retried after it may have run",
                     "a sale whose answer is lost is sold twice",
                     "write 'single_shot'",
                 )
             )
-        if klass.aim_ms > klass.deadline_ms:
-            says = f"promise-ms {klass.aim_ms:g} is more than give-up-ms {klass.deadline_ms:g}"
-            would = "callers go away before the time within which they are promised an answer"
-            mend = f"write {klass.deadline_ms:g} or less"
-            found.append(error("time-outs", Role.PLATFORM, at("promise-ms"), says, would, mend))
+        if request_class.aim_ms > request_class.deadline_ms:
+            message = (
+                f"promise-ms {request_class.aim_ms:g} is more than give-up-ms {request_class.deadline_ms:g}"
+            )
+            consequence = "callers give up before the promised time of the answer"
+            remedy = f"write {request_class.deadline_ms:g} or less"
+            findings.append(error("time-outs", Role.PLATFORM, at("promise-ms"), message, consequence, remedy))
         least = limits.connect_timeout_ms + 2.0 * settings.tick_ms
-        if klass.effect is Effect.KEYED and klass.window_ms <= least:
-            says = f"window-ms {klass.window_ms:g} leaves no time for a second attempt"
-            would = f"class {klass.name!r} is never sent again once it may have run, though its key allows it"
-            mend = f"write what the servers keep to, more than {least:g}"
-            found.append(warning("few-attempts", Role.PLATFORM, at("window-ms"), says, would, mend))
-    return found
+        if request_class.effect is Effect.KEYED and request_class.window_ms <= least:
+            message = f"window-ms {request_class.window_ms:g} leaves no time for a second attempt"
+            consequence = (
+                f"class {request_class.name!r} is never retried once it may have run, despite its key"
+            )
+            remedy = f"write how long the servers remember keys, more than {least:g}"
+            findings.append(
+                warning("few-attempts", Role.PLATFORM, at("window-ms"), message, consequence, remedy)
+            )
+    return findings
 
 
-def _limits(config: Config) -> list[Finding]:
-    found: list[Finding] = []
+def _check_limits(config: Config) -> list[Finding]:
+    findings: list[Finding] = []
     settings, limits = config.settings, config.settings.limits
-    shortest = min(klass.deadline_ms for klass in settings.classes)
-    promise = min(klass.aim_ms for klass in settings.classes)
+    shortest = min(request_class.deadline_ms for request_class in settings.classes)
+    promise = min(request_class.aim_ms for request_class in settings.classes)
     if limits.connect_timeout_ms >= shortest:
-        path: Path = ("settings", "limits", "connect-timeout-ms")
-        says = f"{limits.connect_timeout_ms:g} ms is no less than the shortest give-up-ms, {shortest:g}"
-        would = "a connection that does not come up takes a call's whole time; it is never tried elsewhere"
-        mend = f"write {promise / 2:g} or less"
-        found.append(error("time-outs", Role.PLATFORM, path, says, would, mend))
-    if settings.tick_ms > TICK_SHARE * promise:
+        path: FieldPath = ("settings", "limits", "connect-timeout-ms")
+        message = f"{limits.connect_timeout_ms:g} ms is not below the shortest give-up-ms, {shortest:g}"
+        consequence = (
+            "one failed connection takes the whole time of a call, which is never tried at another server"
+        )
+        remedy = f"write {promise / 2:g} or less"
+        findings.append(error("time-outs", Role.PLATFORM, path, message, consequence, remedy))
+    if settings.tick_ms > MAX_TICK_SHARE * promise:
         path = ("settings", "tick-ms")
-        says = f"{settings.tick_ms:g} ms is more than a quarter of the shortest promise-ms, {promise:g}"
-        would = "calls are given up on a tick early, and short ones at once"
-        found.append(error("time-outs", Role.PLATFORM, path, says, would, "write 1 to 5"))
-    if limits.max_attempts == 1 and any(klass.effect is not Effect.UNSAFE for klass in settings.classes):
+        message = f"{settings.tick_ms:g} ms is more than a quarter of the shortest promise-ms, {promise:g}"
+        consequence = "calls are given up one tick early, and short ones at once"
+        findings.append(error("time-outs", Role.PLATFORM, path, message, consequence, "write 1 to 5"))
+    if limits.max_attempts == 1 and any(
+        request_class.effect is not Effect.UNSAFE for request_class in settings.classes
+    ):
         path = ("settings", "limits", "max-attempts")
-        would = "a call that could be served elsewhere fails with its first attempt"
-        found.append(
-            warning("few-attempts", Role.PLATFORM, path, "one attempt for each call", would, "write 3 or 4")
+        consequence = "a call that another server could serve fails with its first attempt"
+        findings.append(
+            warning("few-attempts", Role.PLATFORM, path, "one attempt per call", consequence, "write 3 or 4")
         )
-    if settings.rules.drain_grace_ms > DRAIN_MS:
+    if settings.rules.drain_grace_ms > MAX_DRAIN_GRACE_MS:
         path = ("settings", "rules", "drain-grace-ms")
-        says = f"{settings.rules.drain_grace_ms:g} ms is more than the {DRAIN_MS:g} ms of the rule"
-        would = "a draining server may be sent new calls after its 2 s, and ends with them"
-        found.append(error("drain", Role.PLATFORM, path, says, would, f"write {DRAIN_MS:g}"))
-    return found
+        message = f"{settings.rules.drain_grace_ms:g} ms is more than the allowed {MAX_DRAIN_GRACE_MS:g} ms"
+        consequence = "a draining server may get new calls after 2 s, which are lost when it stops"
+        findings.append(
+            error("drain", Role.PLATFORM, path, message, consequence, f"write {MAX_DRAIN_GRACE_MS:g}")
+        )
+    return findings
 
 
-def _cold(config: Config) -> list[Finding]:
-    """Owed where something may run once only; a fleet that starts warm says so in a description."""
-    if not any(klass.effect is Effect.UNSAFE for klass in config.settings.classes):
+def _check_cold_start(config: Config) -> list[Finding]:
+    """A start-up limit is required if a class must not run twice. An application whose servers start warm
+    states this in its description."""
+    if not any(request_class.effect is Effect.UNSAFE for request_class in config.settings.classes):
         return []
     rules = config.settings.rules
-    would = "a server that has just started gets a warm one's share, falls over, and takes its sales with it"
+    consequence = "a server that has just started gets the share of a warm one, fails, and its sales are lost"
     if rules.cold_ms <= 0:
-        path: Path = ("settings", "rules", "cold-ms")
-        says = "no start-up limit: servers count as warm at once"
+        path: FieldPath = ("settings", "rules", "cold-ms")
+        message = "no start-up limit: servers are treated as warm at once"
         return [
-            error("cold-start", Role.PLATFORM, path, says, would, "write how long servers take to warm up")
+            error(
+                "cold-start",
+                Role.PLATFORM,
+                path,
+                message,
+                consequence,
+                "write how long servers take to warm up",
+            )
         ]
     if rules.cold_from >= 1.0:
         path = ("settings", "rules", "cold-from")
@@ -214,8 +257,8 @@
                 "cold-start",
                 Role.PLATFORM,
                 path,
-                "a start-up limit of nothing",
-                would,
+                "a start-up limit without effect",
+                consequence,
                 "write the share, below 1",
             )
         ]
--- a/anisestair/configure/judge_fleet.py
+++ b/anisestair/configure/judge_fleet.py
@@ -1,5 +1,5 @@
-"""Drift: applications of one kind whose configurations differ, and their descriptions do not say why. No
-I/O."""
+"""Detects drift: applications of one kind whose configurations differ without a reason in their descriptions.
+No I/O."""
 
 from __future__ import annotations
 
@@ -8,66 +8,72 @@
 from typing import Any
 
 from anisestair.configure.derive import derive
-from anisestair.configure.findings import Finding, Path, Role, dotted, warning
-from anisestair.configure.judge_app import Judged
+from anisestair.configure.findings import FieldPath, Finding, Role, dotted, warning
+from anisestair.configure.judge_app import CheckResult
 
-LEAST = 3  # of one kind, before most of them say what is usual
-MOST_SHARE = 0.5  # of a kind that have one value: more than this, or there is no usual one
+MIN_GROUP_SIZE = 3  # applications of one kind, before their majority defines the usual value
+MIN_MAJORITY_SHARE = 0.5  # more than this share must have the same value, otherwise none is usual
 
 DERIVED = "as derived"
 
 
-def drift(judged: Sequence[Judged]) -> dict[str, list[Finding]]:
-    """Warnings by bundle name. A value counts as alike where it is the one derived from its own description,
-    whatever that is; else by itself."""
-    groups: dict[str, list[Judged]] = defaultdict(list)
-    for item in judged:
+def drift(results: Sequence[CheckResult]) -> dict[str, list[Finding]]:
+    """Warnings by bundle name. All values that are as derived from their own descriptions count as equal;
+    other values are compared as they are."""
+    groups: dict[str, list[CheckResult]] = defaultdict(list)
+    for item in results:
         if item.config is not None:
-            classes = ", ".join(sorted(klass.name for klass in item.config.settings.classes))
+            classes = ", ".join(sorted(request_class.name for request_class in item.config.settings.classes))
             groups[item.app.kind if item.app is not None else f"with the classes {classes}"].append(item)
-    found: dict[str, list[Finding]] = defaultdict(list)
+    findings: dict[str, list[Finding]] = defaultdict(list)
     for kind, members in sorted(groups.items()):
-        if len(members) < LEAST:
+        if len(members) < MIN_GROUP_SIZE:
             continue
-        values = [_values(item) for item in members]
-        for path in sorted({path for each in values for path in each}, key=dotted):
-            counted = Counter(repr(each.get(path)) for each in values)
-            usual, many = counted.most_common(1)[0]
-            if many <= MOST_SHARE * len(members):
+        all_values = [_set_values(item) for item in members]
+        for path in sorted({path for values in all_values for path in values}, key=dotted):
+            counts = Counter(repr(values.get(path)) for values in all_values)
+            usual_value, count = counts.most_common(1)[0]
+            if count <= MIN_MAJORITY_SHARE * len(members):
                 continue
-            for item, each in zip(members, values, strict=True):
-                if repr(each.get(path)) != usual and each.get(path) != DERIVED:
-                    is_now = f"is {each[path]!r}" if path in each else "is not set"
-                    rest = f"{many} of {len(members)} of kind {kind!r} have it {usual.strip(chr(39))}"
-                    says = f"{is_now}; {rest}"
-                    would = "one application behaves as none of its kind does"
-                    mend = "generate it anew, or say why in its description"
-                    found[item.bundle.name].append(warning("drift", Role.PLATFORM, path, says, would, mend))
-    return found
+            for item, values in zip(members, all_values, strict=True):
+                if repr(values.get(path)) != usual_value and values.get(path) != DERIVED:
+                    actual = f"is {values[path]!r}" if path in values else "is not set"
+                    majority = (
+                        f"{count} of {len(members)} of kind {kind!r} have it {usual_value.strip(chr(39))}"
+                    )
+                    message = f"{actual}; {majority}"
+                    consequence = "this application behaves differently from others of its kind"
+                    remedy = "generate it again, or give the reason in its description"
+                    findings[item.bundle.name].append(
+                        warning("drift", Role.PLATFORM, path, message, consequence, remedy)
+                    )
+    return findings
 
 
-def _values(item: Judged) -> dict[Path, Any]:
-    """The settings as set, by path; classes by name, so that their order does not count."""
+def _set_values(item: CheckResult) -> dict[FieldPath, Any]:
+    """The settings as written, by path; classes by their position."""
     assert item.bundle.platform is not None
-    derived = _flat(derive(item.app).platform) if item.app is not None else {}
+    derived = _flatten(derive(item.app).platform) if item.app is not None else {}
     return {
         path: DERIVED if path in derived and derived[path] == value else value
-        for path, value in _flat(item.bundle.platform.data).items()
+        for path, value in _flatten(item.bundle.platform.data).items()
     }
 
 
-def _flat(platform: dict[str, Any]) -> dict[Path, Any]:
+def _flatten(platform: dict[str, Any]) -> dict[FieldPath, Any]:
     settings = platform.get("settings", {})
-    found: dict[Path, Any] = {}
+    values: dict[FieldPath, Any] = {}
     for name in ("limits", "rules"):
         table = settings.get(name)
         if isinstance(table, dict):
-            found |= {("settings", name, key): value for key, value in table.items()}
-    for number, klass in enumerate(settings.get("classes", [])):
-        found |= {
-            ("settings", "classes", number, key): value for key, value in klass.items() if key != "name"
+            values |= {("settings", name, key): value for key, value in table.items()}
+    for number, request_class in enumerate(settings.get("classes", [])):
+        values |= {
+            ("settings", "classes", number, key): value
+            for key, value in request_class.items()
+            if key != "name"
         }
     for key in ("discovery", "peers-total", "tick-ms", "weight-source"):
         if key in settings:
-            found[("settings", key)] = settings[key]
-    return found
+            values[("settings", key)] = settings[key]
+    return values
--- a/anisestair/configure/known_fields.py
+++ b/anisestair/configure/known_fields.py
@@ -1,7 +1,8 @@
-"""The platform's JSON by its fields: names, types, and sizes that their units make likely. No I/O.
+"""Checks the fields of the platform's JSON: names, types, ranges and plausible sizes. No I/O.
 
-The loader passes over what it does not know and takes what Python's float() takes: a misspelt field leaves a
-default in force, "false" in quotes is true, and 0.4 is a time-out. These checks judge the values as written.
+The loader ignores unknown fields and accepts whatever Python's float() accepts: with a misspelt field the
+default applies, "false" in quotes is true, and 0.4 is accepted as a timeout in milliseconds. These checks
+examine the values as written.
 """
 
 from __future__ import annotations
@@ -11,82 +12,86 @@
 from dataclasses import dataclass
 from typing import Any
 
-from anisestair.configure.findings import Finding, Path, Role, error, warning
+from anisestair.configure.findings import FieldPath, Finding, Role, error, warning
 
 ROLE = Role.PLATFORM
 
 
 @dataclass(frozen=True, slots=True)
 class Number:
-    """``low`` to ``high`` is read; ``likely`` is what the unit makes likely (0 always, where it is read)."""
+    """A number from ``minimum`` to ``maximum``. ``plausible``: range that is likely for the unit; 0 is always
+    plausible if it is in range."""
 
-    low: float = 0.0
-    high: float = math.inf
-    likely: tuple[float, float] | None = None
-    whole: bool = False
+    minimum: float = 0.0
+    maximum: float = math.inf
+    plausible: tuple[float, float] | None = None
+    integer: bool = False
     unit: str = "milliseconds"
 
 
 @dataclass(frozen=True, slots=True)
 class Text:
+    """A string; ``values`` are the allowed ones, empty for any."""
+
     values: tuple[str, ...] = ()
 
 
 class Flag:
-    """true or false."""
+    """A boolean."""
 
 
-class Passed:
-    """Read by others, or by nobody here."""
+class Unchecked:
+    """A field that is checked elsewhere or not used by sidecars."""
 
 
-Field = Number | Text | Flag | Passed
-PASSED, FLAG = Passed(), Flag()
+Field = Number | Text | Flag | Unchecked
+UNCHECKED, FLAG = Unchecked(), Flag()
 
 
-def ms(low: float, high: float, least: float = 0.0) -> Number:
-    return Number(least, likely=(low, high))
+def milliseconds(low: float, high: float, minimum: float = 0.0) -> Number:
+    """A duration that is plausible from ``low`` to ``high``."""
+    return Number(minimum, plausible=(low, high))
 
 
 SHARE = Number(0.0, 1.0, unit="a share")
-PLAIN = Number(unit="a plain number")
-TOP: dict[str, Field] = {
+UNITLESS = Number(unit="a plain number")
+TOP_LEVEL: dict[str, Field] = {
     "name": Text(),
     "listen": Text(),
     "discovery": Text(),
     "mgmt": Text(),
     "seed": Text(),
-    "limits": PASSED,
-    "known": PASSED,
-    "settings": PASSED,
+    "limits": UNCHECKED,
+    "known": UNCHECKED,
+    "settings": UNCHECKED,
 }
-MACHINE: dict[str, Field] = {
+MACHINE_LIMITS: dict[str, Field] = {
     "cores": Number(0.0, 1024.0, unit="cores"),
-    "memory_mb": Number(1.0, likely=(16, 1_048_576), unit="megabytes"),
-    "sockets": Number(128, likely=(128, 4_194_304), whole=True, unit="descriptors"),
+    "memory_mb": Number(1.0, plausible=(16, 1_048_576), unit="megabytes"),
+    "sockets": Number(128, plausible=(128, 4_194_304), integer=True, unit="descriptors"),
 }
-# What a unit makes likely is wide: it tells seconds from milliseconds and these from microseconds, not good
-# values from bad ones. A service that means to answer within 4 ms would be told wrongly.
+# Plausible ranges are wide: they detect seconds or microseconds in place of milliseconds, not unsuitable
+# values. A service that really promises an answer within 4 ms would be reported wrongly.
 CLASS: dict[str, Field] = {
     "name": Text(),
-    "promise-ms": ms(5, 600_000),
-    "give-up-ms": ms(10, 600_000),
-    "importance": PLAIN,
+    "promise-ms": milliseconds(5, 600_000),
+    "give-up-ms": milliseconds(10, 600_000),
+    "importance": UNITLESS,
     "late-share": SHARE,
     "idempotency": Text(("free", "guarded", "single_shot")),
     "key-scope": Text(("all", "zone", "cell")),
-    "window-ms": ms(50, 86_400_000),
+    "window-ms": milliseconds(50, 86_400_000),
     "stream": FLAG,
 }
 SETTINGS: dict[str, Field] = {
-    "classes": PASSED,
-    "limits": PASSED,
-    "rules": PASSED,
+    "classes": UNCHECKED,
+    "limits": UNCHECKED,
+    "rules": UNCHECKED,
     "discovery": Text(("ask", "push")),
-    "peers-total": Number(1, 1_000_000, whole=True, unit="sidecars"),
-    "me": Number(0, 999_999, whole=True),
+    "peers-total": Number(1, 1_000_000, integer=True, unit="sidecars"),
+    "me": Number(0, 999_999, integer=True),
     "locality": Text(),
-    "tick-ms": ms(0.05, 200),
+    "tick-ms": milliseconds(0.05, 200),
     "weight-source": Text(),
     "worth-by": Text(),
 }
@@ -94,169 +99,201 @@
     *("callers", "family-info", "kind-of-service", "kinds", "layer", "over-share-worth", "report"),
     *("scoring-mix", "tariffs", "tenants", "tiers", "zones"),
 ):
-    SETTINGS[_name] = PASSED
+    SETTINGS[_name] = UNCHECKED
 LIMITS: dict[str, Field] = {
-    "connect-timeout-ms": ms(3, 60_000),
-    "keepalive-ms": ms(50, 3_600_000),
-    "max-attempts": Number(1, likely=(1, 32), whole=True, unit="attempts"),
+    "connect-timeout-ms": milliseconds(3, 60_000),
+    "keepalive-ms": milliseconds(50, 3_600_000),
+    "max-attempts": Number(1, plausible=(1, 32), integer=True, unit="attempts"),
     "may-cancel": FLAG,
     "second-copies": FLAG,
     "probing": FLAG,
     "retry-after": FLAG,
-    "max-retry-after-ms": ms(10, 3_600_000),
+    "max-retry-after-ms": milliseconds(10, 3_600_000),
 }
 for _name in ("cpu-us-per-request", "cpu-us-per-s", "most-held", "multiplex", "peers"):
-    LIMITS[_name] = PASSED
+    LIMITS[_name] = UNCHECKED
 RULES: dict[str, Field] = {
-    "answer-slack-ms": ms(0.5, 60_000),
-    "ask-within-ms": ms(100, 3_600_000),
+    "answer-slack-ms": milliseconds(0.5, 60_000),
+    "ask-within-ms": milliseconds(100, 3_600_000),
     "cold-from": Number(1e-9, 1.0, unit="a share"),
-    "cold-ms": ms(20, 3_600_000),
-    "drain-grace-ms": ms(20, 600_000),
-    "overload-for-ms": ms(10, 3_600_000),
-    "tip-multiple": PLAIN,
+    "cold-ms": milliseconds(20, 3_600_000),
+    "drain-grace-ms": milliseconds(20, 600_000),
+    "overload-for-ms": milliseconds(10, 3_600_000),
+    "tip-multiple": UNITLESS,
 }
-REQUIRED_OF_CLASS = ("name", "promise-ms", "give-up-ms")
+REQUIRED_CLASS_FIELDS = ("name", "promise-ms", "give-up-ms")
 
-IGNORED = "the field is passed over, and its default is in force"
-REFUSED = "the sidecar ends at its start with a line that names the field"
+DEFAULT_APPLIES = "the field is ignored, and its default value applies"
+START_REFUSED = "the sidecar refuses to start, with a line that names the field"
 
 
 def check(data: dict[str, Any]) -> list[Finding]:
-    """What is wrong with the fields as written, in the order of the text."""
-    found = list(_table(data, TOP, ()))
-    for path, fields in ((("limits",), MACHINE), (("settings",), SETTINGS)):
-        found += _inner(data.get(path[0]), fields, path)
+    """Findings about the fields as written."""
+    findings = list(_check_table(data, TOP_LEVEL, ()))
+    for path, fields in ((("limits",), MACHINE_LIMITS), (("settings",), SETTINGS)):
+        findings += _check_object(data.get(path[0]), fields, path)
     settings = data.get("settings")
     if not isinstance(settings, dict):
-        return found
+        return findings
     for name, fields in (("limits", LIMITS), ("rules", RULES)):
         if name in settings:
-            found += _inner(settings[name], fields, ("settings", name))
+            findings += _check_object(settings[name], fields, ("settings", name))
     classes = settings.get("classes")
     if not isinstance(classes, list) or not classes:
-        says = "no class of calls" if "classes" in settings else "no field 'classes'"
-        found.append(error("refused-start", ROLE, ("settings", "classes"), says, REFUSED, "list the classes"))
-        return found
+        message = "no request class" if "classes" in settings else "no field 'classes'"
+        findings.append(
+            error("refused-start", ROLE, ("settings", "classes"), message, START_REFUSED, "list the classes")
+        )
+        return findings
     for number, item in enumerate(classes):
-        at: Path = ("settings", "classes", number)
-        found += _inner(item, CLASS, at)
+        class_path: FieldPath = ("settings", "classes", number)
+        findings += _check_object(item, CLASS, class_path)
         if isinstance(item, dict):
-            for name in REQUIRED_OF_CLASS:
+            for name in REQUIRED_CLASS_FIELDS:
                 if name not in item:
-                    mend = f"add {name!r}"
-                    found.append(error("refused-start", ROLE, at, f"no field {name!r}", REFUSED, mend))
-    return found
+                    remedy = f"add {name!r}"
+                    findings.append(
+                        error("refused-start", ROLE, class_path, f"no field {name!r}", START_REFUSED, remedy)
+                    )
+    return findings
 
 
-def _inner(value: Any, fields: dict[str, Field], path: Path) -> Iterator[Finding]:
+def _check_object(value: Any, fields: dict[str, Field], path: FieldPath) -> Iterator[Finding]:
     if isinstance(value, dict):
-        yield from _table(value, fields, path)
+        yield from _check_table(value, fields, path)
     else:
-        says = "missing" if value is None else "not an object"
-        yield error("wrong-type", ROLE, path, says, REFUSED, "write an object {...}")
+        message = "missing" if value is None else "not an object"
+        yield error("wrong-type", ROLE, path, message, START_REFUSED, "write an object {...}")
 
 
-def _table(table: dict[str, Any], fields: dict[str, Field], path: Path) -> Iterator[Finding]:
+def _check_table(table: dict[str, Any], fields: dict[str, Field], path: FieldPath) -> Iterator[Finding]:
     for name, value in table.items():
-        where: Path = (*path, name)
+        field_path: FieldPath = (*path, name)
         if name not in fields:
-            yield _unknown(name, table, fields, where)
-        elif (found := _value(fields[name], value, where)) is not None:
-            yield found
+            yield _unknown_field(name, table, fields, field_path)
+        elif (finding := _check_value(fields[name], value, field_path)) is not None:
+            yield finding
 
 
 def nearest(name: str, known: list[str]) -> str:
-    """The known name that a misspelt one is meant to be; empty where none is near."""
-    import difflib  # only where there is something to tell
+    """The known name closest to a misspelt one, or an empty string if none is close."""
+    import difflib  # not loaded if there is nothing to report
 
-    plain = {item.replace("-", "").replace("_", "").lower(): item for item in known}
-    bare = name.replace("-", "").replace("_", "").lower()
-    near = difflib.get_close_matches(bare, list(plain), 1, 0.75)
-    return plain[near[0]] if near else ""
+    name_by_plain = {item.replace("-", "").replace("_", "").lower(): item for item in known}
+    plain_name = name.replace("-", "").replace("_", "").lower()
+    matches = difflib.get_close_matches(plain_name, list(name_by_plain), 1, 0.75)
+    return name_by_plain[matches[0]] if matches else ""
 
 
-def _unknown(name: str, table: dict[str, Any], fields: dict[str, Field], path: Path) -> Finding:
-    near = nearest(name, list(fields))
-    if near and near not in table:
+def _unknown_field(name: str, table: dict[str, Any], fields: dict[str, Field], path: FieldPath) -> Finding:
+    nearest_name = nearest(name, list(fields))
+    if nearest_name and nearest_name not in table:
         return error(
-            "unknown-field", ROLE, path, f"unknown field; nearest is {near!r}", IGNORED, f"write {near!r}"
+            "unknown-field",
+            ROLE,
+            path,
+            f"unknown field; the nearest known one is {nearest_name!r}",
+            DEFAULT_APPLIES,
+            f"write {nearest_name!r}",
         )
     return warning(
         "unknown-field",
         ROLE,
         path,
         "unknown field",
-        "the field is passed over",
-        "leave it out, or correct its name",
+        "the field is ignored",
+        "remove it, or correct its name",
     )
 
 
-def _value(field: Field, value: Any, path: Path) -> Finding | None:
-    if isinstance(field, Passed):
+def _check_value(field: Field, value: Any, path: FieldPath) -> Finding | None:
+    if isinstance(field, Unchecked):
         return None
     if isinstance(field, Flag):
         if isinstance(value, bool):
             return None
-        would = f"it counts as {'true' if value else 'false'}"
+        consequence = f"it is read as {'true' if value else 'false'}"
         return error(
-            "wrong-type", ROLE, path, f"{value!r} is neither true nor false", would, "write true or false"
+            "wrong-type",
+            ROLE,
+            path,
+            f"{value!r} is neither true nor false",
+            consequence,
+            "write true or false",
         )
     if isinstance(field, Text):
         if not isinstance(value, str):
             return error(
-                "wrong-type", ROLE, path, f"{_short(value)} is not a text", REFUSED, "write a text in quotes"
+                "wrong-type",
+                ROLE,
+                path,
+                f"{_shortened(value)} is not a string",
+                START_REFUSED,
+                "write a string in quotes",
             )
         if field.values and value not in field.values:
-            near = nearest(value, list(field.values)) or " or ".join(map(repr, field.values))
-            says = f"unknown value {_short(value)}"
-            would = "another value counts than was meant, or the start is refused"
-            return error("unknown-value", ROLE, path, says, would, f"write {near}")
+            nearest_name = nearest(value, list(field.values)) or " or ".join(map(repr, field.values))
+            message = f"unknown value {_shortened(value)}"
+            consequence = "the sidecar uses a different value than intended, or refuses to start"
+            return error("unknown-value", ROLE, path, message, consequence, f"write {nearest_name}")
         return None
-    return _number(field, value, path)
+    return _check_number(field, value, path)
 
 
-def _number(field: Number, value: Any, path: Path) -> Finding | None:
+def _check_number(field: Number, value: Any, path: FieldPath) -> Finding | None:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        mend = f"write {value.strip()}" if isinstance(value, str) and _reads(value) else "write a number"
-        says = f"{_short(value)} is not a number"
-        would = "the loader may take it for another value, or refuse to start"
-        return error("wrong-type", ROLE, path, says, would, mend)
-    if not math.isfinite(value) or not field.low <= value <= field.high or abs(value) > 1e15:
-        bounds = f"{field.low:g} to {field.high:g}" if math.isfinite(field.high) else f"{field.low:g} or more"
+        remedy = (
+            f"write {value.strip()}"
+            if isinstance(value, str) and _is_finite_number(value)
+            else "write a number"
+        )
+        message = f"{_shortened(value)} is not a number"
+        consequence = "the sidecar may read a different value, or refuse to start"
+        return error("wrong-type", ROLE, path, message, consequence, remedy)
+    if not math.isfinite(value) or not field.minimum <= value <= field.maximum or abs(value) > 1e15:
+        bounds = (
+            f"{field.minimum:g} to {field.maximum:g}"
+            if math.isfinite(field.maximum)
+            else f"{field.minimum:g} or more"
+        )
         return error(
-            "out-of-range", ROLE, path, f"{_short(value)} is out of range", REFUSED, f"write {bounds}"
+            "out-of-range",
+            ROLE,
+            path,
+            f"{_shortened(value)} is out of range",
+            START_REFUSED,
+            f"write {bounds}",
         )
-    if field.whole and value != int(value):
-        would = "a part of it is cut off, or the start is refused"
+    if field.integer and value != int(value):
+        consequence = "the fraction is cut off, or the sidecar refuses to start"
         return error(
-            "wrong-type", ROLE, path, f"{value:g} is not a whole number", would, "write a whole number"
+            "wrong-type", ROLE, path, f"{value:g} is not a whole number", consequence, "write a whole number"
         )
-    if field.likely is not None and value:
-        low, high = field.likely
-        if value < low:
-            # So small a number of milliseconds is one of seconds.
-            mend = (
-                f"write {value * 1000:g}, if seconds were meant"
+    if field.plausible is not None and value:
+        minimum, maximum = field.plausible
+        if value < minimum:
+            # So few milliseconds are probably a number of seconds.
+            remedy = (
+                f"write {value * 1000:g} if the value is in seconds"
                 if field.unit == "milliseconds"
-                else f"{low:g} at least"
+                else f"write {minimum:g} or more"
             )
-            would = "calls are refused or given up on for want of time"
-            return error("unit", ROLE, path, f"{value:g} is too small for {field.unit}", would, mend)
-        if value > high:
-            mend = f"write {value / 1000:g}, if a thousandth was meant"
-            would = "it never takes effect within the life of a call"
-            return error("unit", ROLE, path, f"{value:g} is too large for {field.unit}", would, mend)
+            consequence = "calls are refused or given up because too little time is left"
+            return error("unit", ROLE, path, f"{value:g} is too small for {field.unit}", consequence, remedy)
+        if value > maximum:
+            remedy = f"write {value / 1000:g} if the value is in a unit a thousand times smaller"
+            consequence = "it has no effect within the lifetime of a call"
+            return error("unit", ROLE, path, f"{value:g} is too large for {field.unit}", consequence, remedy)
     return None
 
 
-def _reads(text: str) -> bool:
+def _is_finite_number(text: str) -> bool:
     try:
         return math.isfinite(float(text))
     except ValueError:
         return False
 
 
-def _short(value: Any) -> str:
+def _shortened(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= 40 else text[:37] + "..."
--- a/anisestair/configure/render.py
+++ b/anisestair/configure/render.py
@@ -1,4 +1,4 @@
-"""Findings as text for people, JSON for scripts, and SARIF for what shows them beside the line. No I/O."""
+"""Formats findings as text for people, JSON for scripts, and SARIF for editors and code review. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from anisestair.configure.findings import RULES, Finding, Role, Severity, dotted
 from anisestair.configure.judge_app import Bundle
 
-SARIF = "https://json.schemastore.org/sarif-2.1.0.json"  # the OASIS standard, version 2.1.0
+SARIF_SCHEMA_URL = "https://json.schemastore.org/sarif-2.1.0.json"  # OASIS standard, version 2.1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """A finding with the file, line and column that it is about; lines and columns from 1."""
+class LocatedFinding:
+    """A finding with its file, line and column; lines and columns count from 1."""
 
     file: str
     line: int
@@ -23,13 +23,14 @@
     finding: Finding
 
 
-def place(bundle: Bundle, found: Sequence[Finding]) -> list[Placed]:
-    """In the order of files and lines. What is about a text that there is none of stands at the first."""
-    placed = []
-    for item in found:
+def locate(bundle: Bundle, findings: Sequence[Finding]) -> list[LocatedFinding]:
+    """Locates findings, sorted by file and line. A finding about a file that does not exist is placed at the
+    start of another file of the bundle."""
+    located = []
+    for item in findings:
         document = bundle.document(item.role)
         if document is not None:
-            placed.append(Placed(document.file, *document.place(item.path), item))
+            located.append(LocatedFinding(document.file, *document.locate(item.path), item))
             continue
         other = bundle.platform or bundle.app or bundle.operator or bundle.environment
         name = (
@@ -39,19 +40,21 @@
             if other is not None
             else ""
         )
-        placed.append(Placed(name, 1, 1, item))
-    return sorted(placed, key=lambda item: (item.file, item.line, item.column, item.finding.rule))
+        located.append(LocatedFinding(name, 1, 1, item))
+    return sorted(located, key=lambda item: (item.file, item.line, item.column, item.finding.rule))
 
 
-def text(placed: Sequence[Placed], files: int) -> Iterator[str]:
-    for item in placed:
+def as_text(located: Sequence[LocatedFinding], count: int) -> Iterator[str]:
+    """One line for each finding, then a summary."""
+    for item in located:
         yield item.finding.line(item.file, item.line, item.column)
-    errors = sum(item.finding.severity is Severity.ERROR for item in placed)
-    yield f"{files} configurations: {errors} errors, {len(placed) - errors} warnings"
+    errors = sum(item.finding.severity is Severity.ERROR for item in located)
+    yield f"{count} configurations: {errors} errors, {len(located) - errors} warnings"
 
 
-def as_json(placed: Sequence[Placed], files: int) -> str:
-    found = [
+def as_json(located: Sequence[LocatedFinding], count: int) -> str:
+    """The findings as a JSON object."""
+    findings = [
         {
             "file": item.file,
             "line": item.line,
@@ -59,26 +62,26 @@
             "severity": item.finding.severity.value,
             "rule": item.finding.rule,
             "field": dotted(item.finding.path),
-            "says": item.finding.says,
-            "would": item.finding.would,
-            "mend": item.finding.mend,
+            "says": item.finding.message,
+            "would": item.finding.consequence,
+            "mend": item.finding.remedy,
         }
-        for item in placed
+        for item in located
     ]
-    return json.dumps({"configurations": files, "findings": found}, indent=2, ensure_ascii=False)
+    return json.dumps({"configurations": count, "findings": findings}, indent=2, ensure_ascii=False)
 
 
 def _message(item: Finding) -> str:
-    return f"{dotted(item.path)}: {item.says}; {item.would}; {item.mend}"
+    return f"{dotted(item.path)}: {item.message}; {item.consequence}; {item.remedy}"
 
 
-def sarif(placed: Sequence[Placed]) -> str:
-    """One run; rules by their stable names, results with a region of one point."""
-    names = list(RULES)
+def as_sarif(located: Sequence[LocatedFinding]) -> str:
+    """One SARIF run. Rules have their stable names; the region of a result is a single position."""
+    rule_names = list(RULES)
     results: list[dict[str, Any]] = [
         {
             "ruleId": item.finding.rule,
-            "ruleIndex": names.index(item.finding.rule),
+            "ruleIndex": rule_names.index(item.finding.rule),
             "level": item.finding.severity.value,
             "message": {"text": _message(item.finding)},
             "locations": [
@@ -90,9 +93,11 @@
                 }
             ],
         }
-        for item in placed
+        for item in located
     ]
-    rules = [{"id": name, "shortDescription": {"text": says}} for name, says in RULES.items()]
+    rules = [{"id": name, "shortDescription": {"text": requirement}} for name, requirement in RULES.items()]
     driver = {"name": "anisestair config check", "rules": rules}
     run = {"tool": {"driver": driver}, "columnKind": "unicodeCodePoints", "results": results}
-    return json.dumps({"$schema": SARIF, "version": "2.1.0", "runs": [run]}, indent=2, ensure_ascii=False)
+    return json.dumps(
+        {"$schema": SARIF_SCHEMA_URL, "version": "2.1.0", "runs": [run]}, indent=2, ensure_ascii=False
+    )
--- a/anisestair/configure/source.py
+++ b/anisestair/configure/source.py
@@ -1,9 +1,9 @@
-"""Texts as values with places: JSON, TOML and the lines of an environment file. No I/O.
+"""Parses JSON, TOML and environment files, and finds the positions of their values. No I/O.
 
-Values come from the standard library's parsers, the same that the loaders use, so that what is judged is what
-a sidecar would use. Those parsers do not say where a value stood. A second walk over the text, which they
-have found to be sound, finds that; it runs only where there is something to tell, and a test holds its paths
-against the parsers' values.
+Values come from the parsers of the standard library. The loaders use the same ones, so the values that are
+checked are those that a sidecar would use. These parsers report no positions: a second pass over the text,
+after it has been parsed successfully, finds them. It runs only if there is a finding to locate. A test
+compares its paths with the parsers' values.
 """
 
 from __future__ import annotations
@@ -15,169 +15,174 @@
 from functools import cached_property
 from typing import Any
 
-Path = tuple[str | int, ...]
+FieldPath = tuple[str | int, ...]
 
-MAX_BYTES = 4 * 1024 * 1024  # a list of some ten thousand servers; more is not a configuration
-MAX_DEPTH = 64  # ours have six levels; the parsers recurse, and fail somewhere beyond nine hundred
+MAX_BYTES = 4 * 1024 * 1024  # enough for a list of about ten thousand servers
+MAX_DEPTH = 64  # configurations have six levels; the recursive parsers fail beyond about nine hundred
 
 
 @dataclass(frozen=True, slots=True)
-class Flaw:
-    """Why a text cannot be read: one line of words, and where."""
+class ParseFailure:
+    """Why a file cannot be parsed, in one line, and where."""
 
     line: int
     column: int
-    says: str
+    message: str
 
 
 @dataclass
 class Document:
-    """One text: its value where it can be read (else ``flaw``), and the places of what is in it."""
+    """A parsed file: its value, or ``failure`` if it cannot be parsed, and the positions of its fields."""
 
     file: str
     kind: str  # "json", "toml" or "env"
     text: str
     data: Any = None
-    flaw: Flaw | None = None
-    repeated: bool = False  # a key stands twice in one object; the last one counts
+    failure: ParseFailure | None = None
+    has_duplicates: bool = False  # an object has a duplicate key; its last value is used
     _starts: list[int] = field(default_factory=list)
 
     @cached_property
-    def spots(self) -> tuple[dict[Path, int], list[tuple[Path, int]]]:
-        """Offsets by path, and the path and offset of each repeated key."""
-        if self.flaw is not None:
+    def positions(self) -> tuple[dict[FieldPath, int], list[tuple[FieldPath, int]]]:
+        """Offsets by path, and the path and offset of each duplicate key."""
+        if self.failure is not None:
             return {}, []
         if self.kind == "json":
-            return _walk_json(self.text)
+            return _json_positions(self.text)
         if self.kind == "toml":
-            return _TomlWalk(self.text).walk(), []
-        return _walk_env(self.text)
+            return _TomlPositions(self.text).walk(), []
+        return _env_positions(self.text)
 
     def line_column(self, offset: int) -> tuple[int, int]:
-        """Both from 1; the column counts characters."""
+        """Line and column of an offset, both from 1; the column counts characters."""
         if not self._starts:
             self._starts = [0] + [found.end() for found in re.finditer("\n", self.text)]
         line = bisect_right(self._starts, offset)
         return line, offset - self._starts[line - 1] + 1
 
-    def place(self, path: Path) -> tuple[int, int]:
-        """Line and column of what stands at a path; of what holds it where nothing stands there."""
-        if self.flaw is not None:
-            return self.flaw.line, self.flaw.column
-        spots = self.spots[0]
+    def locate(self, path: FieldPath) -> tuple[int, int]:
+        """Line and column of the value at a path, or of its innermost parent that exists."""
+        if self.failure is not None:
+            return self.failure.line, self.failure.column
+        positions = self.positions[0]
         for length in range(len(path), 0, -1):
-            if path[:length] in spots:
-                return self.line_column(spots[path[:length]])
+            if path[:length] in positions:
+                return self.line_column(positions[path[:length]])
         return 1, 1
 
 
-def unreadable(file: str, kind: str, says: str) -> Document:
-    return Document(file, kind, "", flaw=Flaw(1, 1, " ".join(says.split())))
+def unreadable_document(file: str, kind: str, message: str) -> Document:
+    """A document that could not be read, with the reason."""
+    return Document(file, kind, "", failure=ParseFailure(1, 1, " ".join(message.split())))
 
 
 def decode(file: str, kind: str, raw: bytes) -> Document:
-    """A file's bytes as a document, whatever they are: it never raises."""
+    """Parses a file's content. Never raises: a failure is recorded in the document."""
     if len(raw) > MAX_BYTES:
-        return unreadable(file, kind, f"larger than {MAX_BYTES} bytes: not a configuration")
+        return unreadable_document(file, kind, f"larger than {MAX_BYTES} bytes: not a configuration file")
     if raw.startswith((b"\xff\xfe", b"\xfe\xff")):
-        return unreadable(file, kind, "UTF-16: save it as UTF-8")
+        return unreadable_document(file, kind, "UTF-16: save it as UTF-8")
     if raw.startswith(b"\xef\xbb\xbf"):
-        return unreadable(file, kind, "begins with a byte order mark: save it as UTF-8 without one")
+        return unreadable_document(file, kind, "starts with a byte order mark: save it as UTF-8 without one")
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as fault:
         line = raw.count(b"\n", 0, fault.start) + 1
         column = fault.start - raw.rfind(b"\n", 0, fault.start)
-        says = f"not UTF-8 (byte {raw[fault.start]:#04x}): save it as UTF-8"
-        return Document(file, kind, "", flaw=Flaw(line, column, says))
+        message = f"not UTF-8 (byte {raw[fault.start]:#04x}): save it as UTF-8"
+        return Document(file, kind, "", failure=ParseFailure(line, column, message))
     return {"json": read_json, "toml": read_toml, "env": read_env}[kind](file, text)
 
 
 def read_json(file: str, text: str) -> Document:
-    found = Document(file, "json", text)
+    """Parses JSON; the value must be an object."""
+    document = Document(file, "json", text)
 
-    def pairs(items: list[tuple[str, Any]]) -> dict[str, Any]:
-        made = dict(items)
-        found.repeated = found.repeated or len(made) < len(items)
-        return made
+    def build_object(items: list[tuple[str, Any]]) -> dict[str, Any]:
+        value = dict(items)
+        document.has_duplicates = document.has_duplicates or len(value) < len(items)
+        return value
 
-    depth = _depth(text)
+    depth = _nesting_depth(text)
     if depth > MAX_DEPTH:
-        found.flaw = Flaw(1, 1, f"nested {depth} deep: {MAX_DEPTH} at most")
-        return found
+        document.failure = ParseFailure(1, 1, f"nested {depth} levels deep; the limit is {MAX_DEPTH}")
+        return document
     try:
-        found.data = json.loads(text, object_pairs_hook=pairs)
+        document.data = json.loads(text, object_pairs_hook=build_object)
     except json.JSONDecodeError as fault:
-        found.flaw = Flaw(fault.lineno, fault.colno, f"not JSON: {fault.msg}")
-    except (ValueError, RecursionError) as fault:  # a whole number of thousands of digits
-        found.flaw = Flaw(1, 1, f"not JSON that can be used: {' '.join(str(fault).split())}")
-    if found.flaw is None and not isinstance(found.data, dict):
-        found.flaw = Flaw(1, 1, "not a JSON object")
-    return found
+        document.failure = ParseFailure(fault.lineno, fault.colno, f"not JSON: {fault.msg}")
+    except (ValueError, RecursionError) as fault:  # such as an integer of thousands of digits
+        document.failure = ParseFailure(1, 1, f"unsupported JSON: {' '.join(str(fault).split())}")
+    if document.failure is None and not isinstance(document.data, dict):
+        document.failure = ParseFailure(1, 1, "not a JSON object")
+    return document
 
 
-TOML_PLACE = re.compile(r" \(at line (\d+), column (\d+)\)$")
+TOML_POSITION = re.compile(r" \(at line (\d+), column (\d+)\)$")
 
 
 def read_toml(file: str, text: str) -> Document:
-    found = Document(file, "toml", text)
-    depth = _depth(text)
+    """Parses TOML."""
+    document = Document(file, "toml", text)
+    depth = _nesting_depth(text)
     if depth > MAX_DEPTH:
-        found.flaw = Flaw(1, 1, f"nested {depth} deep: {MAX_DEPTH} at most")
-        return found
-    import tomllib  # a sidecar that starts reads JSON alone
+        document.failure = ParseFailure(1, 1, f"nested {depth} levels deep; the limit is {MAX_DEPTH}")
+        return document
+    import tomllib  # not loaded by a sidecar that reads only JSON
 
     try:
-        found.data = tomllib.loads(text)
+        document.data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as fault:
-        said = str(fault)
-        if place := TOML_PLACE.search(said):
-            found.flaw = Flaw(int(place[1]), int(place[2]), f"not TOML: {said[: place.start()]}")
+        error_text = str(fault)
+        if position := TOML_POSITION.search(error_text):
+            document.failure = ParseFailure(
+                int(position[1]), int(position[2]), f"not TOML: {error_text[: position.start()]}"
+            )
         else:
-            found.flaw = Flaw(text.count("\n") + 1, 1, f"not TOML: {said}")
+            document.failure = ParseFailure(text.count("\n") + 1, 1, f"not TOML: {error_text}")
     except (ValueError, RecursionError) as fault:
-        found.flaw = Flaw(1, 1, f"not TOML that can be used: {' '.join(str(fault).split())}")
-    return found
+        document.failure = ParseFailure(1, 1, f"unsupported TOML: {' '.join(str(fault).split())}")
+    return document
 
 
 ENV_LINE = re.compile(r"(?:export[ \t]+)?([A-Za-z_][A-Za-z0-9_]*)=(.*)")
 
 
 def read_env(file: str, text: str) -> Document:
-    """Lines NAME=value, as of a service manager's environment file; a value may stand in quotes."""
-    found = Document(file, "env", text, data={})
+    """Parses NAME=value lines, as in a service manager's environment file; values may be quoted."""
+    document = Document(file, "env", text, data={})
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
         if not line or line.startswith(("#", ";")):
             continue
         match = ENV_LINE.fullmatch(line)
         if match is None:
-            found.flaw = Flaw(number, 1, "neither NAME=value nor a comment")
-            return found
+            document.failure = ParseFailure(number, 1, "neither NAME=value nor a comment")
+            return document
         value = match[2].strip()
         if len(value) >= 2 and value[0] == value[-1] and value[0] in "'\"":
             value = value[1:-1]
-        found.repeated = found.repeated or match[1] in found.data
-        found.data[match[1]] = value
-    return found
+        document.has_duplicates = document.has_duplicates or match[1] in document.data
+        document.data[match[1]] = value
+    return document
 
 
-def _walk_env(text: str) -> tuple[dict[Path, int], list[tuple[Path, int]]]:
-    spots: dict[Path, int] = {}
-    repeats: list[tuple[Path, int]] = []
+def _env_positions(text: str) -> tuple[dict[FieldPath, int], list[tuple[FieldPath, int]]]:
+    positions: dict[FieldPath, int] = {}
+    duplicates: list[tuple[FieldPath, int]] = []
     offset = 0
     for line in text.splitlines(keepends=True):
         if match := ENV_LINE.match(line.strip()):
-            if (match[1],) in spots:
-                repeats.append(((match[1],), offset))
-            spots[(match[1],)] = offset
+            if (match[1],) in positions:
+                duplicates.append(((match[1],), offset))
+            positions[(match[1],)] = offset
         offset += len(line)
-    return spots, repeats
+    return positions, duplicates
 
 
-def _depth(text: str) -> int:
-    """How deep brackets nest outside of strings, without recursion; exact for JSON, never less for TOML that
-    can be read."""
+def _nesting_depth(text: str) -> int:
+    """Nesting depth of brackets outside strings, without recursion. Exact for JSON; for valid TOML it is
+    never too low."""
     depth = most = 0
     for token in re.finditer(r'"(?:[^"\\\n]|\\.)*"|[\[{]|[\]}]', text):
         first = token[0][0]
@@ -192,52 +197,52 @@
 JSON_TOKEN = re.compile(r'[ \t\r\n]*(?:("(?:[^"\\]|\\.)*")|([{}\[\],:])|([^\s{}\[\],:"]+))')
 
 
-def _walk_json(text: str) -> tuple[dict[Path, int], list[tuple[Path, int]]]:
-    spots: dict[Path, int] = {}
-    repeats: list[tuple[Path, int]] = []
-    base: list[Path] = []  # the path of each open container
-    names: list[set[str] | None] = []  # the keys of each open object; None for an array
-    step: list[str | int] = []  # where in each open container the next value stands
-    want_key = False
+def _json_positions(text: str) -> tuple[dict[FieldPath, int], list[tuple[FieldPath, int]]]:
+    positions: dict[FieldPath, int] = {}
+    duplicates: list[tuple[FieldPath, int]] = []
+    container_paths: list[FieldPath] = []  # path of each open container
+    container_keys: list[set[str] | None] = []  # keys read so far in each open object; None for an array
+    next_keys: list[str | int] = []  # key or index of the next value in each open container
+    expects_key = False
     for token in JSON_TOKEN.finditer(text):
-        string, sign, _ = token.groups()
-        here = token.start(token.lastindex or 0)
-        if string is not None and want_key:
+        string, punctuation, _ = token.groups()
+        offset = token.start(token.lastindex or 0)
+        if string is not None and expects_key:
             key: str = json.loads(string)
-            path: Path = (*base[-1], key)
-            seen = names[-1]
+            path: FieldPath = (*container_paths[-1], key)
+            seen = container_keys[-1]
             assert seen is not None
             if key in seen:
-                repeats.append((path, here))
-                for other in [other for other in spots if other[: len(path)] == path]:
-                    del spots[other]  # what the last one does not hold does not count
+                duplicates.append((path, offset))
+                for other in [other for other in positions if other[: len(path)] == path]:
+                    del positions[other]  # fields of the overridden value are not used
             seen.add(key)
-            spots[path], step[-1], want_key = here, key, False
-        elif sign in ("}", "]"):
-            base.pop()
-            names.pop()
-            step.pop()
-            want_key = False
-        elif sign == ",":
-            last = step[-1]
+            positions[path], next_keys[-1], expects_key = offset, key, False
+        elif punctuation in ("}", "]"):
+            container_paths.pop()
+            container_keys.pop()
+            next_keys.pop()
+            expects_key = False
+        elif punctuation == ",":
+            last = next_keys[-1]
             if isinstance(last, int):
-                step[-1] = last + 1
+                next_keys[-1] = last + 1
             else:
-                want_key = True
-        elif sign != ":":
-            path = (*base[-1], step[-1]) if base else ()
-            if base and names[-1] is None:
-                spots[path] = here
-            if sign in ("{", "["):
-                base.append(path)
-                names.append(set() if sign == "{" else None)
-                step.append("" if sign == "{" else 0)
-                want_key = sign == "{"
-    return spots, repeats
-
-
-class _TomlWalk:
-    """The places of keys and elements in a text that tomllib has read."""
+                expects_key = True
+        elif punctuation != ":":
+            path = (*container_paths[-1], next_keys[-1]) if container_paths else ()
+            if container_paths and container_keys[-1] is None:
+                positions[path] = offset
+            if punctuation in ("{", "["):
+                container_paths.append(path)
+                container_keys.append(set() if punctuation == "{" else None)
+                next_keys.append("" if punctuation == "{" else 0)
+                expects_key = punctuation == "{"
+    return positions, duplicates
+
+
+class _TomlPositions:
+    """Finds the positions of keys and elements in a text that tomllib accepts."""
 
     SPACE = re.compile(r"(?:[ \t\r\n]|#[^\n]*)*")
     KEY = re.compile(r"""[ \t]*("(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+)[ \t]*(\.?)""")
@@ -248,83 +253,83 @@
     PLAIN = re.compile(r"\d{4}-\d\d-\d\d[ Tt][0-9:.+Zz-]+|[^\s,\]}#]+")
 
     def __init__(self, text: str) -> None:
-        self.text, self.at = text, 0
-        self.spots: dict[Path, int] = {}
-        self.counts: dict[Path, int] = {}  # elements of arrays of tables so far
+        self.text, self.offset = text, 0
+        self.positions: dict[FieldPath, int] = {}
+        self.counts: dict[FieldPath, int] = {}  # index of the last element of each array of tables
 
-    def walk(self) -> dict[Path, int]:
-        table: Path = ()
+    def walk(self) -> dict[FieldPath, int]:
+        table: FieldPath = ()
         while True:
-            self._space()
-            if self.at >= len(self.text):
-                return self.spots
-            start = self.at
-            if self.text.startswith("[", self.at):
-                many = self.text.startswith("[[", self.at)
-                self.at += 2 if many else 1
-                table = self._header(self._key(), many, start)
-                self.spots.setdefault(table, start)
-                self.at = self.text.index("]", self.at) + (2 if many else 1)
+            self._skip_space()
+            if self.offset >= len(self.text):
+                return self.positions
+            start = self.offset
+            if self.text.startswith("[", self.offset):
+                is_array = self.text.startswith("[[", self.offset)
+                self.offset += 2 if is_array else 1
+                table = self._enter_table(self._read_key(), is_array, start)
+                self.positions.setdefault(table, start)
+                self.offset = self.text.index("]", self.offset) + (2 if is_array else 1)
             else:
-                self._pair(table)
+                self._visit_pair(table)
 
-    def _header(self, key: Path, many: bool, start: int) -> Path:
-        path: Path = ()
-        for place, name in enumerate(key):
+    def _enter_table(self, key: FieldPath, is_array: bool, start: int) -> FieldPath:
+        path: FieldPath = ()
+        for index, name in enumerate(key):
             path = (*path, name)
-            self.spots.setdefault(path, start)
-            if many and place == len(key) - 1:
+            self.positions.setdefault(path, start)
+            if is_array and index == len(key) - 1:
                 self.counts[path] = self.counts.get(path, -1) + 1
             if path in self.counts:
                 path = (*path, self.counts[path])
         return path
 
-    def _space(self) -> None:
-        found = self.SPACE.match(self.text, self.at)
+    def _skip_space(self) -> None:
+        found = self.SPACE.match(self.text, self.offset)
         assert found is not None
-        self.at = found.end()
+        self.offset = found.end()
 
-    def _key(self) -> Path:
+    def _read_key(self) -> FieldPath:
         names: list[str] = []
-        while (found := self.KEY.match(self.text, self.at)) is not None:
-            self.at = found.end()
-            word = found[1]
-            if word[0] in "\"'":
+        while (found := self.KEY.match(self.text, self.offset)) is not None:
+            self.offset = found.end()
+            name_text = found[1]
+            if name_text[0] in "\"'":
                 import tomllib
 
-                word = str(tomllib.loads(f"a={word}")["a"])
-            names.append(word)
+                name_text = str(tomllib.loads(f"a={name_text}")["a"])
+            names.append(name_text)
             if not found[2]:
                 break
         return tuple(names)
 
-    def _pair(self, table: Path) -> None:
-        start, key = self.at, self._key()
+    def _visit_pair(self, table: FieldPath) -> None:
+        start, key = self.offset, self._read_key()
         for length in range(1, len(key) + 1):
-            self.spots.setdefault((*table, *key[:length]), start)
-        self.at = self.text.index("=", self.at) + 1
-        self._value((*table, *key))
+            self.positions.setdefault((*table, *key[:length]), start)
+        self.offset = self.text.index("=", self.offset) + 1
+        self._visit_value((*table, *key))
 
-    def _value(self, path: Path) -> None:
-        self._space()
-        first = self.text[self.at]
+    def _visit_value(self, path: FieldPath) -> None:
+        self._skip_space()
+        first = self.text[self.offset]
         if first in "[{":
-            self.at += 1
-            self._space()
+            self.offset += 1
+            self._skip_space()
             number = 0
-            while self.text[self.at] not in "]}":
+            while self.text[self.offset] not in "]}":
                 if first == "{":
-                    self._pair(path)
+                    self._visit_pair(path)
                 else:
-                    self.spots[(*path, number)] = self.at
-                    self._value((*path, number))
+                    self.positions[(*path, number)] = self.offset
+                    self._visit_value((*path, number))
                     number += 1
-                self._space()
-                if self.text[self.at] == ",":
-                    self.at += 1
-                    self._space()
-            self.at += 1
+                self._skip_space()
+                if self.text[self.offset] == ",":
+                    self.offset += 1
+                    self._skip_space()
+            self.offset += 1
             return
-        found = (self.STRING if first in "\"'" else self.PLAIN).match(self.text, self.at)
+        found = (self.STRING if first in "\"'" else self.PLAIN).match(self.text, self.offset)
         assert found is not None
-        self.at = found.end()
+        self.offset = found.end()
--- a/anisestair/configure/startup.py
+++ b/anisestair/configure/startup.py
@@ -1,7 +1,7 @@
-"""What whoever starts a sidecar is told of its configuration: what `config check` finds, on standard error.
+"""Checks the configuration when a sidecar starts: lines for standard error with `config check`'s findings.
 
-The rule: the loader alone decides whether a sidecar starts. What is found here is printed and nothing else;
-a check that fails by itself costs one line. So no start that worked before is stopped.
+Only the loader decides whether a sidecar starts. The findings are just printed, and a failure of the check
+itself costs one line, so the check never prevents a start.
 """
 
 from __future__ import annotations
@@ -10,39 +10,39 @@
 from pathlib import Path
 
 from anisestair.configure.findings import Finding
-from anisestair.configure.judge import platform
+from anisestair.configure.judge import check_platform
 from anisestair.configure.source import Document, decode
 
-MAX_LINES = 20  # of findings at a start: the rest is for `config check`, and the log is for the service
+MAX_LINES = 20  # findings in the log of a start; `config check` prints all
 
 
 def finding_lines(environ: Mapping[str, str], operator: Path | None = None) -> list[str]:
-    """One line for each finding, for standard error; none where there is nothing to say. Never raises."""
+    """One line for each finding; none if there is nothing to report. Never raises."""
     try:
-        return _lines(environ, operator)
-    except Exception as fault:  # whatever it is, the sidecar has started and goes on
+        return _check(environ, operator)
+    except Exception as fault:  # the sidecar has started and must go on, whatever fails here
         return [
-            f"the configuration could not be judged: {type(fault).__name__}: {' '.join(str(fault).split())}"
+            f"the configuration could not be checked: {type(fault).__name__}: {' '.join(str(fault).split())}"
         ]
 
 
-def _lines(environ: Mapping[str, str], operator: Path | None) -> list[str]:
+def _check(environ: Mapping[str, str], operator: Path | None) -> list[str]:
     path = Path(environ["BALANCER_CONFIG"])
     document = decode(str(path), "json", path.read_bytes())
-    found, config = platform(document, environ)
-    said = [_line(document, item) for item in found]
+    findings, config = check_platform(document, environ)
+    lines = [_line(document, item) for item in findings]
     if operator is not None and config is not None:
-        from anisestair.configure import judge_app  # needs what an operator's file needs
+        from anisestair.configure import judge_app  # needs the libraries for an operator's file
 
         text = decode(str(operator), "toml", operator.read_bytes())
-        more, tables = judge_app.operator_file(text)
+        more, tables = judge_app.check_operator(text)
         if tables is not None and tables.rpc is not None:
-            more += judge_app.rpc(config, tables.rpc, None)
-        said += [_line(text, item) for item in more]
-    if len(said) > MAX_LINES:
-        said[MAX_LINES:] = [f"{len(said) - MAX_LINES} more: python -m anisestair config check {path}"]
-    return said
+            more += judge_app.check_rpc(config, tables.rpc, None)
+        lines += [_line(text, item) for item in more]
+    if len(lines) > MAX_LINES:
+        lines[MAX_LINES:] = [f"{len(lines) - MAX_LINES} more: python -m anisestair config check {path}"]
+    return lines
 
 
 def _line(document: Document, item: Finding) -> str:
-    return item.line(document.file, *document.place(item.path))
+    return item.line(document.file, *document.locate(item.path))
--- a/anisestair/configure/trial.py
+++ b/anisestair/configure/trial.py
@@ -1,6 +1,6 @@
-"""A configuration tried: the real sidecar between stand-ins on loopback, calls and faults, and a table.
+"""Tries a configuration: runs a real sidecar with simulated callers, servers and faults on loopback.
 
-It is bounded in time and rate, ends by itself, and leaves nothing running, also when it is interrupted.
+A trial is limited in time and rate, ends by itself, and leaves no process running, even if it is interrupted.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 import time
 from pathlib import Path
 
-from anisestair.configure.derive import Derived, toml
+from anisestair.configure.derive import DerivedConfig, to_toml
 from anisestair.configure.description import App
 from rigs import fleet
 from rigs.market import Callers, Kind, Market, Ways
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
-MOST_SECONDS = 120.0
-# Calls a second, over all kinds: fewer show nothing in 10 s, more measure the stand-ins.
-LEAST_RATE, MOST_RATE = 30.0, 200.0
-MOST_SERVERS, LEAST_SERVERS = 8, 3
-# Seeded faults of the servers all the while: each kind that a sidecar has to tell apart.
-WAYS = Ways(reset=0.01, error=0.01, turned_away=0.02)
-# When in the run, as shares of it: a server is killed, one is drained, that one ends, the first is back cold.
-KILL, DRAIN, END, BACK = 0.25, 0.4, 0.75, 0.6
-NOTICE_S = 0.7  # discovery notices a death after this
-MOST_WARM_UP_SHARE = 0.3  # of the run
+MAX_SECONDS = 120.0
+# Calls a second over all kinds: fewer show nothing in 10 s, more would load the simulated servers.
+MIN_RATE, MAX_RATE = 30.0, 200.0
+MAX_SERVERS, MIN_SERVERS = 8, 3
+# Seeded faults of the servers throughout the trial: each kind that a sidecar has to distinguish.
+SERVER_FAULTS = Ways(reset=0.01, error=0.01, turned_away=0.02)
+# As shares of the duration: one server is killed and later restarted cold, another is drained and removed.
+KILL_AT, DRAIN_AT, REMOVE_AT, RESTART_AT = 0.25, 0.4, 0.75, 0.6
+DEATH_NOTICE_S = 0.7  # time until discovery notices that a server died
+MAX_WARM_UP_SHARE = 0.3  # of the duration
 
 
-def kinds_of(app: App, scale: float = 1.0) -> list[Kind]:
-    """The application's calls for the stand-ins, by one method each; of two protocols by turns."""
+def simulated_kinds(app: App, scale: float = 1.0) -> list[Kind]:
+    """The application's calls, with one method each. With both protocols, calls alternate between them."""
     return [
         Kind(
             name=call.name,
@@ -53,37 +53,40 @@
     ]
 
 
-def on_loopback(derived: Derived, market: Market) -> tuple[str, str]:
-    """The texts of a derived configuration, with stand-ins for the addresses that the platform gives."""
+def loopback_texts(derived: DerivedConfig, market: Market) -> tuple[str, str]:
+    """The files of a configuration, with the addresses of the simulated market."""
     platform, operator = copy.deepcopy(derived.platform), copy.deepcopy(derived.operator)
     platform |= {"listen": "127.0.0.1:0", "discovery": market.discovery}
     platform["known"] = {"seq": market.seq, "whole": True, "hosts": market.hosts()}
     if operator is not None:
         operator["rpc"]["listen"] = "127.0.0.1:0"
-    return json.dumps(platform), toml(operator) if operator is not None else ""
+    return json.dumps(platform), to_toml(operator) if operator is not None else ""
 
 
-async def _ended_by_signal(app: App, derived: Derived, seconds: float, seed: int) -> Market:
-    """A play that SIGINT and SIGTERM end in order. SIGINT has a handler of its own too: a shell without job
-    control starts what it puts in the background with SIGINT ignored, the interpreter then installs none, and
-    a try went on to its end."""
+async def _run_until_signal(app: App, derived: DerivedConfig, seconds: float, seed: int) -> Market:
+    """Runs a trial that SIGINT and SIGTERM cancel. SIGINT needs an explicit handler: a shell without job
+    control starts background processes with SIGINT ignored, so the interpreter installs no handler, and the
+    trial would run to its end."""
     task = asyncio.current_task()
     assert task is not None
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-    return await play(app, derived, seconds, seed, progress=True)
+    return await run_market(app, derived, seconds, seed, progress=True)
 
 
-async def play(app: App, derived: Derived, seconds: float, seed: int, progress: bool = False) -> Market:
-    """Calls and faults for so long; the market with what was seen. Raises fleet.NoStart."""
+async def run_market(
+    app: App, derived: DerivedConfig, seconds: float, seed: int, progress: bool = False
+) -> Market:
+    """Runs calls and faults for ``seconds`` and returns the market with its results. Raises
+    fleet.NoStart."""
     rate = sum(call.rate for call in app.calls)
-    scale = min(max(LEAST_RATE / rate, 1.0), MOST_RATE / rate) if rate > 0 else 1.0
-    kinds = kinds_of(app, scale)
-    servers = min(max(app.fleet.servers, LEAST_SERVERS), MOST_SERVERS)
-    # Together they can do three times what comes: a starting one that gets too much is the sidecar's doing.
+    scale = min(max(MIN_RATE / rate, 1.0), MAX_RATE / rate) if rate > 0 else 1.0
+    kinds = simulated_kinds(app, scale)
+    servers = min(max(app.fleet.servers, MIN_SERVERS), MAX_SERVERS)
+    # Together the servers can serve three times the rate, so only the sidecar can overload a starting one.
     capacity = 3.0 * max(rate * scale, 1.0) / servers
-    async with Market(kinds, servers, seed, WAYS, app.data_centre or "a", capacity) as market:
-        platform, operator = on_loopback(derived, market)
+    async with Market(kinds, servers, seed, SERVER_FAULTS, app.data_centre or "a", capacity) as market:
+        platform, operator = loopback_texts(derived, market)
         with tempfile.TemporaryDirectory() as folder:
             arguments: tuple[str, ...] = ()
             if operator:
@@ -93,60 +96,64 @@
             async with fleet.program(ROOT, platform, *arguments) as running:
                 rpc = await running.said_port() if operator else 0
                 callers = Callers(market, running.port, rpc)
-                helpers = [asyncio.create_task(_trouble(app, market, seconds))]
+                tasks = [asyncio.create_task(_inject_faults(app, market, seconds))]
                 if progress:
-                    helpers.append(asyncio.create_task(_progress(market, callers, seconds)))
+                    tasks.append(asyncio.create_task(_print_progress(market, callers, seconds)))
                 try:
                     await callers.run(seconds)
-                    await asyncio.gather(*helpers)
+                    await asyncio.gather(*tasks)
                 finally:
-                    for helper in helpers:
-                        helper.cancel()
+                    for background_task in tasks:
+                        background_task.cancel()
     return market
 
 
-async def _trouble(app: App, market: Market, seconds: float) -> None:
-    """One server is killed and comes back cold, another drains and ends."""
+async def _inject_faults(app: App, market: Market, seconds: float) -> None:
+    """Kills a server and restarts it cold; drains another and removes it."""
     first, second = market.servers[0], market.servers[1]
     start = time.monotonic()
 
     async def until(share: float) -> None:
         await asyncio.sleep(max(start + share * seconds - time.monotonic(), 0.0))
 
-    await until(KILL)
+    await until(KILL_AT)
     first.kill()
-    await asyncio.sleep(min(NOTICE_S, (DRAIN - KILL) * seconds))
+    await asyncio.sleep(min(DEATH_NOTICE_S, (DRAIN_AT - KILL_AT) * seconds))
     market.remove(first)
-    await until(DRAIN)
+    await until(DRAIN_AT)
     market.drain(second)
-    await until(BACK)
-    await first.restart(
-        app.fleet.cold_share, min(app.fleet.warm_up_ms / 1000.0, MOST_WARM_UP_SHARE * seconds)
-    )
+    await until(RESTART_AT)
+    await first.restart(app.fleet.cold_share, min(app.fleet.warm_up_ms / 1000.0, MAX_WARM_UP_SHARE * seconds))
     market.listed.insert(0, first)
     market.tell()
-    await until(END)
+    await until(REMOVE_AT)
     market.remove(second)
 
 
-async def _progress(market: Market, callers: Callers, seconds: float) -> None:
-    start, live = time.monotonic(), sys.stderr.isatty()
-    while (passed := time.monotonic() - start) < seconds:
+async def _print_progress(market: Market, callers: Callers, seconds: float) -> None:
+    start, is_terminal = time.monotonic(), sys.stderr.isatty()
+    while (elapsed := time.monotonic() - start) < seconds:
         served = sum(tally.served for tally in market.tally.values())
         up = sum(server.health == "up" for server in market.listed)
         line = (
-            f"{passed:4.1f} of {seconds:g} s: {callers.begun} calls begun, {served} served, {up} servers up"
+            f"{elapsed:4.1f} of {seconds:g} s: {callers.begun} calls started,"
+            f" {served} served, {up} servers up"
+        )
+        print(
+            f"\r{line}" if is_terminal else line,
+            end=" " if is_terminal else "\n",
+            file=sys.stderr,
+            flush=True,
         )
-        print(f"\r{line}" if live else line, end=" " if live else "\n", file=sys.stderr, flush=True)
-        await asyncio.sleep(0.25 if live else max(2.0, seconds / 5.0))
-    if live:
+        await asyncio.sleep(0.25 if is_terminal else max(2.0, seconds / 5.0))
+    if is_terminal:
         print(file=sys.stderr)
 
 
-def table(app: App, market: Market) -> list[str]:
-    """What it came to, in lines."""
-    heads = ("calls", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
-    lines = [f"{'call':<16}" + "".join(f"{head:>9}" for head in heads)]
+def result_lines(app: App, market: Market) -> list[str]:
+    """The results as lines of text."""
+    columns = ("calls", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
+    lines = [f"{'call':<16}" + "".join(f"{head:>9}" for head in columns)]
     for name, tally in market.tally.items():
         lines.append(
             f"{name[:15]:<16}{tally.calls:>9}{tally.served:>9}{tally.refused:>9}{tally.failed:>9}{tally.lost:>9}"
@@ -156,7 +163,9 @@
     calls = sum(tally.calls for tally in market.tally.values())
     lines.append(f"attempts: {attempts} for {calls} calls; calls that ran twice: {market.ledger.twice()}")
     shares = [f"{server.name} {100.0 * server.arrived / max(attempts, 1):.0f}%" for server in market.servers]
-    lines.append(f"shares: {', '.join(shares)} (s-0 was killed and came back cold, s-1 drained and ended)")
+    lines.append(
+        f"shares: {', '.join(shares)} (s-0 was killed and restarted cold, s-1 was drained and removed)"
+    )
     broken = market.broken()
     if broken:
         lines.append("rules broken: " + ", ".join(f"{count} {name}" for name, count in broken.items()))
@@ -165,17 +174,17 @@
     return lines
 
 
-def run(app: App, derived: Derived, seconds: float, seed: int) -> int:
-    """Exit status: 0 where the rules were kept, else 1."""
+def run(app: App, derived: DerivedConfig, seconds: float, seed: int) -> int:
+    """Runs a trial and prints its results. Returns the exit code: 0 if all rules were kept, otherwise 1."""
     try:
-        market = asyncio.run(_ended_by_signal(app, derived, seconds, seed))
+        market = asyncio.run(_run_until_signal(app, derived, seconds, seed))
     except fleet.NoStart as fault:
         print(f"anisestair: the sidecar did not start: {fault}", file=sys.stderr)
         return 1
     except (KeyboardInterrupt, asyncio.CancelledError):
-        print("anisestair: interrupted; nothing is left running", file=sys.stderr)
+        print("anisestair: interrupted; no process is left running", file=sys.stderr)
         return 1
     print(f"{app.name}: {seconds:g} s of calls through a real sidecar on loopback, seed {seed}")
-    for line in table(app, market):
+    for line in result_lines(app, market):
         print(line)
     return 1 if market.broken() else 0
--- a/tests/test_configure_real.py
+++ b/tests/test_configure_real.py
@@ -1,6 +1,6 @@
-"""Each rule's error is real: a file of the corpus, run against stand-ins without the check, breaks its rule.
+"""Each error of the check is real: configurations of the corpus, run unchecked, break service on loopback.
 
-And the other way round: what is generated passes the check, starts, and keeps the rules under faults.
+Conversely, generated configurations pass the check, start, and keep the rules under faults.
 """
 
 from __future__ import annotations
@@ -21,51 +21,51 @@
 import pytest
 
 from anisestair.configure import trial
-from anisestair.configure.derive import derive, toml
-from anisestair.configure.description import App, convert
+from anisestair.configure.derive import derive, to_toml
+from anisestair.configure.description import App, parse_app
 from anisestair.configure.findings import RULES, Role
 from anisestair.configure.source import read_json, read_toml
 from rigs import fleet
 from rigs.market import Callers, Kind, Market, Ways
 
 ROOT = Path(__file__).parent.parent
-BAD = {item.name: item for item in corpus.bad()}
+CASES = {item.name: item for item in corpus.invalid_cases()}
 SEED = 5
 
 
-def values(bad: corpus.Bad) -> tuple[dict[str, Any], dict[str, Any] | None]:
-    """A bad one's files as a sidecar would take them: not judged."""
-    platform = json.loads(bad.texts.texts[Role.PLATFORM])
-    operator = bad.texts.texts.get(Role.OPERATOR)
+def file_values(case: corpus.Case) -> tuple[dict[str, Any], dict[str, Any] | None]:
+    """The values of a case's files as a sidecar reads them, without a check."""
+    platform = json.loads(case.files.contents[Role.PLATFORM])
+    operator = case.files.contents.get(Role.OPERATOR)
     return platform, read_toml("x", operator.decode()).data if operator is not None else None
 
 
-def app_of(bad: corpus.Bad) -> App:
-    return convert(read_toml("x", bad.texts.texts[Role.APP].decode()).data)
+def app_of(case: corpus.Case) -> App:
+    return parse_app(read_toml("x", case.files.contents[Role.APP].decode()).data)
 
 
-Then = Callable[[Market, fleet.Running], Awaitable[None]]
+During = Callable[[Market, fleet.Running], Awaitable[None]]
 
 
-async def run(
-    bad: corpus.Bad,
+async def send_calls(
+    case: corpus.Case,
     kinds: list[Kind],
     seconds: float,
     ways: Ways | None = None,
     servers: int = 4,
     capacity: float = 1e9,
-    then: Then | None = None,
+    during: During | None = None,
     discovery: str = "",
     listen: str = "127.0.0.1:0",
     zone: str = "a",
 ) -> Market:
-    """Calls through the real sidecar with a bad configuration, but for the addresses of the loopback."""
-    platform, operator = values(bad)
+    """Sends calls through a real sidecar with the configuration of a case, except for its addresses."""
+    platform, operator = file_values(case)
     async with Market(kinds, servers, SEED, ways or Ways(), zone, capacity) as market:
         platform |= {"listen": listen, "discovery": discovery or market.discovery}
         platform["known"] = {"seq": 1, "whole": True, "hosts": market.hosts()}
         text = json.dumps(platform)
-        if bad.rule == "duplicate-key":  # which a value does not show
+        if case.rule == "duplicate-key":  # parsed values cannot contain it
             text = text.replace(
                 '"idempotency": "single_shot"', '"idempotency": "single_shot", "idempotency": "free"', 1
             )
@@ -73,20 +73,20 @@
             arguments: tuple[str, ...] = ()
             if operator is not None:
                 operator["rpc"]["listen"] = "127.0.0.1:0"
-                file.write(toml(operator))
+                file.write(to_toml(operator))
                 file.flush()
                 arguments = ("--operator", file.name)
             async with fleet.program(ROOT, text, *arguments) as running:
                 callers = Callers(market, running.port, await running.said_port() if operator else 0)
-                other = asyncio.create_task(then(market, running)) if then is not None else None
+                other = asyncio.create_task(during(market, running)) if during is not None else None
                 await callers.run(seconds)
                 if other is not None:
                     await other
     return market
 
 
-def played(bad: corpus.Bad, kinds: list[Kind], seconds: float = 1.0, **more: Any) -> Market:
-    return asyncio.run(run(bad, kinds, seconds, **more))
+def run_case(case: corpus.Case, kinds: list[Kind], seconds: float = 1.0, **more: Any) -> Market:
+    return asyncio.run(send_calls(case, kinds, seconds, **more))
 
 
 def rpc_kinds(**rates: float) -> list[Kind]:
@@ -106,59 +106,63 @@
 BREAKS = Ways(reset=0.3)
 
 
-def test_a_sale_that_is_sent_again_runs_twice() -> None:
-    for name in ("shop: a sale as a look", "shop: a start takes sales"):
-        market = played(BAD[name], rpc_kinds(sale=60), ways=BREAKS)
+def test_a_sale_that_is_retried_runs_twice() -> None:
+    for name in ("shop: sale with class look", "shop: prefix matches sales"):
+        market = run_case(CASES[name], rpc_kinds(sale=60), ways=BREAKS)
         assert market.ledger.twice() > 0, name
 
 
-def test_the_last_of_two_keys_counts_and_a_sale_runs_twice() -> None:
-    # The loader takes the second "idempotency", which a reader of the first does not see.
-    shop = corpus.Maker("shop")
-    texts = corpus.texts_of(shop.platform, shop.operator, shop.app)
-    bad = corpus.Bad("", "duplicate-key", Role.PLATFORM, (), 1, texts)
-    market = played(bad, rpc_kinds(sale=60), ways=BREAKS)
+def test_the_last_of_two_keys_is_used_and_a_sale_runs_twice() -> None:
+    # The loader uses the second "idempotency", which a reader of the first does not expect.
+    shop = corpus.CaseMaker("shop")
+    files = corpus.config_files(shop.platform, shop.operator, shop.app)
+    case = corpus.Case("", "duplicate-key", Role.PLATFORM, (), 1, files)
+    market = run_case(case, rpc_kinds(sale=60), ways=BREAKS)
     assert market.ledger.twice() > 0
 
 
 def test_a_keyed_call_in_a_wider_group_runs_twice() -> None:
-    market = played(BAD["stall: a group of all"], http_kinds(listing=60), ways=BREAKS)
+    market = run_case(CASES["stall: key-scope all"], http_kinds(listing=60), ways=BREAKS)
     assert market.ledger.twice() > 0
 
 
 def test_a_keyed_call_beyond_its_servers_memory_runs_twice() -> None:
-    # Servers that have forgotten before any second attempt can come, however soon that is.
+    # The servers forget a key before any second attempt can arrive.
     kinds = [Kind("listing", "keyed", 60.0, 4000.0, remembers_ms=0.0)]
-    bad = BAD["stall: a window longer than memory"]
-    assert played(bad, kinds, ways=Ways(error=0.3, least_ms=2.0)).ledger.twice() > 0
+    case = CASES["stall: window longer than key memory"]
+    assert run_case(case, kinds, ways=Ways(error=0.3, least_ms=2.0)).ledger.twice() > 0
 
 
-def test_an_error_that_comes_after_the_run_and_counts_as_turned_away_sells_twice() -> None:
-    shop = corpus.Maker("shop")
-    bad = shop.bad(
+def test_an_error_after_the_run_that_counts_as_turned_away_sells_twice() -> None:
+    shop = corpus.CaseMaker("shop")
+    case = shop.invalid(
         "sold out", "turned-away", ("rpc", "turned_away"), ["busy", {"why": "sold out"}], Role.OPERATOR
     )
-    assert played(bad, rpc_kinds(sale=60), ways=Ways(error=0.3)).ledger.twice() > 0
+    assert run_case(case, rpc_kinds(sale=60), ways=Ways(error=0.3)).ledger.twice() > 0
 
 
-@pytest.mark.parametrize("name", ["stall: asks itself", "stall: another discovery"])
-def test_discovery_in_the_wrong_place_keeps_no_drain(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rigs.market.NOTICE_S", 0.0)  # the stand-in's: no need to wait for the protocol's 6 s
+@pytest.mark.parametrize("name", ["stall: queries itself", "stall: different discovery address"])
+def test_with_a_wrong_discovery_address_drains_are_not_kept(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("rigs.market.NOTICE_S", 0.0)  # do not wait for the 6 s of the protocol
 
-    async def drains(market: Market, running: fleet.Running) -> None:
+    async def drain_one(market: Market, running: fleet.Running) -> None:
         await asyncio.sleep(0.5)
         market.drain(max(market.servers, key=lambda server: server.arrived))
 
-    bad = BAD[name]
+    case = CASES[name]
     with socket.create_server(("127.0.0.1", 0)) as free:
         own = f"127.0.0.1:{free.getsockname()[1]}"
-    asked = own if name == "stall: asks itself" else "127.0.0.1:9"  # where nobody answers
-    market = played(bad, http_kinds(sale=100), seconds=4.0, then=drains, discovery=asked, listen=own)
+    discovery = own if name == "stall: queries itself" else "127.0.0.1:9"  # nothing listens there
+    market = run_case(
+        case, http_kinds(sale=100), seconds=4.0, during=drain_one, discovery=discovery, listen=own
+    )
     assert market.late_sends() > 0
 
 
-async def starts(market: Market, running: fleet.Running) -> None:
-    """A server dies and comes back with next to nothing of what it can do."""
+async def restart_cold(market: Market, running: fleet.Running) -> None:
+    """Kills a server and restarts it with a small part of its capacity."""
     first = market.servers[0]
     first.kill()
     market.remove(first)
@@ -169,109 +173,113 @@
 
 
 @pytest.mark.parametrize("name", ["stall: no start-up limit", "stall: cold-ms as cold_ms"])
-def test_without_a_start_up_limit_a_starting_server_is_pushed_over(name: str) -> None:
-    market = played(BAD[name], http_kinds(sale=150), seconds=2.5, then=starts, servers=3, capacity=100.0)
+def test_without_a_start_up_limit_a_starting_server_is_overloaded(name: str) -> None:
+    market = run_case(
+        CASES[name], http_kinds(sale=150), seconds=2.5, during=restart_cold, servers=3, capacity=100.0
+    )
     assert market.pushed_over() > 0
 
 
-def test_with_its_start_up_limit_it_is_not() -> None:
-    stall = corpus.Maker("stall")
-    good = corpus.Bad("", "", Role.PLATFORM, (), 1, corpus.texts_of(stall.platform, None, stall.app))
-    market = played(good, http_kinds(sale=150), seconds=2.5, then=starts, servers=3, capacity=100.0)
+def test_with_a_start_up_limit_a_starting_server_is_not_overloaded() -> None:
+    stall = corpus.CaseMaker("stall")
+    valid = corpus.Case("", "", Role.PLATFORM, (), 1, corpus.config_files(stall.platform, None, stall.app))
+    market = run_case(
+        valid, http_kinds(sale=150), seconds=2.5, during=restart_cold, servers=3, capacity=100.0
+    )
     assert market.pushed_over() == 0
 
 
 def test_a_deadline_beyond_the_callers_loses_calls() -> None:
-    # Servers that take longer than the callers wait for, and a sidecar that waits on.
+    # The servers take longer than the callers wait, and the sidecar goes on waiting.
     kinds = [dataclasses.replace(kind, given_up_ms=300.0) for kind in rpc_kinds(look=20)]
-    bad = BAD["shop: later than callers wait"]
-    assert played(bad, kinds, ways=Ways(least_ms=900.0, most_ms=1000.0)).lost() > 0
+    case = CASES["shop: deadline longer than callers wait"]
+    assert run_case(case, kinds, ways=Ways(least_ms=900.0, most_ms=1000.0)).lost() > 0
 
 
 def test_a_promise_in_seconds_refuses_calls_on_an_idle_fleet() -> None:
-    market = played(BAD["stall: promise-ms in seconds"], http_kinds(sale=40))
+    market = run_case(CASES["stall: promise-ms in seconds"], http_kinds(sale=40))
     assert market.tally["sale"].refused > 0
-    stall = corpus.Maker("stall")
-    good = corpus.Bad("", "", Role.PLATFORM, (), 1, corpus.texts_of(stall.platform, None, stall.app))
-    assert played(good, http_kinds(sale=40)).tally["sale"].refused == 0
+    stall = corpus.CaseMaker("stall")
+    valid = corpus.Case("", "", Role.PLATFORM, (), 1, corpus.config_files(stall.platform, None, stall.app))
+    assert run_case(valid, http_kinds(sale=40)).tally["sale"].refused == 0
 
 
-def test_connections_kept_longer_than_servers_do_cost_sales() -> None:
-    bad = BAD["stall: idle longer than servers"]
-    market = played(bad, http_kinds(sale=6), seconds=2.0, ways=Ways(idle_ms=100.0))
+def test_connections_kept_longer_than_by_servers_fail_sales() -> None:
+    case = CASES["stall: idle time longer than servers allow"]
+    market = run_case(case, http_kinds(sale=6), seconds=2.0, ways=Ways(idle_ms=100.0))
     assert market.tally["sale"].failed > 0
 
 
 def test_a_burst_beyond_the_descriptors_loses_calls() -> None:
     kinds = [dataclasses.replace(kind, burst=200) for kind in http_kinds(listing=300)]
-    market = played(BAD["stall: few descriptors"], kinds, ways=Ways(least_ms=150.0, most_ms=200.0))
+    market = run_case(CASES["stall: too few descriptors"], kinds, ways=Ways(least_ms=150.0, most_ms=200.0))
     tally = market.tally["listing"]
     assert tally.lost + tally.failed + tally.refused > 0
 
 
 def test_a_call_without_a_class_or_pattern_is_never_served() -> None:
-    market = played(BAD["shop: no pattern"], rpc_kinds(sale=20))
+    market = run_case(CASES["shop: method without a pattern"], rpc_kinds(sale=20))
     assert market.tally["sale"].served == 0 and market.tally["sale"].calls > 0
 
 
-def test_a_key_elsewhere_is_never_served() -> None:
-    market = played(BAD["shop: a key elsewhere"], rpc_kinds(listing=20))
+def test_a_call_with_its_key_at_a_different_path_is_never_served() -> None:
+    market = run_case(CASES["shop: key at a different path"], rpc_kinds(listing=20))
     assert market.tally["listing"].served == 0 and market.tally["listing"].calls > 0
 
 
-# What is refused at the start: the program itself says so, and ends
+# Configurations with which a sidecar refuses to start
 
 
-def start(texts: corpus.Texts, folder: Path, **environ: str) -> subprocess.CompletedProcess[str]:
-    texts.write(folder)
-    operator = ["--operator", str(folder / "sidecar.toml")] if Role.OPERATOR in texts.texts else []
+def start(files: corpus.ConfigFiles, folder: Path, **environ: str) -> subprocess.CompletedProcess[str]:
+    files.write(folder)
+    operator = ["--operator", str(folder / "sidecar.toml")] if Role.OPERATOR in files.contents else []
     command = [sys.executable, "-m", "anisestair", *operator]
     environ = {"BALANCER_CONFIG": str(folder / "config.json")} | environ
     return subprocess.run(command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=30)
 
 
 REFUSED = [
-    *(item for item in BAD.values() if item.rule == "unreadable" and item.role is Role.PLATFORM),
+    *(item for item in CASES.values() if item.rule == "unreadable" and item.role is Role.PLATFORM),
     *(
         item
-        for item in BAD.values()
+        for item in CASES.values()
         if item.rule == "refused-start" and item.role in (Role.PLATFORM, Role.OPERATOR)
     ),
-    BAD["stall: promise-ms NaN"],
-    BAD["stall: max-attempts 1e400"],
-    BAD["stall: idempotency single-shot"],
-    BAD["stall: sockets as text"],
+    CASES["stall: promise-ms NaN"],
+    CASES["stall: max-attempts 1e400"],
+    CASES["stall: idempotency single-shot"],
+    CASES["stall: sockets as text"],
 ]
 
 
-@pytest.mark.parametrize("bad", REFUSED, ids=[item.name for item in REFUSED])
-def test_what_is_said_to_be_refused_is_refused(bad: corpus.Bad, tmp_path: Path) -> None:
-    found = start(bad.texts, tmp_path)
+@pytest.mark.parametrize("case", REFUSED, ids=[item.name for item in REFUSED])
+def test_the_program_refuses_to_start_as_reported(case: corpus.Case, tmp_path: Path) -> None:
+    found = start(case.files, tmp_path)
     assert found.returncode == 2, found.stderr
     assert found.stderr.count("\n") == 1 and "Traceback" not in found.stderr
 
 
 def test_two_listeners_on_one_address_do_not_start(tmp_path: Path) -> None:
-    bad = BAD["shop: a listener twice"]
+    case = CASES["shop: two listeners on one address"]
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
-    text = bad.texts.texts[Role.PLATFORM].decode().replace(":5000", f":{port}")
-    operator = bad.texts.texts[Role.OPERATOR].decode().replace(":5000", f":{port}")
-    texts = corpus.Texts({Role.PLATFORM: text.encode(), Role.OPERATOR: operator.encode()})
-    assert start(texts, tmp_path).returncode == 1
+    text = case.files.contents[Role.PLATFORM].decode().replace(":5000", f":{port}")
+    operator = case.files.contents[Role.OPERATOR].decode().replace(":5000", f":{port}")
+    files = corpus.ConfigFiles({Role.PLATFORM: text.encode(), Role.OPERATOR: operator.encode()})
+    assert start(files, tmp_path).returncode == 1
 
 
-def test_a_variable_that_leads_elsewhere_serves_what_was_not_judged(tmp_path: Path) -> None:
-    bad = BAD["stall: another file"]
+def test_a_variable_that_names_a_different_file_wins_over_the_checked_file(tmp_path: Path) -> None:
+    case = CASES["stall: different file"]
     named = read_json("x", "{}")
-    assert named.flaw is None
+    assert named.failure is None
     (tmp_path / "other.json").write_text("{}")
-    found = start(bad.texts, tmp_path, BALANCER_CONFIG=str(tmp_path / "other.json"))
-    assert found.returncode == 2, "the good file beside it is not what the sidecar reads"
+    found = start(case.files, tmp_path, BALANCER_CONFIG=str(tmp_path / "other.json"))
+    assert found.returncode == 2, "the sidecar does not read the valid file in the same folder"
 
 
-def test_every_rule_that_is_an_error_has_its_proof() -> None:
-    proved = {
+def test_every_rule_that_is_an_error_has_a_test_of_its_effect() -> None:
+    tested = {
         *(
             "sale-repeats",
             "duplicate-key",
@@ -285,33 +293,33 @@
         *(item.rule for item in REFUSED),
         "environment",
     }
-    assert {item.rule for item in BAD.values()} == proved == set(RULES) - {"few-attempts", "drift"}
+    assert {item.rule for item in CASES.values()} == tested == set(RULES) - {"few-attempts", "drift"}
 
 
-# What is generated
+# Generated configurations
 
 
 @pytest.mark.parametrize("seed", [1, 3, 5, 9, 14, 20])
-def test_what_is_generated_keeps_the_rules_under_faults(seed: int) -> None:
-    app = convert(read_toml("x", corpus.some_app(seed)).data)
-    market = asyncio.run(trial.play(app, derive(app), 3.0, seed))
+def test_generated_configurations_keep_the_rules_under_faults(seed: int) -> None:
+    app = parse_app(read_toml("x", corpus.random_app(seed)).data)
+    market = asyncio.run(trial.run_market(app, derive(app), 3.0, seed))
     assert market.broken() == {}
     assert sum(tally.calls for tally in market.tally.values()) > 0
 
 
 @pytest.mark.parametrize("name", ["stall", "shop", "window"])
 def test_the_examples_serve_through_a_kill_and_a_drain(name: str) -> None:
-    _, app = corpus.example(name)
-    market = asyncio.run(trial.play(app, derive(app), 4.0, 1))
+    _, app = corpus.load_example(name)
+    market = asyncio.run(trial.run_market(app, derive(app), 4.0, 1))
     assert market.broken() == {}
     assert all(tally.served > 0 for tally in market.tally.values() if tally.calls > 10)
 
 
-# A start with an unsafe configuration
+# Start with an unsafe configuration
 
 
-def test_a_start_that_worked_before_goes_on_and_says_what_is_found(tmp_path: Path) -> None:
-    stall = corpus.Maker("stall")
+def test_a_sidecar_starts_despite_findings_and_prints_them(tmp_path: Path) -> None:
+    stall = corpus.CaseMaker("stall")
     platform = copy.deepcopy(stall.platform)
     platform |= {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}
     platform["settings"]["classes"][0]["idempotency"] = "free"
@@ -321,9 +329,9 @@
         async with fleet.program(ROOT, json.dumps(platform, indent=1)) as running:
             assert running.process.stderr is not None
             lines = [await asyncio.wait_for(running.process.stderr.readline(), 10.0) for _ in range(2)]
-            said = b"".join(lines).decode()
-            assert "config.json:" in said and "sale-repeats: settings.classes[0].idempotency" in said
-            assert "drain: settings.rules.drain-grace-ms" in said
+            output = b"".join(lines).decode()
+            assert "config.json:" in output and "sale-repeats: settings.classes[0].idempotency" in output
+            assert "drain: settings.rules.drain-grace-ms" in output
             reader, writer = await asyncio.open_connection("127.0.0.1", running.port)
             writer.write(b"GET /ready HTTP/1.1\r\nhost: a\r\n\r\n")
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
@@ -332,32 +340,32 @@
     asyncio.run(test())
 
 
-def test_a_check_that_fails_by_itself_stops_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failure_of_the_check_itself_does_not_prevent_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
     from anisestair.configure import startup
 
-    assert len(startup.finding_lines({})) == 1, "no such variable: one line, and no exception"
+    assert len(startup.finding_lines({})) == 1, "the variable is missing: one line, no exception"
 
     def fails(*_: object) -> None:
         raise RecursionError("deep")
 
-    monkeypatch.setattr(startup, "platform", fails)
+    monkeypatch.setattr(startup, "check_platform", fails)
     assert startup.finding_lines({"BALANCER_CONFIG": __file__}) == [
-        "the configuration could not be judged: RecursionError: deep"
+        "the configuration could not be checked: RecursionError: deep"
     ]
 
 
-def test_of_many_findings_the_log_gets_a_bounded_part(tmp_path: Path) -> None:
+def test_the_log_of_a_start_shows_a_limited_number_of_findings(tmp_path: Path) -> None:
     from anisestair.configure import startup
 
-    stall = corpus.Maker("stall")
+    stall = corpus.CaseMaker("stall")
     platform = stall.platform | {f"unheard-of-{number}": 0 for number in range(100)}
     (tmp_path / "config.json").write_text(json.dumps(platform))
-    said = startup.finding_lines({"BALANCER_CONFIG": str(tmp_path / "config.json")})
-    assert len(said) == startup.MAX_LINES + 1 and "80 more" in said[-1]
+    output = startup.finding_lines({"BALANCER_CONFIG": str(tmp_path / "config.json")})
+    assert len(output) == startup.MAX_LINES + 1 and "80 more" in output[-1]
 
 
-def test_the_platforms_own_form_starts_without_a_line(tmp_path: Path) -> None:
-    # The form of the deployment page, with all names that the platform's settings have.
+def test_a_configuration_of_the_platform_has_no_findings(tmp_path: Path) -> None:
+    # The example of the deployment page, with all fields of the platform's settings.
     from anisestair.configure import startup
 
     settings: dict[str, Any] = copy.deepcopy(fleet.SETTINGS) | {
