--- a/rigs/order_model/__init__.py
+++ b/rigs/order_model/__init__.py
@@ -1,6 +1,6 @@
-"""A model of the vote on orders, for `statecheck`."""
+"""Model of the consensus on batches of configuration writes ("orders"), for `statecheck`."""
 
-from rigs.order_model.model import Orders
-from rigs.order_model.sizes import SIZES
+from rigs.order_model.model import ConsensusModel
+from rigs.order_model.scenarios import SCENARIOS
 
-__all__ = ["SIZES", "Orders"]
+__all__ = ["SCENARIOS", "ConsensusModel"]
--- a/rigs/order_model/frozen.py
+++ b/rigs/order_model/frozen.py
@@ -1,4 +1,4 @@
-"""The shipped `Acceptor` and `Proposer` as values that can be compared, and back."""
+"""Conversion of the shipped `Acceptor` and `Proposer` to comparable values and back."""
 
 from __future__ import annotations
 
@@ -8,103 +8,104 @@
 from mesh.replication.acceptor import Acceptor, Ballot, Slot, Value, Vote, digest_of
 from mesh.replication.membership_epochs import View
 from mesh.replication.proposer import Accept, Proposer
-from rigs.order_model.sizes import CONTENTS, LETTERS
+from rigs.order_model.scenarios import LETTER_BY_DIGEST, VALUES
 
 FrozenBallot = tuple[int, str]
-Names = Mapping[str, str]  # a member's new name by its old one
+NewNames = Mapping[str, str]  # of members, by their old names
 
 
-class Memory(NamedTuple):
-    """An acceptor's fields."""
+class AcceptorState(NamedTuple):
+    """The fields of an `Acceptor`."""
 
     floor: int = 0
     ceiling: int = 0
     promises: tuple[tuple[Slot, FrozenBallot], ...] = ()
-    votes: tuple[tuple[Slot, FrozenBallot, str, str], ...] = ()  # the content's letter, the tag
+    votes: tuple[tuple[Slot, FrozenBallot, str, str], ...] = ()  # slot, ballot, letter of the value, tag
     decided: tuple[Any, ...] = ()
-    past: tuple[Any, ...] = ()
-    unknown: tuple[Any, ...] = ()
+    past_digests: tuple[Any, ...] = ()
+    unknown_up_to: tuple[Any, ...] = ()
     generations: tuple[tuple[str, int], ...] = ()
     tags: tuple[Any, ...] = ()
 
 
-class Fence(NamedTuple):
-    """How far a member is on the way back from a lost disk: what the others told first, then the round and
-    the generation of the fence, and who has raised it."""
+class FenceProgress(NamedTuple):
+    """Progress of a member that recovers from a lost disk: first the reports of the others, then the round
+    and the generation of the fence (``target``), and the members that confirmed it."""
 
-    tops: tuple[tuple[str, int, int], ...] = ()  # name, highest round, generation known of the lost one
-    raised_to: tuple[int, ...] = ()
-    raised: tuple[str, ...] = ()
+    reports: tuple[tuple[str, int, int], ...] = ()  # name, highest round, known generation of the lost disk
+    target: tuple[int, ...] = ()
+    confirmed: tuple[str, ...] = ()
 
 
-class Side(NamedTuple):
-    """One member. ``disk``: what it would come back with; none where nobody crashes any more."""
+class Member(NamedTuple):
+    """One member. ``disk``: the state that it would restart with; None if no crash is left."""
 
-    whole: bool
-    memory: Memory
-    disk: Memory | None
-    fence: Fence | None = None
+    disk_complete: bool
+    acceptor: AcceptorState
+    disk: AcceptorState | None
+    fence: FenceProgress | None = None
 
 
-class FrozenProposer(NamedTuple):
-    """A proposer's fields, as far as they make a difference."""
+class ProposerState(NamedTuple):
+    """The fields of a `Proposer` that can affect its behaviour."""
 
     ballot: FrozenBallot
     accept: tuple[tuple[Slot, str], ...] | None
-    settled: tuple[tuple[Slot, str], ...]
-    in_force: tuple[Slot, ...]
-    knew: bool
-    promises: tuple[tuple[str, int], ...]  # looked at until an accept goes out, as the next one is
+    decided_digests: tuple[tuple[Slot, str], ...]
+    own_decided: tuple[Slot, ...]
+    conflict_was_known: bool
+    promises: tuple[tuple[str, int], ...]  # empty once the accept is sent, and so are ``votes``
     votes: tuple[tuple[Slot, FrozenBallot, str, str], ...]
-    blank: tuple[Slot, ...]
-    own_found: bool
-    have: tuple[str, ...]
+    empty_slots: tuple[Slot, ...]
+    own_vote_found: bool
+    accepted_by: tuple[str, ...]
 
 
-class Asking(NamedTuple):
-    """One order: how it ended ("": not yet), its proposer, the rounds that it may still begin."""
+class BatchState(NamedTuple):
+    """One batch: its outcome (empty while open), its proposer, and the rounds that it may still start."""
 
     outcome: str
-    proposer: FrozenProposer
-    rounds: tuple[int, ...]
+    proposer: ProposerState
+    remaining_rounds: tuple[int, ...]
 
 
-class Sent(NamedTuple):
-    """An accept that is under way for ever; ``by``: the generations of those who promised."""
+class SentAccept(NamedTuple):
+    """An accept that may be delivered at any time from now on; ``generations``: those of the promising
+    members."""
 
     ballot: FrozenBallot
-    by: tuple[tuple[str, int], ...]
-    rows: tuple[tuple[Slot, str], ...]
+    generations: tuple[tuple[str, int], ...]
+    writes: tuple[tuple[Slot, str], ...]
     tags: tuple[tuple[Slot, str], ...]
 
 
-class Table:
-    """Each distinct value once, by number, and what follows from values once: a state is then a few small
-    numbers, which are cheap to compare and to look up."""
+class InternTable:
+    """Stores each distinct value once under an integer id, so that a state is a few small integers, which
+    are cheap to compare and to look up."""
 
     def __init__(self) -> None:
-        """It holds nothing yet."""
-        self._numbers: dict[Hashable, int] = {}
+        """Creates an empty table."""
+        self._ids: dict[Hashable, int] = {}
         self._values: list[Any] = []
 
-    def number(self, value: Hashable) -> int:
-        """The number of a value, a new one where it was not there yet."""
-        found = self._numbers.get(value)
+    def intern(self, value: Hashable) -> int:
+        """The id of a value, a new one if it was not stored yet."""
+        found = self._ids.get(value)
         if found is None:
-            found = self._numbers[value] = len(self._values)
+            found = self._ids[value] = len(self._values)
             self._values.append(value)
         return found
 
-    def __getitem__(self, number: int) -> Any:
-        """The value of that number."""
-        return self._values[number]
+    def __getitem__(self, id: int) -> Any:
+        """The value with that id."""
+        return self._values[id]
 
 
-class World(NamedTuple):
-    """A state's parts: numbers of entries in the model's tables, and how many crashes and wipes are left."""
+class GlobalState(NamedTuple):
+    """The parts of a state: ids of entries in the tables, and how many crashes and wipes are left."""
 
-    sides: tuple[int, ...]
-    asking: tuple[int, ...]
+    members: tuple[int, ...]
+    batches: tuple[int, ...]
     accepts: int
     chosen: int
     answers: int
@@ -113,24 +114,27 @@
 
 
 class Tables(NamedTuple):
-    """What the numbers in states stand for."""
+    """The values that the ids in states stand for."""
 
-    sides: Table  # of Side
-    asking: Table  # of Asking
-    accepts: Table  # of tuples of Sent, sorted
-    chosen: Table  # of tuples of (ballot, whether all of its order is decided with it), sorted
-    answers: Table  # of (orders acknowledged, orders refused for a rival), both frozen sets
+    members: InternTable  # of Member
+    batches: InternTable  # of BatchState
+    accepts: InternTable  # of tuples of SentAccept, sorted
+    chosen: InternTable  # of tuples of (ballot, whether its whole batch is decided with it), sorted
+    answers: InternTable  # of (batches acknowledged, batches refused for a conflict), both frozen sets
 
 
-def freeze_acceptor(one: Acceptor) -> Memory:
-    """All that makes a difference in an acceptor."""
-    return Memory(
+def freeze_acceptor(one: Acceptor) -> AcceptorState:
+    """Everything that can affect the behaviour of an acceptor."""
+    return AcceptorState(
         one.floor,
         one.ceiling,
-        tuple(sorted((number, (b.round, b.proposer)) for number, b in one.promises.items())),
-        _frozen_votes(one.votes),
+        tuple(sorted((slot, (b.round, b.proposer)) for slot, b in one.promises.items())),
+        _freeze_votes(one.votes),
         tuple(
-            sorted((key, version, LETTERS[digest_of(value)]) for key, (version, value) in one.decided.items())
+            sorted(
+                (key, version, LETTER_BY_DIGEST[digest_of(value)])
+                for key, (version, value) in one.decided.items()
+            )
         ),
         tuple(
             sorted(
@@ -143,123 +147,137 @@
     )
 
 
-def thaw_acceptor(name: str, memory: Memory) -> Acceptor:
-    """An acceptor with that memory."""
+def thaw_acceptor(name: str, state: AcceptorState) -> Acceptor:
+    """Creates an acceptor in that state."""
     one = Acceptor(name)
-    one.floor, one.ceiling = memory.floor, memory.ceiling
-    one.promises = {number: Ballot(*ballot) for number, ballot in memory.promises}
-    one.votes = _thawed_votes(memory.votes)
-    one.decided = {key: (version, CONTENTS[letter]) for key, version, letter in memory.decided}
-    one.past_digests = {key: dict(digests) for key, digests in memory.past}
-    one.unknown_up_to, one.generations = dict(memory.unknown), dict(memory.generations)
-    one.tags = dict(memory.tags)
+    one.floor, one.ceiling = state.floor, state.ceiling
+    one.promises = {slot: Ballot(*ballot) for slot, ballot in state.promises}
+    one.votes = _thaw_votes(state.votes)
+    one.decided = {key: (version, VALUES[letter]) for key, version, letter in state.decided}
+    one.past_digests = {key: dict(digests) for key, digests in state.past_digests}
+    one.unknown_up_to, one.generations = dict(state.unknown_up_to), dict(state.generations)
+    one.tags = dict(state.tags)
     return one
 
 
-def freeze_proposer(one: Proposer) -> FrozenProposer:
-    """All that makes a difference in a proposer."""
+def freeze_proposer(one: Proposer) -> ProposerState:
+    """Everything that can affect the behaviour of a proposer."""
     accept = one._accept
     writes = {} if accept is None else accept.writes
-    return FrozenProposer(
+    return ProposerState(
         (one.ballot.round, one.ballot.proposer),
-        None if accept is None else tuple(sorted((n, LETTERS[digest_of(v)]) for n, v in writes.items())),
+        None
+        if accept is None
+        else tuple(sorted((slot, LETTER_BY_DIGEST[digest_of(value)]) for slot, value in writes.items())),
         tuple(sorted(one.decided_digests.items())),
         tuple(sorted(one._own_decided)),
         one._conflict_was_known,
         tuple(sorted(one._promises.items())) if accept is None else (),
-        _frozen_votes(one._votes) if accept is None else (),
+        _freeze_votes(one._votes) if accept is None else (),
         tuple(sorted(one._empty_slots)),
         one._own_vote_found,
         tuple(sorted(one._accepted_by)),
     )
 
 
-def thaw_proposer(one: Proposer, frozen: FrozenProposer, view: View) -> Proposer:
-    """``one``: as it was made, without a ballot."""
-    one.ballot, one.view = Ballot(*frozen.ballot), view
+def thaw_proposer(one: Proposer, state: ProposerState, view: View) -> Proposer:
+    """Puts ``one``, a new proposer without a ballot, into that state."""
+    one.ballot, one.view = Ballot(*state.ballot), view
     one.decided_digests, one._own_decided, one._conflict_was_known = (
-        dict(frozen.settled),
-        set(frozen.in_force),
-        frozen.knew,
+        dict(state.decided_digests),
+        set(state.own_decided),
+        state.conflict_was_known,
     )
-    one._promises, one._votes = dict(frozen.promises), _thawed_votes(frozen.votes)
+    one._promises, one._votes = dict(state.promises), _thaw_votes(state.votes)
     one._empty_slots, one._own_vote_found, one._accepted_by = (
-        set(frozen.blank),
-        frozen.own_found,
-        set(frozen.have),
+        set(state.empty_slots),
+        state.own_vote_found,
+        set(state.accepted_by),
     )
-    if frozen.accept is not None:
-        writes: Mapping[Slot, Value] = {number: CONTENTS[letter] for number, letter in frozen.accept}
+    if state.accept is not None:
+        writes: Mapping[Slot, Value] = {slot: VALUES[letter] for slot, letter in state.accept}
         one._accept = Accept(one.ballot, view.epoch, dict(one._promises), writes, {})
     return one
 
 
-def kept(side: Side, memory: Memory, parts: Sequence[str]) -> Side:
-    """``parts``: what the host has on disk before the member says anything."""
-    disk = side.disk
+def persisted(member: Member, acceptor: AcceptorState, written: Sequence[str]) -> Member:
+    """The member after its host wrote these parts of its state to disk, before it sends its answer."""
+    disk = member.disk
     if disk is None:
-        pass  # nobody crashes any more
-    elif "all" in parts:  # a batch takes along what was decided and not written yet
-        disk = memory
-    elif "ceiling" in parts:
-        disk = disk._replace(ceiling=memory.ceiling)
-    return side._replace(memory=memory, disk=disk)
+        pass  # no crash is left
+    elif "all" in written:  # the batch of a write includes decisions that were not written yet
+        disk = acceptor
+    elif "ceiling" in written:
+        disk = disk._replace(ceiling=acceptor.ceiling)
+    return member._replace(acceptor=acceptor, disk=disk)
 
 
-def restarted(disk: Memory) -> Memory:
-    """The next life: it refuses all rounds up to the ceiling that it finds."""
+def restarted(disk: AcceptorState) -> AcceptorState:
+    """The state of the next incarnation, which refuses all rounds up to the ceiling found on disk."""
     one = Acceptor("", disk.ceiling)
     return disk._replace(floor=one.floor, ceiling=one.ceiling, promises=())
 
 
-# Members under other names
+# Renaming of members
 
 
-def renamed_side(side: Side, new: Names) -> Side:
-    """The same, where members are called otherwise."""
-    memory = _renamed_memory(side.memory, new)
-    disk = None if side.disk is None else _renamed_memory(side.disk, new)
-    fence = side.fence
+def renamed_member(member: Member, new_names: NewNames) -> Member:
+    """The same value with the members renamed."""
+    acceptor = _renamed_acceptor(member.acceptor, new_names)
+    disk = None if member.disk is None else _renamed_acceptor(member.disk, new_names)
+    fence = member.fence
     if fence is not None:
-        tops = tuple(sorted((new[name], top, known) for name, top, known in fence.tops))
-        fence = Fence(tops, fence.raised_to, _renamed_names(fence.raised, new))
-    return Side(side.whole, memory, disk, fence)
+        reports = tuple(sorted((new_names[name], top, known) for name, top, known in fence.reports))
+        fence = FenceProgress(reports, fence.target, _renamed_names(fence.confirmed, new_names))
+    return Member(member.disk_complete, acceptor, disk, fence)
 
 
-def renamed_asking(asking: Asking, new: Names) -> Asking:
-    """The same, where members are called otherwise."""
-    proposer = asking.proposer
+def renamed_batch(batch: BatchState, new_names: NewNames) -> BatchState:
+    """The same value with the members renamed."""
+    proposer = batch.proposer
     proposer = proposer._replace(
-        promises=_renamed_counts(proposer.promises, new), have=_renamed_names(proposer.have, new)
+        promises=_renamed_generations(proposer.promises, new_names),
+        accepted_by=_renamed_names(proposer.accepted_by, new_names),
     )
-    return asking._replace(proposer=proposer)
+    return batch._replace(proposer=proposer)
 
 
-def renamed_accepts(accepts: tuple[Sent, ...], new: Names) -> tuple[Sent, ...]:
-    """The same, where members are called otherwise, sorted."""
-    return tuple(sorted(sent._replace(by=_renamed_counts(sent.by, new)) for sent in accepts))
+def renamed_accepts(accepts: tuple[SentAccept, ...], new_names: NewNames) -> tuple[SentAccept, ...]:
+    """The same accepts with the members renamed, sorted."""
+    return tuple(
+        sorted(
+            sent._replace(generations=_renamed_generations(sent.generations, new_names)) for sent in accepts
+        )
+    )
 
 
-def _renamed_memory(memory: Memory, new: Names) -> Memory:
-    return memory._replace(generations=_renamed_counts(memory.generations, new))
+def _renamed_acceptor(acceptor: AcceptorState, new_names: NewNames) -> AcceptorState:
+    return acceptor._replace(generations=_renamed_generations(acceptor.generations, new_names))
 
 
-def _renamed_counts(told: Iterable[tuple[str, int]], new: Names) -> tuple[tuple[str, int], ...]:
-    return tuple(sorted((new[name], number) for name, number in told))
+def _renamed_generations(
+    pairs: Iterable[tuple[str, int]], new_names: NewNames
+) -> tuple[tuple[str, int], ...]:
+    return tuple(sorted((new_names[name], generation) for name, generation in pairs))
 
 
-def _renamed_names(told: Iterable[str], new: Names) -> tuple[str, ...]:
-    return tuple(sorted(new[name] for name in told))
+def _renamed_names(names: Iterable[str], new_names: NewNames) -> tuple[str, ...]:
+    return tuple(sorted(new_names[name] for name in names))
 
 
-def _frozen_votes(votes: Mapping[Slot, Vote]) -> tuple[tuple[Slot, FrozenBallot, str, str], ...]:
+def _freeze_votes(votes: Mapping[Slot, Vote]) -> tuple[tuple[Slot, FrozenBallot, str, str], ...]:
     return tuple(
         sorted(
-            (n, (v.ballot.round, v.ballot.proposer), LETTERS[digest_of(v.value)], v.tag)
-            for n, v in votes.items()
+            (
+                slot,
+                (vote.ballot.round, vote.ballot.proposer),
+                LETTER_BY_DIGEST[digest_of(vote.value)],
+                vote.tag,
+            )
+            for slot, vote in votes.items()
         )
     )
 
 
-def _thawed_votes(votes: Iterable[tuple[Slot, FrozenBallot, str, str]]) -> dict[Slot, Vote]:
-    return {n: Vote(Ballot(*ballot), CONTENTS[letter], tag) for n, ballot, letter, tag in votes}
+def _thaw_votes(votes: Iterable[tuple[Slot, FrozenBallot, str, str]]) -> dict[Slot, Vote]:
+    return {slot: Vote(Ballot(*ballot), VALUES[letter], tag) for slot, ballot, letter, tag in votes}
--- a/rigs/order_model/model.py
+++ b/rigs/order_model/model.py
@@ -1,13 +1,13 @@
-"""Orders in the small, for `statecheck`: members that vote, operators' orders that rival each other or are
-sent again to another process, votes that somebody takes up. What decides is the shipped code (`Acceptor`,
-`Proposer`, `View`); the model is its host and its surroundings.
+"""A small model of the consensus protocol, for `statecheck`: members that vote, batches of operators that
+conflict or are sent again through another process, and proposers that adopt open votes. All decisions are
+made by the shipped code (`Acceptor`, `Proposer`, `View`); the model stands in for its host and the network.
 
 Accepts and decisions arrive late, twice, in any order or never. An answer reaches its proposer or is lost. A
-proposer begins a ballot anew at any time, or is not heard of any more. A member crashes and comes back with
-its disk, or loses it and is fenced. Decided items also travel as news.
+proposer starts a new ballot at any time or stops. A member crashes and restarts with its disk, or loses the
+disk and is fenced. Decided items also spread by the pull exchange.
 
-A state holds numbers of `Table` entries, and what an event does to the few of them that it touches is worked
-out once: the shipped code runs some thousands of times, not at each of a million states.
+A state consists of ids of `InternTable` entries, and the effect of an event on the few entries that it
+touches is cached: the shipped code runs some thousands of times, not once for each of a million states.
 """
 
 from __future__ import annotations
@@ -22,334 +22,378 @@
 from mesh.replication.proposer import Accept, Conflict, Decided, Proposer
 from mesh.replication.quorum import Place, Tolerance
 from rigs.order_model import frozen
-from rigs.order_model.frozen import Asking, Fence, Memory, Sent, Side, Table, Tables, World
+from rigs.order_model.frozen import (
+    AcceptorState,
+    BatchState,
+    FenceProgress,
+    GlobalState,
+    InternTable,
+    Member,
+    SentAccept,
+    Tables,
+)
 from rigs.order_model.properties import Properties
 from rigs.order_model.reduction import Reduction
-from rigs.order_model.sizes import CONTENTS, LETTERS, Order, Size
+from rigs.order_model.scenarios import LETTER_BY_DIGEST, VALUES, Batch, Scenario
 from statecheck import Model, Violation
 from statecheck.model import State
 
-NAMES = "wxyz"  # of members
+MEMBER_NAMES = "wxyz"
 
 
-class Orders(Model):
-    """``reduced``: states that differ in nothing that can still matter are taken for one."""
+class ConsensusModel(Model):
+    """``reduced``: states that differ only in what cannot matter any more are merged."""
 
-    def __init__(self, name: str, size: Size, reduced: bool = True) -> None:
-        """``name``: for reports; what is explored is the size."""
-        self.name, self.size = name, size
-        self.names = NAMES[: size.members]
+    def __init__(self, name: str, scenario: Scenario, reduced: bool = True) -> None:
+        """``name`` is used in reports only."""
+        self.name, self.scenario = name, scenario
+        self.names = MEMBER_NAMES[: scenario.members]
         self.view = View(1, {one: Place("", "") for one in self.names})
         self.tolerance = Tolerance(1, 0, 0)
-        self.tables = Tables(Table(), Table(), Table(), Table(), Table())
-        # What depends on nothing but these numbers is worked out once.
-        self._on_begun = cache(self._begin)
-        self._on_prepared = cache(self._prepare)
-        self._on_accepted = cache(self._accept)
-        self._on_settled = cache(self._decided)
-        self._on_told = cache(self._news)
-        self._on_topped = cache(self._top)
-        self._on_raised = cache(self._raise)
-        self._known: tuple[State | None, dict[Any, State]] = (None, {})
+        self.tables = Tables(InternTable(), InternTable(), InternTable(), InternTable(), InternTable())
+        # The results depend on the arguments alone.
+        self._cached_start = cache(self._start_ballot)
+        self._cached_prepare = cache(self._prepare)
+        self._cached_accept = cache(self._accept)
+        self._cached_decided = cache(self._decided)
+        self._cached_pull = cache(self._pull)
+        self._cached_report = cache(self._report)
+        self._cached_confirm = cache(self._confirm)
+        self._successors: tuple[State | None, dict[Any, State]] = (None, {})
         quorums = [
-            among
+            positions
             for count in range(1, len(self.names) + 1)
-            for among in combinations(range(len(self.names)), count)
-            if self.view.overlaps([self.names[at] for at in among], self.tolerance)
+            for positions in combinations(range(len(self.names)), count)
+            if self.view.overlaps([self.names[at] for at in positions], self.tolerance)
         ]
-        self._properties = Properties(size, self.tables, quorums)
-        self._reduction = Reduction(size, self.tables, self.names) if reduced else None
+        self._properties = Properties(scenario, self.tables, quorums)
+        self._reduction = Reduction(scenario, self.tables, self.names) if reduced else None
 
-    # A state as it is stored, and with names
+    # Conversion of states
 
-    def _stored(self, world: World) -> State:
-        return (*world.sides, *world.asking, *world[2:])
+    def _to_state(self, world: GlobalState) -> State:
+        return (*world.members, *world.batches, *world[2:])
 
-    def _world(self, state: State) -> World:
-        members, orders = len(self.names), len(self.size.orders)
-        return World(state[:members], state[members : members + orders], *state[members + orders :])
+    def _from_state(self, state: State) -> GlobalState:
+        members, batches = len(self.names), len(self.scenario.batches)
+        return GlobalState(state[:members], state[members : members + batches], *state[members + batches :])
 
     def initial(self) -> Iterable[State]:
-        """The one state in which all orders have just been sent."""
-        tables, orders = self.tables, self.size.orders
-        side = tables.sides.number(Side(True, Memory(), Memory()))
-        asking = [
-            tables.asking.number(Asking("", self._begun(at, None, order.rounds[0]), order.rounds[1:]))
-            for at, order in enumerate(orders)
+        """The one state in which all batches have just been sent."""
+        tables, batches = self.tables, self.scenario.batches
+        member = tables.members.intern(Member(True, AcceptorState(), AcceptorState()))
+        states = [
+            tables.batches.intern(
+                BatchState("", self._new_ballot(batch_at, None, proposed.rounds[0]), proposed.rounds[1:])
+            )
+            for batch_at, proposed in enumerate(batches)
         ]
-        world = World(
-            (side,) * len(self.names),
-            tuple(asking),
-            tables.accepts.number(()),
-            tables.chosen.number(()),
-            tables.answers.number((frozenset(), frozenset())),
-            self.size.crashes,
-            self.size.wipes,
+        world = GlobalState(
+            (member,) * len(self.names),
+            tuple(states),
+            tables.accepts.intern(()),
+            tables.chosen.intern(()),
+            tables.answers.intern((frozenset(), frozenset())),
+            self.scenario.crashes,
+            self.scenario.wipes,
         )
-        state = self._stored(world)
-        for event in self.size.begun:
-            state = self._after(state, event)
+        state = self._to_state(world)
+        for event in self.scenario.prefix:
+            state = self._apply(state, event)
         yield state
 
     def canonical(self, state: State) -> State:
         """See `Reduction`."""
         if self._reduction is None:
             return state
-        return self._stored(self._reduction.reduced(self._world(state)))
+        return self._to_state(self._reduction.reduced(self._from_state(state)))
 
     def violations(self, _before: State | None, _event: Any, after: State) -> Iterable[Violation]:
         """See `Properties`."""
-        world = self._world(after)
-        return self._properties.broken(world.sides, world.accepts, world.chosen, world.answers)
+        world = self._from_state(after)
+        return self._properties.broken(world.members, world.accepts, world.chosen, world.answers)
 
-    # What can happen
+    # Events
 
     def events(self, state: State) -> Sequence[Any]:
-        """Only those that change something."""
-        world = self._world(state)
-        sides = [self.tables.sides[number] for number in world.sides]
-        found = [*self._proposers_events(world, sides), *self._members_events(world, sides)]
-        after = {event: self._after(state, event) for event in found}
-        self._known = (state, after)
+        """The events that change the state."""
+        world = self._from_state(state)
+        members = [self.tables.members[member_id] for member_id in world.members]
+        enabled = [*self._proposer_events(world, members), *self._member_events(world, members)]
+        after = {event: self._apply(state, event) for event in enabled}
+        self._successors = (state, after)
         return [event for event, reached in after.items() if reached != state]
 
-    def _proposers_events(self, world: World, sides: Sequence[Side]) -> list[Any]:
-        heard = (True, False) if self.size.lost else (True,)
-        whole = [z for z, side in enumerate(sides) if side.whole]
+    def _proposer_events(self, world: GlobalState, members: Sequence[Member]) -> list[Any]:
+        arrivals = (True, False) if self.scenario.lost_answers else (True,)
+        available = [member_at for member_at, member in enumerate(members) if member.disk_complete]
         found: list[Any] = []
-        for at, number in enumerate(world.asking):
-            asking = self.tables.asking[number]
-            if asking.outcome:
+        for batch_at, batch_id in enumerate(world.batches):
+            batch = self.tables.batches[batch_id]
+            if batch.outcome:
                 continue
-            if asking.rounds:
-                found.append(("begin", at))
-            if asking.proposer.accept is None:
-                found += [("prepare", at, z, ok) for z in whole for ok in heard]
+            if batch.remaining_rounds:
+                found.append(("start_ballot", batch_at))
+            if batch.proposer.accept is None:
+                found += [
+                    ("prepare", batch_at, member_at, arrives)
+                    for member_at in available
+                    for arrives in arrivals
+                ]
         for sent in self.tables.accepts[world.accepts]:
-            found += [("accept", sent.ballot, z, ok) for z in whole for ok in heard]
-        for ballot, all_of_it in self.tables.chosen[world.chosen]:
-            found += [("decided", ballot, z, all_of_it) for z in whole]
+            found += [
+                ("accept", sent.ballot, member_at, arrives) for member_at in available for arrives in arrivals
+            ]
+        for ballot, complete in self.tables.chosen[world.chosen]:
+            found += [("decided", ballot, member_at, complete) for member_at in available]
         return found
 
-    def _members_events(self, world: World, sides: Sequence[Side]) -> list[Any]:
+    def _member_events(self, world: GlobalState, members: Sequence[Member]) -> list[Any]:
         found: list[Any] = []
-        all_whole = all(side.whole for side in sides)
-        for z, side in enumerate(sides):
-            if side.whole and world.crashes:
-                found.append(("crash", z))
-            if all_whole and world.wipes:
-                found.append(("wipe", z))
-            if side.whole and self.size.news and side.memory.decided:
-                found += [("news", z, other) for other in range(len(sides)) if other != z]
-            if side.fence is not None:
-                step = "raise" if side.fence.raised_to else "top"
-                had = {*side.fence.raised, *(name for name, _, _ in side.fence.tops)}
+        all_complete = all(member.disk_complete for member in members)
+        for member_at, member in enumerate(members):
+            if member.disk_complete and world.crashes:
+                found.append(("crash", member_at))
+            if all_complete and world.wipes:
+                found.append(("wipe", member_at))
+            if member.disk_complete and self.scenario.dissemination and member.acceptor.decided:
+                found += [("pull", member_at, other) for other in range(len(members)) if other != member_at]
+            if member.fence is not None:
+                step = "confirm" if member.fence.target else "report"
+                answered = {*member.fence.confirmed, *(name for name, _, _ in member.fence.reports)}
                 found += [
-                    (step, z, f)
-                    for f, name in enumerate(self.names)
-                    if f != z and sides[f].whole and name not in had
+                    (step, member_at, peer_at)
+                    for peer_at, name in enumerate(self.names)
+                    if peer_at != member_at and members[peer_at].disk_complete and name not in answered
                 ]
         return found
 
-    # Steps
+    # Transitions
 
     def step(self, state: State, event: Any) -> State:
-        """What `events` has worked out, for the state that it was asked for last."""
-        known, after = self._known
-        return after[event] if known is state and event in after else self._after(state, event)
+        """The next state, taken from the last call of `events` if that was for the same state."""
+        last, after = self._successors
+        return after[event] if last is state and event in after else self._apply(state, event)
 
-    def _after(self, state: State, event: Any) -> State:
-        world = self._world(state)
-        return self._stored(getattr(self, f"_on_{event[0]}")(world, *event[1:]))
+    def _apply(self, state: State, event: Any) -> State:
+        world = self._from_state(state)
+        return self._to_state(getattr(self, f"_on_{event[0]}")(world, *event[1:]))
 
-    def _on_begin(self, world: World, at: int) -> World:
-        return world._replace(asking=_with(world.asking, at, self._on_begun(at, world.asking[at])))
+    def _on_start_ballot(self, world: GlobalState, batch_at: int) -> GlobalState:
+        return world._replace(
+            batches=_replaced(world.batches, batch_at, self._cached_start(batch_at, world.batches[batch_at]))
+        )
 
-    def _begin(self, at: int, number: int) -> int:
-        asking = self.tables.asking[number]
-        begun = self._begun(at, asking.proposer, asking.rounds[0])
-        return self.tables.asking.number(Asking("", begun, asking.rounds[1:]))
+    def _start_ballot(self, batch_at: int, batch_id: int) -> int:
+        batch = self.tables.batches[batch_id]
+        proposer = self._new_ballot(batch_at, batch.proposer, batch.remaining_rounds[0])
+        return self.tables.batches.intern(BatchState("", proposer, batch.remaining_rounds[1:]))
 
-    def _on_prepare(self, world: World, at: int, z: int, heard: bool) -> World:
-        side, asking, sent = self._on_prepared(at, world.asking[at], z, world.sides[z], heard)
-        after = self._answered(world, at, asking, z, side)
+    def _on_prepare(self, world: GlobalState, batch_at: int, member_at: int, arrives: bool) -> GlobalState:
+        member_id, batch_id, sent = self._cached_prepare(
+            batch_at, world.batches[batch_at], member_at, world.members[member_at], arrives
+        )
+        after = self._with_results(world, batch_at, batch_id, member_at, member_id)
         if sent is None:
             return after
         accepts = tuple(sorted({*self.tables.accepts[world.accepts], sent}))
-        return after._replace(accepts=self.tables.accepts.number(accepts))
-
-    def _prepare(self, at: int, number: int, z: int, side: int, heard: bool) -> tuple[int, int, Sent | None]:
-        """The member and the order after it, and the accept that went out."""
-        asking: Asking = self.tables.asking[number]
-        proposer, acceptor = self._proposer(at, asking), self._acceptor(z, side)
+        return after._replace(accepts=self.tables.accepts.intern(accepts))
+
+    def _prepare(
+        self, batch_at: int, batch_id: int, member_at: int, member_id: int, arrives: bool
+    ) -> tuple[int, int, SentAccept | None]:
+        """Returns the new ids of the member and the batch, and the accept that was sent."""
+        batch: BatchState = self.tables.batches[batch_id]
+        proposer, acceptor = self._proposer(batch_at, batch), self._acceptor(member_at, member_id)
         if acceptor.required_ceiling(proposer.ballot.round):
             acceptor.set_ceiling(proposer.ballot.round)
         answer = acceptor.promise(proposer.ballot, proposer._open_slots())
-        kept = self._kept(side, acceptor, ("ceiling",))
-        if not heard or isinstance(answer, Refusal):  # the host begins anew where it likes
-            return kept, number, None
-        step = proposer.promised(self.names[z], 1, proposer.ballot, answer)
-        after = asking._replace(proposer=frozen.freeze_proposer(proposer))
+        new_member = self._persist(member_id, acceptor, ("ceiling",))
+        if not arrives or isinstance(answer, Refusal):  # the host may start a new ballot at any time
+            return new_member, batch_id, None
+        step = proposer.promised(self.names[member_at], 1, proposer.ballot, answer)
+        after = batch._replace(proposer=frozen.freeze_proposer(proposer))
         if not isinstance(step, Accept):
-            return kept, self.tables.asking.number(after._replace(outcome=_ended(step))), None
-        rows = tuple(sorted((n, LETTERS[digest_of(v)]) for n, v in step.writes.items()))
+            return new_member, self.tables.batches.intern(after._replace(outcome=_outcome(step))), None
+        writes = tuple(sorted((slot, LETTER_BY_DIGEST[digest_of(v)]) for slot, v in step.writes.items()))
         ballot, tags = (step.ballot.round, step.ballot.proposer), tuple(sorted(step.tags.items()))
-        sent = Sent(ballot, tuple(sorted(step.generations.items())), rows, tags)
-        return kept, self.tables.asking.number(after), sent
+        sent = SentAccept(ballot, tuple(sorted(step.generations.items())), writes, tags)
+        return new_member, self.tables.batches.intern(after), sent
 
-    def _on_accept(self, world: World, ballot: tuple[int, str], z: int, heard: bool) -> World:
-        at = int(ballot[1][1:])
+    def _on_accept(
+        self, world: GlobalState, ballot: tuple[int, str], member_at: int, arrives: bool
+    ) -> GlobalState:
+        batch_at = int(ballot[1][1:])
         sent = next(one for one in self.tables.accepts[world.accepts] if one.ballot == ballot)
-        side, asking, found = self._on_accepted(at, world.asking[at], z, world.sides[z], heard, sent)
-        after = self._answered(world, at, asking, z, side)
+        member_id, batch_id, found = self._cached_accept(
+            batch_at, world.batches[batch_at], member_at, world.members[member_at], arrives, sent
+        )
+        after = self._with_results(world, batch_at, batch_id, member_at, member_id)
         if not found:
             return after
         chosen = tuple(sorted({*self.tables.chosen[world.chosen], *found}))
-        return after._replace(chosen=self.tables.chosen.number(chosen))
+        return after._replace(chosen=self.tables.chosen.intern(chosen))
 
     def _accept(
-        self, at: int, number: int, z: int, side: int, heard: bool, sent: Sent
+        self, batch_at: int, batch_id: int, member_at: int, member_id: int, arrives: bool, sent: SentAccept
     ) -> tuple[int, int, tuple[Any, ...]]:
-        """The member and the order after it, and the ballot that was chosen by it."""
-        asking: Asking = self.tables.asking[number]
-        proposer, acceptor, ballot = self._proposer(at, asking), self._acceptor(z, side), Ballot(*sent.ballot)
-        writes = {number: CONTENTS[letter] for number, letter in sent.rows}
-        answer = acceptor.accept(ballot, dict(sent.by), writes, dict(sent.tags))
-        kept = self._kept(side, acceptor, ("votes", "all"))
-        if not heard or isinstance(answer, Refusal):
-            return kept, number, ()
-        chosen = proposer.accepted(self.names[z], 1, ballot)
-        outcome = asking.outcome or _ended(proposer.outcome() if chosen is not None else None)
-        after = Asking(outcome, frozen.freeze_proposer(proposer), asking.rounds)
+        """Returns the new ids of the member and the batch, and the ballot that was chosen by this answer."""
+        batch: BatchState = self.tables.batches[batch_id]
+        proposer, acceptor = self._proposer(batch_at, batch), self._acceptor(member_at, member_id)
+        ballot = Ballot(*sent.ballot)
+        writes = {slot: VALUES[letter] for slot, letter in sent.writes}
+        answer = acceptor.accept(ballot, dict(sent.generations), writes, dict(sent.tags))
+        new_member = self._persist(member_id, acceptor, ("votes", "all"))
+        if not arrives or isinstance(answer, Refusal):
+            return new_member, batch_id, ()
+        chosen = proposer.accepted(self.names[member_at], 1, ballot)
+        outcome = batch.outcome or _outcome(proposer.outcome() if chosen is not None else None)
+        after = BatchState(outcome, frozen.freeze_proposer(proposer), batch.remaining_rounds)
         found = ((sent.ballot, chosen.complete),) if chosen is not None else ()
-        return kept, self.tables.asking.number(after), found
-
-    def _answered(self, world: World, at: int, asking: int, z: int, side: int) -> World:
-        """The member and the order are these; the operator hears how it ended."""
-        after = world._replace(sides=_with(world.sides, z, side), asking=_with(world.asking, at, asking))
-        outcome, order = self.tables.asking[asking].outcome, self.size.orders[at]
+        return new_member, self.tables.batches.intern(after), found
+
+    def _with_results(
+        self, world: GlobalState, batch_at: int, batch_id: int, member_at: int, member_id: int
+    ) -> GlobalState:
+        """Replaces the member and the batch, and records the outcome that the operator is told."""
+        after = world._replace(
+            members=_replaced(world.members, member_at, member_id),
+            batches=_replaced(world.batches, batch_at, batch_id),
+        )
+        outcome, proposed = self.tables.batches[batch_id].outcome, self.scenario.batches[batch_at]
         if not outcome:
             return after
-        acked, refused = self.tables.answers[world.answers]
-        if outcome == "decided" and order.letter:
-            acked |= {(order.letter, order.numbers)}
-        elif outcome == "rivalled":
-            refused |= {(order.letter, order.numbers)}
-        return after._replace(answers=self.tables.answers.number((acked, refused)))
-
-    def _on_decided(self, world: World, ballot: tuple[int, str], z: int, whole: bool) -> World:
-        side = self._on_settled(world.sides[z], ballot, whole)
-        return world._replace(sides=_with(world.sides, z, side))
-
-    def _decided(self, side: int, ballot: tuple[int, str], whole: bool) -> int:
-        acceptor = self._acceptor(0, side)
-        for number, value in acceptor.votes_under(Ballot(*ballot)).items():
-            acceptor.learn(number, value, whole)
-        return self._kept(side, acceptor, ())
-
-    def _on_news(self, world: World, giver: int, taker: int) -> World:
-        if not self.tables.sides[world.sides[taker]].whole:
+        acknowledged, refused = self.tables.answers[world.answers]
+        if outcome == "decided" and proposed.letter:
+            acknowledged |= {(proposed.letter, proposed.slots)}
+        elif outcome == "conflict":
+            refused |= {(proposed.letter, proposed.slots)}
+        return after._replace(answers=self.tables.answers.intern((acknowledged, refused)))
+
+    def _on_decided(
+        self, world: GlobalState, ballot: tuple[int, str], member_at: int, complete: bool
+    ) -> GlobalState:
+        member_id = self._cached_decided(world.members[member_at], ballot, complete)
+        return world._replace(members=_replaced(world.members, member_at, member_id))
+
+    def _decided(self, member_id: int, ballot: tuple[int, str], complete: bool) -> int:
+        acceptor = self._acceptor(0, member_id)
+        for slot, value in acceptor.votes_under(Ballot(*ballot)).items():
+            acceptor.learn(slot, value, complete)
+        return self._persist(member_id, acceptor, ())
+
+    def _on_pull(self, world: GlobalState, source: int, target: int) -> GlobalState:
+        if not self.tables.members[world.members[target]].disk_complete:
             return world
-        side = self._on_told(world.sides[giver], world.sides[taker])
-        return world._replace(sides=_with(world.sides, taker, side))
+        member_id = self._cached_pull(world.members[source], world.members[target])
+        return world._replace(members=_replaced(world.members, target, member_id))
 
-    def _news(self, giver: int, taker: int) -> int:
-        known, acceptor = self._acceptor(0, giver), self._acceptor(0, taker)
+    def _pull(self, source: int, target: int) -> int:
+        known, acceptor = self._acceptor(0, source), self._acceptor(0, target)
         for (kind, name), (version, value) in known.decided.items():
             if version >= acceptor.decided.get((kind, name), (-1, None))[0]:
                 acceptor.learn((kind, name, version), value)
-        return self._kept(taker, acceptor, ())
-
-    def _on_crash(self, world: World, z: int) -> World:
-        side = self.tables.sides[world.sides[z]]
-        after = self.tables.sides.number(side._replace(memory=frozen.restarted(side.disk)))
-        return world._replace(sides=_with(world.sides, z, after), crashes=world.crashes - 1)
-
-    # A disk that was lost
-
-    def _on_wipe(self, world: World, z: int) -> World:
-        lost = self.tables.sides.number(Side(False, Memory(), Memory(), Fence()))
-        return world._replace(sides=_with(world.sides, z, lost), wipes=world.wipes - 1)
-
-    def _on_top(self, world: World, z: int, f: int) -> World:
-        side = self._on_topped(z, world.sides[z], f, world.sides[f])
-        return world._replace(sides=_with(world.sides, z, side))
-
-    def _top(self, z: int, lost: int, f: int, giver: int) -> int:
-        side, other = self.tables.sides[lost], self._acceptor(f, giver)
-        told = (self.names[f], other.highest_round(), other.generations.get(self.names[z], 0))
-        fence = side.fence._replace(tops=tuple(sorted({*side.fence.tops, told})))
-        if can_fence(self.view, {name for name, _, _ in fence.tops}, self.names[z], self.tolerance):
-            top = max(top for _, top, _ in fence.tops)
-            fence = Fence(raised_to=(top, 1 + max(known for _, _, known in fence.tops)))
-        return self.tables.sides.number(side._replace(fence=fence))
-
-    def _on_raise(self, world: World, z: int, f: int) -> World:
-        back, fenced = self._on_raised(z, world.sides[z], f, world.sides[f])
-        return world._replace(sides=_with(_with(world.sides, z, back), f, fenced))
-
-    def _raise(self, z: int, lost: int, f: int, giver: int) -> tuple[int, int]:
-        side, mine, name = self.tables.sides[lost], self.names[z], self.names[f]
-        round, generation = side.fence.raised_to
-        other, back = self._acceptor(f, giver), self._acceptor(z, lost)
-        other.fence(round, mine, generation)
-        _read_back(back, other)
-        raised = tuple(sorted({*side.fence.raised, name}))
-        if can_fence(self.view, set(raised), mine, self.tolerance):
-            back.fence(round, mine, generation)
-            memory = frozen.freeze_acceptor(back)
-            after = Side(True, memory, memory if side.disk is not None else None)
+        return self._persist(target, acceptor, ())
+
+    def _on_crash(self, world: GlobalState, member_at: int) -> GlobalState:
+        member = self.tables.members[world.members[member_at]]
+        after = self.tables.members.intern(member._replace(acceptor=frozen.restarted(member.disk)))
+        return world._replace(members=_replaced(world.members, member_at, after), crashes=world.crashes - 1)
+
+    # Lost disks
+
+    def _on_wipe(self, world: GlobalState, member_at: int) -> GlobalState:
+        wiped = self.tables.members.intern(Member(False, AcceptorState(), AcceptorState(), FenceProgress()))
+        return world._replace(members=_replaced(world.members, member_at, wiped), wipes=world.wipes - 1)
+
+    def _on_report(self, world: GlobalState, member_at: int, peer_at: int) -> GlobalState:
+        member_id = self._cached_report(member_at, world.members[member_at], peer_at, world.members[peer_at])
+        return world._replace(members=_replaced(world.members, member_at, member_id))
+
+    def _report(self, member_at: int, member_id: int, peer_at: int, peer_id: int) -> int:
+        member, peer = self.tables.members[member_id], self._acceptor(peer_at, peer_id)
+        report = (self.names[peer_at], peer.highest_round(), peer.generations.get(self.names[member_at], 0))
+        fence = member.fence._replace(reports=tuple(sorted({*member.fence.reports, report})))
+        if can_fence(
+            self.view, {name for name, _, _ in fence.reports}, self.names[member_at], self.tolerance
+        ):
+            top = max(top for _, top, _ in fence.reports)
+            fence = FenceProgress(target=(top, 1 + max(known for _, _, known in fence.reports)))
+        return self.tables.members.intern(member._replace(fence=fence))
+
+    def _on_confirm(self, world: GlobalState, member_at: int, peer_at: int) -> GlobalState:
+        member_id, fenced = self._cached_confirm(
+            member_at, world.members[member_at], peer_at, world.members[peer_at]
+        )
+        return world._replace(
+            members=_replaced(_replaced(world.members, member_at, member_id), peer_at, fenced)
+        )
+
+    def _confirm(self, member_at: int, member_id: int, peer_at: int, peer_id: int) -> tuple[int, int]:
+        member = self.tables.members[member_id]
+        own_name, peer_name = self.names[member_at], self.names[peer_at]
+        round, generation = member.fence.target
+        peer, own = self._acceptor(peer_at, peer_id), self._acceptor(member_at, member_id)
+        peer.fence(round, own_name, generation)
+        _copy_state(own, peer)
+        confirmed = tuple(sorted({*member.fence.confirmed, peer_name}))
+        if can_fence(self.view, set(confirmed), own_name, self.tolerance):
+            own.fence(round, own_name, generation)
+            acceptor = frozen.freeze_acceptor(own)
+            after = Member(True, acceptor, acceptor if member.disk is not None else None)
         else:
-            after = side._replace(
-                memory=frozen.freeze_acceptor(back), fence=side.fence._replace(raised=raised)
+            after = member._replace(
+                acceptor=frozen.freeze_acceptor(own), fence=member.fence._replace(confirmed=confirmed)
             )
-        return self.tables.sides.number(after), self._kept(giver, other, ("ceiling", "all"))
+        return self.tables.members.intern(after), self._persist(peer_id, peer, ("ceiling", "all"))
 
-    # The shipped code
+    # Objects of the shipped code
 
-    def _begun(self, at: int, before: frozen.FrozenProposer | None, round: int) -> frozen.FrozenProposer:
-        proposer = self._cold(at)
+    def _new_ballot(
+        self, batch_at: int, before: frozen.ProposerState | None, round: int
+    ) -> frozen.ProposerState:
+        proposer = self._new_proposer(batch_at)
         if before is not None:
             frozen.thaw_proposer(proposer, before, self.view)
         proposer.prepare(round, self.view)
         return frozen.freeze_proposer(proposer)
 
-    def _cold(self, at: int) -> Proposer:
-        order: Order = self.size.orders[at]
-        writes = dict.fromkeys(order.numbers, CONTENTS.get(order.letter))
-        return Proposer(f"p{at}", writes, self.tolerance, adopts=not order.letter)
-
-    def _proposer(self, at: int, asking: Asking) -> Proposer:
-        return frozen.thaw_proposer(self._cold(at), asking.proposer, self.view)
-
-    def _acceptor(self, z: int, side: int) -> Acceptor:
-        return frozen.thaw_acceptor(self.names[z], self.tables.sides[side].memory)
-
-    def _kept(self, side: int, acceptor: Acceptor, parts: Sequence[str]) -> int:
-        after = frozen.kept(self.tables.sides[side], frozen.freeze_acceptor(acceptor), parts)
-        return self.tables.sides.number(after)
-
-
-def _read_back(back: Acceptor, other: Acceptor) -> None:
-    """What another holds, to a disk that was lost."""
-    for (kind, key), (version, value) in other.decided.items():
-        back.learn((kind, key, version), value)
-    for (kind, key), digests in other.past_digests.items():
-        for version, told in digests.items():
-            digest, _, tag = told.partition("/")
-            back.learn_state((kind, key, version), Decision(digest, tag=tag))
-    back.tags.update(other.tags)
-    for number, vote in other.votes.items():
-        held = back.state(number)
+    def _new_proposer(self, batch_at: int) -> Proposer:
+        proposed: Batch = self.scenario.batches[batch_at]
+        writes = dict.fromkeys(proposed.slots, VALUES.get(proposed.letter))
+        return Proposer(f"p{batch_at}", writes, self.tolerance, adopts=not proposed.letter)
+
+    def _proposer(self, batch_at: int, batch: BatchState) -> Proposer:
+        return frozen.thaw_proposer(self._new_proposer(batch_at), batch.proposer, self.view)
+
+    def _acceptor(self, member_at: int, member_id: int) -> Acceptor:
+        return frozen.thaw_acceptor(self.names[member_at], self.tables.members[member_id].acceptor)
+
+    def _persist(self, member_id: int, acceptor: Acceptor, written: Sequence[str]) -> int:
+        after = frozen.persisted(self.tables.members[member_id], frozen.freeze_acceptor(acceptor), written)
+        return self.tables.members.intern(after)
+
+
+def _copy_state(own: Acceptor, peer: Acceptor) -> None:
+    """Copies the state of a peer to a member whose disk was lost."""
+    for (kind, key), (version, value) in peer.decided.items():
+        own.learn((kind, key, version), value)
+    for (kind, key), digests in peer.past_digests.items():
+        for version, entry in digests.items():
+            digest, _, tag = entry.partition("/")
+            own.learn_state((kind, key, version), Decision(digest, tag=tag))
+    own.tags.update(peer.tags)
+    for slot, vote in peer.votes.items():
+        held = own.state(slot)
         if held is None or (isinstance(held, Vote) and held.ballot < vote.ballot):
-            back.votes[number] = vote
+            own.votes[slot] = vote
 
 
-def _with(numbers: tuple[int, ...], at: int, number: int) -> tuple[int, ...]:
-    return (*numbers[:at], number, *numbers[at + 1 :])
+def _replaced(ids: tuple[int, ...], position: int, id: int) -> tuple[int, ...]:
+    return (*ids[:position], id, *ids[position + 1 :])
 
 
-def _ended(step: Any) -> str:
+def _outcome(step: Any) -> str:
     if isinstance(step, Decided):
         return "decided"
-    return "rivalled" if isinstance(step, Conflict) else ""
+    return "conflict" if isinstance(step, Conflict) else ""
--- a/rigs/order_model/properties.py
+++ b/rigs/order_model/properties.py
@@ -1,4 +1,4 @@
-"""What must hold of every state of the model of orders."""
+"""The properties that every state of the consensus model must have."""
 
 from __future__ import annotations
 
@@ -6,102 +6,113 @@
 from typing import Any, NamedTuple
 
 from mesh.replication.acceptor import Decision, Slot, Vote, digest_of
-from rigs.order_model.frozen import Memory, Sent, Side, Tables, thaw_acceptor
-from rigs.order_model.sizes import LETTERS, Size
+from rigs.order_model.frozen import AcceptorState, Member, SentAccept, Tables, thaw_acceptor
+from rigs.order_model.scenarios import LETTER_BY_DIGEST, Scenario
 from statecheck import Violation
 
 
-class Known(NamedTuple):
-    """What a member says of a number: ``what`` is settled, voted or nothing."""
+class SlotView(NamedTuple):
+    """The state of a slot at one member: ``kind`` is "decided", "voted" or "unknown"."""
 
-    what: str
+    kind: str
     ballot: Any = ()
     letter: str = ""
 
 
 class Properties:
-    """``quorums``: all sets of members, by place, that whoever reads may ask."""
+    """``quorums``: all read quorums, as positions of members."""
 
-    def __init__(self, size: Size, tables: Tables, quorums: Sequence[Sequence[int]]) -> None:
-        """Of the orders of that size."""
+    def __init__(self, scenario: Scenario, tables: Tables, quorums: Sequence[Sequence[int]]) -> None:
+        """``scenario``: the one whose states are checked."""
         self._tables, self._quorums = tables, quorums
-        self._numbers = sorted({number for order in size.orders for number in order.numbers})
-        self._found: dict[Any, tuple[Violation, ...]] = {}
-        self._states: dict[tuple[Slot, Memory], Known] = {}
+        self._slots = sorted({slot for batch in scenario.batches for slot in batch.slots})
+        self._cached_violations: dict[Any, tuple[Violation, ...]] = {}
+        self._slot_views: dict[tuple[Slot, AcceptorState], SlotView] = {}
 
     def broken(
-        self, sides: tuple[int, ...], accepts: int, chosen: int, answers: int
+        self, members: tuple[int, ...], accepts: int, chosen: int, answers: int
     ) -> tuple[Violation, ...]:
-        """Nothing is said of proposers, and members count alike: states that differ in these alone share
-        their verdict."""
-        key = (*sorted(sides), accepts, chosen, answers)
-        found = self._found.get(key)
+        """The violations in that state. They depend neither on the proposers nor on the order of the members,
+        so states that differ only in these share one result."""
+        key = (*sorted(members), accepts, chosen, answers)
+        found = self._cached_violations.get(key)
         if found is None:
-            held = [self._tables.sides[number] for number in key[: len(sides)]]
-            found = self._found[key] = tuple(self._all(held, accepts, chosen, answers))
+            in_order = [self._tables.members[member_id] for member_id in key[: len(members)]]
+            found = self._cached_violations[key] = tuple(self._check_all(in_order, accepts, chosen, answers))
         return found
 
-    def _all(self, sides: Sequence[Side], accepts: int, chosen: int, answers: int) -> Iterator[Violation]:
-        acked, refused = self._tables.answers[answers]
+    def _check_all(
+        self, members: Sequence[Member], accepts: int, chosen: int, answers: int
+    ) -> Iterator[Violation]:
+        acknowledged, refused = self._tables.answers[answers]
         ballots = dict(self._tables.chosen[chosen])
-        told = [sent for sent in self._tables.accepts[accepts] if sent.ballot in ballots]
-        for number in self._numbers:
-            yield from self._of_number(number, sides, told, acked, refused)
-        for letter, among in acked & refused:
-            yield Violation("both answers", f"order {letter} of {among} was acknowledged and refused")
-
-    def _of_number(
-        self, number: Slot, sides: Sequence[Side], told: Sequence[Sent], acked: Any, refused: Any
+        chosen_accepts = [sent for sent in self._tables.accepts[accepts] if sent.ballot in ballots]
+        for slot in self._slots:
+            yield from self._check_slot(slot, members, chosen_accepts, acknowledged, refused)
+        for letter, slots in acknowledged & refused:
+            yield Violation("both answers", f"batch {letter} of {slots} was acknowledged and refused")
+
+    def _check_slot(
+        self,
+        slot: Slot,
+        members: Sequence[Member],
+        chosen_accepts: Sequence[SentAccept],
+        acknowledged: Any,
+        refused: Any,
     ) -> Iterator[Violation]:
-        contents = {letter for letter, among in acked if number in among}
-        if len(contents) > 1:
-            yield Violation("one content", f"{number}: {sorted(contents)} are both acknowledged")
-        states = [self._state(number, side.memory) for side in sides]
-        known = {state.letter for state in states if state.what == "settled"}
-        known |= {letter for sent in told for row, letter in sent.rows if row == number}
-        if len(known) > 1:
-            yield Violation("one decision", f"{number} is decided as {sorted(known)}")
-        open_ = set() if known else {state.letter for state in states if state.what == "voted"}
-        for letter in sorted(letter for letter, among in refused if number in among):
-            if letter in known | contents:
-                yield Violation("409", f"{number}: {letter} was refused for a rival and is in force")
-            if letter in open_:
-                yield Violation("409", f"{number}: {letter} was refused for a rival and may come into force")
-        if not known and any(among == (number,) for _, among in refused):
-            yield Violation("409 too early", f"{number}: refused for a rival that is not decided")
-        for letter in sorted(contents):
-            yield from self._found_by_quorums(number, letter, sides, states)
-
-    def _found_by_quorums(
-        self, number: Slot, letter: str, sides: Sequence[Side], states: Sequence[Known]
+        acknowledged_letters = {letter for letter, slots in acknowledged if slot in slots}
+        if len(acknowledged_letters) > 1:
+            yield Violation("one content", f"{slot}: {sorted(acknowledged_letters)} are both acknowledged")
+        views = [self._view_of_slot(slot, member.acceptor) for member in members]
+        decided = {view.letter for view in views if view.kind == "decided"}
+        decided |= {
+            letter for sent in chosen_accepts for written_slot, letter in sent.writes if written_slot == slot
+        }
+        if len(decided) > 1:
+            yield Violation("one decision", f"{slot} is decided as {sorted(decided)}")
+        voted = set() if decided else {view.letter for view in views if view.kind == "voted"}
+        for letter in sorted(letter for letter, slots in refused if slot in slots):
+            if letter in decided | acknowledged_letters:
+                yield Violation("409", f"{slot}: {letter} was refused for a conflict and is decided")
+            if letter in voted:
+                yield Violation(
+                    "409", f"{slot}: {letter} was refused for a conflict and may still be decided"
+                )
+        if not decided and any(slots == (slot,) for _, slots in refused):
+            yield Violation("409 too early", f"{slot}: refused for a conflict that is not decided")
+        for letter in sorted(acknowledged_letters):
+            yield from self._check_quorums(slot, letter, members, views)
+
+    def _check_quorums(
+        self, slot: Slot, letter: str, members: Sequence[Member], views: Sequence[SlotView]
     ) -> Iterator[Violation]:
-        """What is acknowledged is what whoever reads must take."""
-        for among in self._quorums:
-            if not all(sides[z].whole for z in among):
+        """Every read quorum must learn an acknowledged value."""
+        for quorum in self._quorums:
+            if not all(members[position].disk_complete for position in quorum):
                 continue
-            met = _met([states[z] for z in among])
-            if met != letter:
-                words = f"{number}: {letter} is acknowledged, a quorum of {len(among)} meets {met}"
-                yield Violation("found", words)
+            learned = _learned_value([views[position] for position in quorum])
+            if learned != letter:
+                description = f"{slot}: {letter} is acknowledged, a quorum of {len(quorum)} learns {learned}"
+                yield Violation("found", description)
 
-    def _state(self, number: Slot, memory: Memory) -> Known:
-        found = self._states.get((number, memory))
+    def _view_of_slot(self, slot: Slot, acceptor: AcceptorState) -> SlotView:
+        found = self._slot_views.get((slot, acceptor))
         if found is None:
-            found = self._states[number, memory] = _known(number, memory)
+            found = self._slot_views[slot, acceptor] = _slot_view(slot, acceptor)
         return found
 
 
-def _known(number: Slot, memory: Memory) -> Known:
-    state = thaw_acceptor("", memory).state(number)
-    if isinstance(state, Decision):
-        return Known("settled", letter=LETTERS[state.digest])
-    if isinstance(state, Vote):
-        return Known("voted", state.ballot, LETTERS[digest_of(state.value)])
-    return Known("nothing")
+def _slot_view(slot: Slot, acceptor: AcceptorState) -> SlotView:
+    found = thaw_acceptor("", acceptor).state(slot)
+    if isinstance(found, Decision):
+        return SlotView("decided", letter=LETTER_BY_DIGEST[found.digest])
+    if isinstance(found, Vote):
+        return SlotView("voted", found.ballot, LETTER_BY_DIGEST[digest_of(found.value)])
+    return SlotView("unknown")
 
 
-def _met(states: Sequence[Known]) -> str:
-    """What whoever asks that quorum must take: what is settled, else the highest vote."""
-    settled = [state.letter for state in states if state.what == "settled"]
-    votes = [(state.ballot, state.letter) for state in states if state.what == "voted"]
-    return settled[0] if settled else max(votes)[1] if votes else "nothing"
+def _learned_value(views: Sequence[SlotView]) -> str:
+    """The letter of the value that a reader learns from a quorum: the decided one, else the highest vote."""
+    decided_letters = [view.letter for view in views if view.kind == "decided"]
+    votes = [(view.ballot, view.letter) for view in views if view.kind == "voted"]
+    return decided_letters[0] if decided_letters else max(votes)[1] if votes else "unknown"
--- a/rigs/order_model/reduction.py
+++ b/rigs/order_model/reduction.py
@@ -1,14 +1,12 @@
-"""Which states of the model of orders may be taken for one. docs/design/control.md has the argument.
-
-- Members have no names of their own: they are put in the order of what they hold and of what is held of
-  them.
-- An order that has ended asks nothing any more: how its proposer came there makes no difference.
-- Where nobody crashes any more, what stands on disk makes none. Where no disk is lost any more and all are
-  back, an accept need name no promise but those that a lost disk has made void; and where nobody crashes
-  either, no ceiling counts, and of a promise and of a floor only which ballots of those that may come they
-  refuse.
-- An accept that can change no member any more, and whose proposer waits for no answer to it, is dropped; and
-  so is a decision that can change none, once its content is settled at a member.
+"""The equivalence of states of the consensus model. docs/design/control.md has the argument.
+
+- Members are symmetric: they are sorted by their state and by what is known of them.
+- The proposer of a finished batch sends nothing more, so its state is dropped.
+- Once no crash is left, the state on disk is dropped. Once no disk can be lost any more and all disks are
+  complete, an accept keeps only the promises that a lost disk has voided. If no crash is left either, the
+  ceilings are dropped, and promises and floors are reduced to the possible ballots that they refuse.
+- An accept that can change no member any more, and whose proposer waits for no answer to it, is dropped. So
+  is a decision that can change no member, once each of its values is decided at a member.
 """
 
 from __future__ import annotations
@@ -19,240 +17,260 @@
 
 from mesh.replication.acceptor import Ballot, Decision, Refusal, Slot
 from rigs.order_model import frozen
-from rigs.order_model.frozen import Asking, Fence, FrozenBallot, Memory, Sent, Side, Table, Tables, World
-from rigs.order_model.sizes import CONTENTS, Size
+from rigs.order_model.frozen import (
+    AcceptorState,
+    BatchState,
+    FenceProgress,
+    FrozenBallot,
+    GlobalState,
+    InternTable,
+    Member,
+    SentAccept,
+    Tables,
+)
+from rigs.order_model.scenarios import VALUES, Scenario
 
-Generations = tuple[tuple[str, int], ...]  # by name
+Generations = tuple[tuple[str, int], ...]  # by member
 
-NEVER_BEGUN = frozen.FrozenProposer((0, ""), None, (), (), False, (), (), (), False, ())
+INITIAL_PROPOSER = frozen.ProposerState((0, ""), None, (), (), False, (), (), (), False, ())
 
 
 class Reduction:
-    """Gives each state the representative of all that are alike."""
-
-    def __init__(self, size: Size, tables: Tables, names: str) -> None:
-        """Of the states whose numbers these tables hold."""
-        self._size, self._tables, self._names = size, tables, names
-        self._opened, self._lived = Table(), Table()  # of ballots that may still come, an order's and all
-        # What depends on nothing but these numbers is worked out once.
-        self._after_end = cache(self._ended)
-        self._diskless = cache(self._without_disk)
-        self._is_whole = cache(self._whole)
-        self._known_by = cache(self._generations)
-        self._binding_of = cache(self._binding)
-        self._waited = cache(self._waits)
-        self._taken = cache(self._takes)
-        self._settled = cache(self._all_settled)
-        self._open_of = cache(self._open)
-        self._live_of = cache(self._live)
-        self._relative_to = cache(self._relative)
-        self._side_marks = cache(self._marks_of_side)
-        self._asking_marks = cache(self._marks_of_asking)
-        self._accepts_marks = cache(self._marks_of_accepts)
-        self._side_named = cache(self._named_side)
-        self._asking_named = cache(self._named_asking)
-        self._accepts_named = cache(self._named_accepts)
-
-    def reduced(self, world: World) -> World:
-        """The representative of all states that are alike."""
-        sides, accepts, chosen = world.sides, world.accepts, world.chosen
-        asking = tuple([self._after_end(number) for number in world.asking])
-        if not world.crashes:
-            sides = tuple([self._diskless(number) for number in sides])
-        if not world.wipes and all([self._is_whole(number) for number in sides]):
-            accepts = self._binding_of(accepts, tuple([self._known_by(number) for number in sides]))
-            if not world.crashes:
-                accepts, chosen = self._messages_left(sides, asking, accepts, chosen)
-                opened = tuple([self._open_of(at, number) for at, number in enumerate(asking)])
-                live = self._live_of(opened, accepts)
-                sides = tuple([self._relative_to(number, live) for number in sides])
-        sides, asking, accepts = self._named(sides, asking, accepts)
-        return World(sides, asking, accepts, chosen, world.answers, world.crashes, world.wipes)
-
-    # What makes no difference
-
-    def _ended(self, number: int) -> int:
-        asking: Asking = self._tables.asking[number]
-        if not asking.outcome:
-            return number
-        return self._tables.asking.number(Asking(asking.outcome, NEVER_BEGUN, ()))
-
-    def _without_disk(self, number: int) -> int:
-        return self._tables.sides.number(self._tables.sides[number]._replace(disk=None))
-
-    def _whole(self, number: int) -> bool:
-        whole: bool = self._tables.sides[number].whole
-        return whole
-
-    def _generations(self, number: int) -> Generations:
-        known: Generations = self._tables.sides[number].memory.generations
+    """Maps each state to the representative of its equivalence class."""
+
+    def __init__(self, scenario: Scenario, tables: Tables, names: str) -> None:
+        """``tables``: those that the ids in the states refer to."""
+        self._scenario, self._tables, self._names = scenario, tables, names
+        # Ballots that one batch may start, and all possible ones.
+        self._startable_ballots, self._live_ballots = InternTable(), InternTable()
+        # The results depend on the arguments alone.
+        self._cached_ended = cache(self._ended)
+        self._cached_without_disk = cache(self._without_disk)
+        self._cached_disk_complete = cache(self._disk_complete)
+        self._cached_generations = cache(self._generations)
+        self._cached_binding = cache(self._binding_accepts)
+        self._cached_awaited = cache(self._awaited_ballot)
+        self._cached_effective = cache(self._effective_accepts)
+        self._cached_all_decided = cache(self._all_decided)
+        self._cached_startable = cache(self._startable)
+        self._cached_live = cache(self._live)
+        self._cached_relative = cache(self._relative)
+        self._cached_marks_of_member = cache(self._marks_of_member)
+        self._cached_marks_of_batch = cache(self._marks_of_batch)
+        self._cached_marks_of_accepts = cache(self._marks_of_accepts)
+        self._cached_renamed_member = cache(self._renamed_member)
+        self._cached_renamed_batch = cache(self._renamed_batch)
+        self._cached_renamed_accepts = cache(self._renamed_accepts)
+
+    def reduced(self, current: GlobalState) -> GlobalState:
+        """The representative of that state."""
+        members, accepts, chosen = current.members, current.accepts, current.chosen
+        batches = tuple([self._cached_ended(id) for id in current.batches])
+        if not current.crashes:
+            members = tuple([self._cached_without_disk(id) for id in members])
+        if not current.wipes and all([self._cached_disk_complete(id) for id in members]):
+            accepts = self._cached_binding(accepts, tuple([self._cached_generations(id) for id in members]))
+            if not current.crashes:
+                accepts, chosen = self._useful_messages(members, batches, accepts, chosen)
+                startable = tuple([self._cached_startable(at, id) for at, id in enumerate(batches)])
+                live = self._cached_live(startable, accepts)
+                members = tuple([self._cached_relative(id, live) for id in members])
+        members, batches, accepts = self._sorted_members(members, batches, accepts)
+        return GlobalState(members, batches, accepts, chosen, current.answers, current.crashes, current.wipes)
+
+    # Irrelevant parts
+
+    def _ended(self, id: int) -> int:
+        batch: BatchState = self._tables.batches[id]
+        if not batch.outcome:
+            return id
+        return self._tables.batches.intern(BatchState(batch.outcome, INITIAL_PROPOSER, ()))
+
+    def _without_disk(self, id: int) -> int:
+        return self._tables.members.intern(self._tables.members[id]._replace(disk=None))
+
+    def _disk_complete(self, id: int) -> bool:
+        complete: bool = self._tables.members[id].disk_complete
+        return complete
+
+    def _generations(self, id: int) -> Generations:
+        known: Generations = self._tables.members[id].acceptor.generations
         return known
 
-    def _binding(self, accepts: int, known: tuple[Generations, ...]) -> int:
-        """Without the promises that can get no accept refused any more: no disk was lost after them."""
+    def _binding_accepts(self, accepts: int, known: tuple[Generations, ...]) -> int:
+        """Drops the promises that cannot void an accept any more, because no disk was lost after them."""
         newest: dict[str, int] = {}
-        for name, generation in (told for by_side in known for told in by_side):
+        for name, generation in (entry for by_member in known for entry in by_member):
             newest[name] = max(generation, newest.get(name, 0))
-        left = [
-            sent._replace(by=tuple([told for told in sent.by if told[1] < newest.get(told[0], 0)]))
+        remaining = [
+            sent._replace(
+                generations=tuple([entry for entry in sent.generations if entry[1] < newest.get(entry[0], 0)])
+            )
             for sent in self._tables.accepts[accepts]
         ]
-        return self._tables.accepts.number(tuple(left))
+        return self._tables.accepts.intern(tuple(remaining))
 
-    # Messages that change nothing any more
+    # Messages without effect
 
-    def _messages_left(
-        self, sides: tuple[int, ...], asking: tuple[int, ...], accepts: int, chosen: int
+    def _useful_messages(
+        self, members: tuple[int, ...], batches: tuple[int, ...], accepts: int, chosen: int
     ) -> tuple[int, int]:
-        sent: tuple[Sent, ...] = self._tables.accepts[accepts]
-        taken = [
-            any(by_side) for by_side in zip(*[self._taken(side, accepts) for side in sides], strict=True)
+        sent: tuple[SentAccept, ...] = self._tables.accepts[accepts]
+        effective = [
+            any(by_member)
+            for by_member in zip(*[self._cached_effective(id, accepts) for id in members], strict=True)
         ]
-        if all(taken):
+        if all(effective):
             return accepts, chosen
-        waits = {self._waited(number) for number in asking}
-        over = {
+        awaited = {self._cached_awaited(id) for id in batches}
+        obsolete = {
             one.ballot
-            for one, changes in zip(sent, taken, strict=True)
-            if not changes and one.ballot not in waits
+            for one, changes in zip(sent, effective, strict=True)
+            if not changes and one.ballot not in awaited
         }
-        told = tuple(
+        kept = tuple(
             one
             for one in self._tables.chosen[chosen]
-            if one[0] not in over or not self._settled(sides, accepts, one[0])
+            if one[0] not in obsolete or not self._cached_all_decided(members, accepts, one[0])
         )
-        needed = {ballot for ballot, _ in told}
-        left = tuple([one for one in sent if one.ballot not in over or one.ballot in needed])
-        return self._tables.accepts.number(left), self._tables.chosen.number(told)
+        needed = {ballot for ballot, _ in kept}
+        remaining = tuple([one for one in sent if one.ballot not in obsolete or one.ballot in needed])
+        return self._tables.accepts.intern(remaining), self._tables.chosen.intern(kept)
 
-    def _waits(self, number: int) -> FrozenBallot:
-        """The ballot that the order waits for answers to."""
-        ballot: FrozenBallot = self._tables.asking[number].proposer.ballot
+    def _awaited_ballot(self, id: int) -> FrozenBallot:
+        """The ballot that the batch awaits answers to."""
+        ballot: FrozenBallot = self._tables.batches[id].proposer.ballot
         return ballot
 
-    def _takes(self, side: int, accepts: int) -> list[bool]:
-        """For each accept: whether it, whole or any row of it alone, may change that member, now or once it
-        has more of its rows settled. A row that is refused, or voted or settled already, stays so."""
-        memory = self._tables.sides[side].memory
-        return [_changes(memory, sent) for sent in self._tables.accepts[accepts]]
+    def _effective_accepts(self, member_id: int, accepts: int) -> list[bool]:
+        """For each accept: whether it may change that member, as a whole or by any one of its writes, now or
+        once more of its writes are decided there. A write that is refused, accepted or decided stays so."""
+        acceptor = self._tables.members[member_id].acceptor
+        return [_can_change(acceptor, sent) for sent in self._tables.accepts[accepts]]
 
-    def _all_settled(self, sides: tuple[int, ...], accepts: int, ballot: FrozenBallot) -> bool:
-        """Whether no member has votes under it, and each of its rows is settled at a member."""
-        acceptors = [frozen.thaw_acceptor("", self._tables.sides[side].memory) for side in sides]
+    def _all_decided(self, members: tuple[int, ...], accepts: int, ballot: FrozenBallot) -> bool:
+        """Whether no member holds votes of that ballot, and each of its writes is decided at a member."""
+        acceptors = [frozen.thaw_acceptor("", self._tables.members[id].acceptor) for id in members]
         if any(acceptor.votes_under(Ballot(*ballot)) for acceptor in acceptors):
             return False
-        rows = next(one.rows for one in self._tables.accepts[accepts] if one.ballot == ballot)
+        writes = next(one.writes for one in self._tables.accepts[accepts] if one.ballot == ballot)
         return all(
-            any(isinstance(acceptor.state(number), Decision) for acceptor in acceptors) for number, _ in rows
+            any(isinstance(acceptor.state(slot), Decision) for acceptor in acceptors) for slot, _ in writes
         )
 
-    # Promises, by what they refuse of what may still come
+    # Promises, reduced to the possible ballots that they refuse
 
-    def _open(self, at: int, number: int) -> int:
-        """The ballots that this order has begun or may begin, with its numbers."""
-        asking, order = self._tables.asking[number], self._size.orders[at]
-        if asking.outcome:
-            return self._opened.number(((), ()))
-        begins = (asking.proposer.ballot, *((round, f"p{at}") for round in asking.rounds))
-        return self._opened.number((order.numbers, begins))
+    def _startable(self, at: int, id: int) -> int:
+        """The slots of this batch, and the ballots that it has started or may start."""
+        state, batch = self._tables.batches[id], self._scenario.batches[at]
+        if state.outcome:
+            return self._startable_ballots.intern(((), ()))
+        ballots = (state.proposer.ballot, *((round, f"p{at}") for round in state.remaining_rounds))
+        return self._startable_ballots.intern((batch.slots, ballots))
 
-    def _live(self, opened: tuple[int, ...], accepts: int) -> int:
+    def _live(self, startable: tuple[int, ...], accepts: int) -> int:
         ballots: dict[Slot, set[FrozenBallot]] = {}
-        for entry in opened:
-            numbers, begins = self._opened[entry]
-            for number in numbers:
-                ballots.setdefault(number, set()).update(begins)
+        for entry in startable:
+            slots, started = self._startable_ballots[entry]
+            for slot in slots:
+                ballots.setdefault(slot, set()).update(started)
         for sent in self._tables.accepts[accepts]:
-            for number, _ in sent.rows:
-                ballots.setdefault(number, set()).add(sent.ballot)
-        return self._lived.number(tuple(sorted((n, tuple(sorted(among))) for n, among in ballots.items())))
-
-    def _relative(self, number: int, live: int) -> int:
-        side: Side = self._tables.sides[number]
-        memory, ballots = side.memory, self._lived[live]
-        rounds = [ballot[0] for _, among in ballots for ballot in among]
-        floor = max((round for round in rounds if round <= memory.floor), default=0)
-        refuses = Refuses(memory, floor, dict(ballots))
-        promises = [(n, kept) for n, ballot in memory.promises if (kept := refuses.least(n, ballot))]
-        after = memory._replace(floor=floor, ceiling=0, promises=tuple(promises))
-        return self._tables.sides.number(side._replace(memory=after))
-
-    # Names
-
-    def _named(
-        self, sides: tuple[int, ...], asking: tuple[int, ...], accepts: int
+            for slot, _ in sent.writes:
+                ballots.setdefault(slot, set()).add(sent.ballot)
+        return self._live_ballots.intern(
+            tuple(sorted((slot, tuple(sorted(some))) for slot, some in ballots.items()))
+        )
+
+    def _relative(self, id: int, live: int) -> int:
+        member: Member = self._tables.members[id]
+        acceptor, ballots = member.acceptor, self._live_ballots[live]
+        rounds = [ballot[0] for _, some in ballots for ballot in some]
+        floor = max((round for round in rounds if round <= acceptor.floor), default=0)
+        refusals = Refusals(acceptor, floor, dict(ballots))
+        promises = [
+            (slot, lowest)
+            for slot, ballot in acceptor.promises
+            if (lowest := refusals.lowest_equivalent(slot, ballot))
+        ]
+        after = acceptor._replace(floor=floor, ceiling=0, promises=tuple(promises))
+        return self._tables.members.intern(member._replace(acceptor=after))
+
+    # Symmetry
+
+    def _sorted_members(
+        self, members: tuple[int, ...], batches: tuple[int, ...], accepts: int
     ) -> tuple[tuple[int, ...], tuple[int, ...], int]:
-        """Members in the order of what they hold and of what is held of them."""
-        shapes, generations = zip(*[self._side_marks(number) for number in sides], strict=True)
-        known = [sum(told) for told in zip(*generations, strict=True)]
-        told = [self._asking_marks(number) for number in asking]
-        marks = [*zip(shapes, known, *told, self._accepts_marks(accepts), strict=True)]
-        places = tuple(sorted(range(len(sides)), key=marks.__getitem__))
-        if places == tuple(range(len(sides))):
-            return sides, asking, accepts
+        """Sorts the members by their state and by what is known of them."""
+        shapes, generations = zip(*[self._cached_marks_of_member(id) for id in members], strict=True)
+        known = [sum(column) for column in zip(*generations, strict=True)]
+        answered = [self._cached_marks_of_batch(id) for id in batches]
+        marks = [*zip(shapes, known, *answered, self._cached_marks_of_accepts(accepts), strict=True)]
+        order = tuple(sorted(range(len(members)), key=marks.__getitem__))
+        if order == tuple(range(len(members))):
+            return members, batches, accepts
         return (
-            tuple([self._side_named(places, sides[old]) for old in places]),
-            tuple([self._asking_named(places, number) for number in asking]),
-            self._accepts_named(places, accepts),
+            tuple([self._cached_renamed_member(order, members[old]) for old in order]),
+            tuple([self._cached_renamed_batch(order, id) for id in batches]),
+            self._cached_renamed_accepts(order, accepts),
         )
 
-    def _marks_of_side(self, number: int) -> tuple[int, list[int]]:
-        """A number that says all of it but for names, and what it knows of each one's generation."""
-        side: Side = self._tables.sides[number]
-        known = dict(side.memory.generations)
-        disk = None if side.disk is None else side.disk._replace(generations=())
-        fence = None if side.fence is None else Fence(raised_to=side.fence.raised_to)
-        nameless = Side(side.whole, side.memory._replace(generations=()), disk, fence)
-        return self._tables.sides.number(nameless), [known.get(name, 0) for name in self._names]
-
-    def _marks_of_asking(self, number: int) -> list[tuple[bool, bool]]:
-        proposer = self._tables.asking[number].proposer
+    def _marks_of_member(self, id: int) -> tuple[int, list[int]]:
+        """The id of the member's state without names, and the generation that it knows of each member."""
+        member: Member = self._tables.members[id]
+        known = dict(member.acceptor.generations)
+        disk = None if member.disk is None else member.disk._replace(generations=())
+        fence = None if member.fence is None else FenceProgress(target=member.fence.target)
+        without_names = Member(member.disk_complete, member.acceptor._replace(generations=()), disk, fence)
+        return self._tables.members.intern(without_names), [known.get(name, 0) for name in self._names]
+
+    def _marks_of_batch(self, id: int) -> list[tuple[bool, bool]]:
+        proposer = self._tables.batches[id].proposer
         promised = dict(proposer.promises)
-        return [(name in promised, name in proposer.have) for name in self._names]
+        return [(name in promised, name in proposer.accepted_by) for name in self._names]
 
-    def _marks_of_accepts(self, number: int) -> list[tuple[bool, ...]]:
-        by = [dict(sent.by) for sent in self._tables.accepts[number]]
-        return [tuple(name in one for one in by) for name in self._names]
+    def _marks_of_accepts(self, id: int) -> list[tuple[bool, ...]]:
+        generations = [dict(sent.generations) for sent in self._tables.accepts[id]]
+        return [tuple(name in one for one in generations) for name in self._names]
 
-    def _names_at(self, places: tuple[int, ...]) -> dict[str, str]:
-        return {self._names[old]: self._names[new] for new, old in enumerate(places)}
+    def _new_names(self, order: tuple[int, ...]) -> dict[str, str]:
+        return {self._names[old]: self._names[new] for new, old in enumerate(order)}
 
-    def _named_side(self, places: tuple[int, ...], number: int) -> int:
-        renamed = frozen.renamed_side(self._tables.sides[number], self._names_at(places))
-        return self._tables.sides.number(renamed)
+    def _renamed_member(self, order: tuple[int, ...], id: int) -> int:
+        renamed = frozen.renamed_member(self._tables.members[id], self._new_names(order))
+        return self._tables.members.intern(renamed)
 
-    def _named_asking(self, places: tuple[int, ...], number: int) -> int:
-        renamed = frozen.renamed_asking(self._tables.asking[number], self._names_at(places))
-        return self._tables.asking.number(renamed)
+    def _renamed_batch(self, order: tuple[int, ...], id: int) -> int:
+        renamed = frozen.renamed_batch(self._tables.batches[id], self._new_names(order))
+        return self._tables.batches.intern(renamed)
 
-    def _named_accepts(self, places: tuple[int, ...], number: int) -> int:
-        renamed = frozen.renamed_accepts(self._tables.accepts[number], self._names_at(places))
-        return self._tables.accepts.number(renamed)
+    def _renamed_accepts(self, order: tuple[int, ...], id: int) -> int:
+        renamed = frozen.renamed_accepts(self._tables.accepts[id], self._new_names(order))
+        return self._tables.accepts.intern(renamed)
 
 
-def _changes(memory: Memory, sent: Sent) -> bool:
-    rows = {number: CONTENTS[letter] for number, letter in sent.rows}
-    for writes in (rows, *({number: value} for number, value in rows.items())):
-        acceptor = frozen.thaw_acceptor("", memory)
-        answer = acceptor.accept(Ballot(*sent.ballot), dict(sent.by), writes, dict(sent.tags))
-        if not isinstance(answer, Refusal) and frozen.freeze_acceptor(acceptor) != memory:
+def _can_change(state: AcceptorState, sent: SentAccept) -> bool:
+    all_writes = {slot: VALUES[letter] for slot, letter in sent.writes}
+    for writes in (all_writes, *({slot: value} for slot, value in all_writes.items())):
+        acceptor = frozen.thaw_acceptor("", state)
+        answer = acceptor.accept(Ballot(*sent.ballot), dict(sent.generations), writes, dict(sent.tags))
+        if not isinstance(answer, Refusal) and frozen.freeze_acceptor(acceptor) != state:
             return True
     return False
 
 
-class Refuses(NamedTuple):
-    """What a member refuses by its votes and floor alone."""
+class Refusals(NamedTuple):
+    """What a member refuses because of its votes and its floor."""
 
-    memory: Memory
+    acceptor: AcceptorState
     floor: int
     live: dict[Slot, tuple[FrozenBallot, ...]]
 
-    def least(self, number: Slot, promised: FrozenBallot) -> FrozenBallot | None:
-        """The least ballot that refuses the same as this promise; None: votes and floor do."""
-        below: Iterable[FrozenBallot] = [one for one in self.live.get(number, ()) if one < promised]
+    def lowest_equivalent(self, slot: Slot, promised: FrozenBallot) -> FrozenBallot | None:
+        """The lowest ballot whose promise refuses the same ballots; None if votes and floor refuse them."""
+        below: Iterable[FrozenBallot] = [one for one in self.live.get(slot, ()) if one < promised]
         last = max(below, default=None)
         if last is None or last[0] <= self.floor:
             return None
-        if any(voted == number and ballot > last for voted, ballot, _, _ in self.memory.votes):
+        if any(voted == slot and ballot > last for voted, ballot, _, _ in self.acceptor.votes):
             return None
         return last[0], last[1] + "+"
