--- a/rigs/call_hosts.py
+++ b/rigs/call_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts and surroundings of calls in the small, a state at a time; `rigs/call_model.py` explores them."""
+"""The hosts and the network of the call model, as operations on one state, for `rigs/call_model.py`."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from mesh.data_plane import call_messages
 from mesh.data_plane import call_state as table
 from mesh.data_plane.call_state import ClientRequest, Event, Failed, Refused, State, event_of, outcome_of
-from statecheck.model import State as Whole
+from statecheck.model import State as ModelState
 
-NO, UNCLEAR = call_messages.NotExecuted(RejectReason.LOST), call_messages.Unclear("lost")
+NOT_EXECUTED, UNCLEAR = call_messages.NotExecuted(RejectReason.LOST), call_messages.Unclear("lost")
 FULL = call_messages.NotExecuted(RejectReason.FULL)
-TRIES = 2
-OVER = frozenset({State.ENDED, State.WITHDRAWN})
+MAX_ATTEMPTS = 2
+CLOSED_STATES = frozenset({State.ENDED, State.WITHDRAWN})
 
 
-def answer(call: int) -> call_messages.UpstreamResponse:
-    """Of the upstream to that call; its body says whose it is."""
+def upstream_response(call: int) -> call_messages.UpstreamResponse:
+    """The response of the upstream to that call, which is named in the body."""
     return call_messages.UpstreamResponse(200, cast(Any, ()), b"%d" % call, True)
 
 
@@ -30,459 +30,494 @@
     number: int
     second: int
     state: State
-    life: int  # of the second hop, as far as it is known
+    incarnation: int  # of the second hop; 0: unknown
     outcome: Outcome | None = None
 
 
 class Call(NamedTuple):
-    told: str  # new, open; then what its client got
-    tries: tuple[Attempt, ...] = ()
+    result: str  # "new", "open", then what the client got
+    attempts: tuple[Attempt, ...] = ()
 
 
 class Link(NamedTuple):
-    """One connection. ``near`` and ``far``: as its ends have it. Frames on their way stand in order."""
+    """One connection between two hops. The frames under way in each direction are in order."""
 
     id: int
     first: int
-    life: int  # of the first hop
+    incarnation: int  # of the first hop
     second: int
-    near: bool
-    far: bool
-    there: tuple[Any, ...]
-    back: tuple[Any, ...]
-    met: bool  # the second has its hello
-    proved: bool  # the first has the second's life
-    doubled: tuple[Any, ...] = ()  # a frame that comes once more on a later link
+    open_at_first: bool
+    open_at_second: bool
+    to_second: tuple[Any, ...]  # frames
+    to_first: tuple[Any, ...]
+    hello_received: bool  # by the second hop
+    verified: bool  # the first hop has received the second hop's incarnation
+    queried: tuple[Any, ...] = ()  # numbers of the calls that were queried over this link
 
 
-class Run(NamedTuple):
-    life: tuple[int, int]  # of whose session
+class RunningCall(NamedTuple):
+    """A call that is queued or executing at a second hop."""
+
+    session: tuple[int, int]  # the first hop and its incarnation
     number: int
     call: int
     state: State
-    link: int  # where its end is waited for; 0: nowhere
-    strays: tuple[int, ...] = ()  # calls whose second answers come before its own on its connection
+    link: int  # over which its end is sent; 0: none
+    stray_answers: tuple[int, ...] = ()  # calls whose duplicate answers precede its own on the connection
 
 
-class Second(NamedTuple):
-    life: int = 1
+class SecondHop(NamedTuple):
+    incarnation: int = 1
     sessions: tuple[Any, ...] = ()
-    runs: tuple[Run, ...] = ()
-    idle: tuple[int, ...] | None = (
-        None  # a connection that stands idle, and second answers on their way on it
-    )
-    ids: frozenset[str] = frozenset()  # that were here of late
+    runs: tuple[RunningCall, ...] = ()
+    # The calls whose duplicate answers are under way on the idle connection; None: no connection is idle.
+    idle: tuple[int, ...] | None = None
+    ids: frozenset[str] = frozenset()  # attempt ids that were sent to the upstream recently
 
 
-class Left(NamedTuple):
-    """Troubles that may still come."""
+class FaultBudget(NamedTuple):
+    """The faults that may still occur."""
 
     losses: int = 0
     crashes: int = 0  # of first hops
-    falls: int = 0  # of second hops
-    doubles: int = 0  # frames that come once more on the next link
-    strays: int = 0  # answers that come twice
-    drops: int = 0  # clients that leave, or whose time is over, while something is out
-    forgets: int = 0  # of ends that were held
-    turns: int = 0  # calls that a second hop turns away though it could take them
+    second_crashes: int = 0  # of second hops
+    duplicate_frames: int = 0  # frames that are delivered again, on the newest link
+    duplicate_answers: int = 0  # of upstreams
+    client_drops: int = 0  # clients that disconnect, or whose deadline passes, while an attempt is open
+    expiries: int = 0  # of held ends
+    rejections: int = 0  # calls that a second hop rejects as if its queue were full
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
-    homes: tuple[int, ...]  # the first hop of each call
-    seconds: int
-    left: Left
+class Scenario:
+    first_hops: tuple[int, ...]  # the first hop of each call
+    second_hops: int
+    budget: FaultBudget
     ids: tuple[str, ...] = ("a", "b")
     held_bytes: int = 100
-    late: tuple[int, ...] = ()  # calls that are sent only after others have ended
-    ends: bool = True  # calls may end at any time, as their deadline says; else only when nothing is out
+    late: tuple[int, ...] = ()  # calls that are sent only after the others have ended
+    # Whether calls may end at any time, by their deadline; else only without an open attempt.
+    may_end_early: bool = True
 
 
 @dataclass(slots=True)
-class World:
-    """One state, open for a step."""
+class CallState:
+    """One state of the model in mutable form."""
 
-    size: Size
-    firsts: list[tuple[int, int]]  # life, last number
+    scenario: Scenario
+    first_hops: list[tuple[int, int]]  # incarnation, last call number
     calls: list[Call]
     links: list[Link]
-    seconds: list[Second]
-    begun: list[int]
-    left: dict[str, int]
-    broken: str = ""
-    lives: list[tuple[int, ...]] = field(default_factory=list)  # of seconds, as each first knows them
+    second_hops: list[SecondHop]
+    executions: list[int]  # begun at an upstream, by call
+    budget: dict[str, int]
+    violation: str = ""
+    # Of the second hops, by first hop.
+    known_incarnations: list[tuple[int, ...]] = field(default_factory=list)
 
     @classmethod
-    def of(cls, size: Size, state: Whole) -> World:
-        firsts, calls, links, seconds, begun, left, _, lives = state
+    def from_state(cls, scenario: Scenario, state: ModelState) -> CallState:
+        first_hops, calls, links, second_hops, executions, budget, _, known_incarnations = state
         return cls(
-            size,
-            list(firsts),
+            scenario,
+            list(first_hops),
             list(calls),
             list(links),
-            list(seconds),
-            list(begun),
-            left._asdict(),
+            list(second_hops),
+            list(executions),
+            budget._asdict(),
             "",
-            list(lives),
+            list(known_incarnations),
         )
 
-    def state(self) -> Whole:
+    def to_state(self) -> ModelState:
         return (
-            tuple(self.firsts),
-            tuple(one if one.told in ("new", "open") else Call(one.told) for one in self.calls),
-            tuple(sorted(one for one in self.links if one.near or one.far)),
-            tuple(self.seconds),
-            tuple(self.begun),
-            Left(**self.left),
-            self.broken,
-            tuple(self.lives),
+            tuple(self.first_hops),
+            tuple(call if call.result in ("new", "open") else Call(call.result) for call in self.calls),
+            tuple(sorted(link for link in self.links if link.open_at_first or link.open_at_second)),
+            tuple(self.second_hops),
+            tuple(self.executions),
+            FaultBudget(**self.budget),
+            self.violation,
+            tuple(self.known_incarnations),
         )
 
-    def at(self, id: int) -> int:
-        """Where a link stands, -1 where it is over."""
-        return next((at for at, one in enumerate(self.links) if one.id == id), -1)
+    def link_index(self, id: int) -> int:
+        """The index of a link, -1 if it no longer exists."""
+        return next((index for index, link in enumerate(self.links) if link.id == id), -1)
 
-    def say(self, id: int, frame: Any) -> None:
-        """From the second hop over a link, if that is up there."""
-        at = self.at(id)
-        if at >= 0 and self.links[at].far:
-            one = self.links[at]
-            if one.near:
-                self.links[at] = one._replace(back=(*one.back, frame))
+    def send_to_first(self, id: int, frame: Any) -> None:
+        """Sends a frame over that link if it is open at the second hop."""
+        index = self.link_index(id)
+        if index >= 0 and self.links[index].open_at_second:
+            link = self.links[index]
+            if link.open_at_first:
+                self.links[index] = link._replace(to_first=(*link.to_first, frame))
 
     # The first hop
 
-    def up(self, first: int, second: int) -> Link | None:
+    def open_link(self, first: int, second: int) -> Link | None:
+        """The link between the two hops that is open at the first."""
         return next(
-            (one for one in self.links if one.near and (one.first, one.second) == (first, second)), None
+            (
+                link
+                for link in self.links
+                if link.open_at_first and (link.first, link.second) == (first, second)
+            ),
+            None,
         )
 
-    def put(self, link: Link, frame: Any) -> None:
-        at = self.at(link.id)
-        one = self.links[at]
-        if one.far:
-            self.links[at] = one._replace(there=(*one.there, frame))
-
-    def attempt(self, call: int, at: int, **fields: Any) -> Attempt:
-        one = self.calls[call]
-        tries = list(one.tries)
-        tries[at] = tries[at]._replace(**fields)
-        self.calls[call] = one._replace(tries=tuple(tries))
-        return tries[at]
-
-    def on(self, call: int, at: int, event: Event) -> bool:
-        state = table.FIRST_HOP_TABLE.get((self.calls[call].tries[at].state, event))
+    def send_to_second(self, link: Link, frame: Any) -> None:
+        """Sends a frame, which is lost if the link is closed at the second hop."""
+        index = self.link_index(link.id)
+        current = self.links[index]
+        if current.open_at_second:
+            self.links[index] = current._replace(to_second=(*current.to_second, frame))
+
+    def update_attempt(self, call: int, index: int, **fields: Any) -> Attempt:
+        """Changes fields of an attempt and returns it."""
+        current = self.calls[call]
+        attempts = list(current.attempts)
+        attempts[index] = attempts[index]._replace(**fields)
+        self.calls[call] = current._replace(attempts=tuple(attempts))
+        return attempts[index]
+
+    def apply(self, call: int, index: int, event: Event) -> bool:
+        """Applies an event to an attempt by the shipped table; returns whether the table has a transition."""
+        state = table.FIRST_HOP_TABLE.get((self.calls[call].attempts[index].state, event))
         if state is not None:
-            self.attempt(call, at, state=state)
+            self.update_attempt(call, index, state=state)
         return state is not None
 
-    def found(self, first: int, number: int) -> tuple[int, int] | None:
-        """The call and try of a number that is out."""
+    def find_open_attempt(self, first: int, number: int) -> tuple[int, int] | None:
+        """The call and the index of the open attempt with that number."""
         for call, one in enumerate(self.calls):
-            if self.size.homes[call] == first:
-                for at, item in enumerate(one.tries):
-                    if item.number == number and item.state in (State.SENT, State.UNCLEAR):
-                        return call, at
+            if self.scenario.first_hops[call] == first:
+                for index, attempt in enumerate(one.attempts):
+                    if attempt.number == number and attempt.state in (State.SENT, State.UNCLEAR):
+                        return call, index
         return None
 
-    def ended(self, call: int, at: int, end: call_messages.End) -> None:
-        """As `ServiceBalancer._on_call_end`."""
-        if not self.on(call, at, event_of(end) if end is not UNCLEAR else Event.NO_ANSWER):
+    def on_end(self, call: int, index: int, end: call_messages.End) -> None:
+        """Handles the end of an attempt as `ServiceBalancer._on_call_end` does."""
+        if not self.apply(call, index, event_of(end) if end is not UNCLEAR else Event.NO_ANSWER):
             return
         outcome = outcome_of(end)
-        self.attempt(call, at, outcome=outcome)
-        if outcome is Outcome.OK and self.calls[call].told == "open":
+        self.update_attempt(call, index, outcome=outcome)
+        if outcome is Outcome.OK and self.calls[call].result == "open":
             assert isinstance(end, call_messages.UpstreamResponse)
-            self.tell(call, "served " + end.body.decode())
+            self.set_result(call, "served " + end.body.decode())
 
-    def tell(self, call: int, words: str) -> None:
-        """Its client has that end. What is still out has been cut, or is by whoever calls."""
-        self.calls[call] = self.calls[call]._replace(told=words)
+    def set_result(self, call: int, result: str) -> None:
+        """Records what the client got. Open attempts are given up by the caller."""
+        self.calls[call] = self.calls[call]._replace(result=result)
 
-    def open_tries(self, call: int) -> list[int]:
-        tries = self.calls[call].tries
-        return [at for at, item in enumerate(tries) if item.state not in OVER]
+    def open_attempts(self, call: int) -> list[int]:
+        """The indexes of the open attempts of a call."""
+        attempts = self.calls[call].attempts
+        return [index for index, attempt in enumerate(attempts) if attempt.state not in CLOSED_STATES]
 
     def may_send(self, call: int) -> bool:
-        """By the shipped rule of the decisions."""
+        """Whether the shipped rules permit another attempt."""
         one = self.calls[call]
-        held = SimpleNamespace(
-            open=one.told == "open" and not self.open_tries(call),
+        request = SimpleNamespace(
+            open=one.result == "open" and not self.open_attempts(call),
             streaming=False,
             attempts=[
-                SimpleNamespace(may_have_run=item.outcome not in NEVER_RAN, sent_at=0.0) for item in one.tries
+                SimpleNamespace(may_have_run=attempt.outcome not in NEVER_RAN, sent_at=0.0)
+                for attempt in one.attempts
             ],
-            max_attempts=TRIES,
+            max_attempts=MAX_ATTEMPTS,
             klass=SimpleNamespace(effect=Effect.UNSAFE),
         )
         settings = SimpleNamespace(limits=None)
         return bool(
-            requests.may_send(cast(Any, settings), 0.0, cast(Any, held), cast(Any, SimpleNamespace()))
+            requests.may_send(cast(Any, settings), 0.0, cast(Any, request), cast(Any, SimpleNamespace()))
         )
 
     def finish(self, call: int) -> None:
-        """Its client is answered now, whatever is out."""
+        """Answers the client now and gives up any open attempts."""
         one = self.calls[call]
         nothing = cast(Any, None)
-        ask = ClientRequest("", nothing, "", nothing, [], "", "", 0.0, 0.0, lambda final: None)
-        ask.outgoing = [cast(Any, item) if item.state not in OVER else None for item in one.tries]
-        ask.unclear = any(
-            item.outcome is not None and item.outcome not in NEVER_RAN and item.outcome is not Outcome.OK
-            for item in one.tries
+        request = ClientRequest("", nothing, "", nothing, [], "", "", 0.0, 0.0, lambda final: None)
+        request.outgoing = [
+            cast(Any, attempt) if attempt.state not in CLOSED_STATES else None for attempt in one.attempts
+        ]
+        request.unclear = any(
+            attempt.outcome is not None
+            and attempt.outcome not in NEVER_RAN
+            and attempt.outcome is not Outcome.OK
+            for attempt in one.attempts
         )
-        final = ask.client_result(False, 0.0)
+        final = request.client_result(False, 0.0)
         assert isinstance(final, Refused | Failed)
-        self.cut(call)
-        self.tell(call, "503" if isinstance(final, Refused) else "502")
-
-    def cut(self, call: int) -> None:
-        first = self.size.homes[call]
-        for at in self.open_tries(call):
-            item = self.calls[call].tries[at]
-            if self.on(call, at, Event.GIVEN_UP):
-                link = self.up(first, item.second)
-                if link is not None and item.state is State.SENT:
-                    self.put(link, ("drop", item.number))
-
-    def lose(self, link: Link) -> None:
-        """The first hop's end of it is gone: closed for silence, or reset."""
-        at = self.at(link.id)
-        self.links[at] = link._replace(near=False, back=(), proved=False)
-        life = self.lives[link.first][link.second]
+        self.give_up_attempts(call)
+        self.set_result(call, "503" if isinstance(final, Refused) else "502")
+
+    def give_up_attempts(self, call: int) -> None:
+        """Gives up the open attempts of a call."""
+        first = self.scenario.first_hops[call]
+        for index in self.open_attempts(call):
+            attempt = self.calls[call].attempts[index]
+            if self.apply(call, index, Event.GIVEN_UP):
+                link = self.open_link(first, attempt.second)
+                if link is not None and attempt.state is State.SENT:
+                    self.send_to_second(link, ("drop", attempt.number))
+
+    def lose_at_first(self, link: Link) -> None:
+        """The first hop loses the link: it closed it because of silence, or the connection was reset."""
+        index = self.link_index(link.id)
+        self.links[index] = link._replace(open_at_first=False, to_first=(), verified=False)
+        known = self.known_incarnations[link.first][link.second]
         for call, one in enumerate(self.calls):
-            if self.size.homes[call] != link.first:
+            if self.scenario.first_hops[call] != link.first:
                 continue
-            for turn, item in enumerate(one.tries):
-                if item.second != link.second or item.state not in (State.SENT, State.UNCLEAR):
+            for at, attempt in enumerate(one.attempts):
+                if attempt.second != link.second or attempt.state not in (State.SENT, State.UNCLEAR):
                     continue
-                if self.on(call, turn, Event.LINK_LOST):
-                    self.attempt(call, turn, life=item.life or life)
-                    if not life:
-                        self.unclear(call, turn)
+                if self.apply(call, at, Event.LINK_LOST):
+                    self.update_attempt(call, at, incarnation=attempt.incarnation or known)
+                    if not known:
+                        self.end_unclear(call, at)
 
-    def same(self, life: int, told: int) -> bool:
-        """Whether the second hop that had a call is the one that is there now; as `PeerLink._query`."""
-        return life == told
+    def same_incarnation(self, incarnation: int, current: int) -> bool:
+        """Whether the second hop that received a call is the one running now, as `PeerLink._query` checks."""
+        return incarnation == current
 
-    def unclear(self, call: int, at: int) -> None:
-        if self.on(call, at, Event.TIME_OVER):
-            self.attempt(call, at, outcome=outcome_of(UNCLEAR))
+    def end_unclear(self, call: int, index: int) -> None:
+        """Ends a lost attempt whose outcome was not learned in time."""
+        if self.apply(call, index, Event.TIME_OVER):
+            self.update_attempt(call, index, outcome=outcome_of(UNCLEAR))
 
-    def hear(self, link: Link) -> None:
+    def read_at_first(self, link: Link) -> None:
         """The first hop reads the next frame."""
-        at = self.at(link.id)
-        frame, *rest = link.back
-        self.links[at] = link = link._replace(back=tuple(rest))
-        if frame[0] == "life":
-            lives = list(self.lives[link.first])
-            lives[link.second] = frame[1]
-            self.lives[link.first] = tuple(lives)
-            self.links[at] = link._replace(proved=True)
+        index = self.link_index(link.id)
+        frame, *rest = link.to_first
+        self.links[index] = link = link._replace(to_first=tuple(rest))
+        if frame[0] == "incarnation":
+            known = list(self.known_incarnations[link.first])
+            known[link.second] = frame[1]
+            self.known_incarnations[link.first] = tuple(known)
+            self.links[index] = link._replace(verified=True)
             return
-        found = self.found(link.first, frame[1])
-        if found is None:
+        attempt = self.find_open_attempt(link.first, frame[1])
+        if attempt is None:
             return
         if frame[0] == "passed":
-            self.on(*found, Event.PASSED)
+            self.apply(*attempt, Event.PASSED)
         else:
-            self.ended(*found, frame[2])
+            self.on_end(*attempt, frame[2])
 
     # The second hop
 
-    def book(self, second: int) -> CallSessions[call_messages.End]:
-        """Its sessions, as the shipped code has them."""
-        book: CallSessions[call_messages.End] = CallSessions(self.size.held_bytes)
-        for life, highest, forgotten, entries in self.seconds[second].sessions:
-            session: Session[call_messages.End] = Session(life)
+    def load_sessions(self, second: int) -> CallSessions[call_messages.End]:
+        """The sessions of a second hop as the shipped class."""
+        sessions: CallSessions[call_messages.End] = CallSessions(self.scenario.held_bytes)
+        for key, highest, forgotten, entries in self.second_hops[second].sessions:
+            session: Session[call_messages.End] = Session(key)
             session.highest, session.forgotten = highest, forgotten
-            for number, call, waits, done, end in entries:
-                session.calls[number] = SessionCall(self.size.ids[call], call, waits, end, done)
+            for number, call, waiting, done, end in entries:
+                session.calls[number] = SessionCall(self.scenario.ids[call], call, waiting, end, done)
                 if done:
                     size = len(end.body) if isinstance(end, call_messages.UpstreamResponse) else 0
-                    book._ends.append((0.0, session, number, size))
-                    book.held_bytes += size
-            book.by_incarnation[life] = session
-        return book
+                    sessions._ends.append((0.0, session, number, size))
+                    sessions.held_bytes += size
+            sessions.by_incarnation[key] = session
+        return sessions
 
-    def shelve(
-        self, second: int, book: CallSessions[call_messages.End], calls: dict[tuple[Any, int], int]
+    def store_sessions(
+        self, second: int, sessions: CallSessions[call_messages.End], calls: dict[tuple[Any, int], int]
     ) -> None:
+        """Writes the sessions of a second hop back to the state."""
         kept = tuple(
             (
-                life,
+                key,
                 session.highest,
                 session.forgotten,
                 tuple(
-                    (number, calls[life, number], item.waiting and not item.done, item.done, item.end)
-                    for number, item in sorted(session.calls.items())
+                    (
+                        number,
+                        calls[key, number],
+                        held.waiting and not held.done,
+                        held.done,
+                        held.end,
+                    )
+                    for number, held in sorted(session.calls.items())
                 ),
             )
-            for life, session in sorted(book.by_incarnation.items())
+            for key, session in sorted(sessions.by_incarnation.items())
         )
-        self.seconds[second] = self.seconds[second]._replace(sessions=kept)
+        self.second_hops[second] = self.second_hops[second]._replace(sessions=kept)
 
-    def owners(self, second: int) -> dict[tuple[Any, int], int]:
-        """Which call stands behind a number of a session."""
+    def calls_by_number(self, second: int) -> dict[tuple[Any, int], int]:
+        """The calls by session and number."""
         return {
-            (life, number): call
-            for life, _, _, entries in self.seconds[second].sessions
+            (key, number): call
+            for key, _, _, entries in self.second_hops[second].sessions
             for number, call, *_ in entries
         }
 
-    def run(self, second: int, at: int, **fields: Any) -> Run:
-        runs = list(self.seconds[second].runs)
-        runs[at] = runs[at]._replace(**fields)
-        self.seconds[second] = self.seconds[second]._replace(runs=tuple(runs))
-        return runs[at]
-
-    def end_run(self, second: int, at: int) -> Run:
-        runs = list(self.seconds[second].runs)
-        gone = runs.pop(at)
-        self.seconds[second] = self.seconds[second]._replace(runs=tuple(runs))
-        return gone
-
-    def run_at(self, second: int, life: Any, number: int) -> int:
+    def update_run(self, second: int, index: int, **fields: Any) -> RunningCall:
+        """Changes fields of a running call and returns it."""
+        runs = list(self.second_hops[second].runs)
+        runs[index] = runs[index]._replace(**fields)
+        self.second_hops[second] = self.second_hops[second]._replace(runs=tuple(runs))
+        return runs[index]
+
+    def remove_run(self, second: int, index: int) -> RunningCall:
+        """Removes a running call and returns it."""
+        runs = list(self.second_hops[second].runs)
+        removed = runs.pop(index)
+        self.second_hops[second] = self.second_hops[second]._replace(runs=tuple(runs))
+        return removed
+
+    def run_index(self, second: int, session: Any, number: int) -> int:
+        """The index of a running call, -1 if there is none."""
         return next(
             (
-                at
-                for at, one in enumerate(self.seconds[second].runs)
-                if (one.life, one.number) == (life, number)
+                index
+                for index, run in enumerate(self.second_hops[second].runs)
+                if (run.session, run.number) == (session, number)
             ),
             -1,
         )
 
-    def key(self, link: Link) -> tuple[int, int]:
-        """Of the session of whoever opened it."""
-        return link.first, link.life
+    def session_key(self, link: Link) -> tuple[int, int]:
+        """The key of the session of the first hop that opened the link."""
+        return link.first, link.incarnation
 
-    def read(self, link: Link) -> None:
+    def read_at_second(self, link: Link) -> None:
         """The second hop reads the next frame."""
-        at = self.at(link.id)
-        frame, *rest = link.there
-        self.links[at] = link = link._replace(there=tuple(rest))
-        book, calls = self.book(link.second), self.owners(link.second)
-        life = self.key(link)
+        index = self.link_index(link.id)
+        frame, *rest = link.to_second
+        self.links[index] = link = link._replace(to_second=tuple(rest))
+        sessions, calls = self.load_sessions(link.second), self.calls_by_number(link.second)
+        key = self.session_key(link)
         if frame[0] == "hello":
-            book.open(cast(str, life))
-            self.links[at] = link._replace(met=True)
-            self.shelve(link.second, book, calls)
-            self.say(link.id, ("life", self.seconds[link.second].life))
+            sessions.open(cast(str, key))
+            self.links[index] = link._replace(hello_received=True)
+            self.store_sessions(link.second, sessions, calls)
+            self.send_to_first(link.id, ("incarnation", self.second_hops[link.second].incarnation))
             return
-        session = book.by_incarnation[cast(str, life)]
+        session = sessions.by_incarnation[cast(str, key)]
         number = frame[1]
         if frame[0] == "call":
             if session.accept(number):
-                session.calls[number] = SessionCall(self.size.ids[frame[2]], frame[2])
-                calls[life, number] = frame[2]
+                session.calls[number] = SessionCall(self.scenario.ids[frame[2]], frame[2])
+                calls[key, number] = frame[2]
                 waiting = table.SECOND_HOP_TABLE[State.READ, Event.NO_PLACE]
-                run = Run(life, number, frame[2], waiting, link.id)
-                self.seconds[link.second] = self.seconds[link.second]._replace(
-                    runs=(*self.seconds[link.second].runs, run)
+                run = RunningCall(key, number, frame[2], waiting, link.id)
+                self.second_hops[link.second] = self.second_hops[link.second]._replace(
+                    runs=(*self.second_hops[link.second].runs, run)
                 )
         elif frame[0] == "drop":
-            turn = self.run_at(link.second, life, number)
-            if turn >= 0 and self.seconds[link.second].runs[turn].link == link.id:
-                self.withdraw(link.second, turn, Event.GIVEN_UP)
-                book.record_end(session, number, None, 0, 0.0)
+            run_index = self.run_index(link.second, key, number)
+            if run_index >= 0 and self.second_hops[link.second].runs[run_index].link == link.id:
+                self.withdraw(link.second, run_index, Event.GIVEN_UP)
+                sessions.record_end(session, number, None, 0, 0.0)
         else:
-            self.asked(link, book, session, number, self.size.ids[frame[2]])
-        self.shelve(link.second, book, calls)
+            self.on_query(link, sessions, session, number, self.scenario.ids[frame[2]])
+        self.store_sessions(link.second, sessions, calls)
 
-    def asked(
-        self, link: Link, book: Any, session: Session[call_messages.End], number: int, attempt: str
+    def on_query(
+        self, link: Link, sessions: Any, session: Session[call_messages.End], number: int, attempt: str
     ) -> None:
-        """As `IncomingCalls._on_query`."""
+        """Handles a query as `IncomingCalls._on_query` does."""
         verdict, kept = session.ask(number, attempt)
-        turn = self.run_at(link.second, session.incarnation, number)
+        index = self.run_index(link.second, session.incarnation, number)
         if verdict is Verdict.PASSED:
-            self.run(link.second, turn, link=link.id)
-            self.say(link.id, ("passed", number))
+            self.update_run(link.second, index, link=link.id)
+            self.send_to_first(link.id, ("passed", number))
             return
-        if kept is not None and turn >= 0:
-            self.withdraw(link.second, turn, Event.ASKED_BACK)
+        if kept is not None and index >= 0:
+            self.withdraw(link.second, index, Event.ASKED_BACK)
         if verdict is Verdict.NO:
-            self.say(link.id, ("end", number, NO))
+            self.send_to_first(link.id, ("end", number, NOT_EXECUTED))
         elif verdict is Verdict.DONE and kept is not None:
-            self.say(link.id, ("end", number, kept.end))
+            self.send_to_first(link.id, ("end", number, kept.end))
         else:
-            self.say(link.id, ("end", number, UNCLEAR))
+            self.send_to_first(link.id, ("end", number, UNCLEAR))
 
-    def withdraw(self, second: int, at: int, event: Event) -> None:
-        run = self.seconds[second].runs[at]
+    def withdraw(self, second: int, index: int, event: Event) -> None:
+        """Removes a running call if the shipped table says that the event withdraws it."""
+        run = self.second_hops[second].runs[index]
         if table.SECOND_HOP_TABLE.get((run.state, event)) is State.WITHDRAWN:
-            self.end_run(second, at)
-
-    def unmet(self, link: Link) -> None:
-        """The second hop's end of it is gone. As `IncomingCalls.link_lost`."""
-        at = self.at(link.id)
-        self.links[at] = link._replace(far=False, there=())
-        book, calls = self.book(link.second), self.owners(link.second)
-        for run in self.seconds[link.second].runs:
+            self.remove_run(second, index)
+
+    def lose_at_second(self, link: Link) -> None:
+        """The second hop loses the link; handled as by `IncomingCalls.link_lost`."""
+        link_index = self.link_index(link.id)
+        self.links[link_index] = link._replace(open_at_second=False, to_second=())
+        sessions, calls = self.load_sessions(link.second), self.calls_by_number(link.second)
+        for run in self.second_hops[link.second].runs:
             if run.link != link.id:
                 continue
-            turn = self.run_at(link.second, run.life, run.number)
-            if book.by_incarnation[cast(str, run.life)].on_link_lost(run.number) is not None:
-                self.withdraw(link.second, turn, Event.LINK_LOST)
+            index = self.run_index(link.second, run.session, run.number)
+            if sessions.by_incarnation[cast(str, run.session)].on_link_lost(run.number) is not None:
+                self.withdraw(link.second, index, Event.LINK_LOST)
             else:
-                self.run(link.second, turn, link=0)
-        self.shelve(link.second, book, calls)
+                self.update_run(link.second, index, link=0)
+        self.store_sessions(link.second, sessions, calls)
 
-    def over(self, second: int, at: int, end: call_messages.End) -> None:
-        """A run has its end there."""
-        run = self.seconds[second].runs[at]
+    def end_run(self, second: int, index: int, end: call_messages.End) -> None:
+        """Ends a running call at its second hop."""
+        run = self.second_hops[second].runs[index]
         if (run.state, event_of(end)) not in table.SECOND_HOP_TABLE:
             return
-        self.end_run(second, at)
-        book, calls = self.book(second), self.owners(second)
-        session = book.by_incarnation[cast(str, run.life)]
+        self.remove_run(second, index)
+        sessions, calls = self.load_sessions(second), self.calls_by_number(second)
+        session = sessions.by_incarnation[cast(str, run.session)]
         if run.number in session.calls:
             size = len(end.body) if isinstance(end, call_messages.UpstreamResponse) else 0
-            book.record_end(session, run.number, end, size, 0.0)
-        self.shelve(second, book, calls)
+            sessions.record_end(session, run.number, end, size, 0.0)
+        self.store_sessions(second, sessions, calls)
         if run.link:
-            self.say(run.link, ("end", run.number, end))
+            self.send_to_first(run.link, ("end", run.number, end))
 
-    def place(self, second: int, at: int) -> None:
-        """It goes on to the upstream, on the idle connection where that may be."""
-        there = self.seconds[second]
-        run = there.runs[at]
+    def dispatch(self, second: int, index: int) -> None:
+        """Sends a queued call to the upstream, over the idle connection if that is permitted."""
+        hop = self.second_hops[second]
+        run = hop.runs[index]
         state = table.SECOND_HOP_TABLE.get((run.state, Event.PLACE))
         if state is None:
             return
         if run.link == 0:
-            self.broken = "nobody's: a call whose first hop is gone was passed on"
-        attempt = self.size.ids[run.call]
-        strays: tuple[int, ...] = ()
-        idle = there.idle
-        if idle is not None and self.may_use(there, attempt):
-            strays, idle = idle, None
-        self.seconds[second] = there._replace(idle=idle, ids=there.ids | {attempt})
-        self.run(second, at, state=state, strays=strays)
-        book, calls = self.book(second), self.owners(second)
-        kept = book.by_incarnation[cast(str, run.life)].calls.get(run.number)
+            self.violation = "orphan: a call whose link was lost was dispatched"
+        attempt = self.scenario.ids[run.call]
+        stray_answers: tuple[int, ...] = ()
+        idle = hop.idle
+        if idle is not None and self.may_reuse_idle(hop, attempt):
+            stray_answers, idle = idle, None
+        self.second_hops[second] = hop._replace(idle=idle, ids=hop.ids | {attempt})
+        self.update_run(second, index, state=state, stray_answers=stray_answers)
+        sessions, calls = self.load_sessions(second), self.calls_by_number(second)
+        kept = sessions.by_incarnation[cast(str, run.session)].calls.get(run.number)
         if kept is not None:
             kept.waiting = False
-        self.shelve(second, book, calls)
-        self.begun[run.call] += 1
-
-    def may_use(self, there: Second, attempt: str) -> bool:
-        """An idle connection, for a call of that id; as `UpstreamConnectionPool.send`."""
-        return attempt not in there.ids
-
-    def answered(self, second: int, at: int, twice: bool, together: bool) -> None:
-        """The upstream's answers come on the run's connection, in their order."""
-        there = self.seconds[second]
-        run = there.runs[at]
-        order = [*run.strays, run.call, *([run.call] if twice and together else [])]
-        wanted = self.size.ids[run.call].encode()
-        mine = (at for at, one in enumerate(order) if table.answers_call(wanted, self.size.ids[one].encode()))
-        found = next(mine, None)
+        self.store_sessions(second, sessions, calls)
+        self.executions[run.call] += 1
+
+    def may_reuse_idle(self, hop: SecondHop, attempt: str) -> bool:
+        """Whether a call with that attempt id may use the idle connection: as `UpstreamConnectionPool`."""
+        return attempt not in hop.ids
+
+    def on_upstream_answer(self, second: int, index: int, twice: bool, together: bool) -> None:
+        """The upstream's answers arrive in order on the connection of a running call."""
+        hop = self.second_hops[second]
+        run = hop.runs[index]
+        order = [*run.stray_answers, run.call, *([run.call] if twice and together else [])]
+        wanted = self.scenario.ids[run.call].encode()
+        matching = (
+            at
+            for at, call in enumerate(order)
+            if table.answers_call(wanted, self.scenario.ids[call].encode())
+        )
+        found = next(matching, None)
         if found is None:
             return
-        alone = found == len(order) - 1
-        state = table.CONNECTION_TABLE[State.SENT, Event.ANSWER if alone else Event.CROWDED]
-        if state is State.IDLE and there.idle is None:
-            rest: tuple[int, ...] = (run.call,) if twice and not together else ()
-            self.seconds[second] = there._replace(idle=rest)
-        self.over(second, at, answer(order[found]))
+        last = found == len(order) - 1
+        state = table.CONNECTION_TABLE[State.SENT, Event.ANSWER if last else Event.CROWDED]
+        if state is State.IDLE and hop.idle is None:
+            duplicates: tuple[int, ...] = (run.call,) if twice and not together else ()
+            self.second_hops[second] = hop._replace(idle=duplicates)
+        self.end_run(second, index, upstream_response(order[found]))
--- a/rigs/call_model.py
+++ b/rigs/call_model.py
@@ -1,11 +1,11 @@
-"""Effectful calls in the small, for `statecheck`: first hops, second hops and the connections to their
-upstreams; links that are lost at either end at any moment, with frames that still come after that, doubled
-frames, crashes, callers that give up. What decides is the shipped code: the tables of states, the sessions,
-whose an answer is, what may be sent again and what a client may be told. The model is its host and its
-surroundings.
-
-There is no clock: whatever waits for time may happen at any moment, so a freeze and a slow process are among
-the orders of events. A ledger beside the state has what upstreams have begun and what clients were told.
+"""A small model of effectful calls, for `statecheck`: first hops, second hops and the connections to their
+upstreams. Links are lost at either end at any moment, and frames may still arrive after that; frames are
+duplicated, processes crash, and clients disconnect. All decisions are made by the shipped code: the state
+tables, the sessions, the matching of answers to calls, the rules for retries and for the client's result. The
+model stands in for its host and the network.
+
+There is no clock: whatever waits for time may happen at any moment, so frozen and slow processes are covered,
+too. The state also records what upstreams have executed and what clients were told.
 """
 
 from __future__ import annotations
@@ -19,303 +19,343 @@
 from mesh.data_plane import call_messages
 from mesh.data_plane import call_state as table
 from mesh.data_plane.call_state import Event, State
-from rigs.call_hosts import FULL, Attempt, Call, Left, Link, Second, Size, World
+from rigs.call_hosts import FULL, Attempt, Call, CallState, FaultBudget, Link, Scenario, SecondHop
 from statecheck import Model, Violation, explore
-from statecheck.model import State as Whole
+from statecheck.model import State as ModelState
 
 
-class Calls(Model):
-    world: type[World] = World
+class CallModel(Model):
+    state_type: type[CallState] = CallState
 
-    def __init__(self, name: str, size: Size) -> None:
-        self.name, self.size = name, size
+    def __init__(self, name: str, scenario: Scenario) -> None:
+        self.name, self.scenario = name, scenario
 
-    def initial(self) -> Iterable[Whole]:
-        size = self.size
-        firsts = max(size.homes) + 1
+    def initial(self) -> Iterable[ModelState]:
+        scenario = self.scenario
+        first_hops = max(scenario.first_hops) + 1
         yield (
-            ((1, 0),) * firsts,
-            tuple(Call("new") for _ in size.homes),
+            ((1, 0),) * first_hops,
+            tuple(Call("new") for _ in scenario.first_hops),
             (),
-            (Second(),) * size.seconds,
-            (0,) * len(size.homes),
-            size.left,
+            (SecondHop(),) * scenario.second_hops,
+            (0,) * len(scenario.first_hops),
+            scenario.budget,
             "",
-            ((0,) * size.seconds,) * firsts,
+            ((0,) * scenario.second_hops,) * first_hops,
         )
 
-    def events(self, state: Whole) -> Sequence[Any]:
-        return list(self._events(World.of(self.size, state)))
-
-    def _events(self, world: World) -> Iterator[Any]:
-        size, left = self.size, world.left
-        for call, one in enumerate(world.calls):
-            first = size.homes[call]
-            if one.told == "new":
-                if call not in size.late or all(
-                    other.told not in ("new", "open") for at, other in enumerate(world.calls) if at != call
+    def events(self, state: ModelState) -> Sequence[Any]:
+        return list(self._events(CallState.from_state(self.scenario, state)))
+
+    def _events(self, current: CallState) -> Iterator[Any]:
+        scenario, budget = self.scenario, current.budget
+        for call, one in enumerate(current.calls):
+            first = scenario.first_hops[call]
+            if one.result == "new":
+                if call not in scenario.late or all(
+                    other.result not in ("new", "open")
+                    for index, other in enumerate(current.calls)
+                    if index != call
                 ):
-                    yield ("read", call)
+                    yield ("receive request", call)
                 continue
-            if one.told == "open":
-                if world.may_send(call):
-                    for second in range(size.seconds):
-                        link = world.up(first, second)
-                        if link is not None and (link.proved or not world.lives[first][second]):
+            if one.result == "open":
+                if current.may_send(call):
+                    for second in range(scenario.second_hops):
+                        link = current.open_link(first, second)
+                        if link is not None and (
+                            link.verified or not current.known_incarnations[first][second]
+                        ):
                             yield ("send", call, second)
-                out = world.open_tries(call)
-                if out and left["drops"] and size.ends:
-                    yield ("over", call)
-                if out and left["drops"]:
-                    yield ("leave", call)
-                if not out and (one.tries or not size.ends):
-                    yield ("over", call)
-            for at, item in enumerate(one.tries):
-                if item.state is State.UNCLEAR:
-                    yield ("time over", call, at)
-                    link = world.up(first, item.second)
-                    if link is not None and link.proved and not self._asked(link, item.number):
-                        yield ("ask", call, at)
-        for first in range(len(world.firsts)):
-            for second in range(size.seconds):
-                if world.up(first, second) is None and self._wanted(world, first, second):
-                    yield ("open", first, second)
-        for link in world.links:
-            if link.near and link.back:
-                yield ("hear", link.id)
-            if link.far and link.there:
-                yield ("read frame", link.id)
-            if link.near and (left["losses"] or not link.far):
-                yield ("lose", link.id)
-            if link.far and (left["losses"] or not link.near):
-                yield ("unmet", link.id)
-            if left["doubles"] and link.far and link.there and link.there[0][0] != "hello" and link.met:
-                yield ("double", link.id)
-        for second, there in enumerate(world.seconds):
-            for at, run in enumerate(there.runs):
+                open_attempts = current.open_attempts(call)
+                if open_attempts and budget["client_drops"] and scenario.may_end_early:
+                    yield ("finish", call)
+                if open_attempts and budget["client_drops"]:
+                    yield ("client leaves", call)
+                if not open_attempts and (one.attempts or not scenario.may_end_early):
+                    yield ("finish", call)
+            for index, attempt in enumerate(one.attempts):
+                if attempt.state is State.UNCLEAR:
+                    yield ("query times out", call, index)
+                    link = current.open_link(first, attempt.second)
+                    if link is not None and link.verified and not self._was_queried(link, attempt.number):
+                        yield ("query", call, index)
+        for first in range(len(current.first_hops)):
+            for second in range(scenario.second_hops):
+                if current.open_link(first, second) is None and self._needs_link(current, first, second):
+                    yield ("open link", first, second)
+        for link in current.links:
+            if link.open_at_first and link.to_first:
+                yield ("read at first", link.id)
+            if link.open_at_second and link.to_second:
+                yield ("read at second", link.id)
+            if link.open_at_first and (budget["losses"] or not link.open_at_second):
+                yield ("lose at first", link.id)
+            if link.open_at_second and (budget["losses"] or not link.open_at_first):
+                yield ("lose at second", link.id)
+            if (
+                budget["duplicate_frames"]
+                and link.open_at_second
+                and link.to_second
+                and link.to_second[0][0] != "hello"
+                and link.hello_received
+            ):
+                yield ("duplicate frame", link.id)
+        for second, hop in enumerate(current.second_hops):
+            for index, run in enumerate(hop.runs):
                 if run.state is State.WAITING:
-                    yield ("place", second, at)
-                    if left["turns"]:
-                        yield ("turn away", second, at)
+                    yield ("dispatch", second, index)
+                    if budget["rejections"]:
+                        yield ("reject", second, index)
                 else:
-                    yield ("answer", second, at)
-                    if left["losses"]:
-                        yield ("break", second, at)
-                    if left["strays"]:
-                        yield ("answer twice", second, at, True)
-                        yield ("answer twice", second, at, False)
-            if there.idle:
-                yield ("stray seen", second)
-            if left["falls"]:
-                yield ("fall", second)
-            if left["forgets"] and any(entry[3] for one in there.sessions for entry in one[3]):
-                yield ("forget", second)
-        if left["crashes"]:
-            for first in range(len(world.firsts)):
-                yield ("crash", first)
-
-    def _wanted(self, world: World, first: int, second: int) -> bool:
-        """Whether a link is of use."""
-        for call, one in enumerate(world.calls):
-            if self.size.homes[call] == first and one.told == "open":
-                if world.may_send(call):
+                    yield ("answer", second, index)
+                    if budget["losses"]:
+                        yield ("upstream fails", second, index)
+                    if budget["duplicate_answers"]:
+                        yield ("duplicate answer", second, index, True)
+                        yield ("duplicate answer", second, index, False)
+            if hop.idle:
+                yield ("close idle", second)
+            if budget["second_crashes"]:
+                yield ("crash second", second)
+            if budget["expiries"] and any(entry[3] for session in hop.sessions for entry in session[3]):
+                yield ("expire ends", second)
+        if budget["crashes"]:
+            for first in range(len(current.first_hops)):
+                yield ("crash first", first)
+
+    def _needs_link(self, current: CallState, first: int, second: int) -> bool:
+        """Whether a call could use a new link between the two hops."""
+        for call, one in enumerate(current.calls):
+            if self.scenario.first_hops[call] == first and one.result == "open":
+                if current.may_send(call):
                     return True
-                if any(item.state is State.UNCLEAR and item.second == second for item in one.tries):
+                if any(
+                    attempt.state is State.UNCLEAR and attempt.second == second for attempt in one.attempts
+                ):
                     return True
         return False
 
     @staticmethod
-    def _asked(link: Link, number: int) -> bool:
-        return number in link.doubled
-
-    def step(self, state: Whole, event: Any) -> Whole:
-        world = self.world.of(self.size, state)
-        what, *about = event
-        getattr(self, "_" + what.replace(" ", "_"))(world, *about)
-        return world.state()
-
-    def _read(self, world: World, call: int) -> None:
-        world.tell(call, "open")
-
-    def _open(self, world: World, first: int, second: int) -> None:
-        id, life = 16 * (2 * first + second) + 1, world.firsts[first][0]
-        used = {run.link for there in world.seconds for run in there.runs} | {one.id for one in world.links}
+    def _was_queried(link: Link, number: int) -> bool:
+        return number in link.queried
+
+    def step(self, state: ModelState, event: Any) -> ModelState:
+        current = self.state_type.from_state(self.scenario, state)
+        kind, *arguments = event
+        getattr(self, "_" + kind.replace(" ", "_"))(current, *arguments)
+        return current.to_state()
+
+    def _receive_request(self, current: CallState, call: int) -> None:
+        current.set_result(call, "open")
+
+    def _open_link(self, current: CallState, first: int, second: int) -> None:
+        id, incarnation = 16 * (2 * first + second) + 1, current.first_hops[first][0]
+        used = {run.link for hop in current.second_hops for run in hop.runs} | {
+            link.id for link in current.links
+        }
         while id in used:
             id += 1
-        world.links.append(Link(id, first, life, second, True, True, (("hello", life),), (), False, False))
+        current.links.append(
+            Link(id, first, incarnation, second, True, True, (("hello", incarnation),), (), False, False)
+        )
 
-    def _send(self, world: World, call: int, second: int) -> None:
-        first = self.size.homes[call]
-        life, count = world.firsts[first]
-        world.firsts[first] = (life, count + 1)
-        one = world.calls[call]
+    def _send(self, current: CallState, call: int, second: int) -> None:
+        first = self.scenario.first_hops[call]
+        incarnation, last_number = current.first_hops[first]
+        current.first_hops[first] = (incarnation, last_number + 1)
+        one = current.calls[call]
         state = table.FIRST_HOP_TABLE[State.CHOSEN, Event.LINK_UP]
-        tries = (*one.tries, Attempt(count + 1, second, state, 0))
-        world.calls[call] = one._replace(tries=tries)
-        link = world.up(first, second)
+        attempts = (*one.attempts, Attempt(last_number + 1, second, state, 0))
+        current.calls[call] = one._replace(attempts=attempts)
+        link = current.open_link(first, second)
         assert link is not None
-        world.put(link, ("call", count + 1, call))
+        current.send_to_second(link, ("call", last_number + 1, call))
 
-    def _over(self, world: World, call: int) -> None:
-        if world.open_tries(call):
-            world.left["drops"] -= 1
-        world.finish(call)
+    def _finish(self, current: CallState, call: int) -> None:
+        if current.open_attempts(call):
+            current.budget["client_drops"] -= 1
+        current.finish(call)
 
-    def _leave(self, world: World, call: int) -> None:
-        world.left["drops"] -= 1
-        world.cut(call)
-        world.tell(call, "left")
+    def _client_leaves(self, current: CallState, call: int) -> None:
+        current.budget["client_drops"] -= 1
+        current.give_up_attempts(call)
+        current.set_result(call, "left")
 
-    def _time_over(self, world: World, call: int, at: int) -> None:
-        world.unclear(call, at)
+    def _query_times_out(self, current: CallState, call: int, index: int) -> None:
+        current.end_unclear(call, index)
 
-    def _ask(self, world: World, call: int, at: int) -> None:
-        item = world.calls[call].tries[at]
-        link = world.up(self.size.homes[call], item.second)
+    def _query(self, current: CallState, call: int, index: int) -> None:
+        attempt = current.calls[call].attempts[index]
+        link = current.open_link(self.scenario.first_hops[call], attempt.second)
         assert link is not None
-        if not world.same(item.life, world.lives[link.first][link.second]):
-            world.unclear(call, at)
+        if not current.same_incarnation(
+            attempt.incarnation, current.known_incarnations[link.first][link.second]
+        ):
+            current.end_unclear(call, index)
             return
-        world.put(link, ("ask", item.number, call))
-        turn = world.at(link.id)
-        world.links[turn] = world.links[turn]._replace(doubled=(*world.links[turn].doubled, item.number))
-
-    def _hear(self, world: World, id: int) -> None:
-        world.hear(world.links[world.at(id)])
-
-    def _read_frame(self, world: World, id: int) -> None:
-        world.read(world.links[world.at(id)])
-
-    def _lose(self, world: World, id: int) -> None:
-        link = world.links[world.at(id)]
-        if link.far:
-            world.left["losses"] -= 1
-        world.lose(link)
-
-    def _unmet(self, world: World, id: int) -> None:
-        link = world.links[world.at(id)]
-        if link.near:
-            world.left["losses"] -= 1
-        world.unmet(link)
-
-    def _double(self, world: World, id: int) -> None:
-        """The next frame is read, and comes once more behind all that is on its way on that connection."""
-        world.left["doubles"] -= 1
-        link = world.links[world.at(id)]
-        frame = link.there[0]
-        world.read(link)
-        at = world.at(id)
-        one = world.links[at]
-        later = [other for other in world.links if other.id != id and other.far and other.met]
-        same = [other for other in later if (other.first, other.second) == (one.first, one.second)]
-        target = same[-1] if same else one
-        turn = world.at(target.id)
-        world.links[turn] = target._replace(there=(*target.there, frame))
-
-    def _place(self, world: World, second: int, at: int) -> None:
-        world.place(second, at)
-
-    def _turn_away(self, world: World, second: int, at: int) -> None:
-        world.left["turns"] -= 1
-        world.over(second, at, FULL)
-
-    def _answer(self, world: World, second: int, at: int) -> None:
-        world.answered(second, at, False, False)
-
-    def _answer_twice(self, world: World, second: int, at: int, together: bool) -> None:
-        world.left["strays"] -= 1
-        world.answered(second, at, True, together)
-
-    def _break(self, world: World, second: int, at: int) -> None:
-        world.left["losses"] -= 1
-        world.over(second, at, call_messages.Unclear("the connection ended"))
-
-    def _stray_seen(self, world: World, second: int) -> None:
+        current.send_to_second(link, ("query", attempt.number, call))
+        at = current.link_index(link.id)
+        current.links[at] = current.links[at]._replace(queried=(*current.links[at].queried, attempt.number))
+
+    def _read_at_first(self, current: CallState, id: int) -> None:
+        current.read_at_first(current.links[current.link_index(id)])
+
+    def _read_at_second(self, current: CallState, id: int) -> None:
+        current.read_at_second(current.links[current.link_index(id)])
+
+    def _lose_at_first(self, current: CallState, id: int) -> None:
+        link = current.links[current.link_index(id)]
+        if link.open_at_second:
+            current.budget["losses"] -= 1
+        current.lose_at_first(link)
+
+    def _lose_at_second(self, current: CallState, id: int) -> None:
+        link = current.links[current.link_index(id)]
+        if link.open_at_first:
+            current.budget["losses"] -= 1
+        current.lose_at_second(link)
+
+    def _duplicate_frame(self, current: CallState, id: int) -> None:
+        """The next frame is read, and delivered again after the frames under way on the newest link."""
+        current.budget["duplicate_frames"] -= 1
+        link = current.links[current.link_index(id)]
+        frame = link.to_second[0]
+        current.read_at_second(link)
+        at = current.link_index(id)
+        link = current.links[at]
+        others = [
+            other
+            for other in current.links
+            if other.id != id and other.open_at_second and other.hello_received
+        ]
+        same_hops = [other for other in others if (other.first, other.second) == (link.first, link.second)]
+        target = same_hops[-1] if same_hops else link
+        target_at = current.link_index(target.id)
+        current.links[target_at] = target._replace(to_second=(*target.to_second, frame))
+
+    def _dispatch(self, current: CallState, second: int, index: int) -> None:
+        current.dispatch(second, index)
+
+    def _reject(self, current: CallState, second: int, index: int) -> None:
+        current.budget["rejections"] -= 1
+        current.end_run(second, index, FULL)
+
+    def _answer(self, current: CallState, second: int, index: int) -> None:
+        current.on_upstream_answer(second, index, False, False)
+
+    def _duplicate_answer(self, current: CallState, second: int, index: int, together: bool) -> None:
+        current.budget["duplicate_answers"] -= 1
+        current.on_upstream_answer(second, index, True, together)
+
+    def _upstream_fails(self, current: CallState, second: int, index: int) -> None:
+        current.budget["losses"] -= 1
+        current.end_run(second, index, call_messages.Unclear("the connection ended"))
+
+    def _close_idle(self, current: CallState, second: int) -> None:
         assert table.CONNECTION_TABLE[State.IDLE, Event.STRAY] is State.CLOSED
-        world.seconds[second] = world.seconds[second]._replace(idle=None)
-
-    def _forget(self, world: World, second: int) -> None:
-        world.left["forgets"] -= 1
-        book, calls = world.book(second), world.owners(second)
-        book.sweep(END_RETENTION_S + 1.0)
-        world.shelve(second, book, calls)
-
-    def _fall(self, world: World, second: int) -> None:
-        world.left["falls"] -= 1
-        world.seconds[second] = Second(life=world.seconds[second].life + 1)
-        for at, link in enumerate(world.links):
+        current.second_hops[second] = current.second_hops[second]._replace(idle=None)
+
+    def _expire_ends(self, current: CallState, second: int) -> None:
+        current.budget["expiries"] -= 1
+        sessions, calls = current.load_sessions(second), current.calls_by_number(second)
+        sessions.sweep(END_RETENTION_S + 1.0)
+        current.store_sessions(second, sessions, calls)
+
+    def _crash_second(self, current: CallState, second: int) -> None:
+        current.budget["second_crashes"] -= 1
+        current.second_hops[second] = SecondHop(incarnation=current.second_hops[second].incarnation + 1)
+        for at, link in enumerate(current.links):
             if link.second == second:
-                world.links[at] = link._replace(far=False, there=())
-
-    def _crash(self, world: World, first: int) -> None:
-        world.left["crashes"] -= 1
-        life, _ = world.firsts[first]
-        world.firsts[first] = (life + 1, 0)
-        world.lives[first] = (0,) * self.size.seconds
-        for at, link in enumerate(world.links):
+                current.links[at] = link._replace(open_at_second=False, to_second=())
+
+    def _crash_first(self, current: CallState, first: int) -> None:
+        current.budget["crashes"] -= 1
+        incarnation, _ = current.first_hops[first]
+        current.first_hops[first] = (incarnation + 1, 0)
+        current.known_incarnations[first] = (0,) * self.scenario.second_hops
+        for at, link in enumerate(current.links):
             if link.first == first:
-                world.links[at] = link._replace(near=False, back=(), proved=False)
-        for call, one in enumerate(world.calls):
-            if self.size.homes[call] == first and one.told == "open":
-                tries = tuple(item._replace(state=State.WITHDRAWN) for item in one.tries)
-                world.calls[call] = Call("closed", tries)
-
-    def violations(self, before: Whole | None, event: Any, after: Whole) -> Iterable[Violation]:
-        _, calls, links, seconds, begun, _, broken, _ = after
-        if broken:
-            yield Violation(broken.split(":")[0], broken)
+                current.links[at] = link._replace(open_at_first=False, to_first=(), verified=False)
+        for call, one in enumerate(current.calls):
+            if self.scenario.first_hops[call] == first and one.result == "open":
+                attempts = tuple(attempt._replace(state=State.WITHDRAWN) for attempt in one.attempts)
+                current.calls[call] = Call("closed", attempts)
+
+    def violations(self, before: ModelState | None, event: Any, after: ModelState) -> Iterable[Violation]:
+        _, calls, links, second_hops, executions, _, violation, _ = after
+        if violation:
+            yield Violation(violation.split(":")[0], violation)
         for call, one in enumerate(calls):
-            if begun[call] > 1:
-                yield Violation("twice", f"call {call} was begun {begun[call]} times")
-            if one.told == "503" and begun[call]:
-                yield Violation("promise", f"call {call} was promised not to run, and has")
-            if one.told.startswith("served"):
-                if one.told != f"served {call}":
-                    yield Violation("another's", f"call {call} was {one.told}")
-                if not begun[call]:
-                    yield Violation("another's", f"call {call} was served and never begun")
-        for second, there in enumerate(seconds):
-            for run in there.runs:
+            if executions[call] > 1:
+                yield Violation("twice", f"call {call} was executed {executions[call]} times")
+            if one.result == "503" and executions[call]:
+                yield Violation(
+                    "promise",
+                    f"call {call} was answered with a promise that it does not run, and was executed",
+                )
+            if one.result.startswith("served"):
+                if one.result != f"served {call}":
+                    yield Violation("wrong answer", f"call {call} was {one.result}")
+                if not executions[call]:
+                    yield Violation("wrong answer", f"call {call} was served and never executed")
+        for second, hop in enumerate(second_hops):
+            for run in hop.runs:
                 if run.state is State.WAITING and run.link == 0:
-                    yield Violation("nobody's", f"a call waits at {second} and its link is lost")
+                    yield Violation("orphan", f"a call is queued at {second} and its link is lost")
 
-    def obligations(self, state: Whole) -> Iterable[Any]:
-        """A call that has been read has an end."""
-        return [call for call, one in enumerate(state[1]) if one.told == "open"]
+    def obligations(self, state: ModelState) -> Iterable[Any]:
+        """Every call that was received ends."""
+        return [call for call, one in enumerate(state[1]) if one.result == "open"]
 
     def fairness_label(self, event: Any) -> Any:
-        """All that is no trouble, and no end by the clock: time out of patience, and the first hop's own."""
-        if event[0] in ("lose", "unmet", "time over", "over", "leave", "turn away", "break"):
+        """Every event is fair except faults and ends by a deadline of the client or of the first hop."""
+        if event[0] in (
+            "lose at first",
+            "lose at second",
+            "query times out",
+            "finish",
+            "client leaves",
+            "reject",
+            "upstream fails",
+        ):
             return None
-        if event[0] in ("answer twice", "double", "fall", "crash", "forget", "stray seen"):
+        if event[0] in (
+            "duplicate answer",
+            "duplicate frame",
+            "crash second",
+            "crash first",
+            "expire ends",
+            "close idle",
+        ):
             return None
         return event
 
 
-SIZES = {
-    "one of each": Size((0, 0), 1, Left(losses=1, drops=1)),
-    "two second hops": Size((0,), 2, Left(losses=1, doubles=1, turns=1)),
-    "two second hops, two losses": Size((0,), 2, Left(losses=2, doubles=1, turns=1)),
-    "two first hops, one id": Size((0, 1), 1, Left(losses=1, strays=1), ("a", "a")),
-    "one id twice": Size((0, 0), 1, Left(losses=1, strays=1), ("a", "a"), late=(1,)),
-    "two ids, answers twice": Size((0, 0), 1, Left(losses=1, strays=2)),
-    "first hops crash": Size((0, 0), 1, Left(losses=1, crashes=1), ("a", "a")),
-    "second hops crash": Size((0,), 2, Left(losses=2, falls=1)),
-    "held no more": Size((0, 0), 1, Left(losses=1, forgets=1)),
-    "an answer too large to hold": Size((0,), 1, Left(losses=2, drops=1), held_bytes=0),
-    "many losses": Size((0,), 1, Left(losses=3, doubles=1)),
-    "two of each": Size((0, 1), 2, Left(losses=1)),
+SCENARIOS = {
+    "one of each": Scenario((0, 0), 1, FaultBudget(losses=1, client_drops=1)),
+    "two second hops": Scenario((0,), 2, FaultBudget(losses=1, duplicate_frames=1, rejections=1)),
+    "two second hops, two losses": Scenario((0,), 2, FaultBudget(losses=2, duplicate_frames=1, rejections=1)),
+    "two first hops, one id": Scenario((0, 1), 1, FaultBudget(losses=1, duplicate_answers=1), ("a", "a")),
+    "one id twice": Scenario((0, 0), 1, FaultBudget(losses=1, duplicate_answers=1), ("a", "a"), late=(1,)),
+    "two ids, answers twice": Scenario((0, 0), 1, FaultBudget(losses=1, duplicate_answers=2)),
+    "first hops crash": Scenario((0, 0), 1, FaultBudget(losses=1, crashes=1), ("a", "a")),
+    "second hops crash": Scenario((0,), 2, FaultBudget(losses=2, second_crashes=1)),
+    "held no more": Scenario((0, 0), 1, FaultBudget(losses=1, expiries=1)),
+    "an answer too large to hold": Scenario((0,), 1, FaultBudget(losses=2, client_drops=1), held_bytes=0),
+    "many losses": Scenario((0,), 1, FaultBudget(losses=3, duplicate_frames=1)),
+    "two of each": Scenario((0, 1), 2, FaultBudget(losses=1)),
 }
 
 
 def main() -> None:
-    """Explores the sizes that are named, or all, each for a minute or so many seconds: `python -m
-    rigs.call_model [SECONDS] [NAME ...]`. The last line is JSON."""
-    seconds, *wanted = sys.argv[1:] or ["60"]
-    found = []
-    for name in wanted or SIZES:
-        report = explore(Calls(name, SIZES[name]), seconds=float(seconds), memory_mb=2000.0)
-        found.append(
+    """Explores the named scenarios, or all of them, for at most so many seconds each (by default 60):
+    `python -m rigs.call_model [SECONDS] [NAME ...]`. The last line is JSON."""
+    seconds, *names = sys.argv[1:] or ["60"]
+    rows = []
+    for name in names or SCENARIOS:
+        report = explore(CallModel(name, SCENARIOS[name]), seconds=float(seconds), memory_mb=2000.0)
+        rows.append(
             {
                 "size": name,
                 "states": report.states,
@@ -324,10 +364,10 @@
                 "seconds": round(report.seconds, 1),
             }
         )
-        print(found[-1], flush=True)
+        print(rows[-1], flush=True)
         for event in report.trace:
             print("   ", event)
-    print(json.dumps(found))
+    print(json.dumps(rows))
 
 
 if __name__ == "__main__":
