--- a/tests/mesh/test_call_world.py
+++ b/tests/mesh/test_call_world.py
@@ -15,50 +15,50 @@
 from mesh.data_plane.call_messages import NotExecuted, Unclear
 from mesh.data_plane.call_state import ClientRequest, outcome_of
 from mesh.data_plane.peer_calls import PeerLink
-from rigs.call_world import QUIET_S, TROUBLES, CallWorld
+from rigs.call_world import FAULT_KINDS, SETTLE_S, CallWorld
 from simulation.mesh.seeds import Patch
 from simulation.mesh.world import RESTART_S, Script, World
 
-PLAYS = 60
+RUNS = 60
 ASK = Session.ask
 
 
-@pytest.mark.parametrize("first", [20_000, 20_000 + PLAYS])
-def test_drawn_plays_break_nothing(first: int) -> None:
-    struck, cut = 0, 0
-    for seed in range(first, first + PLAYS):
+@pytest.mark.parametrize("first", [20_000, 20_000 + RUNS])
+def test_random_faults_break_nothing(first: int) -> None:
+    applied, lost = 0, 0
+    for seed in range(first, first + RUNS):
         world = CallWorld(seed)
-        assert world.played() == [], (seed, world.struck)
-        struck += len(world.struck)
-        cut += sum(one.cut_at is not None for one in world.asked)
-    assert struck > PLAYS / 2 and cut > 0
+        assert world.find_violations() == [], (seed, world.applied_faults)
+        applied += len(world.applied_faults)
+        lost += sum(one.link_lost_at is not None for one in world.requests)
+    assert applied > RUNS / 2 and lost > 0
 
 
-class At(CallWorld):
-    """One fault, at one frame."""
+class FaultAtFrame(CallWorld):
+    """Injects one fault, at one frame."""
 
-    def __init__(self, number: int, trouble: str) -> None:
+    def __init__(self, number: int, fault: str) -> None:
         super().__init__(7)
-        self.trouble_at = number, trouble
+        self.fault_at = number, fault
 
-    def draw_troubles(self) -> None:
-        self.faults = dict([self.trouble_at])
+    def draw_faults(self) -> None:
+        self.faults = dict([self.fault_at])
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_trouble_at_numbered_frames_breaks_nothing(trouble: str) -> None:
+@pytest.mark.parametrize("fault", FAULT_KINDS)
+def test_a_fault_at_numbered_frames_breaks_nothing(fault: str) -> None:
     for number in range(0, 24, 2):
-        world = At(number, trouble)
-        assert world.played() == [], number
-        assert world.struck == [f"{number} {trouble}"]
+        world = FaultAtFrame(number, fault)
+        assert world.find_violations() == [], number
+        assert world.applied_faults == [f"{number} {fault}"]
 
 
-class AllLost(CallWorld):
+class AllSidecarsKilled(CallWorld):
     """All sidecars are killed at once and restarted."""
 
     def play(self, world: World) -> Script:
-        yield from self.boot_sides()
-        self.ask_everywhere("before")
+        yield from self.boot_sidecars()
+        self.send_everywhere("before")
         yield self.env.timeout(0.01)
         for machine in list(self.machines.values()):
             self.kill(machine)
@@ -66,58 +66,61 @@
         for machine in list(self.machines.values()):
             self.restart(machine)
         yield self.env.timeout(2.0 * RESTART_S)
-        self.share()
+        self.share_memberships()
         yield self.env.timeout(0.5)
-        self.ask_everywhere("after")
-        yield self.env.timeout(QUIET_S)
+        self.send_everywhere("after")
+        yield self.env.timeout(SETTLE_S)
 
-    def ask_everywhere(self, when: str) -> None:
+    def send_everywhere(self, when: str) -> None:
         for name, machine in self.machines.items():
             for route in self.routes:
                 self.request(machine, route, f"{when}-{name}-{route.name}", 900)
 
 
 def test_calls_are_served_again_after_all_sidecars_were_lost_at_once() -> None:
-    world = AllLost(3, fails=False)
-    assert world.played() == []
-    half = len(world.asked) // 2
-    assert [one.got for one in world.asked[half:]] == [[200]] * half
-    assert any(not one.got for one in world.asked[:half])  # they were lost with open calls
+    world = AllSidecarsKilled(3, upstreams_fail=False)
+    assert world.find_violations() == []
+    half = len(world.requests) // 2
+    assert [one.statuses for one in world.requests[half:]] == [[200]] * half
+    assert any(not one.statuses for one in world.requests[:half])  # the kill hit open calls
 
 
-def test_a_play_is_the_same_each_time() -> None:
-    def told(seed: int) -> list[Any]:
+def test_a_run_is_reproducible() -> None:
+    def results(seed: int) -> list[Any]:
         world = CallWorld(seed)
-        world.played()
-        return [(one.token, one.got, one.answered_at) for one in world.asked] + world.struck
+        world.find_violations()
+        return [(one.token, one.statuses, one.answered_at) for one in world.requests] + world.applied_faults
 
-    assert told(11) == told(11)
+    assert results(11) == results(11)
 
 
-def test_a_program_that_does_not_ask_back_breaks_nothing_either() -> None:
-    kinds = [kind for kind in TROUBLES if kind != "doubled"]  # impossible: see the next test
+def test_a_program_that_does_not_query_lost_calls_breaks_nothing_either() -> None:
+    # Without an incarnation duplicate frames are not safe: see the next test.
+    fault_kinds = [kind for kind in FAULT_KINDS if kind != "doubled"]
     for seed in range(30_000, 30_020):
-        assert CallWorld(seed, asks_back=False, kinds=kinds).played() == [], seed
+        world = CallWorld(seed, queries_lost_calls=False, fault_kinds=fault_kinds)
+        assert world.find_violations() == [], seed
 
 
-def test_a_second_copy_of_a_frame_runs_twice_where_no_life_is_told() -> None:
-    """The judge detects it. With an incarnation the numbers prevent it, as the drawn plays show."""
+def test_a_duplicate_frame_runs_twice_without_an_incarnation() -> None:
+    """The check detects it. With an incarnation, the call numbers prevent it, as the random faults show."""
     for seed in range(200):
         if any(
-            line.startswith("twice") for line in CallWorld(seed, False, ["doubled", "reset after"]).played()
+            line.startswith("twice")
+            for line in CallWorld(seed, False, ["doubled", "reset after"]).find_violations()
         ):
             return
-    raise AssertionError("not seen in 200 plays")
+    raise AssertionError("not seen in 200 runs")
 
 
-# Seeded faults in the shipped code, each with the text by which it is found
+# Seeded faults in the shipped code, each with the prefix of the violations that it causes
 
 
-def takes_whatever_comes(patch: Patch) -> None:
+def accepts_any_number(patch: Patch) -> None:
     patch.setattr(Session, "accept", lambda self, number: True)
 
 
-def takes_passed_on_for_waiting(patch: Patch) -> None:
+def treats_dispatched_as_queued(patch: Patch) -> None:
     def ask(self: Session[Any], number: int, attempt: str) -> Any:
         verdict, kept = ASK(self, number, attempt)
         return (Verdict.NO, None) if verdict is Verdict.PASSED else (verdict, kept)
@@ -125,7 +128,7 @@
     patch.setattr(Session, "ask", ask)
 
 
-def takes_done_for_not_run(patch: Patch) -> None:
+def treats_done_as_not_executed(patch: Patch) -> None:
     def ask(self: Session[Any], number: int, attempt: str) -> Any:
         verdict, kept = ASK(self, number, attempt)
         return (Verdict.NO, None) if verdict is Verdict.DONE else (verdict, kept)
@@ -133,66 +136,68 @@
     patch.setattr(Session, "ask", ask)
 
 
-def does_not_bar(patch: Patch) -> None:
+def query_does_not_bar_later_calls(patch: Patch) -> None:
     def ask(self: Session[Any], number: int, attempt: str) -> Any:
         before = self.highest
-        told = ASK(self, number, attempt)
+        result = ASK(self, number, attempt)
         self.highest = before
-        return told
+        return result
 
     patch.setattr(Session, "ask", ask)
 
 
-def promises_what_is_out(patch: Patch) -> None:
+def promises_for_open_attempts(patch: Patch) -> None:
     patch.setattr(ClientRequest, "may_have_run", lambda self: self.unclear)
 
 
-def takes_unclear_for_never_sent(patch: Patch) -> None:
+def treats_unclear_as_never_sent(patch: Patch) -> None:
     def outcome(end: Any) -> Outcome:
         return Outcome.MOOT if isinstance(end, Unclear) else outcome_of(end)
 
     patch.setattr(service_balancers, "outcome_of", outcome)
 
 
-def a_lost_link_has_sent_nothing(patch: Patch) -> None:
+def treats_calls_of_a_lost_link_as_never_sent(patch: Patch) -> None:
     def lost(self: PeerLink, link: Any, why: str) -> None:
-        out, self.open_calls = self.open_calls, {}
-        for one in out.values():
-            one.on_end(NotExecuted(RejectReason.DOWN))
+        open_calls, self.open_calls = self.open_calls, {}
+        for call in open_calls.values():
+            call.on_end(NotExecuted(RejectReason.DOWN))
         self.link, self.verified = None, False
         self._schedule_reconnect()
 
     patch.setattr(PeerLink, "_on_link_lost", lost)
 
 
-def numbers_begin_anew_with_each_link(patch: Patch) -> None:
+def numbers_restart_with_each_link(patch: Patch) -> None:
     real = PeerLink._connect
 
-    async def come_up(self: PeerLink) -> None:
+    async def connect(self: PeerLink) -> None:
         self.context.last_number = 0
         await real(self)
 
-    patch.setattr(PeerLink, "_connect", come_up)
+    patch.setattr(PeerLink, "_connect", connect)
 
 
-SEEDED: list[tuple[Callable[[Patch], None], str]] = [
-    (takes_whatever_comes, "twice"),
-    (takes_passed_on_for_waiting, "twice"),
-    (takes_done_for_not_run, "twice"),
-    (does_not_bar, "twice"),
-    (promises_what_is_out, "promise"),
-    (takes_unclear_for_never_sent, "twice"),
-    (a_lost_link_has_sent_nothing, "twice"),
-    (numbers_begin_anew_with_each_link, ""),
+SEEDED_FAULTS: list[tuple[Callable[[Patch], None], str]] = [
+    (accepts_any_number, "twice"),
+    (treats_dispatched_as_queued, "twice"),
+    (treats_done_as_not_executed, "twice"),
+    (query_does_not_bar_later_calls, "twice"),
+    (promises_for_open_attempts, "promise"),
+    (treats_unclear_as_never_sent, "twice"),
+    (treats_calls_of_a_lost_link_as_never_sent, "twice"),
+    (numbers_restart_with_each_link, ""),
 ]
 
 
-@pytest.mark.parametrize(("seed", "words"), SEEDED, ids=[seed.__name__ for seed, _ in SEEDED])
-def test_a_seeded_fault_is_seen(
-    seed: Callable[[Patch], None], words: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    ("fault", "prefix"), SEEDED_FAULTS, ids=[fault.__name__ for fault, _ in SEEDED_FAULTS]
+)
+def test_a_seeded_fault_is_found(
+    fault: Callable[[Patch], None], prefix: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seed(monkeypatch)
-    for play in range(400):
-        if any(line.startswith(words) for line in CallWorld(play).played()):
+    fault(monkeypatch)
+    for seed in range(400):
+        if any(line.startswith(prefix) for line in CallWorld(seed).find_violations()):
             return
-    raise AssertionError("not seen in 400 plays")
+    raise AssertionError("not seen in 400 runs")
