--- a/tests/mesh/test_member_model.py
+++ b/tests/mesh/test_member_model.py
@@ -1,5 +1,5 @@
-"""Members explored whole in the small: nothing acknowledged is missed in any order of events, and seeded
-faults are found."""
+"""Exhaustive exploration of a small model of membership changes: no order of events loses a chosen value, and
+seeded faults are found."""
 
 from __future__ import annotations
 
@@ -11,146 +11,175 @@
 from mesh.replication import quorum, reconfiguration
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place
-from rigs.member_model import CHAIN, SIZES, Members
+from rigs.member_model import CHAIN, SCENARIOS, MembershipModel
 from simulation.mesh.seeds import Patch
 from statecheck import explore
 
 
-@pytest.mark.parametrize("size", SIZES)
-def test_every_order_of_events_is_sound(size: str) -> None:
-    report = explore(Members(size, SIZES[size]))
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_every_order_of_events_is_sound(scenario: str) -> None:
+    report = explore(MembershipModel(scenario, SCENARIOS[scenario]))
     assert report.complete and report.violation is None, (report.violation, report.trace)
     assert report.states > 30
 
 
-# Seeded faults, each with the size in which it shows and the property that it breaks
+# Seeded faults, each with the scenario in which it shows and the property that it breaks
 
 
-def counted_before_whole(patch: Patch) -> None:
-    patch.setattr(Members, "_answers", lambda self, one, epoch: one.up and one.epoch == epoch)
+def counts_machines_with_incomplete_disks(patch: Patch) -> None:
+    patch.setattr(
+        MembershipModel, "_answer_counts", lambda self, machine, epoch: machine.up and machine.epoch == epoch
+    )
 
 
-def a_wiped_one_counts_at_once(patch: Patch) -> None:
-    patch.setattr(Members, "_forgets", lambda self: False)
+def wiped_disks_count_at_once(patch: Patch) -> None:
+    patch.setattr(MembershipModel, "_wipe_is_noticed", lambda self: False)
 
 
-def whole_after_hearing_one(patch: Patch) -> None:
-    patch.setattr(Members, "_whole_enough", lambda self, view, got: True)
+def fence_complete_after_one_answer(patch: Patch) -> None:
+    patch.setattr(MembershipModel, "_fence_is_complete", lambda self, view_names, read_from: True)
 
 
-def fence_left_out(patch: Patch) -> None:
-    patch.setattr(Members, "_floor", lambda self, one: 0)
+def fence_refuses_nothing(patch: Patch) -> None:
+    patch.setattr(MembershipModel, "_fence_floor", lambda self, machine: 0)
 
 
-def left_before_the_copies_were(patch: Patch) -> None:
-    patch.setattr(Members, "_may_vote", lambda self, one, name, wanted: True)
-    finish = reconfiguration._plan_final_epoch
+def finishes_before_the_new_members_are_synced(patch: Patch) -> None:
+    patch.setattr(MembershipModel, "_may_vote", lambda self, machine, name, wanted: True)
+    plan_final_epoch = reconfiguration._plan_final_epoch
 
-    def unlevelled(
-        view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
+    def finish_unsynced(
+        view: View, statuses: Mapping[str, Any], tolerance: quorum.Tolerance
     ) -> reconfiguration.ChangePlan:
-        level = {
-            name: reconfiguration.MemberStatus(one.place, one.responding, one.disk_complete, 99)
-            for name, one in known.items()
+        all_synced = {
+            name: reconfiguration.MemberStatus(machine.place, machine.responding, machine.disk_complete, 99)
+            for name, machine in statuses.items()
         }
-        return finish(view, level, tolerance)
+        return plan_final_epoch(view, all_synced, tolerance)
 
-    patch.setattr(reconfiguration, "_plan_final_epoch", unlevelled)
+    patch.setattr(reconfiguration, "_plan_final_epoch", finish_unsynced)
 
 
-def one_that_is_not_level_votes_for_the_end(patch: Patch) -> None:
-    """The proposer's own look alone: who is level then need not be who accepts."""
-    left_before_the_copies_were(patch)
-    patch.setattr(Members, "_may_vote", lambda self, one, name, wanted: name != "d" or one.level >= one.epoch)
+def unsynced_members_vote_for_the_final_epoch(patch: Patch) -> None:
+    """Only the proposer checks that members are synced, but those that accept may be others."""
+    finishes_before_the_new_members_are_synced(patch)
+    patch.setattr(
+        MembershipModel,
+        "_may_vote",
+        lambda self, machine, name, wanted: name != "d" or machine.synced_epoch >= machine.epoch,
+    )
 
 
-def old_epoch_counted(patch: Patch) -> None:
-    """A proposer that has not heard of the newer view counts answers of those that know it."""
-    patch.setattr(Members, "_answers", lambda self, one, epoch: one.up and one.whole and one.epoch >= epoch)
-    patch.setattr(Members, "_hears", lambda self, one, epoch: one.up and one.whole and one.epoch == epoch)
+def counts_answers_of_newer_epochs(patch: Patch) -> None:
+    """A proposer with an old view counts answers of machines that know a newer one."""
+    patch.setattr(
+        MembershipModel,
+        "_answer_counts",
+        lambda self, machine, epoch: machine.up and machine.disk_complete and machine.epoch >= epoch,
+    )
+    patch.setattr(
+        MembershipModel,
+        "_read_counts",
+        lambda self, machine, epoch: machine.up and machine.disk_complete and machine.epoch == epoch,
+    )
 
 
-def read_by_an_old_view(patch: Patch) -> None:
-    patch.setattr(Members, "_hears", lambda self, one, epoch: one.up and one.whole and one.epoch >= epoch)
+def reads_with_an_old_view(patch: Patch) -> None:
+    patch.setattr(
+        MembershipModel,
+        "_read_counts",
+        lambda self, machine, epoch: machine.up and machine.disk_complete and machine.epoch >= epoch,
+    )
 
 
-def level_by_one_that_does_not_know_the_epoch(patch: Patch) -> None:
-    patch.setattr(Members, "_level_from", lambda self, one, epoch: one.up and one.whole)
+def syncs_from_machines_of_older_epochs(patch: Patch) -> None:
+    patch.setattr(
+        MembershipModel, "_can_sync_from", lambda self, machine, epoch: machine.up and machine.disk_complete
+    )
 
 
-def level_claimed_from_too_few(patch: Patch) -> None:
-    patch.setattr(Members, "_enough_to_be_level", lambda self, before, got: bool(got))
+def synced_after_one_copy(patch: Patch) -> None:
+    patch.setattr(MembershipModel, "_sync_is_complete", lambda self, before, read_from: bool(read_from))
 
 
-def single_step_replacement(patch: Patch) -> None:
-    patch.setattr(Members, "_may_vote", lambda self, one, name, wanted: True)
-    begin = reconfiguration._plan_joint_epoch
+def replaces_in_a_single_step(patch: Patch) -> None:
+    patch.setattr(MembershipModel, "_may_vote", lambda self, machine, name, wanted: True)
+    plan_joint_epoch = reconfiguration._plan_joint_epoch
 
-    def at_once(
-        view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
+    def skip_joint_epoch(
+        view: View, statuses: Mapping[str, Any], tolerance: quorum.Tolerance
     ) -> reconfiguration.ChangePlan:
-        found = begin(view, known, tolerance)
+        plan = plan_joint_epoch(view, statuses, tolerance)
         return reconfiguration.ChangePlan(
-            found.view and View(found.view.epoch, found.view.members), found.retained
+            plan.view and View(plan.view.epoch, plan.view.members), plan.retained
         )
 
-    patch.setattr(reconfiguration, "_plan_joint_epoch", at_once)
+    patch.setattr(reconfiguration, "_plan_joint_epoch", skip_joint_epoch)
 
 
-def two_changes_at_once(patch: Patch) -> None:
-    """The next change begins while the one before is not over, and forgets what came before it."""
+def starts_a_change_during_another(patch: Patch) -> None:
+    """The next change starts before the last one is finished, and drops the previous members."""
 
-    def begin(
-        view: View, known: Mapping[str, Any], tolerance: quorum.Tolerance
+    def plan_joint_epoch(
+        view: View, statuses: Mapping[str, Any], tolerance: quorum.Tolerance
     ) -> reconfiguration.ChangePlan:
-        return reconfiguration._plan_joint_epoch(View(view.epoch, view.members), known, tolerance)
+        return reconfiguration._plan_joint_epoch(View(view.epoch, view.members), statuses, tolerance)
 
-    patch.setattr(reconfiguration, "_plan_final_epoch", begin)
+    patch.setattr(reconfiguration, "_plan_final_epoch", plan_joint_epoch)
 
 
-def only_the_new_view_counts(patch: Patch) -> None:
+def requires_only_the_new_members(patch: Patch) -> None:
     patch.setattr(View, "_member_sets", lambda self: [self.members])
 
 
-def only_the_view_before_counts(patch: Patch) -> None:
+def requires_only_the_previous_members(patch: Patch) -> None:
     patch.setattr(View, "_member_sets", lambda self: [self.previous_members or self.members])
 
 
-def half_is_enough(patch: Patch) -> None:
-    def durable(have: Any, members: Mapping[str, Place], tolerance: Any, **_: bool) -> bool:
-        return 3 * len(members.keys() & set(have)) >= len(members)
+def accepts_a_third_as_a_quorum(patch: Patch) -> None:
+    def durable(holders: Any, members: Mapping[str, Place], tolerance: Any, **_: bool) -> bool:
+        return 3 * len(members.keys() & set(holders)) >= len(members)
 
     patch.setattr(quorum, "_durable", durable)
 
 
-def shrinks_below_what_is_asked(patch: Patch) -> None:
+def shrinks_below_the_tolerance(patch: Patch) -> None:
     patch.setattr(reconfiguration, "_unsafe_reason", lambda view, wanted, statuses, tolerance: "")
 
 
-SEEDED: list[tuple[Callable[[Patch], None], str, str]] = [
-    (counted_before_whole, "two wipes", "missed"),
-    (a_wiped_one_counts_at_once, "two wipes", "missed"),
-    (whole_after_hearing_one, "two wipes", "missed"),
-    (fence_left_out, "two rivals, a wipe", "missed"),
-    (left_before_the_copies_were, "a replacement, what left goes", "missed"),
-    (one_that_is_not_level_votes_for_the_end, "a replacement, what left goes", "missed"),
-    (old_epoch_counted, "a replacement, what left goes", "missed"),
-    (read_by_an_old_view, "a replacement, what left goes", "missed"),
-    (level_by_one_that_does_not_know_the_epoch, "a replacement, what left goes", "missed"),
-    (level_claimed_from_too_few, "a replacement, what left goes", "missed"),
-    (single_step_replacement, "a replacement, what left goes", "missed"),
-    (two_changes_at_once, "two replacements", "missed"),
-    (only_the_new_view_counts, "a replacement, what left goes", "missed"),
-    (only_the_view_before_counts, "a replacement, what left goes", "missed"),
-    (half_is_enough, "two wipes", "missed"),
-    (shrinks_below_what_is_asked, "one leaves", "too few"),
+SEEDED_FAULTS: list[tuple[Callable[[Patch], None], str, str]] = [
+    (counts_machines_with_incomplete_disks, "two wipes", "missed"),
+    (wiped_disks_count_at_once, "two wipes", "missed"),
+    (fence_complete_after_one_answer, "two wipes", "missed"),
+    (fence_refuses_nothing, "two rivals, a wipe", "missed"),
+    (finishes_before_the_new_members_are_synced, "a replacement, what left goes", "missed"),
+    (unsynced_members_vote_for_the_final_epoch, "a replacement, what left goes", "missed"),
+    (counts_answers_of_newer_epochs, "a replacement, what left goes", "missed"),
+    (reads_with_an_old_view, "a replacement, what left goes", "missed"),
+    (syncs_from_machines_of_older_epochs, "a replacement, what left goes", "missed"),
+    (synced_after_one_copy, "a replacement, what left goes", "missed"),
+    (replaces_in_a_single_step, "a replacement, what left goes", "missed"),
+    (starts_a_change_during_another, "two replacements", "missed"),
+    (requires_only_the_new_members, "a replacement, what left goes", "missed"),
+    (requires_only_the_previous_members, "a replacement, what left goes", "missed"),
+    (accepts_a_third_as_a_quorum, "two wipes", "missed"),
+    (shrinks_below_the_tolerance, "one leaves", "too few"),
 ]
 
 
-@pytest.mark.parametrize(("seed", "size", "broken"), SEEDED, ids=[seed.__name__ for seed, _, _ in SEEDED])
+@pytest.mark.parametrize(
+    ("fault", "scenario", "property_name"),
+    SEEDED_FAULTS,
+    ids=[fault.__name__ for fault, _, _ in SEEDED_FAULTS],
+)
 def test_a_seeded_fault_is_found(
-    seed: Callable[[Patch], None], size: str, broken: str, monkeypatch: pytest.MonkeyPatch
+    fault: Callable[[Patch], None], scenario: str, property_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seed(monkeypatch)
-    report = explore(Members(size, {**SIZES, "two replacements": CHAIN}[size]), seconds=60.0)
-    assert report.violation is not None and report.violation.name == broken, (report.states, report.violation)
+    fault(monkeypatch)
+    report = explore(
+        MembershipModel(scenario, {**SCENARIOS, "two replacements": CHAIN}[scenario]), seconds=60.0
+    )
+    assert report.violation is not None and report.violation.name == property_name, (
+        report.states,
+        report.violation,
+    )
