--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -93,7 +93,7 @@
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(ROOT, Path(folder), data, blocking=False)
         process, mgmt = await platform.start()
-        await platform.says(process, "ready")
+        await platform.wait_for_log(process, "ready")
         running = fleet.Running(process, platform.port)
         idle = running.cpu_s()
         await asked(mgmt, time.perf_counter() + seconds)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from rigs import fleet
-from rigs.versions import Platform, call, descriptors
+from rigs.versions import Platform, call, open_descriptors
 
 ROOT = Path(__file__).parent.parent
 QUICK_S, SLOW_S = 0.004, 0.25
@@ -128,7 +128,7 @@
     while (await call(port, "/admin/health"))[0] != 200:
         await asyncio.sleep(0.01)
     both = peak_mb(old) + peak_mb(new)
-    held = descriptors(old) + descriptors(new)
+    held = open_descriptors(old) + open_descriptors(new)
     told = time.perf_counter()
     old.send_signal(signal.SIGTERM)
     return new, told, both, held
@@ -139,7 +139,7 @@
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(ROOT, Path(folder), data)
         process, _ = await platform.start()
-        await platform.says(process, "ready")
+        await platform.wait_for_log(process, "ready")
         load = Load(platform.port)
         await asyncio.sleep(2.0)
         ordinary, around, memory, held = [], [], 0.0, 0
@@ -174,7 +174,7 @@
     with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryDirectory() as other:
         platform = Platform(ROOT, Path(folder), data)
         process, _ = await platform.start()
-        await platform.says(process, "ready")
+        await platform.wait_for_log(process, "ready")
         load = Load(platform.port)
         await asyncio.sleep(2.0)
         _, told, _, _ = await change(platform, process, None if warm else Path(other))
--- a/rigs/lost_links/hop.py
+++ b/rigs/lost_links/hop.py
@@ -23,7 +23,7 @@
 from mesh.data_plane.call_messages import NotExecuted
 from mesh.data_plane.program import Proxy
 from mesh.runtime.startup import run
-from rigs.relayed_process import listen_at, replace
+from rigs.relayed_process import listen_behind_relay, patch_attribute
 
 Replaced = list[tuple[Any, str, Any]]  # whose, its name, what stands there instead
 
@@ -38,7 +38,7 @@
         key = out.call.target.rpartition(b"/")[2].decode()
         file.write(f"{key} {self.node} {time.monotonic()} {int(out.number in self.to_query)} {why}\n")
 
-    replace(peer_calls.PeerLink, "_schedule_query", told)
+    patch_attribute(peer_calls.PeerLink, "_schedule_query", told)
 
 
 def _without_bar() -> Replaced:
@@ -104,11 +104,11 @@
     name, port, folder, *without = arguments
     if name == "control_plane":
         return run(Controller)
-    listen_at(int(port))
+    listen_behind_relay(int(port))
     tell_lost(Path(folder))
     for guard in without:
         for replaced in GUARDS[guard]():
-            replace(*replaced)
+            patch_attribute(*replaced)
     return run(Proxy)
 
 
--- a/rigs/relayed_process.py
+++ b/rigs/relayed_process.py
@@ -1,5 +1,5 @@
-"""One shipped program behind a relay: it tells its own address, listens at another port, and opens its links
-from its own address, so that a relay knows who dials."""
+"""Lets a shipped program run behind a relay: it announces its own address, listens at another port, and
+connects from its own address, by which a relay identifies it."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from mesh.transport import link
 
 
-def replace(whose: Any, name: str, value: Any) -> None:
-    """Raises AttributeError where it is not there: without it the run would be an ordinary one."""
-    getattr(whose, name)
-    setattr(whose, name, value)
+def patch_attribute(target: Any, name: str, value: Any) -> None:
+    """Replaces an attribute. Raises AttributeError if it doesn't exist: the run would go on unpatched."""
+    getattr(target, name)
+    setattr(target, name, value)
 
 
-def listen_at(port: int) -> None:
-    """The relay has the address that is told; this process listens beside it."""
+def listen_behind_relay(port: int) -> None:
+    """Makes both programs listen at this port; the relay has the announced one."""
     listen = link.listen
 
-    async def listen_beside(address: tuple[str, int], *rest: Any) -> Any:
+    async def listen_at_port(address: tuple[str, int], *rest: Any) -> Any:
         return await listen((address[0], port), *rest)
 
-    replace(data_program, "listen", listen_beside)
-    replace(control_program, "listen", listen_beside)
+    patch_attribute(data_program, "listen", listen_at_port)
+    patch_attribute(control_program, "listen", listen_at_port)
 
 
-def dial_from(ip: str) -> None:
-    """Links to other processes come from that address, which loopback alone would not tell."""
+def connect_from(ip: str) -> None:
+    """Makes links to other processes come from that address; on loopback they otherwise all share one."""
 
     async def connect(address: tuple[str, int], make: Callable[[], link.Link]) -> link.Link | None:
         loop = asyncio.get_running_loop()
@@ -43,5 +43,5 @@
             return None
         return made
 
-    replace(peers, "connect", connect)
-    replace(peer_calls, "connect", connect)
+    patch_attribute(peers, "connect", connect)
+    patch_attribute(peer_calls, "connect", connect)
--- a/rigs/soak/seeded_faults.py
+++ b/rigs/soak/seeded_faults.py
@@ -15,7 +15,7 @@
 from mesh.replication.proposer import Conflict, Decided
 from mesh.storage.lmdb_store import DiskStore, Durable
 from rigs.lost_links.hop import GUARDS
-from rigs.relayed_process import replace
+from rigs.relayed_process import patch_attribute
 
 AFFECTED_VERSIONS = 9  # one version in this many is affected
 REVERT_DELAY_S = 1.0
@@ -32,7 +32,7 @@
         if item.version % AFFECTED_VERSIONS:
             receive_route(self, item, late)
 
-    replace(StagedRoutes, "receive_route", receive_most)
+    patch_attribute(StagedRoutes, "receive_route", receive_most)
 
 
 def _reverts_versions() -> None:
@@ -45,16 +45,16 @@
         if before is not None and one.version % AFFECTED_VERSIONS == 0:
             asyncio.get_running_loop().call_later(REVERT_DELAY_S, self._routes.put, before)
 
-    replace(StagedRoutes, "_put_in_force", put_in_force_and_revert)
+    patch_attribute(StagedRoutes, "_put_in_force", put_in_force_and_revert)
 
 
 def _accepts_invalid_writes() -> None:
-    replace(operator_api, "check_change", lambda *_: None)
+    patch_attribute(operator_api, "check_change", lambda *_: None)
 
 
 def _acknowledges_conflicts() -> None:
     """The loser of a vote gets the result that it won."""
-    replace(operator_api, "Decided", (Decided, Conflict))
+    patch_attribute(operator_api, "Decided", (Decided, Conflict))
 
 
 def _returns_stale_reads() -> None:
@@ -68,12 +68,12 @@
             cached["last"] = (now, rendered(self))
         return cached["last"][1]
 
-    replace(OperatorApi, "_rendered", stale)
+    patch_attribute(OperatorApi, "_rendered", stale)
 
 
 def _persists_nothing() -> None:
     """A write to disk reports success without writing."""
-    replace(DiskStore, "write", lambda *_: Durable())
+    patch_attribute(DiskStore, "write", lambda *_: Durable())
 
 
 def _exits_at_once() -> None:
@@ -82,7 +82,7 @@
     async def return_at_once(self: Shutdown) -> None:
         del self
 
-    replace(Shutdown, "run", return_at_once)
+    patch_attribute(Shutdown, "run", return_at_once)
 
 
 def _hangs_at_shutdown() -> None:
@@ -90,7 +90,7 @@
         del self
         await asyncio.sleep(HANG_S)
 
-    replace(Shutdown, "run", hang)
+    patch_attribute(Shutdown, "run", hang)
 
 
 def _exits_with_failure() -> None:
@@ -100,7 +100,7 @@
         await run(self)
         sys.exit(FAILURE_STATUS)
 
-    replace(Shutdown, "run", run_and_fail)
+    patch_attribute(Shutdown, "run", run_and_fail)
 
 
 def _without_guard(name: str) -> Callable[[], None]:
@@ -108,7 +108,7 @@
 
     def disable() -> None:
         for replaced in GUARDS[name]():
-            replace(*replaced)
+            patch_attribute(*replaced)
 
     return disable
 
--- a/rigs/thread_points.py
+++ b/rigs/thread_points.py
@@ -1,7 +1,7 @@
-"""Threads that change at a numbered point: one is stopped before its Nth bytecode, others run, it goes on.
+"""Forces a thread switch at a chosen bytecode: one thread stops before its Nth bytecode while others run.
 
-With the interpreter's lock a thread may lose its turn before any bytecode and nowhere else, so all numbers
-together are all ways in which one change of threads can befall a section.
+With the interpreter's lock a thread can be preempted only before a bytecode, so all values of N together
+cover every way in which one thread switch can interrupt a section.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 NEVER = -1
 
 
-class Points:
-    """The bytecodes of functions of some files, counted from 1 in the thread that is in ``run``."""
+class PreemptionPoints:
+    """Counts the bytecodes of functions in some files, from 1, in the thread that calls ``run``."""
 
     def __init__(self, files: Collection[str], stop_at: int, meanwhile: Callable[[], None]) -> None:
-        """``meanwhile`` is called before bytecode ``stop_at`` (NEVER: at none), by the stopped thread."""
+        """The stopped thread calls ``meanwhile`` before bytecode ``stop_at`` (NEVER: it isn't stopped)."""
         self._files, self._stop_at, self._meanwhile = frozenset(files), stop_at, meanwhile
         self.count = 0
-        self.where = ""  # file's line at which it was stopped
+        self.stopped_in = ""  # the function and line at which the thread was stopped
 
     def run(self, work: Callable[[], T]) -> T:
-        """What ``work`` returns or raises."""
+        """Returns or raises what ``work`` does."""
         sys.settrace(self._enter)
         try:
             return work()
@@ -42,6 +42,6 @@
         if event == "opcode":
             self.count += 1
             if self.count == self._stop_at:
-                self.where = f"{frame.f_code.co_name}:{frame.f_lineno}"
+                self.stopped_in = f"{frame.f_code.co_name}:{frame.f_lineno}"
                 self._meanwhile()
         return self._step
--- a/tests/mesh/test_thread_points.py
+++ b/tests/mesh/test_thread_points.py
@@ -1,5 +1,6 @@
-"""The control plane's two threads, changed at every bytecode of what both touch: nothing that was said to be
-kept is lost, whatever the loop does in the middle of the disk's work. docs/design/threads.md lists it all."""
+"""Switches between the control plane's two threads at every bytecode of the code that both use: nothing that
+was reported as durable is lost, whatever the event loop does in the middle of the disk thread's work.
+docs/design/threads.md lists the shared state."""
 
 from __future__ import annotations
 
@@ -25,26 +26,26 @@
 from mesh.storage import lmdb_store
 from mesh.storage.layout import read_state
 from mesh.storage.lmdb_store import DiskStore, Fresh, Opened
-from rigs.thread_points import NEVER, Points
+from rigs.thread_points import NEVER, PreemptionPoints
 
-MOST = 1 << 20
-WITHIN_S = 10.0  # a play
-STEP_S = 5.0  # of that, what the loop does while the disk's thread is stopped
+MAX_BYTES = 1 << 20
+TIMEOUT_S = 10.0  # of one run
+STEP_TIMEOUT_S = 5.0  # of what the loop does while the disk thread is stopped
 IN_MEMORY = "/dev/shm"
 DISK_FILES = (lmdb_store.__file__, write_batches.__file__)
 
 
 @pytest.fixture
 def memory() -> Iterator[Path]:
-    """A folder in memory, where there is one: a thousand plays sync a disk many thousand times."""
+    """A folder in memory, if possible: a thousand runs sync a disk many thousand times."""
     with tempfile.TemporaryDirectory(dir=IN_MEMORY if os.path.isdir(IN_MEMORY) else None) as folder:
         yield Path(folder)
 
 
 class TracedDiskStore:
-    """Counts the bytecodes of one work of the disk's thread."""
+    """Counts the bytecodes of one job of the disk thread."""
 
-    def __init__(self, disk_store: DiskStore, points: Points) -> None:
+    def __init__(self, disk_store: DiskStore, points: PreemptionPoints) -> None:
         self._disk_store, self._points, self._used = disk_store, points, False
 
     def __getattr__(self, name: str) -> Any:
@@ -60,16 +61,16 @@
 
 
 class Disk:
-    """A disk writer on a real store. ``step`` is what the loop does while the disk's thread is stopped."""
+    """A disk writer on a real store. ``step`` is what the loop does while the disk thread is stopped."""
 
     def __init__(self, folder: Path, stop_at: int) -> None:
         self.folder, self.loop, self.version = folder, asyncio.get_running_loop(), 0
         self.store = Store("here", 1000, decided=True)
-        opened = DiskStore.open(folder, MOST)
+        opened = DiskStore.open(folder, MAX_BYTES)
         assert isinstance(opened, Fresh)
         self.step: Callable[[], None] = lambda: None
         self.begun: list[asyncio.Future[Any]] = []
-        self.points = Points(DISK_FILES, stop_at, self._meanwhile)
+        self.points = PreemptionPoints(DISK_FILES, stop_at, self._meanwhile)
         self.disk_store = opened.disk_store
         traced: Any = TracedDiskStore(opened.disk_store, self.points)
         acceptor = Acceptor("here", 0, lambda _: 0)
@@ -82,13 +83,13 @@
             try:
                 self.step()
             finally:
-                self.loop.call_soon(self.loop.call_soon, done.set)  # and what that made ready
+                self.loop.call_soon(self.loop.call_soon, done.set)  # after the callbacks that it scheduled
 
         self.loop.call_soon_threadsafe(run)
-        assert done.wait(STEP_S), "the loop stands still while the disk is at work"
+        assert done.wait(STEP_TIMEOUT_S), "the event loop is blocked while the disk thread works"
 
     def put(self, name: str) -> Item:
-        """The next version of a route, decided and marked for the disk."""
+        """Writes the next version of a route, decided and marked for the disk."""
         self.version += 1
         item = self.store.write("route", name, self.version, {"v": self.version, "text": "x" * 200})
         assert isinstance(item, Item)
@@ -98,26 +99,27 @@
     def begin(self, work: Awaitable[Any]) -> None:
         self.begun.append(asyncio.ensure_future(work))
 
-    async def play(self, first: Callable[[Disk], Awaitable[Any]]) -> list[str]:
-        """What is wrong once ``first`` and all that began meanwhile are over and the disk is read again."""
+    async def run(self, first: Callable[[Disk], Awaitable[Any]]) -> list[str]:
+        """Returns the failures once ``first`` and all work begun meanwhile have ended and the disk is read
+        again."""
         self.put("a")
         await first(self)
-        told = await asyncio.gather(*self.begun, return_exceptions=True)
-        wrong = [repr(one) for one in told if isinstance(one, Exception)]
-        await asyncio.wait_for(self.disk_writer.flush(), WITHIN_S)
+        results = await asyncio.gather(*self.begun, return_exceptions=True)
+        failures = [repr(one) for one in results if isinstance(one, Exception)]
+        await asyncio.wait_for(self.disk_writer.flush(), TIMEOUT_S)
         self.disk_writer._thread.shutdown()
         self.disk_store.close()
-        wanted = dict(self.store.items)
-        again = DiskStore.open(self.folder, MOST)
-        if not isinstance(again, Opened):
-            return [*wrong, repr(again)]
-        found = {item.key: item for item in read_state(again.rows).items}
-        again.disk_store.close()
-        return wrong + [f"{key}: {found.get(key)}" for key in wanted if found.get(key) != wanted[key]]
+        expected = dict(self.store.items)
+        reopened = DiskStore.open(self.folder, MAX_BYTES)
+        if not isinstance(reopened, Opened):
+            return [*failures, repr(reopened)]
+        found = {item.key: item for item in read_state(reopened.rows).items}
+        reopened.disk_store.close()
+        return failures + [f"{key}: {found.get(key)}" for key in expected if found.get(key) != expected[key]]
 
 
 def changes(disk: Disk) -> None:
-    """What orders do: items, rows of their own, a question whether there is room."""
+    """What configuration writes do: items, separate rows, a check of the free space."""
     disk.put("b")
     disk.put("a")
     disk.disk_writer.put_row((b"whole", b"true"))
@@ -125,8 +127,8 @@
     disk.begin(disk.disk_writer.flush())
 
 
-def questions(disk: Disk) -> None:
-    """What operators and repair ask of the disk: its check, its size, to be written anew."""
+def maintenance(disk: Disk) -> None:
+    """What operators and repair do with the disk: check it, query its size, rewrite it."""
     disk.put("b")
     disk.begin(disk.disk_writer.run_between_batches(_survey))
     disk.begin(disk.disk_writer.run_between_batches(lambda disk_store: disk_store.size()))
@@ -134,98 +136,96 @@
     disk.begin(disk.disk_writer.flush())
 
 
-def copies(disk: Disk) -> None:
-    """A copy of the store and a write behind it."""
+def backups(disk: Disk) -> None:
+    """A backup of the store and a write after it."""
     to = disk.folder.parent / "copy"
     disk.begin(disk.disk_writer.run_between_batches(lambda disk_store: disk_store.backup(to)))
     changes(disk)
 
 
 FIRST: dict[str, Callable[[Disk], Awaitable[Any]]] = {
-    "keep": lambda disk: disk.disk_writer.flush(),
+    "flush": lambda disk: disk.disk_writer.flush(),
     "rewrite": lambda disk: disk.disk_writer.rewrite(),
     "survey": lambda disk: disk.disk_writer.run_between_batches(_survey),
 }
-STEPS = {"changes": changes, "questions": questions, "copies": copies}
+STEPS = {"changes": changes, "maintenance": maintenance, "backups": backups}
 
 
-def played(folder: Path, first: str, step: str, stop_at: int) -> tuple[list[str], Points]:
-    async def play() -> tuple[list[str], Points]:
+def run_once(folder: Path, first: str, step: str, stop_at: int) -> tuple[list[str], PreemptionPoints]:
+    async def run() -> tuple[list[str], PreemptionPoints]:
         folder.mkdir()
         disk = Disk(folder / "charter", stop_at)
         disk.step = lambda: STEPS[step](disk)
         try:
-            wrong = await asyncio.wait_for(disk.play(FIRST[first]), WITHIN_S)
+            failures = await asyncio.wait_for(disk.run(FIRST[first]), TIMEOUT_S)
         except TimeoutError:
-            wrong = ["what was to be kept is waited for without end"]
-        return wrong, disk.points
+            failures = ["the wait for a durable write did not end"]
+        return failures, disk.points
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
-def all_points(folder: Path, first: str, step: str) -> list[str]:
-    """What is wrong, at any point; stops at the first that is."""
+def run_all_points(folder: Path, first: str, step: str) -> list[str]:
+    """Switches threads at each point in turn; returns the failures of the first point that has any."""
     folder.mkdir()
-    wrong, points = played(folder / "none", first, step, NEVER)
-    assert wrong == [] and points.count > 100
+    failures, points = run_once(folder / "none", first, step, NEVER)
+    assert failures == [] and points.count > 100
     for number in range(1, points.count + 1):
-        wrong, points = played(folder / str(number), first, step, number)
-        if wrong:
-            return [f"point {number} at {points.where}: {wrong}"]
+        failures, points = run_once(folder / str(number), first, step, number)
+        if failures:
+            return [f"point {number} at {points.stopped_in}: {failures}"]
     return []
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("first", FIRST)
-def test_nothing_is_lost_wherever_the_disks_thread_loses_its_turn(
-    memory: Path, first: str, step: str
-) -> None:
-    assert all_points(memory / "points", first, step) == []
+def test_nothing_is_lost_wherever_the_disk_thread_is_preempted(memory: Path, first: str, step: str) -> None:
+    assert run_all_points(memory / "points", first, step) == []
 
 
-async def _beside(disk_writer: DiskWriter, work: Callable[[Any], Any]) -> Any:
-    """Seeded fault: the store is used from the loop's thread, without waiting for the disk's."""
+async def _run_in_loop_thread(disk_writer: DiskWriter, work: Callable[[Any], Any]) -> Any:
+    """Seeded fault: the store is used from the loop's thread without waiting for the disk thread."""
     return work(disk_writer._disk_store)
 
 
-def test_work_on_the_store_beside_the_disks_thread_is_found(
+def test_use_of_the_store_outside_the_disk_thread_is_found(
     memory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(DiskWriter, "run_between_batches", _beside)
-    assert all_points(memory / "points", "keep", "questions") != []
+    monkeypatch.setattr(DiskWriter, "run_between_batches", _run_in_loop_thread)
+    assert run_all_points(memory / "points", "flush", "maintenance") != []
 
 
-def test_a_batch_that_is_shared_and_not_handed_over_is_found(
+def test_a_batch_that_is_shared_instead_of_handed_over_is_found(
     memory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seeded fault: the disk's thread goes through rows to which the loop still adds, and answers for all."""
-    real_keep, real_rows = DiskStore.write, DiskWriter._rows
+    """Seeded fault: the disk thread iterates over rows to which the loop still adds, and confirms all."""
+    real_write, real_rows = DiskStore.write, DiskWriter._rows
     shared: list[tuple[bytes, bytes]] = []
 
-    def rows(disk_writer: DiskWriter, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
-        told, gone = real_rows(disk_writer, *given)
-        shared[:] = told
-        return shared, gone
+    def shared_rows(disk_writer: DiskWriter, *given: Any) -> tuple[list[tuple[bytes, bytes]], list[bytes]]:
+        rows, deleted = real_rows(disk_writer, *given)
+        shared[:] = rows
+        return shared, deleted
 
     def put(disk: Disk) -> None:
         shared.clear()
         disk.put("b")
         disk.begin(disk.disk_writer.flush())
 
-    monkeypatch.setattr(DiskWriter, "_rows", rows)
+    monkeypatch.setattr(DiskWriter, "_rows", shared_rows)
     monkeypatch.setitem(STEPS, "shared", put)
     monkeypatch.setattr(
-        DiskStore, "write", lambda disk_store, told, gone=(): real_keep(disk_store, told, gone)
+        DiskStore, "write", lambda disk_store, rows, deleted=(): real_write(disk_store, rows, deleted)
     )
-    assert all_points(memory / "points", "keep", "shared") != []
+    assert run_all_points(memory / "points", "flush", "shared") != []
 
 
-def test_threads_that_change_as_often_as_can_be_lose_nothing(memory: Path) -> None:
+def test_nothing_is_lost_with_the_shortest_switch_interval(memory: Path) -> None:
     before = sys.getswitchinterval()
     sys.setswitchinterval(1e-6)
     try:
 
-        async def play() -> list[str]:
+        async def run() -> list[str]:
             disk = Disk(memory / "charter", NEVER)
 
             async def many(_: Disk) -> None:
@@ -234,12 +234,12 @@
                     disk.put("a")
                     disk.begin(disk.disk_writer.flush())
                     if version % 5 == 0:
-                        questions(disk)
+                        maintenance(disk)
                     await asyncio.sleep(0)
                 await disk.disk_writer.flush()
 
-            return await disk.play(many)
+            return await disk.run(many)
 
-        assert asyncio.run(asyncio.wait_for(play(), WITHIN_S)) == []
+        assert asyncio.run(asyncio.wait_for(run(), TIMEOUT_S)) == []
     finally:
         sys.setswitchinterval(before)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -302,7 +302,7 @@
     async def run() -> None:
         async with platform(tmp_path, blocking) as (there, upstream):
             old, _ = await there.start()
-            await there.says(old, "ready")
+            await there.wait_for_log(old, "ready")
             statuses: list[int] = []
             count, over = 0, False
 
@@ -320,8 +320,8 @@
 
             loads = [asyncio.create_task(load(number % 2 == 0)) for number in range(4)]
             new, port = await there.start()
-            await there.says(new, "warm start: 1 of 1")
-            await there.says(new, "ready")
+            await there.wait_for_log(new, "warm start: 1 of 1")
+            await there.wait_for_log(new, "ready")
             assert (await call(port, "/admin/health"))[0] == 200
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), PATIENCE_S) == 0
@@ -333,7 +333,7 @@
             assert set(statuses) == {200} and len(statuses) == len(upstream.requests)
             # A newer process is killed once it accepts: the previous one goes on.
             third, _ = await there.start()
-            await there.says(third, "ready")
+            await there.wait_for_log(third, "ready")
             third.kill()
             await third.wait()
             client = await connect(there.port)
