--- a/tests/mesh/test_answer_world.py
+++ b/tests/mesh/test_answer_world.py
@@ -44,7 +44,7 @@
     st.lists(ANSWERS, min_size=1, max_size=9),
     st.sets(st.sampled_from(FAULT_KINDS), min_size=1, max_size=4).map(sorted),
 )
-def test_clients_get_what_upstreams_answered(
+def test_what_clients_are_told_is_what_upstreams_gave(
     seed: int, answers: list[UpstreamAnswer], fault_kinds: list[str]
 ) -> None:
     world = AnswerWorld(seed, answers, fault_kinds)
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize(
     ("fault", "prefix"), SEEDED_FAULTS, ids=[fault.__name__ for fault, _ in SEEDED_FAULTS]
 )
-def test_a_seeded_fault_is_found(
+def test_a_seeded_fault_is_seen(
     fault: Callable[[Patch], None], prefix: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
--- a/tests/mesh/test_call_world.py
+++ b/tests/mesh/test_call_world.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("first", [20_000, 20_000 + RUNS])
-def test_random_faults_break_nothing(first: int) -> None:
+def test_drawn_plays_break_nothing(first: int) -> None:
     applied, lost = 0, 0
     for seed in range(first, first + RUNS):
         world = CallWorld(seed)
