--- a/benchmarks/mesh_stages.py
+++ b/benchmarks/mesh_stages.py
@@ -28,7 +28,7 @@
 from mesh.rollout import bounds
 from mesh.rollout.bounds import derive_rollout_times
 from mesh.rollout.canary_verdict import Tally, is_worse
-from rigs.stage_model import LARGE, SIZES, Stages
+from rigs.stage_model import LARGE_SCENARIOS, SCENARIOS, RolloutModel
 from simulation.mesh.staged import Staged, rule
 from simulation.mesh.world import Machine, Script
 from statecheck import explore
@@ -190,8 +190,8 @@
         }
         print(found["broken"], found["sound"], sep="\n", flush=True)
     if given.states:
-        for name, size in {**SIZES, **LARGE}.items():
-            report = explore(Stages(name, size), seconds=given.states)
+        for name, size in {**SCENARIOS, **LARGE_SCENARIOS}.items():
+            report = explore(RolloutModel(name, size), seconds=given.states)
             row = {"size": name, "states": report.states, "whole": report.complete, "depth": report.depth}
             row["broken"] = str(report.violation) if report.violation is not None else None
             found["states"].append(row)
--- a/rigs/stage_model.py
+++ b/rigs/stage_model.py
@@ -1,10 +1,10 @@
-"""Stages in the small, for `statecheck`: two control processes, sidecars and two routes; news, reports and
-words that come in any order, late, twice or never; sidecars that crash, stand still and are cut off. What
-decides is the shipped code (`StagedActivation`, `UpdateContact`, `RolloutReport`, `VersionCheck`); the model
-is its host and its surroundings.
+"""A small model of staged rollouts, for `statecheck`: two controllers, sidecars and two routes; updates,
+reports and approvals that arrive in any order, late, twice or never; sidecars that crash, are suspended or
+disconnected. All decisions are made by the shipped code (`StagedActivation`, `UpdateContact`,
+`RolloutReport`, `VersionCheck`); the model stands in for its host and the network.
 
-Time goes by ticks. What the rules promise of the surroundings is a guard of the tick: timers fire in time, an
-acknowledgement comes within ACK, and news reach a sidecar in touch within NEWS of it.
+Time passes in ticks. A tick is possible only while the assumptions hold: timers fire in time, a write is
+acknowledged within ACK, and an update reaches a sidecar in contact within PROPAGATION after that.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from statecheck import Model, Violation
 from statecheck.model import State
 
-HOLD, NEWS, ACK, CONTACT, GAP = 1, 2, 1, 3, 1.5  # ticks
-SETTLE = HOLD + NEWS
+HOLD, PROPAGATION, ACK, CONTACT, POLL_GAP = 1, 2, 1, 3, 1.5  # ticks
+SETTLE = HOLD + PROPAGATION
 LONG_AGO, NEVER = -99, 99
 
 
@@ -31,298 +31,317 @@
     item: int
     version: int
     kind: ChangeKind
-    core: int  # where the operator sends it
-    until: int = 0  # at the latest
+    controller: int  # the one that the operator sends it to
+    until: int = 0  # the latest tick at which it is sent
 
 
-class Core(NamedTuple):
+class Controller(NamedTuple):
     known: tuple[int, ...]  # versions, by item
-    reports: tuple[tuple[Any, ...], ...]  # by sidecar: life, vector, held; or empty
-    words: frozenset[
-        tuple[int, int]
-    ]  # items and versions of which it says that the first part's word is good
+    reports: tuple[tuple[Any, ...], ...]  # by sidecar: incarnation, vector, held items; or empty
+    approvals: frozenset[tuple[int, int]]  # items and versions that their canaries confirmed
 
 
-class Side(NamedTuple):
-    status: str  # runs, stands, cut
-    life: int
-    force: tuple[int, ...]
+class Proxy(NamedTuple):
+    status: str  # "running", "suspended" or "disconnected"
+    incarnation: int
+    in_force: tuple[int, ...]  # versions, by item
     known: tuple[int, ...]
-    since: tuple[int, ...]  # when each was known
-    waits: tuple[int, ...]  # since when something newer than what is in force is known; NEVER: nothing is
-    held: tuple[tuple[int, int, int, int], ...]  # item, version, latest, known
-    contact: tuple[float | None, float]
-    said: tuple[Any, ...]
-    touched: int
-    broken: str  # what its last step did that no step may
+    known_since: tuple[int, ...]
+    outdated: tuple[int, ...]  # when a version newer than the one in force was received, or NEVER
+    held: tuple[tuple[int, int, int, int], ...]  # item, version, deadline, when it was received
+    contact: tuple[float | None, float]  # the fields of `UpdateContact`
+    sent_report: tuple[Any, ...]
+    disturbed_at: int  # the last tick at which it was not running in contact
+    violation: str  # of a property, by its last step
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class Scenario:
     changes: tuple[Change, ...]
-    sides: int = 2
-    holders: int = 1  # control processes that hear reports and give words
+    proxies: int = 2
+    approvers: int = 1  # controllers that receive reports and approve versions
     crashes: int = 0
-    stands: int = 0
-    cuts: int = 0
-    core_crashes: int = 0
+    suspensions: int = 0
+    partitions: int = 0
+    controller_crashes: int = 0
     until: int = 6
 
 
-class Stages(Model):
-    def __init__(self, name: str, size: Size) -> None:
-        self.name, self.size = name, size
+class RolloutModel(Model):
+    def __init__(self, name: str, scenario: Scenario) -> None:
+        self.name, self.scenario = name, scenario
         self.items = 2
 
     def initial(self) -> Iterable[State]:
-        size = self.size
-        none = (0,) * self.items
-        core = Core(none, ((),) * size.sides, frozenset())
-        side = _started(0, self.items, (float(LONG_AGO), 0.0), (), LONG_AGO)
-        written = ((None, None),) * len(size.changes)  # when it was taken, and acknowledged
-        left = (size.crashes, size.stands, size.cuts, size.core_crashes)
-        yield (0, (core, core), (side,) * size.sides, written, left)
+        scenario = self.scenario
+        versions = (0,) * self.items
+        controller = Controller(versions, ((),) * scenario.proxies, frozenset())
+        proxy = _started(0, self.items, (float(LONG_AGO), 0.0), (), LONG_AGO)
+        written = ((None, None),) * len(scenario.changes)  # when each was accepted, and acknowledged
+        budget = (scenario.crashes, scenario.suspensions, scenario.partitions, scenario.controller_crashes)
+        yield (0, (controller, controller), (proxy,) * scenario.proxies, written, budget)
 
-    # What can happen
+    # Events
 
     def events(self, state: State) -> Sequence[Any]:
-        now, cores, sides, written, left = state
-        found: list[Any] = []
-        for at, change in enumerate(self.size.changes):
-            taken, acked = written[at]
-            if taken is None and now <= change.until:
-                found.append(("write", at))
+        now, controllers, proxies, written, budget = state
+        enabled: list[Any] = []
+        for at, change in enumerate(self.scenario.changes):
+            accepted, acked = written[at]
+            if accepted is None and now <= change.until:
+                enabled.append(("write", at))
             elif (
-                taken is not None
+                accepted is not None
                 and acked is None
-                and all(c.known[change.item] >= change.version for c in cores)
+                and all(controller.known[change.item] >= change.version for controller in controllers)
             ):
-                found.append(("ack", at))
-        for here, core in enumerate(cores):
-            if any(mine > other for mine, other in zip(core.known, cores[1 - here].known, strict=True)):
-                found.append(("share", here))
+                enabled.append(("ack", at))
+        for index, controller in enumerate(controllers):
+            if any(a > b for a, b in zip(controller.known, controllers[1 - index].known, strict=True)):
+                enabled.append(("replicate", index))
             for item in range(self.items):
-                if here < self.size.holders and self._may_say(core, item, now):
-                    found.append(("word", here, item))
-            if left[3] and (core.words or any(core.reports)):
-                found.append(("core crash", here))
-        for at, side in enumerate(sides):
-            if side.status != "stands":
-                if any(one[2] <= now for one in side.held):
-                    found.append(("due", at))
-                if side.known != (0,) * self.items and self._report(side) != side.said:
-                    found.append(("say", at))
-                if left[1]:
-                    found.append(("stand", at))
+                if index < self.scenario.approvers and self._may_approve(controller, item, now):
+                    enabled.append(("approve", index, item))
+            if budget[3] and (controller.approvals or any(controller.reports)):
+                enabled.append(("controller crash", index))
+        for at, proxy in enumerate(proxies):
+            if proxy.status != "suspended":
+                if any(held[2] <= now for held in proxy.held):
+                    enabled.append(("activate due", at))
+                if proxy.known != (0,) * self.items and self._report(proxy) != proxy.sent_report:
+                    enabled.append(("send report", at))
+                if budget[1]:
+                    enabled.append(("suspend", at))
             else:
-                found.append(("go on", at))
-            if side.status == "runs":
-                for here, core in enumerate(cores):
-                    if any(c > k for c, k in zip(core.known, side.known, strict=True)):
-                        found.append(("news", here, at))
-                    for item, version in sorted(core.words):
-                        if any(one[0] == item for one in side.held):
-                            found.append(("go", at, item, version))
-                if left[2]:
-                    found.append(("cut", at))
-            if side.status == "cut":
-                found.append(("heal", at))
-            if side.status != "cut" and side.said:  # said before a crash or a stand-still: on its way
-                found += [
-                    ("deliver", at, here)
-                    for here, c in enumerate(cores[: self.size.holders])
-                    if c.reports[at] != side.said
+                enabled.append(("resume", at))
+            if proxy.status == "running":
+                for index, controller in enumerate(controllers):
+                    if any(newer > own for newer, own in zip(controller.known, proxy.known, strict=True)):
+                        enabled.append(("deliver update", index, at))
+                    for item, version in sorted(controller.approvals):
+                        if any(held[0] == item for held in proxy.held):
+                            enabled.append(("deliver approval", at, item, version))
+                if budget[2]:
+                    enabled.append(("disconnect", at))
+            if proxy.status == "disconnected":
+                enabled.append(("reconnect", at))
+            # A report that was sent before a crash or a suspension is still under way.
+            if proxy.status != "disconnected" and proxy.sent_report:
+                enabled += [
+                    ("deliver report", at, index)
+                    for index, controller in enumerate(controllers[: self.scenario.approvers])
+                    if controller.reports[at] != proxy.sent_report
                 ]
-            if left[0]:
-                found.append(("crash", at))
-        if now < self.size.until and self._may_tick(state):
-            found.append(("tick",))
-        return found
+            if budget[0]:
+                enabled.append(("crash", at))
+        if now < self.scenario.until and self._may_tick(state):
+            enabled.append(("tick",))
+        return enabled
 
     def _may_tick(self, state: State) -> bool:
-        now, _, sides, written, _ = state
-        for at, change in enumerate(self.size.changes):
-            taken, acked = written[at]
-            if taken is not None and acked is None and now >= taken + ACK:
+        now, _, proxies, written, _ = state
+        for at, change in enumerate(self.scenario.changes):
+            accepted, acked = written[at]
+            if accepted is not None and acked is None and now >= accepted + ACK:
                 return False
-            for side in sides:
-                late = acked is not None and now >= acked + NEWS and now - side.touched >= 1
-                if side.status == "runs" and late and side.known[change.item] < change.version:
+            for proxy in proxies:
+                late = acked is not None and now >= acked + PROPAGATION and now - proxy.disturbed_at >= 1
+                if proxy.status == "running" and late and proxy.known[change.item] < change.version:
                     return False
-        return not any(one[2] <= now for side in sides if side.status != "stands" for one in side.held)
+        return not any(
+            held[2] <= now for proxy in proxies if proxy.status != "suspended" for held in proxy.held
+        )
 
-    # Steps
+    # Transitions
 
     def step(self, state: State, event: Any) -> State:
-        now, cores, sides, written, left = state
-        cores, sides, written, left = list(cores), list(sides), list(written), list(left)
-        what = event[0]
-        if what == "write":
-            change = self.size.changes[event[1]]
+        now, controllers, proxies, written, budget = state
+        controllers, proxies = list(controllers), list(proxies)
+        written, budget = list(written), list(budget)
+        kind = event[0]
+        if kind == "write":
+            change = self.scenario.changes[event[1]]
             written[event[1]] = (now, None)
-            core = cores[change.core]
-            cores[change.core] = core._replace(known=_put(core.known, change.item, change.version))
-        elif what == "ack":
+            controller = controllers[change.controller]
+            controllers[change.controller] = controller._replace(
+                known=_with(controller.known, change.item, change.version)
+            )
+        elif kind == "ack":
             written[event[1]] = (written[event[1]][0], now)
-        elif what == "share":
-            here, other = cores[event[1]], cores[1 - event[1]]
-            known = tuple(map(max, here.known, other.known))
-            cores[1 - event[1]] = other._replace(known=known)
-        elif what == "word":
-            core = cores[event[1]]
-            cores[event[1]] = core._replace(words=core.words | {(event[2], core.known[event[2]])})
-        elif what == "core crash":
-            cores[event[1]] = Core(cores[event[1]].known, ((),) * len(sides), frozenset())
-            left[3] -= 1
-        elif what == "deliver":
-            core = cores[event[2]]
-            cores[event[2]] = core._replace(reports=_put(core.reports, event[1], sides[event[1]].said))
-        elif what == "tick":
-            sides = [self._tick(now + 1, side) for side in sides]
-            return (now + 1, tuple(cores), tuple(sides), tuple(written), tuple(left))
+        elif kind == "replicate":
+            source, target = controllers[event[1]], controllers[1 - event[1]]
+            known = tuple(map(max, source.known, target.known))
+            controllers[1 - event[1]] = target._replace(known=known)
+        elif kind == "approve":
+            controller = controllers[event[1]]
+            controllers[event[1]] = controller._replace(
+                approvals=controller.approvals | {(event[2], controller.known[event[2]])}
+            )
+        elif kind == "controller crash":
+            controllers[event[1]] = Controller(controllers[event[1]].known, ((),) * len(proxies), frozenset())
+            budget[3] -= 1
+        elif kind == "deliver report":
+            controller = controllers[event[2]]
+            controllers[event[2]] = controller._replace(
+                reports=_with(controller.reports, event[1], proxies[event[1]].sent_report)
+            )
+        elif kind == "tick":
+            proxies = [self._tick(now + 1, proxy) for proxy in proxies]
+            return (now + 1, tuple(controllers), tuple(proxies), tuple(written), tuple(budget))
         else:
-            sides[event[2] if what == "news" else event[1]] = self._side(now, cores, sides, event, left)
-        return (now, tuple(cores), tuple(sides), tuple(written), tuple(left))
-
-    def _side(self, now: int, cores: list[Core], sides: list[Side], event: Any, left: list[int]) -> Side:
-        what, at = event[0], event[2] if event[0] == "news" else event[1]
-        side: Side = sides[at]._replace(broken="")
-        if what == "news":
-            for item, version in enumerate(cores[event[1]].known):
-                if version > side.known[item]:
-                    side = self._know(now, at, side, item, version)
-            return side
-        if what == "due":
-            chamber = _chamber(side)
-            for one in chamber.activate_due(float(now)):
-                side = self._use(side, one)
-            return side._replace(held=_held(chamber))
-        if what == "go":
-            chamber = _chamber(side)
-            gone = chamber.approve(float(now), _key(event[2]), event[3])
-            if gone is not None:
-                side = self._use(side, gone)
-                if gone.version != event[3]:
-                    side = side._replace(broken=f"word: for r{event[3]}, and r{gone.version} was taken")
-            return side._replace(held=_held(chamber))
-        if what == "say":
-            return side._replace(said=self._report(side))
-        if what == "crash":
-            left[0] -= 1
-            return _started(side.life + 1, self.items, (None, float(LONG_AGO)), side.said, now)
-        left[1] -= what == "stand"
-        left[2] -= what == "cut"
-        status = {"stand": "stands", "cut": "cut"}.get(what, "runs")
-        if what == "cut":
-            side = side._replace(contact=(None, side.contact[1]))
-        return side._replace(status=status, touched=now)
-
-    def _know(self, now: int, at: int, side: Side, item: int, version: int) -> Side:
-        """As `StagedRoutes.receive_route` does it."""
-        kind = next(c.kind for c in self.size.changes if (c.item, c.version) == (item, version))
-        chamber, first = _chamber(side), at == self._first(item, version)
-        behind = _contact(side).is_behind(float(now))
-        before = chamber.held.get(_key(item))
-        one = chamber.receive(float(now), _key(item), version, kind, first, behind)
-        side = side._replace(
-            known=_put(side.known, item, version),
-            since=_put(side.since, item, now),
-            waits=_put(side.waits, item, min(side.waits[item], now)),
-            held=_held(chamber),
+            proxies[event[2] if kind == "deliver update" else event[1]] = self._step_proxy(
+                now, controllers, proxies, event, budget
+            )
+        return (now, tuple(controllers), tuple(proxies), tuple(written), tuple(budget))
+
+    def _step_proxy(
+        self, now: int, controllers: list[Controller], proxies: list[Proxy], event: Any, budget: list[int]
+    ) -> Proxy:
+        kind, at = event[0], event[2] if event[0] == "deliver update" else event[1]
+        proxy: Proxy = proxies[at]._replace(violation="")
+        if kind == "deliver update":
+            for item, version in enumerate(controllers[event[1]].known):
+                if version > proxy.known[item]:
+                    proxy = self._receive(now, at, proxy, item, version)
+            return proxy
+        if kind == "activate due":
+            staged = _activation(proxy)
+            for one in staged.activate_due(float(now)):
+                proxy = self._activate(proxy, one)
+            return proxy._replace(held=_held(staged))
+        if kind == "deliver approval":
+            staged = _activation(proxy)
+            activated = staged.approve(float(now), _key(event[2]), event[3])
+            if activated is not None:
+                proxy = self._activate(proxy, activated)
+                if activated.version != event[3]:
+                    proxy = proxy._replace(violation=f"word: for r{event[3]}, r{activated.version} activated")
+            return proxy._replace(held=_held(staged))
+        if kind == "send report":
+            return proxy._replace(sent_report=self._report(proxy))
+        if kind == "crash":
+            budget[0] -= 1
+            return _started(
+                proxy.incarnation + 1, self.items, (None, float(LONG_AGO)), proxy.sent_report, now
+            )
+        budget[1] -= kind == "suspend"
+        budget[2] -= kind == "disconnect"
+        status = {"suspend": "suspended", "disconnect": "disconnected"}.get(kind, "running")
+        if kind == "disconnect":
+            proxy = proxy._replace(contact=(None, proxy.contact[1]))
+        return proxy._replace(status=status, disturbed_at=now)
+
+    def _receive(self, now: int, at: int, proxy: Proxy, item: int, version: int) -> Proxy:
+        """Receives a version as `StagedRoutes.receive_route` does."""
+        change_kind = next(c.kind for c in self.scenario.changes if (c.item, c.version) == (item, version))
+        staged, canary = _activation(proxy), at == self._canary(item, version)
+        behind = _contact(proxy).is_behind(float(now))
+        before = staged.held.get(_key(item))
+        one = staged.receive(float(now), _key(item), version, change_kind, canary, behind)
+        proxy = proxy._replace(
+            known=_with(proxy.known, item, version),
+            known_since=_with(proxy.known_since, item, now),
+            outdated=_with(proxy.outdated, item, min(proxy.outdated[item], now)),
+            held=_held(staged),
         )
         at_once = one.deadline <= now
         if at_once:
-            side = self._use(side, one)
-        since, looked = side.contact
-        was_behind = since is None or now - since < NEWS or now - looked > GAP
-        staged = kind in STAGED and not first and not was_behind and before is None
-        if at_once and staged:
-            return side._replace(broken="stage skipped: one of the rest took at once what goes in stages")
-        if not at_once and kind not in STAGED:
-            return side._replace(broken="held: what cannot hurt was held back")
+            proxy = self._activate(proxy, one)
+        contact_since, polled_at = proxy.contact
+        was_behind = contact_since is None or now - contact_since < PROPAGATION or now - polled_at > POLL_GAP
+        must_wait = change_kind in STAGED and not canary and not was_behind and before is None
+        if at_once and must_wait:
+            return proxy._replace(violation="stage skipped: activated at once, not at a canary")
+        if not at_once and change_kind not in STAGED:
+            return proxy._replace(violation="held: a change that is not staged was held back")
         if not at_once and was_behind:
-            return side._replace(broken="held: one that was behind held back")
-        return side
+            return proxy._replace(violation="held: a sidecar that was behind held a change back")
+        return proxy
 
-    def _use(self, side: Side, one: ItemActivation) -> Side:
+    def _activate(self, proxy: Proxy, one: ItemActivation) -> Proxy:
         item = int(one.key[1])
-        broken = "" if one.version > side.force[item] else f"back: from {side.force[item]} to {one.version}"
-        waits = NEVER if one.version >= side.known[item] else side.waits[item]
-        return side._replace(
-            force=_put(side.force, item, one.version),
-            waits=_put(side.waits, item, waits),
-            broken=side.broken or broken,
+        violation = "" if one.version > proxy.in_force[item] else f"back: to r{one.version}"
+        outdated = NEVER if one.version >= proxy.known[item] else proxy.outdated[item]
+        return proxy._replace(
+            in_force=_with(proxy.in_force, item, one.version),
+            outdated=_with(proxy.outdated, item, outdated),
+            violation=proxy.violation or violation,
         )
 
-    def _tick(self, now: int, side: Side) -> Side:
-        side = side._replace(broken="")
-        if side.status == "stands":
-            return side._replace(touched=now)
-        contact = _contact(side)
-        contact.poll(float(now), side.status == "runs")
-        touched = now if side.status == "cut" else side.touched
-        return side._replace(contact=(contact._since, contact._polled_at), touched=touched)
+    def _tick(self, now: int, proxy: Proxy) -> Proxy:
+        proxy = proxy._replace(violation="")
+        if proxy.status == "suspended":
+            return proxy._replace(disturbed_at=now)
+        contact = _contact(proxy)
+        contact.poll(float(now), proxy.status == "running")
+        disturbed_at = now if proxy.status == "disconnected" else proxy.disturbed_at
+        return proxy._replace(contact=(contact._since, contact._polled_at), disturbed_at=disturbed_at)
 
-    def _first(self, item: int, version: int) -> int:
-        return (item + version) % self.size.sides
+    def _canary(self, item: int, version: int) -> int:
+        return (item + version) % self.scenario.proxies
 
-    def _report(self, side: Side) -> tuple[Any, ...]:
-        return (side.life, side.known, tuple((item, version) for item, version, _, _ in side.held))
+    def _report(self, proxy: Proxy) -> tuple[Any, ...]:
+        return (proxy.incarnation, proxy.known, tuple((item, version) for item, version, _, _ in proxy.held))
 
-    def _may_say(self, core: Core, item: int, now: int) -> bool:
-        version = core.known[item]
-        if not version or (item, version) in core.words:
+    def _may_approve(self, controller: Controller, item: int, now: int) -> bool:
+        version = controller.known[item]
+        if not version or (item, version) in controller.approvals:
             return False
-        return self._confirmed(core.reports[self._first(item, version)], item, version)
+        return self._confirmed(controller.reports[self._canary(item, version)], item, version)
 
-    def _confirmed(self, told: tuple[Any, ...], item: int, version: int) -> bool:
-        if not told:
+    def _confirmed(self, sent_report: tuple[Any, ...], item: int, version: int) -> bool:
+        if not sent_report:
             return False
-        _, known, held = told
+        _, known, held = sent_report
         report = RolloutReport(
             {f"i{at}": number for at, number in enumerate(known)}, {_key(at): v for at, v in held}, 0, ()
         )
         return report.confirms(Item("route", str(item), version, {}, f"i{item}", version))
 
-    # What must hold
+    # Properties
 
     def violations(self, before: State | None, event: Any, after: State) -> Iterable[Violation]:
-        now, cores, sides, written, _ = after
-        for at, side in enumerate(sides):
-            if side.broken:
-                yield Violation(side.broken.partition(":")[0], f"sidecar {at}: {side.broken}")
-            for change, (_, acked) in zip(self.size.changes, written, strict=True):
-                late = acked is not None and now > acked + SETTLE and side.touched < acked - CONTACT
-                if late and side.force[change.item] < change.version:
-                    yield Violation(
-                        "settles", f"sidecar {at} lacks {change} in force, acknowledged at {acked}"
-                    )
-            for item, waits in enumerate(side.waits):
-                if side.touched < waits and now > waits + HOLD:
-                    yield Violation("hold", f"sidecar {at} has known better of {item} since {waits}")
+        now, controllers, proxies, written, _ = after
+        for at, proxy in enumerate(proxies):
+            if proxy.violation:
+                yield Violation(proxy.violation.partition(":")[0], f"sidecar {at}: {proxy.violation}")
+            for change, (_, acked) in zip(self.scenario.changes, written, strict=True):
+                late = acked is not None and now > acked + SETTLE and proxy.disturbed_at < acked - CONTACT
+                if late and proxy.in_force[change.item] < change.version:
+                    yield Violation("settles", f"sidecar {at} lacks {change}, acknowledged at {acked}")
+            for item, received in enumerate(proxy.outdated):
+                if proxy.disturbed_at < received and now > received + HOLD:
+                    yield Violation("hold", f"sidecar {at} holds {item} back since {received}")
             for item in range(self.items):
-                for core in cores:
-                    told, version = core.reports[at], core.known[item]
-                    if told and told[0] == side.life and version and self._confirmed(told, item, version):
-                        if side.force[item] < version:
-                            yield Violation("confirms", f"sidecar {at} confirms {item} r{version} in vain")
-                for other in sides:
-                    newer = VersionCheck(float(SETTLE + ACK))
+                for controller in controllers:
+                    report, version = controller.reports[at], controller.known[item]
+                    if (
+                        report
+                        and report[0] == proxy.incarnation
+                        and version
+                        and self._confirmed(report, item, version)
+                    ):
+                        if proxy.in_force[item] < version:
+                            yield Violation("confirms", f"sidecar {at} confirms {item} r{version} early")
+                for other in proxies:
+                    version_check = VersionCheck(float(SETTLE + ACK))
                     if other.known[item]:
-                        newer.note(float(other.since[item]), str(item), other.known[item])
-                    if side.touched < other.since[item] - CONTACT:
-                        if newer.outdated(float(now), str(item), side.force[item], 0.0):
-                            yield Violation("turned away", f"calls of sidecar {at} by {item}, in touch")
+                        version_check.note(float(other.known_since[item]), str(item), other.known[item])
+                    if proxy.disturbed_at < other.known_since[item] - CONTACT:
+                        if version_check.outdated(float(now), str(item), proxy.in_force[item], 0.0):
+                            yield Violation("turned away", f"calls of sidecar {at} by {item}, in contact")
 
 
 def _started(
-    life: int, items: int, contact: tuple[float | None, float], said: tuple[Any, ...], now: int
-) -> Side:
+    incarnation: int, items: int, contact: tuple[float | None, float], sent: tuple[Any, ...], now: int
+) -> Proxy:
     none = (0,) * items
-    return Side("runs", life, none, none, (LONG_AGO,) * items, (NEVER,) * items, (), contact, said, now, "")
+    return Proxy(
+        "running", incarnation, none, none, (LONG_AGO,) * items, (NEVER,) * items, (), contact, sent, now, ""
+    )
 
 
-def _put(values: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
+def _with(values: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
     return (*values[:at], value, *values[at + 1 :])
 
 
@@ -330,41 +349,49 @@
     return ("route", str(item))
 
 
-def _chamber(side: Side) -> StagedActivation:
-    chamber = StagedActivation(float(HOLD))
-    for item, version, latest, known in side.held:
-        one = ItemActivation(_key(item), version, ChangeKind.MOVED, False, float(known), float(latest), "")
-        chamber.held[one.key] = one
-    return chamber
+def _activation(proxy: Proxy) -> StagedActivation:
+    staged = StagedActivation(float(HOLD))
+    for item, version, deadline, known in proxy.held:
+        one = ItemActivation(_key(item), version, ChangeKind.MOVED, False, float(known), float(deadline), "")
+        staged.held[one.key] = one
+    return staged
 
 
-def _held(chamber: StagedActivation) -> tuple[tuple[int, int, int, int], ...]:
+def _held(staged: StagedActivation) -> tuple[tuple[int, int, int, int], ...]:
     return tuple(
-        (int(one.key[1]), one.version, int(one.deadline), int(one.known_at)) for one in chamber.held.values()
+        (int(one.key[1]), one.version, int(one.deadline), int(one.known_at)) for one in staged.held.values()
     )
 
 
-def _contact(side: Side) -> UpdateContact:
-    contact = UpdateContact(float(NEWS), GAP)
-    contact._since, contact._polled_at = side.contact
+def _contact(proxy: Proxy) -> UpdateContact:
+    contact = UpdateContact(float(PROPAGATION), POLL_GAP)
+    contact._since, contact._polled_at = proxy.contact
     return contact
 
 
-SIZES = {
-    "two operators": Size((Change(0, 2, ChangeKind.MOVED, 0), Change(0, 4, ChangeKind.MOVED, 1, 1))),
-    "a change and its drop": Size(
+SCENARIOS = {
+    "two operators": Scenario((Change(0, 2, ChangeKind.MOVED, 0), Change(0, 4, ChangeKind.MOVED, 1, 1))),
+    "a change and its drop": Scenario(
         (Change(0, 2, ChangeKind.MOVED, 0), Change(0, 4, ChangeKind.DROPPED, 0, 1))
     ),
-    "two items": Size((Change(0, 2, ChangeKind.MOVED, 0), Change(1, 2, ChangeKind.BOUNDED, 1))),
-    "a crash": Size((Change(0, 2, ChangeKind.MOVED, 0),), crashes=1, core_crashes=1, holders=2, until=5),
-    "a stand-still": Size((Change(0, 2, ChangeKind.MOVED, 0),), stands=1),
-    "a cut": Size((Change(0, 2, ChangeKind.MOVED, 0),), cuts=1),
+    "two items": Scenario((Change(0, 2, ChangeKind.MOVED, 0), Change(1, 2, ChangeKind.BOUNDED, 1))),
+    "a crash": Scenario(
+        (Change(0, 2, ChangeKind.MOVED, 0),), crashes=1, controller_crashes=1, approvers=2, until=5
+    ),
+    "a stand-still": Scenario((Change(0, 2, ChangeKind.MOVED, 0),), suspensions=1),
+    "a cut": Scenario((Change(0, 2, ChangeKind.MOVED, 0),), partitions=1),
 }
-LARGE = {
-    "three sidecars, two operators, a crash": Size(
-        (Change(0, 2, ChangeKind.MOVED, 0), Change(0, 4, ChangeKind.MOVED, 1, 1)), sides=3, crashes=1, until=6
+LARGE_SCENARIOS = {
+    "three sidecars, two operators, a crash": Scenario(
+        (Change(0, 2, ChangeKind.MOVED, 0), Change(0, 4, ChangeKind.MOVED, 1, 1)),
+        proxies=3,
+        crashes=1,
+        until=6,
     ),
-    "three sidecars, two items, a stand-still": Size(
-        (Change(0, 2, ChangeKind.MOVED, 0), Change(1, 2, ChangeKind.BOUNDED, 1)), sides=3, stands=1, until=6
+    "three sidecars, two items, a stand-still": Scenario(
+        (Change(0, 2, ChangeKind.MOVED, 0), Change(1, 2, ChangeKind.BOUNDED, 1)),
+        proxies=3,
+        suspensions=1,
+        until=6,
     ),
 }
