--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,8 +3,10 @@
 For a search with other ones: `python -m pytest --hypothesis-profile=search`.
 """
 
+import gc
 import os
 
+import pytest
 from hypothesis import HealthCheck, settings
 from known_red import pytest_addoption as pytest_addoption
 from known_red import pytest_configure as pytest_configure
@@ -18,3 +20,16 @@
 )
 settings.register_profile("search", derandomize=False, max_examples=2000)
 settings.load_profile("same")
+
+
+def pytest_collection_finish() -> None:
+    """Exempts the collected tests from garbage collection, as they live until the end."""
+    gc.collect()
+    gc.freeze()
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_runtest_setup() -> None:
+    """Collects the garbage of the tests before: a full collection of their objects stops the process for some
+    hundred ms, and a request that waits in real time may be refused after 90 ms."""
+    gc.collect()
