--- a/anisestair/configure/__init__.py
+++ b/anisestair/configure/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration of sidecars: reading, checks, generation from descriptions, and trials."""
--- a/anisestair/configure/derive.py
+++ b/anisestair/configure/derive.py
@@ -62,10 +62,12 @@
 
     @property
     def platform_text(self) -> str:
+        """The platform's file. Raises ValueError for a value that JSON lacks, such as NaN."""
         return json.dumps(self.platform, indent=2, ensure_ascii=False, allow_nan=False) + "\n"
 
     @property
     def operator_text(self) -> str:
+        """The operator's file; just a comment if the application needs none."""
         if self.operator is None:
             return "# The application uses HTTP only: no optional feature is enabled.\n"
         return to_toml(self.operator)
--- a/anisestair/configure/description.py
+++ b/anisestair/configure/description.py
@@ -131,6 +131,7 @@
 
     @property
     def speaks_rpc(self) -> bool:
+        """Whether the application calls over MessagePack-RPC."""
         return "rpc" in self.protocols
 
 
--- a/anisestair/configure/judge_app.py
+++ b/anisestair/configure/judge_app.py
@@ -48,6 +48,7 @@
     environment: Document | None = None
 
     def document(self, role: Role) -> Document | None:
+        """The file with this role."""
         return {
             Role.PLATFORM: self.platform,
             Role.OPERATOR: self.operator,
@@ -68,6 +69,7 @@
 
     @property
     def errors(self) -> list[Finding]:
+        """The findings that are errors, not warnings."""
         return [item for item in self.findings if item.severity is Severity.ERROR]
 
 
--- a/anisestair/configure/trial.py
+++ b/anisestair/configure/trial.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 MAX_SECONDS = 120.0
-# Calls a second over all kinds: fewer show nothing in 10 s, more would load the simulated servers.
+# Calls a second over all kinds: fewer show nothing in 10 s, more would measure the simulated servers.
 MIN_RATE, MAX_RATE = 30.0, 200.0
 MAX_SERVERS, MIN_SERVERS = 8, 3
 # Seeded faults of the servers throughout the trial: each kind that a sidecar has to distinguish.
--- a/benchmarks/configure.py
+++ b/benchmarks/configure.py
@@ -52,6 +52,7 @@
 
 
 def main() -> None:
+    """Runs the measurement and prints its results as one line of JSON."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/tests/config_corpus.py
+++ b/tests/config_corpus.py
@@ -314,14 +314,14 @@
     yield stall.invalid("classes not a list", "refused-start", CLASSES, {"sale": 1})
     yield stall.invalid("no classes", "refused-start", CLASSES, [])
     yield stall.invalid("limits not an object", "wrong-type", LIMITS, [1])
-    yield stall.invalid("a class that is a string", "wrong-type", (*CLASSES, 0), "sale")
-    yield stall.invalid("a number as class name", "wrong-type", (*CLASSES, 0, "name"), 7)
+    yield stall.invalid("class that is a string", "wrong-type", (*CLASSES, 0), "sale")
+    yield stall.invalid("number as class name", "wrong-type", (*CLASSES, 0, "name"), 7)
     for name in ("name", "promise-ms", "give-up-ms"):
         yield stall.invalid(
-            f"no {name} of a class", "refused-start", (*CLASSES, 0, name), REMOVED, reported=(*CLASSES, 0)
+            f"class without {name}", "refused-start", (*CLASSES, 0, name), REMOVED, reported=(*CLASSES, 0)
         )
     yield stall.invalid("seed not a number", "refused-start", ("seed",), "xyz")
-    yield stall.invalid("a listen address without a port", "refused-start", ("listen",), "127.0.0.1")
+    yield stall.invalid("listen address without a port", "refused-start", ("listen",), "127.0.0.1")
     yield stall.invalid("discovery at port 0", "refused-start", ("discovery",), "127.0.0.1:0")
     yield stall.invalid("known not an object", "refused-start", ("known",), [])
     yield stall.invalid(
@@ -331,7 +331,7 @@
         old = _field_text(stall, (*CLASSES, 0, name))
         twice = f'{old},\n      "{name}": {json.dumps(value_at(stall.platform, (*CLASSES, 0, name)))}'
         found = stall.with_text(
-            f"{name} twice", "duplicate-key", Role.PLATFORM, (*CLASSES, 0, name), old, twice
+            f"duplicate {name}", "duplicate-key", Role.PLATFORM, (*CLASSES, 0, name), old, twice
         )
         yield Case(found.name, found.rule, found.role, found.path, found.line + 1, found.files)
 
@@ -339,38 +339,38 @@
 def _platform_rule_cases(stall: CaseMaker, window: CaseMaker) -> Iterator[Case]:
     sale, listing = (*CLASSES, 0), (*CLASSES, 1)
     for with_app in (True, False):
-        beside = "" if with_app else " alone"
+        suffix = "" if with_app else ", no description"
         for effect in ("free", "guarded"):
             yield stall.invalid(
-                f"sale {effect}{beside}", "sale-repeats", (*sale, "idempotency"), effect, with_app=with_app
+                f"sale {effect}{suffix}", "sale-repeats", (*sale, "idempotency"), effect, with_app=with_app
             )
         yield stall.invalid(
-            f"drain grace of 5 s{beside}", "drain", (*RULES, "drain-grace-ms"), 5000.0, with_app=with_app
+            f"drain grace of 5 s{suffix}", "drain", (*RULES, "drain-grace-ms"), 5000.0, with_app=with_app
         )
         yield stall.invalid(
-            f"no start-up limit{beside}", "cold-start", (*RULES, "cold-ms"), REMOVED, with_app=with_app
+            f"no start-up limit{suffix}", "cold-start", (*RULES, "cold-ms"), REMOVED, with_app=with_app
         )
         yield stall.invalid(
-            f"start-up limit 0{beside}", "cold-start", (*RULES, "cold-ms"), 0, with_app=with_app
+            f"start-up limit 0{suffix}", "cold-start", (*RULES, "cold-ms"), 0, with_app=with_app
         )
         yield stall.invalid(
-            f"start with the full share{beside}", "cold-start", (*RULES, "cold-from"), 1.0, with_app=with_app
+            f"start with the full share{suffix}", "cold-start", (*RULES, "cold-from"), 1.0, with_app=with_app
         )
         yield stall.invalid(
-            f"queries itself{beside}", "drain", ("discovery",), stall.platform["listen"], with_app=with_app
+            f"queries itself{suffix}", "drain", ("discovery",), stall.platform["listen"], with_app=with_app
         )
         yield stall.invalid(
-            f"promise after give-up{beside}", "time-outs", (*sale, "promise-ms"), 1300.0, with_app=with_app
+            f"promise after give-up{suffix}", "time-outs", (*sale, "promise-ms"), 1300.0, with_app=with_app
         )
         yield stall.invalid(
-            f"connect timeout as long as a call{beside}",
+            f"connect timeout as long as a call{suffix}",
             "time-outs",
             (*LIMITS, "connect-timeout-ms"),
             1200.0,
             with_app=with_app,
         )
         yield stall.invalid(
-            f"a tick of 150 ms{beside}", "time-outs", ("settings", "tick-ms"), 150.0, with_app=with_app
+            f"tick of 150 ms{suffix}", "time-outs", ("settings", "tick-ms"), 150.0, with_app=with_app
         )
     yield stall.invalid("listing free", "keyed-window", (*listing, "idempotency"), "free")
     yield stall.invalid("window longer than key memory", "keyed-window", (*listing, "window-ms"), 60_000.0)
