--- a/anisestair/configure/known_fields.py
+++ b/anisestair/configure/known_fields.py
@@ -30,10 +30,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Text:
-    """A string; ``values`` are the allowed ones, empty for any."""
+class String:
+    """A string; ``allowed``: the allowed values, empty for any."""
 
-    values: tuple[str, ...] = ()
+    allowed: tuple[str, ...] = ()
 
 
 class Flag:
@@ -44,7 +44,7 @@
     """A field that is checked elsewhere or not used by sidecars."""
 
 
-Field = Number | Text | Flag | Unchecked
+Field = Number | String | Flag | Unchecked
 UNCHECKED, FLAG = Unchecked(), Flag()
 
 
@@ -56,11 +56,11 @@
 SHARE = Number(0.0, 1.0, unit="a share")
 UNITLESS = Number(unit="a plain number")
 TOP_LEVEL: dict[str, Field] = {
-    "name": Text(),
-    "listen": Text(),
-    "discovery": Text(),
-    "mgmt": Text(),
-    "seed": Text(),
+    "name": String(),
+    "listen": String(),
+    "discovery": String(),
+    "mgmt": String(),
+    "seed": String(),
     "limits": UNCHECKED,
     "known": UNCHECKED,
     "settings": UNCHECKED,
@@ -73,13 +73,13 @@
 # Plausible ranges are wide: they detect seconds or microseconds in place of milliseconds, not unsuitable
 # values. A service that really promises an answer within 4 ms would be reported wrongly.
 CLASS: dict[str, Field] = {
-    "name": Text(),
+    "name": String(),
     "promise-ms": milliseconds(5, 600_000),
     "give-up-ms": milliseconds(10, 600_000),
     "importance": UNITLESS,
     "late-share": SHARE,
-    "idempotency": Text(("free", "guarded", "single_shot")),
-    "key-scope": Text(("all", "zone", "cell")),
+    "idempotency": String(("free", "guarded", "single_shot")),
+    "key-scope": String(("all", "zone", "cell")),
     "window-ms": milliseconds(50, 86_400_000),
     "stream": FLAG,
 }
@@ -87,13 +87,13 @@
     "classes": UNCHECKED,
     "limits": UNCHECKED,
     "rules": UNCHECKED,
-    "discovery": Text(("ask", "push")),
+    "discovery": String(("ask", "push")),
     "peers-total": Number(1, 1_000_000, integer=True, unit="sidecars"),
     "me": Number(0, 999_999, integer=True),
-    "locality": Text(),
+    "locality": String(),
     "tick-ms": milliseconds(0.05, 200),
-    "weight-source": Text(),
-    "worth-by": Text(),
+    "weight-source": String(),
+    "worth-by": String(),
 }
 for _name in (
     *("callers", "family-info", "kind-of-service", "kinds", "layer", "over-share-worth", "report"),
@@ -221,7 +221,7 @@
             consequence,
             "write true or false",
         )
-    if isinstance(field, Text):
+    if isinstance(field, String):
         if not isinstance(value, str):
             return error(
                 "wrong-type",
@@ -231,8 +231,8 @@
                 START_REFUSED,
                 "write a string in quotes",
             )
-        if field.values and value not in field.values:
-            nearest_name = nearest(value, list(field.values)) or " or ".join(map(repr, field.values))
+        if field.allowed and value not in field.allowed:
+            nearest_name = nearest(value, list(field.allowed)) or " or ".join(map(repr, field.allowed))
             message = f"unknown value {_shortened(value)}"
             consequence = "the sidecar uses a different value than intended, or refuses to start"
             return error("unknown-value", ROLE, path, message, consequence, f"write {nearest_name}")
