--- a/anisestair/states/__init__.py
+++ b/anisestair/states/__init__.py
@@ -1,2 +1,2 @@
-"""Models of the lives in `anisestair.lifecycle`, for the checker: the machines themselves, closed by all that
-can happen to them. Nothing of this is loaded by a running sidecar."""
+"""Models for the state checker: the state machines of `anisestair.lifecycle` with an environment in which
+anything may happen, the takeover between processes, and the storm detection. A serving sidecar loads none."""
--- a/anisestair/states/takeover.py
+++ b/anisestair/states/takeover.py
@@ -74,8 +74,8 @@
 
 
 class Takeover(Model):
-    """A state is a tuple of processes, the oldest first. With ``slow_disk`` a record is written at any time
-    after it was published, else at once."""
+    """A state is a tuple of processes, the oldest first: `shares` knows a process by its position plus one.
+    With ``slow_disk`` a record is written at any time after it was published, else at once."""
 
     name = NAME
 
--- a/anisestair/states/world.py
+++ b/anisestair/states/world.py
@@ -60,7 +60,7 @@
     list_changes: int  # of the endpoint list: drains, removals, returns, restarts
     ticks: int = 0  # instants that are distinguished; only the window of a keyed class requires any
     max_connections: int = 99  # 99: never reached
-    second_copies: bool = False
+    second_copies: bool = False  # two attempts of a request may be in flight at once
     partial_writes: bool = True  # the kernel may accept only part of a request
     may_cancel: bool = True
     clients_leave: bool = True
@@ -163,17 +163,26 @@
         connection_by_call: dict[Call, int] = {}
         idle_order = []
         shared, joinable = self.scenario.calls_per_connection > 1, []
-        for number, (rank, line, stage, server, incarnation, calls, unsent, actual) in enumerate(rows, 1):
+        for number, (
+            idle_position,
+            joinable_position,
+            stage,
+            server,
+            incarnation,
+            calls,
+            unsent,
+            actual,
+        ) in enumerate(rows, 1):
             lives.connections[number] = Connection(
                 CONNECTION_STAGES[stage], f"s{server}", incarnation, calls, unsent, shared
             )
-            if line >= 0:
-                joinable.append((line, number, f"s{server}"))
+            if joinable_position >= 0:
+                joinable.append((joinable_position, number, f"s{server}"))
             self.actual_connections[number] = ActualConnection(*actual)
             for call in calls:
                 connection_by_call[call] = number
-            if rank >= 0:
-                idle_order.append((rank, number, f"s{server}"))
+            if idle_position >= 0:
+                idle_order.append((idle_position, number, f"s{server}"))
         for _, number, name in sorted(idle_order):
             lives.idle[number] = None
             lives.idle_at[name] = (*lives.idle_at.get(name, ()), number)
@@ -243,10 +252,10 @@
             self.add_violation(props.ABANDONED_ALONE)
         if actual.reported or closed != (request in self.settled):
             self.add_violation(props.REPORTED_ONCE)
-        never = outcome in NEVER_RAN
-        if never and actual.fully_sent:
+        never_ran = outcome in NEVER_RAN
+        if never_ran and actual.fully_sent:
             self.add_violation(props.REPORTED_TRUTHFULLY)
-        self.actual_attempts[request][number] = actual._replace(reported=2 if never else 1)
+        self.actual_attempts[request][number] = actual._replace(reported=2 if never_ran else 1)
         if closed:
             self.cancel_open_attempts(request)
 
@@ -307,16 +316,18 @@
         if actual_attempts[number].written_at >= 0:
             self.add_violation(props.WRITTEN_ONCE)
         klass = self.model.klass[request]
-        ran = [
+        executed = [
             item for position, item in enumerate(actual_attempts) if item.fully_sent and position != number
         ]
-        if ran and klass.effect is Effect.UNSAFE:
+        if executed and klass.effect is Effect.UNSAFE:
             self.add_violation(props.NO_DUPLICATE_EXECUTION)
-        if ran and klass.effect is Effect.KEYED:
+        if executed and klass.effect is Effect.KEYED:
             cells = self.scenario.cells
-            if any(cells[item.server] != cells[server] for item in ran):
+            if any(cells[item.server] != cells[server] for item in executed):
                 self.add_violation(props.RETRY_WITHIN_GROUP)
-            if (self.tick - min(item.written_at for item in ran)) * self.model.ms_per_unit > klass.window_ms:
+            if (
+                self.tick - min(item.written_at for item in executed)
+            ) * self.model.ms_per_unit > klass.window_ms:
                 self.add_violation(props.RETRY_WITHIN_WINDOW)
         partial, self.hold_back_next = self.hold_back_next or actual.held_back > 0, False
         actual_attempts[number] = actual_attempts[number]._replace(
@@ -605,8 +616,8 @@
                 )
                 parts.append((exchange.owed, attempts_made))
         parts.append(tuple(self.server_states))
-        rank = {number: position for position, number in enumerate(lives.idle)}
-        line = {
+        idle_positions = {number: position for position, number in enumerate(lives.idle)}
+        joinable_positions = {
             number: position for numbers in lives.lines.values() for position, number in enumerate(numbers)
         }
         rows: list[tuple[Any, ...]] = []
@@ -636,8 +647,8 @@
                 continue
             rows.append(
                 (
-                    rank.get(number, -1),
-                    line.get(number, -1),
+                    idle_positions.get(number, -1),
+                    joinable_positions.get(number, -1),
                     int(item.stage),
                     server,
                     int(fresh),
@@ -672,7 +683,10 @@
     """The model of one scenario.
 
     A state consists of one part for each request, the states of the servers, the connections, the tick with
-    the number of list changes left, and the violations found.
+    the number of list changes left, and the violations found. The row of a connection consists of its
+    positions among the idle and among the joinable ones (-1: none), its stage, its server, whether it leads
+    to the current incarnation as the state machines know it, its calls, how many of them are unsent, and its
+    actual state. ``ms_per_unit`` is the length of the unit in which ticks are counted.
     """
 
     def __init__(
@@ -863,7 +877,7 @@
 
         renamed_rows = []
         for row in rows:
-            rank, line, stage, server, fresh, calls, unsent, actual = row
+            idle_position, joinable_position, stage, server, fresh, calls, unsent, actual = row
             if stage != connections.Stage.SPENT:
                 (
                     held_back,
@@ -883,7 +897,16 @@
                     renamed(expected_call),
                     opened_before_tick,
                 )
-                row = (rank, line, stage, servers[server], fresh, tuple(map(renamed, calls)), unsent, actual)
+                row = (
+                    idle_position,
+                    joinable_position,
+                    stage,
+                    servers[server],
+                    fresh,
+                    tuple(map(renamed, calls)),
+                    unsent,
+                    actual,
+                )
             renamed_rows.append(row)
         return tuple(sorted(renamed_rows))
 
--- a/anisestair/storms/advice.py
+++ b/anisestair/storms/advice.py
@@ -1,8 +1,8 @@
 """The retry delay of refused requests while a storm forms, lasts or recedes. No I/O.
 
 Clients that are refused at the same time and given the same delay return at the same time. Outside the calm
-state the balancer's delay is therefore multiplied by a random factor for each client. The delay is not
-increased on average: assigning clients successive return times, and doubling the delay of retries, both
+state each sidecar therefore multiplies the balancer's delay by a random factor for each client. The delay is
+not increased on average: assigning clients successive return times, and doubling the delay of retries, both
 lowered the objective in simulations, since clients that return later have less time left and are served late
 or not at all (docs/design/storms.md).
 
--- a/anisestair/storms/watch.py
+++ b/anisestair/storms/watch.py
@@ -54,7 +54,7 @@
         """Observe that a connection to a server is being opened."""
         self.monitor.observe_connect(now)
 
-    # The lab calls older revisions of this class too, so it uses their names for these methods.
+    # The lab also runs older revisions of this class, so its name and these method names must stay.
     told = observe_event
     said = adjust_action
     opened = observe_connect
