--- a/benchmarks/shutdown_plays.py
+++ b/benchmarks/shutdown_plays.py
@@ -1,9 +1,9 @@
-"""Drawn plays of two sidecars of which one or both are told to end, in virtual time.
+"""Simulated shutdowns of one or both of two sidecars in virtual time, by randomly drawn plans.
 
     python -m benchmarks.shutdown_plays [--plays 20] [--from 0] [--at-once 1] [--seconds 3600] [--out FILE]
 
-Of an even seed links are reset, too. Prints what was broken, and the total as JSON last. Ends with 1 where a
-rule was broken.
+With even seeds links are reset, too. Prints each violation, and the totals as JSON last. The exit code is 1
+if a rule was violated.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from collections import Counter
 
 from benchmarks.drawn_plays import Played, arguments, run, timed
-from rigs.shutdown_world import draw, play
+from rigs.shutdown_world import draw_plan, run_plan
 
-LONG_END_S = 5.0  # an end that waited for something to the last
+LONG_SHUTDOWN_S = 5.0  # only a wait until the end of the grace takes longer
 
 
-def _play(seed: int) -> tuple[list[str], Counter[str]]:
-    result = play(draw(seed, troubles=seed % 2 == 0))
+def _run_seed(seed: int) -> tuple[list[str], Counter[str]]:
+    result = run_plan(draw_plan(seed, troubles=seed % 2 == 0))
     counts = Counter(
         {
-            "requests": result.sent,
+            "requests": result.requests,
             "answered": result.answered,
             "refused": result.refused,
             "failed": result.failed,
-            "crossed a close": result.crossed,
+            "crossed a close": result.crossed_close,
             "excused": result.excused,
-            "long ends": int(result.took_s > LONG_END_S),
+            "long ends": int(result.shutdown_s > LONG_SHUTDOWN_S),
         }
     )
-    return [f"{one.rule} {one.attempt}: {one.told}" for one in result.findings], counts
+    return [f"{finding.rule} {finding.attempt}: {finding.evidence}" for finding in result.findings], counts
 
 
 def one(seed: int) -> Played:
-    """Runs in a process of the pool."""
-    return timed(seed, _play)
+    """Runs one seed, in a process of the pool."""
+    return timed(seed, _run_seed)
 
 
 if __name__ == "__main__":
--- a/rigs/shutdown_world/__init__.py
+++ b/rigs/shutdown_world/__init__.py
@@ -1,8 +1,8 @@
-"""Two whole sidecars in virtual time, with clients and upstreams, while one or both are told to end."""
+"""Simulation of two sidecars with clients and upstreams in virtual time, while one or both shut down."""
 
 from rigs.shutdown_world.clock import SkippingLoop
 from rigs.shutdown_world.judgement import Finding
-from rigs.shutdown_world.plan import Plan, draw
-from rigs.shutdown_world.world import Result, play
+from rigs.shutdown_world.plan import Plan, draw_plan
+from rigs.shutdown_world.world import Result, run_plan
 
-__all__ = ["Finding", "Plan", "Result", "SkippingLoop", "draw", "play"]
+__all__ = ["Finding", "Plan", "Result", "SkippingLoop", "draw_plan", "run_plan"]
--- a/rigs/shutdown_world/clock.py
+++ b/rigs/shutdown_world/clock.py
@@ -1,5 +1,5 @@
-"""A loop on real sockets in virtual time: its clock skips what would be waited for, and nothing else moves
-it. A play goes much the same way each time, and as fast as its work."""
+"""An event loop on real sockets in virtual time: its clock skips every wait and does not move otherwise. Runs
+are nearly reproducible, and take only the time of their computations."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 import selectors
 from typing import Any
 
-LOOKS = 3  # at the sockets, before the clock moves: loopback delivers at once, but not in the same call
-BEGINS_S = 1000.0
-ROUND_S = 0.00002  # what a round of the loop takes
+POLLS = 3  # of the sockets before the clock moves: loopback delivers at once, but not in the same call
+START_S = 1000.0
+ITERATION_S = 0.00002  # by which each iteration of the loop advances the clock
 
 
-class _Skipping(selectors.DefaultSelector):
-    """Does not wait: ``now`` moves on by what would have been waited for, in seconds."""
+class _SkippingSelector(selectors.DefaultSelector):
+    """A selector that does not wait: it advances ``now`` by the timeout, in seconds."""
 
-    now = BEGINS_S
+    now = START_S
 
     def select(self, timeout: float | None = None) -> Any:
-        """The events that are there now, or none and the clock has moved on."""
-        self.now += ROUND_S
-        for _ in range(LOOKS):
+        """Returns the events that are ready, or advances the clock and returns none."""
+        self.now += ITERATION_S
+        for _ in range(POLLS):
             events = super().select(0)
             if events:
                 return sorted(events, key=lambda event: event[0].fd)
         if timeout is None:
-            raise RuntimeError("nothing is due and nothing can come")
+            raise RuntimeError("no timer is set and no socket is ready: the loop would block for ever")
         self.now += max(timeout, 0.0)
         return []
 
 
 class SkippingLoop(asyncio.SelectorEventLoop):
-    """Its clock is virtual."""
+    """An event loop with a virtual clock."""
 
     def __init__(self) -> None:
-        """Begins at BEGINS_S."""
-        self._skipping = _Skipping()
-        super().__init__(self._skipping)
+        """Starts the clock at START_S."""
+        self._skipping_selector = _SkippingSelector()
+        super().__init__(self._skipping_selector)
 
     def time(self) -> float:
-        """Seconds, steady."""
-        return self._skipping.now
+        """The virtual time in seconds."""
+        return self._skipping_selector.now
--- a/rigs/shutdown_world/plan.py
+++ b/rigs/shutdown_world/plan.py
@@ -1,4 +1,4 @@
-"""What a play consists of, drawn from a seed: clients, when each sidecar is told to end, and the troubles."""
+"""The plan of a run, drawn from a seed: clients, the shutdown of each sidecar, and faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 GRACE_S = 6.0
 NEVER = float("inf")
-LATEST_WORK_S = 2.4  # of an upstream on one request; rare
+MAX_WORK_S = 2.4  # of an upstream on one request
 
 
 class Kind(Enum):
@@ -22,8 +22,7 @@
 
 
 class ClientPlan(Struct, frozen=True):
-    """One client. ``pause_s``: the longest rest between two of its turns; ``ahead``: the most requests that
-    it sends in one turn."""
+    """One client. ``pause_s``: the longest pause between two batches; ``ahead``: the largest batch."""
 
     kind: Kind
     pause_s: float
@@ -31,39 +30,45 @@
 
 
 class Plan(Struct, frozen=True):
-    """One play; instants are seconds from its start. NEVER is what does not happen."""
+    """One run; times are seconds from its start, and NEVER stands for events that do not happen."""
 
     seed: int
     clients: tuple[ClientPlan, ...]
-    first_ends_s: float  # SIGTERM of the sidecar that takes the requests
-    second_ends_s: float  # and of the one beside the other upstream
-    clients_stop_s: float  # the platform sends no more work to the first
+    first_ends_s: float  # SIGTERM of the sidecar that the clients use
+    second_ends_s: float  # and of the other one
+    clients_stop_s: float  # when the platform routes no more requests to the first sidecar
     delay_s: float  # from a client to its sidecar, one way
-    news_s: float  # until one sidecar knows what the other says of its upstream
-    hups_s: tuple[float, ...] = ()  # the first's settings change
+    news_s: float  # until a sidecar has the other's membership items
+    hups_s: tuple[float, ...] = ()  # the first sidecar reloads changed settings
     changes_s: tuple[float, ...] = ()  # the configuration changes
-    resets_s: tuple[float, ...] = ()  # all links between the two are reset
+    resets_s: tuple[float, ...] = ()  # all links between the sidecars are reset
 
 
-def draw(seed: int, troubles: bool = False) -> Plan:
-    """The play of a seed. ``troubles``: links are reset, too, which no plan of the operators brings."""
-    choose = random.Random(seed)
-    first = choose.uniform(0.3, 2.0)
-    second = choose.choice((NEVER, NEVER, choose.uniform(0.0, 6.0)))
-    told = choose.choice((True, False))  # with most of the zone ending, the platform goes on sending work
+def draw_plan(seed: int, troubles: bool = False) -> Plan:
+    """Draws the plan of a seed. ``troubles``: with link resets, which do not occur without faults."""
+    random_source = random.Random(seed)
+    first = random_source.uniform(0.3, 2.0)
+    second = random_source.choice((NEVER, NEVER, random_source.uniform(0.0, 6.0)))
+    stops_clients = random_source.choice((True, False))  # not if most of the zone shuts down
     clients = tuple(
-        ClientPlan(choose.choice(tuple(Kind)), choose.choice((0.02, 0.3, 2.5)), choose.randint(2, 4))
-        for _ in range(choose.randint(4, 14))
+        ClientPlan(
+            random_source.choice(tuple(Kind)),
+            random_source.choice((0.02, 0.3, 2.5)),
+            random_source.randint(2, 4),
+        )
+        for _ in range(random_source.randint(4, 14))
     )
     return Plan(
         seed=seed,
         clients=clients,
         first_ends_s=first,
         second_ends_s=second,
-        clients_stop_s=first + choose.uniform(1.0, 2.1) if told else NEVER,
-        delay_s=choose.choice((0.0005, 0.008, 0.03)),
-        news_s=choose.choice((0.02, 0.3, 1.0)),
-        hups_s=tuple(choose.uniform(0.0, 6.0) for _ in range(choose.randint(0, 3))),
-        changes_s=tuple(choose.uniform(0.0, 6.0) for _ in range(choose.randint(0, 4))),
-        resets_s=tuple(choose.uniform(0.0, 6.0) for _ in range(choose.randint(1, 3))) if troubles else (),
+        clients_stop_s=first + random_source.uniform(1.0, 2.1) if stops_clients else NEVER,
+        delay_s=random_source.choice((0.0005, 0.008, 0.03)),
+        news_s=random_source.choice((0.02, 0.3, 1.0)),
+        hups_s=tuple(random_source.uniform(0.0, 6.0) for _ in range(random_source.randint(0, 3))),
+        changes_s=tuple(random_source.uniform(0.0, 6.0) for _ in range(random_source.randint(0, 4))),
+        resets_s=tuple(random_source.uniform(0.0, 6.0) for _ in range(random_source.randint(1, 3)))
+        if troubles
+        else (),
     )
--- a/rigs/soak/request_ledger.py
+++ b/rigs/soak/request_ledger.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from mesh.data_plane.call_state import NOT_EXECUTED_STATUSES
-from rigs.shutdown_world.judgement import EXCUSED_S, LAST_SIXTH
+from rigs.shutdown_world.judgement import EXCUSABLE_GRACE_SHARE, EXCUSABLE_S
 from rigs.soak.configuration_ledger import Finding, Request
 from rigs.soak.disturbances import DisturbanceRecord
 
@@ -139,8 +139,8 @@
             return
         since, grace_s = one.request.sent_at - one.term_at, self._disturbances.bounds.grace_s
         worked_until = max(run.ended_at or one.ended_at for run in runs)
-        busy_at_end = worked_until > one.term_at + grace_s * (1 - LAST_SIXTH)
-        if since > EXCUSED_S or not busy_at_end:
+        busy_at_end = worked_until > one.term_at + grace_s * (1 - EXCUSABLE_GRACE_SHARE)
+        if since > EXCUSABLE_S or not busy_at_end:
             self._report(
                 "LOST",
                 one.ended_at,
