--- a/anisestair/configure/trial.py
+++ b/anisestair/configure/trial.py
@@ -78,7 +78,7 @@
     app: App, derived: DerivedConfig, seconds: float, seed: int, progress: bool = False
 ) -> Market:
     """Runs calls and faults for ``seconds`` and returns the market with its results. Raises
-    fleet.NoStart."""
+    fleet.StartError."""
     rate = sum(call.rate for call in app.calls)
     scale = min(max(MIN_RATE / rate, 1.0), MAX_RATE / rate) if rate > 0 else 1.0
     kinds = simulated_kinds(app, scale)
@@ -93,8 +93,8 @@
                 file = Path(folder) / "sidecar.toml"
                 file.write_text(operator, encoding="utf-8")
                 arguments = ("--operator", str(file))
-            async with fleet.program(ROOT, platform, *arguments) as running:
-                rpc = await running.said_port() if operator else 0
+            async with fleet.run_program(ROOT, platform, *arguments) as running:
+                rpc = await running.next_listener_port() if operator else 0
                 callers = Callers(market, running.port, rpc)
                 tasks = [asyncio.create_task(_inject_faults(app, market, seconds))]
                 if progress:
@@ -178,7 +178,7 @@
     """Runs a trial and prints its results. Returns the exit code: 0 if all rules were kept, otherwise 1."""
     try:
         market = asyncio.run(_run_until_signal(app, derived, seconds, seed))
-    except fleet.NoStart as fault:
+    except fleet.StartError as fault:
         print(f"anisestair: the sidecar did not start: {fault}", file=sys.stderr)
         return 1
     except (KeyboardInterrupt, asyncio.CancelledError):
--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -83,7 +83,7 @@
 
 async def measure(seconds: float) -> dict[str, Any]:
     servers = [await fleet.serve_on_loopback(Counting) for _ in range(4)]
-    hosts = fleet.hosts_of([port for _, port in servers])
+    hosts = fleet.host_entries([port for _, port in servers])
     discovery, port = await fleet.serve_on_loopback(type("Told", (fleet.Discovery,), {"hosts": hosts}))
     data = {
         "name": "n1", "discovery": f"127.0.0.1:{port}", "seed": "7", "limits": {"sockets": 512},
@@ -94,7 +94,7 @@
         platform = Platform(ROOT, Path(folder), data, blocking=False)
         process, mgmt = await platform.start()
         await platform.wait_for_log(process, "ready")
-        running = fleet.Running(process, platform.port)
+        running = fleet.RunningSidecar(process, platform.port)
         idle = running.cpu_s()
         await asked(mgmt, time.perf_counter() + seconds)
         found["cpu_ms_a_second_of_10_calls"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
@@ -111,7 +111,7 @@
         _, figures = await call(mgmt, "/admin/stats")
         found["figures"] = {
             "served_by_callers": load.served, "passed": sum(figures["passed"].values()),
-            "refused_or_failed_by_callers": load.others,
+            "refused_or_failed_by_callers": load.not_served,
             "dropped_and_bad_gateway": sum(
                 sum(figures[name].values()) for name in ("dropped", "bad_gateway")
             ),
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from benchmarks.mesh_request import WARM, Calls
-from rigs.fleet import HttpMessages, Load, head_value
+from rigs.fleet import HttpMessageProtocol, LoadResult, header_value
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, ROOT, Mesh
 from rigs.mesh_peers import Address, Client, Operator, Upstream, patch_body, polled, route
 
@@ -60,10 +60,11 @@
                     self._head = head
                     return
                 self._head = b""
-                self._left = int(head_value(head, b"content-length") or b"0")
+                self._left = int(header_value(head, b"content-length") or b"0")
                 self._answer = (
                     b"HTTP/1.1 200 OK\r\nattempt-id: %b\r\nresponse-seal: 3e1b.07\r\n"
-                    b"keep-alive: timeout=30\r\ncontent-length: 2\r\n\r\nok" % head_value(head, b"attempt-id")
+                    b"keep-alive: timeout=30\r\ncontent-length: 2\r\n\r\nok"
+                    % header_value(head, b"attempt-id")
                 )
             taken = min(self._left, len(data))
             self._left -= taken
@@ -80,7 +81,7 @@
     )
 
 
-class ShortCaller(HttpMessages):
+class ShortCaller(HttpMessageProtocol):
     """Calls with a body of 4 KiB, the next when the last answer has come."""
 
     def __init__(self, calls: Calls) -> None:
@@ -107,7 +108,7 @@
         if head.startswith(b"HTTP/1.1 200"):
             self._calls.latencies.append(time.perf_counter() - self._sent)
         else:
-            self._calls.others += 1
+            self._calls.not_served += 1
         self._ask()
 
     def connection_lost(self, _: Exception | None) -> None:
@@ -116,13 +117,13 @@
             self.done.set_result(None)
 
 
-async def short_calls(address: Address, count: int) -> Load:
+async def short_calls(address: Address, count: int) -> LoadResult:
     """So many, one after another. Raises TimeoutError where they take more than 100 ms each."""
     calls, began = Calls(count), time.perf_counter()
     _, caller = await asyncio.get_running_loop().create_connection(lambda: ShortCaller(calls), *address)
     async with asyncio.timeout(5.0 + count * 0.1):
         await caller.done
-    return Load(len(calls.latencies), calls.others, time.perf_counter() - began, calls.latencies)
+    return LoadResult(len(calls.latencies), calls.not_served, time.perf_counter() - began, calls.latencies)
 
 
 # The process beside: upstreams, and senders of long bodies
@@ -292,7 +293,7 @@
             "beside_p50_ms": beside.percentile_ms(0.5),
             "beside_p99_ms": beside.percentile_ms(0.99),
             "ratio_p99": beside.percentile_ms(0.99) / alone.percentile_ms(0.99),
-            "not_served": float(alone.others + beside.others),
+            "not_served": float(alone.not_served + beside.not_served),
             "long_not_served": float(bodies - sent["statuses"].get("200", 0)),
             "long_mb_per_s": bodies * (given.mib << 20) / 1e6 / sent["seconds"],
         }
--- a/benchmarks/mesh_request.py
+++ b/benchmarks/mesh_request.py
@@ -37,7 +37,7 @@
 from mesh.data_plane.program import Proxy
 from mesh.event_log.log import EventLog
 from mesh.runtime.settings import Settings, parse_settings
-from rigs.fleet import TICKS, HttpMessages, Load, head_value
+from rigs.fleet import CLOCK_TICKS_PER_S, HttpMessageProtocol, LoadResult, header_value
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
 from rigs.mesh_peers import Address, Operator, Upstream, patch_body, polled, route
 
@@ -50,14 +50,14 @@
 TOP = 25
 
 
-class Sealed(HttpMessages):
+class Sealed(HttpMessageProtocol):
     """An upstream that answers at once, with the seal and the id without which it is no success."""
 
     def message(self, head: bytes, _body: bytes) -> None:
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nattempt-id: %b\r\nresponse-seal: 3e1b.07\r\nplant-load: 1,0,64\r\n"
             b"keep-alive: timeout=30\r\ncontent-length: %d\r\n\r\n%b"
-            % (head_value(head, b"attempt-id"), len(BODY), BODY)
+            % (header_value(head, b"attempt-id"), len(BODY), BODY)
         )
 
 
@@ -67,10 +67,10 @@
 
     left: int
     latencies: list[float] = field(default_factory=list)
-    others: int = 0
+    not_served: int = 0
 
 
-class Caller(HttpMessages):
+class Caller(HttpMessageProtocol):
     """One connection of a closed loop: the next call goes out when the last answer has come."""
 
     def __init__(self, calls: Calls) -> None:
@@ -97,7 +97,7 @@
         if head.startswith(b"HTTP/1.1 200"):
             self.calls.latencies.append(time.perf_counter() - self.sent)
         else:
-            self.calls.others += 1
+            self.calls.not_served += 1
         self._ask()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -105,7 +105,7 @@
             self.done.set_result(None)
 
 
-async def closed_loop(address: Address, connections: int, count: int) -> Load:
+async def closed_loop(address: Address, connections: int, count: int) -> LoadResult:
     """So many calls in all. Raises TimeoutError where they take more than 10 ms each."""
     loop, began, calls = asyncio.get_running_loop(), time.perf_counter(), Calls(count)
     callers = []
@@ -114,13 +114,13 @@
         callers.append(caller)
     async with asyncio.timeout(5.0 + count * 0.01):
         await asyncio.gather(*(caller.done for caller in callers))
-    return Load(len(calls.latencies), calls.others, time.perf_counter() - began, calls.latencies)
+    return LoadResult(len(calls.latencies), calls.not_served, time.perf_counter() - began, calls.latencies)
 
 
 def cpu_ms(pid: int) -> float:
     """User and system time of a process so far (proc(5), stat, fields 14 and 15)."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * 1000.0 / TICKS
+    return (int(fields[11]) + int(fields[12])) * 1000.0 / CLOCK_TICKS_PER_S
 
 
 def costs(before: dict[str, float], after: dict[str, float], calls: int) -> dict[str, float]:
@@ -191,7 +191,7 @@
                 "p50_ms": load.percentile_ms(0.5),
                 "p99_ms": load.percentile_ms(0.99),
                 "calls_per_s": count / load.seconds,
-                "not_served": float(load.others),
+                "not_served": float(load.not_served),
             }
         found["idle"] = {"both_cpu_ms_per_s": standing["both"]}
         return found
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -27,23 +27,23 @@
 
 async def one_round(checkout: Path, connections: int, seconds: float) -> dict[str, float]:
     servers = [await fleet.serve_on_loopback(fleet.OrderServer) for _ in range(SERVERS)]
-    hosts = fleet.hosts_of([port for _, port in servers])
+    hosts = fleet.host_entries([port for _, port in servers])
     discovery, discovery_port = await fleet.serve_on_loopback(fleet.Discovery)
     fleet.Discovery.hosts = hosts
     try:
         direct = await fleet.closed_loop(servers[0][1], connections, seconds / 2.0)
-        async with fleet.sidecar(checkout, hosts, discovery_port) as running:
+        async with fleet.run_sidecar(checkout, hosts, discovery_port) as running:
             await fleet.closed_loop(running.port, connections, WARM_S)
             before = running.cpu_s()
             through = await fleet.closed_loop(running.port, connections, seconds)
-            asked = through.served + through.others
+            asked = through.served + through.not_served
             return {
                 "requests_per_s": asked / through.seconds,
                 "cpu_us": (running.cpu_s() - before) / asked * 1e6,
                 "added_p50_ms": through.percentile_ms(0.5) - direct.percentile_ms(0.5),
                 "added_p99_ms": through.percentile_ms(0.99) - direct.percentile_ms(0.99),
                 "peak_mb": running.peak_mb(),
-                "not_served": float(through.others),
+                "not_served": float(through.not_served),
             }
     finally:
         for server, _ in [*servers, (discovery, 0)]:
--- a/benchmarks/rpc.py
+++ b/benchmarks/rpc.py
@@ -58,7 +58,7 @@
 
     def __init__(self, in_flight: int, until: float) -> None:
         self.in_flight, self.until = in_flight, until
-        self.msgid = self.others = 0
+        self.msgid = self.not_served = 0
         self.sent: dict[int, float] = {}
         self.latencies: list[float] = []
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -83,7 +83,7 @@
             if message[2] is None:
                 self.latencies.append(now - sent)
             else:
-                self.others += 1
+                self.not_served += 1
             if now < self.until:
                 self.ask()
         if not self.sent:
@@ -94,19 +94,21 @@
             self.done.set_result(None)
 
 
-async def pipelined(port: int, in_flight: int, seconds: float) -> fleet.Load:
+async def pipelined(port: int, in_flight: int, seconds: float) -> fleet.LoadResult:
     start = time.perf_counter()
     loop = asyncio.get_running_loop()
     _, caller = await loop.create_connection(lambda: Pipeline(in_flight, start + seconds), "127.0.0.1", port)
-    async with asyncio.timeout(seconds + fleet.ANSWER_S):
+    async with asyncio.timeout(seconds + fleet.RESPONSE_TIMEOUT_S):
         await caller.done
-    return fleet.Load(len(caller.latencies), caller.others, time.perf_counter() - start, caller.latencies)
+    return fleet.LoadResult(
+        len(caller.latencies), caller.not_served, time.perf_counter() - start, caller.latencies
+    )
 
 
 async def one_round(seconds: float) -> list[dict[str, float | str]]:
     plain = [await fleet.serve_on_loopback(fleet.OrderServer) for _ in range(SERVERS)]
     spoken = [await fleet.serve_on_loopback(EchoServer) for _ in range(SERVERS)]
-    hosts = fleet.hosts_of([port for _, port in plain])
+    hosts = fleet.host_entries([port for _, port in plain])
     for host, (_, port) in zip(hosts, spoken, strict=True):
         host["dial_rpc"] = f"127.0.0.1:{port}"
     discovery, discovery_port = await fleet.serve_on_loopback(fleet.Discovery)
@@ -116,8 +118,8 @@
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write(OPERATOR)
             file.flush()
-            async with fleet.sidecar(ROOT, hosts, discovery_port, "--operator", file.name) as running:
-                rpc_port = await running.said_port()
+            async with fleet.run_sidecar(ROOT, hosts, discovery_port, "--operator", file.name) as running:
+                rpc_port = await running.next_listener_port()
                 loads = {
                     "http": (fleet.closed_loop, running.port, plain[0][1]),
                     "rpc": (pipelined, rpc_port, spoken[0][1]),
@@ -128,7 +130,7 @@
                         await load(port, in_flight, WARM_S)
                         before = running.cpu_s()
                         through = await load(port, in_flight, seconds)
-                        asked = through.served + through.others
+                        asked = through.served + through.not_served
                         rows.append(
                             {
                                 "protocol": name,
@@ -137,7 +139,7 @@
                                 "cpu_us": (running.cpu_s() - before) / asked * 1e6,
                                 "added_p50_ms": through.percentile_ms(0.5) - direct.percentile_ms(0.5),
                                 "added_p99_ms": through.percentile_ms(0.99) - direct.percentile_ms(0.99),
-                                "not_served": float(through.others),
+                                "not_served": float(through.not_served),
                                 "peak_mb": running.peak_mb(),
                             }
                         )
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -24,9 +24,9 @@
 
 async def one_start(checkout: Path, *arguments: str) -> dict[str, float]:
     discovery, port = await fleet.serve_on_loopback(fleet.Discovery)
-    fleet.Discovery.hosts = hosts = fleet.hosts_of([9, 10, 11, 12])
+    fleet.Discovery.hosts = hosts = fleet.host_entries([9, 10, 11, 12])
     begun = time.perf_counter()
-    async with fleet.sidecar(checkout, hosts, port, *arguments) as running:
+    async with fleet.run_sidecar(checkout, hosts, port, *arguments) as running:
         found = {"start_ms": (time.perf_counter() - begun) * 1000.0}
         found |= {"cpu_ms": running.cpu_s() * 1000.0, "peak_mb": running.peak_mb()}
     discovery.close()
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -46,7 +46,7 @@
                     return
                 self.head = b""
                 asked = re.search(rb"size=(\d+)", head)
-                self.left = self.size = int(fleet.head_value(head, b"content-length") or b"0")
+                self.left = self.size = int(fleet.header_value(head, b"content-length") or b"0")
                 if asked:
                     self.owed = int(asked[1])
                     self.transport.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % self.owed)
@@ -113,13 +113,13 @@
                     await writer.drain()
                     self._move(PIECE)
                 answer = await reader.readuntil(b"\r\n\r\n")
-                said = await reader.readexactly(int(fleet.head_value(answer, b"content-length")))
+                said = await reader.readexactly(int(fleet.header_value(answer, b"content-length")))
                 refused = answer.startswith(b"HTTP/1.1 503")
                 self.whole = answer.startswith(b"HTTP/1.1 200") and int(said) == SIZE
             else:
                 writer.write(b"GET /api?size=%d HTTP/1.1\r\nhost: a\r\n%s\r\n" % (SIZE, head))
                 answer = await reader.readuntil(b"\r\n\r\n")
-                left = int(fleet.head_value(answer, b"content-length"))
+                left = int(fleet.header_value(answer, b"content-length"))
                 while left:
                     data = await reader.read(min(left, PIECE))
                     if not data:
@@ -163,7 +163,7 @@
     hosts: list[dict[str, Any]], discovery: int, memory_mb: int, transfers: int
 ) -> tuple[dict[str, Any], list[tuple[float, float]]]:
     """What became of the transfers, and the resident size over time."""
-    async with fleet.program(ROOT, config(hosts, discovery, memory_mb)) as running:
+    async with fleet.run_program(ROOT, config(hosts, discovery, memory_mb)) as running:
         start = time.perf_counter()
         every = [
             Transfer(running.port, number, number % 2 == 0, number % SLOW_PART == 1)
@@ -218,7 +218,7 @@
                 b"x-service-class: look\r\nx-time-left-ms: 60000\r\n\r\n" % (size, number, count)
             )
             head = await reader.readuntil(b"\r\n\r\n")
-            left = int(fleet.head_value(head, b"content-length"))
+            left = int(fleet.header_value(head, b"content-length"))
             while left:
                 data = await reader.read(left)
                 left -= len(data)
@@ -234,14 +234,14 @@
     transfers: int,
 ) -> tuple[list[dict[str, Any]], dict[str, Any], dict[int, list[tuple[float, float]]]]:
     servers = [await fleet.serve_on_loopback(BulkServer) for _ in range(4)]
-    hosts = fleet.hosts_of([port for _, port in servers])
+    hosts = fleet.host_entries([port for _, port in servers])
     watch, discovery = await fleet.serve_on_loopback(type("Told", (fleet.Discovery,), {"hosts": hosts}))
     found, drawn = [], {}
     for memory in (80, 40):
         row, drawn[memory] = await many(hosts, discovery, memory, transfers)
         found.append(row)
         print(row, flush=True)
-    async with fleet.program(ROOT, config(hosts, discovery, 80)) as running:
+    async with fleet.run_program(ROOT, config(hosts, discovery, 80)) as running:
         direct = servers[0][1]
         rates = {
             f"{name}_{where}_mb_a_second": round(await throughput(port, size, connections, 4.0))
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -67,9 +67,9 @@
                     b"POST /api HTTP/1.1\r\nhost: a\r\nx-correlation-id: u-%d\r\nx-service-class: sale\r\n"
                     b"x-time-left-ms: 1000\r\ncontent-length: 4\r\n\r\nbody" % own
                 )
-                async with asyncio.timeout(fleet.ANSWER_S):
+                async with asyncio.timeout(fleet.RESPONSE_TIMEOUT_S):
                     head = await reader.readuntil(b"\r\n\r\n")
-                    await reader.readexactly(int(fleet.head_value(head, b"content-length")))
+                    await reader.readexactly(int(fleet.header_value(head, b"content-length")))
             except (OSError, asyncio.IncompleteReadError, TimeoutError) as fault:
                 kept = None
                 if fresh:  # a kept one that closes as it is used is asked again, as the protocol has it
@@ -100,14 +100,14 @@
 
 
 def peak_mb(process: asyncio.subprocess.Process) -> float:
-    return fleet.Running(process, 0).peak_mb()
+    return fleet.RunningSidecar(process, 0).peak_mb()
 
 
 async def market(seed: int) -> tuple[list[asyncio.Server], dict[str, Any]]:
     kinds = [SlowServer, SlowServer, Server, Server, Server, Server]
     random.Random(seed).shuffle(kinds)
     servers = [await fleet.serve_on_loopback(kind) for kind in kinds]
-    hosts = fleet.hosts_of([port for _, port in servers])
+    hosts = fleet.host_entries([port for _, port in servers])
     discovery, port = await fleet.serve_on_loopback(type("Told", (fleet.Discovery,), {"hosts": hosts}))
     data = {
         "name": "n1",
--- a/lab/launch.py
+++ b/lab/launch.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from lab.revisions import ROOT
-from rigs.fleet import START_S, TICKS, NoStart
+from rigs.fleet import CLOCK_TICKS_PER_S, START_TIMEOUT_S, StartError
 from rigs.zygote import Forked, Zygote
 
 LINES_KEPT = 50  # of what a process said last
@@ -24,13 +24,13 @@
         self.process, self.port, self.said, self._reader = process, port, said, reader
         self._rest: asyncio.Task[None] | None = None
 
-    async def said_port(self) -> int:
-        """The port of the next listener that the log tells of. Raises NoStart."""
-        async with asyncio.timeout(START_S):
+    async def next_listener_port(self) -> int:
+        """Returns the port of the next listener in the log. Raises StartError."""
+        async with asyncio.timeout(START_TIMEOUT_S):
             while line := await self._line():
                 if found := re.search(r"listening .*:(\d+)$", line):
                     return int(found[1])
-        raise NoStart("\n".join(self.said))
+        raise StartError("\n".join(self.said))
 
     async def _line(self) -> str:
         line = (await self._reader.readline()).decode(errors="replace").strip()
@@ -60,8 +60,8 @@
         await self._zygote.begin()
 
     async def program(self, config: str, operator: str = "") -> Program:
-        """A sidecar with this text as its JSON and, where there is one, this operator's file. Raises NoStart,
-        with what it said, where it ends before it listens."""
+        """Starts a sidecar with this text as its JSON configuration and, if not empty, this operator's file.
+        Raises StartError with its last log lines if it exits before it listens."""
         self._count += 1
         file = Path(self._folder.name) / f"{self._count}.json"
         file.write_text(config, encoding="utf-8")
@@ -82,7 +82,7 @@
             os.close(theirs)
         self.pids.append(process.pid)
         made = Program(process, 0, deque(maxlen=LINES_KEPT), reader)
-        made.port = await made.said_port()
+        made.port = await made.next_listener_port()
         if not operator:
             made.read_on()
         return made
@@ -100,7 +100,7 @@
         fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     except OSError:
         return 0.0
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def memory_kb(pid: int) -> tuple[int, int, int]:
--- a/lab/many.py
+++ b/lab/many.py
@@ -18,7 +18,7 @@
 from lab.scenario_tables import Scenario
 from lab.socket_sidecars import Speaks
 from lab.socket_simulation import Concluded
-from rigs.fleet import end_with_parent
+from rigs.fleet import kill_with_parent
 
 EACH = 350.0  # calls a second that one driver speaks for
 MOST_DRIVERS = 5
@@ -66,7 +66,7 @@
                 cwd=ROOT,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                preexec_fn=end_with_parent,
+                preexec_fn=kill_with_parent,
                 limit=1 << 20,
             )
             made.append(_Driver(process))
--- a/lab/socket_servers.py
+++ b/lab/socket_servers.py
@@ -148,19 +148,19 @@
     return found
 
 
-class HttpSide(Side, fleet.HttpMessages):
+class HttpSide(Side, fleet.HttpMessageProtocol):
     """HTTP/1.1, one request at a time."""
 
     def __init__(self, server: SocketServer) -> None:
-        fleet.HttpMessages.__init__(self)
+        fleet.HttpMessageProtocol.__init__(self)
         self.server = server
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.opened(transport)
 
     def message(self, head: bytes, body: bytes) -> None:
-        name = fleet.head_value(head, b"x-correlation-id").decode(errors="replace")
-        self.came(name, 0, fleet.head_value(head, b"x-facts").decode(errors="replace"))
+        name = fleet.header_value(head, b"x-correlation-id").decode(errors="replace")
+        self.came(name, 0, fleet.header_value(head, b"x-facts").decode(errors="replace"))
 
     def words(self, attempt: SocketAttempt, outcome: Outcome) -> bytes:
         body = b"done:" + attempt.request.encode() if outcome is Outcome.OK else b""
--- a/lab/socket_sidecars.py
+++ b/lab/socket_sidecars.py
@@ -51,7 +51,7 @@
         """A try was served; its latency counts."""
 
 
-class _ClientSide(fleet.HttpMessages):
+class _ClientSide(fleet.HttpMessageProtocol):
     """A client's connection to its sidecar: one request at a time."""
 
     def __init__(self, sidecar: SocketSidecar) -> None:
@@ -75,7 +75,7 @@
 
     def message(self, head: bytes, body: bytes) -> None:
         held, self.held = self.held, None
-        if fleet.head_value(head, b"connection").lower() == b"close":
+        if fleet.header_value(head, b"connection").lower() == b"close":
             self.transport.close()
         else:
             self.sidecar.idle.append(self)
@@ -85,7 +85,7 @@
         what = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
         if what == "served" and body != b"done:" + held.name.encode():
             self.sidecar.simulation.checker.breach("lost", f"{held.name} got another call's answer")
-        advice = fleet.head_value(head, b"retry-after") or b"0"
+        advice = fleet.header_value(head, b"retry-after") or b"0"
         self.sidecar.answered(held, what, float(advice) * 1000.0)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -96,7 +96,7 @@
             self.sidecar.cut(held)
 
 
-class _Agent(fleet.HttpMessages):
+class _Agent(fleet.HttpMessageProtocol):
     """Discovery as one sidecar meets it: a watch is held until there is something new."""
 
     def __init__(self, sidecar: SocketSidecar) -> None:
@@ -185,7 +185,7 @@
         operator = self._operator() if self.speaks == "rpc" else ""
         self.running = await self.simulation.launcher.program(self.simulation.config(self), operator)
         if operator:
-            self.rpc_port = await self.running.said_port()
+            self.rpc_port = await self.running.next_listener_port()
             self.running.read_on()
         self.up, self.life = True, self.life + 1
         self.simulation.checker.started(self.number)
--- a/lab/socket_simulation.py
+++ b/lab/socket_simulation.py
@@ -192,7 +192,7 @@
         return isinstance(server, SocketServer)
 
     async def ready(self, reached: dict[int, dict[str, tuple[str, str]]]) -> float:
-        """All sidecars of this process are up; the seconds that it took. Raises NoStart."""
+        """All sidecars of this process are up; the seconds that it took. Raises StartError."""
         for number, dials in reached.items():
             server = self.servers[number]
             if isinstance(server, Elsewhere):
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -1,7 +1,7 @@
-"""A real sidecar as a process between stand-ins: order servers, discovery, and a client in a closed loop.
+"""Runs a real sidecar as a process between simulated order servers, discovery and a closed-loop client.
 
-The stand-ins speak the HTTP/1.1 of the protocol page in its plainest form, with fixed framing and no parser
-of the project's own, so that a benchmark measures the sidecar and not them.
+The simulated peers speak minimal HTTP/1.1 with fixed framing and do not use the project's own parser, so a
+benchmark measures the sidecar and not them.
 """
 
 from __future__ import annotations
@@ -21,9 +21,11 @@
 from pathlib import Path
 from typing import Any, cast
 
-START_S = 10.0  # how long a sidecar may take to say that it listens
-ANSWER_S = 5.0  # longer than any class's deadline here: an answer later than this will not come
-TICKS = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT_S = 10.0  # until a sidecar logs that it listens
+RESPONSE_TIMEOUT_S = (
+    5.0  # longer than the deadline of any request class here, so a later response never comes
+)
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -53,52 +55,53 @@
 }
 
 
-def head_value(head: bytes, name: bytes) -> bytes:
-    """The value of a header in a head that the stand-ins or the sidecar wrote; empty where there is none."""
+def header_value(head: bytes, name: bytes) -> bytes:
+    """Returns the value of a header in a message head written by the simulated peers or the sidecar, empty if
+    the header is missing."""
     found = re.search(rb"\r\n" + name + rb": *([^\r]*)", head, re.IGNORECASE)
     return found[1] if found else b""
 
 
-class HttpMessages(asyncio.Protocol):
-    """Cuts a stream into messages of a head and a body of Content-Length."""
+class HttpMessageProtocol(asyncio.Protocol):
+    """Splits a stream into messages: a head and a body of Content-Length bytes."""
 
     def __init__(self) -> None:
-        """Nothing has come yet."""
+        """Starts with an empty buffer."""
         self.buffer = b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to answer on."""
+        """Stores the transport, on which responses are sent."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on each message that is whole."""
+        """Passes each complete message to ``message``."""
         self.buffer += data
         while True:
             end = self.buffer.find(b"\r\n\r\n")
             if end < 0:
                 return
             head = self.buffer[:end]
-            whole = end + 4 + int(head_value(head, b"content-length") or b"0")
-            if len(self.buffer) < whole:
+            message_end = end + 4 + int(header_value(head, b"content-length") or b"0")
+            if len(self.buffer) < message_end:
                 return
-            body, self.buffer = self.buffer[end + 4 : whole], self.buffer[whole:]
+            body, self.buffer = self.buffer[end + 4 : message_end], self.buffer[message_end:]
             self.message(head, body)
 
     def message(self, head: bytes, body: bytes) -> None:
-        """A message has come whole."""
+        """Handles a complete message."""
         raise NotImplementedError
 
 
-class OrderServer(HttpMessages):
-    """Answers every request at once with a body of 64 bytes."""
+class OrderServer(HttpMessageProtocol):
+    """Responds to every request immediately with a body of 64 bytes."""
 
     def message(self, head: bytes, body: bytes) -> None:
         self.transport.write(b"HTTP/1.1 200 OK\r\ncontent-length: 64\r\n\r\n" + b"x" * 64)
 
 
-class Discovery(HttpMessages):
-    """Answers a call for the list at once, and a watch after its wait with no changes."""
+class Discovery(HttpMessageProtocol):
+    """Responds to a list request immediately, and to a watch with no changes after its wait time."""
 
     hosts: list[dict[str, Any]] = []
 
@@ -106,50 +109,50 @@
         wait = re.search(rb"wait_ms=(\d+)", head)
         hosts = [] if wait else self.hosts
         data = json.dumps({"seq": 1, "whole": not wait, "hosts": hosts}).encode()
-        answer = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(data) + data
+        response = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(data) + data
         delay = int(wait[1]) / 1000.0 if wait else 0.0
-        asyncio.get_running_loop().call_later(delay, self._answer, answer)
+        asyncio.get_running_loop().call_later(delay, self._respond, response)
 
-    def _answer(self, answer: bytes) -> None:
+    def _respond(self, response: bytes) -> None:
         if not self.transport.is_closing():
-            self.transport.write(answer)
+            self.transport.write(response)
 
 
-class Caller(HttpMessages):
-    """One connection of a closed loop: the next request goes out when the last answer has come."""
+class Caller(HttpMessageProtocol):
+    """One connection of a closed loop, which sends the next request after the previous response."""
 
-    def __init__(self, name: str, until: float, latencies: list[float], others: list[int]) -> None:
+    def __init__(self, name: str, until: float, latencies: list[float], not_served: list[int]) -> None:
         super().__init__()
-        self.name, self.until, self.latencies, self.others = name, until, latencies, others
-        self.count, self.sent = 0, 0.0
+        self.name, self.until, self.latencies, self.not_served = name, until, latencies, not_served
+        self.count, self.sent_at = 0, 0.0
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._ask()
+        self._send_request()
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         self.count += 1
-        self.sent = time.perf_counter()
-        klass, key = (
+        self.sent_at = time.perf_counter()
+        request_class, key = (
             (b"sale", b"") if self.count % 3 else (b"listing", b"idempotency-key: k-%d\r\n" % self.count)
         )
         self.transport.write(
             b"POST /api HTTP/1.1\r\nhost: api.internal\r\n"
             b"x-correlation-id: %s-%d\r\nx-service-class: %s\r\n%s"
             b"x-time-left-ms: 1000\r\ncontent-length: 200\r\n\r\n"
-            % (self.name.encode(), self.count, klass, key)
+            % (self.name.encode(), self.count, request_class, key)
             + b"b" * 200
         )
 
     def message(self, head: bytes, body: bytes) -> None:
         now = time.perf_counter()
         if head.startswith(b"HTTP/1.1 200"):
-            self.latencies.append(now - self.sent)
+            self.latencies.append(now - self.sent_at)
         else:
-            self.others[0] += 1
+            self.not_served[0] += 1
         if now < self.until:
-            self._ask()
+            self._send_request()
         else:
             self.transport.close()
 
@@ -159,11 +162,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """What a closed loop saw: calls served, others (refused or failed), seconds, latencies in seconds."""
+class LoadResult:
+    """Result of a closed loop: counts of calls, the duration and the latencies in seconds."""
 
     served: int
-    others: int
+    not_served: int  # refused or failed
     seconds: float
     latencies: list[float]
 
@@ -172,51 +175,51 @@
         return ranked[min(int(share * len(ranked)), len(ranked) - 1)] * 1000.0
 
 
-async def closed_loop(port: int, connections: int, seconds: float) -> Load:
-    """Ask over so many connections, one request at a time on each, for so many seconds."""
+async def closed_loop(port: int, connections: int, seconds: float) -> LoadResult:
+    """Sends one request at a time on each of ``connections`` connections for ``seconds``."""
     loop, start = asyncio.get_running_loop(), time.perf_counter()
     latencies: list[float] = []
-    others = [0]
+    not_served = [0]
     callers = []
     for number in range(connections):
         _, caller = await loop.create_connection(
-            lambda n=number: Caller(f"c{n}-{time.time_ns()}", start + seconds, latencies, others),  # type: ignore[misc]
+            lambda n=number: Caller(f"c{n}-{time.time_ns()}", start + seconds, latencies, not_served),  # type: ignore[misc]
             "127.0.0.1",
             port,
         )
         callers.append(caller)
-    async with asyncio.timeout(seconds + ANSWER_S):
+    async with asyncio.timeout(seconds + RESPONSE_TIMEOUT_S):
         await asyncio.gather(*(caller.done for caller in callers))
-    return Load(len(latencies), others[0], time.perf_counter() - start, latencies)
+    return LoadResult(len(latencies), not_served[0], time.perf_counter() - start, latencies)
 
 
-class NoStart(Exception):
-    """The sidecar ended before it listened; what it said."""
+class StartError(Exception):
+    """The sidecar exited before it listened; the message is its log output."""
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
-    """A sidecar that runs as a process, and how much of the machine it has used."""
+class RunningSidecar:
+    """A running sidecar process and its resource usage."""
 
     process: asyncio.subprocess.Process
     port: int
 
-    async def said_port(self) -> int:
-        """The port of the next listener that the log tells of."""
+    async def next_listener_port(self) -> int:
+        """Returns the port of the next listener in the log."""
         assert self.process.stderr is not None
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while line := await self.process.stderr.readline():
                 if found := re.search(rb"listening .*:(\d+)$", line.strip()):
                     return int(found[1])
-        raise RuntimeError("the sidecar ended before it listened")
+        raise RuntimeError("the sidecar exited before it listened")
 
     def cpu_s(self) -> float:
-        """User and system time of the process so far (proc(5), stat, fields 14 and 15)."""
+        """Returns the user and system time of the process so far (proc(5), stat, fields 14 and 15)."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def peak_mb(self) -> float:
-        """The largest resident size so far (proc(5), status, VmHWM)."""
+        """Returns the peak resident size so far (proc(5), status, VmHWM)."""
         found = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{self.process.pid}/status").read_text())
         return int(found[1]) / 1024.0 if found else 0.0
 
@@ -226,8 +229,8 @@
     return server, server.sockets[0].getsockname()[1]
 
 
-def hosts_of(ports: list[int]) -> list[dict[str, Any]]:
-    """Discovery's entries for servers on these ports, two to a cell."""
+def host_entries(ports: list[int]) -> list[dict[str, Any]]:
+    """Returns discovery entries for servers on these ports, two per cell."""
     return [
         {
             "host": f"s-{number}",
@@ -243,17 +246,17 @@
     ]
 
 
-def end_with_parent() -> None:
-    """In the child: be killed when its parent ends, also where that is killed itself (prctl(2),
-    PR_SET_PDEATHSIG). Nothing is left running, whatever happened."""
+def kill_with_parent() -> None:
+    """Has the calling child process killed when its parent exits, even if the parent is killed (prctl(2),
+    PR_SET_PDEATHSIG), so that no process is left running."""
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
 
 
 @asynccontextmanager
-async def sidecar(
+async def run_sidecar(
     checkout: Path, hosts: list[dict[str, Any]], discovery_port: int, *arguments: str
-) -> AsyncIterator[Running]:
-    """The program of a checkout with the settings of these stand-ins, as ``program`` runs it."""
+) -> AsyncIterator[RunningSidecar]:
+    """Runs the sidecar of a checkout with ``SETTINGS``, as ``run_program`` does."""
     data = {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -263,16 +266,16 @@
         "known": {"seq": 1, "whole": True, "hosts": hosts},
         "settings": SETTINGS,
     }
-    async with program(checkout, json.dumps(data), *arguments) as running:
+    async with run_program(checkout, json.dumps(data), *arguments) as running:
         yield running
 
 
 @asynccontextmanager
-async def program(
+async def run_program(
     checkout: Path, config: str, *arguments: str, environ: Mapping[str, str] | None = None
-) -> AsyncIterator[Running]:
-    """A sidecar with this text as its JSON, started and waited for; it is killed at the end. Raises
-    NoStart, with what it said, where it ends before it listens."""
+) -> AsyncIterator[RunningSidecar]:
+    """Runs a sidecar with this text as its JSON configuration, waits until it listens and kills it at the
+    end. Raises StartError with its log output if it exits before it listens."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "config.json"
         file.write_text(config)
@@ -281,18 +284,18 @@
             cwd=checkout,
             env={"BALANCER_CONFIG": str(file)} | dict(environ or {}),
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=end_with_parent,
+            preexec_fn=kill_with_parent,
         )
         assert process.stderr is not None
         try:
-            async with asyncio.timeout(START_S):
-                said = b""
-                while (found := re.search(rb"listening on 127\.0\.0\.1:(\d+)", said)) is None:
+            async with asyncio.timeout(START_TIMEOUT_S):
+                log = b""
+                while (found := re.search(rb"listening on 127\.0\.0\.1:(\d+)", log)) is None:
                     line = await process.stderr.readline()
                     if not line:
-                        raise NoStart(said.decode(errors="replace").strip())
-                    said += line
-            yield Running(process, int(found[1]))
+                        raise StartError(log.decode(errors="replace").strip())
+                    log += line
+            yield RunningSidecar(process, int(found[1]))
         finally:
             if process.returncode is None:
                 process.kill()
--- a/rigs/market.py
+++ b/rigs/market.py
@@ -196,12 +196,12 @@
         if way == "turned_away":
             self._answer(b"503 Service Unavailable\r\nx-unprocessed: 1", b"")
             return
-        call = fleet.head_value(head, b"x-correlation-id").decode()
-        kind = server.ledger.kinds.get(fleet.head_value(head, b"x-service-class").decode())
+        call = fleet.header_value(head, b"x-correlation-id").decode()
+        kind = server.ledger.kinds.get(fleet.header_value(head, b"x-service-class").decode())
         if kind is None:
             name = call.partition(" ")[0].partition("~")[0]  # headers but the id are free to go
             kind = server.ledger.kinds[name]
-        server.ledger.run(server, kind, call, fleet.head_value(head, b"idempotency-key").decode())
+        server.ledger.run(server, kind, call, fleet.header_value(head, b"idempotency-key").decode())
         if way == "reset":
             self.transport.abort()
         elif way == "error":
@@ -473,9 +473,9 @@
             + body
         )
         head = await reader.readuntil(b"\r\n\r\n")
-        length = int(fleet.head_value(head, b"content-length") or b"0")
+        length = int(fleet.header_value(head, b"content-length") or b"0")
         answer = await reader.readexactly(length)
-        if fleet.head_value(head, b"connection").lower() == b"close":
+        if fleet.header_value(head, b"connection").lower() == b"close":
             writer.close()
         else:
             self._idle.append((reader, writer))
--- a/rigs/mesh_demo.py
+++ b/rigs/mesh_demo.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from anisestair.http import codec as http
-from rigs.fleet import end_with_parent
+from rigs.fleet import kill_with_parent
 from rigs.mesh_peers import (
     Address,
     Client,
@@ -144,7 +144,7 @@
                 env={**os.environ, "ANISESTAIR_BOOT": str(self.folder / f"{node}.toml")},
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=log,
-                preexec_fn=end_with_parent,
+                preexec_fn=kill_with_parent,
             )
 
     async def _send_heartbeats(self, machine: int, upstream: Upstream) -> None:
--- a/rigs/soak/nodes.py
+++ b/rigs/soak/nodes.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from rigs.fleet import end_with_parent
+from rigs.fleet import kill_with_parent
 from rigs.lost_links.between import Between
 from rigs.mesh_peers import Address, call, write_settings
 from rigs.soak.configuration_ledger import Finding
@@ -264,7 +264,7 @@
                 env={**os.environ, "ANISESTAIR_BOOT": str(self._settings)},
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=log,
-                preexec_fn=end_with_parent,
+                preexec_fn=kill_with_parent,
             )
         self.incarnation += 1
         self.cold_boot = False
--- a/rigs/versions.py
+++ b/rigs/versions.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from rigs.fleet import START_S, end_with_parent
+from rigs.fleet import START_TIMEOUT_S, kill_with_parent
 
 
 class Platform:
@@ -42,7 +42,7 @@
             },
             pass_fds=[descriptor],
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=end_with_parent,
+            preexec_fn=kill_with_parent,
         )
         self.processes.append(process)
         return process, int(await self.wait_for_log(process, "operators call 127.0.0.1:"))
@@ -51,7 +51,7 @@
         """Waits until its log contains the text; returns the rest of that line. Raises EOFError if it ends
         before."""
         assert process.stderr is not None
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while line := (await process.stderr.readline()).decode():
                 if text in line:
                     return line.partition(text)[2].strip()
--- a/rigs/zygote.py
+++ b/rigs/zygote.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from rigs.fleet import end_with_parent
+from rigs.fleet import kill_with_parent
 
 MOST_MESSAGE = 65_536
 LOOK_S = 0.05  # how soon an end is told
@@ -40,7 +40,7 @@
     """Never returns."""
     code = 1
     try:
-        end_with_parent()
+        kill_with_parent()
         nothing = os.open(os.devnull, os.O_RDONLY)
         os.dup2(nothing, 0)
         os.dup2(log, 1)
@@ -125,7 +125,7 @@
                 [sys.executable, "-m", "rigs.zygote"],
                 stdin=theirs.fileno(),
                 cwd=self._checkout,
-                preexec_fn=end_with_parent,
+                preexec_fn=kill_with_parent,
             )
         self.loaded: asyncio.Future[int] = loop.create_future()
         loop.add_reader(self._control.fileno(), self._heard)
--- a/tests/test_configure_real.py
+++ b/tests/test_configure_real.py
@@ -44,7 +44,7 @@
     return parse_app(read_toml("x", case.files.contents[Role.APP].decode()).data)
 
 
-During = Callable[[Market, fleet.Running], Awaitable[None]]
+During = Callable[[Market, fleet.RunningSidecar], Awaitable[None]]
 
 
 async def send_calls(
@@ -76,8 +76,8 @@
                 file.write(to_toml(operator))
                 file.flush()
                 arguments = ("--operator", file.name)
-            async with fleet.program(ROOT, text, *arguments) as running:
-                callers = Callers(market, running.port, await running.said_port() if operator else 0)
+            async with fleet.run_program(ROOT, text, *arguments) as running:
+                callers = Callers(market, running.port, await running.next_listener_port() if operator else 0)
                 other = asyncio.create_task(during(market, running)) if during is not None else None
                 await callers.run(seconds)
                 if other is not None:
@@ -147,7 +147,7 @@
 ) -> None:
     monkeypatch.setattr("rigs.market.NOTICE_S", 0.0)  # do not wait for the 6 s of the protocol
 
-    async def drain_one(market: Market, running: fleet.Running) -> None:
+    async def drain_one(market: Market, running: fleet.RunningSidecar) -> None:
         await asyncio.sleep(0.5)
         market.drain(max(market.servers, key=lambda server: server.arrived))
 
@@ -161,7 +161,7 @@
     assert market.late_sends() > 0
 
 
-async def restart_cold(market: Market, running: fleet.Running) -> None:
+async def restart_cold(market: Market, running: fleet.RunningSidecar) -> None:
     """Kills a server and restarts it with a small part of its capacity."""
     first = market.servers[0]
     first.kill()
@@ -326,7 +326,7 @@
     platform["settings"]["rules"]["drain-grace-ms"] = 9000
 
     async def test() -> None:
-        async with fleet.program(ROOT, json.dumps(platform, indent=1)) as running:
+        async with fleet.run_program(ROOT, json.dumps(platform, indent=1)) as running:
             assert running.process.stderr is not None
             lines = [await asyncio.wait_for(running.process.stderr.readline(), 10.0) for _ in range(2)]
             output = b"".join(lines).decode()
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -425,7 +425,9 @@
     file.write_text(f'[storms]\nshow = "unix:{path}"\n')
 
     async def run() -> tuple[str, str]:
-        async with fleet.program(ROOT, json.dumps(config("127.0.0.1:1")), "--operator", str(file)) as running:
+        async with fleet.run_program(
+            ROOT, json.dumps(config("127.0.0.1:1")), "--operator", str(file)
+        ) as running:
             arguments = [sys.executable, "-m", "anisestair", "storms", "show", f"unix:{path}"]
             done = await asyncio.to_thread(
                 subprocess.run, arguments, cwd=ROOT, capture_output=True, text=True
