--- a/anisestair/configure/trial.py
+++ b/anisestair/configure/trial.py
@@ -17,7 +17,7 @@
 from anisestair.configure.derive import DerivedConfig, to_toml
 from anisestair.configure.description import App
 from rigs import fleet
-from rigs.market import Callers, Kind, Market, Ways
+from rigs.market import Callers, CallKind, Market, ServerBehavior
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
@@ -26,17 +26,17 @@
 MIN_RATE, MAX_RATE = 30.0, 200.0
 MAX_SERVERS, MIN_SERVERS = 8, 3
 # Seeded faults of the servers throughout the trial: each kind that a sidecar has to distinguish.
-SERVER_FAULTS = Ways(reset=0.01, error=0.01, turned_away=0.02)
+SERVER_FAULTS = ServerBehavior(reset=0.01, error=0.01, turned_away=0.02)
 # As shares of the duration: one server is killed and later restarted cold, another is drained and removed.
 KILL_AT, DRAIN_AT, REMOVE_AT, RESTART_AT = 0.25, 0.4, 0.75, 0.6
 DEATH_NOTICE_S = 0.7  # time until discovery notices that a server died
 MAX_WARM_UP_SHARE = 0.3  # of the duration
 
 
-def simulated_kinds(app: App, scale: float = 1.0) -> list[Kind]:
+def simulated_kinds(app: App, scale: float = 1.0) -> list[CallKind]:
     """The application's calls, with one method each. With both protocols, calls alternate between them."""
     return [
-        Kind(
+        CallKind(
             name=call.name,
             repeat=call.repeat,
             rate=call.rate * scale,
@@ -47,7 +47,7 @@
             remembered_by=call.remembered_by,
             method=call.methods[0].replace("*", "one") if app.speaks_rpc else "",
             key=call.key,
-            by_turns=len(app.protocols) > 1,
+            alternates_protocols=len(app.protocols) > 1,
         )
         for call in app.calls
     ]
@@ -125,7 +125,7 @@
     await until(RESTART_AT)
     await first.restart(app.fleet.cold_share, min(app.fleet.warm_up_ms / 1000.0, MAX_WARM_UP_SHARE * seconds))
     market.listed.insert(0, first)
-    market.tell()
+    market.publish()
     await until(REMOVE_AT)
     market.remove(second)
 
@@ -133,10 +133,10 @@
 async def _print_progress(market: Market, callers: Callers, seconds: float) -> None:
     start, is_terminal = time.monotonic(), sys.stderr.isatty()
     while (elapsed := time.monotonic() - start) < seconds:
-        served = sum(tally.served for tally in market.tally.values())
+        served = sum(tally.served for tally in market.tallies.values())
         up = sum(server.health == "up" for server in market.listed)
         line = (
-            f"{elapsed:4.1f} of {seconds:g} s: {callers.begun} calls started,"
+            f"{elapsed:4.1f} of {seconds:g} s: {callers.calls_started} calls started,"
             f" {served} served, {up} servers up"
         )
         print(
@@ -154,21 +154,25 @@
     """The results as lines of text."""
     columns = ("calls", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
     lines = [f"{'call':<16}" + "".join(f"{head:>9}" for head in columns)]
-    for name, tally in market.tally.items():
+    for name, tally in market.tallies.items():
         lines.append(
             f"{name[:15]:<16}{tally.calls:>9}{tally.served:>9}{tally.refused:>9}{tally.failed:>9}{tally.lost:>9}"
             f"{tally.percentile_ms(0.5):>9.1f}{tally.percentile_ms(0.99):>9.1f}"
         )
     attempts = market.attempts()
-    calls = sum(tally.calls for tally in market.tally.values())
-    lines.append(f"attempts: {attempts} for {calls} calls; calls that ran twice: {market.ledger.twice()}")
-    shares = [f"{server.name} {100.0 * server.arrived / max(attempts, 1):.0f}%" for server in market.servers]
+    calls = sum(tally.calls for tally in market.tallies.values())
+    lines.append(
+        f"attempts: {attempts} for {calls} calls; calls that ran twice: {market.ledger.count_duplicates()}"
+    )
+    shares = [
+        f"{server.name} {100.0 * server.calls_received / max(attempts, 1):.0f}%" for server in market.servers
+    ]
     lines.append(
         f"shares: {', '.join(shares)} (s-0 was killed and restarted cold, s-1 was drained and removed)"
     )
-    broken = market.broken()
-    if broken:
-        lines.append("rules broken: " + ", ".join(f"{count} {name}" for name, count in broken.items()))
+    violations = market.violations()
+    if violations:
+        lines.append("rules broken: " + ", ".join(f"{count} {name}" for name, count in violations.items()))
     else:
         lines.append("all four rules were kept")
     return lines
@@ -187,4 +191,4 @@
     print(f"{app.name}: {seconds:g} s of calls through a real sidecar on loopback, seed {seed}")
     for line in result_lines(app, market):
         print(line)
-    return 1 if market.broken() else 0
+    return 1 if market.violations() else 0
--- a/rigs/market.py
+++ b/rigs/market.py
@@ -1,7 +1,7 @@
-"""A small market on loopback: order servers of both protocols with a ledger of what ran, discovery that tells
-of them, and callers in an open loop. It says whether a sidecar between them kept the rules.
+"""A simulated market on loopback: order servers for both protocols, discovery, and open-loop callers.
 
-What a server does with a call is drawn from a seed; what happens to servers is the caller's script.
+It records which calls ran and reports whether a sidecar between callers and servers kept the rules. What a
+server does with a call is drawn from a seed; the test decides when servers fail, drain or restart.
 """
 
 from __future__ import annotations
@@ -19,54 +19,56 @@
 from rigs import fleet
 from rigs.rpc_peer import RpcCaller, RpcServer
 
-DRAIN_S = 2.05  # the rule, and the 50 ms more that sockets are given
-NOTICE_S = 6.0  # what discovery has to tell counts as told after this, whether or not it arrived
-SLACK_S = 0.25  # an answer this much after its caller's deadline is late; the machine may be busy
-PUSH_S = 0.5  # a starting server falls over when it is sent too much for so long
-PUSH_MULTIPLE = 2.0  # too much: so many times what it can do
-PUSH_LEAST = 5  # calls in that time, below which chance alone is seen
+DRAIN_LIMIT_S = 2.05  # the limit of 2 s, plus 50 ms for delays on sockets
+DISCOVERY_NOTICE_S = 6.0  # a drain counts as published after this time, even if the message did not arrive
+DEADLINE_SLACK_S = (
+    0.25  # a response counts as late only this long after the deadline, as the machine may be busy
+)
+OVERLOAD_WINDOW_S = 0.5  # a starting server fails if it is overloaded for this long
+OVERLOAD_FACTOR = 2.0  # overload: this multiple of its current capacity
+MIN_OVERLOAD_CALLS = 5  # fewer calls in the window may be a random burst
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of call, as the application makes it and the servers take it."""
+class CallKind:
+    """One kind of call, as the application makes it and the servers handle it."""
 
     name: str
     repeat: str  # "never", "keyed" or "free"
     rate: float  # calls a second
     given_up_ms: float
-    burst: int = 1  # calls that begin together
+    burst: int = 1  # calls that start together
     size: int = 64  # bytes of the body
     remembers_ms: float = 8000.0
     remembered_by: str = "cell"
-    method: str = ""  # called over MessagePack-RPC; empty: over HTTP
-    by_turns: bool = False  # every second call over HTTP all the same
+    method: str = ""  # of MessagePack-RPC; empty: HTTP
+    alternates_protocols: bool = False  # every second call uses HTTP although the kind has a method
     key: tuple[int | str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
-    """How often a server does what with a call; the rest is served."""
+class ServerBehavior:
+    """The probability of each outcome of a call at a server (the rest is served), and its delays."""
 
-    reset: float = 0.0  # runs it, then the connection breaks
-    error: float = 0.0  # runs it, and answers with an error
-    turned_away: float = 0.0  # answers that it never ran, which is so
-    least_ms: float = 1.0
-    most_ms: float = 5.0
-    idle_ms: float = 0.0  # a connection that was idle so long breaks with its next call; 0: none does
+    reset: float = 0.0  # runs the call, then breaks the connection
+    error: float = 0.0  # runs the call, and responds with an error
+    turned_away: float = 0.0  # truthfully responds that the call did not run
+    min_delay_ms: float = 1.0
+    max_delay_ms: float = 5.0
+    idle_close_ms: float = 0.0  # a connection idle for longer breaks with its next call; 0: never
 
 
 class Ledger:
-    """What ran, on all servers together."""
+    """Counts the runs of each call on all servers together."""
 
-    def __init__(self, kinds: Sequence[Kind]) -> None:
+    def __init__(self, kinds: Sequence[CallKind]) -> None:
         self.kinds = {kind.name: kind for kind in kinds}
         self.methods = {kind.method: kind for kind in kinds if kind.method}
         self.runs: dict[str, Counter[str]] = {kind.name: Counter() for kind in kinds}
         self._keys: dict[tuple[str, str, str], float] = {}
 
-    def run(self, server: Server, kind: Kind, call: str, key: str) -> None:
-        """Run a call, unless its key is remembered where this server would know it."""
+    def run_call(self, server: Server, kind: CallKind, call: str, key: str) -> None:
+        """Runs a call, unless a server that shares its keys with this one remembers the key."""
         if kind.repeat == "keyed":
             scope = {"cell": f"{server.zone}/{server.cell}", "zone": server.zone, "all": ""}[
                 kind.remembered_by
@@ -78,8 +80,8 @@
             self._keys[kind.name, scope, key] = now
         self.runs[kind.name][call] += 1
 
-    def twice(self) -> int:
-        """Calls that ran more than once, though their kind does not allow it."""
+    def count_duplicates(self) -> int:
+        """Returns the number of calls that ran more than once although their kind does not allow it."""
         return sum(
             count > 1
             for name, counted in self.runs.items()
@@ -89,24 +91,24 @@
 
 
 class Server:
-    """One order server, with a listener for each protocol."""
+    """One order server with a listener for each protocol."""
 
     def __init__(
         self,
         name: str,
         ledger: Ledger,
-        ways: Ways,
-        chance: random.Random,
+        behavior: ServerBehavior,
+        rng: random.Random,
         zone: str,
         cell: int,
         capacity: float,
     ) -> None:
-        self.name, self.ledger, self.ways, self.chance = name, ledger, ways, chance
+        self.name, self.ledger, self.behavior, self.rng = name, ledger, behavior, rng
         self.zone, self.cell, self.capacity = zone, cell, capacity
-        self.health, self.born_ms, self.dial, self.dial_rpc = "up", 0.0, "", ""
-        self.cold_share, self.warm_up_s, self.started = 1.0, 0.0, 0.0
-        self.drained = self.told = -1.0  # when its drain began, and when discovery wrote of it
-        self.arrived, self.late, self.most_pushed = 0, 0, 0.0
+        self.health, self.started_ms, self.dial, self.dial_rpc = "up", 0.0, "", ""
+        self.cold_share, self.warm_up_s, self.started_at = 1.0, 0.0, 0.0
+        self.drain_started_at = self.drain_published_at = -1.0  # -1: not yet
+        self.calls_received, self.late_calls, self.max_overload = 0, 0, 0.0
         self.connections: set[asyncio.Transport] = set()
         self._recent: deque[float] = deque()
         self._rpc: RpcServer | None = None
@@ -114,14 +116,14 @@
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self._http = await loop.create_server(lambda: _HttpSide(self), "127.0.0.1", 0)
+        self._http = await loop.create_server(lambda: _HttpConnection(self), "127.0.0.1", 0)
         self.dial = f"127.0.0.1:{self._http.sockets[0].getsockname()[1]}"
-        self._rpc = _RpcSide(self)
+        self._rpc = _RpcListener(self)
         await self._rpc.start()
         self.dial_rpc = self._rpc.dial
 
     def kill(self) -> None:
-        """Its process dies: what is open breaks, and what is new is refused."""
+        """Simulates the death of the process: breaks open connections and refuses new ones."""
         if self._http is not None:
             self._http.close()
         for transport in list(self.connections):
@@ -130,9 +132,9 @@
             self._rpc.close()
 
     async def restart(self, cold_share: float, warm_up_s: float) -> None:
-        """Up again, with nothing warm; ``cold_share`` of its capacity at first, all after ``warm_up_s``."""
+        """Starts again cold: with ``cold_share`` of its capacity, and all of it after ``warm_up_s``."""
         await self.start()
-        self.health, self.born_ms, self.started = "up", time.time() * 1000.0, time.monotonic()
+        self.health, self.started_ms, self.started_at = "up", time.time() * 1000.0, time.monotonic()
         self.cold_share, self.warm_up_s = cold_share, warm_up_s
         self._recent.clear()
 
@@ -146,38 +148,49 @@
             "block": self.cell,
             "health": self.health,
             "share": 1.0,
-            "born_ms": round(self.born_ms),
+            "born_ms": round(self.started_ms),
         }
 
-    def arrive(self) -> str:
-        """A call has come: count it against the rules, and say what is done with it."""
+    def receive_call(self) -> str:
+        """Checks the rules for a call that arrived, and returns its outcome."""
         now = time.monotonic()
-        self.arrived += 1
-        if self.drained >= 0 and now > (self.told if self.told >= 0 else self.drained + NOTICE_S) + DRAIN_S:
-            self.late += 1
-        if self.warm_up_s > 0 and now < self.started + self.warm_up_s:
+        self.calls_received += 1
+        if (
+            self.drain_started_at >= 0
+            and now
+            > (
+                self.drain_published_at
+                if self.drain_published_at >= 0
+                else self.drain_started_at + DISCOVERY_NOTICE_S
+            )
+            + DRAIN_LIMIT_S
+        ):
+            self.late_calls += 1
+        if self.warm_up_s > 0 and now < self.started_at + self.warm_up_s:
             self._recent.append(now)
-            while self._recent[0] < now - PUSH_S:
+            while self._recent[0] < now - OVERLOAD_WINDOW_S:
                 self._recent.popleft()
-            part = (now - self.started) / self.warm_up_s
-            can = self.capacity * (self.cold_share + (1.0 - self.cold_share) * part) * PUSH_S
-            if len(self._recent) >= PUSH_LEAST:
-                self.most_pushed = max(self.most_pushed, len(self._recent) / max(can, 1e-9))
-        drawn = self.chance.random()
-        for way in ("reset", "error", "turned_away"):
-            drawn -= getattr(self.ways, way)
+            warm_share = (now - self.started_at) / self.warm_up_s
+            sustainable = (
+                self.capacity * (self.cold_share + (1.0 - self.cold_share) * warm_share) * OVERLOAD_WINDOW_S
+            )
+            if len(self._recent) >= MIN_OVERLOAD_CALLS:
+                self.max_overload = max(self.max_overload, len(self._recent) / max(sustainable, 1e-9))
+        drawn = self.rng.random()
+        for outcome in ("reset", "error", "turned_away"):
+            drawn -= getattr(self.behavior, outcome)
             if drawn < 0:
-                return way
+                return outcome
         return "ok"
 
     def delay_s(self) -> float:
-        return self.chance.uniform(self.ways.least_ms, self.ways.most_ms) / 1000.0
+        return self.rng.uniform(self.behavior.min_delay_ms, self.behavior.max_delay_ms) / 1000.0
 
 
-class _HttpSide(fleet.OrderServer):
+class _HttpConnection(fleet.OrderServer):
     def __init__(self, server: Server) -> None:
         super().__init__()
-        self.server, self.last = server, time.monotonic()
+        self.server, self.last_used_at = server, time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -188,61 +201,61 @@
 
     def message(self, head: bytes, body: bytes) -> None:
         server = self.server
-        idle, self.last = time.monotonic() - self.last, time.monotonic()
-        way = server.arrive()
-        if server.ways.idle_ms and idle * 1000.0 > server.ways.idle_ms:
-            self.transport.abort()  # closed long ago, as far as the server is concerned
+        idle_s, self.last_used_at = time.monotonic() - self.last_used_at, time.monotonic()
+        outcome = server.receive_call()
+        if server.behavior.idle_close_ms and idle_s * 1000.0 > server.behavior.idle_close_ms:
+            self.transport.abort()  # the server has already timed this connection out
             return
-        if way == "turned_away":
-            self._answer(b"503 Service Unavailable\r\nx-unprocessed: 1", b"")
+        if outcome == "turned_away":
+            self._respond(b"503 Service Unavailable\r\nx-unprocessed: 1", b"")
             return
         call = fleet.header_value(head, b"x-correlation-id").decode()
         kind = server.ledger.kinds.get(fleet.header_value(head, b"x-service-class").decode())
         if kind is None:
-            name = call.partition(" ")[0].partition("~")[0]  # headers but the id are free to go
+            name = call.partition(" ")[0].partition("~")[0]  # only the id header is certain to arrive
             kind = server.ledger.kinds[name]
-        server.ledger.run(server, kind, call, fleet.header_value(head, b"idempotency-key").decode())
-        if way == "reset":
+        server.ledger.run_call(server, kind, call, fleet.header_value(head, b"idempotency-key").decode())
+        if outcome == "reset":
             self.transport.abort()
-        elif way == "error":
-            self._answer(b"500 Internal Server Error", b"")
+        elif outcome == "error":
+            self._respond(b"500 Internal Server Error", b"")
         else:
             loop = asyncio.get_running_loop()
-            loop.call_later(server.delay_s(), self._answer, b"200 OK", b"done:" + call.encode())
+            loop.call_later(server.delay_s(), self._respond, b"200 OK", b"done:" + call.encode())
 
-    def _answer(self, status: bytes, body: bytes) -> None:
-        self.last = time.monotonic()
+    def _respond(self, status: bytes, body: bytes) -> None:
+        self.last_used_at = time.monotonic()
         if not self.transport.is_closing():
             self.transport.write(b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n" % (status, len(body)) + body)
 
 
-class _RpcSide(RpcServer):
-    WAYS = {"reset": "drop-run", "error": "error", "turned_away": "busy", "ok": "ok"}
+class _RpcListener(RpcServer):
+    RPC_ACTIONS = {"reset": "drop-run", "error": "error", "turned_away": "busy", "ok": "ok"}
 
     def __init__(self, server: Server) -> None:
-        super().__init__(lambda _: self.WAYS[server.arrive()], Counter(), set())
+        super().__init__(lambda _: self.RPC_ACTIONS[server.receive_call()], Counter(), set())
         self.owner = server
 
-    def read(self, method: str, params: list[Any]) -> dict[str, Any]:
+    def parse_params(self, method: str, params: list[Any]) -> dict[str, Any]:
         kind = self.owner.ledger.methods[method]
         call = next(item["id"] for item in params if isinstance(item, dict) and "id" in item)
-        return {"id": call, "key": _at(params, kind.key) if kind.key else "", "kind": kind}
+        return {"id": call, "key": _value_at(params, kind.key) if kind.key else "", "kind": kind}
 
-    async def work(self) -> None:
+    async def simulate_work(self) -> None:
         await asyncio.sleep(self.owner.delay_s())
 
-    def run(self, call: dict[str, Any]) -> None:
-        self.owner.ledger.run(self.owner, call["kind"], call["id"], str(call["key"]))
+    def execute(self, call: dict[str, Any]) -> None:
+        self.owner.ledger.run_call(self.owner, call["kind"], call["id"], str(call["key"]))
 
 
-def _at(params: Any, path: Sequence[int | str]) -> Any:
+def _value_at(params: Any, path: Sequence[int | str]) -> Any:
     for step in path:
         params = params[step]
     return params
 
 
-def params_of(kind: Kind, call: str, key: str) -> list[Any]:
-    """Params of a call with its key at the kind's path; the id stands in a map after it."""
+def params_of(kind: CallKind, call: str, key: str) -> list[Any]:
+    """Returns the params of a call, with the key at the path of its kind and the id in a map."""
     params: list[Any] = []
     if kind.key:
         value: Any = key
@@ -257,14 +270,14 @@
 
 
 class Market:
-    """The servers, discovery, and what callers saw."""
+    """The servers, discovery, and the results that callers saw."""
 
     def __init__(
         self,
-        kinds: Sequence[Kind],
+        kinds: Sequence[CallKind],
         servers: int,
         seed: int,
-        ways: Ways | None = None,
+        behavior: ServerBehavior | None = None,
         zone: str = "a",
         capacity: float = 1e9,
     ) -> None:
@@ -272,14 +285,20 @@
         self.ledger = Ledger(kinds)
         self.servers = [
             Server(
-                f"s-{n}", self.ledger, ways or Ways(), random.Random(f"{seed}/{n}"), zone, n // 2, capacity
+                f"s-{n}",
+                self.ledger,
+                behavior or ServerBehavior(),
+                random.Random(f"{seed}/{n}"),
+                zone,
+                n // 2,
+                capacity,
             )
             for n in range(servers)
         ]
         self.listed = list(self.servers)
         self.seq = 1
-        self.waiting: set[_Discovery] = set()
-        self.tally = {kind.name: Tally() for kind in kinds}
+        self.watches: set[_Discovery] = set()
+        self.tallies = {kind.name: Tally() for kind in kinds}
         self.discovery = ""
         self._server: asyncio.Server | None = None
 
@@ -296,54 +315,54 @@
             server.kill()
         assert self._server is not None
         self._server.close()
-        for connection in list(self.waiting):
+        for connection in list(self.watches):
             connection.transport.abort()
 
     def hosts(self) -> list[dict[str, Any]]:
         return [server.entry() for server in self.listed]
 
-    def tell(self) -> None:
-        """Discovery has something new: all watches are answered."""
+    def publish(self) -> None:
+        """Sends the current list of hosts to all watches."""
         self.seq += 1
-        for connection in list(self.waiting):
+        for connection in list(self.watches):
             connection.send()
 
     def drain(self, server: Server) -> None:
-        server.health, server.drained = "draining", time.monotonic()
-        self.tell()
+        server.health, server.drain_started_at = "draining", time.monotonic()
+        self.publish()
 
     def remove(self, server: Server) -> None:
         server.kill()
         self.listed = [item for item in self.listed if item is not server]
-        self.tell()
+        self.publish()
 
-    # What it came to
+    # Results
 
     def attempts(self) -> int:
-        return sum(server.arrived for server in self.servers)
+        return sum(server.calls_received for server in self.servers)
 
     def late_sends(self) -> int:
-        return sum(server.late for server in self.servers)
+        return sum(server.late_calls for server in self.servers)
 
-    def pushed_over(self) -> int:
-        return sum(server.most_pushed > PUSH_MULTIPLE for server in self.servers)
+    def overloaded_starts(self) -> int:
+        return sum(server.max_overload > OVERLOAD_FACTOR for server in self.servers)
 
     def lost(self) -> int:
-        return sum(tally.lost for tally in self.tally.values())
+        return sum(tally.lost for tally in self.tallies.values())
 
-    def broken(self) -> dict[str, int]:
-        """Breaches of the four rules by name; none: an empty table."""
+    def violations(self) -> dict[str, int]:
+        """Returns the nonzero counts of violations of the four rules, by name."""
         found = {
             "calls lost": self.lost(),
-            "calls that ran twice": self.ledger.twice(),
+            "calls that ran twice": self.ledger.count_duplicates(),
             "sends to a draining server after 2 s": self.late_sends(),
-            "starting servers pushed over": self.pushed_over(),
+            "starting servers overloaded": self.overloaded_starts(),
         }
         return {name: count for name, count in found.items() if count}
 
 
 class _Discovery(fleet.OrderServer):
-    """A watch is held until there is something new, or its wait is over."""
+    """One discovery connection: a watch is held until there is a change or its wait time is over."""
 
     def __init__(self, market: Market) -> None:
         super().__init__()
@@ -352,28 +371,28 @@
     timer: asyncio.TimerHandle | None
 
     def message(self, head: bytes, body: bytes) -> None:
-        after, wait = re.search(rb"after=(\d+)", head), re.search(rb"wait_ms=(\d+)", head)
-        if after is None or wait is None or int(after[1]) < self.market.seq:
+        after_seq, wait = re.search(rb"after=(\d+)", head), re.search(rb"wait_ms=(\d+)", head)
+        if after_seq is None or wait is None or int(after_seq[1]) < self.market.seq:
             self.send()
             return
-        self.market.waiting.add(self)
+        self.market.watches.add(self)
         delay = min(int(wait[1]), 60_000) / 1000.0
         self.timer = asyncio.get_running_loop().call_later(delay, self.send)
 
     def send(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.market.waiting.discard(self)
+        self.market.watches.discard(self)
         if self.transport.is_closing():
             return
         for server in self.market.listed:
-            if server.drained >= 0 and server.told < 0:
-                server.told = time.monotonic()
+            if server.drain_started_at >= 0 and server.drain_published_at < 0:
+                server.drain_published_at = time.monotonic()
         body = json.dumps({"seq": self.market.seq, "whole": True, "hosts": self.market.hosts()}).encode()
         self.transport.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.market.waiting.discard(self)
+        self.market.watches.discard(self)
         if self.timer is not None:
             self.timer.cancel()
 
@@ -383,13 +402,13 @@
 
 @dataclass
 class Tally:
-    """What callers of one kind saw; latencies of served calls in seconds."""
+    """What callers of one kind saw, with the latencies of served calls in seconds."""
 
     calls: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    lost: int = 0  # no whole answer in time, or another call's
+    lost: int = 0  # no complete response in time, or the response of another call
     latencies: list[float] = field(default_factory=list)
 
     def percentile_ms(self, share: float) -> float:
@@ -398,70 +417,75 @@
 
 
 class Callers:
-    """The application: calls begin by their rates, whatever becomes of those before (an open loop)."""
+    """The application, in an open loop: calls start at their rates, independently of earlier calls."""
 
-    def __init__(self, market: Market, http: int, rpc: int) -> None:
-        self._market, self._http, self._rpc_port = market, http, rpc
-        self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+    def __init__(self, market: Market, http_port: int, rpc_port: int) -> None:
+        self._market, self._http_port, self._rpc_port = market, http_port, rpc_port
+        self._idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self._rpc: RpcCaller | None = None
-        self._opening = asyncio.Lock()
+        self._rpc_connecting = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.begun = 0
+        self.calls_started = 0
 
     async def run(self, seconds: float) -> None:
-        """Begin calls for so long, and wait for the last outcome."""
+        """Starts calls for this long, and waits for the last outcome."""
         async with asyncio.timeout(seconds + 120.0):
-            await asyncio.gather(*(self._kind(kind, seconds) for kind in self._market.kinds))
+            await asyncio.gather(*(self._send_calls(kind, seconds) for kind in self._market.kinds))
             await asyncio.gather(*self._tasks)
-        for _, writer in self._idle:
+        for _, writer in self._idle_connections:
             writer.transport.abort()
         if self._rpc is not None:
             self._rpc.close()
 
-    async def _kind(self, kind: Kind, seconds: float) -> None:
+    async def _send_calls(self, kind: CallKind, seconds: float) -> None:
         if kind.rate <= 0:
             return
-        chance = random.Random(f"{self._market.seed}/{kind.name}")
+        rng = random.Random(f"{self._market.seed}/{kind.name}")
         loop = asyncio.get_running_loop()
         start, at, number = loop.time(), 0.0, 0
-        while (at := at + chance.expovariate(kind.rate / kind.burst)) < seconds:
+        while (at := at + rng.expovariate(kind.rate / kind.burst)) < seconds:
             await asyncio.sleep(max(start + at - loop.time(), 0.0))
             for _ in range(kind.burst):
                 number += 1
-                self.begun += 1
-                task = asyncio.create_task(self._call(kind, f"{kind.name}~{number}"))
+                self.calls_started += 1
+                task = asyncio.create_task(self._send_call(kind, f"{kind.name}~{number}"))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _call(self, kind: Kind, call: str) -> None:
-        tally = self._market.tally[kind.name]
+    async def _send_call(self, kind: CallKind, call: str) -> None:
+        tally = self._market.tallies[kind.name]
         tally.calls += 1
-        rpc = bool(kind.method) and not (kind.by_turns and tally.calls % 2)
-        begun = time.monotonic()
+        rpc = bool(kind.method) and not (kind.alternates_protocols and tally.calls % 2)
+        started_at = time.monotonic()
         try:
-            async with asyncio.timeout(kind.given_up_ms / 1000.0 + SLACK_S):
-                outcome = await (self._over_rpc if rpc else self._over_http)(kind, call)
+            async with asyncio.timeout(kind.given_up_ms / 1000.0 + DEADLINE_SLACK_S):
+                outcome = await (self._call_rpc if rpc else self._call_http)(kind, call)
         except (OSError, EOFError, TimeoutError):
             outcome = "lost"
         setattr(tally, outcome, getattr(tally, outcome) + 1)
         if outcome == "served":
-            tally.latencies.append(time.monotonic() - begun)
-
-    async def _over_http(self, kind: Kind, call: str) -> str:
-        kept = bool(self._idle)
-        reader, writer = self._idle.pop() if kept else await asyncio.open_connection("127.0.0.1", self._http)
+            tally.latencies.append(time.monotonic() - started_at)
+
+    async def _call_http(self, kind: CallKind, call: str) -> str:
+        reused = bool(self._idle_connections)
+        reader, writer = (
+            self._idle_connections.pop()
+            if reused
+            else await asyncio.open_connection("127.0.0.1", self._http_port)
+        )
         try:
-            return await self._ask(reader, writer, kind, call)
+            return await self._exchange(reader, writer, kind, call)
         except (ConnectionError, asyncio.IncompleteReadError) as fault:
             writer.transport.abort()
-            # A sidecar may close between requests; one that crossed that goes out once more (protocol).
-            if not kept or isinstance(fault, asyncio.IncompleteReadError) and fault.partial:
+            # The sidecar may close an idle connection while a request is on its way: the protocol has the
+            # client send that request once more.
+            if not reused or isinstance(fault, asyncio.IncompleteReadError) and fault.partial:
                 raise
-        reader, writer = await asyncio.open_connection("127.0.0.1", self._http)
-        return await self._ask(reader, writer, kind, call)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self._http_port)
+        return await self._exchange(reader, writer, kind, call)
 
-    async def _ask(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: Kind, call: str
+    async def _exchange(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: CallKind, call: str
     ) -> str:
         method = "GET" if kind.repeat == "free" else "POST"
         body = b"" if method == "GET" else b"b" * kind.size
@@ -474,18 +498,18 @@
         )
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(fleet.header_value(head, b"content-length") or b"0")
-        answer = await reader.readexactly(length)
+        response = await reader.readexactly(length)
         if fleet.header_value(head, b"connection").lower() == b"close":
             writer.close()
         else:
-            self._idle.append((reader, writer))
+            self._idle_connections.append((reader, writer))
         status = int(head[9:12])
         if status == 200:
-            return "served" if answer == b"done:" + call.encode() else "lost"
+            return "served" if response == b"done:" + call.encode() else "lost"
         return "refused" if status in (429, 503) else "failed"
 
-    async def _over_rpc(self, kind: Kind, call: str) -> str:
-        async with self._opening:  # calls of a burst share the one connection
+    async def _call_rpc(self, kind: CallKind, call: str) -> str:
+        async with self._rpc_connecting:  # calls of a burst share one connection
             if self._rpc is None or self._rpc.writer.is_closing():
                 self._rpc = await RpcCaller.connect(self._rpc_port)
         error, result = await self._rpc.send(kind.method, *params_of(kind, call, f"key-{call}"))
--- a/rigs/rpc_peer.py
+++ b/rigs/rpc_peer.py
@@ -1,6 +1,7 @@
-"""Stand-in MessagePack-RPC order servers and clients, from the published specification, on `msgpack` alone.
+"""Simulated MessagePack-RPC order servers and clients, written from the published specification with only
+`msgpack`.
 
-A server answers each call as its script says; what it ran it counts by the id that the call carries.
+A server performs a chosen action for each call and counts its runs by the id in the call.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 
 import msgpack
 
-# What a server may do with a call. The share of each in a seeded run is the caller's.
-WAYS = ("ok", "late", "error", "busy", "twice", "drop", "drop-run", "cut", "garbage", "never", "stray")
+# What a server may do with a call. The test chooses the weight of each in a random run.
+ACTIONS = ("ok", "late", "error", "busy", "twice", "drop", "drop-run", "cut", "garbage", "never", "stray")
 
 
 class RpcServer:
-    """Serves calls whose params are [{"id": ..., "key": ...}, ...]; ``way`` decides on each.
+    """Serves calls whose params are [{"id": ..., "key": ...}, ...]; ``choose_action`` decides on each.
 
-    ``executed`` counts runs by id, over all servers that share it. A repeat under a key that ``keys`` has is
-    dropped and answered again, as by order servers of one cell.
+    ``run_counts`` counts runs by id over all servers that share it. A call with a key in ``keys`` is a
+    repeat: it gets a response without another run, as from order servers of one cell.
     """
 
-    def __init__(self, way: Callable[[str], str], executed: Counter[str], keys: set[str]) -> None:
-        self.way, self.executed, self.keys = way, executed, keys
-        self.calls: asyncio.Queue[str] = asyncio.Queue()
-        self.seen: list[str] = []
+    def __init__(self, choose_action: Callable[[str], str], run_counts: Counter[str], keys: set[str]) -> None:
+        self.choose_action, self.run_counts, self.keys = choose_action, run_counts, keys
+        self.received: asyncio.Queue[str] = asyncio.Queue()
+        self.received_ids: list[str] = []
         self.connections: set[asyncio.StreamWriter] = set()
-        self.opened = 0
+        self.connections_opened = 0
         self.dial = ""
-        self.release = asyncio.Event()  # what "late" waits for
+        self.release = asyncio.Event()  # responses of action "late" wait for this
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
@@ -44,7 +45,7 @@
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections.add(writer)
-        self.opened += 1
+        self.connections_opened += 1
         unpacker = msgpack.Unpacker(raw=False, strict_map_key=False)
         tasks = []
         try:
@@ -59,68 +60,68 @@
             self.connections.discard(writer)
             writer.transport.abort()
 
-    async def work(self) -> None:
-        """How long a call takes; none, unless a server of another kind says otherwise."""
+    async def simulate_work(self) -> None:
+        """Waits as long as a call takes; overridden by servers whose calls take time."""
 
-    def read(self, method: str, params: list[Any]) -> dict[str, Any]:
-        """A call's id, and its key where it has one."""
-        found: dict[str, Any] = params[0]
-        return found
+    def parse_params(self, method: str, params: list[Any]) -> dict[str, Any]:
+        """Returns the id of a call and its key, if it has one."""
+        call: dict[str, Any] = params[0]
+        return call
 
-    def run(self, call: dict[str, Any]) -> None:
+    def execute(self, call: dict[str, Any]) -> None:
         key = call.get("key")
         if key is not None:
             if key in self.keys:
                 return
             self.keys.add(key)
-        self.executed[call["id"]] += 1
+        self.run_counts[call["id"]] += 1
 
     async def _call(self, writer: asyncio.StreamWriter, msgid: int, method: str, params: list[Any]) -> None:
-        call = self.read(method, params)
-        self.seen.append(call["id"])
-        self.calls.put_nowait(call["id"])
-        way = self.way(call["id"])
-        if way in ("drop", "busy", "never"):
-            if way == "drop":
+        call = self.parse_params(method, params)
+        self.received_ids.append(call["id"])
+        self.received.put_nowait(call["id"])
+        action = self.choose_action(call["id"])
+        if action in ("drop", "busy", "never"):
+            if action == "drop":
                 writer.transport.abort()
-            elif way == "busy":
+            elif action == "busy":
                 writer.write(msgpack.packb([1, msgid, "busy", None]))
             return
-        self.run(call)
-        if way == "late":
+        self.execute(call)
+        if action == "late":
             await self.release.wait()
-        await self.work()
+        await self.simulate_work()
         if writer.transport.is_closing():
-            return  # dropped by another call meanwhile
-        answer = msgpack.packb([1, msgid, None, [call["id"], params[1:]]])
-        if way == "error":
+            return  # another call has closed the connection meanwhile
+        response = msgpack.packb([1, msgid, None, [call["id"], params[1:]]])
+        if action == "error":
             writer.write(msgpack.packb([1, msgid, {"why": "sold out", "id": call["id"]}, None]))
-        elif way == "drop-run":
+        elif action == "drop-run":
             writer.transport.abort()
-        elif way == "cut":
-            writer.write(answer[: 1 + len(call["id"]) % (len(answer) - 1)])
+        elif action == "cut":
+            writer.write(response[: 1 + len(call["id"]) % (len(response) - 1)])
             writer.close()
-        elif way == "garbage":
+        elif action == "garbage":
             writer.write(b"\xc1\xc1 what no one can read")
-        elif way == "stray":
-            writer.write(msgpack.packb([1, (msgid + 7777) % 2**32, None, "nobody's"]) + answer)
+        elif action == "stray":
+            writer.write(msgpack.packb([1, (msgid + 7777) % 2**32, None, "nobody's"]) + response)
         else:
-            writer.write(answer * (2 if way == "twice" else 1))
+            writer.write(response * (2 if action == "twice" else 1))
 
 
-def seeded(chance: random.Random, weights: dict[str, float]) -> Callable[[str], str]:
-    """A way for each call by these weights, the same for the same order of calls."""
-    return lambda call: chance.choices(list(weights), list(weights.values()))[0]
+def weighted_actions(rng: random.Random, weights: dict[str, float]) -> Callable[[str], str]:
+    """Returns a function that draws a weighted action for each call, reproducible for one order of calls."""
+    return lambda call: rng.choices(list(weights), list(weights.values()))[0]
 
 
 class RpcCaller:
-    """One connection of an application: calls pipelined, responses by msgid."""
+    """One connection of an application: pipelines calls and matches responses by msgid."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer = reader, writer
         self._msgid = 0
-        self.open: dict[int, asyncio.Future[tuple[Any, Any]]] = {}
-        self.strange: list[Any] = []  # responses to nothing that is open
+        self.pending: dict[int, asyncio.Future[tuple[Any, Any]]] = {}
+        self.unexpected: list[Any] = []  # responses without a pending call
         self._task = asyncio.create_task(self._read())
 
     @classmethod
@@ -128,9 +129,9 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(self, method: str, *params: Any) -> asyncio.Future[tuple[Any, Any]]:
-        """The (error, result) of a call; a ConnectionError where the connection ends before."""
+        """Sends a call. The future gets its (error, result), or a ConnectionError if it is lost."""
         self._msgid += 1
-        future = self.open[self._msgid] = asyncio.get_running_loop().create_future()
+        future = self.pending[self._msgid] = asyncio.get_running_loop().create_future()
         self.writer.write(msgpack.packb([0, self._msgid, method, params]))
         return future
 
@@ -140,16 +141,16 @@
             while data := await self._reader.read(65536):
                 unpacker.feed(data)
                 for message in unpacker:
-                    future = self.open.pop(message[1], None)
+                    future = self.pending.pop(message[1], None)
                     if message[0] != 1 or future is None:
-                        self.strange.append(message)
+                        self.unexpected.append(message)
                     elif not future.done():
                         future.set_result((message[2], message[3]))
         except ConnectionError:
             pass
-        for future in self.open.values():
+        for future in self.pending.values():
             if not future.done():
-                future.set_exception(ConnectionResetError("the connection ended"))
+                future.set_exception(ConnectionResetError("the connection was closed"))
 
     def close(self) -> None:
         self._task.cancel()
--- a/tests/test_configure_real.py
+++ b/tests/test_configure_real.py
@@ -26,7 +26,7 @@
 from anisestair.configure.findings import RULES, Role
 from anisestair.configure.source import read_json, read_toml
 from rigs import fleet
-from rigs.market import Callers, Kind, Market, Ways
+from rigs.market import Callers, CallKind, Market, ServerBehavior
 
 ROOT = Path(__file__).parent.parent
 CASES = {item.name: item for item in corpus.invalid_cases()}
@@ -49,9 +49,9 @@
 
 async def send_calls(
     case: corpus.Case,
-    kinds: list[Kind],
+    kinds: list[CallKind],
     seconds: float,
-    ways: Ways | None = None,
+    behavior: ServerBehavior | None = None,
     servers: int = 4,
     capacity: float = 1e9,
     during: During | None = None,
@@ -61,7 +61,7 @@
 ) -> Market:
     """Sends calls through a real sidecar with the configuration of a case, except for its addresses."""
     platform, operator = file_values(case)
-    async with Market(kinds, servers, SEED, ways or Ways(), zone, capacity) as market:
+    async with Market(kinds, servers, SEED, behavior or ServerBehavior(), zone, capacity) as market:
         platform |= {"listen": listen, "discovery": discovery or market.discovery}
         platform["known"] = {"seq": 1, "whole": True, "hosts": market.hosts()}
         text = json.dumps(platform)
@@ -85,31 +85,31 @@
     return market
 
 
-def run_case(case: corpus.Case, kinds: list[Kind], seconds: float = 1.0, **more: Any) -> Market:
+def run_case(case: corpus.Case, kinds: list[CallKind], seconds: float = 1.0, **more: Any) -> Market:
     return asyncio.run(send_calls(case, kinds, seconds, **more))
 
 
-def rpc_kinds(**rates: float) -> list[Kind]:
+def rpc_kinds(**rates: float) -> list[CallKind]:
     given = {
-        "sale": Kind("sale", "never", 0.0, 1200.0, method="order.sale"),
-        "listing": Kind("listing", "keyed", 0.0, 4000.0, method="listing.put", key=(0, "key")),
-        "look": Kind("look", "free", 0.0, 2000.0, method="stock.look"),
+        "sale": CallKind("sale", "never", 0.0, 1200.0, method="order.sale"),
+        "listing": CallKind("listing", "keyed", 0.0, 4000.0, method="listing.put", key=(0, "key")),
+        "look": CallKind("look", "free", 0.0, 2000.0, method="stock.look"),
     }
     return [dataclasses.replace(kind, rate=rates.get(name, 0.0)) for name, kind in given.items()]
 
 
-def http_kinds(**rates: float) -> list[Kind]:
-    given = [Kind("sale", "never", 0.0, 1200.0), Kind("listing", "keyed", 0.0, 4000.0)]
+def http_kinds(**rates: float) -> list[CallKind]:
+    given = [CallKind("sale", "never", 0.0, 1200.0), CallKind("listing", "keyed", 0.0, 4000.0)]
     return [dataclasses.replace(kind, rate=rates.get(kind.name, 0.0)) for kind in given]
 
 
-BREAKS = Ways(reset=0.3)
+BREAKS = ServerBehavior(reset=0.3)
 
 
 def test_a_sale_that_is_retried_runs_twice() -> None:
     for name in ("shop: sale with class look", "shop: prefix matches sales"):
-        market = run_case(CASES[name], rpc_kinds(sale=60), ways=BREAKS)
-        assert market.ledger.twice() > 0, name
+        market = run_case(CASES[name], rpc_kinds(sale=60), behavior=BREAKS)
+        assert market.ledger.count_duplicates() > 0, name
 
 
 def test_the_last_of_two_keys_is_used_and_a_sale_runs_twice() -> None:
@@ -117,20 +117,23 @@
     shop = corpus.CaseMaker("shop")
     files = corpus.config_files(shop.platform, shop.operator, shop.app)
     case = corpus.Case("", "duplicate-key", Role.PLATFORM, (), 1, files)
-    market = run_case(case, rpc_kinds(sale=60), ways=BREAKS)
-    assert market.ledger.twice() > 0
+    market = run_case(case, rpc_kinds(sale=60), behavior=BREAKS)
+    assert market.ledger.count_duplicates() > 0
 
 
 def test_a_keyed_call_in_a_wider_group_runs_twice() -> None:
-    market = run_case(CASES["stall: key-scope all"], http_kinds(listing=60), ways=BREAKS)
-    assert market.ledger.twice() > 0
+    market = run_case(CASES["stall: key-scope all"], http_kinds(listing=60), behavior=BREAKS)
+    assert market.ledger.count_duplicates() > 0
 
 
 def test_a_keyed_call_beyond_its_servers_memory_runs_twice() -> None:
     # The servers forget a key before any second attempt can arrive.
-    kinds = [Kind("listing", "keyed", 60.0, 4000.0, remembers_ms=0.0)]
+    kinds = [CallKind("listing", "keyed", 60.0, 4000.0, remembers_ms=0.0)]
     case = CASES["stall: window longer than key memory"]
-    assert run_case(case, kinds, ways=Ways(error=0.3, least_ms=2.0)).ledger.twice() > 0
+    assert (
+        run_case(case, kinds, behavior=ServerBehavior(error=0.3, min_delay_ms=2.0)).ledger.count_duplicates()
+        > 0
+    )
 
 
 def test_an_error_after_the_run_that_counts_as_turned_away_sells_twice() -> None:
@@ -138,18 +141,20 @@
     case = shop.invalid(
         "sold out", "turned-away", ("rpc", "turned_away"), ["busy", {"why": "sold out"}], Role.OPERATOR
     )
-    assert run_case(case, rpc_kinds(sale=60), ways=Ways(error=0.3)).ledger.twice() > 0
+    assert (
+        run_case(case, rpc_kinds(sale=60), behavior=ServerBehavior(error=0.3)).ledger.count_duplicates() > 0
+    )
 
 
 @pytest.mark.parametrize("name", ["stall: queries itself", "stall: different discovery address"])
 def test_with_a_wrong_discovery_address_drains_are_not_kept(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("rigs.market.NOTICE_S", 0.0)  # do not wait for the 6 s of the protocol
+    monkeypatch.setattr("rigs.market.DISCOVERY_NOTICE_S", 0.0)  # do not wait for the 6 s of the protocol
 
     async def drain_one(market: Market, running: fleet.RunningSidecar) -> None:
         await asyncio.sleep(0.5)
-        market.drain(max(market.servers, key=lambda server: server.arrived))
+        market.drain(max(market.servers, key=lambda server: server.calls_received))
 
     case = CASES[name]
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -169,7 +174,7 @@
     await asyncio.sleep(0.3)
     await first.restart(0.02, 5.0)
     market.listed.insert(0, first)
-    market.tell()
+    market.publish()
 
 
 @pytest.mark.parametrize("name", ["stall: no start-up limit", "stall: cold-ms as cold_ms"])
@@ -177,7 +182,7 @@
     market = run_case(
         CASES[name], http_kinds(sale=150), seconds=2.5, during=restart_cold, servers=3, capacity=100.0
     )
-    assert market.pushed_over() > 0
+    assert market.overloaded_starts() > 0
 
 
 def test_with_a_start_up_limit_a_starting_server_is_not_overloaded() -> None:
@@ -186,45 +191,49 @@
     market = run_case(
         valid, http_kinds(sale=150), seconds=2.5, during=restart_cold, servers=3, capacity=100.0
     )
-    assert market.pushed_over() == 0
+    assert market.overloaded_starts() == 0
 
 
 def test_a_deadline_beyond_the_callers_loses_calls() -> None:
     # The servers take longer than the callers wait, and the sidecar goes on waiting.
     kinds = [dataclasses.replace(kind, given_up_ms=300.0) for kind in rpc_kinds(look=20)]
     case = CASES["shop: deadline longer than callers wait"]
-    assert run_case(case, kinds, ways=Ways(least_ms=900.0, most_ms=1000.0)).lost() > 0
+    assert run_case(case, kinds, behavior=ServerBehavior(min_delay_ms=900.0, max_delay_ms=1000.0)).lost() > 0
 
 
 def test_a_promise_in_seconds_refuses_calls_on_an_idle_fleet() -> None:
     market = run_case(CASES["stall: promise-ms in seconds"], http_kinds(sale=40))
-    assert market.tally["sale"].refused > 0
+    assert market.tallies["sale"].refused > 0
     stall = corpus.CaseMaker("stall")
     valid = corpus.Case("", "", Role.PLATFORM, (), 1, corpus.config_files(stall.platform, None, stall.app))
-    assert run_case(valid, http_kinds(sale=40)).tally["sale"].refused == 0
+    assert run_case(valid, http_kinds(sale=40)).tallies["sale"].refused == 0
 
 
 def test_connections_kept_longer_than_by_servers_fail_sales() -> None:
     case = CASES["stall: idle time longer than servers allow"]
-    market = run_case(case, http_kinds(sale=6), seconds=2.0, ways=Ways(idle_ms=100.0))
-    assert market.tally["sale"].failed > 0
+    market = run_case(case, http_kinds(sale=6), seconds=2.0, behavior=ServerBehavior(idle_close_ms=100.0))
+    assert market.tallies["sale"].failed > 0
 
 
 def test_a_burst_beyond_the_descriptors_loses_calls() -> None:
     kinds = [dataclasses.replace(kind, burst=200) for kind in http_kinds(listing=300)]
-    market = run_case(CASES["stall: too few descriptors"], kinds, ways=Ways(least_ms=150.0, most_ms=200.0))
-    tally = market.tally["listing"]
+    market = run_case(
+        CASES["stall: too few descriptors"],
+        kinds,
+        behavior=ServerBehavior(min_delay_ms=150.0, max_delay_ms=200.0),
+    )
+    tally = market.tallies["listing"]
     assert tally.lost + tally.failed + tally.refused > 0
 
 
 def test_a_call_without_a_class_or_pattern_is_never_served() -> None:
     market = run_case(CASES["shop: method without a pattern"], rpc_kinds(sale=20))
-    assert market.tally["sale"].served == 0 and market.tally["sale"].calls > 0
+    assert market.tallies["sale"].served == 0 and market.tallies["sale"].calls > 0
 
 
 def test_a_call_with_its_key_at_a_different_path_is_never_served() -> None:
     market = run_case(CASES["shop: key at a different path"], rpc_kinds(listing=20))
-    assert market.tally["listing"].served == 0 and market.tally["listing"].calls > 0
+    assert market.tallies["listing"].served == 0 and market.tallies["listing"].calls > 0
 
 
 # Configurations with which a sidecar refuses to start
@@ -303,16 +312,16 @@
 def test_generated_configurations_keep_the_rules_under_faults(seed: int) -> None:
     app = parse_app(read_toml("x", corpus.random_app(seed)).data)
     market = asyncio.run(trial.run_market(app, derive(app), 3.0, seed))
-    assert market.broken() == {}
-    assert sum(tally.calls for tally in market.tally.values()) > 0
+    assert market.violations() == {}
+    assert sum(tally.calls for tally in market.tallies.values()) > 0
 
 
 @pytest.mark.parametrize("name", ["stall", "shop", "window"])
 def test_the_examples_serve_through_a_kill_and_a_drain(name: str) -> None:
     _, app = corpus.load_example(name)
     market = asyncio.run(trial.run_market(app, derive(app), 4.0, 1))
-    assert market.broken() == {}
-    assert all(tally.served > 0 for tally in market.tally.values() if tally.calls > 10)
+    assert market.violations() == {}
+    assert all(tally.served > 0 for tally in market.tallies.values() if tally.calls > 10)
 
 
 # Start with an unsafe configuration
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -98,8 +98,8 @@
 
     async def test() -> None:
         upstream, discovery = Upstream(), FakeDiscovery()
-        executed: Counter[str] = Counter()
-        order = RpcServer(lambda call: "ok", executed, set())
+        run_counts: Counter[str] = Counter()
+        order = RpcServer(lambda call: "ok", run_counts, set())
         await upstream.start()
         await discovery.start()
         await order.start()
@@ -139,7 +139,7 @@
             if process.returncode is None:
                 process.kill()
             await process.communicate()
-        assert executed == Counter(a=1, theirs=1)
+        assert run_counts == Counter(a=1, theirs=1)
         for item in (upstream, discovery, order):
             item.close()
 
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -26,7 +26,7 @@
 from anisestair.rpc.frontend import RpcFrontend
 from anisestair.sidecar import Sidecar
 from hareloom import wire
-from rigs.rpc_peer import RpcCaller, RpcServer, seeded
+from rigs.rpc_peer import RpcCaller, RpcServer, weighted_actions
 
 METHODS = (
     MethodTable("order.sale", "sale"),
@@ -88,9 +88,9 @@
         runner.run(asyncio.wait_for(test(), 120.0))  # type: ignore[arg-type]
 
 
-async def server(way: Callable[[str], str] | str = "ok", executed: Counter[str] | None = None) -> RpcServer:
+async def server(way: Callable[[str], str] | str = "ok", run_counts: Counter[str] | None = None) -> RpcServer:
     made = RpcServer(
-        way if callable(way) else lambda call: way, executed if executed is not None else Counter(), set()
+        way if callable(way) else lambda call: way, run_counts if run_counts is not None else Counter(), set()
     )
     await made.start()
     return made
@@ -108,7 +108,7 @@
         async with world(order) as there:
             caller = await there.caller()
             assert await answer(caller.send("order.sale", {"id": "c1"}, *odd)) == (None, ["c1", odd])
-            assert (order.executed, order.opened) == (Counter({"c1": 1}), 1)
+            assert (order.run_counts, order.connections_opened) == (Counter({"c1": 1}), 1)
 
     play(test)
 
@@ -119,7 +119,7 @@
         async with world(order) as there:
             caller = await there.caller()
             slow = caller.send("order.sale", {"id": "slow"})
-            assert await asyncio.wait_for(order.calls.get(), PATIENCE_S) == "slow"
+            assert await asyncio.wait_for(order.received.get(), PATIENCE_S) == "slow"
             for number in range(20):
                 assert await answer(caller.send("order.sale", {"id": f"c{number}"})) == (
                     None,
@@ -128,7 +128,7 @@
             assert not slow.done()
             order.release.set()
             assert await answer(slow) == (None, ["slow", []])
-            assert order.opened == 1, "all on one connection"
+            assert order.connections_opened == 1, "all on one connection"
 
     play(test)
 
@@ -151,7 +151,7 @@
             caller = await there.caller()
             assert await answer(caller.send(method, *params)) == ({"code": code}, None)
             assert (await answer(caller.send("order.sale", {"id": "next"})))[0] is None
-            assert order.seen == ["next"]
+            assert order.received_ids == ["next"]
 
     play(test)
 
@@ -167,8 +167,8 @@
         return "ok"
 
     async def test() -> None:
-        executed: Counter[str] = Counter()
-        order, other = await server(once, executed), await server(once, executed)
+        run_counts: Counter[str] = Counter()
+        order, other = await server(once, run_counts), await server(once, run_counts)
         async with world(order, other) as there:
             there.sidecar.balancer.limits.limit = 1000.0
             caller = await there.caller()
@@ -177,14 +177,16 @@
                 "b": caller.send("listing.add", {"id": "b", "key": "kb"}),
                 "c": caller.send("listing.add", {"id": "c", "key": "kc"}),
             }
-            await until(lambda: len(order.seen) + len(other.seen) == 3)
+            await until(lambda: len(order.received_ids) + len(other.received_ids) == 3)
             for item in (order, other):
                 for writer in list(item.connections):
                     writer.transport.abort()
             assert (await answer(futures["a"]))[0] == {"code": "failed"}
             for name in "bc":
                 assert await answer(futures[name]) == (None, [name, []])
-            assert executed == Counter(b=1, c=1) and (order.seen + other.seen).count("a") == 1
+            assert (
+                run_counts == Counter(b=1, c=1) and (order.received_ids + other.received_ids).count("a") == 1
+            )
 
     play(test)
 
@@ -199,7 +201,7 @@
         async with world(busy) as there:
             error, _ = await answer((await there.caller()).send("order.sale", {"id": "c"}))
             assert error["code"] == "refused" and error["retry_after_ms"] > 0
-        assert not busy.executed
+        assert not busy.run_counts
 
     play(test)
 
@@ -210,7 +212,7 @@
         async with world(order) as there:
             error, result = await answer((await there.caller()).send("order.sale", {"id": "c"}))
             assert (error, result) == ({"why": "sold out", "id": "c"}, None)
-            assert order.seen == ["c"]
+            assert order.received_ids == ["c"]
 
     play(test)
 
@@ -226,7 +228,7 @@
                     None,
                     [f"c{number}", []],
                 )
-            assert not caller.strange and order.opened == 1
+            assert not caller.unexpected and order.connections_opened == 1
 
     play(test)
 
@@ -238,7 +240,7 @@
             caller = await there.caller()
             for number in range(40):
                 await answer(caller.send("order.sale", {"id": f"c{number}"}))
-            assert order.opened > 1
+            assert order.connections_opened > 1
 
     play(test)
 
@@ -253,7 +255,7 @@
             assert (await answer(slow))[0]["code"] in ("failed", "overdue")
             order.release.set()
             assert await answer(caller.send("order.sale", {"id": "next"})) == (None, ["next", []])
-            assert not caller.strange
+            assert not caller.unexpected
 
     play(test)
 
@@ -265,14 +267,14 @@
         async with world(order) as there:
             caller, other = await there.caller(), await there.caller()
             held = caller.send("order.sale", {"id": "held"})
-            await asyncio.wait_for(order.calls.get(), PATIENCE_S)
+            await asyncio.wait_for(order.received.get(), PATIENCE_S)
             caller.writer.write(msgpack.packb(stream))
             with pytest.raises(ConnectionError):
                 await answer(held)
             assert (await answer(other.send("order.sale", {"id": "c"})))[0] is None
             order.release.set()
             await until(lambda: not there.sidecar.lives.exchanges)
-            assert "again" not in order.seen
+            assert "again" not in order.received_ids
 
     play(test)
 
@@ -285,7 +287,7 @@
             caller = await there.caller()
             for number in range(5):
                 caller.send("order.sale", {"id": f"c{number}"})
-            await until(lambda: len(order.seen) == 5)
+            await until(lambda: len(order.received_ids) == 5)
             caller.close()
             await until(lambda: not there.sidecar.lives.exchanges and not there.frontend._clients)
             assert not there.sidecar._records
@@ -300,7 +302,7 @@
             there.sidecar.balancer.limits.limit = 1000.0
             caller = await there.caller()
             futures = [caller.send("listing.x", {"id": f"c{n}", "key": f"k{n}"}) for n in range(300)]
-            await until(lambda: len(order.seen) == 4)
+            await until(lambda: len(order.received_ids) == 4)
             (client,) = there.frontend._clients
             assert len(client.open) == 4 and len(client.waiting) < 200
             order.release.set()
@@ -345,11 +347,11 @@
         async with world(order, methods=methods) as there:
             caller, other = await there.caller(), await there.caller()
             held = caller.send("order.sale", {"id": "a"})
-            await asyncio.wait_for(order.calls.get(), PATIENCE_S)
+            await asyncio.wait_for(order.received.get(), PATIENCE_S)
             assert (await answer(other.send("order.sale", {"id": "a"})))[0] == {"code": "bad_call"}
             assert (await answer(other.send("order.sale", {"id": None})))[0] == {"code": "bad_call"}
             order.release.set()
-            assert (await answer(held))[0] is None and order.seen == ["a"]
+            assert (await answer(held))[0] is None and order.received_ids == ["a"]
 
     play(test)
 
@@ -397,8 +399,8 @@
     # Calls accepted by the kernel may have run and fail. Calls still buffered here, including the one that is
     # partly written, never ran and are served over another connection.
     async def test() -> None:
-        executed: Counter[str] = Counter()
-        order = await server("ok", executed)
+        run_counts: Counter[str] = Counter()
+        order = await server("ok", run_counts)
         reads = order.server
         first: list[asyncio.StreamWriter] = []
 
@@ -430,7 +432,7 @@
             errors = [(await answer(item))[0] for item in futures]
             failed = [error for error in errors if error == {"code": "failed"}]
             assert len(failed) == len(futures) - len(held), "exactly the calls that were sent fail"
-            assert sum(executed.values()) == errors.count(None) > 0 and max(executed.values()) == 1
+            assert sum(run_counts.values()) == errors.count(None) > 0 and max(run_counts.values()) == 1
             assert all(error is None or error["code"] in ("failed", "refused") for error in errors)
 
     play(test)
@@ -438,19 +440,19 @@
 
 def test_a_keyed_call_repeated_while_the_first_still_runs_runs_once_in_its_cell() -> None:
     async def test() -> None:
-        executed, keys = Counter[str](), set[str]()
-        first, second = (RpcServer(lambda call: "late", executed, keys) for _ in range(2))
+        run_counts, keys = Counter[str](), set[str]()
+        first, second = (RpcServer(lambda call: "late", run_counts, keys) for _ in range(2))
         for order in (first, second):
             await order.start()
         async with world(first, second) as there:
             there.sidecar.balancer.limits.limit = 1000.0
             caller = await there.caller()
             futures = [caller.send("listing.x", {"id": "c", "key": "k"}) for _ in range(2)]
-            await until(lambda: len(first.seen) + len(second.seen) == 2)
+            await until(lambda: len(first.received_ids) + len(second.received_ids) == 2)
             for order in (first, second):
                 order.release.set()
             assert [await answer(item) for item in futures] == [(None, ["c", []])] * 2
-            assert executed == Counter(c=1)
+            assert run_counts == Counter(c=1)
 
     play(test)
 
@@ -462,7 +464,7 @@
             there.sidecar.balancer.limits.limit, there.sidecar.lives.most = 1000.0, 5
             caller = await there.caller()
             futures = [caller.send("order.sale", {"id": f"c{number}"}) for number in range(12)]
-            await until(lambda: len(order.seen) == 5)
+            await until(lambda: len(order.received_ids) == 5)
             assert len(there.sidecar.lives.connections) == len(order.connections) == 5
             order.release.set()
             errors = [(await answer(item))[0] for item in futures]
@@ -470,7 +472,7 @@
             assert errors.count(None) >= 5 and all(
                 item is None or item["code"] == "refused" for item in errors
             )
-            assert sum(order.executed.values()) == errors.count(None)
+            assert sum(order.run_counts.values()) == errors.count(None)
 
     play(test)
 
@@ -487,7 +489,9 @@
                 writer.write(msgpack.packb([0, number, "order.sale", [{"id": f"c{number}"}, b"x" * 60_000]]))
             await until(lambda: bool(there.frontend._clients))
             await until(lambda: not there.frontend._clients)
-            assert len(order.seen) < 400, "calls without buffer space for their responses must not be started"
+            assert len(order.received_ids) < 400, (
+                "calls without buffer space for their responses must not be started"
+            )
             await until(lambda: not there.sidecar.lives.exchanges)
             writer.transport.abort()
 
@@ -514,7 +518,7 @@
             there.frontend._max_clients = 3
             busy = await there.caller()
             held = busy.send("order.sale", {"id": "held"})
-            await asyncio.wait_for(order.calls.get(), PATIENCE_S)
+            await asyncio.wait_for(order.received.get(), PATIENCE_S)
             for number in range(8):
                 caller = await there.caller()
                 assert (await answer(caller.send("order.sale", {"id": f"c{number}"})))[0] is None
@@ -533,8 +537,8 @@
             caller.writer.write(msgpack.packb([2, "order.sale", [{"id": "sale"}]]))
             caller.writer.write(msgpack.packb([2, "listing.x", [{"id": "listing", "key": "k"}]]))
             assert (await answer(caller.send("order.sale", {"id": "c"})))[0] is None
-            await until(lambda: len(order.seen) == 2)
-            assert set(order.seen) == {"listing", "c"} and not caller.strange
+            await until(lambda: len(order.received_ids) == 2)
+            assert set(order.received_ids) == {"listing", "c"} and not caller.unexpected
 
     play(test)
 
@@ -545,7 +549,7 @@
         async with world(first) as there:
             caller = await there.caller()
             held = caller.send("listing.x", {"id": "held", "key": "k"})
-            await asyncio.wait_for(first.calls.get(), PATIENCE_S)
+            await asyncio.wait_for(first.received.get(), PATIENCE_S)
             there.sidecar.discovery.watch()
             there.discovery.tell(2, entry("s-0", first, "draining"), entry("s-1", second))
             await until(lambda: "s-1" in there.sidecar.lives.endpoints)
@@ -553,7 +557,7 @@
                 assert (await answer(caller.send("order.sale", {"id": f"c{number}"})))[0] is None
             first.release.set()
             assert (await answer(held))[1][0] == "held"
-            assert first.seen == ["held"] and len(second.seen) == 10
+            assert first.received_ids == ["held"] and len(second.received_ids) == 10
             await until(lambda: not first.connections)
 
     play(test)
@@ -570,7 +574,7 @@
             there.sidecar.balancer.limits.limit = 1000.0
             caller = await there.caller()
             futures = [caller.send("listing.x", {"id": f"c{n}", "key": f"k{n}"}) for n in range(100)]
-            await until(lambda: len(order.seen) == 100)
+            await until(lambda: len(order.received_ids) == 100)
             end = asyncio.create_task(there.frontend.stop())
             await asyncio.sleep(0)
             order.release.set()
@@ -624,13 +628,13 @@
     chance = random.Random(11)
 
     async def test() -> None:
-        executed: Counter[str] = Counter()
+        run_counts: Counter[str] = Counter()
         servers = []
         keys: set[str] = set()
         for number in range(4):
             if number % 2 == 0:
                 keys = set()  # two servers form a cell and deduplicate by the same keys
-            order = RpcServer(seeded(random.Random(number), FAULTS), executed, keys)
+            order = RpcServer(weighted_actions(random.Random(number), FAULTS), run_counts, keys)
             await order.start()
             order.release.set()
             servers.append(order)
@@ -651,7 +655,7 @@
                     )
                     method = "order.sale" if sale else "listing.add"
                     error, result = await answer(caller.send(method, {"id": name} | key))
-                    ran = executed[name]
+                    ran = run_counts[name]
                     if error is None:
                         outcomes["served"] += 1
                         assert result == [name, []] and ran == 1
@@ -665,13 +669,13 @@
             callers = [await there.caller() for _ in range(CALLERS)]
             workers = [calls(caller) for caller in callers for _ in range(2)]
             await asyncio.gather(*workers)
-            assert not any(caller.strange or caller.open for caller in callers)
+            assert not any(caller.unexpected or caller.pending for caller in callers)
             await until(lambda: not there.sidecar.lives.exchanges)
             assert not there.sidecar._records and not there.sidecar.balancer.requests
             lives = there.sidecar.lives
             assert len(lives.connections) <= 40 and set(lives.endpoints) == set(there.sidecar._addresses)
         assert sum(outcomes.values()) == CALLS and outcomes["served"] > CALLS / 2, outcomes
-        assert max(executed.values()) == 1, "a sale, or a listing in its cell, has run twice"
+        assert max(run_counts.values()) == 1, "a sale, or a listing in its cell, has run twice"
         for order in servers:
             order.close()
 
