--- a/rigs/lost_links/__init__.py
+++ b/rigs/lost_links/__init__.py
@@ -1,1 +1,1 @@
-"""Links that are lost under load between real sidecars, and a judge outside who knows what ran."""
+"""Loss of links between real sidecars under load, checked against a record of what was executed."""
--- a/rigs/lost_links/between.py
+++ b/rigs/lost_links/between.py
@@ -1,5 +1,5 @@
-"""A relay before a sidecar's port for others, that can also reset, and hold connections while new ones pass:
-what stands in a buffer arrives late, also where whoever sent it has given the connection up."""
+"""A relay in front of a sidecar's peer port that can also reset connections and hold their data while new
+connections pass: held data arrives late, even after its sender has closed the connection."""
 
 from __future__ import annotations
 
@@ -10,61 +10,61 @@
 
 from rigs.relay import RelayedConnection, RelayEndpoint, TcpRelay
 
-LINGER = b"\1\0\0\0\0\0\0\0"  # on, for no time: a reset
+RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER: on, for 0 s
 
 
-class HeldPair(RelayedConnection):
-    """A connection of which each direction can be held by itself."""
+class HoldableConnection(RelayedConnection):
+    """A connection whose directions can be held separately."""
 
-    held_there = held_back = False
+    held_to_target = held_to_client = False
 
     def passes(self, endpoint: RelayEndpoint) -> bool:
         return super().passes(endpoint) and not (
-            self.held_there if endpoint is self.target_side else self.held_back
+            self.held_to_target if endpoint is self.target_side else self.held_to_client
         )
 
     def on_lost(self, endpoint: RelayEndpoint, exc: Exception | None) -> None:
         other = self.target_side if endpoint is self.client_side else self.client_side
         if other.queue and other.transport is not None and not self.half_open and not self.passes(other):
-            other.enqueue(asyncio.get_running_loop().time(), None)  # on its way still; the end comes after it
+            other.enqueue(asyncio.get_running_loop().time(), None)  # the end follows the held data
         else:
             super().on_lost(endpoint, exc)
 
     def reset(self) -> None:
         for endpoint in (self.client_side, self.target_side):
             if endpoint.transport is not None:
-                found = endpoint.transport.get_extra_info("socket")
-                if found is not None and found.fileno() >= 0:
-                    found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+                sock = endpoint.transport.get_extra_info("socket")
+                if sock is not None and sock.fileno() >= 0:
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.abort()
 
 
-class Between(TcpRelay):
-    connection_type = HeldPair
+class HoldingRelay(TcpRelay):
+    connection_type = HoldableConnection
 
-    def open(self) -> list[HeldPair]:
-        """Those that are."""
-        return [pair for pair in self.connections if isinstance(pair, HeldPair)]
+    def open(self) -> list[HoldableConnection]:
+        """The open connections."""
+        return [connection for connection in self.connections if isinstance(connection, HoldableConnection)]
 
-    def hold(self, there: bool, back: bool) -> list[HeldPair]:
-        """The connections that are open now; new ones pass."""
+    def hold(self, to_target: bool, to_client: bool) -> list[HoldableConnection]:
+        """Holds the connections that are open now and returns them; new ones pass."""
         held = self.open()
-        for pair in held:
-            pair.held_there, pair.held_back = there, back
+        for connection in held:
+            connection.held_to_target, connection.held_to_client = to_target, to_client
         return held
 
 
-def let_go(pairs: Iterable[HeldPair]) -> None:
-    """What was held arrives."""
-    for pair in pairs:
-        pair.held_there = pair.held_back = False
-        pair.on_faults_changed()
+def release_held(connections: Iterable[HoldableConnection]) -> None:
+    """Delivers what was held."""
+    for connection in connections:
+        connection.held_to_target = connection.held_to_client = False
+        connection.on_faults_changed()
 
 
-def reset_half(relays: Iterable[Between], chance: random.Random) -> int:
-    """Half of all connections in one moment; gives how many."""
-    pairs = [pair for relay in relays for pair in relay.open()]
-    half = chance.sample(pairs, len(pairs) // 2)
-    for pair in half:
-        pair.reset()
+def reset_half(relays: Iterable[HoldingRelay], rng: random.Random) -> int:
+    """Resets half of all connections at once; returns how many."""
+    connections = [connection for relay in relays for connection in relay.open()]
+    half = rng.sample(connections, len(connections) // 2)
+    for connection in half:
+        connection.reset()
     return len(half)
--- a/rigs/lost_links/ledger.py
+++ b/rigs/lost_links/ledger.py
@@ -1,7 +1,8 @@
-"""What ran and what was told, and the judge of both. No I/O; seconds of one clock for all.
+"""A record of what upstreams executed and what clients got, and the check of both. No I/O; all times are
+seconds of one clock.
 
-A call is one request of a client; its key stands in its path, unlike any other's, also where its Attempt-Id
-is another's too. Upstreams write their runs, clients what they got.
+A call is one request of a client. Its path contains a unique key, even if its Attempt-Id is that of another
+call, too. Upstreams record their executions, clients what they got.
 """
 
 from __future__ import annotations
@@ -12,21 +13,22 @@
 from enum import Enum
 from typing import Any
 
-PROMISES = frozenset({408, 421, 429, 503})  # it has not run and never will
-# Ends of a call that are no status.
-CLOSED = "closed"  # the connection ended first: no promise
-UNREAD = "unread"  # an answer before it closed the connection: it counts as not read
-LEFT = "left"  # its client went away
-# Troubles of the other hop, after which nothing of its life answers within what an aim leaves.
-UNREACHED = frozenset({"silent", "silent there", "silent back", "freeze", "kill", "term", "replace"})
-NOTICED_S = 0.7  # a link is known to be lost so long after whatever lost it
-SILENT = "silent"  # long after its deadline nothing has come
+# Statuses that promise that the call was not executed and never will be.
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+# Outcomes of a call without a status.
+CONNECTION_CLOSED = "closed"  # the connection ended first, which promises nothing
+UNREAD = "unread"  # an earlier answer closed the connection: the call counts as not executed
+CLIENT_LEFT = "left"  # the client disconnected
+# Faults of the other hop after which its incarnation cannot answer a query in time.
+UNREACHABLE_FAULTS = frozenset({"silent", "silent there", "silent back", "freeze", "kill", "term", "replace"})
+DETECTION_S = 0.7  # the longest time from a fault to the detection of the lost link
+NO_RESPONSE = "silent"  # no answer long after the deadline
 
 
 class Rule(Enum):
     TWICE = "an effectful call was begun twice"
     PROMISE = "a call ran of which it was promised that it never does"
-    DOOR = "an answer at another's door"
+    CONNECTION = "an answer at another's door"
     ORDER = "an answer out of its order"
     SEAL = "a success that its upstream did not give"
     END = "a call without an end"
@@ -35,64 +37,64 @@
 
 
 @dataclass(slots=True)
-class Run:
-    """One beginning of a call at an upstream."""
+class Execution:
+    """One execution of a call at an upstream."""
 
     attempt: str
     instance: str
     service: str
     node: str
-    began: float
-    ended: float = 0.0
-    told: str = ""  # how it ended there
-    seal: str = ""  # of the answer, unlike any other's; empty where it is not a sealed success
-    sum: int = 0  # crc32 of the answer's body
-    asked: int = 0  # and of the request's
+    started_at: float
+    ended_at: float = 0.0
+    outcome: str = ""  # how the upstream ended it
+    seal: str = ""  # of the answer, unique; empty if it is not a sealed success
+    response_crc: int = 0  # crc32 of the answer's body
+    request_crc: int = 0  # crc32 of the request's body
 
 
 @dataclass(slots=True)
 class Call:
-    """One request, and what its client got."""
+    """One request and its outcome."""
 
     attempt: str
-    place: int  # the machine of its client
-    door: int  # its connection
+    machine: int  # the machine of its client
+    connection: int
     effectful: bool
     service: str
-    sent: float
-    left_s: float
+    sent_at: float
+    time_left_s: float
     status: int = 0
-    end: str = ""  # where there is no status
-    at: float = 0.0
-    named: str = ""  # the key that the answer's body bears, where it is an upstream's
+    end: str = ""  # if there is no status
+    ended_at: float = 0.0
+    response_key: str = ""  # the key in the answer's body, if an upstream sent it
     seal: str = ""
-    sum: int = 0
-    asked: int = 0  # crc32 of its own body
+    response_crc: int = 0
+    request_crc: int = 0  # crc32 of the request's body
 
 
 @dataclass(slots=True)
-class Lost:
-    """A call that a first hop had out when the link was lost, as that hop saw it."""
+class LostCall:
+    """A call that was open at a first hop when the link was lost, as that hop logged it."""
 
     key: str
     peer: str
-    at: float
-    asked: bool
-    why: str
+    lost_at: float
+    queried: bool
+    reason: str
 
 
 @dataclass(slots=True)
-class Trouble:
-    """What was done to a machine, or to the links of all."""
+class InjectedFault:
+    """A fault of a machine, or (``machine`` None) of the links of all machines."""
 
     name: str
-    place: int | None
-    began: float
-    ended: float
+    machine: int | None
+    started_at: float
+    ended_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Violation:
     rule: Rule
     key: str
     evidence: str
@@ -101,106 +103,124 @@
 class Ledger:
     def __init__(self) -> None:
         self.calls: dict[str, Call] = {}
-        self.runs: defaultdict[str, list[Run]] = defaultdict(list)
-        self.lost: list[Lost] = []
-        self.troubles: list[Trouble] = []
+        self.executions: defaultdict[str, list[Execution]] = defaultdict(list)
+        self.lost_calls: list[LostCall] = []
+        self.faults: list[InjectedFault] = []
 
-    def judge(self) -> Iterator[Fault]:
-        """What broke a rule; each call is looked at by itself."""
+    def violations(self) -> Iterator[Violation]:
+        """Checks each call by itself."""
         for key, call in self.calls.items():
-            runs = self.runs.get(key, [])
-            for rule in self._broken(key, call, runs):
-                yield Fault(rule, key, f"{call} runs {runs}")
+            executions = self.executions.get(key, [])
+            for rule in self._violated_rules(key, call, executions):
+                yield Violation(rule, key, f"{call} executions {executions}")
 
-    def _broken(self, key: str, call: Call, runs: list[Run]) -> Iterator[Rule]:
-        if call.effectful and len(runs) > 1:
+    def _violated_rules(self, key: str, call: Call, executions: list[Execution]) -> Iterator[Rule]:
+        if call.effectful and len(executions) > 1:
             yield Rule.TWICE
-        if any(run.service != call.service for run in runs):
+        if any(execution.service != call.service for execution in executions):
             yield Rule.SERVICE
-        if any(run.asked != call.asked for run in runs):
+        if any(execution.request_crc != call.request_crc for execution in executions):
             yield Rule.BODY
-        promised = call.status in PROMISES or (call.effectful and call.end == UNREAD)
-        if promised and runs:
+        promised = call.status in NOT_EXECUTED_STATUSES or (call.effectful and call.end == UNREAD)
+        if promised and executions:
             yield Rule.PROMISE
-        if call.end == SILENT or not call.status and not call.end:
+        if call.end == NO_RESPONSE or not call.status and not call.end:
             yield Rule.END
-        if call.named and call.named != key:
-            other = self.calls.get(call.named)
-            yield Rule.ORDER if other is not None and other.door == call.door else Rule.DOOR
+        if call.response_key and call.response_key != key:
+            other = self.calls.get(call.response_key)
+            yield Rule.ORDER if other is not None and other.connection == call.connection else Rule.CONNECTION
         elif 200 <= call.status < 300 and not any(
-            run.seal and (run.seal, run.sum) == (call.seal, call.sum) for run in runs
+            execution.seal and (execution.seal, execution.response_crc) == (call.seal, call.response_crc)
+            for execution in executions
         ):
             yield Rule.SEAL
 
-    def told(self) -> dict[str, dict[str, int]]:
-        """How the calls ended, by kind."""
-        found: dict[str, Counter[str]] = {"effectful": Counter(), "idempotent": Counter()}
+    def outcomes(self) -> dict[str, dict[str, int]]:
+        """The number of calls by kind and outcome."""
+        by_kind: dict[str, Counter[str]] = {"effectful": Counter(), "idempotent": Counter()}
         for call in self.calls.values():
-            found["effectful" if call.effectful else "idempotent"][call.end or str(call.status)] += 1
-        return {kind: dict(sorted(ends.items())) for kind, ends in found.items()}
+            by_kind["effectful" if call.effectful else "idempotent"][call.end or str(call.status)] += 1
+        return {kind: dict(sorted(ends.items())) for kind, ends in by_kind.items()}
 
     def in_doubt(self) -> dict[str, Any]:
-        """Effectful calls that were out on a lost link: how they ended, by what had been done to the machines
-        at either end of the link; and, of those that had run there and ended in success, how long after their
-        upstream had answered, in milliseconds."""
-        first: dict[str, Lost] = {}
-        for lost in self.lost:
-            first.setdefault(lost.key, lost)
-        not_run: defaultdict[str, Counter[str]] = defaultdict(Counter)
-        ran: defaultdict[str, Counter[str]] = defaultdict(Counter)
-        added: list[float] = []
-        for key, lost in first.items():
+        """Effectful calls that were open on a lost link: their outcomes, by the fault of the machines at its
+        ends; and, for those that the peer's upstream executed and that succeeded, the time from its answer to
+        the success, in milliseconds."""
+        first_losses: dict[str, LostCall] = {}
+        for lost_call in self.lost_calls:
+            first_losses.setdefault(lost_call.key, lost_call)
+        not_executed: defaultdict[str, Counter[str]] = defaultdict(Counter)
+        executed: defaultdict[str, Counter[str]] = defaultdict(Counter)
+        added_ms: list[float] = []
+        for key, lost_call in first_losses.items():
             call = self.calls.get(key)
             if call is None or not call.effectful:
                 continue
-            there = [run for run in self.runs.get(key, []) if run.node == lost.peer and run.began < call.at]
-            (ran if there else not_run)[self._cause(lost, call)][_outcome(call)] += 1
-            if there and there[0].ended and call.status == 200:
-                added.append((call.at - there[0].ended) * 1000.0)
+            at_peer = [
+                execution
+                for execution in self.executions.get(key, [])
+                if execution.node == lost_call.peer and execution.started_at < call.ended_at
+            ]
+            (executed if at_peer else not_executed)[self._cause(lost_call, call)][_outcome(call)] += 1
+            if at_peer and at_peer[0].ended_at and call.status == 200:
+                added_ms.append((call.ended_at - at_peer[0].ended_at) * 1000.0)
         shares = {"reached again": Counter[str](), "not reached": Counter[str]()}
-        for cause, counted in not_run.items():
-            known = {how: count for how, count in counted.items() if how not in (CLOSED, LEFT)}
-            shares["not reached" if cause in UNREACHED else "reached again"].update(known)
+        for cause, outcomes in not_executed.items():
+            known = {
+                outcome: count
+                for outcome, count in outcomes.items()
+                if outcome not in (CONNECTION_CLOSED, CLIENT_LEFT)
+            }
+            shares["not reached" if cause in UNREACHABLE_FAULTS else "reached again"].update(known)
         return {
-            "not_run_there": {cause: dict(counted) for cause, counted in sorted(not_run.items())},
-            "run_there": {cause: dict(counted) for cause, counted in sorted(ran.items())},
+            "not_run_there": {cause: dict(outcomes) for cause, outcomes in sorted(not_executed.items())},
+            "run_there": {cause: dict(outcomes) for cause, outcomes in sorted(executed.items())},
             "not_run": {
-                which: {"calls": ends.total(), "success_or_promise": ends["success"] + ends["promise"]}
-                for which, ends in shares.items()
+                group: {"calls": ends.total(), "success_or_promise": ends["success"] + ends["promise"]}
+                for group, ends in shares.items()
+            },
+            "added_ms": {
+                "calls": len(added_ms),
+                "p50": percentile(added_ms, 0.5),
+                "p99": percentile(added_ms, 0.99),
             },
-            "added_ms": {"calls": len(added), "p50": share_of(added, 0.5), "p99": share_of(added, 0.99)},
         }
 
-    def troubled(self, places: set[int], since: float, until: float) -> bool:
-        """Whether anything was done to these machines, or to the links of all, in that time."""
+    def disturbed(self, machines: set[int], start: float, end: float) -> bool:
+        """Whether any fault affected these machines in that time."""
         return any(
-            one.place in {*places, None} and one.began <= until and since <= one.ended + NOTICED_S
-            for one in self.troubles
+            fault.machine in {*machines, None}
+            and fault.started_at <= end
+            and start <= fault.ended_at + DETECTION_S
+            for fault in self.faults
         )
 
-    def _cause(self, lost: Lost, call: Call) -> str:
-        there = place_of(lost.peer)
-        for which, place in (("", there), ("own ", call.place), ("", None)):
-            for trouble in self.troubles:
-                if trouble.place == place and trouble.began <= lost.at <= trouble.ended + NOTICED_S:
-                    return which + trouble.name
+    def _cause(self, lost_call: LostCall, call: Call) -> str:
+        peer = machine_of(lost_call.peer)
+        for prefix, machine in (("", peer), ("own ", call.machine), ("", None)):
+            for fault in self.faults:
+                if (
+                    fault.machine == machine
+                    and fault.started_at <= lost_call.lost_at <= fault.ended_at + DETECTION_S
+                ):
+                    return prefix + fault.name
         return "none"
 
 
-def place_of(node: str) -> int:
-    """The machine of a sidecar: its name's second part."""
+def machine_of(node: str) -> int:
+    """The machine of a sidecar: the second part of its name."""
     return int(node.split("-")[1])
 
 
 def _outcome(call: Call) -> str:
     if call.end:
-        return CLOSED if call.end == UNREAD else call.end
+        return CONNECTION_CLOSED if call.end == UNREAD else call.end
     if 200 <= call.status < 300:
         return "success"
-    return "promise" if call.status in PROMISES else str(call.status)
+    return "promise" if call.status in NOT_EXECUTED_STATUSES else str(call.status)
 
 
-def share_of(values: list[float], share: float) -> float | None:
-    """The value below which such a share lies."""
-    ranked = sorted(values)
-    return round(ranked[min(int(share * len(ranked)), len(ranked) - 1)], 1) if ranked else None
+def percentile(values: list[float], share: float) -> float | None:
+    """The value below which that share of the values lies."""
+    ordered = sorted(values)
+    return round(ordered[min(int(share * len(ordered)), len(ordered) - 1)], 1) if ordered else None
--- a/rigs/shutdown_world/plan.py
+++ b/rigs/shutdown_world/plan.py
@@ -46,29 +46,27 @@
 
 def draw_plan(seed: int, troubles: bool = False) -> Plan:
     """Draws the plan of a seed. ``troubles``: with link resets, which do not occur without faults."""
-    random_source = random.Random(seed)
-    first = random_source.uniform(0.3, 2.0)
-    second = random_source.choice((NEVER, NEVER, random_source.uniform(0.0, 6.0)))
-    stops_clients = random_source.choice((True, False))  # not if most of the zone shuts down
+    rng = random.Random(seed)
+    first = rng.uniform(0.3, 2.0)
+    second = rng.choice((NEVER, NEVER, rng.uniform(0.0, 6.0)))
+    stops_clients = rng.choice((True, False))  # not if most of the zone shuts down
     clients = tuple(
         ClientPlan(
-            random_source.choice(tuple(Kind)),
-            random_source.choice((0.02, 0.3, 2.5)),
-            random_source.randint(2, 4),
+            rng.choice(tuple(Kind)),
+            rng.choice((0.02, 0.3, 2.5)),
+            rng.randint(2, 4),
         )
-        for _ in range(random_source.randint(4, 14))
+        for _ in range(rng.randint(4, 14))
     )
     return Plan(
         seed=seed,
         clients=clients,
         first_ends_s=first,
         second_ends_s=second,
-        clients_stop_s=first + random_source.uniform(1.0, 2.1) if stops_clients else NEVER,
-        delay_s=random_source.choice((0.0005, 0.008, 0.03)),
-        news_s=random_source.choice((0.02, 0.3, 1.0)),
-        hups_s=tuple(random_source.uniform(0.0, 6.0) for _ in range(random_source.randint(0, 3))),
-        changes_s=tuple(random_source.uniform(0.0, 6.0) for _ in range(random_source.randint(0, 4))),
-        resets_s=tuple(random_source.uniform(0.0, 6.0) for _ in range(random_source.randint(1, 3)))
-        if troubles
-        else (),
+        clients_stop_s=first + rng.uniform(1.0, 2.1) if stops_clients else NEVER,
+        delay_s=rng.choice((0.0005, 0.008, 0.03)),
+        news_s=rng.choice((0.02, 0.3, 1.0)),
+        hups_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(0, 3))),
+        changes_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(0, 4))),
+        resets_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(1, 3))) if troubles else (),
     )
--- a/rigs/soak/nodes.py
+++ b/rigs/soak/nodes.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from rigs.fleet import kill_with_parent
-from rigs.lost_links.between import Between
+from rigs.lost_links.between import HoldingRelay
 from rigs.mesh_peers import Address, call, write_settings
 from rigs.soak.configuration_ledger import Finding
 from rigs.soak.disturbances import Disturbance, DisturbanceRecord
@@ -98,9 +98,9 @@
         self._invalid_toml_incarnation = 0  # the latest one whose settings file was invalid for a moment
         self._responding_incarnation = 0  # the latest one that has responded, and so handles signals
         self._tasks: list[asyncio.Task[None]] = []
-        self.relay: Between | None = None
+        self.relay: HoldingRelay | None = None
         if layout.relays:
-            self.relay = Between(
+            self.relay = HoldingRelay(
                 self.ip, layout.relayed_peer_port, relay_seed, at=(self.ip, layout.peer_port)
             )
 
--- a/tests/mesh/test_lost_links.py
+++ b/tests/mesh/test_lost_links.py
@@ -1,5 +1,5 @@
-"""The judge of calls whose links are lost sees each broken rule; the relay holds and resets as it says; and a
-few seconds of it between real sidecars break none."""
+"""The ledger detects each violated rule, the relay holds and resets connections, and a few seconds of faults
+between real sidecars violate no rule."""
 
 from __future__ import annotations
 
@@ -12,145 +12,156 @@
 
 import pytest
 
-from benchmarks.lost_links import result
-from rigs.lost_links import ledger as told
-from rigs.lost_links.between import Between, let_go, reset_half
+from benchmarks.lost_links import summary
+from rigs.lost_links.between import HoldingRelay, release_held, reset_half
 from rigs.lost_links.hop import GUARDS
-from rigs.lost_links.ledger import Call, Ledger, Lost, Rule, Run, Trouble
-from rigs.lost_links.play import Play, Size
+from rigs.lost_links.ledger import (
+    CLIENT_LEFT,
+    CONNECTION_CLOSED,
+    NO_RESPONSE,
+    UNREAD,
+    Call,
+    Execution,
+    InjectedFault,
+    Ledger,
+    LostCall,
+    Rule,
+)
+from rigs.lost_links.play import LostLinksRun, RunSettings
 from rigs.mesh_peers import soon, until
 from rigs.relay import Faults
 
 KEY, OTHER = "k1", "k2"
 
 
-def a_call(door: int = 1, effectful: bool = True) -> Call:
-    return Call("a1", 0, door, effectful, "red", sent=1.0, left_s=1.0)
+def a_call(connection: int = 1, effectful: bool = True) -> Call:
+    return Call("a1", 0, connection, effectful, "red", sent_at=1.0, time_left_s=1.0)
 
 
-def a_run(instance: str = "red-1") -> Run:
-    return Run("a1", instance, "red", "proxy-1", 1.1, 1.2, "ok", seal=f"{instance}.1", sum=7)
+def a_run(instance: str = "red-1") -> Execution:
+    return Execution("a1", instance, "red", "proxy-1", 1.1, 1.2, "ok", seal=f"{instance}.1", response_crc=7)
 
 
 def served() -> Ledger:
-    """Two calls that were served as they should be."""
+    """Two calls that were served correctly."""
     ledger = Ledger()
     for at, key in enumerate((KEY, OTHER)):
-        call, run = a_call(door=at), a_run(f"red-{at}")
-        call.status, call.at, call.named, call.seal, call.sum = 200, 1.3, key, run.seal, run.sum
+        call, run = a_call(connection=at), a_run(f"red-{at}")
+        call.status, call.ended_at, call.response_key = 200, 1.3, key
+        call.seal, call.response_crc = run.seal, run.response_crc
         ledger.calls[key] = call
-        ledger.runs[key].append(run)
+        ledger.executions[key].append(run)
     return ledger
 
 
-def without_a_status(ledger: Ledger, end: str) -> None:
+def set_outcome(ledger: Ledger, end: str) -> None:
     call = ledger.calls[KEY]
-    call.status, call.end, call.named = 0, end, ""
+    call.status, call.end, call.response_key = 0, end, ""
 
 
-def again(ledger: Ledger) -> None:
-    ledger.runs[KEY].append(a_run("red-9"))
+def execute_again(ledger: Ledger) -> None:
+    ledger.executions[KEY].append(a_run("red-9"))
 
 
-def promised(status: int) -> Callable[[Ledger], None]:
-    def tell(ledger: Ledger) -> None:
-        ledger.calls[KEY].status, ledger.calls[KEY].named = status, ""
+def answer_promise(status: int) -> Callable[[Ledger], None]:
+    def set_status(ledger: Ledger) -> None:
+        ledger.calls[KEY].status, ledger.calls[KEY].response_key = status, ""
 
-    return tell
+    return set_status
 
 
-def unread(ledger: Ledger) -> None:
-    without_a_status(ledger, told.UNREAD)
+def leave_unread(ledger: Ledger) -> None:
+    set_outcome(ledger, UNREAD)
 
 
-def at_another_door(ledger: Ledger) -> None:
-    ledger.calls[KEY].named = OTHER
+def answer_on_another_connection(ledger: Ledger) -> None:
+    ledger.calls[KEY].response_key = OTHER
 
 
-def behind(ledger: Ledger) -> None:
-    ledger.calls[OTHER].door = ledger.calls[KEY].door
-    at_another_door(ledger)
+def answer_out_of_order(ledger: Ledger) -> None:
+    ledger.calls[OTHER].connection = ledger.calls[KEY].connection
+    answer_on_another_connection(ledger)
 
 
-def nobodys(ledger: Ledger) -> None:
-    ledger.calls[KEY].named = "nobody's"
+def answer_for_unknown_call(ledger: Ledger) -> None:
+    ledger.calls[KEY].response_key = "nobody's"
 
 
-def unsealed(ledger: Ledger) -> None:
+def remove_the_seal(ledger: Ledger) -> None:
     ledger.calls[KEY].seal = ""
 
 
-def cut_off(ledger: Ledger) -> None:
-    ledger.calls[KEY].sum = 8
+def truncate_the_answer(ledger: Ledger) -> None:
+    ledger.calls[KEY].response_crc = 8
 
 
-def made_up(ledger: Ledger) -> None:
-    ledger.runs[KEY].clear()
+def remove_the_execution(ledger: Ledger) -> None:
+    ledger.executions[KEY].clear()
 
 
-def silent(ledger: Ledger) -> None:
-    without_a_status(ledger, told.SILENT)
+def do_not_answer(ledger: Ledger) -> None:
+    set_outcome(ledger, NO_RESPONSE)
 
 
-def forgotten(ledger: Ledger) -> None:
-    without_a_status(ledger, "")
+def remove_the_outcome(ledger: Ledger) -> None:
+    set_outcome(ledger, "")
 
 
-def garbled(ledger: Ledger) -> None:
-    ledger.runs[KEY][0].asked = 9
+def garble_the_request(ledger: Ledger) -> None:
+    ledger.executions[KEY][0].request_crc = 9
 
 
-def elsewhere(ledger: Ledger) -> None:
-    ledger.runs[KEY][0].service = "blue"
+def execute_at_another_service(ledger: Ledger) -> None:
+    ledger.executions[KEY][0].service = "blue"
 
 
 @pytest.mark.parametrize(
-    ("break_it", "rule"),
+    ("break_rule", "rule"),
     [
-        (again, Rule.TWICE),
-        *((promised(status), Rule.PROMISE) for status in (408, 421, 429, 503)),
-        (unread, Rule.PROMISE),
-        (at_another_door, Rule.DOOR),
-        (nobodys, Rule.DOOR),
-        (behind, Rule.ORDER),
-        (unsealed, Rule.SEAL),
-        (cut_off, Rule.SEAL),
-        (made_up, Rule.SEAL),
-        (silent, Rule.END),
-        (forgotten, Rule.END),
-        (garbled, Rule.BODY),
-        (elsewhere, Rule.SERVICE),
+        (execute_again, Rule.TWICE),
+        *((answer_promise(status), Rule.PROMISE) for status in (408, 421, 429, 503)),
+        (leave_unread, Rule.PROMISE),
+        (answer_on_another_connection, Rule.CONNECTION),
+        (answer_for_unknown_call, Rule.CONNECTION),
+        (answer_out_of_order, Rule.ORDER),
+        (remove_the_seal, Rule.SEAL),
+        (truncate_the_answer, Rule.SEAL),
+        (remove_the_execution, Rule.SEAL),
+        (do_not_answer, Rule.END),
+        (remove_the_outcome, Rule.END),
+        (garble_the_request, Rule.BODY),
+        (execute_at_another_service, Rule.SERVICE),
     ],
 )
-def test_the_judge_sees_each_broken_rule(break_it: Callable[[Ledger], None], rule: Rule) -> None:
+def test_the_judge_sees_each_broken_rule(break_rule: Callable[[Ledger], None], rule: Rule) -> None:
     ledger = served()
-    assert not list(ledger.judge())
-    break_it(ledger)
-    assert [(fault.rule, fault.key) for fault in ledger.judge()] == [(rule, KEY)]
+    assert not list(ledger.violations())
+    break_rule(ledger)
+    assert [(fault.rule, fault.key) for fault in ledger.violations()] == [(rule, KEY)]
 
 
-@pytest.mark.parametrize("end", [told.CLOSED, told.LEFT])
+@pytest.mark.parametrize("end", [CONNECTION_CLOSED, CLIENT_LEFT])
 def test_a_connection_that_ended_promises_nothing(end: str) -> None:
     ledger = served()
-    without_a_status(ledger, end)
-    assert not list(ledger.judge())
+    set_outcome(ledger, end)
+    assert not list(ledger.violations())
 
 
-def test_what_may_be_repeated_may_run_twice_and_behind_a_close() -> None:
+def test_an_idempotent_call_may_run_twice_and_after_a_close() -> None:
     ledger = served()
     ledger.calls[KEY].effectful = False
-    again(ledger)
-    assert not list(ledger.judge())
-    unread(ledger)
-    assert not list(ledger.judge())
+    execute_again(ledger)
+    assert not list(ledger.violations())
+    leave_unread(ledger)
+    assert not list(ledger.violations())
 
 
-def test_calls_in_doubt_are_told_apart_by_whether_they_ran_there_and_what_was_done() -> None:
+def test_calls_in_doubt_are_grouped_by_execution_at_the_peer_and_by_fault() -> None:
     ledger = served()
-    ledger.troubles = [Trouble("reset", 1, 1.0, 1.1)]
-    ledger.lost = [
-        Lost(KEY, "proxy-1", 1.15, True, "reset"),
-        Lost(OTHER, "proxy-2", 1.15, True, "reset"),  # it ran at proxy-1, after the loss
+    ledger.faults = [InjectedFault("reset", 1, 1.0, 1.1)]
+    ledger.lost_calls = [
+        LostCall(KEY, "proxy-1", 1.15, True, "reset"),
+        LostCall(OTHER, "proxy-2", 1.15, True, "reset"),  # it was executed at proxy-1, after the loss
     ]
     found = ledger.in_doubt()
     assert found["run_there"] == {"reset": {"success": 1}}
@@ -164,60 +175,60 @@
 
 
 class Echo(asyncio.Protocol):
-    """Gives back what comes, and keeps it."""
+    """Records and returns what it receives."""
 
-    def __init__(self, came: list[bytes], ended: asyncio.Event) -> None:
-        self.came, self.ended = came, ended
+    def __init__(self, received: list[bytes], ended: asyncio.Event) -> None:
+        self.received, self.ended = received, ended
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.came.append(data)
+        self.received.append(data)
         self.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.ended.set()
 
 
-def with_a_relay(work: Callable[[Between, list[bytes], asyncio.Event], Awaitable[None]]) -> None:
-    async def whole() -> None:
-        came, ended = list[bytes](), asyncio.Event()
+def with_relay(work: Callable[[HoldingRelay, list[bytes], asyncio.Event], Awaitable[None]]) -> None:
+    async def run() -> None:
+        received, ended = list[bytes](), asyncio.Event()
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Echo(came, ended), "127.0.0.1", 0)
-        relay = Between("127.0.0.1", server.sockets[0].getsockname()[1], seed=1)
+        server = await loop.create_server(lambda: Echo(received, ended), "127.0.0.1", 0)
+        relay = HoldingRelay("127.0.0.1", server.sockets[0].getsockname()[1], seed=1)
         try:
-            await work(relay, came, ended)
+            await work(relay, received, ended)
         finally:
             relay.close()
             server.close()
 
-    asyncio.run(asyncio.wait_for(whole(), 10.0))
+    asyncio.run(asyncio.wait_for(run(), 10.0))
 
 
-def test_what_was_held_arrives_though_its_sender_has_gone_and_new_connections_pass() -> None:
-    async def work(relay: Between, came: list[bytes], ended: asyncio.Event) -> None:
+def test_held_data_arrives_after_its_sender_has_gone_and_new_connections_pass() -> None:
+    async def work(relay: HoldingRelay, received: list[bytes], ended: asyncio.Event) -> None:
         reader, first = await asyncio.open_connection("127.0.0.1", relay.port)
         first.write(b"one")
         assert await soon(reader.readexactly(3)) == b"one"
-        held = relay.hold(there=True, back=False)
+        held = relay.hold(to_target=True, to_client=False)
         first.write(b"late")
         first.transport.abort()
         reader, second = await asyncio.open_connection("127.0.0.1", relay.port)
         second.write(b"two")
         assert await soon(reader.readexactly(3)) == b"two"
-        assert came == [b"one", b"two"] and not ended.is_set()
-        let_go(held)
+        assert received == [b"one", b"two"] and not ended.is_set()
+        release_held(held)
         await soon(ended.wait())
-        assert came == [b"one", b"two", b"late"]
+        assert received == [b"one", b"two", b"late"]
         second.close()
 
-    with_a_relay(work)
+    with_relay(work)
 
 
-def test_half_of_the_connections_are_reset_in_one_moment() -> None:
-    async def work(relay: Between, came: list[bytes], ended: asyncio.Event) -> None:
+def test_half_of_the_connections_are_reset_at_once() -> None:
+    async def work(relay: HoldingRelay, received: list[bytes], ended: asyncio.Event) -> None:
         streams = [await asyncio.open_connection("127.0.0.1", relay.port) for _ in range(4)]
         for reader, writer in streams:
             writer.write(b"x")
@@ -230,72 +241,81 @@
         for _, writer in streams:
             writer.transport.abort()
 
-    with_a_relay(work)
+    with_relay(work)
 
 
 # Between real sidecars
 
 
-SMALL = Size(proxies=3, connections=3, pause_s=0.05, every_s=(0.1, 0.3))
+SMALL = RunSettings(proxies=3, connections=3, pause_s=0.05, fault_interval_s=(0.1, 0.3))
 
 
-def played(folder: Path, seconds: float, script: tuple[str, ...], size: Size = SMALL) -> Play:
-    async def whole() -> Play:
-        play = Play(folder, size, seed=1)
-        await asyncio.wait_for(play.run(seconds, script), 90.0)
-        return play
+def run_for(
+    folder: Path, seconds: float, script: tuple[str, ...], settings: RunSettings = SMALL
+) -> LostLinksRun:
+    async def run() -> LostLinksRun:
+        test_run = LostLinksRun(folder, settings, seed=1)
+        await asyncio.wait_for(test_run.run(seconds, script), 90.0)
+        return test_run
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
 def test_seconds_of_resets_and_silence_break_no_rule(tmp_path: Path) -> None:
-    play = played(tmp_path, 4.0, ("reset", "half", "held", "silent back", "freeze", "kill"))
-    assert not list(play.ledger.judge()) and not play.faulted
-    assert len(play.ledger.calls) > 100 and play.ledger.lost and len(play.done) >= 4
-    told_of = result(play, 4.0, 1.0, Counter())
-    assert told_of["lost_calls"] == len({one.key for one in play.ledger.lost})
-    assert json.loads(json.dumps(told_of))["calls"] == sum(
-        sum(ends.values()) for ends in told_of["told"].values()
+    test_run = run_for(tmp_path, 4.0, ("reset", "half", "held", "silent back", "freeze", "kill"))
+    assert not list(test_run.ledger.violations()) and not test_run.failed_fault
+    assert (
+        len(test_run.ledger.calls) > 100 and test_run.ledger.lost_calls and len(test_run.applied_faults) >= 4
+    )
+    figures = summary(test_run, 4.0, 1.0, Counter())
+    assert figures["lost_calls"] == len({one.key for one in test_run.ledger.lost_calls})
+    assert json.loads(json.dumps(figures))["calls"] == sum(
+        sum(ends.values()) for ends in figures["told"].values()
     )
 
 
-def test_a_guard_that_is_missing_is_seen(tmp_path: Path) -> None:
-    size = Size(proxies=2, connections=3, pause_s=0.05, broken=5.0, without=("ids",))
-    rules = {fault.rule for fault in played(tmp_path, 3.0, ("reset",), size).ledger.judge()}
-    assert Rule.DOOR in rules and Rule.SEAL in rules
+def test_a_disabled_guard_is_detected(tmp_path: Path) -> None:
+    settings = RunSettings(proxies=2, connections=3, pause_s=0.05, misbehavior=5.0, disabled_guards=("ids",))
+    rules = {fault.rule for fault in run_for(tmp_path, 3.0, ("reset",), settings).ledger.violations()}
+    assert Rule.CONNECTION in rules and Rule.SEAL in rules
 
 
 @pytest.mark.parametrize("guard", sorted(GUARDS))
-def test_each_guard_that_can_be_left_out_is_there(guard: str) -> None:
-    """Else a run without it would be an ordinary one."""
-    for whose, name, _ in GUARDS[guard]():
-        assert hasattr(whose, name)
+def test_each_guard_that_can_be_disabled_exists(guard: str) -> None:
+    """Otherwise a run with the guard disabled would be a normal run."""
+    for owner, name, _ in GUARDS[guard]():
+        assert hasattr(owner, name)
 
 
-def test_a_narrow_link_takes_its_time_and_gives_all_once_it_is_wide_again() -> None:
-    """Seen in seed 241: half a minute after all links were wide again a large write still crept on."""
+def test_data_queued_by_a_slow_link_is_delivered_when_the_link_is_fast_again() -> None:
+    """Guards against a large write that kept the low rate for half a minute after the limit was lifted, as in
+    seed 241."""
 
     async def run() -> None:
-        came = bytearray()
+        received = bytearray()
 
         async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(65536):
-                came.extend(data)
+                received.extend(data)
             writer.close()
 
         server = await asyncio.start_server(take, "127.0.0.1", 0)
-        relay = Between("127.0.0.1", server.sockets[0].getsockname()[1], seed=1)
+        relay = HoldingRelay("127.0.0.1", server.sockets[0].getsockname()[1], seed=1)
         relay.set_faults(Faults(bytes_s=1000.0))
         _, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(bytes(600_000))
         await writer.drain()
         await until(
-            lambda: any(side.queue for pair in relay.open() for side in (pair.client_side, pair.target_side)),
+            lambda: any(
+                side.queue
+                for connection in relay.open()
+                for side in (connection.client_side, connection.target_side)
+            ),
             5.0,
         )
-        assert len(came) < 600_000
+        assert len(received) < 600_000
         relay.set_faults(Faults())
-        await until(lambda: len(came) == 600_000, 5.0)
+        await until(lambda: len(received) == 600_000, 5.0)
         writer.close()
         relay.close()
         server.close()
