--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -52,7 +52,7 @@
         "late_ms": round(found.late_ms, 1),
         "took_s": round(time.monotonic() - begin, 1),
         "machine_load": load,
-        "broken": dict(found.checker.first),
+        "broken": dict(found.checker.first_violations),
     }
 
 
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -8,15 +8,15 @@
 
 
 class TrySidecar(Protocol):
-    """What a try needs of the sidecar that it was sent to. ``life`` counts that sidecar's starts."""
+    """What a try needs of the sidecar that it was sent to. ``incarnation`` counts that sidecar's starts."""
 
     number: int
-    life: int
+    incarnation: int
     up: bool
     paused: bool
     resumed_at: float
 
-    def gone(self, held: Try) -> None:
+    def client_gone(self, held: Try) -> None:
         """The client waits no longer for this try."""
 
 
@@ -26,32 +26,37 @@
     __slots__ = (
         "klass",
         "member",
-        "begun",
+        "started_at",
         "worth",
         "work",
         "key",
-        "chance",
+        "draw",
         "tries",
-        "ignores",
-        "hasty",
-        "got",
-        "slowed",
+        "ignores_retry_after",
+        "impatient",
+        "earned",
+        "cpu_delayed",
     )
 
-    def __init__(self, klass: Class, member: int, begun: float, worth: float, work: float, key: int) -> None:
-        """``begun`` in ms; ``work`` in ms of a worker of speed 1; ``key``: -1 where it has none."""
-        self.klass, self.member, self.begun, self.worth = klass, member, begun, worth
+    def __init__(
+        self, klass: Class, member: int, started_at: float, worth: float, work: float, key: int
+    ) -> None:
+        """``started_at`` in ms; ``work`` in ms of a worker of speed 1; ``key``: -1 where it has none."""
+        self.klass, self.member, self.started_at, self.worth = klass, member, started_at, worth
         self.work, self.key, self.tries = work, key, 0
-        self.chance, self.ignores, self.hasty = 0.0, False, False
-        self.got, self.slowed = 0.0, False  # worth that its answer earned; its sidecar lacked the CPU for it
+        self.draw, self.ignores_retry_after, self.impatient = 0.0, False, False
+        self.earned, self.cpu_delayed = (
+            0.0,
+            False,
+        )  # worth that its answer earned; its sidecar lacked the CPU for it
 
 
 class Try:
     """One request of a call, to one sidecar."""
 
-    __slots__ = ("name", "call", "sidecar", "life", "open", "marked")
+    __slots__ = ("name", "call", "sidecar", "incarnation", "open", "marked")
 
     def __init__(self, name: str, call: Call, sidecar: TrySidecar, marked: bool) -> None:
         """``marked``: it tells the sidecar that it is not the call's first."""
         self.name, self.call, self.sidecar, self.marked = name, call, sidecar, marked
-        self.life, self.open = sidecar.life, True
+        self.incarnation, self.open = sidecar.incarnation, True
--- a/lab/checker.py
+++ b/lab/checker.py
@@ -35,7 +35,7 @@
     return all(z == zone and (klass.group is Group.ZONE or c == cell) for z, c, _ in ran)
 
 
-class Record:
+class RequestRecord:
     """A request as its checker keeps it: attempts that may have run by their name, with zone, cell and
     instant, the first first."""
 
@@ -53,44 +53,44 @@
     are seen where they arrive, and two may seem to be out where one was given up a moment before."""
 
     def __init__(self, scenario: Scenario, settings: api.Settings, in_flight_ms: float = 0.0) -> None:
-        self.broken: Counter[str] = Counter()
-        self.first: dict[str, str] = {}  # of each rule, the first breach in words
+        self.violations: Counter[str] = Counter()
+        self.first_violations: dict[str, str] = {}  # of each rule, the first breach in words
         self.ran_twice = 0
         self._classes = {item.name: item for item in settings.classes}
         self._grace = scenario.allow.drain_grace_ms
         self._most = settings.limits.max_attempts
         self._second = settings.limits.second_copies
-        self._held: dict[int, dict[str, Record]] = {}
-        self._out: dict[int, dict[str, float]] = {}  # by sidecar: servers told to be out, since when
+        self._requests: dict[int, dict[str, RequestRecord]] = {}
+        self._withdrawn: dict[int, dict[str, float]] = {}  # by sidecar: servers told to be out, since when
         self._unsafe = {item.name for item in settings.classes if item.effect is Effect.UNSAFE}
         self._done: set[str] = set()  # unsafe requests that ran
         self._in_flight = in_flight_ms
         self.now = 0.0
 
     def breach(self, rule: str, words: str) -> None:
-        self.broken[rule] += 1
-        self.first.setdefault(rule, f"{self.now:.1f} ms: {words}")
+        self.violations[rule] += 1
+        self.first_violations.setdefault(rule, f"{self.now:.1f} ms: {words}")
 
     def started(self, sidecar: int) -> None:
-        self._held[sidecar], self._out[sidecar] = {}, {}
+        self._requests[sidecar], self._withdrawn[sidecar] = {}, {}
 
     def listed(self, sidecar: int, now: float, event: api.ServerList) -> None:
         self.now = now
         if event.kind is ListKind.LOST:
             return
-        out = self._out[sidecar]
+        withdrawn = self._withdrawn[sidecar]
         if event.kind is not ListKind.DELTA:
             named = {entry.server for entry in event.entries}
-            for name in [name for name in out if name in named]:
-                del out[name]
+            for name in [name for name in withdrawn if name in named]:
+                del withdrawn[name]
         for entry in event.entries:
             if entry.state is ServerState.READY:
-                out.pop(entry.server, None)
+                withdrawn.pop(entry.server, None)
             else:
-                out.setdefault(entry.server, now)
+                withdrawn.setdefault(entry.server, now)
 
     def asked(self, sidecar: int, name: str, klass: str, until: float) -> None:
-        self._held[sidecar][name] = Record(self._classes[klass], until)
+        self._requests[sidecar][name] = RequestRecord(self._classes[klass], until)
 
     def sent(
         self, sidecar: int, name: str, attempt: int | str, place: tuple[str, str, int], now: float
@@ -98,12 +98,12 @@
         """``attempt`` names it among the request's; ``place`` is its server with its zone and cell."""
         server, zone, cell = place
         self.now = now
-        record = self._held[sidecar].get(name)
+        record = self._requests[sidecar].get(name)
         if record is None or now > record.closed_at + self._in_flight:
             if record is not None or not self._in_flight:
                 self.breach("lost", f"{name} is sent after its outcome")
             return
-        told = self._out[sidecar].get(server, math.inf)
+        told = self._withdrawn[sidecar].get(server, math.inf)
         if now > told + self._grace:
             self.breach("drain", f"{name} goes to {server}, told to be out {now - told:.0f} ms ago")
         if record.count >= self._most:
@@ -117,7 +117,7 @@
         record.out += 1
 
     def ended(self, sidecar: int, name: str, attempt: int | str, outcome: api.Outcome) -> None:
-        record = self._held[sidecar].get(name)
+        record = self._requests[sidecar].get(name)
         if record is None:
             return
         record.out -= 1
@@ -127,7 +127,7 @@
 
     def final(self, sidecar: int, name: str, what: str, now: float) -> None:
         self.now = now
-        record = self._held[sidecar].get(name)
+        record = self._requests[sidecar].get(name)
         if record is None or record.closed_at < math.inf:
             self.breach("lost", f"{name} has a second outcome: {what}")
             return
@@ -139,18 +139,18 @@
 
     def left(self, sidecar: int, name: str, now: float) -> None:
         """The client has gone: nothing more may be sent."""
-        if (record := self._held[sidecar].get(name)) is not None:
+        if (record := self._requests[sidecar].get(name)) is not None:
             record.closed_at = min(record.closed_at, now)
             self._forget(sidecar, name, record)
 
     def overdue(self, sidecar: int, name: str) -> None:
-        record = self._held[sidecar].get(name)
+        record = self._requests[sidecar].get(name)
         if record is not None and record.closed_at == math.inf and record.until < math.inf:
             self.breach("lost", f"{name} has no outcome by {record.until:.1f} ms, when it was due")
 
-    def _forget(self, sidecar: int, name: str, record: Record) -> None:
+    def _forget(self, sidecar: int, name: str, record: RequestRecord) -> None:
         if record.closed_at < math.inf and not record.out:
-            self._held[sidecar].pop(name, None)
+            self._requests[sidecar].pop(name, None)
 
     def ran(self, name: str, klass: str) -> None:
         """A server has done the work of an attempt."""
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -40,17 +40,20 @@
 
     def __init__(self, simulation: ClientsHost) -> None:
         self.simulation, self.clock, scenario = simulation, simulation.clock, simulation.scenario
-        self.made, self.load, self.scenario = scenario.clients, scenario.load, scenario
+        self.config, self.load, self.scenario = scenario.clients, scenario.load, scenario
         self.class_bounds = list(accumulate(item.share for item in scenario.classes))
         self.shares = [item.share for item in scenario.members]
         self.member_bounds = list(accumulate(self.shares))
-        self.burst = 1.0
-        self.hot: dict[int, float] = {}
-        self.loud: dict[int, float] = {}
+        self.load_factor = 1.0
+        self.sidecar_factors: dict[int, float] = {}
+        self.member_factors: dict[int, float] = {}
         count = scenario.load.keys.count
         ranks = np.arange(1, count + 1, dtype=np.float64) ** -scenario.load.keys.zipf
         self.key_bounds: list[float] = np.cumsum(ranks).tolist()
-        self.names, self.prefix = 0, ""  # one of several processes that play has names of its own
+        self.tries_started, self.try_name_prefix = (
+            0,
+            "",
+        )  # one of several processes that play has names of its own
         # What a member may still have at full worth, and since when that is so.
         capacity = scenario.rate() / 1000.0
         self.entitled = [item.entitled * capacity for item in scenario.members]
@@ -63,50 +66,52 @@
         rate = self.scenario.rate() * self.load.share / 1000.0
         for sidecar, part in zip(sidecars, parts, strict=True):
             own = rate * part / sum(parts)
-            if own > 0 and sidecar.here:
+            if own > 0 and sidecar.is_local:
                 stream = self.simulation.streams.of("calls", sidecar.number)
                 first = stream.exponential(self.load.burst / own)
-                self.clock.at(first, self._arrive, sidecar.number, own, stream)
+                self.clock.schedule(first, self._arrive, sidecar.number, own, stream)
 
-    def _now(self, number: int) -> float:
+    def _current_load_factor(self, number: int) -> float:
         """The load of the moment, as a multiple of the usual."""
         load, part = self.load, self.clock.now / self.load.period_ms
-        times = self.burst * self.hot.get(number, 1.0)
+        times = self.load_factor * self.sidecar_factors.get(number, 1.0)
         if load.shape == "wave":
             times *= 1.0 + load.swing * math.sin(2.0 * math.pi * part)
         elif load.shape == "ramp":
             times *= 1.0 - load.swing + 2.0 * load.swing * self.clock.now / (1000.0 * self.scenario.seconds)
-        if self.loud:
-            loud = sum(share * self.loud.get(member, 1.0) for member, share in enumerate(self.shares))
+        if self.member_factors:
+            loud = sum(
+                share * self.member_factors.get(member, 1.0) for member, share in enumerate(self.shares)
+            )
             times *= loud / self.member_bounds[-1]
         return max(times, 1e-6)
 
     def _arrive(self, number: int, rate: float, stream: Stream) -> None:
-        gap = stream.exponential(self.load.burst / (rate * self._now(number)))
-        self.clock.at(gap, self._arrive, number, rate, stream)
+        gap = stream.exponential(self.load.burst / (rate * self._current_load_factor(number)))
+        self.clock.schedule(gap, self._arrive, number, rate, stream)
         for _ in range(self.load.burst):
-            self._call(number, stream)
+            self._start_call(number, stream)
 
-    def _call(self, number: int, stream: Stream) -> None:
+    def _start_call(self, number: int, stream: Stream) -> None:
         """The same number of draws for every call, so that a change of one share moves no other draw."""
         klass = self.scenario.classes[stream.pick(self.class_bounds)]
         bounds = self.member_bounds
-        if self.loud:
-            bounds = list(accumulate(s * self.loud.get(m, 1.0) for m, s in enumerate(self.shares)))
+        if self.member_factors:
+            bounds = list(accumulate(s * self.member_factors.get(m, 1.0) for m, s in enumerate(self.shares)))
         member = stream.pick(bounds)
         drawn = stream.random()
         key = stream.pick(self.key_bounds) if self.key_bounds else -1
         part = -math.log(1.0 - drawn) if klass.dist == "exp" else lognormal(drawn, klass.cv)
         call = Call(klass, member, self.clock.due, klass.worth, klass.work_ms * part, key)
-        call.chance = stream.random()
-        call.ignores = stream.random() < self.made.ignoring
-        call.hasty = stream.random() < self.made.impatient
-        if not self._within(member):
+        call.draw = stream.random()
+        call.ignores_retry_after = stream.random() < self.config.ignoring
+        call.impatient = stream.random() < self.config.impatient
+        if not self._within_entitlement(member):
             call.worth *= OVER_SHARE_WORTH
-        self.simulation.measures.asked(call)
-        self._try(number, call)
+        self.simulation.measures.call_started(call)
+        self._start_try(number, call)
 
-    def _within(self, member: int) -> bool:
+    def _within_entitlement(self, member: int) -> bool:
         """Whether a call is within what its member is entitled to: a bucket that holds one second's worth."""
         (saved, at), rate, now = self.saved[member], self.entitled[member], self.clock.now
         saved = min(saved + (now - at) * rate, 1000.0 * rate)
@@ -114,57 +119,61 @@
         self.saved[member] = (saved - within, now)
         return within
 
-    def _try(self, number: int, call: Call) -> None:
+    def _start_try(self, number: int, call: Call) -> None:
         """As clients of the platform do: a try is given up before the call is; the last has what is left."""
-        now, made, sidecar = self.clock.now, self.made, self.simulation.reached(number)
+        now, made, sidecar = self.clock.now, self.config, self.simulation.reached(number)
         call.tries += 1
-        self.names += 1
-        held = Try(f"c{self.prefix}{self.names}", call, sidecar, made.marked and call.tries > 1)
+        self.tries_started += 1
+        held = Try(
+            f"c{self.try_name_prefix}{self.tries_started}", call, sidecar, made.marked and call.tries > 1
+        )
         self.simulation.measures.bin().offered += 1
         if not sidecar.up:
             held.open = False
-            self._again(held, "cut", 0.0)
+            self._schedule_retry(held, "cut", 0.0)
             return
-        left = call.begun + call.klass.deadline_ms - now
+        left = call.started_at + call.klass.deadline_ms - now
         life = min(call.klass.deadline_ms * made.try_share, left) if call.tries < made.tries else left
-        waits = life / 3.0 if call.hasty and call.tries == 1 else life + self.scenario.allow.answer_slack_ms
-        self.clock.at(waits, self._give_up, held, not call.hasty or call.tries > 1)
-        sidecar.ask(held, now + life)
+        waits = (
+            life / 3.0 if call.impatient and call.tries == 1 else life + self.scenario.allow.answer_slack_ms
+        )
+        self.clock.schedule(waits, self._give_up, held, not call.impatient or call.tries > 1)
+        sidecar.handle_request(held, now + life)
 
     def _give_up(self, held: Try, overdue: bool) -> None:
         if not held.open:
             return
         sidecar, until = held.sidecar, self.clock.now - self.scenario.allow.answer_slack_ms
         stood = sidecar.paused or until <= sidecar.resumed_at  # still, when its time was over
-        if overdue and sidecar.up and not stood and held.life == sidecar.life:
+        if overdue and sidecar.up and not stood and held.incarnation == sidecar.incarnation:
             self.simulation.checker.overdue(sidecar.number, held.name)
-        sidecar.gone(held)
-        self.ended(held, "lost", 0.0)
+        sidecar.client_gone(held)
+        self.try_ended(held, "lost", 0.0)
 
-    def ended(self, held: Try, what: str, advice_ms: float) -> None:
+    def try_ended(self, held: Try, what: str, advice_ms: float) -> None:
         """The one outcome of a try, as its client sees it."""
         if not held.open:
             return
         held.open = False
         call, measures = held.call, self.simulation.measures
-        spent = self.clock.now - call.begun
-        measures.outcome(what)
+        spent = self.clock.now - call.started_at
+        measures.record_outcome(what)
         if what == "served":
-            measures.served(call, spent)
+            measures.record_served(call, spent)
         else:
-            self._again(held, what, advice_ms)
+            self._schedule_retry(held, what, advice_ms)
 
-    def _again(self, held: Try, what: str, advice_ms: float) -> None:
-        call, made = held.call, self.made
+    def _schedule_retry(self, held: Try, what: str, advice_ms: float) -> None:
+        call, made = held.call, self.config
         # What failed may have run: a client repeats only what is harmless, and what was refused or never
         # taken.
         harmless = what in ("refused", "cut") or call.klass.effect != "unsafe"
-        turn = 0.5 + ((call.chance * 7.0 + call.tries * 0.618) % 1.0)
+        turn = 0.5 + ((call.draw * 7.0 + call.tries * 0.618) % 1.0)
         wait = made.backoff_ms * turn * (2.0 ** (call.tries - 1) if made.growing else 1.0)
-        if call.ignores:
+        if call.ignores_retry_after:
             wait = made.backoff_ms * 0.5 * (1.0 + turn / 3.0)
         elif what == "refused" and advice_ms > 0 and made.max_retry_after_ms > 0:
             wait = min(advice_ms, made.max_retry_after_ms)
-        left = call.begun + call.klass.deadline_ms - self.clock.now
+        left = call.started_at + call.klass.deadline_ms - self.clock.now
         if harmless and call.tries < made.tries and wait < left:
-            self.clock.at(wait, self._try, held.sidecar.number, call)
+            self.clock.schedule(wait, self._start_try, held.sidecar.number, call)
--- a/lab/clock.py
+++ b/lab/clock.py
@@ -13,7 +13,7 @@
 Ties = Literal["first", "last"]
 
 
-class Unending(Exception):
+class TooManyEvents(Exception):
     """More happened than a play may hold: a policy that feeds itself events, or a bound set too low."""
 
 
@@ -33,14 +33,14 @@
         """The instant for which what runs now was planned: in virtual time that is now."""
         return self.now
 
-    def at(self, delay: float, what: Callable[..., object], *args: object) -> None:
+    def schedule(self, delay: float, what: Callable[..., object], *args: object) -> None:
         """``what(*args)`` after ``delay`` ms; at once, but after what is being done now, where that is not
         above 0."""
         self._count += self._step
         heappush(self._heap, (self.now + (delay if delay > 0.0 else 0.0), self._count, what, args))
 
     def run(self, until: float) -> None:
-        """Raises Unending where more happens than the bound allows."""
+        """Raises TooManyEvents where more happens than the bound allows."""
         heap, pop, left = self._heap, heappop, self._most - self.events
         while heap and heap[0][0] <= until:
             self.now, _, what, args = pop(heap)
@@ -48,5 +48,5 @@
             left -= 1
             if left <= 0:
                 self.events = self._most
-                raise Unending(f"more than {self._most} events by {self.now:.0f} ms")
+                raise TooManyEvents(f"more than {self._most} events by {self.now:.0f} ms")
         self.events, self.now = self._most - left, until
--- a/lab/command.py
+++ b/lab/command.py
@@ -43,9 +43,9 @@
     )
     row = simulation.run()
     click.echo(msgspec.json.format(msgspec.json.encode(msgspec.structs.asdict(row))).decode())
-    for rule, words in sorted(simulation.checker.first.items()):
+    for rule, words in sorted(simulation.checker.first_violations.items()):
         click.echo(f"{rule}: {words}", err=True)
-    return 1 if simulation.checker.broken or row.falls or row.fault else 0
+    return 1 if simulation.checker.violations or row.falls or row.fault else 0
 
 
 @main.command("run")
@@ -259,9 +259,9 @@
         "memory_mb": found.memory_mb(),
     }
     click.echo(msgspec.json.format(msgspec.json.encode(shown)).decode())
-    for rule, words in sorted(found.checker.first.items()):
+    for rule, words in sorted(found.checker.first_violations.items()):
         click.echo(f"{rule}: {words}", err=True)
-    return 1 if found.checker.broken or real.fault else 0
+    return 1 if found.checker.violations or real.fault else 0
 
 
 @main.command("schema")
--- a/lab/cpu.py
+++ b/lab/cpu.py
@@ -16,18 +16,18 @@
 SECOND_MS = 1000.0
 
 
-class Bill:
+class CpuMeter:
     """One sidecar's. Costs in microseconds of the budget."""
 
     def __init__(self, made: Cpu, measures: Measures) -> None:
-        self._made, self._measures = made, measures
+        self._budget, self._measures = made, measures
         self.costs = made.costs()
         self._second, self._spent = -1, 0.0
         self._calls: list[Call] = []  # taken in this second
-        self.total, self.over = 0.0, 0  # in all, and seconds that went over
+        self.total, self.seconds_over_budget = 0.0, 0  # in all, and seconds that went over
 
-    def book(self, now: float, event: api.Event, sends: int, looked: float) -> None:
-        """An event's cost with what came of it: ``looked`` servers were looked at for its sends."""
+    def charge(self, now: float, event: api.Event, sends: int, examined: float) -> None:
+        """An event's cost with what came of it: ``examined`` servers were examined for its sends."""
         costs = self.costs
         if isinstance(event, api.Request):
             cost = costs["request"]
@@ -39,28 +39,28 @@
             cost = costs["other"] + costs["entry"] * len(event.entries)
         else:
             cost = costs["other"]
-        self._add(now, cost + sends * costs["pick"] + looked * costs["look"])
+        self._add(now, cost + sends * costs["pick"] + examined * costs["look"])
 
     def _add(self, now: float, cost: float) -> None:
-        self._turn(now)
+        self._start_second(now)
         before = self._spent
         self._spent += cost
         self.total += cost
-        if before <= self._made.per_s < self._spent:
-            self.over += 1
+        if before <= self._budget.per_s < self._spent:
+            self.seconds_over_budget += 1
             for call in self._calls:
-                self._measures.slowed(call)
+                self._measures.cpu_delayed(call)
             self._calls.clear()
 
-    def took(self, now: float, call: Call) -> None:
+    def request_accepted(self, now: float, call: Call) -> None:
         """A call's try was taken."""
-        self._turn(now)
-        if self._spent > self._made.per_s:
-            self._measures.slowed(call)
+        self._start_second(now)
+        if self._spent > self._budget.per_s:
+            self._measures.cpu_delayed(call)
         else:
             self._calls.append(call)
 
-    def _turn(self, now: float) -> None:
+    def _start_second(self, now: float) -> None:
         second = int(now / SECOND_MS)
         if second != self._second:
             self._second, self._spent = second, 0.0
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -31,16 +31,16 @@
     """The list as it stands, its changes by version, and those who are told."""
 
     def __init__(self, simulation: DiscoveryHost) -> None:
-        self.simulation, self.made, self.clock = simulation, simulation.scenario.discovery, simulation.clock
-        self.chance = simulation.streams.of("discovery")
+        self.simulation, self.config, self.clock = simulation, simulation.scenario.discovery, simulation.clock
+        self.rng = simulation.streams.of("discovery")
         self.entries: dict[str, api.ServerEntry] = {}
         self.changes: list[api.ServerEntry] = []  # the n-th made version n + 1
-        self.away, self.late_ms = False, 0.0
-        self.late_by: dict[int, float] = {}  # by sidecar, how much later it hears than others
+        self.is_down, self.extra_delay_ms = False, 0.0
+        self.extra_delay_by_sidecar: dict[int, float] = {}  # by sidecar, how much later it hears than others
         self.wrong: set[str] = set()
         self.free_at = 0.0  # asked: calls are served in turn
 
-    def first(self, servers: list[Server]) -> tuple[api.ServerEntry, ...]:
+    def initial_list(self, servers: list[Server]) -> tuple[api.ServerEntry, ...]:
         """The list at the start, which every sidecar has."""
         for server in servers:
             self.entries[server.name] = server.entry(ServerState.READY)
@@ -48,24 +48,24 @@
 
     # What is noticed
 
-    def ended(self, server: Server, silent: bool) -> None:
-        low, high = self.made.silent_notice_ms if silent else self.made.notice_ms
-        self.clock.at(self.chance.uniform(low, high), self._gone, server, server.epoch)
+    def server_stopped(self, server: Server, silent: bool) -> None:
+        low, high = self.config.silent_notice_ms if silent else self.config.notice_ms
+        self.clock.schedule(self.rng.uniform(low, high), self._gone, server, server.epoch)
 
     def _gone(self, server: Server, epoch: int) -> None:
         if server.epoch == epoch:
-            self.tell(server, ServerState.GONE)
+            self.update_entry(server, ServerState.GONE)
 
-    def started(self, server: Server) -> None:
+    def server_started(self, server: Server) -> None:
         if server.name not in self.entries:
             self.simulation.evenness.mark(self.clock.now, server.number, "unlisted", True)
-        self.clock.at(self.chance.uniform(*self.made.add_ms), self._added, server, server.epoch)
+        self.clock.schedule(self.rng.uniform(*self.config.add_ms), self._added, server, server.epoch)
 
     def _added(self, server: Server, epoch: int) -> None:
         if server.epoch == epoch:
-            self.tell(server, ServerState.READY)
+            self.update_entry(server, ServerState.READY)
 
-    def tell(self, server: Server, state: ServerState) -> None:
+    def update_entry(self, server: Server, state: ServerState) -> None:
         """A change of the list; all who are told of changes hear of it, each after its own lag."""
         entry = server.entry(state)
         if self.entries.get(server.name) == entry:
@@ -79,75 +79,75 @@
         if state is ServerState.READY:
             even.cause(now, "listed", (server.number,))
         self.changes.append(entry)
-        if self.away:
+        if self.is_down:
             return
         for sidecar in self.simulation.processes():
             if sidecar.subscribed:
-                self.push(sidecar)
+                self.schedule_push(sidecar)
 
     # How a sidecar hears
 
-    def push(self, sidecar: Sidecar) -> None:
-        lag = sidecar.lag.uniform(*self.made.lag_ms)  # its own draws, whatever the others hear
-        lag += self.late_ms + self.late_by.get(sidecar.number, 0.0)
-        self.clock.at(lag, self._deliver, sidecar, sidecar.life, len(self.changes))
+    def schedule_push(self, sidecar: Sidecar) -> None:
+        lag = sidecar.list_delay_rng.uniform(*self.config.lag_ms)  # its own draws, whatever the others hear
+        lag += self.extra_delay_ms + self.extra_delay_by_sidecar.get(sidecar.number, 0.0)
+        self.clock.schedule(lag, self._deliver, sidecar, sidecar.incarnation, len(self.changes))
 
-    def _deliver(self, sidecar: Sidecar, life: int, version: int) -> None:
+    def _deliver(self, sidecar: Sidecar, incarnation: int, version: int) -> None:
         """All changes up to a version, in their order; one that came by an earlier message is not told
         again."""
-        if sidecar.life != life or sidecar.version >= version:
+        if sidecar.incarnation != incarnation or sidecar.version >= version:
             return
         entries = tuple(self.changes[sidecar.version : version])
         sidecar.version = version
-        sidecar.hear(api.ServerList(ListKind.DELTA, version, entries))
+        sidecar.handle_event(api.ServerList(ListKind.DELTA, version, entries))
 
     def subscribe(self, sidecar: Sidecar) -> None:
         """A call for the changes from here on, where the list is asked for. Calls wait in turn, and fail
         where they wait too long or nobody is there."""
         wait = max(self.free_at - self.clock.now, 0.0)
-        if self.away or wait > self.made.timeout_ms:
-            self.clock.at(self.made.timeout_ms, self._failed, sidecar, sidecar.life)
+        if self.is_down or wait > self.config.timeout_ms:
+            self.clock.schedule(self.config.timeout_ms, self._failed, sidecar, sidecar.incarnation)
             return
-        self.free_at = self.clock.now + wait + self.made.call_ms
-        self.clock.at(wait + self.made.call_ms, self._answered, sidecar, sidecar.life)
+        self.free_at = self.clock.now + wait + self.config.call_ms
+        self.clock.schedule(wait + self.config.call_ms, self._answered, sidecar, sidecar.incarnation)
 
-    def _failed(self, sidecar: Sidecar, life: int) -> None:
-        if sidecar.life == life:
+    def _failed(self, sidecar: Sidecar, incarnation: int) -> None:
+        if sidecar.incarnation == incarnation:
             sidecar.subscribed = False
-            sidecar.hear(api.ServerList(ListKind.LOST))
+            sidecar.handle_event(api.ServerList(ListKind.LOST))
 
-    def _answered(self, sidecar: Sidecar, life: int) -> None:
-        if sidecar.life != life:
+    def _answered(self, sidecar: Sidecar, incarnation: int) -> None:
+        if sidecar.incarnation != incarnation:
             return
-        if self.away:
-            self._failed(sidecar, life)
+        if self.is_down:
+            self._failed(sidecar, incarnation)
             return
         sidecar.subscribed = True
         sidecar.version = len(self.changes)
-        sidecar.hear(api.ServerList(ListKind.FULL, sidecar.version, tuple(self.entries.values())))
+        sidecar.handle_event(api.ServerList(ListKind.FULL, sidecar.version, tuple(self.entries.values())))
 
-    def go_away(self) -> None:
+    def begin_outage(self) -> None:
         """Pushed: nothing comes. Asked: the calls that wait end."""
-        self.away = True
-        if self.made.mode == "ask":
+        self.is_down = True
+        if self.config.mode == "ask":
             for sidecar in self.simulation.processes():
                 if sidecar.subscribed:
-                    self._failed(sidecar, sidecar.life)
+                    self._failed(sidecar, sidecar.incarnation)
 
-    def come_back(self) -> None:
-        self.away = False
+    def end_outage(self) -> None:
+        self.is_down = False
         self.simulation.evenness.cause(self.clock.now, "discovery is back")
-        if self.made.mode == "push":
+        if self.config.mode == "push":
             for sidecar in self.simulation.processes():
-                if sidecar.here:
-                    self.push(sidecar)
+                if sidecar.is_local:
+                    self.schedule_push(sidecar)
 
-    def mistake(self, servers: list[Server]) -> None:
+    def report_gone(self, servers: list[Server]) -> None:
         """Servers that answer are called gone."""
         for server in servers:
-            self.tell(server, ServerState.GONE)
+            self.update_entry(server, ServerState.GONE)
 
-    def mend(self, servers: list[Server]) -> None:
+    def report_ready(self, servers: list[Server]) -> None:
         for server in servers:
             if server.state == "up" and server.name not in self.simulation.leaving:
-                self.tell(server, ServerState.READY)
+                self.update_entry(server, ServerState.READY)
--- a/lab/links.py
+++ b/lab/links.py
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from lab.streams import Stream
 
-AGAIN_MS = 200.0  # what is lost on a connection is sent again after so long, then twice that
-Place = tuple[str, str]  # zone of the sidecars, zone of the servers
+RETRANSMIT_MS = 200.0  # what is lost on a connection is sent again after so long, then twice that
+ZonePair = tuple[str, str]  # zone of the sidecars, zone of the servers
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,15 +30,15 @@
     reset: float = 0.0  # of requests, whose connection is reset
     dead_before: float = -1.0  # connections opened before are open at this end alone
 
-    def late(self, chance: Stream) -> float:
+    def message_delay_ms(self, chance: Stream) -> float:
         """How much later a message arrives, ms."""
-        late, again = self.late_ms, AGAIN_MS
+        late, again = self.late_ms, RETRANSMIT_MS
         while self.loss and again < 10_000.0 and chance.random() < self.loss:
             late, again = late + again, 2.0 * again
         return late
 
 
-SOUND = Link()
+HEALTHY = Link()
 
 
 class Links:
@@ -46,15 +46,15 @@
 
     def __init__(self, now: Callable[[], float], chance: Stream) -> None:
         self._now, self.chance = now, chance
-        self._found: dict[Place, Link] = {}
-        self.changed: Callable[[Place, Link], None] = lambda place, link: None
+        self._degraded: dict[ZonePair, Link] = {}
+        self.on_change: Callable[[ZonePair, Link], None] = lambda place, link: None
 
     def of(self, sidecar_zone: str, server_zone: str) -> Link:
-        return self._found.get((sidecar_zone, server_zone), SOUND) if self._found else SOUND
+        return self._degraded.get((sidecar_zone, server_zone), HEALTHY) if self._degraded else HEALTHY
 
-    def begin(self, place: Place, made: Trouble, there: bool) -> None:
+    def begin(self, place: ZonePair, made: Trouble, there: bool) -> None:
         """``there``: the direction that a cut one way takes."""
-        link, size = self._found.get(place, SOUND), min(made.size, 1.0)
+        link, size = self._degraded.get(place, HEALTHY), min(made.size, 1.0)
         if made.kind == "cut":
             link = replace(link, there=False, back=False)
         elif made.kind == "one_way":
@@ -69,16 +69,16 @@
             link = replace(link, dead_before=self._now())
         self._set(place, link)
 
-    def end(self, place: Place) -> None:
+    def end(self, place: ZonePair) -> None:
         """Sound again; what was half open stays so."""
         self._set(place, Link(dead_before=self.of(*place).dead_before))
 
-    def _set(self, place: Place, link: Link) -> None:
-        self._found[place] = link
-        self.changed(place, link)
+    def _set(self, place: ZonePair, link: Link) -> None:
+        self._degraded[place] = link
+        self.on_change(place, link)
 
 
-def hit(zones: tuple[str, ...], made: Trouble, chance: Stream) -> list[Place]:
+def affected_links(zones: tuple[str, ...], made: Trouble, chance: Stream) -> list[ZonePair]:
     """The links that a trouble is about: a share of those between zones, or of all where there is one
     zone."""
     places = [(a, b) for a in zones for b in zones if a != b or len(zones) == 1]
@@ -86,6 +86,6 @@
     return [places[at] for at in sorted(chance.shuffled(len(places))[:count])]
 
 
-def any_in(troubles: tuple[Trouble, ...]) -> bool:
+def has_link_troubles(troubles: tuple[Trouble, ...]) -> bool:
     """Whether a play has troubles of links at all."""
     return any(item.kind in LINK_KINDS for item in troubles)
--- a/lab/measures.py
+++ b/lab/measures.py
@@ -76,11 +76,13 @@
     def __init__(self, scenario: Scenario, clock: Clock) -> None:
         self.scenario, self.clock = scenario, clock
         self.bins: list[Bin] = []
-        self.wasted = self.choked = self.falls = self.warm_falls = 0
-        self.changes: list[tuple[int, Change]] = []  # of the state of storms, by sidecar, in their order
+        self.wasted = self.chokes = self.falls = self.warm_falls = 0
+        self.storm_changes: list[
+            tuple[int, Change]
+        ] = []  # of the state of storms, by sidecar, in their order
         self.latencies: list[float] = []
-        self.asked_by: dict[tuple[str, int], float] = {}
-        self.got_by: dict[tuple[str, int], float] = {}
+        self.offered_worth: dict[tuple[str, int], float] = {}
+        self.earned_worth: dict[tuple[str, int], float] = {}
         self.late = 0.0
         self._settle = scenario.settle_ms
         self._bin, self._until = Bin(), -1.0
@@ -88,11 +90,11 @@
     def bin(self) -> Bin:
         now = self.clock.now
         if now >= self._until:
-            self._bin = self.bin_of(now)
+            self._bin = self.bin_at(now)
             self._until = (math.floor(now / BIN_MS) + 1) * BIN_MS
         return self._bin
 
-    def bin_of(self, instant: float) -> Bin:
+    def bin_at(self, instant: float) -> Bin:
         number = int(instant / BIN_MS)
         while len(self.bins) <= number:
             self.bins.append(Bin())
@@ -100,84 +102,84 @@
 
     # What happens
 
-    def asked(self, call: Call) -> None:
+    def call_started(self, call: Call) -> None:
         made = self.bin()
         made.first += 1
         made.asked += call.worth
-        if call.begun >= self._settle:
+        if call.started_at >= self._settle:
             place = (call.klass.name, call.member)
-            self.asked_by[place] = self.asked_by.get(place, 0.0) + call.worth
+            self.offered_worth[place] = self.offered_worth.get(place, 0.0) + call.worth
 
-    def outcome(self, what: str) -> None:
+    def record_outcome(self, what: str) -> None:
         made = self.bin()
         setattr(made, what, getattr(made, what) + 1)
 
-    def served(self, call: Call, spent: float) -> None:
+    def record_served(self, call: Call, spent: float) -> None:
         klass = call.klass
         if spent > klass.deadline_ms + self.scenario.allow.answer_slack_ms:
             return
-        got = call.worth * (1.0 if spent <= klass.aim_ms and not call.slowed else klass.late_worth)
-        call.got = got
-        self.bin_of(call.begun).got += got
-        if call.begun >= self._settle:
+        got = call.worth * (1.0 if spent <= klass.aim_ms and not call.cpu_delayed else klass.late_worth)
+        call.earned = got
+        self.bin_at(call.started_at).got += got
+        if call.started_at >= self._settle:
             place = (klass.name, call.member)
-            self.got_by[place] = self.got_by.get(place, 0.0) + got
+            self.earned_worth[place] = self.earned_worth.get(place, 0.0) + got
             self.late += call.worth - got
             self.latencies.append(spent)
 
-    def slowed(self, call: Call) -> None:
+    def cpu_delayed(self, call: Call) -> None:
         """Its sidecar ran out of CPU in the second in which it took the call: its answer is a late one."""
-        if call.slowed:
+        if call.cpu_delayed:
             return
-        call.slowed = True
+        call.cpu_delayed = True
         late = call.worth * call.klass.late_worth
-        if call.got > late:
-            lost, call.got = call.got - late, late
-            self.bin_of(call.begun).got -= lost
-            if call.begun >= self._settle:
-                self.got_by[(call.klass.name, call.member)] -= lost
+        if call.earned > late:
+            lost, call.earned = call.earned - late, late
+            self.bin_at(call.started_at).got -= lost
+            if call.started_at >= self._settle:
+                self.earned_worth[(call.klass.name, call.member)] -= lost
                 self.late += lost
 
-    def loaded(self, server: int, part: float) -> None:
+    def record_load(self, server: int, part: float) -> None:
         peak = self.bin().peak
         if part > peak.get(server, 0.0):
             peak[server] = part
 
-    def fell(self, cold: bool) -> None:
+    def record_fall(self, cold: bool) -> None:
         self.falls += cold
         self.warm_falls += not cold
 
     # What several processes of one play counted
 
-    def told(self) -> dict[str, Any]:
+    def export(self) -> dict[str, Any]:
         """As MessagePack takes it."""
         names = [name for name in Bin.__slots__ if name != "peak"]
         return {
             "bins": [
                 [[getattr(made, name) for name in names], list(made.peak.items())] for made in self.bins
             ],
-            "counts": [self.wasted, self.choked, self.falls, self.warm_falls, self.late],
+            "counts": [self.wasted, self.chokes, self.falls, self.warm_falls, self.late],
             "latencies": self.latencies,
-            "asked": [[*place, worth] for place, worth in self.asked_by.items()],
-            "got": [[*place, worth] for place, worth in self.got_by.items()],
+            "asked": [[*place, worth] for place, worth in self.offered_worth.items()],
+            "got": [[*place, worth] for place, worth in self.earned_worth.items()],
         }
 
-    def absorb(self, told: dict[str, Any]) -> None:
+    def merge(self, exported: dict[str, Any]) -> None:
         names = [name for name in Bin.__slots__ if name != "peak"]
-        for number, (values, peaks) in enumerate(told["bins"]):
-            made = self.bin_of(number * BIN_MS)
+        for number, (values, peaks) in enumerate(exported["bins"]):
+            made = self.bin_at(number * BIN_MS)
             for name, value in zip(names, values, strict=True):
                 setattr(made, name, getattr(made, name) + value)
             for server, part in peaks:
                 made.peak[server] = max(made.peak.get(server, 0.0), part)
-        wasted, choked, falls, warm_falls, late = told["counts"]
+        wasted, choked, falls, warm_falls, late = exported["counts"]
         self.wasted += wasted
-        self.choked += choked
+        self.chokes += choked
         self.falls += falls
         self.warm_falls += warm_falls
         self.late += late
-        self.latencies += told["latencies"]
-        for into, rows in ((self.asked_by, told["asked"]), (self.got_by, told["got"])):
+        self.latencies += exported["latencies"]
+        for into, rows in ((self.offered_worth, exported["asked"]), (self.earned_worth, exported["got"])):
             for klass, member, worth in rows:
                 into[klass, member] = into.get((klass, member), 0.0) + worth
 
@@ -224,7 +226,7 @@
             worst_window=window,
             worst_class=klass,
             worst_member=member,
-            late=self.late / max(sum(self.asked_by.values()), 1e-9),
+            late=self.late / max(sum(self.offered_worth.values()), 1e-9),
             refused=sum(b.refused for b in bins) / tries,
             failed=sum(b.failed for b in bins) / tries,
             lost=sum(b.lost for b in bins) / tries,
@@ -235,8 +237,8 @@
             p99_ms=_quantile(ranked, 0.99),
             peak=peak,
             falls=self.falls,
-            chokes=self.choked,
-            recovered_ms=self.recovered(),
+            chokes=self.chokes,
+            recovered_ms=self.recovery_ms(),
             calls=calls,
             broke_lost=rules.get("lost", 0),
             broke_twice=rules.get("twice", 0),
@@ -257,12 +259,12 @@
     def _worst(self, groups: Any) -> float:
         shares = []
         for places in groups:
-            asked = sum(self.asked_by.get(place, 0.0) for place in places)
+            asked = sum(self.offered_worth.get(place, 0.0) for place in places)
             if asked > 0:
-                shares.append(sum(self.got_by.get(place, 0.0) for place in places) / asked)
+                shares.append(sum(self.earned_worth.get(place, 0.0) for place in places) / asked)
         return min(shares, default=1.0)
 
-    def recovered(self) -> float:
+    def recovery_ms(self) -> float:
         troubles = self.scenario.troubles
         if not troubles:
             return math.nan
--- a/lab/sight.py
+++ b/lab/sight.py
@@ -54,7 +54,7 @@
         self._top = (-math.inf, 0.0)
         if late_ms > 0 and beside is None:
             self._step = late_ms / 4.0
-            clock.at(0.0, self._note)
+            clock.schedule(0.0, self._note)
 
     def _note(self) -> None:
         now = self._clock.now
@@ -63,13 +63,13 @@
             past.append((now, self._state(server, now)))
             while len(past) > 1 and past[1][0] <= now - self.late_ms:
                 past.popleft()
-        self._clock.at(self._step, self._note)
+        self._clock.schedule(self._step, self._note)
 
     def _state(self, server: Server, now: float) -> State:
-        workers, warmth = server.kind.workers, server.warmth()
-        free = sorted(held.ends for held in server.held if held.state == "running")
-        slower = server.slow * (server.made.choke.slower if server.choked else 1.0)
-        rate = workers * server.speed * server.made.fall_ms * warmth
+        workers, warmth = server.kind.workers, server.warm_fraction()
+        free = sorted(held.ends for held in server.open_attempts if held.state == "running")
+        slower = server.slow * (server.config.choke.slower if server.is_choked else 1.0)
+        rate = workers * server.speed * server.config.fall_ms * warmth
         return State(
             server.state == UP,
             server.epoch,
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -15,7 +15,7 @@
 from lab import troubles
 from lab.checker import Checker
 from lab.clients import Clients
-from lab.clock import Clock, Unending
+from lab.clock import Clock, TooManyEvents
 from lab.discovery import Discovery
 from lab.evenness import Evenness
 from lab.links import Links
@@ -45,11 +45,11 @@
 
 
 class Simulation:
-    """One play. ``watched``: the watch for storms stands before each module, as the operator's file has
+    """One play. ``watch_storms``: the watch for storms stands before each module, as the operator's file has
     it."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, policy: Policy = Balancer, watched: bool = False
+        self, scenario: Scenario, seed: int, policy: Policy = Balancer, watch_storms: bool = False
     ) -> None:
         self.scenario, self.seed = scenario, seed
         self.streams = Streams(seed)
@@ -61,7 +61,7 @@
         self.clients = Clients(self)
         self._sights: dict[int, Sight] = {}
         self._lay_out(Server)
-        self.sidecars = [Sidecar(self, n, policy, watched) for n in range(scenario.sidecars.count)]
+        self.sidecars = [Sidecar(self, n, policy, watch_storms) for n in range(scenario.sidecars.count)]
 
     def processes(self) -> list[Sidecar]:
         """All that hear of the list: where a sidecar is being replaced, both of its processes."""
@@ -99,7 +99,7 @@
         number = len(self.servers)
         server = self._make(self, number, kind, f"s-{number}", cold=True)
         self._put(server)
-        self.discovery.started(server)
+        self.discovery.server_started(server)
 
     def settings(self, zone: str, number: int = -1) -> api.Settings:
         made = self.scenario
@@ -167,25 +167,25 @@
             return
         link = self.links.of(sidecar.zone, server.zone)
         if link.back:
-            late = sidecar.delay(server) + link.late(self.links.chance)
-            self.clock.at(late, sidecar.ended, attempt, outcome)
+            late = sidecar.delay(server) + link.message_delay_ms(self.links.chance)
+            self.clock.schedule(late, sidecar.attempt_ended, attempt, outcome)
 
     # The play
 
     def run(self) -> Row:
         """Plays it to the end, or to the bound of its events; what it came to."""
-        entries, fault = self.discovery.first(self.servers), ""
+        entries, fault = self.discovery.initial_list(self.servers), ""
         chance, spread = self.streams.of("start"), self.scenario.sidecars.start_spread_ms
         for sidecar in self.sidecars:
-            self.clock.at(chance.uniform(0.0, spread), sidecar.start, entries)
-        self.clock.at(spread, self.clients.begin)
+            self.clock.schedule(chance.uniform(0.0, spread), sidecar.start, entries)
+        self.clock.schedule(spread, self.clients.begin)
         troubles.plan(self)
         try:
             self.clock.run(1000.0 * self.scenario.seconds)
-        except Unending as bound:
+        except TooManyEvents as bound:
             fault = str(bound)
         peak = max((server.peak for server in self.servers), default=0.0)
-        broken = dict(self.checker.broken)
+        broken = dict(self.checker.violations)
         return self.measures.row(
             broken, self.checker.ran_twice, peak, fault, self.clock.events, self.evenness
         )
--- a/lab/socket_servers.py
+++ b/lab/socket_servers.py
@@ -11,9 +11,9 @@
 import msgpack
 
 from hareloom.interface import Outcome
-from lab.links import Link, Place
+from lab.links import Link, ZonePair
 from lab.servers import DEAD, UP, Attempt, Server, ServerHost
-from lab.streams import lognormal, turned
+from lab.streams import golden_ratio_draw, lognormal
 from rigs import fleet
 from rigs.relay import Faults, FaultyListener, TcpRelay
 
@@ -80,8 +80,8 @@
         server.sides.add(self)
         server.connections += 1
         server.simulation.measures.bin().connects += 1
-        if server.made.handshake_ms > 0 and server.state == UP:
-            server.take(server.made.handshake_ms)
+        if server.config.handshake_ms > 0 and server.state == UP:
+            server.record_load(server.config.handshake_ms)
 
     def came(self, name: str, msgid: int, facts: str) -> None:
         """A whole request; ``facts`` are what its client says of the call (``facts_of``)."""
@@ -91,8 +91,8 @@
         klass, server.count = told["c"], server.count + 1
         number = f"{server.number}.{server.count}"
         simulation.measures.bin().sent += 1
-        simulation.checker.sent(sidecar.number, name, number, server.place(), simulation.clock.now)
-        noise = turned(told["h"], int(told["t"]) * 8 + server.number % 8)
+        simulation.checker.sent(sidecar.number, name, number, server.location(), simulation.clock.now)
+        noise = golden_ratio_draw(told["h"], int(told["t"]) * 8 + server.number % 8)
         work = told["w"] * lognormal(noise, simulation.noise_of[klass])
         attempt = SocketAttempt(
             sidecar, name, number, server, simulation.clock.now, work, int(told["k"]), klass
@@ -101,10 +101,10 @@
         self.held[msgid] = attempt
         if simulation.swallowed(sidecar, server):
             return
-        if server.connections > server.made.connections:
+        if server.connections > server.config.connections:
             simulation.reply(attempt, Outcome.FULL)
         else:
-            simulation.clock.at(sidecar.delay(server), server.arrive, attempt)
+            simulation.clock.schedule(sidecar.delay(server), server.arrive, attempt)
 
     def answer(self, attempt: SocketAttempt, outcome: Outcome) -> None:
         if self.held.pop(attempt.msgid, None) is not attempt or self.transport.is_closing():
@@ -221,7 +221,7 @@
         found[""] = [door.port for door in self.doors]
         return {zone: (f"127.0.0.1:{at[0]}", f"127.0.0.1:{at[1]}") for zone, at in found.items()}
 
-    def fault(self, place: Place, link: Link) -> None:
+    def fault(self, place: ZonePair, link: Link) -> None:
         """What a link from a zone of sidecars does from now on."""
         if place[1] != self.zone:
             return
@@ -275,10 +275,10 @@
     def dials(self) -> dict[str, tuple[str, str]]:
         return self.reached
 
-    def fault(self, place: Place, link: Link) -> None:
+    def fault(self, place: ZonePair, link: Link) -> None:
         """Its own process sees to that."""
 
-    def _has(self) -> None:
+    def _report_load(self) -> None:
         pass
 
     def mark(self, why: str, unsound: bool) -> None:
@@ -288,7 +288,7 @@
         """It was pushed over, where it is."""
         if self.state == UP:
             self.stop(DEAD)
-            self.clock.at(self.made.down_ms, self.start)
+            self.clock.schedule(self.config.down_ms, self.start)
 
     def close(self) -> None:
         pass
--- a/lab/socket_sidecars.py
+++ b/lab/socket_sidecars.py
@@ -112,7 +112,7 @@
         self.sidecar.list_calls += 1
         after = head.partition(b"after=")[2][:18].partition(b"&")[0].partition(b" ")[0]
         wait = head.partition(b"wait_ms=")[2][:8].partition(b"&")[0].partition(b" ")[0]
-        if self.sidecar.simulation.discovery.away:
+        if self.sidecar.simulation.discovery.is_down:
             if self.sidecar.simulation.scenario.discovery.mode == "ask":
                 self.transport.abort()
             return
@@ -139,15 +139,18 @@
 class SocketSidecar:
     """A real sidecar as a process, as the simulation's models meet it."""
 
-    here = True  # its process is this one's child
+    is_local = True  # its process is this one's child
 
     def __init__(self, simulation: SocketSidecarHost, number: int, speaks: Speaks) -> None:
         self.simulation, self.number, self.speaks = simulation, number, speaks
         zones = simulation.scenario.network.zones
         self.zone = zones[number % len(zones)]
-        self.net, self.lag = simulation.streams.of("net", number), simulation.streams.of("lag", number)
-        self.up, self.paused, self.life, self.version, self.subscribed = False, False, 0, 0, True
-        self.turn, self.resumed_at, self.list_calls = 0, -1.0, 0
+        self.network_rng, self.list_delay_rng = (
+            simulation.streams.of("net", number),
+            simulation.streams.of("lag", number),
+        )
+        self.up, self.paused, self.incarnation, self.version, self.subscribed = False, False, 0, 0, True
+        self.generation, self.resumed_at, self.list_calls = 0, -1.0, 0
         self.known: dict[str, api.ServerEntry] = {}
         self.idle: list[_ClientSide] = []
         self.busy: dict[str, _ClientSide] = {}
@@ -161,12 +164,12 @@
 
     def facts(self, held: Try) -> str:
         call = held.call
-        return facts_of(self.number, call.klass.name, call.work, call.chance, call.key, call.tries)
+        return facts_of(self.number, call.klass.name, call.work, call.draw, call.key, call.tries)
 
     def delay(self, server: Server) -> float:
         net = self.simulation.scenario.network
         base = net.same_ms if server.zone == self.zone else net.cross_ms
-        return base * (1.0 + net.jitter * self.net.random())
+        return base * (1.0 + net.jitter * self.network_rng.random())
 
     def _do(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -187,7 +190,7 @@
         if operator:
             self.rpc_port = await self.running.next_listener_port()
             self.running.read_on()
-        self.up, self.life = True, self.life + 1
+        self.up, self.incarnation = True, self.incarnation + 1
         self.simulation.checker.started(self.number)
         told = api.ServerList(ListKind.FULL, self.version, tuple(self.known.values()))
         self.simulation.checker.listed(self.number, self.simulation.clock.now, told)
@@ -217,9 +220,9 @@
     def start(self, entries: Any = None) -> None:
         self._do(self._run())
 
-    def die(self) -> None:
+    def crash(self) -> None:
         if self.up and self.running is not None:
-            self.up, self.life = False, self.life + 1
+            self.up, self.incarnation = False, self.incarnation + 1
             self.running.process.kill()
 
     def pause(self) -> None:
@@ -234,7 +237,7 @@
 
     # The list
 
-    def hear(self, event: api.ServerList) -> None:
+    def handle_event(self, event: api.ServerList) -> None:
         if event.kind is ListKind.LOST:
             self.subscribed = True
             for agent in list(self.agents):
@@ -275,7 +278,7 @@
 
     # Calls
 
-    def ask(self, held: Try, until: float) -> None:
+    def handle_request(self, held: Try, until: float) -> None:
         self._do(self._ask(held, until))
 
     async def _ask(self, held: Try, until: float) -> None:
@@ -328,16 +331,16 @@
             self.simulation.checker.final(self.number, held.name, what, self.simulation.clock.now)
             if what == "served":
                 self.simulation.heard(held)
-        self.simulation.clients.ended(held, what, advice_ms)
+        self.simulation.clients.try_ended(held, what, advice_ms)
 
     def cut(self, held: Try) -> None:
         """The connection ended without an answer."""
         self.busy.pop(held.name, None)
-        if held.open and self.up and held.life == self.life:
+        if held.open and self.up and held.incarnation == self.incarnation:
             self.simulation.checker.breach("lost", f"{held.name} was cut off by a running sidecar")
-        self.simulation.clients.ended(held, "cut", 0.0)
+        self.simulation.clients.try_ended(held, "cut", 0.0)
 
-    def gone(self, held: Try) -> None:
+    def client_gone(self, held: Try) -> None:
         side = self.busy.pop(held.name, None)
         if self.speaks == "rpc":
             return  # nothing tells the sidecar; what it was told of the time left does
@@ -350,8 +353,8 @@
 class Absent:
     """A sidecar of another process of the rig: nothing of it is here but its place."""
 
-    here = False
-    up, paused, life, version, turn, subscribed = True, False, 0, 0, 0, False
+    is_local = False
+    up, paused, incarnation, version, generation, subscribed = True, False, 0, 0, 0, False
     resumed_at = -1.0
 
     def __init__(self, number: int, zone: str) -> None:
@@ -360,7 +363,7 @@
     def start(self, entries: Any = None) -> None:
         pass
 
-    def die(self) -> None:
+    def crash(self) -> None:
         pass
 
     def pause(self) -> None:
--- a/lab/socket_simulation.py
+++ b/lab/socket_simulation.py
@@ -28,7 +28,7 @@
 from lab.calls import Try
 from lab.checker import Checker
 from lab.clients import Clients
-from lab.clock import Unending
+from lab.clock import TooManyEvents
 from lab.discovery import Discovery
 from lab.evenness import Evenness
 from lab.launch import Launcher, cpu_s, memory_kb
@@ -76,12 +76,12 @@
         self.noise_of = {item.name: item.noise for item in scenario.classes}
         self.told_of_falls: Callable[[int], None] = lambda number: None
         zones = scenario.network.zones
-        self.relayed = zones if links.any_in(scenario.troubles) else ()
+        self.relayed = zones if links.has_link_troubles(scenario.troubles) else ()
         self.discovery = Discovery(self)
         self.clients = Clients(self)
-        self.clients.prefix = f"{shard[0]}-"
+        self.clients.try_name_prefix = f"{shard[0]}-"
         self._lay_out(self._server)  # type: ignore[arg-type]
-        self.links.changed = self._link
+        self.links.on_change = self._link
         count = scenario.sidecars.count
         self.peers = [Peer(self, n, zones[n % len(zones)]) for n in range(count)]
         sidecars: Any = [
@@ -102,7 +102,7 @@
     def wire(self, name: str) -> SocketServer:
         return cast(SocketServer, self.by_name[name])
 
-    def _link(self, place: links.Place, link: links.Link) -> None:
+    def _link(self, place: links.ZonePair, link: links.Link) -> None:
         for server in self.servers:
             cast(SocketServer, server).fault(place, link)
 
@@ -116,7 +116,7 @@
             server.fell()
 
     def heard(self, held: Try) -> None:
-        spent = round((self.clock.now - held.call.begun) * 1000.0)
+        spent = round((self.clock.now - held.call.started_at) * 1000.0)
         self.latency.record_value(min(max(spent, 1), MOST_US))
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -124,7 +124,7 @@
         sidecar, server = attempt.sidecar, attempt.server
         if self.cut and (sidecar.zone in self.cut) != (server.zone in self.cut):
             return
-        self.clock.at(sidecar.delay(server), attempt.side.answer, attempt, outcome)
+        self.clock.schedule(sidecar.delay(server), attempt.side.answer, attempt, outcome)
 
     def config(self, sidecar: SocketSidecar) -> str:
         """The platform's file for a sidecar (DEPLOY, PROTOCOL)."""
@@ -173,7 +173,7 @@
                 "name": f"n{sidecar.number}",
                 "listen": "127.0.0.1:0",
                 "discovery": f"127.0.0.1:{sidecar.agent_port}",
-                "seed": f"{self.seed * 100_003 + sidecar.number * 101 + sidecar.life:016x}",
+                "seed": f"{self.seed * 100_003 + sidecar.number * 101 + sidecar.incarnation:016x}",
                 "limits": {"sockets": 1024},
                 "known": sidecar.list_told(),
                 "settings": settings,
@@ -197,12 +197,12 @@
             server = self.servers[number]
             if isinstance(server, Elsewhere):
                 server.reached = dials
-        begin, entries = time.monotonic(), self.discovery.first(self.servers)
+        begin, entries = time.monotonic(), self.discovery.initial_list(self.servers)
         await asyncio.gather(*(sidecar.begin(entries) for sidecar in self._own()))
         return time.monotonic() - begin
 
     def _own(self) -> list[SocketSidecar]:
-        return [sidecar for sidecar in cast("list[Any]", self.sidecars) if sidecar.here]
+        return [sidecar for sidecar in cast("list[Any]", self.sidecars) if sidecar.is_local]
 
     async def take_place(self, at: float | None = None) -> None:
         """The play, from this instant of the monotonic clock on, or from now."""
@@ -215,7 +215,7 @@
         troubles.plan(self)
         try:
             await self.wall.run_until(1000.0 * self.scenario.seconds)
-        except Unending as bound:
+        except TooManyEvents as bound:
             self.fault = str(bound)
 
     def report(self) -> dict[str, Any]:
@@ -223,7 +223,7 @@
         return {
             "notes": self.notes.kept,
             "beyond": self.notes.beyond,
-            "measures": self.measures.told(),
+            "measures": self.measures.export(),
             "latency": self.latency.encode(),
             "peak": max((server.peak for server in self.servers), default=0.0),
             "fault": self.fault,
@@ -257,7 +257,7 @@
         self.latency = HdrHistogram(1, MOST_US, 3)
         told(merged([report["notes"] for report in reports]), self.checker, self.evenness)
         for report in reports:
-            self.measures.absorb(report["measures"])
+            self.measures.merge(report["measures"])
             self.latency.decode_and_add(report["latency"])
         faults = [report["fault"] for report in reports if report["fault"]]
         faults += [f"{report['beyond']} notes were not kept" for report in reports if report["beyond"]]
@@ -269,7 +269,7 @@
         peak = max(report["peak"] for report in reports)
         events = sum(report["events"] for report in reports)
         self.row: Row = self.measures.row(
-            dict(self.checker.broken),
+            dict(self.checker.violations),
             self.checker.ran_twice,
             peak,
             "; ".join(faults),
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -17,7 +17,7 @@
 import xxhash
 
 BLOCK = 256  # uniforms drawn at a time: one by one they cost ten times as much
-TURN = (math.sqrt(5.0) - 1.0) / 2.0
+GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0
 
 
 class Stream:
@@ -86,9 +86,10 @@
     return -value if share < 0.5 else value
 
 
-def turned(share: float, turns: int) -> float:
-    """The ``turns``-th further draw from one: attempts of a call differ, alike under every policy."""
-    return (share + TURN * turns) % 1.0
+def golden_ratio_draw(draw: float, step: int) -> float:
+    """Returns the ``step``-th uniform draw derived from one draw: attempts of a call differ, but each is the
+    same under every policy."""
+    return (draw + GOLDEN_RATIO * step) % 1.0
 
 
 class Streams:
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -43,8 +43,10 @@
             still_ms,
         )
         self.old = simulation.sidecars[number]
-        self.new = type(self.old)(simulation, number, self.old.policy, self.old.watched, self.old.turn + 1)
-        self.chance = simulation.streams.of("change", number, self.new.turn)
+        self.new = type(self.old)(
+            simulation, number, self.old.policy, self.old.watch_storms, self.old.generation + 1
+        )
+        self.chance = simulation.streams.of("change", number, self.new.generation)
         self.ready_at = -1.0
 
     def begin(self) -> None:
@@ -55,13 +57,13 @@
         new.start()
         if new.subscribed:
             # A watch that begins is told what has changed, also what is still on its way to the old process.
-            simulation.discovery.push(new)
+            simulation.discovery.schedule_push(new)
         deadline = max(item.deadline_ms for item in simulation.scenario.classes)
-        self.clock.at(ASKED_MS, self._ask)
-        self.clock.at(READY_MS, self._ready)
-        self.clock.at(READY_MS + max(deadline, FADE_MS) + END_MS, self._end)
+        self.clock.schedule(ASKED_MS, self._ask)
+        self.clock.schedule(READY_MS, self._ready)
+        self.clock.schedule(READY_MS + max(deadline, FADE_MS) + END_MS, self._end)
         if self.still_ms > 0:
-            self.clock.at(0.0, self._stand_still, new, old)
+            self.clock.schedule(0.0, self._stand_still, new, old)
 
     def beside(self) -> list[Sidecar]:
         """The process that is not the sidecar's own in the simulation's list."""
@@ -74,18 +76,18 @@
         return self.old if self.old.up and self.chance.random() < kept else self.new
 
     def _ask(self) -> None:
-        module = self.old.module
-        if isinstance(module, Balancer):
-            learnt = module.learnt(self.clock.now)
-            self.clock.at(ASKED_MS, self._believe, learnt, self.clock.now)
+        balancer = self.old.balancer
+        if isinstance(balancer, Balancer):
+            learnt = balancer.learnt(self.clock.now)
+            self.clock.schedule(ASKED_MS, self._believe, learnt, self.clock.now)
 
     def _believe(self, learnt: api.Learnt, asked_at: float) -> None:
         from anisestair.recovery import beliefs  # not there where an older revision's decisions are played
 
-        module, now = self.new.module, self.clock.now
-        if isinstance(module, Balancer) and self.new.up:
-            born = {name: server.entry.started_at for name, server in module.servers.items()}
-            module.believe(now, beliefs.faded(learnt, now - asked_at, module.mean_aim, born))
+        balancer, now = self.new.balancer, self.clock.now
+        if isinstance(balancer, Balancer) and self.new.up:
+            born = {name: server.entry.started_at for name, server in balancer.servers.items()}
+            balancer.believe(now, beliefs.faded(learnt, now - asked_at, balancer.mean_aim, born))
 
     def _ready(self) -> None:
         self.ready_at = self.clock.now
@@ -95,12 +97,12 @@
         if self.simulation.changes.get(self.number) is not self:
             return
         one.pause()
-        self.clock.at(self.still_ms, one.resume)
-        self.clock.at(self.still_ms, self._stand_still, other, one)
+        self.clock.schedule(self.still_ms, one.resume)
+        self.clock.schedule(self.still_ms, self._stand_still, other, one)
 
     def _end(self) -> None:
         """What the old one still has is cut off; it had its time."""
         self.old.resume()
-        self.old.die()
+        self.old.crash()
         if self.simulation.changes.get(self.number) is self:
             del self.simulation.changes[self.number]
--- a/lab/wall.py
+++ b/lab/wall.py
@@ -8,7 +8,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from lab.clock import Unending
+from lab.clock import TooManyEvents
 
 
 class WallClock:
@@ -39,7 +39,7 @@
     def due(self) -> float:
         return self._due if self._due >= 0.0 else self.now
 
-    def at(self, delay: float, what: Callable[..., object], *args: object) -> None:
+    def schedule(self, delay: float, what: Callable[..., object], *args: object) -> None:
         self._count += 1
         instant = self.due + (delay if delay > 0.0 else 0.0)
         heappush(self._heap, (instant, self._count, what, args))
@@ -60,7 +60,7 @@
                 self.most_late_ms = max(self.most_late_ms, now - self._due)
                 self.events += 1
                 if self.events > self._most:
-                    raise Unending(f"more than {self._most} events by {now:.0f} ms")
+                    raise TooManyEvents(f"more than {self._most} events by {now:.0f} ms")
                 what(*args)
         except Exception as fault:
             if not self._ended.done():
@@ -75,7 +75,7 @@
         self._arm()
 
     async def run_until(self, until: float) -> None:
-        """Raises Unending, and whatever a plan raised."""
+        """Raises TooManyEvents, and whatever a plan raised."""
         self._until = until
         self._arm()
         try:
--- a/tests/test_even_load.py
+++ b/tests/test_even_load.py
@@ -19,7 +19,9 @@
     given = {"seconds": 14.0, **{place.replace("__", "."): value for place, value in changes.items()}}
     simulation = Simulation(SOURCE.changed(given).play_of(1), 1)
     row = simulation.run()
-    assert not simulation.checker.broken and not row.falls and not row.fault, simulation.checker.first
+    assert not simulation.checker.violations and not row.falls and not row.fault, (
+        simulation.checker.first_violations
+    )
     return simulation, row
 
 
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -116,6 +116,6 @@
     for name in ("module", "random"):
         simulation = Simulation(source.play_of(1), 1, *policy(name))
         found[name] = simulation.run()
-        assert not simulation.checker.broken and found[name].unused == 0
+        assert not simulation.checker.violations and found[name].unused == 0
     assert found["module"].spread_1s < 0.8 * found["random"].spread_1s
     assert found["module"].waste < found["random"].waste
--- a/tests/test_lab_ceiling.py
+++ b/tests/test_lab_ceiling.py
@@ -27,7 +27,7 @@
         row = play.run()
         found[decides] = row.service
         if decides != "random":
-            assert not play.checker.broken and not row.falls, play.checker.first
+            assert not play.checker.violations and not row.falls, play.checker.first_violations
     assert found["random"] < found["late oracle"] < found["oracle"] + 0.01
     assert found["module"] <= found["oracle"] + 0.01
 
@@ -42,13 +42,13 @@
     def stop() -> None:
         play.by_name["s-0"].stop("dead")
         for after in (0.0, 25.0, 60.0):
-            play.clock.at(after, look)
+            play.clock.schedule(after, look)
 
     def look() -> None:
         states = now.look("s-0"), late.look("s-0")
         seen.append([state.up for state in states if state is not None])
 
-    play.clock.at(2000.0, stop)
+    play.clock.schedule(2000.0, stop)
     play.run()
     assert seen == [[False, True], [False, True], [False, False]]
     assert now.look("nobody") is None
--- a/tests/test_lab_hedged.py
+++ b/tests/test_lab_hedged.py
@@ -35,7 +35,7 @@
         put(tree, place.replace("__", "."), value, "test")
     simulation = Simulation(typed(tree, "test"), 3, policy)
     row = simulation.run()
-    hedges = sum(getattr(one.module, "hedges", 0) for one in simulation.sidecars)
+    hedges = sum(getattr(one.balancer, "hedges", 0) for one in simulation.sidecars)
     return row, row.calls, hedges
 
 
--- a/tests/test_lab_simulation.py
+++ b/tests/test_lab_simulation.py
@@ -158,7 +158,7 @@
         )
         play, found = Simulation(play_scenario, 1, decides), [0.0] * 6
         for turn in range(20):
-            play.clock.at(2000.0 + 100.0 * turn, look, play, found)
+            play.clock.schedule(2000.0 + 100.0 * turn, look, play, found)
         play.run()
         return found
 
@@ -183,7 +183,7 @@
     play_scenario = made(troubles=[trouble], discovery={"mode": "ask"} if kind in ("away", "late") else {})
     play = Simulation(play_scenario, 11)
     row = play.run()
-    assert kept(row) and row.calls > 500, play.checker.first
+    assert kept(row) and row.calls > 500, play.checker.first_violations
 
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
@@ -195,7 +195,7 @@
     ]
     decides, watched = policy(name)
     play = Simulation(made(troubles=troubles, load={"share": 0.9}), 4, decides, watched)
-    assert kept(play.run()), play.checker.first
+    assert kept(play.run()), play.checker.first_violations
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
@@ -207,7 +207,7 @@
         | {"servers.kinds.0.workers": 1 + seed % 2, "classes.0.work_ms": 20.0 + 10 * (seed % 5)}
     )
     play = Simulation(source.play_of(seed), seed)
-    assert kept(play.run()), play.checker.first
+    assert kept(play.run()), play.checker.first_violations
 
 
 def test_a_simulation_with_no_server_for_a_while_refuses_and_comes_back() -> None:
@@ -225,7 +225,7 @@
     pause = {"kind": "pause", "at_ms": 2000, "for_ms": 4000, "share": 0.6}
     play = Simulation(made(troubles=[pause], load={"share": 1.5}, clients={"tries": 1}), 18)
     row = play.run()
-    assert kept(row) and row.lost > 0.02, play.checker.first
+    assert kept(row) and row.lost > 0.02, play.checker.first_violations
 
 
 def test_servers_that_return_before_the_list_tells_are_not_pushed_over() -> None:
@@ -291,7 +291,7 @@
     play_scenario = made(troubles=troubles, allow={"drain_grace_ms": 300}, load={"share": 1.3})
     play = Simulation(play_scenario, 1, decides)
     row = play.run()
-    assert getattr(row, f"broke_{rule}") > 0 and row.score == 0.0 and rule in play.checker.first
+    assert getattr(row, f"broke_{rule}") > 0 and row.score == 0.0 and rule in play.checker.first_violations
 
 
 def test_a_starting_server_that_gets_too_much_falls_and_that_counts() -> None:
@@ -333,7 +333,7 @@
     members = [{"name": "a", "entitled": 0.5}, {"name": "b", "entitled": 0.1}]
     play = Simulation(made(members=members, load={"share": 0.6}, sidecars={"count": 1}), 1, Random)
     play.run()
-    worth = [sum(v for (_, member), v in play.measures.asked_by.items() if member == n) for n in (0, 1)]
+    worth = [sum(v for (_, member), v in play.measures.offered_worth.items() if member == n) for n in (0, 1)]
     assert worth[1] < 0.6 * worth[0]
 
 
@@ -382,5 +382,5 @@
     for speaks in ("http", "rpc"):
         found = socket_simulation.play(made(**tables), 1, speaks)  # type: ignore[arg-type]
         served = sum(item.served for item in found.measures.bins)
-        assert kept(found.row) and served > 50, found.checker.first
+        assert kept(found.row) and served > 50, found.checker.first_violations
         assert found.latency.get_total_count() == served
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -63,7 +63,7 @@
 
 
 def test_ten_sidecars_with_faults_between_keep_the_rules(played: socket_simulation.Concluded) -> None:
-    assert not played.row.fault and not played.checker.broken, played.checker.first
+    assert not played.row.fault and not played.checker.violations, played.checker.first_violations
     assert played.row.ran_twice == 0 and played.row.falls == 0
 
 
@@ -96,7 +96,7 @@
     ]
     made = source(troubles, seconds=7.0, servers={"count": 5}, sidecars={"count": 6}, load={"share": 0.03})
     found, _ = many.play(made, 3, drivers=1)
-    assert not found.row.fault and not found.checker.broken, found.checker.first
+    assert not found.row.fault and not found.checker.violations, found.checker.first_violations
     (failing,) = {server for server, marks in found.evenness._marks.items() if marks[0][1] == "errors"}
     counts = {server: sum(cells[40:110]) for server, cells in found.evenness.counts.items()}
     others = [count for server, count in counts.items() if server != failing]
@@ -120,11 +120,11 @@
     many.play(small, 1, drivers=1)
     monkeypatch.undo()
     (report,) = reports
-    assert not socket_simulation.Concluded(small.play_of(1), 1, [report]).checker.broken
+    assert not socket_simulation.Concluded(small.play_of(1), 1, [report]).checker.violations
     sent = next(item for item in report["notes"] if item[1] == "sent")
     again = [sent[0] + 1.0, "sent", [*sent[2][:2], "again", *sent[2][3:]]]
     report["notes"] = sorted([*report["notes"], again], key=lambda item: item[0])
-    assert socket_simulation.Concluded(small.play_of(1), 1, [report]).checker.broken["twice"] == 1
+    assert socket_simulation.Concluded(small.play_of(1), 1, [report]).checker.violations["twice"] == 1
 
 
 def test_a_rig_that_is_killed_leaves_nothing_running(tmp_path: Path) -> None:
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -358,9 +358,11 @@
     """Return the changes of state with the number of the sidecar, in a simulation of three sidecars."""
     made = {"name": "t", "seconds": 32, "sidecars": {"count": 3}, "load": {"share": 0.7}}
     servers = {"count": 5, "kinds": [{"workers": 2}]}
-    simulation = Simulation(scenario.typed(made | {"servers": servers} | tables, "test"), 1, watched=True)
+    simulation = Simulation(
+        scenario.typed(made | {"servers": servers} | tables, "test"), 1, watch_storms=True
+    )
     simulation.run()
-    return simulation.measures.changes
+    return simulation.measures.storm_changes
 
 
 def test_every_sidecar_detects_the_storm_after_an_outage_and_its_end() -> None:
