--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -319,7 +319,7 @@
             half = await there.caller()
             half.writer.write(b"\x94\x00")
             future: asyncio.Future[tuple[Any, Any]] = asyncio.get_running_loop().create_future()
-            half.open[1] = future
+            half.pending[1] = future
             with pytest.raises(ConnectionError):
                 await answer(future)
 
