--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -36,8 +36,8 @@
 from anisestair.http import codec as http
 from mesh.cli.client import Answered, ask
 from rigs.mesh_peers import Operator, free_ports, patch_body, route, write_settings
-from simulation.mesh.wire import End
-from simulation.mesh.witness import Witness
+from simulation.mesh.wire import ConnectionEnd
+from simulation.mesh.witness import InvariantChecker
 from simulation.mesh.world import Machine, World
 
 Script = Generator[simpy.Event, Any, Any]
@@ -107,11 +107,11 @@
         carried = _counted(world, taker)
         began = float(world.env.now)
         world.start(taker)
-        yield from world.until(lambda: _level(world, taker), WITHIN_S, f"{case.name}: level")
+        yield from world.wait_until(lambda: _level(world, taker), WITHIN_S, f"{case.name}: level")
         found.update(s=float(world.env.now) - began, bytes=carried())
 
-    # The witness looks at every item at every step, which is not what is measured.
-    with World() as world, mock.patch.object(Witness, "_meets"):
+    # The checker looks at every item at every step, which is not what is measured.
+    with World() as world, mock.patch.object(InvariantChecker, "_check_quorums"):
         broken = world.run(script)
     if broken:
         raise RuntimeError("; ".join(broken))
@@ -121,9 +121,9 @@
 def _sent(world: World, body: dict[str, Any]) -> Script:
     message = http.Message(method=b"PATCH", target=b"/configuration", body=json.dumps(body).encode())
     for _ in range(50):
-        life = world.controllers()[0].life
-        assert life is not None
-        answer = yield world.ask(life, life.program.operator_api.handle, message)
+        incarnation = world.controllers()[0].incarnation
+        assert incarnation is not None
+        answer = yield world.send_request(incarnation, incarnation.program.operator_api.handle, message)
         if answer is not None and answer.status == 200:
             return
         yield world.env.timeout(0.2)
@@ -142,14 +142,14 @@
 
 def _counted(world: World, taker: Machine) -> Callable[[], float]:
     """Bytes that come over the taker's links from now on."""
-    total, carry = [0], world.wire._carry
+    total, carry = [0], world.network._transmit
 
-    def carries(end: End, data: bytes, late: float) -> None:
-        if end.other.life.machine is taker:
+    def carries(end: ConnectionEnd, data: bytes, delay_s: float) -> None:
+        if end.other.incarnation.machine is taker:
             total[0] += len(data)
-        carry(end, data, late)
+        carry(end, data, delay_s)
 
-    world.wire._carry = carries  # type: ignore[method-assign]
+    world.network._transmit = carries  # type: ignore[method-assign]
     return lambda: float(total[0])
 
 
--- a/benchmarks/contact_plays.py
+++ b/benchmarks/contact_plays.py
@@ -11,7 +11,7 @@
 from collections import Counter
 
 from benchmarks.drawn_plays import Played, arguments, run, timed
-from simulation.mesh.cuts import drawn
+from simulation.mesh.cuts import run_drawn
 from simulation.mesh.zones import draw_zones
 
 SERIES = 64  # a play's draw is of this and its seed
@@ -19,8 +19,10 @@
 
 def _play(seed: int) -> tuple[list[str], Counter[str]]:
     zones = draw_zones(f"{SERIES}/{seed}")
-    name, broken, world = drawn(SERIES, seed, zones)
-    counts = Counter({f"answered {status} while cut off": count for status, count in world.answers.items()})
+    name, broken, world = run_drawn(SERIES, seed, zones)
+    counts = Counter(
+        {f"answered {status} while cut off": count for status, count in world.answers_by_status.items()}
+    )
     counts[f"cut {name}"] += 1
     counts[f"zones {zones.count}, of which lost {zones.tolerance.zones}"] += 1
     return broken, counts
--- a/benchmarks/member_plays.py
+++ b/benchmarks/member_plays.py
@@ -13,15 +13,15 @@
 import time
 from multiprocessing import Pool
 
-from simulation.mesh.members import drawn, played
+from simulation.mesh.members import draw_play, run_play
 
 
 def play(seed: int) -> tuple[int, int, list[str], float]:
     """Seed, size of the core, what was broken, seconds of the processor."""
-    cores, script = drawn(seed)
+    cores, script = draw_play(seed)
     began = time.process_time()
     try:
-        told = played(cores, script)
+        told = run_play(cores, script)
     except Exception as fault:  # a play that ends by itself is a find as well
         told = [f"raised {fault!r}"]
     return seed, cores, told, time.process_time() - began
--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -30,8 +30,8 @@
 from mesh.data_plane.membership import PROXY
 from mesh.transport.link import HEARTBEAT
 from rigs.mesh_peers import patch_body, route
-from simulation.mesh.clock import LIFE
-from simulation.mesh.wire import End
+from simulation.mesh.clock import CURRENT_INCARNATION
+from simulation.mesh.wire import ConnectionEnd
 from simulation.mesh.world import Machine, World
 
 Script = Generator[simpy.Event, Any, Any]
@@ -67,9 +67,9 @@
     def __init__(self, world: World) -> None:
         self.core, self.side = Spent(), Spent()
         self._stack = ExitStack()
-        self._send = world.wire.send
+        self._send = world.network.send
         self._patches: list[Any] = [
-            mock.patch.object(world.wire, "send", self._sends),
+            mock.patch.object(world.network, "send", self._sends),
             mock.patch.object(asyncio.events.Handle, "_run", self._runs(asyncio.events.Handle._run)),
         ]
 
@@ -86,9 +86,9 @@
         copies = [Spent(*(getattr(spent, name) for name in COUNTS)) for spent in (self.side, self.core)]
         return copies[0], copies[1]
 
-    def _sends(self, end: End, data: bytes) -> None:
+    def _sends(self, end: ConnectionEnd, data: bytes) -> None:
         for one in (end, end.other):
-            spent = self.core if one.life.machine.core else self.side
+            spent = self.core if one.incarnation.machine.is_controller else self.side
             if data == HEARTBEAT:
                 spent.alive += 1
             else:
@@ -98,13 +98,13 @@
 
     def _runs(self, run: Callable[[asyncio.Handle], None]) -> Callable[[asyncio.Handle], None]:
         def runs(handle: asyncio.Handle) -> None:
-            life = handle._context.get(LIFE)  # type: ignore[attr-defined]
-            if life is None:
+            incarnation = handle._context.get(CURRENT_INCARNATION)  # type: ignore[attr-defined]
+            if incarnation is None:
                 run(handle)
                 return
             began = time.thread_time_ns()
             run(handle)
-            spent = self.core if life.machine.core else self.side
+            spent = self.core if incarnation.machine.is_controller else self.side
             spent.cpu_ms += (time.thread_time_ns() - began) / 1e6
 
         return runs
@@ -143,13 +143,13 @@
         world.founders = cores[:3]
         for machine in world.founders:
             world.start(machine, cold=True)
-        yield from world.joined(world.founders)
+        yield from world.wait_for_members(world.founders)
         for machine in cores[3:]:
             world.start(machine)
-            yield from world.joined([machine])
+            yield from world.wait_for_members([machine])
         rules = [route(f"r{n}", f"/r{n}/", "p") for n in range(ROUTES)]
         yield from world.commit(cores, body(patch_body(*rules, services=("p",))))
-        yield world.env.timeout(SETTLE_S)  # the witness looks whether all have it
+        yield world.env.timeout(SETTLE_S)  # the checker looks whether all have it
         sides: list[Machine] = []
         while len(sides) < self.proxies - self.join:
             sides += self._start(sides, min(GROUP, self.proxies - self.join - len(sides)))
@@ -165,7 +165,7 @@
     def _start(self, there: Sequence[Machine], count: int) -> list[Machine]:
         made = []
         for number in range(len(there) + 1, len(there) + count + 1):
-            machine = self.world.add(f"s{number}", f"10.1.{number // 250}.{number % 250}", core=False)
+            machine = self.world.add(f"s{number}", f"10.1.{number // 250}.{number % 250}", controller=False)
             self.world.start(machine, cold=True)
             made.append(machine)
         return made
@@ -273,9 +273,9 @@
         self.found["restart"] = {"back_s": back_s, **spent}
 
     def _until(self, holds: Callable[[], bool], what: str) -> Script:
-        yield from self.world.until(holds, WITHIN_S, what)
-        if self.world.witness.broken:
-            raise RuntimeError("; ".join(self.world.witness.broken[:3]))
+        yield from self.world.wait_until(holds, WITHIN_S, what)
+        if self.world.checker.violations:
+            raise RuntimeError("; ".join(self.world.checker.violations[:3]))
 
     def _now(self) -> float:
         return float(self.world.env.now)
--- a/benchmarks/mesh_stages.py
+++ b/benchmarks/mesh_stages.py
@@ -29,7 +29,7 @@
 from mesh.rollout.bounds import derive_rollout_times
 from mesh.rollout.canary_verdict import Tally, is_worse
 from rigs.stage_model import LARGE_SCENARIOS, SCENARIOS, RolloutModel
-from simulation.mesh.staged import Staged, rule
+from simulation.mesh.staged import RolloutWorld, route_rule
 from simulation.mesh.world import Machine, Script
 from statecheck import explore
 
@@ -45,21 +45,21 @@
     return sorted(values)[max(math.ceil(share * len(values)) - 1, 0)]
 
 
-def sides(world: Staged) -> list[Machine]:
-    return [machine for machine in world.machines.values() if not machine.core]
+def sides(world: RolloutWorld) -> list[Machine]:
+    return [machine for machine in world.machines.values() if not machine.is_controller]
 
 
-def start(world: Staged, count: int) -> Script:
+def start(world: RolloutWorld, count: int) -> Script:
     """A mesh in service with one route."""
     yield from world.boot(3, min(count, GROUP))
     while len(there := sides(world)) < count:
         for number in range(len(there) + 1, min(len(there) + GROUP, count) + 1):
-            machine = world.add(f"s{number}", f"10.1.{number // 250}.{number % 250}", core=False)
+            machine = world.add(f"s{number}", f"10.1.{number // 250}.{number % 250}", controller=False)
             world.start(machine, cold=True)
         yield world.env.timeout(PAUSE_S)
-    yield from world.commits(1, rule("a", "p", 1), services=("p", "q"))
+    yield from world.commit_routes(1, route_rule("a", "p", 1), services=("p", "q"))
     yield world.env.timeout(SETTLE_S + count / GROUP)
-    world.touched.clear()
+    world.disturbed_at.clear()
 
 
 class Spread:
@@ -74,7 +74,7 @@
         began = time.process_time()
         with ExitStack() as stack:
             stack.enter_context(mock.patch.object(bounds, "HOLD_SHARE", self.share))
-            world = stack.enter_context(Staged())
+            world = stack.enter_context(RolloutWorld())
             meter = stack.enter_context(Meter(world))
             broken = world.run(lambda _: self._script(world, meter))
         if broken:
@@ -88,17 +88,17 @@
             **{name: round(value, 4) for name, value in found.items()},
         }
 
-    def _script(self, world: Staged, meter: Meter) -> Script:
+    def _script(self, world: RolloutWorld, meter: Meter) -> Script:
         yield from start(world, self.count)
         for number in range(CHANGES):
             yield world.env.timeout(0.137)
             side, _ = meter.now()
             version, began = 2 + number, float(world.env.now)
-            yield from world.commits(version, rule("a", "qp"[number % 2], version))
+            yield from world.commit_routes(version, route_rule("a", "qp"[number % 2], version))
             acked = float(world.env.now)
             yield world.env.timeout(2.2)
             # By life, so that nobody counts twice; the first instant at which that version was in force.
-            times = [at for at, _, _, v in world.changes if v == version]
+            times = [at for at, _, _, v in world.version_changes if v == version]
             if len(times) != self.count:
                 raise RuntimeError(f"r{version} came into force at {len(times)} of {self.count}")
             spent = meter.now()[0].since(side, self.count)
@@ -122,23 +122,25 @@
         self.found: dict[str, float] = {}
 
     def play(self) -> dict[str, float]:
-        with Staged() as world:
+        with RolloutWorld() as world:
             world.run(lambda _: self._script(world))
         return self.found
 
-    def _script(self, world: Staged) -> Script:
+    def _script(self, world: RolloutWorld) -> Script:
         yield from start(world, self.count)
         world.env.process(world.traffic({"a": False}, CALLS_S))
         yield world.env.timeout(1.5 + 0.017 * self.seed)
         if self.failing:
-            world.failing.add("q")
+            world.failing_services.add("q")
         before = set(world.calls)
         began, version = float(world.env.now), 2 + self.seed
-        world.env.process(world.commits(version, rule("a", "q", version)))
+        world.env.process(world.commit_routes(version, route_rule("a", "q", version)))
         told = math.inf
         while world.env.now < began + HOLD_S - 0.01:
             yield world.env.timeout(0.01)
-            if told == math.inf and any(r.rollouts.rollouts[-1].worse for _, r in world.programs(core=True)):
+            if told == math.inf and any(
+                r.rollouts.rollouts[-1].worse for _, r in world.programs(controllers=True)
+            ):
                 told = float(world.env.now) - began
         fresh = [one for name, one in world.calls.items() if name not in before and one.runs]
         self.found = {
--- a/benchmarks/order_plays.py
+++ b/benchmarks/order_plays.py
@@ -11,13 +11,13 @@
 from collections import Counter
 
 from benchmarks.drawn_plays import Played, arguments, run, timed
-from simulation.mesh.plays import play
+from simulation.mesh.plays import run_play
 from simulation.mesh.zones import draw_zones
 
 
 def _play(seed: int) -> tuple[list[str], Counter[str]]:
     zones = draw_zones(str(seed))
-    broken, counts = play(seed, zones)
+    broken, counts = run_play(seed, zones)
     counts[f"zones {zones.count}, of which lost {zones.tolerance.zones}"] += 1
     return broken, counts
 
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -31,16 +31,20 @@
         yield from world.commit(world.controllers(), patch_body(["r0"], 1, 1))
         yield world.env.timeout(1.0)
         sent = [0, 0]
-        carry = world.wire.send
+        carry = world.network.send
 
         def send(end: Any, data: bytes) -> None:
-            if end.other.life.machine.core and end.life.machine.core and len(data) > 10:
+            if (
+                end.other.incarnation.machine.is_controller
+                and end.incarnation.machine.is_controller
+                and len(data) > 10
+            ):
                 sent[0] += 1
                 sent[1] += len(data)
             carry(end, data)
 
-        world.wire.send = send  # type: ignore[method-assign]
-        world.counting = True
+        world.network.send = send  # type: ignore[method-assign]
+        world.recording_points = True
         machines = world.controllers()
         for number in range(orders):
             began = float(world.env.now)
@@ -51,7 +55,7 @@
             took.append(float(world.env.now) - began)
             yield world.env.timeout(0.05)
         yield world.env.timeout(1.0)
-        syncs = sum(kind == "synced" for kind, _ in world.points)
+        syncs = sum(kind == "synced" for kind, _ in world.fault_points)
         told.update(frames=sent[0] / orders, bytes=sent[1] / orders, syncs=syncs / orders)
 
     with World() as world:
@@ -81,7 +85,7 @@
         told["bytes"] = len(body)
 
     with World() as world:
-        world.witness._acknowledged = lambda machine, body: None  # type: ignore[method-assign]
+        world.checker._check_acknowledgement = lambda machine, body: None  # type: ignore[method-assign]
         world.run(script)
     return {"routes": routes, **told}
 
--- a/rigs/answer_world.py
+++ b/rigs/answer_world.py
@@ -25,8 +25,8 @@
     StubConnections,
     token_of,
 )
-from simulation.mesh.wire import End
-from simulation.mesh.world import Life, Machine
+from simulation.mesh.wire import ConnectionEnd
+from simulation.mesh.world import Incarnation, Machine
 
 HOLD_TOLERANCE_S = 0.25  # beyond the route's horizon
 ONCE = replace(READ, name="once", prefix="/1/", trials=1)
@@ -103,12 +103,12 @@
         """Any route, with equal probability."""
         return self.draw.choice(self.routes)
 
-    def _apply_fault(self, fault: str, life: Life, end: End) -> float | None:
+    def _apply_fault(self, fault: str, incarnation: Incarnation, end: ConnectionEnd) -> float | None:
         if fault == "freeze here":
-            self.frozen_machines.add(life.machine.name)
+            self.frozen_machines.add(incarnation.machine.name)
         elif fault == "freeze there":
-            self.frozen_machines.add(end.other.life.machine.name)
-        return super()._apply_fault(fault, life, end)
+            self.frozen_machines.add(end.other.incarnation.machine.name)
+        return super()._apply_fault(fault, incarnation, end)
 
     def check(self) -> list[str]:
         """Also checks each answer; the bodies differ from those that the base class expects."""
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -1,6 +1,5 @@
-"""Simulated calls in virtual time: four sidecars, two of them beside upstreams of one service, which run the
-shipped program. Faults are injected at random among the numbered frames between them; the executions at the
-upstreams and the results of the clients are recorded and checked.
+"""Simulated calls in virtual time on four sidecars with the shipped program, two beside upstreams of one
+service. Faults strike random frames between them; executions and clients' results are recorded and checked.
 
     python -m rigs.call_world [RUNS] [FIRST SEED]
 
@@ -26,8 +25,8 @@
 from mesh.data_plane.upstream_connections import ExchangeFailed, ExchangeOutcome, NotSent, ResponseReceived
 from mesh.transport.body_pieces import PIECE_BYTES
 from mesh.transport.link import Link
-from simulation.mesh.wire import DELAY_S, End
-from simulation.mesh.world import Life, Machine, Script, World
+from simulation.mesh.wire import LATENCY_S, ConnectionEnd
+from simulation.mesh.world import Incarnation, Machine, Script, World
 
 SERVICE, HOST = "p", "h.example"
 AIM_MS, HORIZON_MS = 400.0, 1500.0
@@ -38,8 +37,7 @@
     *("freeze here", "freeze there", "killed here", "killed there"),
 )
 REQUESTS, FAULT_FRAMES = 14, 60  # of one run: requests, and frames among which the faults are drawn
-# Long bodies and their responses are sent in pieces.
-LONG_BODY_BYTES, LONG_BODY_SHARE = 3 * PIECE_BYTES, 0.25
+LONG_BODY_BYTES, LONG_BODY_SHARE = 3 * PIECE_BYTES, 0.25  # bodies and responses sent in pieces
 PADDING = b"."
 SETTLE_S = 10.0  # after the last request; longer than any fault and its effects last
 
@@ -57,7 +55,7 @@
     headers: http.Headers = field(default_factory=list)
     response_body: bytes = b""
     answered_at: float = 0.0
-    life: Any = None
+    incarnation: Any = None
     link_lost_at: float | None = None  # when its first hop lost the link over which it was sent
     executed_before_loss: bool = False
 
@@ -159,9 +157,11 @@
         self.executions[token] += 1
         self.executed_at[token].add(upstream)
 
-    def dress(self, life: Life) -> None:
-        program = life.program
-        program.upstream_connections = program.upstream_dispatch.connections = self.connections(life.machine)
+    def instrument(self, incarnation: Incarnation) -> None:
+        program = incarnation.program
+        program.upstream_connections = program.upstream_dispatch.connections = self.connections(
+            incarnation.machine
+        )
         if not self.queries_lost_calls:
             program.peer_links.incarnation = ""
         for route in self.routes:
@@ -169,48 +169,50 @@
 
     # Faults
 
-    def point(self, kind: str, life: Life, end: End | None = None) -> float | None:
-        if not self.counting or not life.alive or end is None:
+    def reach_fault_point(
+        self, kind: str, incarnation: Incarnation, end: ConnectionEnd | None = None
+    ) -> float | None:
+        if not self.recording_points or not incarnation.alive or end is None:
             return 0.0
-        number = len(self.points)
-        self.points.append((kind, life.machine.name))
+        number = len(self.fault_points)
+        self.fault_points.append((kind, incarnation.machine.name))
         fault = self.faults.get(number)
         if fault is None:
             return 0.0
         self.applied_faults.append(f"{number} {fault}")
-        return self._apply_fault(fault, life, end)
+        return self._apply_fault(fault, incarnation, end)
 
-    def _apply_fault(self, fault: str, life: Life, end: End) -> float | None:
-        wire, other = self.wire, end.other.life
+    def _apply_fault(self, fault: str, incarnation: Incarnation, end: ConnectionEnd) -> float | None:
+        network, other = self.network, end.other.incarnation
         seconds = self.draw.choice((0.3, 0.5, 0.7, 1.0, 2.0, 5.0))
         if fault == "late":
             return seconds
         if fault == "doubled":
-            wire.again[life, other] = end.written
+            network.duplicates[incarnation, other] = end.last_frame
         elif fault == "reset before":
-            wire.break_off(end)
+            network.break_connection(end)
             return None
         elif fault == "reset after":
-            self.loop.call_later(1.5 * DELAY_S, wire.break_off, end)
+            self.loop.call_later(1.5 * LATENCY_S, network.break_connection, end)
         elif fault == "all reset":
-            for wire_end in list(wire.ends):
+            for wire_end in list(network.ends):
                 if not wire_end.closed and self.draw.random() < 0.5:
-                    wire.break_off(wire_end)
+                    network.break_connection(wire_end)
         elif fault in ("cut", "cut one way"):
-            self.cut([life.machine], [other.machine], both=fault == "cut")
+            self.partition([incarnation.machine], [other.machine], both_ways=fault == "cut")
             self.loop.call_later(seconds, self.heal)
         elif fault in ("freeze here", "freeze there"):
-            self.freeze((life if fault == "freeze here" else other).machine, seconds)
+            self.freeze((incarnation if fault == "freeze here" else other).machine, seconds)
         elif fault in ("killed here", "killed there"):
-            self._kill(life if fault == "killed here" else other)
+            self._kill(incarnation if fault == "killed here" else other)
             return None
         return 0.0
 
-    def _kill(self, life: Life) -> None:
-        if life.alive:
-            self.kill(life.machine)
-            self.restart(life.machine)
-            self.env.process(self._share_after_restart(life.machine))
+    def _kill(self, incarnation: Incarnation) -> None:
+        if incarnation.alive:
+            self.kill(incarnation.machine)
+            self.restart(incarnation.machine)
+            self.env.process(self._share_after_restart(incarnation.machine))
 
     def _share_after_restart(self, machine: Machine) -> Script:
         yield self.env.timeout(0.5)
@@ -236,19 +238,19 @@
 
     def share_memberships(self) -> None:
         """Copies every process's membership store to all others, as the pull exchange would."""
-        programs = [program for _, program in self.programs(core=False)]
+        programs = [program for _, program in self.programs(controllers=False)]
         items = [item for program in programs for item in list(program.membership_store.items.values())]
-        for machine, program in self.programs(core=False):
+        for machine, program in self.programs(controllers=False):
             changed = program.membership_store.merge(items, {})
             if changed:
-                machine.life.context.run(program._on_items, "roll", changed)  # type: ignore[union-attr]
+                machine.incarnation.context.run(program._on_items, "roll", changed)  # type: ignore[union-attr]
 
     def request(self, machine: Machine, route: Route, attempt: str, left_ms: int) -> None:
         program = machine.program
         if program is None:
             return
         request = RecordedRequest(
-            f"t{len(self.requests)}", machine.name, route, self.loop.time(), life=machine.life
+            f"t{len(self.requests)}", machine.name, route, self.loop.time(), incarnation=machine.incarnation
         )
         self.requests.append(request)
         headers = [
@@ -270,11 +272,11 @@
         def begin() -> None:
             program.request_dispatcher.begin(program.balancers.now(), message, reply)
 
-        machine.life.context.run(self.loop.call_soon, begin)  # type: ignore[union-attr]
+        machine.incarnation.context.run(self.loop.call_soon, begin)  # type: ignore[union-attr]
 
     def boot_sidecars(self) -> Script:
         sidecars = [
-            self.add(f"{kind}{n}", f"10.0.{at}.{n}", core=False)
+            self.add(f"{kind}{n}", f"10.0.{at}.{n}", controller=False)
             for at, (kind, count) in enumerate((("f", 2), ("s", self.upstreams)))
             for n in range(1, count + 1)
         ]
@@ -298,13 +300,13 @@
             self.request(self.machines["f1" if number % 2 else "f2"], self.routes[-1], f"w{number}", 900)
             yield self.env.timeout(0.1)
         self.draw_faults()
-        self.counting = True
+        self.recording_points = True
         for number in range(REQUESTS):
             sidecar = self.machines[draw.choice(("f1", "f1", "f2", "f2", "s1"))]
             attempt = f"a{draw.randrange(number + 1)}" if draw.random() < 0.1 else f"a{number}"
             self.request(sidecar, self.draw_route(), attempt, draw.choice(self.client_deadlines_ms))
             yield self.env.timeout(draw.choice((0.0, 0.002, 0.02, 0.1)))
-        self.counting = False
+        self.recording_points = False
         yield self.env.timeout(SETTLE_S)
 
     # Checks
@@ -313,7 +315,7 @@
         """Checks the recorded requests and the final state; returns a line for each violation."""
         found = []
         for request in self.requests:
-            alive = request.life.alive
+            alive = request.incarnation.alive
             if len(request.statuses) > 1 or not request.statuses and alive:
                 found.append(f"{request.token} at {request.sidecar} got statuses {request.statuses}")
             if request.statuses[:1] == [200] and request.response_body != b"of " + request.request_body:
@@ -331,7 +333,7 @@
                 found.append(
                     f"trials: {request.token} was executed at {sorted(self.executed_at[request.token])}"
                 )
-        for machine, program in self.programs(core=False):
+        for machine, program in self.programs(controllers=False):
             found += unfinished_work(machine.name, program)
         return found
 
--- a/simulation/mesh/clock.py
+++ b/simulation/mesh/clock.py
@@ -1,4 +1,4 @@
-"""One clock for asyncio and simpy, and lives: a process that is killed runs no callback any more."""
+"""One virtual clock for asyncio and simpy. A killed process runs no further callbacks."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 import simpy
 
 
-class Alive(Protocol):
+class ProcessState(Protocol):
     alive: bool
-    frozen_until: float  # it runs nothing before that instant
-    coros: WeakSet[Any]
+    frozen_until: float  # no callbacks run before this time
+    coroutines: WeakSet[Any]
 
 
 NEVER = float("inf")
-LIFE: contextvars.ContextVar[Any] = contextvars.ContextVar("life")
+CURRENT_INCARNATION: contextvars.ContextVar[Any] = contextvars.ContextVar("life")
 
 
-class Stuck(Exception):
-    """Nothing is due, and the script has not ended."""
+class SimulationStalled(Exception):
+    """Neither a timer nor an event is due, and the script has not ended."""
 
 
 class Clock(simpy.Environment):
-    """simpy's clock, which can also be set forward over a time in which nothing of simpy's is due."""
+    """simpy's clock, which can also skip a period without simpy events."""
 
     def advance(self, until: float) -> None:
         if self.peek() < until:
@@ -37,8 +37,8 @@
         self._now = until
 
 
-class _Waits(selectors.BaseSelector):
-    """No descriptors: to wait is to let simpy's clock run to what is due next."""
+class _VirtualTimeSelector(selectors.BaseSelector):
+    """A selector without file descriptors that waits by advancing simpy's clock to the next event."""
 
     def __init__(self, env: Clock) -> None:
         self._env = env
@@ -50,7 +50,7 @@
         due = self._env.peek()
         if due <= until:
             if due == NEVER:
-                raise Stuck("neither a timer nor an event of the world is due")
+                raise SimulationStalled("neither a timer nor a simulation event is due")
             self._env.step()
         elif until > self._env.now:
             self._env.advance(until)
@@ -67,26 +67,27 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on simpy's clock (seconds). A callback is of the life in whose context it was made.
+    """An event loop on simpy's clock, in seconds. A callback belongs to the process incarnation whose context
+    it was created in.
 
-    ``faults`` has what callbacks and tasks raised, which no property may pass over.
+    ``errors`` collects the exceptions of callbacks and tasks, which the simulation reports as violations.
     """
 
     def __init__(self, env: Clock) -> None:
-        super().__init__(_Waits(env))
+        super().__init__(_VirtualTimeSelector(env))
         self.env = env
-        self.faults: list[str] = []
-        self.set_exception_handler(self._note)
-        self.set_task_factory(_task)
+        self.errors: list[str] = []
+        self.set_exception_handler(self._record_error)
+        self.set_task_factory(_create_task)
 
-    def _note(self, _: asyncio.AbstractEventLoop, told: dict[str, Any]) -> None:
-        self.faults.append(f"{told.get('message')}: {told.get('exception')!r}")
+    def _record_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def time(self) -> float:
         return self.env._now
 
     def _make_self_pipe(self) -> None:
-        """Nothing wakes this loop from outside."""
+        """Nothing wakes this loop from another thread."""
 
     def _close_self_pipe(self) -> None:
         pass
@@ -100,25 +101,25 @@
     def call_soon(  # type: ignore[override]  # the wider types serve as well
         self, callback: Callable[..., object], *args: Any, context: Any = None
     ) -> asyncio.Handle:
-        return super().call_soon(_guarded(callback, context), *args, context=context)
+        return super().call_soon(_run_only_while_alive(callback, context), *args, context=context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        return super().call_at(when, _guarded(callback, context), *args, context=context)
+        return super().call_at(when, _run_only_while_alive(callback, context), *args, context=context)
 
     def run_in_executor(  # type: ignore[override]
         self, executor: Any, func: Callable[..., Any], *args: Any
     ) -> asyncio.Future[Any]:
-        """Writes to a disk in virtual time, without a thread; other work with a disk takes as long."""
+        """Runs disk writes and other disk jobs in virtual time, without a thread."""
         if getattr(func, "__name__", "") != "write":
-            return args[0].works(func)  # type: ignore[no-any-return]
-        future: asyncio.Future[Any] = func.__self__.begin(*args)  # type: ignore[attr-defined]
+            return args[0].run_job(func)  # type: ignore[no-any-return]
+        future: asyncio.Future[Any] = func.__self__.begin_write(*args)  # type: ignore[attr-defined]
         return future
 
 
-class _Nothing(Coroutine[Any, Any, None]):
-    """Of a task that a process begins after it was killed."""
+class _FinishedCoroutine(Coroutine[Any, Any, None]):
+    """Replaces the coroutine of a task that a killed process creates."""
 
     def send(self, value: Any) -> Any:
         raise StopIteration
@@ -133,51 +134,55 @@
         return iter(())
 
 
-def _task(loop: asyncio.AbstractEventLoop, coro: Any, context: Any = None) -> asyncio.Task[Any]:
-    life: Alive | None = LIFE.get(None) if context is None else context.get(LIFE)
-    if life is not None and not life.alive:
-        coro.close()
-        coro = _Nothing()
-    elif life is not None:
-        life.coros.add(coro)
-        BEGUN.append(coro)
-    task = asyncio.Task(coro, loop=loop, context=context)
-    task._log_destroy_pending = False  # type: ignore[attr-defined]  # a killed process leaves tasks
+def _create_task(loop: asyncio.AbstractEventLoop, coroutine: Any, context: Any = None) -> asyncio.Task[Any]:
+    incarnation: ProcessState | None = (
+        CURRENT_INCARNATION.get(None) if context is None else context.get(CURRENT_INCARNATION)
+    )
+    if incarnation is not None and not incarnation.alive:
+        coroutine.close()
+        coroutine = _FinishedCoroutine()
+    elif incarnation is not None:
+        incarnation.coroutines.add(coroutine)
+        STARTED_COROUTINES.append(coroutine)
+    task = asyncio.Task(coroutine, loop=loop, context=context)
+    task._log_destroy_pending = False  # type: ignore[attr-defined]  # a killed process leaves pending tasks
     return task
 
 
-# What killed processes leave suspended, closed when the world ends: a coroutine that the collector of cycles
-# finds suspended in a time-out's block may take the interpreter down (CPython 3.11).
-BEGUN: list[Any] = []
+# Coroutines that killed processes leave suspended, closed when the world ends: garbage collection of a
+# coroutine that is suspended inside a timeout block may crash the interpreter (CPython 3.11).
+STARTED_COROUTINES: list[Any] = []
 
 
-def close_all() -> None:
-    """Of every process of a world that has ended; none of them runs any more."""
-    while BEGUN:
-        coro = BEGUN.pop()
-        if inspect.iscoroutine(coro):
+def close_started_coroutines() -> None:
+    """Closes the coroutines of all processes of a world that has ended."""
+    while STARTED_COROUTINES:
+        coroutine = STARTED_COROUTINES.pop()
+        if inspect.iscoroutine(coroutine):
             with contextlib.suppress(Exception):
-                coro.close()
+                coroutine.close()
 
 
-def forget(coros: Iterable[Any]) -> None:
-    """Closes those of a killed process that never began, without a warning."""
-    for coro in list(coros):
-        if inspect.iscoroutine(coro) and inspect.getcoroutinestate(coro) == inspect.CORO_CREATED:
-            coro.close()
+def close_unstarted(coroutines: Iterable[Any]) -> None:
+    """Closes the coroutines of a killed process that never started, which avoids warnings."""
+    for coroutine in list(coroutines):
+        if inspect.iscoroutine(coroutine) and inspect.getcoroutinestate(coroutine) == inspect.CORO_CREATED:
+            coroutine.close()
 
 
-def _guarded(callback: Callable[..., object], context: Any) -> Callable[..., object]:
-    life: Alive | None = LIFE.get(None) if context is None else context.get(LIFE)
-    if life is None:
+def _run_only_while_alive(callback: Callable[..., object], context: Any) -> Callable[..., object]:
+    incarnation: ProcessState | None = (
+        CURRENT_INCARNATION.get(None) if context is None else context.get(CURRENT_INCARNATION)
+    )
+    if incarnation is None:
         return callback
 
     def run(*args: Any) -> None:
-        if not life.alive:
+        if not incarnation.alive:
             return
         loop = asyncio.get_running_loop()
-        if loop.time() < life.frozen_until:
-            loop.call_at(life.frozen_until, callback, *args, context=context)
+        if loop.time() < incarnation.frozen_until:
+            loop.call_at(incarnation.frozen_until, callback, *args, context=context)
         else:
             callback(*args)
 
--- a/simulation/mesh/disk.py
+++ b/simulation/mesh/disk.py
@@ -1,4 +1,4 @@
-"""A disk in virtual time, behind the interface of a disk store."""
+"""A simulated disk in virtual time with the interface of `DiskStore`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from mesh.storage.layout import DiskState, read_state
 from mesh.storage.lmdb_store import MAX_ITEM_SHARE, Durable, Fresh, Opened, Size, WriteFailed
-from simulation.mesh.clock import LIFE
+from simulation.mesh.clock import CURRENT_INCARNATION
 
 if TYPE_CHECKING:
     from simulation.mesh.world import World
@@ -20,60 +20,60 @@
 
 
 class Disk:
-    """What outlasts processes: the rows that were synced. ``takes_s``: one sync."""
+    """The synced rows, which survive restarts of the process. A sync takes ``sync_duration_s``."""
 
     def __init__(self, env: simpy.Environment) -> None:
         self.env = env
         self.rows: dict[bytes, bytes] = {}
-        self.begun = False
-        self.takes_s = SYNC_S
-        self.most_bytes = 64 << 20
-        self.hangs_until = self.refuses_until = 0.0
+        self.initialized = False
+        self.sync_duration_s = SYNC_S
+        self.max_bytes = 64 << 20
+        self.hangs_until = self.fails_until = 0.0
 
     def wipe(self) -> None:
-        self.rows, self.begun = {}, False
+        self.rows, self.initialized = {}, False
 
-    def holds(self) -> DiskState:
+    def state(self) -> DiskState:
         return read_state(self.rows)
 
 
 class SimulatedDiskStore:
-    """The disk as one life has it open."""
+    """The disk as opened by one incarnation of a process."""
 
-    def __init__(self, world: World, life: Any, disk: Disk) -> None:
-        self._world, self._life, self._disk = world, life, disk
+    def __init__(self, world: World, incarnation: Any, disk: Disk) -> None:
+        self._world, self._incarnation, self._disk = world, incarnation, disk
 
     def write(
         self, rows: Sequence[tuple[bytes, bytes]], deleted: Sequence[bytes] = ()
     ) -> Durable | WriteFailed:
-        raise AssertionError("a sync takes time: the loop calls begin instead")
+        raise AssertionError("a sync takes virtual time: the event loop calls begin_write instead")
 
-    def begin(
+    def begin_write(
         self, rows: Sequence[tuple[bytes, bytes]], deleted: Sequence[bytes] = ()
     ) -> asyncio.Future[Durable | WriteFailed]:
         future: asyncio.Future[Durable | WriteFailed] = self._world.loop.create_future()
         self._disk.env.process(self._sync(list(rows), list(deleted), future))
         return future
 
-    def works(self, work: Callable[[SimulatedDiskStore], Any]) -> asyncio.Future[Any]:
-        """Of a life that goes on: its work is done at once, and said a sync later."""
+    def run_job(self, work: Callable[[SimulatedDiskStore], Any]) -> asyncio.Future[Any]:
+        """Runs a job for a live process at once; its result arrives after the duration of a sync."""
         future: asyncio.Future[Any] = self._world.loop.create_future()
-        told = work(self)
-        self._world.loop.call_later(self._disk.takes_s, future.set_result, told)
+        result = work(self)
+        self._world.loop.call_later(self._disk.sync_duration_s, future.set_result, result)
         return future
 
     def rewrite(self, rows: dict[bytes, bytes]) -> Durable:
         self._disk.rows = dict(rows)
         return Durable()
 
-    def _used(self) -> int:
+    def _used_bytes(self) -> int:
         return sum(len(key) + len(value) for key, value in self._disk.rows.items())
 
     def fits(self, more_bytes: int) -> bool:
-        return self._used() + more_bytes <= MAX_ITEM_SHARE * self._disk.most_bytes
+        return self._used_bytes() + more_bytes <= MAX_ITEM_SHARE * self._disk.max_bytes
 
     def size(self) -> Size:
-        return Size(self._used(), self._used(), self._disk.most_bytes)
+        return Size(self._used_bytes(), self._used_bytes(), self._disk.max_bytes)
 
     def _sync(
         self,
@@ -82,34 +82,34 @@
         future: asyncio.Future[Durable | WriteFailed],
     ) -> Generator[simpy.Event, Any, None]:
         disk, env = self._disk, self._disk.env
-        self._world.point("sync", self._life)
-        yield env.timeout(disk.takes_s)
-        while self._life.alive and env.now < disk.hangs_until:
+        self._world.reach_fault_point("sync", self._incarnation)
+        yield env.timeout(disk.sync_duration_s)
+        while self._incarnation.alive and env.now < disk.hangs_until:
             yield env.timeout(disk.hangs_until - env.now)
-        if not self._life.alive:
+        if not self._incarnation.alive:
             return
-        if env.now < disk.refuses_until:
-            future.set_result(WriteFailed("disk in trouble"))
+        if env.now < disk.fails_until:
+            future.set_result(WriteFailed("simulated disk failure"))
             return
         for key in deleted:
             disk.rows.pop(key, None)
         disk.rows.update(rows)
-        self._world.point("synced", self._life)
-        if self._life.alive and not future.done():
+        self._world.reach_fault_point("synced", self._incarnation)
+        if self._incarnation.alive and not future.done():
             future.set_result(Durable())
 
 
-class Opens:
-    """Stands in for ``DiskStore`` where a program opens its disk."""
+class DiskStoreFactory:
+    """Replaces ``DiskStore`` where a program opens its disk."""
 
     def __init__(self, world: World) -> None:
         self._world = world
 
-    def open(self, folder: Path, most_bytes: int) -> Opened | Fresh:
-        life = LIFE.get()
-        disk = life.machine.disk
-        disk_store: Any = SimulatedDiskStore(self._world, life, disk)
-        if disk.begun:
+    def open(self, folder: Path, max_bytes: int) -> Opened | Fresh:
+        incarnation = CURRENT_INCARNATION.get()
+        disk = incarnation.machine.disk
+        disk_store: Any = SimulatedDiskStore(self._world, incarnation, disk)
+        if disk.initialized:
             return Opened(disk_store, dict(disk.rows), ())
-        disk.begun = True
+        disk.initialized = True
         return Fresh(disk_store)
--- a/simulation/mesh/key_servers.py
+++ b/simulation/mesh/key_servers.py
@@ -1,7 +1,8 @@
-"""Upstreams of a divided service, as the operators' pages describe them, and a ledger of who holds which key.
+"""Upstreams of a sharded service that follow the operators' pages, and a check that each key has one holder.
 
-Each upstream takes holds from the answers to its beats, lets go what an answer leaves out, and measures holds
-by a clock of its own that may run slow. The ledger notes every moment at which two that are up hold one key.
+Each upstream takes key ranges from the answers to its heartbeats, releases what an answer omits, and measures
+holds by its own clock, which may run slow. Whenever two running upstreams hold one key, a violation is
+recorded.
 """
 
 from __future__ import annotations
@@ -14,47 +15,48 @@
 
 from anisestair.http import codec as http
 from mesh.transport.http_calls import Answer
-from simulation.mesh.world import BEAT_S, Life, Machine, Script, World
+from simulation.mesh.world import HEARTBEAT_INTERVAL_S, Incarnation, Machine, Script, World
 
-KEYS = 65536
-ANSWER_S = 1.0  # an upstream gives a beat up after this
-AGAIN_S = 0.1  # it beats again so soon while it has keys to let go
-SLOW_CLOCK = 0.02  # the most by which its clock is slow
-WORK_S = 0.3  # what it has begun on keys that it lets go takes so long
+KEY_COUNT = 65536
+HEARTBEAT_TIMEOUT_S = 1.0  # an upstream stops waiting for the answer after this
+RELEASE_INTERVAL_S = 0.1  # between heartbeats while it is releasing keys
+MAX_CLOCK_DRIFT = 0.02  # as a share of real time, by which its clock may run slow
+DRAIN_WORK_S = 0.3  # how long requests on released keys still run
 Row = tuple[int, int, int]  # first key, last key, fence
 
 
-class KeyServer:
-    """One life of an upstream: an id, and the keys that it holds."""
+class ShardedInstance:
+    """One incarnation of an upstream: its instance id and the keys that it holds."""
 
-    def __init__(self, world: OwnersWorld, machine: Machine, name: str) -> None:
-        """Holds nothing."""
-        self.world, self.machine, self.name, self.up = world, machine, name, True
+    def __init__(self, world: KeyOwnershipWorld, machine: Machine, name: str) -> None:
+        """The instance starts without keys."""
+        self.world, self.machine, self.name, self.running = world, machine, name, True
         self.state = "settled"
-        self.rate = 1.0 - SLOW_CLOCK * (machine.number % 3) / 2.0  # of its clock
-        self.until = np.zeros(KEYS)  # the moment at which the hold of each key ends
-        self.fences = np.zeros(KEYS, dtype=np.int64)  # the highest seen
-        self.rows: dict[tuple[int, int], int] = {}  # held: fences by first and last key
-        self.letting_go: dict[tuple[int, int], float] = {}  # and when the work on them ends
-        self.released: list[list[Any]] = []  # let go since the last beat that was acknowledged
-        self.beats = 0
+        # Speed of its clock, relative to real time.
+        self.clock_rate = 1.0 - MAX_CLOCK_DRIFT * (machine.number % 3) / 2.0
+        self.held_until = np.zeros(KEY_COUNT)  # by key
+        self.highest_fences = np.zeros(KEY_COUNT, dtype=np.int64)  # by key
+        self.rows: dict[tuple[int, int], int] = {}  # held key ranges (first, last) and their fences
+        self.releasing: dict[tuple[int, int], float] = {}  # by key range: when the last request on it ends
+        self.released: list[list[Any]] = []  # reported with each heartbeat until one is acknowledged
+        self.heartbeats = 0
 
     def holds(self, key: int) -> bool:
-        """Whether it would run a request on that key now."""
-        return self.up and bool(self.until[key] > self.world.env.now)
+        """Whether it would serve a request on that key now."""
+        return self.running and bool(self.held_until[key] > self.world.env.now)
 
-    def beat(self) -> dict[str, Any]:
-        """What it tells now."""
+    def heartbeat_body(self) -> dict[str, Any]:
+        """The JSON fields of a heartbeat."""
         now = self.world.env.now
-        for (first, last), ends in list(self.letting_go.items()):
+        for (first, last), ends in list(self.releasing.items()):
             if ends <= now:
-                del self.letting_go[first, last]
+                del self.releasing[first, last]
                 self.released.append([first, last, f"{first:x}-{self.name}"])
         for (first, last), _ in list(self.rows.items()):
-            if self.until[first] <= now and (first, last) not in self.letting_go:
-                del self.rows[first, last]  # it has run out, which is not told
-        self.beats += 1
-        working = [[first, last, int(self.fences[first])] for first, last in self.letting_go]
+            if self.held_until[first] <= now and (first, last) not in self.releasing:
+                del self.rows[first, last]  # a hold that expired is not reported as released
+        self.heartbeats += 1
+        working = [[first, last, int(self.highest_fences[first])] for first, last in self.releasing]
         return {
             "plant": self.world.service(self.machine),
             "address": f"{self.machine.ip}:8147",
@@ -63,106 +65,112 @@
             "capacity": 4,
             "state": self.state,
             "warmup_left_ms": 0,
-            "sample_count": self.beats,
+            "sample_count": self.heartbeats,
             "holds": [[first, last, fence] for (first, last), fence in self.rows.items()] + working,
             "released": list(self.released),
         }
 
-    def take(self, answer: Answer, sent: float) -> bool:
-        """An answer to the beat sent then; whether there is something that it still has to let go."""
-        told = msgspec.json.decode(answer.body) if answer.body else {}
+    def apply_answer(self, answer: Answer, sent: float) -> bool:
+        """Applies the answer to the heartbeat sent at ``sent``; returns whether releases are still
+        running."""
+        reply = msgspec.json.decode(answer.body) if answer.body else {}
         self.released.clear()
-        if "holds" not in told:
-            return bool(self.letting_go)
+        if "holds" not in reply:
+            return bool(self.releasing)
         now = float(self.world.env.now)
-        until = sent + told["hold_ms"] / 1000.0 / self.rate
+        until = sent + reply["hold_ms"] / 1000.0 / self.clock_rate
         kept = {}
-        for first, last, fence, _ in told["holds"]:
+        for first, last, fence, _ in reply["holds"]:
             keys = slice(first, last + 1)
-            if np.any(self.fences[keys] > fence):
+            if np.any(self.highest_fences[keys] > fence):
                 continue
             kept[first, last] = fence
-            self.fences[keys] = fence
+            self.highest_fences[keys] = fence
         for first, last in list(self.rows):
-            if (first, last) not in kept and self.until[first] > now:
-                self.letting_go[first, last] = now + WORK_S
+            if (first, last) not in kept and self.held_until[first] > now:
+                self.releasing[first, last] = now + DRAIN_WORK_S
         self.rows = kept
-        self.until[:] = 0.0
+        self.held_until[:] = 0.0
         for first, last in kept:
-            self.until[first : last + 1] = until
-        self.world.ledger(self)
-        return bool(self.letting_go)
+            self.held_until[first : last + 1] = until
+        self.world.check_exclusive(self)
+        return bool(self.releasing)
 
 
-class OwnersWorld(World):
-    """A mesh whose upstreams are all of one divided service. ``servers``: those that are up, by machine."""
+class KeyOwnershipWorld(World):
+    """A mesh whose upstreams all belong to one sharded service. ``instances``: the running ones, by
+    machine."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        """As `World`."""
+        """Takes the arguments of `World`."""
         super().__init__(*args, **kwargs)
-        self.servers: dict[str, KeyServer] = {}
-        self.deaf: set[str] = set()  # machines whose upstream's beats do not come to the proxy
-        self.mute: set[str] = set()  # and those whose upstream does not get the answers
-        self._lives_of: dict[str, int] = {}
+        self.instances: dict[str, ShardedInstance] = {}
+        self.lost_heartbeats: set[str] = set()  # machines whose proxy does not receive heartbeats
+        self.lost_answers: set[str] = set()  # machines whose upstream does not receive answers
+        self._instance_counts: dict[str, int] = {}
 
-    def ledger(self, server: KeyServer) -> None:
-        """A hold has been taken: nobody else that is up may hold one of its keys now."""
+    def check_exclusive(self, instance: ShardedInstance) -> None:
+        """Checks after a new hold that no other running instance holds one of its keys."""
         now = self.env.now
-        mine = server.until > now
-        for other in self.servers.values():
-            if other is not server and other.up and np.any(mine & (other.until > now)):
-                key = int(np.argmax(mine & (other.until > now)))
-                self.witness.broken.append(
-                    f"{now:.3f} OWNER: {server.name} and {other.name} both hold key {key}"
+        mine = instance.held_until > now
+        for other in self.instances.values():
+            if other is not instance and other.running and np.any(mine & (other.held_until > now)):
+                key = int(np.argmax(mine & (other.held_until > now)))
+                self.checker.violations.append(
+                    f"{now:.3f} OWNER: {instance.name} and {other.name} both hold key {key}"
                 )
 
-    def holders(self) -> np.ndarray:
-        """How many hold each key now."""
-        held = np.zeros(KEYS, dtype=np.int64)
-        for server in self.servers.values():
-            if server.up:
-                held += server.until > self.env.now
+    def holder_counts(self) -> np.ndarray:
+        """The number of holders of each key."""
+        held = np.zeros(KEY_COUNT, dtype=np.int64)
+        for instance in self.instances.values():
+            if instance.running:
+                held += instance.held_until > self.env.now
         return held
 
-    def end_server(self, machine: Machine) -> None:
-        """The upstream of that machine ends without a word; what it held is nobody's."""
-        server = self.servers.pop(machine.name, None)
-        if server is not None:
-            server.up = False
-
-    def start_server(self, machine: Machine) -> KeyServer:
-        """Another life of it begins, with no keys."""
-        self.end_server(machine)
-        count = self._lives_of[machine.name] = self._lives_of.get(machine.name, 0) + 1
-        server = self.servers[machine.name] = KeyServer(self, machine, f"i-{machine.name}-{count}")
-        self.env.process(self._beats(server))
-        return server
-
-    def _upstream(self, life: Life) -> Script:
-        """With the first life of the proxy; it outlives that."""
-        if life.machine.name not in self._lives_of:
-            self.start_server(life.machine)
+    def stop_instance(self, machine: Machine) -> None:
+        """Ends the upstream of that machine without notice; its keys have no holder."""
+        instance = self.instances.pop(machine.name, None)
+        if instance is not None:
+            instance.running = False
+
+    def start_instance(self, machine: Machine) -> ShardedInstance:
+        """Starts a new incarnation of the upstream, without keys."""
+        self.stop_instance(machine)
+        count = self._instance_counts[machine.name] = self._instance_counts.get(machine.name, 0) + 1
+        instance = self.instances[machine.name] = ShardedInstance(self, machine, f"i-{machine.name}-{count}")
+        self.env.process(self._send_heartbeats(instance))
+        return instance
+
+    def _run_upstream(self, incarnation: Incarnation) -> Script:
+        """Starts the upstream with the first incarnation of the proxy; it survives restarts of the proxy."""
+        if incarnation.machine.name not in self._instance_counts:
+            self.start_instance(incarnation.machine)
         yield self.env.timeout(0.0)
 
-    def _beats(self, server: KeyServer) -> Script:
-        while server.up:
-            life, sent = server.machine.life, float(self.env.now)
-            again = False
-            if life is not None and life.alive and life.program is not None:
-                target = f"/instances/{server.name}".encode()
-                message = http.Message(method=b"PUT", target=target, body=msgspec.json.encode(server.beat()))
-                if server.machine.name not in self.deaf:
-                    event: simpy.Event = self.ask(life, life.program.registry.handle, message)
-                    yield event | self.env.timeout(ANSWER_S)
+    def _send_heartbeats(self, instance: ShardedInstance) -> Script:
+        while instance.running:
+            incarnation, sent = instance.machine.incarnation, float(self.env.now)
+            release_pending = False
+            if incarnation is not None and incarnation.alive and incarnation.program is not None:
+                target = f"/instances/{instance.name}".encode()
+                message = http.Message(
+                    method=b"PUT", target=target, body=msgspec.json.encode(instance.heartbeat_body())
+                )
+                if instance.machine.name not in self.lost_heartbeats:
+                    event: simpy.Event = self.send_request(
+                        incarnation, incarnation.program.registry.handle, message
+                    )
+                    yield event | self.env.timeout(HEARTBEAT_TIMEOUT_S)
                     answer = event.value if event.triggered else None
-                    heard = server.machine.name not in self.mute and server.up
-                    if answer is not None and answer.status == 200 and heard:
-                        again = server.take(answer, sent)
-            yield self.env.timeout(AGAIN_S if again else BEAT_S)
+                    received = instance.machine.name not in self.lost_answers and instance.running
+                    if answer is not None and answer.status == 200 and received:
+                        release_pending = instance.apply_answer(answer, sent)
+            yield self.env.timeout(RELEASE_INTERVAL_S if release_pending else HEARTBEAT_INTERVAL_S)
 
 
-def divided(version: int, name: str = "r1", **fields: Any) -> bytes:
-    """A configuration of one divided service "p" and a route to it."""
+def sharded_service_body(version: int, name: str = "r1", **fields: Any) -> bytes:
+    """A configuration with one sharded service "p" and a route to it."""
     rule = {
         "name": name,
         "kind": "idempotent",
--- a/simulation/mesh/plays.py
+++ b/simulation/mesh/plays.py
@@ -1,6 +1,8 @@
-"""Drawn plays of operators who rival each other while machines are lost, cut off, frozen and stalled. What
-must hold is the witness's; that in the end every write has a clear answer, the same as before, is looked at
-here."""
+"""Random plays with conflicting operators while machines are lost, partitioned, frozen and stalled.
+
+The checker verifies the invariants; this module verifies that every write finally has a clear answer which
+agrees with an earlier one.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +17,17 @@
 from mesh.transport.http_calls import Answer
 from simulation.mesh import troubles
 from simulation.mesh.world import Machine, Script, World
-from simulation.mesh.zones import ONE_ZONE, Zones
+from simulation.mesh.zones import ONE_ZONE, ZoneLayout
 
-NAMES = ("r1", "r2", "r3")
+ROUTE_NAMES = ("r1", "r2", "r3")
 OPERATORS = 3
-TRIES = 6  # of one operator for one write, before the next one
-CALM_S = 3.5  # after a trouble, before the next one
-CLEAR_S = 6.0  # after all is well again, until every write of one item has a clear answer
+MAX_TRIES = 6  # of one operator for one write
+RECOVERY_S = 3.5  # between a fault and the next one
+CLEAR_ANSWER_S = 6.0  # after recovery, every write of one item must have a clear answer within this time
 
 
 def patch_body(names: Sequence[str], version: int, trials: int, drop: bool = False) -> bytes:
-    """The body of one write of these routes under one version; ``trials`` makes contents differ."""
+    """A write of these routes under one version; different ``trials`` make different contents."""
     if drop:
         return json.dumps(
             {"remove": {"routes": [{"name": n, "epoch": f"r{version}"} for n in names]}}
@@ -46,47 +48,54 @@
     ).encode()
 
 
-def items_of(body: bytes) -> int:
-    told = json.loads(body)
-    rules = [r for port in told.get("apply", {}).get("input_ports", []) for r in port["control_law"]]
-    return len(rules) + len(told.get("remove", {}).get("routes", []))
+def count_items(body: bytes) -> int:
+    write = json.loads(body)
+    rules = [r for port in write.get("apply", {}).get("input_ports", []) for r in port["control_law"]]
+    return len(rules) + len(write.get("remove", {}).get("routes", []))
+
+
+# The names of the faults are keys in the output of `benchmarks.order_plays`.
 
 
 def frozen(world: World, machine: Machine) -> None:
+    """Freezes the process for a while."""
     world.freeze(machine, 1.2)
 
 
 def alone(world: World, machine: Machine) -> None:
-    troubles.alone(world, machine.life, None)  # type: ignore[arg-type]
+    """Cuts the machine off from all others for a while."""
+    troubles.alone(world, machine.incarnation, None)  # type: ignore[arg-type]
 
 
 def deaf(world: World, machine: Machine) -> None:
+    """The machine sends, but receives nothing for a while."""
     others = [one for one in world.machines.values() if one is not machine]
-    world.cut(others, [machine], both=False)
-    world.loop.call_later(troubles.CUT_S, world.heal)
+    world.partition(others, [machine], both_ways=False)
+    world.loop.call_later(troubles.PARTITION_S, world.heal)
 
 
 def mute(world: World, machine: Machine) -> None:
+    """The machine receives, but what it sends is lost for a while."""
     others = [one for one in world.machines.values() if one is not machine]
-    world.cut([machine], others, both=False)
-    world.loop.call_later(troubles.CUT_S, world.heal)
+    world.partition([machine], others, both_ways=False)
+    world.loop.call_later(troubles.PARTITION_S, world.heal)
 
 
-def _befalls(fault: Any) -> Callable[[World, Machine], None]:
-    def strikes(world: World, machine: Machine) -> None:
-        fault(world, machine.life, None)
+def _with_machine(fault: Any) -> Callable[[World, Machine], None]:
+    def inject(world: World, machine: Machine) -> None:
+        fault(world, machine.incarnation, None)
 
-    strikes.__name__ = fault.__name__
-    return strikes
+    inject.__name__ = fault.__name__
+    return inject
 
 
-TROUBLES: tuple[Callable[[World, Machine], None], ...] = (
+FAULTS: tuple[Callable[[World, Machine], None], ...] = (
     frozen,
     alone,
     deaf,
     mute,
     *map(
-        _befalls,
+        _with_machine,
         (
             troubles.crash,
             troubles.power,
@@ -100,74 +109,74 @@
 )
 
 
-def play(seed: int, zones: Zones = ONE_ZONE) -> tuple[list[str], Counter[str]]:
-    """What was broken, a line each, and what there was of each kind."""
+def run_play(seed: int, zones: ZoneLayout = ONE_ZONE) -> tuple[list[str], Counter[str]]:
+    """Returns the violations and the counts of writes, answers and faults."""
     counts: Counter[str] = Counter(plays=1)
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     with World(zones=zones) as world:
-        told = world.run(lambda world: _script(world, draw, counts))
-        counts["acknowledged"], counts["reads"] = world.witness.acks, world.witness.reads
-        counts["rivalled"] = len(world.witness.rivalled)
-    return told, counts
+        violations = world.run(lambda world: _script(world, rng, counts))
+        counts["acknowledged"], counts["reads"] = world.checker.acknowledgements, world.checker.reads
+        counts["rivalled"] = len(world.checker.conflicting_bodies)
+    return violations, counts
 
 
-def _script(world: World, draw: random.Random, counts: Counter[str]) -> Script:
-    yield from world.boot(draw.choice((3, 3, 3, 4, 5)), proxies=1)
-    world.env.process(world.witness.watch())
+def _script(world: World, rng: random.Random, counts: Counter[str]) -> Script:
+    yield from world.boot(rng.choice((3, 3, 3, 4, 5)), proxies=1)
+    world.env.process(world.checker.watch())
     sent: dict[bytes, Answer | None] = {}
-    working = [world.env.process(_operator(world, at, draw, sent, counts)) for at in range(OPERATORS)]
-    troubling = world.env.process(_troubles(world, draw, counts))
-    yield simpy.AllOf(world.env, [*working, troubling])
+    operators = [world.env.process(_operator(world, at, rng, sent, counts)) for at in range(OPERATORS)]
+    injecting = world.env.process(_inject_faults(world, rng, counts))
+    yield simpy.AllOf(world.env, [*operators, injecting])
     world.heal()
-    yield world.env.timeout(CALM_S)
-    yield from world.witness.finish()
+    yield world.env.timeout(RECOVERY_S)
+    yield from world.checker.check_recovered()
     for body, before in sent.items():
-        yield from _again(world, draw, body, before, counts)
-    yield from world.witness.finish()
+        yield from _repeat_write(world, rng, body, before, counts)
+    yield from world.checker.check_recovered()
 
 
 def _operator(
-    world: World, at: int, draw: random.Random, sent: dict[bytes, Answer | None], counts: Counter[str]
+    world: World, at: int, rng: random.Random, sent: dict[bytes, Answer | None], counts: Counter[str]
 ) -> Script:
     for version in range(1, 5):
-        if sent and draw.random() < 0.2:
-            body = draw.choice(sorted(sent))
+        if sent and rng.random() < 0.2:
+            body = rng.choice(sorted(sent))
         else:
-            several = draw.sample(NAMES, draw.choice((1, 1, 1, 2, 3)))
-            body = patch_body(sorted(several), version, draw.choice((1, 2, 2 + at)), draw.random() < 0.15)
+            names = rng.sample(ROUTE_NAMES, rng.choice((1, 1, 1, 2, 3)))
+            body = patch_body(sorted(names), version, rng.choice((1, 2, 2 + at)), rng.random() < 0.15)
         machines = world.controllers()
-        draw.shuffle(machines)
-        answer = yield from world.commit(machines, body, TRIES)
+        rng.shuffle(machines)
+        answer = yield from world.commit(machines, body, MAX_TRIES)
         counts["orders"] += 1
         if answer is not None or body not in sent:
             sent[body] = answer
-        if draw.random() < 0.3:
-            yield from world.get(draw.choice(world.controllers()))
-        yield world.env.timeout(draw.uniform(0.0, 0.4))
+        if rng.random() < 0.3:
+            yield from world.get(rng.choice(world.controllers()))
+        yield world.env.timeout(rng.uniform(0.0, 0.4))
 
 
-def _troubles(world: World, draw: random.Random, counts: Counter[str]) -> Script:
-    for _ in range(draw.choice((1, 1, 2))):
-        yield world.env.timeout(draw.uniform(0.0, 0.8))
-        strikes = draw.choice(TROUBLES)
-        counts[strikes.__name__] += 1
-        strikes(world, draw.choice(world.controllers()))
-        yield world.env.timeout(CALM_S)
-        yield from world.joined([machine for machine in world.controllers() if machine.counted])
+def _inject_faults(world: World, rng: random.Random, counts: Counter[str]) -> Script:
+    for _ in range(rng.choice((1, 1, 2))):
+        yield world.env.timeout(rng.uniform(0.0, 0.8))
+        inject = rng.choice(FAULTS)
+        counts[inject.__name__] += 1
+        inject(world, rng.choice(world.controllers()))
+        yield world.env.timeout(RECOVERY_S)
+        yield from world.wait_for_members([machine for machine in world.controllers() if machine.counted])
 
 
-def _again(
-    world: World, draw: random.Random, body: bytes, before: Answer | None, counts: Counter[str]
+def _repeat_write(
+    world: World, rng: random.Random, body: bytes, before: Answer | None, counts: Counter[str]
 ) -> Script:
-    """Any write, sent once more to any process: its answer is clear by now and the same as before."""
-    until, answer = world.env.now + CLEAR_S, None
+    """Sends a write again to any controller: its answer must be clear and agree with the earlier one."""
+    until, answer = world.env.now + CLEAR_ANSWER_S, None
     while world.env.now < until and (answer is None or answer.status >= 500):
-        answer = yield from world.patch(draw.choice(world.controllers()), body)
+        answer = yield from world.patch(rng.choice(world.controllers()), body)
         yield world.env.timeout(0.05)
     status = answer.status if answer is not None else 0
     counts[f"in the end {status}"] += 1
     if before is not None and before.status in (200, 409) and status != before.status:
-        world.witness.broken.append(f"{status} to an order that had {before.status}: {body[:200]!r}")
-    if items_of(body) == 1 and status not in (200, 409):
+        world.checker.violations.append(f"{status} to a write that had {before.status}: {body[:200]!r}")
+    if count_items(body) == 1 and status not in (200, 409):
         said = answer.body if answer is not None else b"nothing"
-        world.witness.broken.append(f"no clear answer in the end, {said!r}: {body[:200]!r}")
+        world.checker.violations.append(f"no clear answer in the end, {said!r}: {body[:200]!r}")
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -1,4 +1,5 @@
-"""Faults to be put into the programs, each of which the witness must see. ``patch`` is as pytest has it."""
+"""Faults seeded into the programs, each of which the checker must detect. ``patch`` is pytest's
+monkeypatch."""
 
 from __future__ import annotations
 
@@ -31,19 +32,19 @@
     patch.setattr(View, "durable", lambda self, have, tolerance: bool(have))
 
 
-def ack_without_a_disk(patch: Patch) -> None:
+def ack_without_disk(patch: Patch) -> None:
     async def flush(self: DiskWriter) -> None:
         return None
 
     patch.setattr(DiskWriter, "flush", flush)
 
 
-def own_counts_before_sync(patch: Patch) -> None:
-    real = AcceptorHost.accept
+def own_vote_counts_before_sync(patch: Patch) -> None:
+    original = AcceptorHost.accept
 
     async def accept(self: AcceptorHost, epoch: int, ballot: Any, by: Any, writes: Any, tags: Any) -> Any:
         if ballot.proposer != self._config_store.source:
-            return await real(self, epoch, ballot, by, writes, tags)
+            return await original(self, epoch, ballot, by, writes, tags)
         changed = self.acceptor.accept(ballot, by, writes, tags)
         if isinstance(changed, Refusal):
             return changed
@@ -53,7 +54,7 @@
     patch.setattr(AcceptorHost, "accept", accept)
 
 
-def reads_answered_without_asking(patch: Patch) -> None:
+def reads_without_quorum(patch: Patch) -> None:
     async def read(self: ProposerHost, within_s: float) -> bool:
         return True
 
@@ -61,8 +62,8 @@
     patch.setattr(ContactProbes, "proof", lambda self, settled=False: Proof.ORDERS)
 
 
-def wiped_counts_at_once(patch: Patch) -> None:
-    """And nobody else's word that its disk is another one makes it start over."""
+def wiped_disk_counts_at_once(patch: Patch) -> None:
+    """The process also ignores reports of others that its disk was replaced, instead of starting over."""
     patch.setattr(CatchUp, "_start_over", lambda self, reason: None)
     begin = DiskWriter.__init__
 
@@ -73,7 +74,7 @@
     patch.setattr(DiskWriter, "__init__", init)
 
 
-def whole_before_it_heard_all(patch: Patch) -> None:
+def complete_before_catch_up(patch: Patch) -> None:
     async def become(self: Joining) -> None:
         await self._disk_writer.mark_complete()
         self._on_disk_complete()
@@ -81,21 +82,21 @@
     patch.setattr(Joining, "_complete_disk", become)
 
 
-def both_are_confirmed(patch: Patch) -> None:
-    """A fault that was shipped: nobody asks whether another content of the number was accepted or decided."""
+def conflicting_writes_are_both_confirmed(patch: Patch) -> None:
+    """A fault of an earlier release: nobody checks whether another content of the version was accepted."""
     patch.setattr(Acceptor, "state", lambda self, number: None)
 
 
-def in_force_before_it_is_decided(patch: Patch) -> None:
-    """A fault that was shipped: what a process is sent is in its copy at once, and repair turns equal
-    versions over by their bytes."""
-    real = ProposerHost.decide
+def applied_before_decision(patch: Patch) -> None:
+    """A fault of an earlier release: items are applied when received, and repair resolves equal versions by
+    comparing bytes."""
+    original = ProposerHost.decide
 
     async def decide(self: ProposerHost, writes: Any, within_s: float) -> Any:
         items, vector = self.acceptor_host.stamp_items(writes.items())
         self._config_store._decided = False
         self.acceptor_host._on_change(self._config_store.merge(items, vector))  # type: ignore[arg-type]
-        return await real(self, writes, within_s)
+        return await original(self, writes, within_s)
 
     patch.setattr(ProposerHost, "decide", decide)
     patch.setattr(
@@ -107,29 +108,29 @@
     patch.setattr(Store, "replaces", lambda self, item, held: item.version != held.version)
 
 
-def unknown_service_is_taken(patch: Patch) -> None:
+def unknown_service_is_accepted(patch: Patch) -> None:
     patch.setattr(operator_api_module, "check_change", lambda change, standing: None)
 
 
-def tombstone_is_forgotten_at_once(patch: Patch) -> None:
-    hear = Store.merge_answer
+def tombstone_is_removed_at_once(patch: Patch) -> None:
+    original = Store.merge_answer
 
-    def hears(self: Store, items: Any, vector: Any) -> Any:
-        taken = hear(self, items, vector)
+    def patched(self: Store, items: Any, vector: Any) -> Any:
+        taken = original(self, items, vector)
         for item in list(self.items.values()):
             if item.value is None and item.kind == "route":
                 self.remove_tombstone(item.key)
         return taken
 
-    patch.setattr(Store, "merge_answer", hears)
+    patch.setattr(Store, "merge_answer", patched)
 
 
-def half_is_enough(patch: Patch) -> None:
+def half_is_a_quorum(patch: Patch) -> None:
     patch.setattr(View, "durable", lambda self, have, tolerance: len(set(have)) * 2 > len(self.members) - 2)
 
 
-def views_of_answerers_are_ignored(patch: Patch) -> None:
-    """Anything is answered under any view, and a proposer goes on with the view that it began with."""
+def epochs_are_not_checked(patch: Patch) -> None:
+    """Requests of any epoch are answered, and a proposer keeps the view with which it began."""
 
     async def check_epoch(self: AcceptorHost, epoch: int) -> None:
         return None
@@ -138,38 +139,39 @@
     patch.setattr(ProposerHost, "_view_changed", lambda self: None)
 
 
-def refused_counts_as_kept(patch: Patch) -> None:
+def failed_write_counts_as_durable(patch: Patch) -> None:
     patch.setattr(write_batches_module, "Durable", (WriteFailed, object))
 
 
-def questions_are_not_asked_again(patch: Patch) -> None:
-    real = Exchange.pull_request
+def pulls_are_not_repeated(patch: Patch) -> None:
+    original = Exchange.pull_request
 
     def pull_request(self: Exchange) -> Any:
-        told = real(self)
-        return told if not self.pull_complete else {"t": "pulled"}
+        request = original(self)
+        return request if not self.pull_complete else {"t": "pulled"}
 
     patch.setattr(Exchange, "pull_request", pull_request)
 
 
-def a_gap_is_counted(patch: Patch) -> None:
-    real = AcceptorHost.apply
+def vector_skips_gaps(patch: Patch) -> None:
+    original = AcceptorHost.apply
 
     def apply(self: AcceptorHost, items: Any, vector: Any) -> None:
         claimed = {item.source: item.number for item in items}
-        real(self, items, {**claimed, **vector})
+        original(self, items, {**claimed, **vector})
 
     patch.setattr(AcceptorHost, "apply", apply)
 
 
-def always_something_to_say(patch: Patch) -> None:
+def always_has_updates(patch: Patch) -> None:
     patch.setattr(Store, "has_updates", lambda self, vector: bool(self.items))
 
 
-def most_of_the_store_is_silent(
+def assess_silence_by_store_majority(
     nodes: Mapping[str, NodeInfo], reports: Sequence[SilenceReport], spans: SilenceThresholds
 ) -> Verdict:
-    """The rule before: a zone is cut off where more than half of its nodes in the store are silent."""
+    """The former rule: a zone counts as partitioned if more than half of its nodes in the store are
+    silent."""
     least = min_silence(nodes, reports)
     there = Counter(node.zone for node in nodes.values())
     silent = Counter(node.zone for name, node in nodes.items() if least[name] >= spans.suspect_s)
--- a/simulation/mesh/stage_seeds.py
+++ b/simulation/mesh/stage_seeds.py
@@ -1,4 +1,5 @@
-"""Faults to be put into stages, each of which a staged world must see. ``patch`` is as pytest has it."""
+"""Faults seeded into rollout stages, each of which a `RolloutWorld` must detect. ``patch`` is pytest's
+monkeypatch."""
 
 from __future__ import annotations
 
@@ -20,9 +21,11 @@
 from simulation.mesh.seeds import Patch
 
 
-def hold_beyond_the_bound(patch: Patch) -> None:
+def hold_exceeds_bound(patch: Patch) -> None:
     patch.setattr(rollout_bounds, "HOLD_SHARE", 0.5)
-    patch.setattr(StagedRoutes, "handle_frame", lambda self, head: None)  # a good word would end it sooner
+    patch.setattr(
+        StagedRoutes, "handle_frame", lambda self, head: None
+    )  # an approval would end the hold sooner
     patch.setattr(
         StagedActivation,
         "next_due",
@@ -30,22 +33,22 @@
     )
 
 
-def hold_begun_anew_by_each_version(patch: Patch) -> None:
-    real = StagedActivation.receive
+def each_version_restarts_hold(patch: Patch) -> None:
+    original = StagedActivation.receive
 
     def receive(self: StagedActivation, *args: Any) -> ItemActivation:
         self.held.pop(args[1], None)
-        return real(self, *args)
+        return original(self, *args)
 
     patch.setattr(StagedActivation, "receive", receive)
 
 
-def goes_back_when_overtaken(patch: Patch) -> None:
-    real = StagedActivation.receive
+def reverts_when_superseded(patch: Patch) -> None:
+    original = StagedActivation.receive
 
     def receive(self: StagedActivation, *args: Any) -> ItemActivation:
         before = self.held.get(args[1])
-        one = real(self, *args)
+        one = original(self, *args)
         if before is not None:
             self.held.setdefault((args[1][0], args[1][1]), before)
         return one
@@ -59,32 +62,32 @@
     patch.setattr(StagedRoutes, "_put_in_force", use)
 
 
-def first_part_is_empty(patch: Patch) -> None:
+def no_canaries(patch: Patch) -> None:
     patch.setattr(CanarySelection, "canaries", lambda self, kind, name, version: frozenset())
 
 
-def first_part_is_all(patch: Patch) -> None:
+def all_are_canaries(patch: Patch) -> None:
     patch.setattr(CanarySelection, "canaries", lambda self, kind, name, version: self.nodes)
 
 
-def confirms_what_is_held_back(patch: Patch) -> None:
+def confirms_held_versions(patch: Patch) -> None:
     patch.setattr(
         RolloutReport, "confirms", lambda self, item: self.vector.get(item.source, 0) >= item.number
     )
 
 
-def names_any_eight_with_a_new_vector(patch: Patch) -> None:
-    real = StagedRoutes._report
+def reports_only_eight_held(patch: Patch) -> None:
+    original = StagedRoutes._report
 
     def say(self: StagedRoutes) -> None:
         held, self.activation.held = self.activation.held, dict(list(self.activation.held.items())[:8])
-        real(self)
+        original(self)
         self.activation.held = held
 
     patch.setattr(StagedRoutes, "_report", say)
 
 
-def second_hop_turns_away_too_early(patch: Patch) -> None:
+def second_hop_rejects_too_early(patch: Patch) -> None:
     patch.setattr(
         VersionCheck,
         "outdated",
@@ -92,27 +95,27 @@
     )
 
 
-def turned_away_after_it_ran(patch: Patch) -> None:
-    real = UpstreamDispatch.accept
+def rejected_after_execution(patch: Patch) -> None:
+    original = UpstreamDispatch.accept
 
     def accept(self: UpstreamDispatch, call: Call, ended: Callable[[End], None]) -> DispatchedCall | None:
         if call.accept_stale_route:
-            return real(self, call, ended)
-        return real(self, call, lambda end: ended(NotExecuted(RejectReason.OLD)))
+            return original(self, call, ended)
+        return original(self, call, lambda end: ended(NotExecuted(RejectReason.OLD)))
 
     patch.setattr(UpstreamDispatch, "accept", accept)
 
 
-def drops_are_held_back(patch: Patch) -> None:
-    real = StagedActivation.receive
+def removals_are_held(patch: Patch) -> None:
+    original = StagedActivation.receive
 
     def receive(
         self: StagedActivation, now: float, key: Any, version: int, kind: Any, first: bool, behind: bool
     ) -> ItemActivation:
-        return real(self, now, key, version, ChangeKind.MOVED, first, behind)
+        return original(self, now, key, version, ChangeKind.MOVED, first, behind)
 
     patch.setattr(StagedActivation, "receive", receive)
 
 
-def behind_is_not_noticed(patch: Patch) -> None:
+def lag_is_not_detected(patch: Patch) -> None:
     patch.setattr(UpdateContact, "is_behind", lambda self, now: False)
--- a/simulation/mesh/troubles.py
+++ b/simulation/mesh/troubles.py
@@ -1,48 +1,48 @@
-"""What may befall a process at a numbered point. Each is one loss that the deployment must bear."""
+"""Faults that can be injected at a numbered fault point. Each is one loss that the mesh must tolerate."""
 
 from __future__ import annotations
 
-from simulation.mesh.wire import End
-from simulation.mesh.world import POWER_S, RESTART_S, Fault, Life, Machine, World
+from simulation.mesh.wire import ConnectionEnd
+from simulation.mesh.world import POWER_S, RESTART_S, Fault, Incarnation, Machine, World
 
-LATE_S = 0.7
-CUT_S = 2.5
-DISK_S = 1.5
+FRAME_DELAY_S = 0.7
+PARTITION_S = 2.5
+DISK_FAULT_S = 1.5
 
 
-def crash(world: World, life: Life, end: End | None) -> float | None:
-    """The process is killed here, and started again."""
-    world.kill(life.machine)
-    world.restart(life.machine)
+def crash(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """Kills the process and restarts it."""
+    world.kill(incarnation.machine)
+    world.restart(incarnation.machine)
     return None
 
 
-def power(world: World, life: Life, end: End | None) -> float | None:
-    """The machine loses power here: nobody is told."""
-    world.power_off(life.machine)
-    world.restart(life.machine, POWER_S)
+def power(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """The machine loses power, without a reset of its connections."""
+    world.power_off(incarnation.machine)
+    world.restart(incarnation.machine, POWER_S)
     return None
 
 
-def wiped(world: World, life: Life, end: End | None) -> float | None:
-    """The machine comes back with an empty disk."""
-    world.power_off(life.machine)
-    life.machine.disk.wipe()
-    world.restart(life.machine, POWER_S)
+def wiped(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """The machine loses power and returns with an empty disk."""
+    world.power_off(incarnation.machine)
+    incarnation.machine.disk.wipe()
+    world.restart(incarnation.machine, POWER_S)
     return None
 
 
-def all_killed(world: World, life: Life, end: End | None) -> float | None:
-    """Every process of the core is killed; their disks stay."""
+def all_killed(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """Kills the processes of all controllers; their disks survive."""
     for number, machine in enumerate(world.controllers()):
         world.kill(machine)
         world.restart(machine, RESTART_S + 0.05 * number)
     return None
 
 
-def all_power_one_wiped(world: World, life: Life, end: End | None) -> float | None:
-    """All machines lose power, and one its disk: the one here, or the first where it has none."""
-    unlucky = life.machine if life.machine.core else world.controllers()[0]
+def all_power_one_wiped(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """All machines lose power, and this controller (or the first one) loses its disk."""
+    unlucky = incarnation.machine if incarnation.machine.is_controller else world.controllers()[0]
     for machine in world.machines.values():
         world.power_off(machine)
         world.restart(machine, POWER_S)
@@ -50,11 +50,11 @@
     return None
 
 
-def other_wiped(world: World, life: Life, end: End | None) -> float | None:
-    """As above, and the disk that is lost is the next machine's."""
-    cores = world.controllers()
-    at = cores.index(life.machine) + 1 if life.machine in cores else 0
-    unlucky = cores[at % len(cores)]
+def other_wiped(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """All machines lose power, and the next controller loses its disk."""
+    controllers = world.controllers()
+    at = controllers.index(incarnation.machine) + 1 if incarnation.machine in controllers else 0
+    unlucky = controllers[at % len(controllers)]
     for machine in world.machines.values():
         world.power_off(machine)
         world.restart(machine, POWER_S)
@@ -62,73 +62,75 @@
     return None
 
 
-def lost(world: World, life: Life, end: End | None) -> float | None:
-    """The frame is lost, and its connection."""
+def frame_lost(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """The frame is lost with its connection."""
     if end is None:
         return 0.0
-    world.wire.break_off(end)
+    world.network.break_connection(end)
     return None
 
 
-def doubled(world: World, life: Life, end: End | None) -> float | None:
-    """The frame arrives; the connection is lost, and the frame arrives once more on the next one."""
+def frame_duplicated(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """The frame arrives, its connection is lost, and the frame arrives again on the next connection."""
     if end is None:
         return 0.0
-    world.loop.call_later(0.01, world.wire.break_off, end)
-    data = end.written
-    world.wire.again[(end.life, end.other.life)] = data
+    world.loop.call_later(0.01, world.network.break_connection, end)
+    data = end.last_frame
+    world.network.duplicates[(end.incarnation, end.other.incarnation)] = data
     return 0.0
 
 
-def late(world: World, life: Life, end: End | None) -> float | None:
-    """The frame, and all behind it, is late."""
-    return LATE_S if end is not None else 0.0
+def frame_delayed(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """Delays the frame and all frames behind it."""
+    return FRAME_DELAY_S if end is not None else 0.0
 
 
-def one_way(world: World, life: Life, end: End | None) -> float | None:
-    """From this frame on nothing gets from here to its receiver, for a while."""
+def one_way(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """From this frame on nothing from here reaches the receiver, for a while."""
     if end is None:
         return 0.0
-    world.cut([life.machine], [end.other.life.machine], both=False)
-    world.loop.call_later(CUT_S, world.heal)
+    world.partition([incarnation.machine], [end.other.incarnation.machine], both_ways=False)
+    world.loop.call_later(PARTITION_S, world.heal)
     return 0.0
 
 
-def alone(world: World, life: Life, end: End | None) -> float | None:
+def alone(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
     """This machine is cut off from all others, for a while."""
-    others: list[Machine] = [one for one in world.machines.values() if one is not life.machine]
-    world.cut([life.machine], others)
-    world.loop.call_later(CUT_S, world.heal)
+    others: list[Machine] = [one for one in world.machines.values() if one is not incarnation.machine]
+    world.partition([incarnation.machine], others)
+    world.loop.call_later(PARTITION_S, world.heal)
     return 0.0
 
 
-def refuses(world: World, life: Life, end: End | None) -> float | None:
-    """The disk refuses what it is given, for a while."""
-    life.machine.disk.refuses_until = world.env.now + DISK_S
+def refuses(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """Writes to the disk fail, for a while."""
+    incarnation.machine.disk.fails_until = world.env.now + DISK_FAULT_S
     return 0.0
 
 
-def hangs(world: World, life: Life, end: End | None) -> float | None:
-    """The disk hangs, and goes on."""
-    life.machine.disk.hangs_until = world.env.now + DISK_S
+def hangs(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """Writes to the disk hang, and complete later."""
+    incarnation.machine.disk.hangs_until = world.env.now + DISK_FAULT_S
     return 0.0
 
 
-PROCESS: dict[str, Fault] = {
+PROCESS_FAULTS: dict[str, Fault] = {
     fault.__name__: fault for fault in (crash, power, wiped, all_killed, all_power_one_wiped, other_wiped)
 }
 DISK_LOSSES = frozenset({wiped, all_power_one_wiped, other_wiped})
-FRAME: dict[str, Fault] = {fault.__name__: fault for fault in (lost, doubled, late, one_way, alone)}
-DISK: dict[str, Fault] = {fault.__name__: fault for fault in (refuses, hangs)}
+FRAME_FAULTS: dict[str, Fault] = {
+    fault.__name__: fault for fault in (frame_lost, frame_duplicated, frame_delayed, one_way, alone)
+}
+DISK_FAULTS: dict[str, Fault] = {fault.__name__: fault for fault in (refuses, hangs)}
 
 
-def fitting(kind: str, core: bool) -> dict[str, Fault]:
-    """Those that make a difference at a point of that kind."""
-    if not core:
-        return {"crash": crash, **(FRAME if kind == "send" else {})}
-    found = dict(PROCESS)
+def applicable(kind: str, controller: bool) -> dict[str, Fault]:
+    """The faults that have an effect at a point of that kind."""
+    if not controller:
+        return {"crash": crash, **(FRAME_FAULTS if kind == "send" else {})}
+    found = dict(PROCESS_FAULTS)
     if kind == "send":
-        found |= FRAME
+        found |= FRAME_FAULTS
     if kind in ("sync", "synced", "merge"):
-        found |= DISK
+        found |= DISK_FAULTS
     return found
--- a/simulation/mesh/wire.py
+++ b/simulation/mesh/wire.py
@@ -1,4 +1,5 @@
-"""Connections without sockets: bytes in order with a delay, cuts of one direction, resets, silence."""
+"""A simulated network: ordered delivery with latency, one-way partitions, resets and silent loss of a
+host."""
 
 from __future__ import annotations
 
@@ -9,208 +10,219 @@
 from typing import Any
 
 from mesh.transport.link import CONNECT_TIMEOUT_S, HEARTBEAT, Link
-from simulation.mesh.clock import LIFE
+from simulation.mesh.clock import CURRENT_INCARNATION
 
-DELAY_S = 0.002
-WINDOW_BYTES = 64 * 1024  # of one connection that its kernels take; what is beyond counts as unsent
-PROBE = re.compile(rb'\d+:\{"t":"probed?",')
+LATENCY_S = 0.002
+SOCKET_BUFFER_BYTES = 64 * 1024  # of one connection; bytes beyond it count as unsent
+PROBE_FRAME = re.compile(rb'\d+:\{"t":"probed?",')
 
 
-class _Sock:
+class _FakeSocket:
     def setsockopt(self, *_: object) -> None:
         pass
 
 
-class _Listening:
-    """What a process has of an address that it listens at."""
+class _Listener:
+    """A listening address of one process."""
 
-    def __init__(self, wire: Wire, host: str, life: Any) -> None:
-        self._wire, self._host, self._life = wire, host, life
+    def __init__(self, network: Network, host: str, incarnation: Any) -> None:
+        self._network, self._host, self._incarnation = network, host, incarnation
 
     def close(self) -> None:
-        known = self._wire.listening.get(self._host)
-        if known is not None and known[0] is self._life:
-            del self._wire.listening[self._host]
+        known = self._network.listeners.get(self._host)
+        if known is not None and known[0] is self._incarnation:
+            del self._network.listeners[self._host]
 
 
-class End(asyncio.Transport):
-    """One end of a connection, as its link sees it."""
+class ConnectionEnd(asyncio.Transport):
+    """One end of a connection: the transport of its link."""
 
-    def __init__(self, wire: Wire, life: Any, link: Link) -> None:
+    def __init__(self, network: Network, incarnation: Any, link: Link) -> None:
         super().__init__()
-        self.wire, self.life, self.link = wire, life, link
-        self.other: End
+        self.network, self.incarnation, self.link = network, incarnation, link
+        self.other: ConnectionEnd
         self.closed = False
-        self.arrives = 0.0  # when the last bytes from here arrive
-        self.way: deque[bytes] = deque()  # on their way from here: timers of one instant have no order
-        self.held: list[bytes] = []  # by a cut, on their way from here
-        self.written = b""  # last
+        self.last_arrival_at = 0.0  # when the last frame sent from here arrives
+        # Sent from here and not delivered yet; a queue, since timers of the same instant have no order.
+        self.in_flight: deque[bytes] = deque()
+        self.blocked_frames: list[bytes] = []  # sent from here and held back by a partition
+        self.last_frame = b""  # last frame sent from here
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        return _Sock() if name == "socket" else default
+        return _FakeSocket() if name == "socket" else default
 
     def is_closing(self) -> bool:
         return self.closed
 
     def get_write_buffer_size(self) -> int:
-        if not self.wire.bytes_a_second:
-            return sum(map(len, self.held))
-        return max(sum(map(len, self.held)) + sum(map(len, self.way)) - WINDOW_BYTES, 0)
+        if not self.network.bytes_per_s:
+            return sum(map(len, self.blocked_frames))
+        return max(
+            sum(map(len, self.blocked_frames)) + sum(map(len, self.in_flight)) - SOCKET_BUFFER_BYTES, 0
+        )
 
     def write(self, data: Any) -> None:
-        if self.life.alive and not self.closed:
-            self.wire.send(self, bytes(data))
+        if self.incarnation.alive and not self.closed:
+            self.network.send(self, bytes(data))
 
     def abort(self) -> None:
         if self.closed:
             return
-        self.shut(None)
-        self.wire.reset(self)
+        self.mark_closed(None)
+        self.network.reset(self)
 
-    def shut(self, why: Exception | None) -> None:
-        """This end is closed and its link hears of it, if anybody lives there."""
+    def mark_closed(self, error: Exception | None) -> None:
+        """Closes this end and notifies its link if the process still runs."""
         if self.closed:
             return
         self.closed = True
-        self.held.clear()
-        if self.life.alive:
-            self.wire.loop.call_soon(self.link.connection_lost, why, context=self.life.context)
-
-
-class Wire:
-    """All connections. ``point(end, data)`` is asked before each frame; it gives seconds that the frame is
-    late, or None where the connection broke and took it along."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, point: Callable[[End, bytes], float | None]) -> None:
-        self.loop, self.point = loop, point
-        self.listening: dict[str, tuple[Any, Callable[[], Link]]] = {}  # by host
-        self.cut: set[tuple[str, str]] = set()  # from host, to host
-        self.off: set[str] = set()  # hosts without power
-        self.bytes_a_second: dict[str, float] = {}  # that a host's link takes in; others take all at once
-        self.taken_in: dict[str, int] = {}  # bytes, of those hosts
-        self._free_at: dict[str, float] = {}  # when all that is on its way to a host is in
-        self.ends: list[End] = []
-        self.sent = 0  # frames, signs of life and of contact aside
-        self.probes, self.probe_bytes = 0, 0  # questions and answers of contact
-        self.again: dict[tuple[Any, Any], bytes] = {}  # between two lives: doubled on their next connection
-
-    # What the program calls
-
-    async def listen(self, address: tuple[str, int], make: Callable[[], Link]) -> Any:
-        life = LIFE.get()
-        self.listening[address[0]] = (life, make)
-        return _Listening(self, address[0], life)
-
-    async def connect(self, address: tuple[str, int], make: Callable[[], Link]) -> Link | None:
-        life, host = LIFE.get(), address[0]
-        await asyncio.sleep(DELAY_S)
-        if host in self.off or self.parted(life.host, host):
+        self.blocked_frames.clear()
+        if self.incarnation.alive:
+            self.network.loop.call_soon(self.link.connection_lost, error, context=self.incarnation.context)
+
+
+class Network:
+    """All connections. ``reach_fault_point(end, data)`` is called before each frame; it returns the extra
+    delay in seconds, or None if the frame is lost with its connection."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        reach_fault_point: Callable[[ConnectionEnd, bytes], float | None],
+    ) -> None:
+        self.loop, self.reach_fault_point = loop, reach_fault_point
+        self.listeners: dict[str, tuple[Any, Callable[[], Link]]] = {}  # by host
+        self.blocked_paths: set[tuple[str, str]] = set()  # (source host, destination host)
+        self.powered_off: set[str] = set()  # hosts
+        self.bytes_per_s: dict[str, float] = {}  # by host; links of other hosts are unlimited
+        self.received_bytes: dict[str, int] = {}  # by host, of those with a limited rate
+        self._link_free_at: dict[str, float] = {}  # when all bytes in flight to a host have arrived
+        self.ends: list[ConnectionEnd] = []
+        self.sent_frames = 0  # without heartbeats and contact probes
+        self.probe_frames, self.probe_bytes = 0, 0  # contact probes and their replies
+        # By pair of incarnations: a frame to be delivered again on their next connection.
+        self.duplicates: dict[tuple[Any, Any], bytes] = {}
+
+    # Called by the programs
+
+    async def listen(self, address: tuple[str, int], make_link: Callable[[], Link]) -> Any:
+        incarnation = CURRENT_INCARNATION.get()
+        self.listeners[address[0]] = (incarnation, make_link)
+        return _Listener(self, address[0], incarnation)
+
+    async def connect(self, address: tuple[str, int], make_link: Callable[[], Link]) -> Link | None:
+        incarnation, host = CURRENT_INCARNATION.get(), address[0]
+        await asyncio.sleep(LATENCY_S)
+        if host in self.powered_off or self.is_partitioned(incarnation.host, host):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
             return None
-        server = self.listening.get(host)
-        if server is None or not server[0].alive:
-            await asyncio.sleep(DELAY_S)
+        listener = self.listeners.get(host)
+        if listener is None or not listener[0].alive:
+            await asyncio.sleep(LATENCY_S)
             return None
-        there, make_there = server
-        here_end = End(self, life, make())
-        there_end = End(self, there, there.context.run(make_there))
-        here_end.other, there_end.other = there_end, here_end
+        server, make_server_link = listener
+        client_end = ConnectionEnd(self, incarnation, make_link())
+        server_end = ConnectionEnd(self, server, server.context.run(make_server_link))
+        client_end.other, server_end.other = server_end, client_end
         self.ends = [end for end in self.ends if not (end.closed and end.other.closed)]
-        self.ends += [here_end, there_end]
-        there.context.run(there_end.link.connection_made, there_end)
-        await asyncio.sleep(DELAY_S)
-        if here_end.closed:
+        self.ends += [client_end, server_end]
+        server.context.run(server_end.link.connection_made, server_end)
+        await asyncio.sleep(LATENCY_S)
+        if client_end.closed:
             return None
-        here_end.link.connection_made(here_end)
-        for one in (here_end, there_end):
-            doubled = self.again.pop((one.life, one.other.life), None)
-            if doubled is not None:  # behind what a connection begins with
-                self.loop.call_later(5 * DELAY_S, self._carry, one, doubled, 0.0)
-        return here_end.link
+        client_end.link.connection_made(client_end)
+        for one in (client_end, server_end):
+            duplicate = self.duplicates.pop((one.incarnation, one.other.incarnation), None)
+            if duplicate is not None:  # after the first frames of the connection
+                self.loop.call_later(5 * LATENCY_S, self._transmit, one, duplicate, 0.0)
+        return client_end.link
 
-    # Bytes
+    # Data transfer
 
-    def parted(self, one: str, other: str) -> bool:
-        return (one, other) in self.cut or (other, one) in self.cut
+    def is_partitioned(self, one: str, other: str) -> bool:
+        return (one, other) in self.blocked_paths or (other, one) in self.blocked_paths
 
-    def send(self, end: End, data: bytes) -> None:
-        late: float | None = 0.0
+    def send(self, end: ConnectionEnd, data: bytes) -> None:
+        delay_s: float | None = 0.0
         if data != HEARTBEAT:
-            if PROBE.match(data):
-                self.probes += 1
+            if PROBE_FRAME.match(data):
+                self.probe_frames += 1
                 self.probe_bytes += len(data)
             else:
-                self.sent += 1
-            end.written = data
-            late = self.point(end, data)
-        if late is not None and end.life.alive:
-            # the fault may have closed this end
-            self._carry(end, data, late)
-
-    def _carry(self, end: End, data: bytes, late: float) -> None:
+                self.sent_frames += 1
+            end.last_frame = data
+            delay_s = self.reach_fault_point(end, data)
+        if delay_s is not None and end.incarnation.alive:
+            # A fault at this point may have closed this end.
+            self._transmit(end, data, delay_s)
+
+    def _transmit(self, end: ConnectionEnd, data: bytes, delay_s: float) -> None:
         if end.closed:
             return
-        end.arrives = max(end.arrives, self._link_passes(end.other.life.host, len(data)) + late)
-        end.way.append(data)
-        self.loop.call_at(end.arrives, self._arrive, end, context=end.other.life.context)
-
-    def _link_passes(self, host: str, size: int) -> float:
-        """When so many bytes that are sent now are in at that host, behind all that is on its way there."""
-        at = self.loop.time() + DELAY_S
-        rate = self.bytes_a_second.get(host)
+        end.last_arrival_at = max(
+            end.last_arrival_at, self._arrival_time(end.other.incarnation.host, len(data)) + delay_s
+        )
+        end.in_flight.append(data)
+        self.loop.call_at(end.last_arrival_at, self._deliver, end, context=end.other.incarnation.context)
+
+    def _arrival_time(self, host: str, size: int) -> float:
+        """When bytes sent now have arrived at that host, after everything already in flight to it."""
+        at = self.loop.time() + LATENCY_S
+        rate = self.bytes_per_s.get(host)
         if rate:
-            at = max(at, self._free_at.get(host, 0.0)) + size / rate
-            self._free_at[host] = at
-            self.taken_in[host] = self.taken_in.get(host, 0) + size
+            at = max(at, self._link_free_at.get(host, 0.0)) + size / rate
+            self._link_free_at[host] = at
+            self.received_bytes[host] = self.received_bytes.get(host, 0) + size
         return at
 
-    def _arrive(self, end: End) -> None:
-        data = end.way.popleft()
-        host, there = end.life.host, end.other.life.host
-        if end.other.closed or there in self.off:
+    def _deliver(self, end: ConnectionEnd) -> None:
+        data = end.in_flight.popleft()
+        host, there = end.incarnation.host, end.other.incarnation.host
+        if end.other.closed or there in self.powered_off:
             return
-        if end.held or (host, there) in self.cut:
+        if end.blocked_frames or (host, there) in self.blocked_paths:
             if not end.closed:
-                end.held.append(data)
+                end.blocked_frames.append(data)
             return
         end.other.link.data_received(data)
 
-    def reset(self, end: End) -> None:
-        """The other end hears of this one's close, unless a cut is between them."""
-        path = (end.life.host, end.other.life.host)
+    def reset(self, end: ConnectionEnd) -> None:
+        """Notifies the other end that this one was closed, unless a partition separates them."""
+        path = (end.incarnation.host, end.other.incarnation.host)
 
         def arrive() -> None:
-            if path not in self.cut and path[1] not in self.off:
-                end.other.shut(ConnectionResetError("reset"))
+            if path not in self.blocked_paths and path[1] not in self.powered_off:
+                end.other.mark_closed(ConnectionResetError("reset"))
 
-        self.loop.call_at(max(end.arrives, self.loop.time() + DELAY_S), arrive)
+        self.loop.call_at(max(end.last_arrival_at, self.loop.time() + LATENCY_S), arrive)
 
-    def break_off(self, end: End) -> None:
-        """The connection is lost, with what is under way on it in both directions."""
+    def break_connection(self, end: ConnectionEnd) -> None:
+        """Resets both ends; frames in flight are lost."""
         for one in (end, end.other):
-            one.shut(ConnectionResetError("reset"))
+            one.mark_closed(ConnectionResetError("reset"))
 
-    # Trouble
+    # Faults
 
     def heal(self) -> None:
-        self.cut.clear()
+        self.blocked_paths.clear()
         for end in self.ends:
-            held, end.held = end.held, []
+            held, end.blocked_frames = end.blocked_frames, []
             for data in held:
-                self._carry(end, data, 0.0)
+                self._transmit(end, data, 0.0)
 
-    def killed(self, life: Any, silently: bool) -> None:
-        """A process is gone: its kernel resets its connections, or is gone as well."""
+    def close_connections_of(self, incarnation: Any, silently: bool) -> None:
+        """After the end of a process: resets its connections, or closes them silently as after a power
+        loss."""
         for end in self.ends:
-            if end.life is life and not end.closed:
+            if end.incarnation is incarnation and not end.closed:
                 end.closed = True
-                end.held.clear()
+                end.blocked_frames.clear()
                 if not silently:
                     self.reset(end)
 
-    def back(self, host: str) -> None:
-        """The machine has power again; its kernel knows none of the old connections and says so."""
-        self.off.discard(host)
+    def power_on(self, host: str) -> None:
+        """Power returns: the host knows none of its old connections and resets them."""
+        self.powered_off.discard(host)
         for end in self.ends:
-            if end.life.host == host and end.closed and not end.other.closed:
+            if end.incarnation.host == host and end.closed and not end.other.closed:
                 self.reset(end)
--- a/simulation/mesh/zones.py
+++ b/simulation/mesh/zones.py
@@ -1,4 +1,4 @@
-"""Worlds whose machines stand in several zones, and what such a world is drawn from."""
+"""Distribution of simulated machines over zones, fixed or random."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 @dataclass(frozen=True)
-class Zones:
-    """How many there are, and what must be borne; machines are put into them by turns."""
+class ZoneLayout:
+    """The number of zones and the losses that must be tolerated. Machines are assigned to zones in turn."""
 
     count: int = 1
     tolerance: Tolerance = Tolerance(1, 0, 0)
 
     def name(self, number: int) -> str:
-        """Of the zone of the machine that came at this place."""
+        """The zone of the machine with this index."""
         return "z" if self.count == 1 else f"z{number % self.count + 1}"
 
 
-ONE_ZONE = Zones()
+ONE_ZONE = ZoneLayout()
 
 
-def draw_zones(seed: str) -> Zones:
-    """One to three; where there are three, the loss of one may have to be borne."""
-    draw = random.Random(f"zones/{seed}")
-    count = draw.choice((1, 2, 3, 3))
-    zones = draw.choice((0, 1)) if count == 3 else 0
-    return Zones(count, Tolerance(1, zones, 0))
+def draw_zones(seed: str) -> ZoneLayout:
+    """One to three zones; with three, the loss of a zone may have to be tolerated."""
+    rng = random.Random(f"zones/{seed}")
+    count = rng.choice((1, 2, 3, 3))
+    zones = rng.choice((0, 1)) if count == 3 else 0
+    return ZoneLayout(count, Tolerance(1, zones, 0))
--- a/tests/mesh/test_benchmarks_mesh.py
+++ b/tests/mesh/test_benchmarks_mesh.py
@@ -15,7 +15,7 @@
 
 from benchmarks import draw_deployments, mesh_news, mesh_request
 from benchmarks.deployment_kinds import KINDS
-from simulation.mesh.seeds import questions_are_not_asked_again
+from simulation.mesh.seeds import pulls_are_not_repeated
 
 
 def like() -> dict[str, Any]:
@@ -193,7 +193,7 @@
 
 
 def test_news_that_do_not_travel_are_no_measurement(monkeypatch: pytest.MonkeyPatch) -> None:
-    questions_are_not_asked_again(monkeypatch)
+    pulls_are_not_repeated(monkeypatch)
     monkeypatch.setattr(mesh_news, "WITHIN_S", 3.0)
     with pytest.raises(RuntimeError, match="not within 3 s|lack a change"):
         mesh_news.Measured(6, 3, 1.0).play()
--- a/tests/mesh/test_key_model.py
+++ b/tests/mesh/test_key_model.py
@@ -14,13 +14,13 @@
 SMALL = Scenario(ticks=3, heartbeats=1, requests=1, restarts=0, ranges=1)
 LARGER = Scenario(ticks=3, heartbeats=2, requests=1, restarts=1, ranges=1)
 SEEDED_FAULTS = (
-    key_seeds.nobody_waits,
-    key_seeds.holds_last_from_now,
-    key_seeds.old_maps_are_current,
-    key_seeds.what_leaves_is_granted,
-    key_seeds.word_without_an_omission,
-    key_seeds.a_restart_forgets_grants,
-    key_seeds.a_lease_counts_from_its_answer,
+    key_seeds.no_wait_before_transfer,
+    key_seeds.holds_last_from_answer,
+    key_seeds.outdated_map_confirms,
+    key_seeds.leaving_rows_are_granted,
+    key_seeds.release_before_omission,
+    key_seeds.restart_forgets_grants,
+    key_seeds.lease_counts_from_answer,
 )
 """Faults that the model covers; the others need complete programs (test_owners_world.py)."""
 
--- a/tests/mesh/test_large_orders_world.py
+++ b/tests/mesh/test_large_orders_world.py
@@ -1,5 +1,5 @@
-"""Large orders over narrow links, in virtual time: an acknowledged order is in force at every proxy in
-contact within the operators' time, even if proxies restart and small orders are sent meanwhile."""
+"""Large writes over narrow links, in virtual time: an acknowledged write is in force at every proxy in
+contact in time, even if proxies restart and small writes are sent meanwhile."""
 
 import json
 import random
@@ -9,15 +9,15 @@
 from mesh.replication.quorum import Tolerance
 from simulation.mesh.world import Machine, Script, World
 
-SETTLE_S = 2.0  # time from the acknowledgement until an order must be in force
+SETTLE_S = 2.0  # time from the acknowledgement until a write must be in force
 CONTACT_S = 3.0  # a proxy that has run and been reachable for so long is in contact
 ROUTES = 1500
 PROXIES = 4
-LINK_BYTES_S = 3.25e6 / 8 * 0.45  # of a proxy's link: the share of 3.25 Mbit/s that calls leave
+LINK_BYTES_S = 3.25e6 / 8 * 0.45  # of a proxy's link: the share of 3.25 Mbit/s that calls leave free
 
 
 def patch_body(version: int, names: list[str]) -> bytes:
-    """The body of a write of routes of realistic length."""
+    """A write of routes of realistic length."""
     rules = [
         {
             "name": name,
@@ -36,13 +36,13 @@
 
 
 class OrderLog:
-    """Sends orders, and checks each after its acknowledgement at all proxies in contact."""
+    """Sends writes, and checks each after its acknowledgement at all proxies in contact."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.version = 0
-        self.acked: dict[int, float] = {}
-        self.routes: dict[int, str] = {}  # one route of each order
+        self.acknowledged: dict[int, float] = {}
+        self.routes: dict[int, str] = {}  # one route of each write
         self.late_proxies: list[str] = []
 
     def send(self, names: list[str]) -> Script:
@@ -51,12 +51,12 @@
         self.routes[version] = names[-1]
         answer = yield from self.world.commit(self.world.controllers(), patch_body(version, names))
         assert answer is not None and answer.status == 200
-        self.acked[version] = float(self.world.env.now)
+        self.acknowledged[version] = float(self.world.env.now)
         self.world.env.process(self._check_in_force(version))
 
     def _check_in_force(self, version: int) -> Script:
         yield self.world.env.timeout(SETTLE_S)
-        for machine, program in self.world.programs(core=False):
+        for machine, program in self.world.programs(controllers=False):
             if self.world.env.now - self.started(machine) < CONTACT_S:
                 continue
             route = program.routes.get(self.routes[version])
@@ -67,18 +67,18 @@
 
     @staticmethod
     def started(machine: Machine) -> float:
-        return float(machine.life.began) if machine.life is not None else 0.0  # type: ignore[attr-defined]
+        return float(machine.incarnation.began) if machine.incarnation is not None else 0.0  # type: ignore[attr-defined]
 
 
-class ThinWorld(World):
+class NarrowLinkWorld(World):
     """A world whose proxies have narrow links."""
 
     def start(self, machine: Machine, cold: bool = False) -> None:
         super().start(machine, cold)
-        if not machine.core:
-            self.wire.bytes_a_second[machine.ip] = LINK_BYTES_S
-        if machine.life is not None and not hasattr(machine.life, "began"):
-            machine.life.began = float(self.env.now)  # type: ignore[attr-defined]
+        if not machine.is_controller:
+            self.network.bytes_per_s[machine.ip] = LINK_BYTES_S
+        if machine.incarnation is not None and not hasattr(machine.incarnation, "began"):
+            machine.incarnation.began = float(self.env.now)  # type: ignore[attr-defined]
 
 
 def small_orders(world: World, orders: OrderLog, seconds: float, gap_s: float) -> Script:
@@ -90,8 +90,8 @@
 
 def large(number: int) -> list[str]:
     """Names that compress as badly as real ones."""
-    draw = random.Random(number)
-    return [f"r-{draw.getrandbits(44):09x}" for _ in range(ROUTES)]
+    rng = random.Random(number)
+    return [f"r-{rng.getrandbits(44):09x}" for _ in range(ROUTES)]
 
 
 def run_day(day: Callable[[World, OrderLog], Script]) -> list[str]:
@@ -105,15 +105,15 @@
         violations.extend(orders.late_proxies)
 
     violations: list[str] = []
-    with ThinWorld(Tolerance(2, 0, 0)) as world:
+    with NarrowLinkWorld(Tolerance(2, 0, 0)) as world:
         return world.run(script) + violations
 
 
 def test_large_orders_are_in_force_in_time_where_proxies_start_over_beside_small_orders() -> None:
     def day(world: World, orders: OrderLog) -> Script:
         yield from orders.send(large(1))
-        sides = [machine for machine in world.machines.values() if not machine.core]
-        for machine in sides[: PROXIES // 2]:
+        proxies = [machine for machine in world.machines.values() if not machine.is_controller]
+        for machine in proxies[: PROXIES // 2]:
             world.kill(machine)
             world.restart(machine)
         world.env.process(small_orders(world, orders, 5.0, 0.15))
@@ -141,11 +141,11 @@
         one = world.machines["s1"]
         world.kill(one)
         world.restart(one)
-        before, began = world.wire.taken_in[one.ip], world.env.now
-        yield from world.until(
-            lambda: one.program is not None and one.program.configured(), 9.0, "it has all"
+        before, began = world.network.received_bytes[one.ip], world.env.now
+        yield from world.wait_until(
+            lambda: one.program is not None and one.program.configured(), 9.0, "it has all items"
         )
-        received_bytes.append(world.wire.taken_in[one.ip] - before)
+        received_bytes.append(world.network.received_bytes[one.ip] - before)
         elapsed_s.append(float(world.env.now) - began)
 
     received_bytes: list[int] = []
@@ -156,7 +156,7 @@
 
 
 def compressed_bytes() -> int:
-    """The bytes of one large order in one page, and of everything else that a restart receives."""
+    """The bytes of one large write in one page, and of everything else that a restart receives."""
     return len(zlib.compress(patch_body(1, large(1)), 1)) + 12_000
 
 
@@ -164,16 +164,18 @@
 
 
 def linked_proxy(world: World) -> Machine:
-    """A proxy linked to the control process that gets the orders first."""
+    """A proxy linked to the controller that receives the writes first."""
     linked_names = {channel.node for channel in world.controllers()[0].program.channels.open}
     return next(
-        machine for machine in world.machines.values() if not machine.core and machine.name in linked_names
+        machine
+        for machine in world.machines.values()
+        if not machine.is_controller and machine.name in linked_names
     )
 
 
 def choke_proxy_link(world: World) -> Machine:
     machine = linked_proxy(world)
-    world.wire.bytes_a_second[machine.ip] = CHOKED_BYTES_S
+    world.network.bytes_per_s[machine.ip] = CHOKED_BYTES_S
     return machine
 
 
@@ -182,7 +184,7 @@
         choked = choke_proxy_link(world)
         began = float(world.env.now)
         yield from orders.send(large(1))
-        elapsed_s.append(orders.acked[orders.version] - began)
+        elapsed_s.append(orders.acknowledged[orders.version] - began)
         assert choked.program.routes.get(orders.routes[orders.version]) is not None
 
     elapsed_s: list[float] = []
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -1,4 +1,4 @@
-"""One order per slot, in virtual time: conflicting orders, repeated orders and votes without a proposer.
+"""One decision per slot, in virtual time: conflicting writes, repeated writes and votes without a proposer.
 Faults are injected at numbered points of two of these scripts."""
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 from mesh.replication.acceptor import Decision
 from mesh.replication.proposer import Proposer, Retry, Unresolved
 from simulation.mesh import troubles
-from simulation.mesh.plays import patch_body, play
-from simulation.mesh.wire import End
-from simulation.mesh.world import Life, Script, World
+from simulation.mesh.plays import patch_body, run_play
+from simulation.mesh.wire import ConnectionEnd
+from simulation.mesh.world import Incarnation, Script, World
 
 Play = Callable[[World], Script]
 R1 = ("route", "r1")
 
 
-def run_world(then: Play, cores: int = 3) -> list[str]:
+def run_world(play: Play, controllers: int = 3) -> list[str]:
     def script(world: World) -> Script:
-        yield from world.boot(cores, proxies=1)
-        world.env.process(world.witness.watch())
-        yield from then(world)
+        yield from world.boot(controllers, proxies=1)
+        world.env.process(world.checker.watch())
+        yield from play(world)
         world.heal()
         yield world.env.timeout(3.0)
-        yield from world.witness.finish()
+        yield from world.checker.check_recovered()
 
     with World() as world:
         return world.run(script)
 
 
 def send_concurrently(world: World, *sent: tuple[int, bytes]) -> Script:
-    """Sends orders to machines by index at once; returns the statuses of their answers, 0 for none."""
-    cores = world.controllers()
-    calls = [world.env.process(world.patch(cores[at], body)) for at, body in sent]
+    """Sends writes to machines by index at once; returns the statuses of their answers, 0 for none."""
+    controllers = world.controllers()
+    calls = [world.env.process(world.patch(controllers[at], body)) for at, body in sent]
     statuses = []
     for call in calls:
         answer = yield call
@@ -69,8 +69,8 @@
 def values_in_force(world: World) -> set[Any]:
     """Version and trials of route r1 in each running process."""
     found = set()
-    for core in (True, False):
-        for _, program in world.programs(core):
+    for controllers in (True, False):
+        for _, program in world.programs(controllers):
             item = program.config_store.items.get(R1)
             found.add((item.version, item.value and item.value["response"]["trials"]) if item else None)
     return found
@@ -79,8 +79,10 @@
 # Without faults
 
 
-@pytest.mark.parametrize("cores", [3, 4, 5])
-def test_of_three_orders_of_one_number_one_is_acknowledged_and_the_others_are_refused(cores: int) -> None:
+@pytest.mark.parametrize("controllers", [3, 4, 5])
+def test_of_three_orders_of_one_number_one_is_acknowledged_and_the_others_are_refused(
+    controllers: int,
+) -> None:
     def three(world: World) -> Script:
         bodies = [patch_body(["r1"], 1, trials) for trials in (1, 2, 3)]
         yield from send_concurrently(world, *enumerate(bodies))
@@ -94,7 +96,7 @@
         yield world.env.timeout(0.5)
         assert values_in_force(world) == {(1, statuses.index(200) + 1)}
 
-    assert run_world(three, cores) == []
+    assert run_world(three, controllers) == []
 
 
 def test_a_drop_and_a_set_of_one_version_are_rivals() -> None:
@@ -112,11 +114,11 @@
 def test_the_same_order_is_200_at_any_time_at_any_process_and_another_content_never() -> None:
     def again(world: World) -> Script:
         one, two, rival = patch_body(["r1"], 1, 1), patch_body(["r1"], 2, 2), patch_body(["r1"], 1, 3)
-        for body in (one, one, two, one):  # the last one: overtaken after it was in force
+        for body in (one, one, two, one):  # the last one: after it was superseded
             for at in range(3):
                 assert (yield from first_clear_answer(world, at, body)).status == 200
         assert (yield from first_clear_answer(world, 1, rival)).status == 409
-        troubles.all_killed(world, world.controllers()[0].life, None)  # type: ignore[arg-type]
+        troubles.all_killed(world, world.controllers()[0].incarnation, None)  # type: ignore[arg-type]
         yield world.env.timeout(2.0)
         for at in range(3):
             assert (yield from first_clear_answer(world, at, one)).status == 200
@@ -208,12 +210,12 @@
 
 def test_a_stalled_disk_holds_nobody_up() -> None:
     def stalled(world: World) -> Script:
-        cores = world.controllers()
-        cores[1].disk.hangs_until = world.env.now + 2.0
+        controllers = world.controllers()
+        controllers[1].disk.hangs_until = world.env.now + 2.0
         began = world.env.now
-        answer = yield from world.patch(cores[0], patch_body(["r1"], 1, 1))
+        answer = yield from world.patch(controllers[0], patch_body(["r1"], 1, 1))
         assert answer.status == 200 and world.env.now - began < 0.1
-        assert (yield from world.patch(cores[1], patch_body(["r1"], 1, 1))).status == 200
+        assert (yield from world.patch(controllers[1], patch_body(["r1"], 1, 1))).status == 200
         yield world.env.timeout(2.5)
 
     assert run_world(stalled) == []
@@ -264,39 +266,39 @@
         ballots.append(self._loop.time())
         return Retry(0, "as ever") if len(ballots) < 500 else Unresolved("without an end")
 
-    def then(world: World) -> Script:
+    def play(world: World) -> Script:
         monkeypatch.setattr(ProposerHost, "_run_ballot", refused_ballot)
         yield from world.patch(world.controllers()[0], patch_body(["r1"], 1, 1))
         monkeypatch.undo()
 
-    assert run_world(then) == []
+    assert run_world(play) == []
     assert MAX_IMMEDIATE_BALLOTS < len(ballots) < 100
 
 
 def test_an_order_goes_on_after_its_caller_has_left() -> None:
     def leaves(world: World) -> Script:
-        cores = world.controllers()
-        for machine in cores[1:]:
+        controllers = world.controllers()
+        for machine in controllers[1:]:
             machine.disk.hangs_until = world.env.now + 1.2
-        answer = yield from world.patch(cores[0], patch_body(["r1"], 1, 1))
+        answer = yield from world.patch(controllers[0], patch_body(["r1"], 1, 1))
         assert answer.status == 503 and answer.retry_after_s > 0.0
         yield world.env.timeout(0.6)
         assert values_in_force(world) == {(1, 1)}
-        assert (yield from world.patch(cores[2], patch_body(["r1"], 1, 1))).status == 200
+        assert (yield from world.patch(controllers[2], patch_body(["r1"], 1, 1))).status == 200
 
     assert run_world(leaves) == []
 
 
 def test_a_digest_that_was_overtaken_outlives_a_lost_disk() -> None:
     def lost(world: World) -> Script:
-        cores = world.controllers()
+        controllers = world.controllers()
         for version in (1, 2, 3):
-            yield from world.commit(cores, patch_body(["r1"], version, version))
-        for machine in cores:
-            troubles.wiped(world, machine.life, None)  # type: ignore[arg-type]
+            yield from world.commit(controllers, patch_body(["r1"], version, version))
+        for machine in controllers:
+            troubles.wiped(world, machine.incarnation, None)  # type: ignore[arg-type]
             yield world.env.timeout(3.0)
-            yield from world.joined([machine])
-        for machine in cores:
+            yield from world.wait_for_members([machine])
+        for machine in controllers:
             assert isinstance(machine.program.acceptor.state((*R1, 1)), Decision)
         assert (yield from first_clear_answer(world, 2, patch_body(["r1"], 1, 9))).status == 409
         assert (yield from first_clear_answer(world, 2, patch_body(["r1"], 1, 1))).status == 200
@@ -308,80 +310,80 @@
 
 
 def rivals(world: World) -> Script:
-    """Two conflicting orders at once; the first is then sent again to another machine, whatever its
+    """Two conflicting writes at once; the first is then sent again to another machine, whatever its
     outcome."""
     yield from world.boot(3, proxies=1)
-    world.env.process(world.witness.watch())
-    world.counting = True
-    cores = world.controllers()
+    world.env.process(world.checker.watch())
+    world.recording_points = True
+    controllers = world.controllers()
     bodies = [patch_body(["r1", "r2"], 1, 1), patch_body(["r1"], 1, 2)]
-    one = world.env.process(world.commit(cores, bodies[0], 30))
-    other = world.env.process(world.commit(cores[1:], bodies[1], 30))
+    one = world.env.process(world.commit(controllers, bodies[0], 30))
+    other = world.env.process(world.commit(controllers[1:], bodies[1], 30))
     yield one & other
-    yield from world.commit(cores[2:], bodies[0], 30)
-    world.counting = False
+    yield from world.commit(controllers[2:], bodies[0], 30)
+    world.recording_points = False
     yield world.env.timeout(3.0)
-    yield from world.witness.finish()
+    yield from world.checker.check_recovered()
     first = yield from first_clear_answer(world, 1, bodies[0], 40)
     second = yield from first_clear_answer(world, 2, bodies[1], 40)
     assert second is not None and second.status in (200, 409)
     if second.status == 200:
         assert first is None or first.status == 409
-    yield from world.witness.finish()
+    yield from world.checker.check_recovered()
 
 
 def overtaking(world: World) -> Script:
     """A version, the next one and then the first again, each sent to another machine."""
     yield from world.boot(3, proxies=1)
-    world.env.process(world.witness.watch())
-    world.counting = True
-    cores = world.controllers()
+    world.env.process(world.checker.watch())
+    world.recording_points = True
+    controllers = world.controllers()
     for at, version in ((0, 1), (1, 2), (2, 1)):
-        answer = yield from world.commit(cores[at:], patch_body(["r1"], version, version), 30)
+        answer = yield from world.commit(controllers[at:], patch_body(["r1"], version, version), 30)
         assert answer is not None and answer.status == 200
-    world.counting = False
+    world.recording_points = False
     yield world.env.timeout(3.0)
-    yield from world.witness.finish()
+    yield from world.checker.check_recovered()
 
 
-def frozen(world: World, life: Life, end: End | None) -> float | None:
-    """Freezes the process at this point, in the middle of an order."""
-    world.freeze(life.machine, 1.3)
+def frozen(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+    """Freezes the process at this point, in the middle of a write."""
+    world.freeze(incarnation.machine, 1.3)
     return 0.0
 
 
 SCRIPTS: dict[str, Play] = {"rivals": rivals, "overtaking": overtaking}
-FAULTS = {**troubles.PROCESS, **troubles.FRAME, **troubles.DISK, "frozen": frozen}
+FAULTS = {**troubles.PROCESS_FAULTS, **troubles.FRAME_FAULTS, **troubles.DISK_FAULTS, "frozen": frozen}
 MAX_POINTS = 7  # points of a script at which each fault is injected
 
 
 def points(script: Play) -> list[tuple[str, str]]:
     with World() as world:
         assert world.run(script) == []
-        return world.points
+        return world.fault_points
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_whatever_befalls_at_a_point_one_number_has_one_order(name: str, fault: str) -> None:
     script, violations_at = SCRIPTS[name], {}
-    fitting = [
+    applicable = [
         at
         for at, (kind, machine) in enumerate(points(script))
-        if machine.startswith("c") and (fault == "frozen" or fault in troubles.fitting(kind, True))
+        if machine.startswith("c") and (fault == "frozen" or fault in troubles.applicable(kind, True))
     ]
-    for at in fitting[:: -(-len(fitting) // MAX_POINTS)]:
+    for at in applicable[:: -(-len(applicable) // MAX_POINTS)]:
         with World() as world:
-            world.at, world.fault = at, FAULTS[fault]
+            world.fault_index, world.fault = at, FAULTS[fault]
             violations = world.run(script)
         if violations:
             violations_at[at] = violations[:2]
             break
-    assert fitting and not violations_at
+    assert applicable and not violations_at
 
 
 @pytest.mark.parametrize("seed", [*range(8), 1196])
 def test_a_drawn_play_breaks_nothing(seed: int) -> None:
     """For more seeds: python -m benchmarks.order_plays --plays 10000."""
-    violations, counts = play(seed)
+    violations, counts = run_play(seed)
     assert violations == [] and counts["acknowledged"] > 0, json.dumps(counts)
--- a/tests/mesh/test_pages_world.py
+++ b/tests/mesh/test_pages_world.py
@@ -1,5 +1,5 @@
-"""What the operators' pages say of starts and of many orders, in virtual time: the first start, in any order
-and with nobody listening yet; later ones, whose seeds may be others, cut off or down; a long day's orders."""
+"""Promises of the operators' pages in virtual time: a first start in any order, before anyone listens; later
+starts with seeds that changed, are cut off or down; many writes over a long day."""
 
 import itertools
 import json
@@ -10,11 +10,11 @@
 from mesh.runtime.settings import Settings
 from simulation.mesh.world import Machine, Script, World
 
-APART_S = 0.3  # all start within this
+MAX_START_SPREAD_S = 0.3  # all start within this time
 ACK_S = 4.0
 
 
-def change(version: int, name: str = "r1") -> bytes:
+def write_body(version: int, name: str = "r1") -> bytes:
     rule = {
         "name": name,
         "kind": "idempotent",
@@ -28,7 +28,7 @@
 
 
 def in_force(world: World, version: int) -> bool:
-    programs = [program for _, program in world.programs(core=False)]
+    programs = [program for _, program in world.programs(controllers=False)]
     routes = [program.routes.get("r1") for program in programs]
     return all(route is not None and route.version == version for route in routes)
 
@@ -38,91 +38,99 @@
 
 @pytest.mark.parametrize("order", ORDERS, ids=str)
 def test_the_first_start_goes_in_any_order_with_no_seed_listening_yet(order: tuple[int, ...]) -> None:
-    """Three founders, one more control process and one sidecar, as far apart as they may be."""
+    """Three founders, a fourth controller and a proxy, started as far apart as allowed."""
 
     def first(world: World) -> Script:
         world.founders = [world.add(f"c{n}", f"10.0.0.{n}") for n in range(1, 4)]
-        machines = [*world.founders, world.add("c4", "10.0.0.4"), world.add("s1", "10.0.1.1", core=False)]
+        machines = [
+            *world.founders,
+            world.add("c4", "10.0.0.4"),
+            world.add("s1", "10.0.1.1", controller=False),
+        ]
         began = world.env.now
         for at in order:
             world.start(machines[at], cold=True)
-            yield world.env.timeout(APART_S / (len(order) - 1))
-        answer = yield from world.commit(world.controllers(), change(1))
+            yield world.env.timeout(MAX_START_SPREAD_S / (len(order) - 1))
+        answer = yield from world.commit(world.controllers(), write_body(1))
         assert answer.status == 200 and world.env.now - began < ACK_S
-        yield from world.until(lambda: in_force(world, 1), 2.0, "the route is in force")
-        yield from world.joined(world.controllers())
-        programs = [program for _, program in world.programs(core=True)]
+        yield from world.wait_until(lambda: in_force(world, 1), 2.0, "the route is in force")
+        yield from world.wait_for_members(world.controllers())
+        programs = [program for _, program in world.programs(controllers=True)]
         assert all(len(program.member_set.members()) == 4 for program in programs)
-        yield from world.witness.finish()
+        yield from world.checker.check_recovered()
 
     with World() as world:
         assert world.run(first) == []
 
 
-class Reseeded(World):
-    """Whose later starts are told of other seeds."""
+class ReseededWorld(World):
+    """A world in which later starts have other seeds."""
 
     seeds: tuple[str, ...] = ()
 
     def settings(self, machine: Machine, cold: bool) -> Settings:
-        told = super().settings(machine, cold)
+        settings = super().settings(machine, cold)
         if cold or not self.seeds:
-            return told
-        fields: dict[str, Any] = {name: getattr(told, name) for name in Settings.__struct_fields__}
+            return settings
+        fields: dict[str, Any] = {name: getattr(settings, name) for name in Settings.__struct_fields__}
         return Settings(**{**fields, "seeds": tuple((host, 8146) for host in self.seeds)})
 
 
 def test_a_later_start_goes_by_one_seed_that_can_be_had_and_others_by_what_they_know() -> None:
     def later(world: World) -> Script:
-        assert isinstance(world, Reseeded)
+        assert isinstance(world, ReseededWorld)
         yield from world.boot(5, proxies=2)
-        yield from world.commit(world.controllers(), change(1))
-        cores = world.machines
-        world.seeds = ("10.0.0.1", "10.0.9.8", "10.0.0.5")  # one goes, one never was, one joined later
-        for _, program in world.programs(core=True) + world.programs(core=False):
-            program.apply_settings(world.settings(cores[program.settings.node], False))
-        world.power_off(cores["c1"])
+        yield from world.commit(world.controllers(), write_body(1))
+        machines = world.machines
+        # One goes away, one never existed, one joined later.
+        world.seeds = ("10.0.0.1", "10.0.9.8", "10.0.0.5")
+        for _, program in world.programs(controllers=True) + world.programs(controllers=False):
+            program.apply_settings(world.settings(machines[program.settings.node], False))
+        world.power_off(machines["c1"])
         for name in ("s1", "c3"):
-            world.kill(cores[name])
-            world.restart(cores[name])
+            world.kill(machines[name])
+            world.restart(machines[name])
         yield world.env.timeout(2.0)
-        answer = yield from world.commit([cores["c3"]], change(2))
+        answer = yield from world.commit([machines["c3"]], write_body(2))
         assert answer.status == 200
-        yield from world.until(lambda: in_force(world, 2), 3.0, "the route is in force")
-        assert cores["s1"].program.configured()
-        # Seeds that are all down are nothing to one that runs: it goes by what it knows.
+        yield from world.wait_until(lambda: in_force(world, 2), 3.0, "the route is in force")
+        assert machines["s1"].program.configured()
+        # A running process needs none of its seeds: it uses the addresses that it knows.
         world.seeds = ("10.0.9.7", "10.0.9.8", "10.0.9.9")
-        for _, program in world.programs(core=True) + world.programs(core=False):
-            program.apply_settings(world.settings(cores[program.settings.node], False))
-        yield from world.commit([cores["c4"]], change(3))
-        yield from world.until(lambda: in_force(world, 3), 3.0, "the route is in force")
-        # So does a control process that starts, since the others call it.
-        world.kill(cores["c3"])
-        world.restart(cores["c3"])
+        for _, program in world.programs(controllers=True) + world.programs(controllers=False):
+            program.apply_settings(world.settings(machines[program.settings.node], False))
+        yield from world.commit([machines["c4"]], write_body(3))
+        yield from world.wait_until(lambda: in_force(world, 3), 3.0, "the route is in force")
+        # Nor does a controller that starts, since the others connect to it.
+        world.kill(machines["c3"])
+        world.restart(machines["c3"])
         yield world.env.timeout(3.0)
-        assert (yield from world.commit([cores["c3"]], change(4))).status == 200
+        assert (yield from world.commit([machines["c3"]], write_body(4))).status == 200
 
-    with Reseeded() as world:
+    with ReseededWorld() as world:
         assert world.run(later) == []
 
 
 def test_a_sidecar_that_can_have_none_of_its_seeds_goes_by_what_the_others_tell_it() -> None:
     def later(world: World) -> Script:
-        assert isinstance(world, Reseeded)
+        assert isinstance(world, ReseededWorld)
         yield from world.boot(3, proxies=2)
-        yield from world.commit(world.controllers(), change(1))
+        yield from world.commit(world.controllers(), write_body(1))
         one, two = world.machines["s1"], world.machines["s2"]
-        yield from world.until(lambda: two.program.membership.address("s1") is not None, 3.0, "it is known")
+        yield from world.wait_until(
+            lambda: two.program.membership.address("s1") is not None, 3.0, "it is known"
+        )
         world.seeds = ("10.0.9.7", "10.0.9.8", "10.0.9.9")
         world.kill(one)
         world.restart(one)
         yield world.env.timeout(2.0)
         assert not one.program.channels.open
         peer_links = two.program.peer_links
-        two.life.context.run(peer_links.open_early, "s1", passage_address(two))  # as its calls would
-        yield from world.until(lambda: in_force(world, 1), 3.0, "the route is in force")
+        # As its calls would do.
+        two.incarnation.context.run(peer_links.open_early, "s1", passage_address(two))
+        yield from world.wait_until(lambda: in_force(world, 1), 3.0, "the route is in force")
 
-    with Reseeded() as world:
+    with ReseededWorld() as world:
         assert world.run(later) == []
 
 
@@ -134,16 +142,18 @@
 
 
 def test_eight_orders_at_once_and_hundreds_a_day_are_each_acknowledged_in_time() -> None:
-    """Each to any of the processes, and each sent again as it was, as where its answer was lost."""
+    """Each is sent to any of the controllers, and repeated as after a lost answer."""
 
     def day(world: World) -> Script:
         yield from world.boot(3, proxies=2)
-        cores, left, late = world.controllers(), [0], []
+        controllers, left, late = world.controllers(), [0], []
 
         def order(version: int, name: str, first: int) -> Script:
             began = world.env.now
             for at in (first, first + 1):
-                answer = yield from world.commit(cores[at % 3 :] + cores[: at % 3], change(version, name))
+                answer = yield from world.commit(
+                    controllers[at % 3 :] + controllers[: at % 3], write_body(version, name)
+                )
                 assert answer.status == 200
             if world.env.now - began >= 2 * ACK_S:
                 late.append((version, name))
@@ -156,13 +166,14 @@
             while left[0]:
                 yield world.env.timeout(0.05)
         assert not late
-        yield from world.until(lambda: in_force(world, ROUNDS), 3.0, "the last of each is in force")
-        for _, program in world.programs(core=True) + world.programs(core=False):
+        yield from world.wait_until(
+            lambda: in_force(world, ROUNDS), 3.0, "the last version of each is in force"
+        )
+        for _, program in world.programs(controllers=True) + world.programs(controllers=False):
             held = [key for key in program.config_store.items if key[0] == "route"]
-            assert (
-                len(held) == AT_ONCE and len(program.config_store.vector) < 10
-            )  # versions leave nothing behind
-        for _, program in world.programs(core=True):
+            # Old versions leave nothing behind.
+            assert len(held) == AT_ONCE and len(program.config_store.vector) < 10
+        for _, program in world.programs(controllers=True):
             proposer_host = program.proposer_host
             assert not (
                 proposer_host._pending_writes
@@ -170,7 +181,7 @@
                 or proposer_host.reads.pending_count
                 or proposer_host.acceptor_host.acceptor.votes
             )
-        yield from world.witness.finish()
+        yield from world.checker.check_recovered()
 
     with World() as world:
         assert world.run(day) == []
--- a/tests/mesh/test_silence_model.py
+++ b/tests/mesh/test_silence_model.py
@@ -10,7 +10,7 @@
 from mesh.membership import failure_detection
 from mesh.membership.failure_detection import NodeInfo, SilenceReport, SilenceThresholds, Verdict
 from rigs.silence_model import SCENARIOS, SilenceModel
-from simulation.mesh.seeds import Patch, most_of_the_store_is_silent
+from simulation.mesh.seeds import Patch, assess_silence_by_store_majority
 from statecheck import explore
 
 
@@ -22,7 +22,7 @@
 
 
 def counts_dead_nodes_of_the_zone(patch: Patch) -> None:
-    patch.setattr(failure_detection, "assess_silence", most_of_the_store_is_silent)
+    patch.setattr(failure_detection, "assess_silence", assess_silence_by_store_majority)
 
 
 def drops_silent_zones(patch: Patch) -> None:
