--- a/lab/launch.py
+++ b/lab/launch.py
@@ -12,7 +12,7 @@
 
 from lab.revisions import ROOT
 from rigs.fleet import CLOCK_TICKS_PER_S, START_TIMEOUT_S, StartError
-from rigs.zygote import Forked, Zygote
+from rigs.zygote import ForkedProcess, Zygote
 
 LINES_KEPT = 50  # of what a process said last
 
@@ -20,7 +20,9 @@
 class Program:
     """A sidecar that runs, the port on which it listens, and what it said last."""
 
-    def __init__(self, process: Forked, port: int, said: deque[str], reader: asyncio.StreamReader) -> None:
+    def __init__(
+        self, process: ForkedProcess, port: int, said: deque[str], reader: asyncio.StreamReader
+    ) -> None:
         self.process, self.port, self.said, self._reader = process, port, said, reader
         self._rest: asyncio.Task[None] | None = None
 
@@ -57,7 +59,7 @@
         self.pids: list[int] = []
 
     async def begin(self) -> None:
-        await self._zygote.begin()
+        await self._zygote.start()
 
     async def program(self, config: str, operator: str = "") -> Program:
         """Starts a sidecar with this text as its JSON configuration and, if not empty, this operator's file.
--- a/rigs/import_trace.py
+++ b/rigs/import_trace.py
@@ -1,10 +1,10 @@
-"""Runs a module as its program and writes down what each import costs and who asks for it.
+"""Runs a module as a program and records the cost and the importer of each import.
 
     python -S -m rigs.import_trace FILE MODULE
 
-A line of FILE for each import that has ended: module, who asked, then for all that it loaded and for itself
-alone the kilobytes of anonymous memory and the milliseconds of processor time, between tabs. It uses nothing
-that is not loaded already, so that what it adds stays small.
+FILE gets a line for each finished import, separated by tabs: the module, its importer, then the kilobytes of
+anonymous memory and the milliseconds of CPU time, first with and then without nested imports. This module
+imports only what is already loaded, so that it adds little itself.
 """
 
 import _frozen_importlib as importer
@@ -15,43 +15,43 @@
 
 
 def anonymous_kb() -> int:
-    """Of this process; counts whole pages, as whoever charges for them does."""
+    """Returns the anonymous memory of this process in whole pages, as it is charged."""
     with open("/proc/self/statm", "rb") as file:
         fields = file.read().split()
     return (int(fields[1]) - int(fields[2])) * PAGE_KB
 
 
-def follow(path: str) -> None:
-    """Every import from now on is written down."""
+def trace_imports(path: str) -> None:
+    """Records every import from now on."""
     load = importer._load_unlocked  # type: ignore[attr-defined]
-    below = [[0, 0.0]]  # what the imports within each unfinished one took
+    nested = [[0, 0.0]]  # kilobytes and milliseconds of the nested imports of each unfinished import
 
     def traced(spec):  # type: ignore[no-untyped-def]
         frame = sys._getframe(1)
         while frame.f_back is not None and "importlib" in frame.f_code.co_filename:
             frame = frame.f_back
-        began_kb, began = anonymous_kb(), time.process_time()
-        below.append([0, 0.0])
+        start_kb, start_s = anonymous_kb(), time.process_time()
+        nested.append([0, 0.0])
         try:
             return load(spec)
         finally:
-            took_kb, took_ms = anonymous_kb() - began_kb, (time.process_time() - began) * 1000.0
-            inner_kb, inner_ms = below.pop()
-            below[-1][0] += took_kb
-            below[-1][1] += took_ms
-            own = f"{took_kb - inner_kb}\t{took_ms - inner_ms:.2f}"
+            total_kb, total_ms = anonymous_kb() - start_kb, (time.process_time() - start_s) * 1000.0
+            nested_kb, nested_ms = nested.pop()
+            nested[-1][0] += total_kb
+            nested[-1][1] += total_ms
+            own = f"{total_kb - nested_kb}\t{total_ms - nested_ms:.2f}"
             with open(path, "a") as file:
                 file.write(
-                    f"{spec.name}\t{frame.f_globals.get('__name__')}\t{took_kb}\t{took_ms:.2f}\t{own}\n"
+                    f"{spec.name}\t{frame.f_globals.get('__name__')}\t{total_kb}\t{total_ms:.2f}\t{own}\n"
                 )
 
     importer._load_unlocked = traced  # type: ignore[attr-defined]
 
 
 def main() -> None:
-    """Of this command."""
+    """Runs the command."""
     path, module = sys.argv[1:3]
-    follow(path)
+    trace_imports(path)
     import runpy
 
     sys.argv = [module]
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -1,4 +1,4 @@
-"""One whole sidecar that runs, the upstream beside it, and another sidecar that sends calls there."""
+"""Runs one complete sidecar in the test process, with its local upstream and a peer sidecar that calls it."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from rigs.mesh_peers import Client, Upstream, free_ports, play, route, soon, turns, until, write_settings
 
 
-class Beside:
-    """A sidecar that runs, the upstream beside it, and the operators' item."""
+class SidecarRig:
+    """A running sidecar and its local upstream."""
 
     def __init__(self, folder: Path, ports: list[int], upstream: Upstream, grace_s: float) -> None:
-        """``ports``: for peers, control, outbound and readiness."""
+        """``ports`` are those for peers, control, outbound and readiness."""
         file = folder / "side.toml"
         write_settings(
             *(file, "n1", "127.0.0.1", "auxiliary", ports, ["127.0.0.9"], upstream.address, "s"),
@@ -32,35 +32,39 @@
         self.peers, self.control, self.outbound, self.readiness = (("127.0.0.1", port) for port in ports)
         self._version = 0
 
-    def take(self, kind: str, name: str, value: dict[str, Any] | None) -> None:
-        """An item comes, as news would bring it; no value: it is dropped."""
+    def apply_item(self, kind: str, name: str, value: dict[str, Any] | None) -> None:
+        """Applies a configuration item as dissemination would; without a value, the item is deleted."""
         self._version += 1
         item = self.proxy.config_store.write(kind, name, self._version, value)
         self.proxy._on_items("charter", [item])  # type: ignore[list-item]
 
     async def client(self) -> Client:
-        """A connection of a client."""
+        """Opens a client connection."""
         return await Client.connect(self.outbound)
 
-    async def open(self, count: int) -> None:
-        """Waits until so many connections of clients are open."""
+    async def wait_for_clients(self, count: int) -> None:
+        """Waits until exactly ``count`` client connections are open."""
         await until(lambda: self.proxy.client_listener.held() == count)
 
 
-def beside(folder: Path, test: Callable[[Beside], Awaitable[None]], grace_s: float = 6.0) -> None:
-    """Runs ``test`` on one sidecar, which has ended when this returns."""
+def run_with_sidecar(
+    folder: Path, test: Callable[[SidecarRig], Awaitable[None]], grace_s: float = 6.0
+) -> None:
+    """Runs ``test`` with one sidecar, which has stopped when this returns."""
 
     async def run() -> None:
         upstream = Upstream(behavior=lambda message: message.target.rpartition(b"/")[2].decode())
         await upstream.start()
-        there = Beside(folder, free_ports(["127.0.0.1"], 4), upstream, grace_s)
-        proxy = there.proxy
+        rig = SidecarRig(folder, free_ports(["127.0.0.1"], 4), upstream, grace_s)
+        proxy = rig.proxy
         await proxy.start()
-        there.take("plant", "s", {"name": "s", "epoch": "r1"})
-        there.take("route", "read", {**route("read", "/read/", "s", horizon_ms=30_000), "host": "h.example"})
-        assert await upstream.send_heartbeat(there.control) == 200
+        rig.apply_item("plant", "s", {"name": "s", "epoch": "r1"})
+        rig.apply_item(
+            "route", "read", {**route("read", "/read/", "s", horizon_ms=30_000), "host": "h.example"}
+        )
+        assert await upstream.send_heartbeat(rig.control) == 200
         try:
-            await test(there)
+            await test(rig)
         finally:
             upstream.release.set()
             proxy.upstream_connections.close()
@@ -77,34 +81,34 @@
     play(run)
 
 
-class Other:
-    """Another sidecar, as far as it sends calls here; it reads when it is told to."""
+class PeerSidecar:
+    """The sending side of a peer sidecar; it reads only in ``next_end``."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Says who it is."""
+        """Sends its hello frame."""
         self.reader, self.writer, self.frames = reader, writer, Frames()
         self.frames.decode = decode_from_second_hop
         writer.write(frame({"t": "hello", "node": "n2", "for": "calls"}))
 
     @staticmethod
-    async def to(there: Beside) -> Other:
-        """A link to that sidecar."""
-        return Other(*await soon(asyncio.open_connection(*there.peers, limit=1024)))
+    async def connect(rig: SidecarRig) -> PeerSidecar:
+        """Connects to the sidecar of ``rig``."""
+        return PeerSidecar(*await soon(asyncio.open_connection(*rig.peers, limit=1024)))
 
     def send(self, number: int, path: str, body: bytes = b"") -> None:
-        """Sends a call."""
-        self.writer.write(frame(passing(f"b{number}", path, body).head(number), body))
+        """Sends a call frame."""
+        self.writer.write(frame(peer_call(f"b{number}", path, body).head(number), body))
 
-    async def end(self) -> End:
-        """The next end of a call."""
+    async def next_end(self) -> End:
+        """Returns the next end of a call."""
         while True:
             data = await soon(self.reader.read(1 << 20))
-            found = [one for one in self.frames.feed(data) if isinstance(one[0], EndHead)]
-            if found:
-                return read_end(*found[0])
+            ends = [item for item in self.frames.feed(data) if isinstance(item[0], EndHead)]
+            if ends:
+                return read_end(*ends[0])
 
 
-def passing(attempt: str, path: str, body: bytes = b"") -> Call:
-    """A call for the upstream beside the sidecar."""
+def peer_call(attempt: str, path: str, body: bytes = b"") -> Call:
+    """Returns a call from a peer sidecar for the local upstream."""
     headers = [(b"host", b"h.example")]
     return Call(attempt, b"POST", path.encode(), headers, body, "i-1", "other", 30_000.0, 0.5, 20.0)
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -13,7 +13,7 @@
 from mesh.data_plane.call_messages import Call, CallHead, read_call
 from mesh.data_plane.service_tables import ServiceBalancers
 from rigs.mesh_peers import soon, turns, until
-from rigs.whole_sidecar import Beside, beside, passing
+from rigs.whole_sidecar import SidecarRig, peer_call, run_with_sidecar
 
 
 def test_a_call_is_taken_for_a_repeats_by_its_deadline_while_that_runs() -> None:
@@ -41,7 +41,7 @@
 
 
 def test_a_frame_tells_a_repeat_and_an_older_programs_has_none() -> None:
-    call = replace(passing("a1", "/x"), repeat=True)
+    call = replace(peer_call("a1", "/x"), repeat=True)
     head = call.head(1)
     assert read_call(head, b"").repeat
     told = msgspec.to_builtins(head)
@@ -63,10 +63,10 @@
 
 
 def test_the_calls_of_a_repeats_run_are_told_on_as_repeats_and_charged(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, sent = there.proxy, Sent(there.proxy.balancers)
         ended: list[object] = []
-        repeat = replace(passing("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
+        repeat = replace(peer_call("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
         proxy.upstream_dispatch.accept(repeat, ended.append)
         assert (await soon(there.upstream.incoming.get())).get(b"attempt-id") == "b1"
 
@@ -85,4 +85,4 @@
         assert (await client.request("later", "/read/ok", time_remaining_ms=2000)).status == 200
         assert not sent.calls[-1].repeat
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
--- a/tests/mesh/test_data_plane_rollouts.py
+++ b/tests/mesh/test_data_plane_rollouts.py
@@ -13,7 +13,7 @@
 
 from mesh.data_plane.shutdown import NOTICE_S
 from rigs.mesh_peers import Client, move, route, soon, turns, until
-from rigs.whole_sidecar import Beside, beside
+from rigs.whole_sidecar import SidecarRig, run_with_sidecar
 
 CHANGES = 150
 DEPTH = 4  # requests that a client sends before it reads
@@ -24,7 +24,7 @@
     """Clients that send until they are stopped or no connection is accepted; some pipeline. When a response
     closes their connection they open the next one."""
 
-    def __init__(self, there: Beside, paths: tuple[str, ...]) -> None:
+    def __init__(self, there: SidecarRig, paths: tuple[str, ...]) -> None:
         self.there, self.paths = there, paths
         self.stopped = False
         self.sent = self.answered = 0
@@ -68,28 +68,28 @@
         return True
 
 
-def change(there: Beside, number: int) -> None:
+def change(there: SidecarRig, number: int) -> None:
     """Changes each kind of configuration item once and applies the settings again."""
     rule = route(
         "read", "/read/", "s", horizon_ms=30_000 - number, setpoint_ms=500 + number, trials=1 + number % 3
     )
-    there.take("route", "read", {**rule, "host": "h.example"})
+    there.apply_item("route", "read", {**rule, "host": "h.example"})
     added = f"more-{number % 20}"
     more = {**route(added, f"/{added}/", "s"), "host": "h.example"}
-    there.take("route", added, more if number % 40 < 20 else None)
+    there.apply_item("route", added, more if number % 40 < 20 else None)
     limits = {
         **LIMITS,
         "header_lag_ms": 300 + 100 * (number % 28),
         "quiescent_ms": 2000 + 500 * (number % 27),
     }
-    there.take("input_limits", "input_limits", limits)
-    there.take("plant", "s", {"name": "s", "epoch": f"r{number}", "conn_saturation": 20 + number % 90})
+    there.apply_item("input_limits", "input_limits", limits)
+    there.apply_item("plant", "s", {"name": "s", "epoch": f"r{number}", "conn_saturation": 20 + number % 90})
     seeds = (("127.0.0.8" if number % 2 else "127.0.0.9", 1),)
     there.proxy.apply_settings(replace(there.proxy.settings, seeds=seeds))
 
 
 def test_changes_and_settings_in_quick_turn_cut_off_and_fail_no_request(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         traffic = Traffic(there, ("/read/ok",))
         clients = [
             asyncio.get_running_loop().create_task(traffic.client(f"c{at}", 1 + at % DEPTH))
@@ -104,11 +104,11 @@
         assert (traffic.lost, traffic.failed) == ([], [])
         assert traffic.answered == traffic.sent > CHANGES
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_change_that_ends_connections_in_use_is_seen(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         traffic = Traffic(there, ("/read/hold",))
         clients = [asyncio.get_running_loop().create_task(traffic.client(f"c{at}", 1)) for at in range(4)]
         await until(lambda: len(there.upstream.received) == len(clients))
@@ -120,11 +120,11 @@
         await soon(asyncio.gather(*clients))
         assert len(traffic.lost) == 2
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_an_end_on_live_traffic_loses_no_request_that_ran(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         traffic, loop = Traffic(there, ("/read/ok",)), asyncio.get_running_loop()
         clients = [loop.create_task(traffic.client(f"c{at}", 1 + at % DEPTH)) for at in range(12)]
         await until(lambda: traffic.answered > 50)
@@ -140,25 +140,25 @@
         assert traffic.lost == []
         assert {status for _, status in traffic.failed} <= {503}  # its own upstream accepts nothing new
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_change_of_the_time_to_send_cuts_off_no_client_that_reads_slowly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         client_listener, loop, body = (
             there.proxy.client_listener,
             asyncio.get_running_loop(),
             b"x" * (1 << 20),
         )
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
-        there.take("input_limits", "input_limits", LIMITS)
+        there.apply_item("input_limits", "input_limits", LIMITS)
         small = socket.socket()
         small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
         small.connect(there.outbound)
         stream, writer = await asyncio.open_connection(sock=small, limit=1024)
-        await there.open(1)
+        await there.wait_for_clients(1)
         (connection,) = client_listener._connections
         await until(lambda: connection.transport is not None)
         assert connection.transport is not None
@@ -167,7 +167,7 @@
         client = Client(stream, writer)
         client.send("a1", "/read/ok", body=body, time_remaining_ms=30_000)
         await until(lambda: connection.choked)
-        there.take("input_limits", "input_limits", {**LIMITS, "header_lag_ms": 100})
+        there.apply_item("input_limits", "input_limits", {**LIMITS, "header_lag_ms": 100})
         client_listener._sweep()
         for _ in range(4):
             move(0.5)
@@ -179,11 +179,11 @@
         writer.transport.abort()
         monkeypatch.undo()
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_the_bounds_that_settings_tell_anew_hold_from_then_on(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, client = there.proxy, await there.client()
         assert (await client.request("a1", "/read/ok")).status == 200
         bounds = replace(proxy.settings.bounds, retry_ratio=0.0, retry_slack=2.0, drain_ms=700.0)
@@ -192,4 +192,4 @@
         assert [budget.try_spend(proxy.balancers.now(), 1) for _ in range(2)] == [True, False]
         assert proxy.upstream.drain_ms == 700.0
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -26,12 +26,12 @@
 from mesh.runtime.grace import EXIT_S, EXIT_SHARE, exit_after_s
 from mesh.transport.frames import frame
 from rigs.mesh_peers import Client, move, soon, turns, until
-from rigs.whole_sidecar import Beside, Other, beside, passing
+from rigs.whole_sidecar import PeerSidecar, SidecarRig, peer_call, run_with_sidecar
 
 GRACE_S = 6.0
 
 
-def ending(there: Beside) -> asyncio.Task[None]:
+def ending(there: SidecarRig) -> asyncio.Task[None]:
     """Starts the shutdown."""
     return asyncio.get_running_loop().create_task(there.proxy.stop())
 
@@ -43,7 +43,7 @@
         await turns()
 
 
-def keep(there: Beside) -> None:
+def keep(there: SidecarRig) -> None:
     """Its own upstream accepts calls, like another sidecar's: only the client side shuts down."""
     there.proxy.upstream.shut_down = lambda _: []  # type: ignore[method-assign]
 
@@ -67,7 +67,7 @@
     """Guards against the fault of docs/incidents/cut-long-after-sigterm.md: of two ready responses each took
     the other for the last one."""
 
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         client = await there.client()
         client.send("a1", "/read/hold")
@@ -87,11 +87,11 @@
         await passed(NOTICE_S + 0.2)
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_a_request_that_comes_long_after_sigterm_is_refused_and_runs_nowhere(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         client = await there.client()
         client.write(b"GET /read/ok HTTP/1.1\r\nhost: h.example\r\n")  # a part of it
@@ -107,11 +107,11 @@
         client.abort()
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_once_there_is_no_time_nothing_is_read_behind_what_has_been_read(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         client = await there.client()
         client.send("a1", "/read/hold")
@@ -128,11 +128,11 @@
         client.abort()
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_clients_are_told_how_long_a_connection_may_rest_and_none_is_closed_before(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         client = await there.client()
         answer = await client.request("a1", "/read/ok")
@@ -148,11 +148,11 @@
         await passed(NOTICE_S)
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_a_connection_that_rested_for_as_long_as_it_may_is_closed_and_holds_up_no_end(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         loop = asyncio.get_running_loop()
         early, late = await there.client(), await there.client()
         await early.request("a1", "/read/ok")
@@ -171,29 +171,29 @@
         await soon(ends)
         assert loop.time() - at < NOTICE_S + TRANSIT_S + 1.0
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_what_is_told_keeps_within_the_operators_limit_and_follows_it(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         client_listener = there.proxy.client_listener
         for quiescent_ms, told in (15_000, 2), (2000, int(IDLE_SHARE * 2.25)), (500, 0):
-            there.take("input_limits", "input_limits", {"quiescent_ms": quiescent_ms})
+            there.apply_item("input_limits", "input_limits", {"quiescent_ms": quiescent_ms})
             assert client_listener.idle_s == told
             client = await there.client()
             answer = await client.request("a1", "/read/ok")
             assert answer.get(b"keep-alive") == (f"timeout={told}" if told else None)
             client.abort()
         bounds = replace(there.proxy.settings.bounds, grace_s=20.0)
-        there.take("input_limits", "input_limits", {"quiescent_ms": 15_000})
+        there.apply_item("input_limits", "input_limits", {"quiescent_ms": 15_000})
         there.proxy.apply_settings(replace(there.proxy.settings, bounds=bounds))
         assert client_listener.idle_s == 2
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_a_connection_that_was_opened_at_the_last_moment_still_brings_its_request(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         ends = ending(there)
         await passed(NOTICE_S - 0.1)
@@ -210,11 +210,11 @@
         client.abort()
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_what_comes_behind_the_last_answer_does_not_reset_it(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         client_listener, client = there.proxy.client_listener, await there.client()
         client.send("a1", "/read/hold")
@@ -235,13 +235,13 @@
         await passed(NOTICE_S)
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_a_client_that_takes_its_last_answer_slowly_gets_all_of_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
         loop, body = asyncio.get_running_loop(), b"x" * 6_000_000
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
@@ -261,13 +261,13 @@
         client.abort()
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_what_no_upstream_has_at_the_exit_is_refused_and_what_one_has_is_left_without_a_word(
     tmp_path: Path,
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, told = there.proxy, []
         keep(there)
         monitored = proxy.event_log.emit
@@ -292,13 +292,13 @@
         assert (events.CALLS_ABANDONED, {"requests": 9, "calls": 9}) in told
         assert proxy.client_listener.held() >= 9  # the kernel closes them at the exit, without a response
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 # Links of other sidecars
 
 
-async def last_words(other: Other) -> list[object]:
+async def last_words(other: PeerSidecar) -> list[object]:
     """The heads received until the link ends or nothing more arrives."""
     found: list[object] = []
     while True:
@@ -314,12 +314,12 @@
 
 
 def test_other_sidecars_learn_at_the_end_which_calls_were_taken(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
-        other = await Other.to(there)
+    async def test(there: SidecarRig) -> None:
+        other = await PeerSidecar.connect(there)
         other.send(1, "/read/ok")
-        assert isinstance(await other.end(), UpstreamResponse)
+        assert isinstance(await other.next_end(), UpstreamResponse)
         other.send(2, "/read/ok")
-        assert isinstance(await other.end(), UpstreamResponse)
+        assert isinstance(await other.next_end(), UpstreamResponse)
         (link,) = there.proxy.incoming_links
         ends = ending(there)
         await passed(NOTICE_S + 0.1)
@@ -334,43 +334,43 @@
         await passed(0.3)
         await soon(ends)
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_a_call_that_waits_for_a_place_at_the_exit_is_turned_away(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         keep(there)
-        proxy, other = there.proxy, await Other.to(there)
+        proxy, other = there.proxy, await PeerSidecar.connect(there)
         for number in range(1, 11):
             other.send(number, "/read/hold")
         await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         proxy.upstream_dispatch.reject_queued()
-        found = await other.end()
+        found = await other.next_end()
         assert found == NotExecuted(RejectReason.LEAVING)
         assert len(proxy.upstream_dispatch.running) == 9
         other.writer.close()
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_a_call_whose_body_is_not_whole_at_the_exit_is_turned_away(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
-        other = await Other.to(there)
-        head = passing("b1", "/read/ok", b"x" * 100_000).head(1, in_pieces=True)
+    async def test(there: SidecarRig) -> None:
+        other = await PeerSidecar.connect(there)
+        head = peer_call("b1", "/read/ok", b"x" * 100_000).head(1, in_pieces=True)
         other.writer.write(frame(head) + frame(BodyPiece(number=1), b"x" * 1000))
         await until(lambda: bool(there.proxy.incoming_links))
         (link,) = there.proxy.incoming_links
         await until(lambda: isinstance(link.peer, IncomingCalls) and link.peer.receiving)
         assert isinstance(link.peer, IncomingCalls)
         link.peer.leave()
-        assert await other.end() == NotExecuted(RejectReason.LEAVING)
+        assert await other.next_end() == NotExecuted(RejectReason.LEAVING)
         other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest arrives too late
         await turns()
         assert there.upstream.received == [] and not link.peer.receiving and link.owed_replies == 0
         assert there.proxy.request_dispatcher.bodies.held_bytes == 0
         other.writer.close()
 
-    beside(tmp_path, test, grace_s=GRACE_S)
+    run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
 
 def test_the_word_that_an_end_is_near_is_read_as_what_it_is() -> None:
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -14,7 +14,7 @@
 from mesh.membership.instance_commands import DECAYING, SETTLED
 from mesh.membership.instance_lifecycle import FINAL_VERSION, SILENT_HEARTBEATS
 from rigs.mesh_peers import Upstream, call, move, soon, turns, until
-from rigs.whole_sidecar import Beside, beside
+from rigs.whole_sidecar import SidecarRig, run_with_sidecar
 
 
 def told(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
@@ -44,7 +44,7 @@
 def test_lives_before_the_one_that_beats_here_are_gone_and_others_machines_are_left_alone(
     tmp_path: Path,
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy = there.proxy
         told(proxy, "i-before", 5000, value())
         told(proxy, "i-elsewhere", 5000, value(node="n2"))
@@ -53,13 +53,13 @@
         assert proxy.membership_store.items[INSTANCE, "i-before"].version == FINAL_VERSION
         assert (state(proxy, "i-elsewhere"), state(proxy, "i-1")) == (SETTLED, SETTLED)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_without_a_beat_what_is_said_of_this_machine_stands_until_the_upstream_was_silent(
     tmp_path: Path,
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy = there.proxy
         there.upstream.instance = "i-late"
         proxy.upstream.heartbeat = None  # as before the first heartbeat
@@ -72,22 +72,22 @@
         proxy.registry.reconcile()
         assert (state(proxy, "i-1"), state(proxy, "i-drains")) == (None, None)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_one_that_the_others_gave_up_and_that_beats_is_said_again_above_their_word(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy = there.proxy
         told(proxy, "i-1", FINAL_VERSION, None)
         proxy.registry.reconcile()
         assert state(proxy, "i-1") == SETTLED
         assert proxy.membership_store.items[INSTANCE, "i-1"].version > FINAL_VERSION
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_beat_of_a_life_that_is_over_is_not_acknowledged_and_nothing_is_said_of_it(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, upstream = there.proxy, Upstream("i-dead", "s")
         upstream.address = there.upstream.address
         told(proxy, "i-dead", FINAL_VERSION, None)
@@ -95,21 +95,21 @@
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
         assert await there.upstream.send_heartbeat(there.control) == 200
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_what_was_said_of_the_dead_once_more_above_its_end_is_taken_back(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy = there.proxy
         told(proxy, "i-dead", FINAL_VERSION + 1, value())
         proxy.registry.reconcile()
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_at_an_end_the_others_are_told_first_and_clients_answered_until_they_know(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, loop = there.proxy, asyncio.get_running_loop()
         told_in_turn: list[str | None] = []
         proxy.channels.schedule_answers = lambda: told_in_turn.append(state(proxy, "i-1"))  # type: ignore[method-assign]
@@ -129,14 +129,14 @@
         move(1.0)
         await soon(ends)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_settings_that_change_leave_the_upstream_as_it_is(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         before = dict(there.proxy.membership_store.items)
         there.proxy.apply_settings(replace(there.proxy.settings, seeds=(("127.0.0.8", 1),)))
         there.proxy.registry.reconcile()
         assert there.proxy.membership_store.items == before
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -20,7 +20,7 @@
 from mesh.replication.membership_epochs import MEMBERS, VIEW
 from mesh.runtime.grace import EXIT_S as BEFORE_KILL_S
 from rigs.mesh_peers import Client, call, move, route, soon, turns, until
-from rigs.whole_sidecar import Beside, Other, beside, passing
+from rigs.whole_sidecar import PeerSidecar, SidecarRig, peer_call, run_with_sidecar
 
 TOLD = {"header_bytes": 65536, "body_bytes": 12 << 20, "header_lag_ms": 3000, "quiescent_ms": 15000}
 
@@ -32,42 +32,42 @@
 
 
 def test_a_head_may_be_as_long_as_the_operators_say_now(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         async def status(client: Client, size: int) -> int:
             return (await client.request("a1", "/read/ok", headers=[(b"x-own", b"x" * size)])).status
 
         client, other = await there.client(), await there.client()
         assert await status(other, 60_000) == 431
-        there.take("input_limits", "input_limits", TOLD)
+        there.apply_item("input_limits", "input_limits", TOLD)
         assert await status(client, 60_000) == 200  # on a connection that was open before
-        there.take("input_limits", "input_limits", {**TOLD, "header_bytes": 20_000})
+        there.apply_item("input_limits", "input_limits", {**TOLD, "header_bytes": 20_000})
         assert await status(client, 20_000) == 200
         assert await status(client, 60_000) == 431
-        there.take("input_limits", "input_limits", None)
+        there.apply_item("input_limits", "input_limits", None)
         assert await status(await there.client(), 60_000) == 431
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_body_may_be_as_long_as_the_operators_say_now(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         body = b"x" * (9 << 20)
         client = await there.client()
-        there.take("input_limits", "input_limits", TOLD)
+        there.apply_item("input_limits", "input_limits", TOLD)
         answer = await client.request("a1", "/read/ok", body=body)
         assert answer.status == 200 and answer.body.endswith(body)
-        there.take("input_limits", "input_limits", {**TOLD, "body_bytes": 8 << 20})
+        there.apply_item("input_limits", "input_limits", {**TOLD, "body_bytes": 8 << 20})
         assert (await client.request("a2", "/read/ok", body=body)).status == 413
         assert there.proxy.request_dispatcher.bodies.held_bytes == 0
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 HEAD = b"POST /read/%b HTTP/1.1\r\nhost: h.example\r\nattempt-id: %b\r\n%b\r\n"
 
 
 def test_a_body_that_memory_does_not_bear_is_503_before_it_is_read(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         bodies = there.proxy.request_dispatcher.bodies = BufferQuota(2 * 1000, 900)
         held = await there.client()
         held.send("a1", "/read/hold", body=b"x" * 600)
@@ -91,12 +91,12 @@
         assert answer is not None and answer.status == 200 and bodies.held_bytes == 0
         assert len(there.upstream.received) == 2
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_what_was_held_for_a_body_is_given_back_however_it_ends(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
-        there.take("input_limits", "input_limits", {**TOLD, "body_bytes": 1000})
+    async def test(there: SidecarRig) -> None:
+        there.apply_item("input_limits", "input_limits", {**TOLD, "body_bytes": 1000})
         bodies, size = there.proxy.request_dispatcher.bodies, b"content-length: 700\r\n"
         ways = (
             (HEAD % (b"ok", b"a1", size) + b"x" * 200, "leaves"),
@@ -118,14 +118,14 @@
                 assert answer is not None and answer.status == int(end), sent
             await until(lambda: bodies.held_bytes == 0)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_long_head_that_memory_does_not_bear_is_503_and_a_borne_one_is_counted_to_its_end(
     tmp_path: Path,
 ) -> None:
-    async def test(there: Beside) -> None:
-        there.take("input_limits", "input_limits", TOLD)
+    async def test(there: SidecarRig) -> None:
+        there.apply_item("input_limits", "input_limits", TOLD)
         heads = there.proxy.request_dispatcher.buffers.heads
         heads.max_bytes = heads.max_message_bytes = 40_000
         held = await there.client()
@@ -142,14 +142,14 @@
         assert answer is not None and answer.status == 200
         await until(lambda: heads.held_bytes == 0)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 @pytest.mark.parametrize("size", [30_000, 60_000])
 def test_an_answer_that_memory_does_not_bear_may_have_run_and_takes_no_memory(
     tmp_path: Path, size: int
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         answers = there.proxy.request_dispatcher.buffers.answers
         answers.max_bytes = answers.max_message_bytes = 50_000
         client = await there.client()
@@ -159,12 +159,12 @@
         await until(lambda: answers.held_bytes == 0)
         assert (await client.request("a2", "/read/ok")).status == 200
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_an_answer_that_its_client_does_not_read_counts_until_it_does(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
-        there.take("input_limits", "input_limits", TOLD)
+    async def test(there: SidecarRig) -> None:
+        there.apply_item("input_limits", "input_limits", TOLD)
         answers = there.proxy.request_dispatcher.buffers.answers
         client = await Client.connect(there.outbound)
         client.send("a1", "/read/ok", body=b"x" * (9 << 20))
@@ -179,7 +179,7 @@
         client.abort()
         await until(lambda: answers.held_bytes == 0)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_long_bodies_leave_room_for_short_ones() -> None:
@@ -198,60 +198,62 @@
 def test_no_connection_is_closed_idle_before_the_operators_time_and_each_is_after_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         client_listener = there.proxy.client_listener
         loop = asyncio.get_running_loop()
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
-        there.take("input_limits", "input_limits", TOLD)
+        there.apply_item("input_limits", "input_limits", TOLD)
         client_listener._most, client_listener._crowded_count = 10, 5.0
         clients = [await there.client() for _ in range(8)]
         for at, client in enumerate(clients[:7]):  # beyond all shares; one has sent no request yet
             assert (await client.request(f"a{at}", "/read/ok")).status == 200
-        await there.open(8)
+        await there.wait_for_clients(8)
         for _ in range(6):
             move(0.13 * 15.0)
             client_listener._sweep()
             await turns()
         late = await there.client()
-        await there.open(8)  # connections are short: only the one that never sent a request was closed
+        await there.wait_for_clients(
+            8
+        )  # connections are short: only the one that never sent a request was closed
         for at, client in enumerate(clients[:7]):
             assert (await client.request(f"b{at}", "/read/ok")).status == 200
         assert (await late.request("c", "/read/ok")).status == 200
         move(1.01 * 15.0)
         client_listener._sweep()
-        await there.open(0)
+        await there.wait_for_clients(0)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_connection_that_has_not_asked_may_wait_as_long_while_there_is_room(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         client_listener = there.proxy.client_listener
         loop = asyncio.get_running_loop()
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
-        there.take("input_limits", "input_limits", TOLD)
+        there.apply_item("input_limits", "input_limits", TOLD)
         early = await there.client()
-        await there.open(1)
+        await there.wait_for_clients(1)
         move(0.8 * 15.0)
         client_listener._sweep()
         assert (await early.request("a1", "/read/ok")).status == 200
-        there.take("input_limits", "input_limits", None)  # without operators' limits it may not
+        there.apply_item("input_limits", "input_limits", None)  # without operators' limits it may not
         silent = await there.client()
-        await there.open(2)
+        await there.wait_for_clients(2)
         move(IDLE_S + 0.1)
         client_listener._sweep()
         assert await silent.read() is None
         assert (await early.request("a2", "/read/ok")).status == 200
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_at_an_end_clients_are_waited_for_as_long_as_the_platform_does(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, loop = there.proxy, asyncio.get_running_loop()
         client = await there.client()
         client.send("a1", "/read/hold", time_remaining_ms=30_000)
@@ -279,14 +281,14 @@
         await soon(ends)
         monkeypatch.undo()
 
-    beside(tmp_path, test, grace_s=20.0)
+    run_with_sidecar(tmp_path, test, grace_s=20.0)
 
 
 @pytest.mark.parametrize("reads", [True, False])
 def test_a_client_that_reads_slowly_gets_all_of_its_answer_and_one_that_does_not_read_is_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads: bool
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         client_listener, loop, body = (
             there.proxy.client_listener,
             asyncio.get_running_loop(),
@@ -297,7 +299,7 @@
         small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
         small.connect(there.outbound)
         stream, writer = await asyncio.open_connection(sock=small, limit=1024)
-        await there.open(1)
+        await there.wait_for_clients(1)
         (connection,) = client_listener._connections
         await until(lambda: connection.transport is not None)
         transport, found = connection.transport, b""
@@ -319,7 +321,7 @@
             assert data
         writer.transport.abort()
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 # Shutdown, and changes while requests are open
@@ -328,9 +330,9 @@
 def test_at_an_end_calls_of_other_sidecars_are_waited_for_until_their_answers_have_left(
     tmp_path: Path,
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, loop, body = there.proxy, asyncio.get_running_loop(), b"x" * 8_000_000
-        other = await Other.to(there)
+        other = await PeerSidecar.connect(there)
         other.send(1, "/read/hold", body)
         await soon(there.upstream.incoming.get())
         ends = loop.create_task(proxy.stop())
@@ -344,16 +346,16 @@
             move(0.05)
             await turns()
         assert not ends.done(), "the other has not read it yet"
-        found = await other.end()
+        found = await other.next_end()
         assert isinstance(found, UpstreamResponse) and found.body.endswith(body)
         await soon(ends)
         other.writer.close()
 
-    beside(tmp_path, test, grace_s=20.0)
+    run_with_sidecar(tmp_path, test, grace_s=20.0)
 
 
 def test_other_settings_and_another_configuration_touch_no_request_in_hand(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         client = await there.client()
         client.send("a1", "/read/hold")
         await soon(there.upstream.incoming.get())
@@ -361,20 +363,20 @@
         there.proxy.apply_settings(
             replace(settings, seeds=(("127.0.0.8", 1),), bounds=replace(settings.bounds))
         )
-        there.take("input_limits", "input_limits", {**TOLD, "header_bytes": 10, "body_bytes": 1})
-        there.take("route", "read", {**route("read", "/read/", "t"), "host": "h.example"})
-        there.take("plant", "s", None)
-        there.take("route", "read", None)
+        there.apply_item("input_limits", "input_limits", {**TOLD, "header_bytes": 10, "body_bytes": 1})
+        there.apply_item("route", "read", {**route("read", "/read/", "t"), "host": "h.example"})
+        there.apply_item("plant", "s", None)
+        there.apply_item("route", "read", None)
         await turns()
         there.upstream.release.set()
         answer = await client.read()
         assert answer is not None and (answer.status, answer.get(b"attempt-id")) == (200, "a1")
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_it_is_ready_once_it_has_heard_all_and_no_more_once_it_is_told_to_end(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         async def ready() -> bool:
             return (await call(there.readiness, b"GET", b"/"))[0] == 200
 
@@ -387,7 +389,7 @@
         move(NOTICE_S)
         await soon(ends)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_who_knows_the_members_alone_has_no_configuration_yet(tmp_path: Path) -> None:
@@ -395,20 +397,20 @@
     counted as configuration, the proxy would be ready too early and refuse the first routes with 404 while
     they are added (seen in seed 39 of the soak)."""
 
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy = there.proxy
         proxy.config_store.reset("n1.again")
         proxy.routes.remove("read")
-        there.take(VIEW, MEMBERS, {"members": {}})
+        there.apply_item(VIEW, MEMBERS, {"members": {}})
         proxy.channels.last_complete_at = asyncio.get_running_loop().time()
         client = await there.client()
         assert (await call(there.readiness, b"GET", b"/"))[0] == 503
         assert (await client.request("a1", "/read/ok")).status == 503
-        there.take("plant", "s", {"name": "s", "epoch": "r1"})
+        there.apply_item("plant", "s", {"name": "s", "epoch": "r1"})
         assert (await call(there.readiness, b"GET", b"/"))[0] == 200
         assert (await client.request("a2", "/none/ok")).status == 404
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 # Commands of the upstream
@@ -417,7 +419,7 @@
 def test_a_drain_and_a_leave_are_acknowledged_at_once_and_calls_pass_for_a_part_of_its_time(
     tmp_path: Path,
 ) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy, upstream, path = there.proxy, there.upstream, b"/instances/i-1"
 
         async def told(method: bytes, body: bytes = b"") -> int:
@@ -427,7 +429,7 @@
 
         async def passes(attempt: str) -> End:
             ended: asyncio.Future[End] = asyncio.get_running_loop().create_future()
-            proxy.upstream_dispatch.accept(passing(attempt, "/read/ok"), ended.set_result)
+            proxy.upstream_dispatch.accept(peer_call(attempt, "/read/ok"), ended.set_result)
             return await soon(ended)
 
         assert await told(b"PUT", b"no beat") == 400  # and nothing of it is applied
@@ -444,11 +446,11 @@
         assert await told(b"PUT", upstream.heartbeat_body()) == 200  # late: that incarnation has ended
         assert await passes("b5") == NotExecuted(RejectReason.DOWN)
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
 
 
 def test_a_drain_that_others_know_of_holds_after_a_restart_of_the_sidecar(tmp_path: Path) -> None:
-    async def test(there: Beside) -> None:
+    async def test(there: SidecarRig) -> None:
         proxy = there.proxy
         value = {"plant": "s", "node": "n1", "zone": "z", "epoch": "", "capacity": 8, "state": "decaying"}
         item = proxy.membership_store.write("instance", "i-9", 5000, {**value, "cold_ms": 0.0})
@@ -456,7 +458,7 @@
         proxy._on_items("roll", [item])  # type: ignore[list-item]
         proxy.registry.reconcile()
         ended: list[End] = []
-        proxy.upstream_dispatch.accept(replace(passing("b1", "/read/ok"), instance="i-9"), ended.append)
+        proxy.upstream_dispatch.accept(replace(peer_call("b1", "/read/ok"), instance="i-9"), ended.append)
         assert ended == [NotExecuted(RejectReason.LEAVING)]
 
-    beside(tmp_path, test)
+    run_with_sidecar(tmp_path, test)
