--- a/rigs/soak/link_faults.py
+++ b/rigs/soak/link_faults.py
@@ -18,12 +18,12 @@
 
     def __init__(
         self,
-        disturbances: DisturbanceRecord,
+        record: DisturbanceRecord,
         node: Callable[[str], Node],
         controllers: Callable[[], list[str]],
     ) -> None:
         """``controllers``: returns the names of the current controllers."""
-        self._disturbances, self._node, self._controllers = disturbances, node, controllers
+        self._record, self._node, self._controllers = record, node, controllers
         self._cut: list[Direction] = []  # each direction as often as it is cut
 
     async def cut(self, event: CutLinks) -> None:
@@ -45,11 +45,11 @@
     def _begin_disturbances(self, directions: Iterable[Direction]) -> list[Disturbance]:
         """Records disturbances of the proxies of these links, and of the core if links within it are cut."""
         now, controllers = self._now(), set(self._controllers())
-        disturbances = [self._disturbances.disturb_links(now)]
+        disturbances = [self._record.disturb_links(now)]
         names = {name for direction in directions for name in direction if name not in controllers}
-        disturbances += [self._disturbances.disturb_node(name, now) for name in sorted(names)]
+        disturbances += [self._record.disturb_node(name, now) for name in sorted(names)]
         if any(one in controllers and other in controllers for one, other in directions):
-            self._disturbances.disturb_core(now)
+            self._record.disturb_core(now)
         return disturbances
 
     def _end_disturbances(self, directions: Iterable[Direction], disturbances: list[Disturbance]) -> None:
@@ -57,7 +57,7 @@
         for disturbance in disturbances:
             disturbance.ended = now
         if any(one in controllers and other in controllers for one, other in directions):
-            self._disturbances.disturb_core(now)
+            self._record.disturb_core(now)
         self.update_quorum()
 
     def _update_relays(self, directions: Iterable[Direction]) -> None:
@@ -78,10 +78,10 @@
     async def degrade(self, event: DegradeLinks) -> None:
         """Degrades all links that other processes open to these nodes, for the event's duration."""
         now = self._now()
-        disturbances = [self._disturbances.disturb_links(now)]
-        disturbances += [self._disturbances.disturb_node(name, now) for name in event.nodes]
+        disturbances = [self._record.disturb_links(now)]
+        disturbances += [self._record.disturb_node(name, now) for name in event.nodes]
         if set(event.nodes) & set(self._controllers()):
-            disturbances.append(self._disturbances.disturb_core(now, lasts=True))
+            disturbances.append(self._record.disturb_core(now, lasts=True))
         faults = Faults(delay_ms=event.delay_ms, bytes_s=event.bytes_s, reset=event.reset)
         for name in event.nodes:
             self._set_default(name, faults)
@@ -99,12 +99,12 @@
     def reset(self, event: ResetLinks) -> None:
         """Resets all open connections to these nodes."""
         now = self._now()
-        self._disturbances.disturb_links(now).ended = now
+        self._record.disturb_links(now).ended = now
         for name in event.nodes:
             node = self._node(name)
-            self._disturbances.disturb_node(name, now).ended = now
+            self._record.disturb_node(name, now).ended = now
             if node.is_controller:
-                self._disturbances.disturb_core(now)
+                self._record.disturb_core(now)
             for pair in node.relay.open() if node.relay is not None else ():
                 pair.reset()
 
@@ -119,7 +119,7 @@
         names = self._controllers()
         running = [name for name in names if self._node(name).running]
         largest = max((len(self._reachable_from(name, running)) for name in running), default=0)
-        self._disturbances.set_quorum_lost(self._now(), lost=largest * 2 <= len(names))
+        self._record.set_quorum_lost(self._now(), lost=largest * 2 <= len(names))
 
     def _reachable_from(self, name: str, running: list[str]) -> set[str]:
         found, new = {name}, [name]
--- a/rigs/soak/nodes.py
+++ b/rigs/soak/nodes.py
@@ -87,13 +87,13 @@
         self.ip = f"{layout.network}.{host}"
         self._seeds, self._on_finding, self._on_core_change = seeds, on_finding, on_core_change
         self.incarnation, self.ready, self.retired, self.frozen = 0, False, False, False
-        self.term_at: dict[int, float] = {}
+        self.term_at: dict[int, float] = {}  # time of the first SIGTERM, by incarnation
         self.down_s, self.wipe, self.cold_boot = DEFAULT_DOWN_S, False, True
         self.values = SettingsValues()
         self.upstream: Address | None = None
         self.service = ""
         self.process: asyncio.subprocess.Process | None = None
-        self._disturbance: Disturbance | None = None
+        self._own_disturbance: Disturbance | None = None
         self._signals_sent: set[int] = set()  # to this incarnation
         self._invalid_toml_incarnation = 0  # the latest one whose settings file was invalid for a moment
         self._responding_incarnation = 0  # the latest one that has responded, and so handles signals
@@ -146,7 +146,7 @@
         """Sends a signal to its process, if it exists."""
         if self.process is None or self.process.returncode is not None:
             return
-        # Process.send_signal polls first, which may take the exit status from the waiting task
+        # asyncio's send_signal polls first, which may take the exit status from the waiting task
         with suppress(ProcessLookupError):
             os.kill(self.process.pid, number)
         self._signals_sent.add(number)
@@ -210,15 +210,15 @@
 
     def _disturb(self, planned: bool) -> None:
         now = asyncio.get_running_loop().time()
-        if self._disturbance is None or (self._disturbance.planned and not planned):
+        if self._own_disturbance is None or (self._own_disturbance.planned and not planned):
             self._end_disturbance(now)
-            self._disturbance = self._disturbances.disturb_node(self.name, now, planned)
+            self._own_disturbance = self._disturbances.disturb_node(self.name, now, planned)
         self._disturb_core(planned)
 
     def _end_disturbance(self, now: float) -> None:
-        if self._disturbance is not None:
-            self._disturbance.ended = now
-            self._disturbance = None
+        if self._own_disturbance is not None:
+            self._own_disturbance.ended = now
+            self._own_disturbance = None
 
     def _disturb_core(self, planned: bool = False) -> None:
         if self.is_controller:
@@ -255,11 +255,11 @@
             self.disk.mkdir(exist_ok=True)
         self.write_settings()
         layout, port = self._layout, self._layout.relayed_peer_port if self.relay is not None else 0
-        module = ("-m", "rigs.soak.node_program", self.program, self.ip, str(port), *layout.seeded_faults)
+        arguments = ("-m", "rigs.soak.node_program", self.program, self.ip, str(port), *layout.seeded_faults)
         self._signals_sent = set()
         with (layout.folder / f"{self.name}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                *(sys.executable, *module),
+                *(sys.executable, *arguments),
                 cwd=ROOT,
                 env={**os.environ, "ANISESTAIR_BOOT": str(self._settings)},
                 stdout=asyncio.subprocess.DEVNULL,
@@ -276,7 +276,7 @@
         it again."""
         if (
             incarnation == self.incarnation
-            and self._disturbance is not None
+            and self._own_disturbance is not None
             and incarnation not in self.term_at
         ):
             self._end_disturbance(asyncio.get_running_loop().time())
--- a/rigs/soak/seeded_faults.py
+++ b/rigs/soak/seeded_faults.py
@@ -104,7 +104,7 @@
 
 
 def _without_guard(name: str) -> Callable[[], None]:
-    """Returns a function that disables a safeguard of the lost-links rig."""
+    """Returns a function that disables a safeguard as the test rig for lost links does."""
 
     def disable() -> None:
         for replaced in GUARDS[name]():
--- a/tests/mesh/test_soak_configuration.py
+++ b/tests/mesh/test_soak_configuration.py
@@ -102,9 +102,8 @@
     fixture = LedgerFixture()
     fixture.write([item(2, "blue", name="a", prefix="/a/")], 10.0, 10.1)
     fixture.write([DropItem("a", 3), item(4, "green", name="b", prefix="/a/")], 20.0, 20.1)
-    fixture.ledger.check_not_found(
-        fixture.request(20.2, "/a/ok/x"), 20.2
-    )  # until then each item applies on its own
+    # Until both are due, each item applies on its own.
+    fixture.ledger.check_not_found(fixture.request(20.2, "/a/ok/x"), 20.2)
     fixture.ledger.check_run(fixture.request(22.5, "/a/ok/x"), "green", 22.5)
     assert fixture.broken_rules() == []
     fixture.ledger.check_not_found(fixture.request(23.0, "/a/ok/x"), 23.0)
