--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,13 +1,13 @@
-"""Where the memory of both programs goes: by import, by what is held for connections and bodies, by table.
+"""Measures the memory of both programs: by import, by connections and bodies held, and by table.
 
     python -m benchmarks.memory [--most 25]
 
-A controller and a proxy run as processes, started as the deploy file starts them, and each import is written
-down with what it added and who asked for it (``rigs.import_trace``; memory is counted in pages, so small
-modules show as nothing or as a neighbour's page). Then the anonymous memory of both, which is what is
-charged, at each stage: ready, with 500 idle connections, after requests on all of them, with bodies in hand,
-and once all are closed. Bytes an entry of each table are those of tracemalloc, in this process. The last line
-is JSON.
+A controller and a proxy run as processes, started as the deploy file starts them. The memory and the
+importer of each import are recorded (``rigs.import_trace``; memory is counted in pages, so a small module
+may show nothing or a neighbour's page). Then follows the anonymous memory of both, which is what is charged,
+at each stage: ready, with 500 idle connections, after a request on each of them, with bodies in flight, and
+after all connections are closed. Bytes per entry of each table are measured with tracemalloc in this
+process. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
 from rigs.mesh_peers import Client, Operator, Upstream, patch_body, polled, route
 
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 CONNECTIONS = 500
-BODIES, BODY_BYTES = 8, 1 << 20
+BODY_COUNT, BODY_BYTES = 8, 1 << 20
 ENTRIES = 2000  # of each table
 PROGRAMS = {"control_plane": "controller-0", "data_plane": "proxy-0"}
 
 
 class Import(Struct, frozen=True):
-    """Kilobytes and milliseconds of processor time, with all that it loaded and by itself."""
+    """Memory and CPU time of one import, with and without the imports nested in it."""
 
     module: str
     asked_by: str
@@ -53,32 +53,32 @@
 
 
 def read_imports(path: Path) -> list[Import]:
-    """Of a file that ``rigs.import_trace`` wrote; the largest by itself first."""
+    """Reads a file of ``rigs.import_trace``, sorted by memory without nested imports, largest first."""
     found = []
     for line in path.read_text().splitlines():
         module, asked_by, all_kb, all_ms, own_kb, own_ms = line.split("\t")
         found.append(Import(module, asked_by, int(all_kb), float(all_ms), int(own_kb), float(own_ms)))
-    return sorted(found, key=lambda one: (-one.own_kb, one.module))
+    return sorted(found, key=lambda item: (-item.own_kb, item.module))
 
 
 def anonymous_mb(pid: int) -> float:
-    """Now. Raises OSError for a process that has ended."""
+    """Returns the current anonymous memory of a process. Raises OSError if it has exited."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("RssAnon:"):
             return int(line.split()[1]) / 1024.0
     raise OSError(f"{pid}: no RssAnon")
 
 
-def threads(pid: int) -> int:
-    """Of a process, now."""
+def thread_count(pid: int) -> int:
+    """Returns the current number of threads of a process."""
     return len(os.listdir(f"/proc/{pid}/task"))
 
 
-async def _ready(mesh: Mesh) -> None:
+async def _wait_until_serving(mesh: Mesh) -> None:
     await Operator([mesh.control(FIRST_CONTROLLER_HOST)]).change(
-        patch_body(route("read", "/read/", "red"), services=("red",)), START_S
+        patch_body(route("read", "/read/", "red"), services=("red",)), START_TIMEOUT_S
     )
-    await polled(lambda: mesh.is_ready(FIRST_PROXY_HOST), START_S)
+    await polled(lambda: mesh.is_ready(FIRST_PROXY_HOST), START_TIMEOUT_S)
 
     async def serves() -> bool:
         client = await Client.connect(mesh.outbound(FIRST_PROXY_HOST))
@@ -86,31 +86,31 @@
         client.abort()
         return served
 
-    await polled(serves, START_S)
+    await polled(serves, START_TIMEOUT_S)
 
 
 async def _send_bodies(mesh: Mesh) -> list[asyncio.Task[http.Message]]:
-    async def one(number: int) -> http.Message:
+    async def send(number: int) -> http.Message:
         client = await Client.connect(mesh.outbound(FIRST_PROXY_HOST))
-        answer = await client.request(f"b{number}", "/read/ok", body=b"x" * BODY_BYTES)
+        response = await client.request(f"b{number}", "/read/ok", body=b"x" * BODY_BYTES)
         client.abort()
-        return answer
+        return response
 
-    return [asyncio.create_task(one(number)) for number in range(BODIES)]
+    return [asyncio.create_task(send(number)) for number in range(BODY_COUNT)]
 
 
-async def stages(folder: Path) -> dict[str, dict[str, dict[str, float]]]:
-    """Anonymous megabytes and threads of each program at each stage."""
+async def measure_stages(folder: Path) -> dict[str, dict[str, dict[str, float]]]:
+    """Returns the anonymous megabytes and the thread count of each program at each stage."""
     mesh = Mesh.create(folder, 1, 1)
     mesh.command = lambda program, _: (
         *("-S", "-m", "rigs.import_trace", str(folder / program), f"mesh.{program}"),
     )
     found: dict[str, dict[str, dict[str, float]]] = {}
 
-    def note(stage: str) -> None:
+    def record(stage: str) -> None:
         pids = {program: mesh.processes[node].pid for program, node in PROGRAMS.items()}
         found[stage] = {
-            program: {"anonymous_mb": round(anonymous_mb(pid), 2), "threads": threads(pid)}
+            program: {"anonymous_mb": round(anonymous_mb(pid), 2), "threads": thread_count(pid)}
             for program, pid in pids.items()
         }
 
@@ -122,23 +122,23 @@
         settings.write_text(settings.read_text().replace("file_handles = 1000", "file_handles = 4100"))
         await mesh.restart("proxy-0", "data_plane")
         mesh.start_heartbeats(0, upstream)
-        await _ready(mesh)
-        note("ready")
+        await _wait_until_serving(mesh)
+        record("ready")
         clients = [await Client.connect(mesh.outbound(FIRST_PROXY_HOST)) for _ in range(CONNECTIONS)]
         await asyncio.sleep(0.5)
-        note("connections")
+        record("connections")
         for number, client in enumerate(clients):
             await client.request(f"a{number}", "/read/ok")
-        note("requests")
+        record("requests")
         bodies = await _send_bodies(mesh)
         await asyncio.sleep(0.05)
-        note("bodies under way")
+        record("bodies under way")
         await asyncio.gather(*bodies)
-        note("bodies answered")
+        record("bodies answered")
         for client in clients:
             client.abort()
         await asyncio.sleep(0.5)
-        note("closed")
+        record("closed")
         return found
     except BaseException:
         print(mesh.log_tails())
@@ -157,8 +157,8 @@
     tracemalloc.stop()
 
 
-def tables() -> dict[str, float]:
-    """Bytes an entry, of ENTRIES each."""
+def measure_tables() -> dict[str, float]:
+    """Returns the bytes per entry of each table, measured with ENTRIES entries."""
     found: dict[str, float] = {}
     value = {"address": "10.1.0.35:8147", "node": "auxiliary-vesturhus-1", "state": "settled", "plant": "red"}
 
@@ -200,28 +200,30 @@
 
 
 def main() -> None:
-    """Of this command."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--most", type=int, default=25, help="imports that are printed of each program")
-    given = words.parse_args()
-    os.environ.setdefault("PYTHONPATH", sysconfig.get_path("purelib"))  # the programs start without site
+    """Runs the command."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--most", type=int, default=25, help="number of imports printed for each program")
+    args = parser.parse_args()
+    os.environ.setdefault("PYTHONPATH", sysconfig.get_path("purelib"))  # python -S does not import site
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        by_stage = asyncio.run(stages(folder))
+        by_stage = asyncio.run(measure_stages(folder))
         imports = {program: read_imports(folder / program) for program in PROGRAMS}
     for program, rows in imports.items():
         lines = [
-            f"{one.own_kb:5} KB {one.own_ms:6.1f} ms  {one.module}, asked by {one.asked_by}"
-            f" ({one.all_kb} KB with all that it loads)"
-            for one in rows[: given.most]
+            f"{item.own_kb:5} KB {item.own_ms:6.1f} ms  {item.module}, imported by {item.asked_by}"
+            f" ({item.all_kb} KB with nested imports)"
+            for item in rows[: args.most]
         ]
-        _print(f"{program}: {sum(one.own_kb for one in rows)} KB in {len(rows)} imports", lines)
-    _print("by stage", [f"{stage}: {told}" for stage, told in by_stage.items()])
-    by_table = tables()
-    _print("bytes an entry", [f"{table}: {told:.0f}" for table, told in by_table.items()])
+        _print(f"{program}: {sum(item.own_kb for item in rows)} KB in {len(rows)} imports", lines)
+    _print("by stage", [f"{stage}: {usage}" for stage, usage in by_stage.items()])
+    by_table = measure_tables()
+    _print("bytes per entry", [f"{table}: {size:.0f}" for table, size in by_table.items()])
     result = {
         "imports": {
-            program: [asdict(one) for one in rows[: given.most]] for program, rows in imports.items()
+            program: [asdict(item) for item in rows[: args.most]] for program, rows in imports.items()
         },
         "stages": by_stage,
         "tables": by_table,
--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -1,12 +1,14 @@
-"""How news of the mesh scales, in virtual time: the shipped programs of both kinds, no sockets, no sleeping.
+"""Measures in virtual time how dissemination scales with the size of the mesh. The shipped programs of both
+roles run without sockets and without sleeping.
 
     python -m benchmarks.mesh_news [--proxies 10 100 300] [--controllers 3 9] [--steady 10] [--json FILE]
 
-For each size: a minute in which nothing happens; a change of one route, from its acknowledgement until 99% of
-the proxies have it; a join of a tenth (at most a hundred) of the proxies at once; a controller that is killed
-and started again. Of each the messages, bytes and CPU a proxy, both directions counted, signs of life apart.
-The CPU is that of a process's callbacks, with the rig's wire under them (a few microseconds a message).
-``exponents``: of the proxies' number, by least squares over the sizes. The last line is JSON.
+For each size: a minute in which nothing changes; a change of one route, from its acknowledgement until 99%
+of the proxies have it; a simultaneous join of a tenth of the proxies (at most a hundred); a controller that
+is killed and restarted. Each row has messages, bytes and CPU per proxy, in both directions, with heartbeats
+counted separately. CPU is that of the callbacks of a process, including the simulated network (a few
+microseconds per message). ``exponents`` are fitted over the number of proxies by least squares. The last
+line is JSON.
 """
 
 from __future__ import annotations
@@ -36,41 +38,41 @@
 
 Script = Generator[simpy.Event, Any, Any]
 
-ROUTES = 20  # in force before anything is measured
-GROUP = 100  # proxies that start together, and that join together at the most
-PAUSE_S = 0.5  # between groups
-CHANGES = 9
-PHASE_S = 0.013  # beyond whole seconds, so that changes fall at other times of the programs' ticks
+ROUTES = 20  # active before anything is measured
+MAX_GROUP = 100  # proxies that start or join at the same time
+GROUP_PAUSE_S = 0.5  # between the starts of two groups
+ROUTE_CHANGES = 9
+TICK_OFFSET_S = 0.013  # beyond whole seconds, so that changes fall at varying phases of the programs' ticks
 SETTLE_S = 3.0
-WITHIN_S = 60.0
-RETURN_S = 5.0  # of a controller: what is counted of its restart
+TIMEOUT_S = 60.0
+RESTART_WINDOW_S = 5.0  # measured after the restart of a controller
 COUNTS = ("messages", "bytes", "alive", "cpu_ms")
 
 
 @dataclass(slots=True)
-class Spent:
-    """By all proxies, or all controllers, up to some moment; messages of both directions."""
+class Usage:
+    """Cumulative usage of all proxies or of all controllers; messages count in both directions."""
 
     messages: float = 0.0
     bytes: float = 0.0
     alive: float = 0.0
     cpu_ms: float = 0.0
 
-    def since(self, before: Spent, by: float) -> dict[str, float]:
-        """What came on top of ``before``, divided."""
-        return {name: (getattr(self, name) - getattr(before, name)) / by for name in COUNTS}
+    def since(self, before: Usage, divisor: float) -> dict[str, float]:
+        """Returns the increase over ``before``, divided by ``divisor``."""
+        return {name: (getattr(self, name) - getattr(before, name)) / divisor for name in COUNTS}
 
 
 class Meter:
-    """Counts what the wire carries, and the CPU of each process's callbacks. Use as a context."""
+    """Counts network traffic and the CPU of the callbacks of each process. A context manager."""
 
     def __init__(self, world: World) -> None:
-        self.core, self.side = Spent(), Spent()
+        self.controller_usage, self.proxy_usage = Usage(), Usage()
         self._stack = ExitStack()
         self._send = world.network.send
         self._patches: list[Any] = [
-            mock.patch.object(world.network, "send", self._sends),
-            mock.patch.object(asyncio.events.Handle, "_run", self._runs(asyncio.events.Handle._run)),
+            mock.patch.object(world.network, "send", self._counted_send),
+            mock.patch.object(asyncio.events.Handle, "_run", self._timed_run(asyncio.events.Handle._run)),
         ]
 
     def __enter__(self) -> Meter:
@@ -81,57 +83,65 @@
     def __exit__(self, *_: object) -> None:
         self._stack.close()
 
-    def now(self) -> tuple[Spent, Spent]:
-        """Of the proxies, and of the controllers."""
-        copies = [Spent(*(getattr(spent, name) for name in COUNTS)) for spent in (self.side, self.core)]
+    def read(self) -> tuple[Usage, Usage]:
+        """Returns copies of the usage of the proxies and of the controllers."""
+        copies = [
+            Usage(*(getattr(usage, name) for name in COUNTS))
+            for usage in (self.proxy_usage, self.controller_usage)
+        ]
         return copies[0], copies[1]
 
-    def _sends(self, end: ConnectionEnd, data: bytes) -> None:
-        for one in (end, end.other):
-            spent = self.core if one.incarnation.machine.is_controller else self.side
+    def _counted_send(self, end: ConnectionEnd, data: bytes) -> None:
+        for connection_end in (end, end.other):
+            usage = (
+                self.controller_usage
+                if connection_end.incarnation.machine.is_controller
+                else self.proxy_usage
+            )
             if data == HEARTBEAT:
-                spent.alive += 1
+                usage.alive += 1
             else:
-                spent.messages += 1
-            spent.bytes += len(data)
+                usage.messages += 1
+            usage.bytes += len(data)
         self._send(end, data)
 
-    def _runs(self, run: Callable[[asyncio.Handle], None]) -> Callable[[asyncio.Handle], None]:
-        def runs(handle: asyncio.Handle) -> None:
+    def _timed_run(self, run: Callable[[asyncio.Handle], None]) -> Callable[[asyncio.Handle], None]:
+        def timed_run(handle: asyncio.Handle) -> None:
             incarnation = handle._context.get(CURRENT_INCARNATION)  # type: ignore[attr-defined]
             if incarnation is None:
                 run(handle)
                 return
-            began = time.thread_time_ns()
+            started = time.thread_time_ns()
             run(handle)
-            spent = self.core if incarnation.machine.is_controller else self.side
-            spent.cpu_ms += (time.thread_time_ns() - began) / 1e6
+            usage = self.controller_usage if incarnation.machine.is_controller else self.proxy_usage
+            usage.cpu_ms += (time.thread_time_ns() - started) / 1e6
 
-        return runs
+        return timed_run
 
 
-class Measured:
-    """One size: a script for the world, and what came of it in ``found``."""
+class Measurement:
+    """The scripted run for one size of the mesh, and its results."""
 
     def __init__(self, proxies: int, controllers: int, steady_s: float) -> None:
         self.proxies, self.controllers, self.steady_s = proxies, controllers, steady_s
-        self.join = max(min(proxies // 10, GROUP), 1)
-        self.found: dict[str, dict[str, float]] = {}
+        self.joining = max(min(proxies // 10, MAX_GROUP), 1)
+        self.results: dict[str, dict[str, float]] = {}
         self.world: World
         self.meter: Meter
         self._version = 1
 
-    def play(self) -> dict[str, Any]:
-        """Raises RuntimeError where something of the mesh did not come about."""
-        began = time.process_time()
+    def run(self) -> dict[str, Any]:
+        """Runs the script. Raises RuntimeError if the mesh does not reach an expected state in time."""
+        started = time.process_time()
         with World() as self.world, Meter(self.world) as self.meter:
             self.world.run(lambda _: self.script())
         return {
             "proxies": self.proxies,
             "controllers": self.controllers,
-            "took_cpu_s": round(time.process_time() - began, 1),
+            "took_cpu_s": round(time.process_time() - started, 1),
             **{
-                name: {key: round(value, 4) for key, value in one.items()} for name, one in self.found.items()
+                name: {key: round(value, 4) for key, value in row.items()}
+                for name, row in self.results.items()
             },
         }
 
@@ -139,116 +149,128 @@
 
     def script(self) -> Script:
         world = self.world
-        cores = [world.add(f"c{n}", f"10.0.0.{n}") for n in range(1, self.controllers + 1)]
-        world.founders = cores[:3]
+        controllers = [world.add(f"c{n}", f"10.0.0.{n}") for n in range(1, self.controllers + 1)]
+        world.founders = controllers[:3]
         for machine in world.founders:
             world.start(machine, cold=True)
         yield from world.wait_for_members(world.founders)
-        for machine in cores[3:]:
+        for machine in controllers[3:]:
             world.start(machine)
             yield from world.wait_for_members([machine])
         rules = [route(f"r{n}", f"/r{n}/", "p") for n in range(ROUTES)]
-        yield from world.commit(cores, body(patch_body(*rules, services=("p",))))
-        yield world.env.timeout(SETTLE_S)  # the checker looks whether all have it
-        sides: list[Machine] = []
-        while len(sides) < self.proxies - self.join:
-            sides += self._start(sides, min(GROUP, self.proxies - self.join - len(sides)))
-            yield world.env.timeout(PAUSE_S)
-        yield from self._until(lambda: knows(sides, sides), "the first proxies know each other")
+        yield from world.commit(controllers, body(patch_body(*rules, services=("p",))))
+        yield world.env.timeout(SETTLE_S)  # lets the checker verify that all have the routes
+        proxies: list[Machine] = []
+        while len(proxies) < self.proxies - self.joining:
+            proxies += self._start(proxies, min(MAX_GROUP, self.proxies - self.joining - len(proxies)))
+            yield world.env.timeout(GROUP_PAUSE_S)
+        yield from self._wait_until(
+            lambda: know_upstreams(proxies, proxies), "the first proxies know each other"
+        )
         yield world.env.timeout(SETTLE_S)
-        yield from self._joins(sides)
+        yield from self._measure_join(proxies)
         yield world.env.timeout(SETTLE_S)
-        yield from self._stands(sides)
-        yield from self._changes(cores, sides)
-        yield from self._restarts(cores[0], sides)
+        yield from self._measure_idle(proxies)
+        yield from self._measure_changes(controllers, proxies)
+        yield from self._measure_restart(controllers[0], proxies)
 
-    def _start(self, there: Sequence[Machine], count: int) -> list[Machine]:
-        made = []
-        for number in range(len(there) + 1, len(there) + count + 1):
+    def _start(self, existing: Sequence[Machine], count: int) -> list[Machine]:
+        started = []
+        for number in range(len(existing) + 1, len(existing) + count + 1):
             machine = self.world.add(f"s{number}", f"10.1.{number // 250}.{number % 250}", controller=False)
             self.world.start(machine, cold=True)
-            made.append(machine)
-        return made
-
-    def _joins(self, sides: list[Machine]) -> Script:
-        """Until all of the new ones route, and until all know all."""
-        (side, core), began = self.meter.now(), self._now()
-        old = list(sides)
-        new = self._start(sides, self.join)
-        sides += new
-        yield from self._until(lambda: ready(new), "those that join route")
-        route_s = self._now() - began
-        yield from self._until(lambda: knows(sides, new), "all know those that join")
-        know_s = self._now() - began
+            started.append(machine)
+        return started
+
+    def _measure_join(self, proxies: list[Machine]) -> Script:
+        """Measures a join, until all new proxies route and until all proxies know their upstreams."""
+        (proxy_before, controller_before), started = self.meter.read(), self._now()
+        old = list(proxies)
+        new = self._start(proxies, self.joining)
+        proxies += new
+        yield from self._wait_until(lambda: have_routes(new), "the joining proxies have routes")
+        route_s = self._now() - started
+        yield from self._wait_until(lambda: know_upstreams(proxies, new), "all know the joining proxies")
+        know_s = self._now() - started
         yield self.world.env.timeout(1.0)
-        after = self.meter.now()
+        after = self.meter.read()
         joiners = {"joining": float(len(new)), "route_s": route_s, "known_s": know_s}
-        self.found["join"] = joiners | self._spent(side, core, after, len(old) + len(new))
+        self.results["join"] = joiners | self._usage_per_process(
+            proxy_before, controller_before, after, len(old) + len(new)
+        )
 
-    def _stands(self, sides: Sequence[Machine]) -> Script:
-        side, core = self.meter.now()
+    def _measure_idle(self, proxies: Sequence[Machine]) -> Script:
+        proxy_before, controller_before = self.meter.read()
         yield self.world.env.timeout(self.steady_s)
-        after = self.meter.now()
+        after = self.meter.read()
         minute = self.steady_s / 60.0
-        self.found["minute"] = {
-            name: value / minute for name, value in self._spent(side, core, after, len(sides)).items()
+        self.results["minute"] = {
+            name: value / minute
+            for name, value in self._usage_per_process(
+                proxy_before, controller_before, after, len(proxies)
+            ).items()
         }
 
-    def _changes(self, cores: Sequence[Machine], sides: Sequence[Machine]) -> Script:
-        """Of a route; times from the acknowledgement, below 0 where the news was there first."""
+    def _measure_changes(self, controllers: Sequence[Machine], proxies: Sequence[Machine]) -> Script:
+        """Measures route changes. Times count from the acknowledgement and can be negative."""
         rounds: list[dict[str, float]] = []
-        quiet = self.found["minute"]
-        for number in range(CHANGES):
-            side, core = self.meter.now()
-            began = self._now()
+        quiet = self.results["minute"]
+        for number in range(ROUTE_CHANGES):
+            proxy_before, controller_before = self.meter.read()
+            started = self._now()
             self._version += 1
             rule = route("r0", "/r0/", "p", self._version)
             acknowledged: list[float] = []
 
-            def commits(number: int = number, rule: dict[str, Any] = rule) -> Script:
-                yield from self.world.commit([cores[number % len(cores)]], body(patch_body(rule)))
+            def commit(number: int = number, rule: dict[str, Any] = rule) -> Script:
+                yield from self.world.commit([controllers[number % len(controllers)]], body(patch_body(rule)))
                 acknowledged.append(self._now())  # noqa: B023
 
-            self.world.env.process(commits())
-            times = yield from self._reach(sides, self._version)
-            yield from self._until(lambda: bool(acknowledged), "acknowledged")  # noqa: B023
-            yield self.world.env.timeout(1.0 + PHASE_S)
-            spent = self._spent(side, core, self.meter.now(), len(sides))
-            minutes = (self._now() - began) / 60.0
+            self.world.env.process(commit())
+            times = yield from self._arrival_times(proxies, self._version)
+            yield from self._wait_until(lambda: bool(acknowledged), "acknowledged")  # noqa: B023
+            yield self.world.env.timeout(1.0 + TICK_OFFSET_S)
+            spent = self._usage_per_process(proxy_before, controller_before, self.meter.read(), len(proxies))
+            minutes = (self._now() - started) / 60.0
             for name in spent:
                 spent[name] -= quiet[name] * minutes
-            share = sorted(times)[math.ceil(0.99 * len(times)) - 1]
+            p99_at = sorted(times)[math.ceil(0.99 * len(times)) - 1]
             rounds.append(
                 {
-                    "acknowledged_s": acknowledged[0] - began,
-                    "after_ack_99_s": share - acknowledged[0],
+                    "acknowledged_s": acknowledged[0] - started,
+                    "after_ack_99_s": p99_at - acknowledged[0],
                     "after_ack_last_s": max(times) - acknowledged[0],
                     **spent,
                 }
             )
-        self.found["change"] = {name: statistics.median(one[name] for one in rounds) for name in rounds[0]}
-        self.found["change"]["worst_after_ack_99_s"] = max(one["after_ack_99_s"] for one in rounds)
-
-    def _reach(self, sides: Sequence[Machine], version: int) -> Script:
-        """When each proxy has it."""
-        times, left = [], list(sides)
-        end = self._now() + WITHIN_S
-        while left and self._now() < end:
-            lacking = [one for one in left if one.program.config_store.items["route", "r0"].version < version]
-            times += [self._now()] * (len(left) - len(lacking))
-            left = lacking
+        self.results["change"] = {name: statistics.median(one[name] for one in rounds) for name in rounds[0]}
+        self.results["change"]["worst_after_ack_99_s"] = max(one["after_ack_99_s"] for one in rounds)
+
+    def _arrival_times(self, proxies: Sequence[Machine], version: int) -> Script:
+        """Returns when each proxy received the version."""
+        times, waiting = [], list(proxies)
+        end = self._now() + TIMEOUT_S
+        while waiting and self._now() < end:
+            outdated = [
+                machine
+                for machine in waiting
+                if machine.program.config_store.items["route", "r0"].version < version
+            ]
+            times += [self._now()] * (len(waiting) - len(outdated))
+            waiting = outdated
             yield self.world.env.timeout(0.001)
-        if left:
-            raise RuntimeError(f"{len(left)} proxies lack a change after {WITHIN_S:g} s")
+        if waiting:
+            raise RuntimeError(f"{len(waiting)} proxies lack a change after {TIMEOUT_S:g} s")
         return times
 
-    def _restarts(self, machine: Machine, sides: Sequence[Machine]) -> Script:
-        """Until it hands the configuration and the membership on again, and all its askers are back."""
-        side, core = self.meter.now()
+    def _measure_restart(self, machine: Machine, proxies: Sequence[Machine]) -> Script:
+        """Measures a restart, until the controller disseminates configuration and membership and its proxies
+        are connected again."""
+        proxy_before, controller_before = self.meter.read()
         program = machine.program
-        asked = len(askers(program))
-        known = len(program.membership_store.items)
-        began = self._now()
+        proxies_before = len(connected_proxies(program))
+        items_before_kill = len(program.membership_store.items)
+        started = self._now()
         self.world.kill(machine)
         self.world.restart(machine)
 
@@ -257,64 +279,69 @@
             return (
                 new is not None
                 and new is not program
-                and len(new.membership_store.items) >= known
+                and len(new.membership_store.items) >= items_before_kill
                 and new.contact_probes.has_contact()
-                and len(askers(new)) >= asked
+                and len(connected_proxies(new)) >= proxies_before
             )
 
-        yield from self._until(back, "the controller is back")
-        back_s = self._now() - began
-        yield self.world.env.timeout(max(RETURN_S - back_s, 0.0))
-        minutes = (self._now() - began) / 60.0
-        spent = self._spent(side, core, self.meter.now(), len(sides))
+        yield from self._wait_until(back, "the controller is back")
+        back_s = self._now() - started
+        yield self.world.env.timeout(max(RESTART_WINDOW_S - back_s, 0.0))
+        minutes = (self._now() - started) / 60.0
+        spent = self._usage_per_process(proxy_before, controller_before, self.meter.read(), len(proxies))
         for name in spent:
-            spent[name] -= self.found["minute"][name] * minutes
-        del spent["cpu_ms"], spent["controller_cpu_ms"]  # one of them stood still for a part of the time
-        self.found["restart"] = {"back_s": back_s, **spent}
+            spent[name] -= self.results["minute"][name] * minutes
+        del spent["cpu_ms"], spent["controller_cpu_ms"]  # one process was down part of the time
+        self.results["restart"] = {"back_s": back_s, **spent}
 
-    def _until(self, holds: Callable[[], bool], what: str) -> Script:
-        yield from self.world.wait_until(holds, WITHIN_S, what)
+    def _wait_until(self, holds: Callable[[], bool], what: str) -> Script:
+        yield from self.world.wait_until(holds, TIMEOUT_S, what)
         if self.world.checker.violations:
             raise RuntimeError("; ".join(self.world.checker.violations[:3]))
 
     def _now(self) -> float:
         return float(self.world.env.now)
 
-    def _spent(self, side: Spent, core: Spent, after: tuple[Spent, Spent], proxies: int) -> dict[str, float]:
-        found = after[0].since(side, proxies)
-        controllers = after[1].since(core, self.controllers)
-        found["controller_bytes"], found["controller_cpu_ms"] = controllers["bytes"], controllers["cpu_ms"]
-        return found
+    def _usage_per_process(
+        self, proxy_before: Usage, controller_before: Usage, after: tuple[Usage, Usage], proxies: int
+    ) -> dict[str, float]:
+        usage = after[0].since(proxy_before, proxies)
+        controllers = after[1].since(controller_before, self.controllers)
+        usage["controller_bytes"], usage["controller_cpu_ms"] = controllers["bytes"], controllers["cpu_ms"]
+        return usage
 
 
-def body(told: Any) -> bytes:
-    return json.dumps(told).encode()
+def body(data: Any) -> bytes:
+    return json.dumps(data).encode()
 
 
-def ready(machines: Sequence[Machine]) -> bool:
-    programs = [one.program for one in machines]
+def have_routes(machines: Sequence[Machine]) -> bool:
+    programs = [machine.program for machine in machines]
     return all(
-        one is not None and len(one.routes) > 0 and one.channels.last_complete_at > 0.0 for one in programs
+        program is not None and len(program.routes) > 0 and program.channels.last_complete_at > 0.0
+        for program in programs
     )
 
 
-def knows(machines: Sequence[Machine], others: Sequence[Machine]) -> bool:
-    """Whether each has heard of all the others' upstreams."""
+def know_upstreams(machines: Sequence[Machine], others: Sequence[Machine]) -> bool:
+    """Tells whether each machine knows the upstreams of all the others."""
     wanted = [f"i-{other.name}" for other in others]
     return all(
-        one.program is not None and all(name in one.program.membership.instances for name in wanted)
-        for one in machines
+        machine.program is not None and all(name in machine.program.membership.instances for name in wanted)
+        for machine in machines
     )
 
 
-def askers(controller: Any) -> set[str]:
-    """The proxies that ask it for news."""
+def connected_proxies(controller: Any) -> set[str]:
+    """Returns the proxies that pull from a controller."""
     channels = controller.channels.open
-    return {one.node for one in channels if one.link.up and one.peer_hello.get("role") == PROXY}
+    return {
+        channel.node for channel in channels if channel.link.up and channel.peer_hello.get("role") == PROXY
+    }
 
 
 def exponent(sizes: Sequence[float], values: Sequence[float]) -> float | None:
-    """Of the power law that fits best, by least squares of logarithms; None where there is none."""
+    """Returns the exponent of the power law that fits best (least squares of logarithms), or None."""
     if len(sizes) < 2 or min(values) <= 0.0:
         return None
     x, y = [math.log(one) for one in sizes], [math.log(one) for one in values]
@@ -322,7 +349,7 @@
 
 
 def exponents(rows: Sequence[dict[str, Any]]) -> dict[str, dict[str, float | None]]:
-    """Of each figure over the proxies, a number of controllers at a time."""
+    """Returns the exponent of each figure over the number of proxies, by number of controllers."""
     found: dict[str, dict[str, float | None]] = defaultdict(dict)
     for controllers in sorted({row["controllers"] for row in rows}):
         these = [row for row in rows if row["controllers"] == controllers]
@@ -336,26 +363,30 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--proxies", type=int, nargs="+", default=[10, 100, 300])
-    words.add_argument("--controllers", type=int, nargs="+", default=[3, 9])
-    words.add_argument("--steady", type=float, default=10.0, help="virtual seconds that stand for a minute")
-    words.add_argument(
-        "--json", type=Path, help="rows of earlier runs are read from it and all are kept there"
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--proxies", type=int, nargs="+", default=[10, 100, 300])
+    parser.add_argument("--controllers", type=int, nargs="+", default=[3, 9])
+    parser.add_argument(
+        "--steady", type=float, default=10.0, help="virtual seconds to measure, scaled to a minute"
+    )
+    parser.add_argument(
+        "--json", type=Path, help="file with the rows of earlier runs, to which new rows are added"
     )
-    given = words.parse_args()
+    args = parser.parse_args()
     rows: list[dict[str, Any]] = []
-    if given.json is not None and given.json.exists():
-        rows = json.loads(given.json.read_text())
+    if args.json is not None and args.json.exists():
+        rows = json.loads(args.json.read_text())
     done = {(row["proxies"], row["controllers"]) for row in rows}
-    for controllers in given.controllers:
-        for proxies in given.proxies:
+    for controllers in args.controllers:
+        for proxies in args.proxies:
             if (proxies, controllers) in done:
                 continue
-            rows.append(Measured(proxies, controllers, given.steady).play())
+            rows.append(Measurement(proxies, controllers, args.steady).run())
             print(json.dumps(rows[-1]), flush=True)
-            if given.json is not None:
-                given.json.write_text(json.dumps(rows))
+            if args.json is not None:
+                args.json.write_text(json.dumps(rows))
     print(json.dumps({"rows": rows, "exponents": exponents(rows)}))
 
 
--- a/benchmarks/mesh_stages.py
+++ b/benchmarks/mesh_stages.py
@@ -92,7 +92,7 @@
         yield from start(world, self.count)
         for number in range(CHANGES):
             yield world.env.timeout(0.137)
-            side, _ = meter.now()
+            side, _ = meter.read()
             version, began = 2 + number, float(world.env.now)
             yield from world.commit_routes(version, route_rule("a", "qp"[number % 2], version))
             acked = float(world.env.now)
@@ -101,7 +101,7 @@
             times = [at for at, _, _, v in world.version_changes if v == version]
             if len(times) != self.count:
                 raise RuntimeError(f"r{version} came into force at {len(times)} of {self.count}")
-            spent = meter.now()[0].since(side, self.count)
+            spent = meter.read()[0].since(side, self.count)
             self.rounds.append(
                 {
                     "acknowledged_s": acked - began,
--- a/tests/mesh/test_benchmarks_mesh.py
+++ b/tests/mesh/test_benchmarks_mesh.py
@@ -180,8 +180,8 @@
         assert (file.parent / tomllib.loads(file.read_text())["wire"]).read_text() == "{}"
 
 
-def test_a_quiet_mesh_says_nothing_and_a_change_costs_a_proxy_the_same_in_a_larger_one() -> None:
-    rows = [mesh_news.Measured(count, 3, 2.0).play() for count in (6, 24)]
+def test_an_idle_mesh_sends_only_heartbeats_and_a_change_costs_a_proxy_the_same_in_a_larger_one() -> None:
+    rows = [mesh_news.Measurement(count, 3, 2.0).run() for count in (6, 24)]
     for row in rows:
         assert row["minute"]["messages"] == 0.0 and row["minute"]["alive"] > 0.0
         assert 0.0 <= row["change"]["worst_after_ack_99_s"] < 0.2
@@ -189,14 +189,14 @@
         assert row["join"]["known_s"] < 2.0 and 0.3 < row["restart"]["back_s"] < 3.0
     fitted = mesh_news.exponents(rows)["3 controllers"]
     assert fitted["change.messages"] == pytest.approx(0.0, abs=0.1)
-    assert fitted["join.bytes"] is not None and fitted["join.bytes"] > 0.1  # all are told of all that join
+    assert fitted["join.bytes"] is not None and fitted["join.bytes"] > 0.1  # every proxy receives every join
 
 
-def test_news_that_do_not_travel_are_no_measurement(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_change_that_does_not_arrive_fails_the_measurement(monkeypatch: pytest.MonkeyPatch) -> None:
     pulls_are_not_repeated(monkeypatch)
-    monkeypatch.setattr(mesh_news, "WITHIN_S", 3.0)
+    monkeypatch.setattr(mesh_news, "TIMEOUT_S", 3.0)
     with pytest.raises(RuntimeError, match="not within 3 s|lack a change"):
-        mesh_news.Measured(6, 3, 1.0).play()
+        mesh_news.Measurement(6, 3, 1.0).run()
 
 
 def test_exponents_are_those_of_power_laws() -> None:
@@ -244,7 +244,7 @@
         return calls
 
     calls = asyncio.run(play())
-    assert (calls.left, len(calls.latencies), calls.others) == (0, 6, 2)
+    assert (calls.left, len(calls.latencies), calls.not_served) == (0, 6, 2)
 
 
 def test_costs_are_a_call_and_of_both() -> None:
