--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -30,13 +30,13 @@
 T = TypeVar("T")
 NET = f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}"
 CORES, SIDES = [f"{NET}.71", f"{NET}.72"], [f"{NET}.81", f"{NET}.82"]
-START_S = 10.0
+START_TIMEOUT_S = 10.0
 FIRST = patch_body(
     route("read", "/read/", "red", trials=2), route("pay", "/pay/", "red", effectful=True), services=("red",)
 )
 
 
-def way(message: http.Message) -> str:
+def behavior_of(message: http.Message) -> str:
     return message.target.rpartition(b"/")[2].decode()
 
 
@@ -52,17 +52,17 @@
         self.cores: list[Controller] = []
         self.sides: list[Proxy] = []
         self.upstreams: list[Upstream] = []
-        self.asked = 0
+        self.request_count = 0
         self.do(self._start())
 
     def do(self, work: Coroutine[Any, Any, T]) -> T:
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(30.0)
 
-    def wait(self, true: Callable[[], bool]) -> None:
-        async def look() -> bool:
-            return true()
+    def wait(self, condition: Callable[[], bool]) -> None:
+        async def holds() -> bool:
+            return condition()
 
-        self.do(polled(look, START_S))
+        self.do(polled(holds, START_TIMEOUT_S))
 
     def _settings(self, name: str) -> Settings:
         settings = parse_settings((self.folder / f"{name}.toml").read_text())
@@ -80,7 +80,7 @@
             self.cores.append(Controller(self._settings(name), EventLog(name, io.StringIO())))
             await self.cores[-1].start()
         for at, ip in enumerate(SIDES):
-            upstream = Upstream(f"i-{at}", "red", way, capacity=8)
+            upstream = Upstream(f"i-{at}", "red", behavior_of, capacity=8)
             await upstream.start(ip)
             self.upstreams.append(upstream)
             name = f"side-{at}"
@@ -93,20 +93,20 @@
             self.sides.append(Proxy(self._settings(name), EventLog(name, io.StringIO())))
             await self.sides[-1].start()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         for ip, upstream in zip(SIDES, self.upstreams, strict=True):
             assert await upstream.send_heartbeat((ip, self.ports[1])) == 200
 
-    def beat(self) -> None:
-        self.do(self._beat())
+    def send_heartbeats(self) -> None:
+        self.do(self._send_heartbeats())
 
-    def ask(self, at: int, path: str) -> str:
+    def request(self, at: int, path: str) -> str:
         """Sends one request to that sidecar; returns its attempt id."""
 
         async def one() -> str:
             client = await Client.connect((SIDES[at], self.ports[2]))
-            self.asked += 1
-            attempt = f"{self.asked:016x}"
+            self.request_count += 1
+            attempt = f"{self.request_count:016x}"
             await client.request(attempt, path)
             client.abort()
             return attempt
@@ -142,7 +142,7 @@
         file.write_text(json.dumps(FIRST))
         result = run(there, "config", "apply", str(file))
         assert result.exit_code == 0, result.output
-        there.beat()
+        there.send_heartbeats()
         there.wait(lambda: all(side.configured() for side in there.sides))
         there.wait(lambda: all(len(side.membership.instances) == 2 for side in there.sides))
         there.wait(lambda: all(len(core.membership.nodes) == 4 for core in there.cores))
@@ -169,7 +169,7 @@
 
 def test_status_is_fine_where_all_is_and_any_process_leads_to_all(mesh: Mesh) -> None:
     for at in (CORES[1], SIDES[0]):
-        mesh.beat()
+        mesh.send_heartbeats()
         result = run(mesh, "status", at=at)
         assert result.exit_code == 0, result.output
         lines = narrow(result)
@@ -178,7 +178,7 @@
         assert any(
             line.startswith("configuration 4 items, 0 dropped") and "4 processes" in line for line in lines
         )
-    mesh.beat()
+    mesh.send_heartbeats()
     assert told(mesh, "doctor") == []
     rows = {row["node"]: row for row in told(mesh, "nodes")}
     assert sorted(rows) == ["core-0", "core-1", "side-0", "side-1"]
@@ -207,7 +207,7 @@
 
 
 def test_upstreams_are_counted_and_those_of_one_service_shown_as_the_sidecars_see_them(mesh: Mesh) -> None:
-    mesh.ask(0, "/read/ok")
+    mesh.request(0, "/read/ok")
     (counted,) = told(mesh, "upstreams")
     assert counted == {"service": "red", "upstreams": 2, "settled": 2, "capacity": 16, "zones": 1}
     rows = told(mesh, "upstreams", "red")
@@ -221,7 +221,7 @@
 
 def test_routes_try_says_where_a_request_would_go_and_why(mesh: Mesh) -> None:
     for _ in range(4):
-        mesh.ask(1, "/read/ok")
+        mesh.request(1, "/read/ok")
     found = told(mesh, "routes", "try", "H.example:80", "/read/x?y", "--from", "side-1")
     assert (found["node"], found["route"]["name"], found["route"]["version"]) == ("side-1", "read", 1)
     (service,) = found["services"]
@@ -236,7 +236,7 @@
 
 
 def test_trace_tells_both_hops_of_a_call_and_of_one_that_failed(mesh: Mesh) -> None:
-    fine, failed = mesh.ask(0, "/read/ok"), mesh.ask(0, "/pay/500")
+    fine, failed = mesh.request(0, "/read/ok"), mesh.request(0, "/pay/500")
     found = told(mesh, "trace", fine)
     assert [entry["hop"] for entry in found["entries"]] == [1, 2]
     first, second = found["entries"]
@@ -265,7 +265,7 @@
 
 def test_a_change_is_checked_compared_taken_and_then_in_force_everywhere(mesh: Mesh) -> None:
     stands = write(mesh, told(mesh, "config", "get"))  # the printed form can be sent
-    mesh.beat()
+    mesh.send_heartbeats()
     assert run(mesh, "config", "check", stands).exit_code == 0
     assert told(mesh, "config", "diff", stands) == {"differences": [], "alike": 3, "others": 0}
 
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -18,7 +18,7 @@
 def mesh(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Mesh]:
     found = Mesh(tmp_path_factory.mktemp("rollout"))
     try:
-        found.beat()
+        found.send_heartbeats()
         at = write(found, patch_body(route("read", "/read/", "red"), services=("red", "blue")))
         told(found, "config", "apply", at)
         found.wait(lambda: all(side.routes.get("read") for side in found.sides))
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -42,9 +42,9 @@
     def __init__(self, upstream: Upstream, rules: tuple[dict[str, Any], ...]) -> None:
         event_log = EventLog("t", io.StringIO())
         life = Life("n1", "z", 500.0, 2000.0)
-        beat = read_heartbeat(upstream.instance, upstream.heartbeat_body())
-        assert isinstance(beat, Heartbeat)
-        life.on_heartbeat(0.0, beat)
+        heartbeat = read_heartbeat(upstream.instance, upstream.heartbeat_body())
+        assert isinstance(heartbeat, Heartbeat)
+        life.on_heartbeat(0.0, heartbeat)
         self.upstream, self.routes, self.known = upstream, RouteTable(), True
         self.connections = UpstreamConnectionPool(upstream.address, 40, event_log)
         self.upstream_dispatch = UpstreamDispatch(life, self.connections, event_log, lambda _: None)
@@ -80,11 +80,11 @@
 
 def beside(
     test: Callable[[Sidecar], Awaitable[None]],
-    way: Callable[[http.Message], str] = lambda _: "ok",
+    behavior: Callable[[http.Message], str] = lambda _: "ok",
     rules: tuple[dict[str, Any], ...] = (READ, PAY),
 ) -> None:
     async def run() -> None:
-        upstream = Upstream(behavior=way, capacity=32)
+        upstream = Upstream(behavior=behavior, capacity=32)
         await upstream.start()
         sidecar = Sidecar(upstream, rules)
         sidecar.start()
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -482,9 +482,9 @@
         told = parse_settings(file.read_text())
         assert isinstance(told, Settings), told
         proxy = Proxy(told, EventLog("t", io.StringIO()))  # not started: no port is opened
-        beat = read_heartbeat(upstream.instance, upstream.heartbeat_body())
-        assert isinstance(beat, Heartbeat)
-        proxy.upstream.on_heartbeat(proxy.balancers.now(), beat)
+        heartbeat = read_heartbeat(upstream.instance, upstream.heartbeat_body())
+        assert isinstance(heartbeat, Heartbeat)
+        proxy.upstream.on_heartbeat(proxy.balancers.now(), heartbeat)
         link = Link(lambda _: None, proxy._on_frame, proxy._on_link_lost)
         proxy._on_frame(link, {"t": "hello", "node": "n2", "for": "calls"}, b"")
         for number in range(3):
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -188,15 +188,15 @@
     tapped(test)
 
 
-@pytest.mark.parametrize("way", ["cut", "reset", "garbage"])
-def test_what_breaks_before_its_answer_is_whole_may_have_run(way: str) -> None:
+@pytest.mark.parametrize("behavior", ["cut", "reset", "garbage"])
+def test_what_breaks_before_its_answer_is_whole_may_have_run(behavior: str) -> None:
     async def test(bench: Bench) -> None:
         assert isinstance(await bench.ask("a1"), ExchangeFailed)
         assert bench.upstream.runs["a1"] == 1
         await bench.good("a2")
         assert bench.upstream.connections_opened == 2
 
-    tapped(test, [way])
+    tapped(test, [behavior])
 
 
 def test_connections_are_bounded_and_a_call_beyond_them_is_not_sent() -> None:
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -31,10 +31,10 @@
     ) -> None:
         self.upstream, self.upstream_dispatch, self.told = upstream, upstream_dispatch, told
 
-    def beat(self, state: str = "settled") -> None:
-        beat = read_heartbeat(self.upstream.instance, self.upstream.heartbeat_body(state))
-        assert isinstance(beat, Heartbeat)
-        self.upstream_dispatch.upstream.on_heartbeat(self.upstream_dispatch.now(), beat)
+    def send_heartbeat(self, state: str = "settled") -> None:
+        heartbeat = read_heartbeat(self.upstream.instance, self.upstream.heartbeat_body(state))
+        assert isinstance(heartbeat, Heartbeat)
+        self.upstream_dispatch.upstream.on_heartbeat(self.upstream_dispatch.now(), heartbeat)
 
     def take(self, attempt: str, **fields: object) -> tuple[DispatchedCall | None, asyncio.Future[End]]:
         end: asyncio.Future[End] = asyncio.get_running_loop().create_future()
@@ -67,12 +67,12 @@
 
 def behind(
     test: Callable[[Bench], Awaitable[None]],
-    way: Callable[[http.Message], str] = lambda _: "ok",
+    behavior: Callable[[http.Message], str] = lambda _: "ok",
     capacity: int = 1,
     most: int = 50,
 ) -> None:
     async def run() -> None:
-        upstream, told = Upstream(behavior=way, capacity=capacity), list[InstanceUpdate]()
+        upstream, told = Upstream(behavior=behavior, capacity=capacity), list[InstanceUpdate]()
         await upstream.start()
         event_log = EventLog("t", io.StringIO())
         life, connections = (
@@ -80,7 +80,7 @@
             UpstreamConnectionPool(upstream.address, most, event_log),
         )
         bench = Bench(upstream, UpstreamDispatch(life, connections, event_log, told.extend), told)
-        bench.beat()
+        bench.send_heartbeat()
         try:
             await test(bench)
         finally:
@@ -127,33 +127,33 @@
     behind(test)
 
 
-@pytest.mark.parametrize("way", ["unsealed", "unnamed"])
-def test_a_success_without_its_seal_or_id_is_unclear(way: str) -> None:
+@pytest.mark.parametrize("behavior", ["unsealed", "unnamed"])
+def test_a_success_without_its_seal_or_id_is_unclear(behavior: str) -> None:
     async def test(bench: Bench) -> None:
         assert isinstance(await soon(bench.take("a1")[1]), Unclear)
         assert not bench.upstream_dispatch.running
 
-    behind(test, lambda _: way)
+    behind(test, lambda _: behavior)
 
 
-@pytest.mark.parametrize("way", ["cut", "reset", "garbage"])
-def test_a_call_that_broke_off_is_unclear(way: str) -> None:
+@pytest.mark.parametrize("behavior", ["cut", "reset", "garbage"])
+def test_a_call_that_broke_off_is_unclear(behavior: str) -> None:
     async def test(bench: Bench) -> None:
         assert isinstance(await soon(bench.take("a1")[1]), Unclear)
         assert not bench.upstream_dispatch.running
 
-    behind(test, lambda _: way)
+    behind(test, lambda _: behavior)
 
 
-@pytest.mark.parametrize(("way", "why"), [("full", RejectReason.FULL), ("421", RejectReason.OTHER)])
+@pytest.mark.parametrize(("behavior", "why"), [("full", RejectReason.FULL), ("421", RejectReason.OTHER)])
 def test_what_the_upstream_says_that_it_did_not_run_is_a_turn_away_that_arrived(
-    way: str, why: RejectReason
+    behavior: str, why: RejectReason
 ) -> None:
     async def test(bench: Bench) -> None:
         assert await soon(bench.take("a1")[1]) == NotExecuted(why, reached_upstream=True)
         assert not bench.upstream.runs
 
-    behind(test, lambda _: way)
+    behind(test, lambda _: behavior)
 
 
 def test_the_upstreams_own_failure_is_its_answer() -> None:
@@ -193,7 +193,7 @@
         assert running is None
         assert end.result() == NotExecuted(RejectReason.OTHER)
         assert bench.take("a", remaining_ms=0.0)[1].result() == NotExecuted(RejectReason.LATE)
-        bench.beat("decaying")
+        bench.send_heartbeat("decaying")
         assert isinstance(await soon(bench.take("a")[1]), UpstreamResponse)
         move(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
         assert bench.take("a")[1].result() == NotExecuted(RejectReason.LEAVING)
