--- a/benchmarks/event_kinds.py
+++ b/benchmarks/event_kinds.py
@@ -52,7 +52,7 @@
     changes: dict[str, Any] = {"load.share": rate / CAPACITY, "sidecars.cpu.per_s": 0.0, "seconds": seconds}
     if trouble:
         changes["troubles"] = [TROUBLE]
-    row = Simulation(scenario.load(BUSY).changed(changes).play_of(1), 1, Timed).run()
+    row = Simulation(scenario.load(BUSY).with_changes(changes).scenario_for(1), 1, Timed).run()
     calls = count["Request"]
     kinds = {
         kind: {"us": round(spent[kind] / count[kind], 2), "a_call": round(count[kind] / calls, 3)}
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -28,8 +28,8 @@
 def source(sidecars: int, seconds: float) -> Source:
     made = scenario.load(ROOT / "lab/scenarios/even.toml")
     changes = {"sidecars.count": sidecars, "servers.count": 100, "seconds": seconds, "load.share": 1.0}
-    rate = made.changed(changes).play_of(1).rate()
-    return made.changed(changes | {"load.share": CALLS / rate})
+    rate = made.with_changes(changes).scenario_for(1).rate()
+    return made.with_changes(changes | {"load.share": CALLS / rate})
 
 
 def real(sidecars: int, seconds: float) -> dict[str, Any]:
@@ -50,7 +50,7 @@
 
 def virtual(sidecars: int, seconds: float) -> dict[str, Any]:
     begin = time.monotonic()
-    simulation = Simulation(source(sidecars, seconds).play_of(1), 1)
+    simulation = Simulation(source(sidecars, seconds).scenario_for(1), 1)
     row = simulation.run()
     counts = [server.connections for server in simulation.servers]
     return {
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -21,7 +21,7 @@
 
 from hareloom import Balancer
 from hareloom import interface as api
-from lab.scenario import typed
+from lab.scenario import parse_scenario
 from lab.scenario_tables import Scenario
 from lab.simulation import Simulation
 
@@ -45,7 +45,7 @@
 
 
 def scenario(sidecars: int, servers: int, seconds: float) -> Scenario:
-    return typed(
+    return parse_scenario(
         {
             "name": "speed",
             "seconds": seconds,
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -34,7 +34,7 @@
 
 
 def virtual(source: Source, seed: int, name: str) -> Row:
-    return Simulation(source.play_of(seed), seed, *policy(name)).run()
+    return Simulation(source.scenario_for(seed), seed, *policy(name)).run()
 
 
 def served(row: Row) -> float:
@@ -80,7 +80,7 @@
                     "load.share": load,
                     "seconds": given.seconds,
                 }
-                source = scenario.load(given.scenario).changed(changes)
+                source = scenario.load(given.scenario).with_changes(changes)
                 plays = [real(source, seed) for seed in range(1, given.seeds + 1)]  # one at a time
                 beside = {
                     name: list(
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -16,7 +16,7 @@
     paused: bool
     resumed_at: float
 
-    def client_gone(self, held: Try) -> None:
+    def client_gone(self, client_try: Try) -> None:
         """The client waits no longer for this try."""
 
 
--- a/lab/checker.py
+++ b/lab/checker.py
@@ -39,10 +39,10 @@
     """A request as its checker keeps it: attempts that may have run by their name, with zone, cell and
     instant, the first first."""
 
-    __slots__ = ("klass", "until", "closed_at", "ran", "count", "out")
+    __slots__ = ("klass", "deadline", "closed_at", "ran", "count", "out")
 
-    def __init__(self, klass: api.RequestClass, until: float) -> None:
-        self.klass, self.until = klass, until
+    def __init__(self, klass: api.RequestClass, deadline: float) -> None:
+        self.klass, self.deadline = klass, deadline
         self.closed_at = math.inf
         self.ran: dict[int | str, tuple[str, int, float]] = {}
         self.count, self.out = 0, 0
@@ -89,8 +89,8 @@
             else:
                 withdrawn.setdefault(entry.server, now)
 
-    def asked(self, sidecar: int, name: str, klass: str, until: float) -> None:
-        self._requests[sidecar][name] = RequestRecord(self._classes[klass], until)
+    def asked(self, sidecar: int, name: str, class_name: str, deadline: float) -> None:
+        self._requests[sidecar][name] = RequestRecord(self._classes[class_name], deadline)
 
     def sent(
         self, sidecar: int, name: str, attempt: int | str, place: tuple[str, str, int], now: float
@@ -145,16 +145,16 @@
 
     def overdue(self, sidecar: int, name: str) -> None:
         record = self._requests[sidecar].get(name)
-        if record is not None and record.closed_at == math.inf and record.until < math.inf:
-            self.breach("lost", f"{name} has no outcome by {record.until:.1f} ms, when it was due")
+        if record is not None and record.closed_at == math.inf and record.deadline < math.inf:
+            self.breach("lost", f"{name} has no outcome by {record.deadline:.1f} ms, when it was due")
 
     def _forget(self, sidecar: int, name: str, record: RequestRecord) -> None:
         if record.closed_at < math.inf and not record.out:
             self._requests[sidecar].pop(name, None)
 
-    def ran(self, name: str, klass: str) -> None:
+    def ran(self, name: str, class_name: str) -> None:
         """A server has done the work of an attempt."""
-        if klass not in self._unsafe:
+        if class_name not in self._unsafe:
             return
         if name in self._done:
             self.ran_twice += 1
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -30,7 +30,7 @@
     checker: Checker
     sidecars: list[Sidecar]
 
-    def reached(self, number: int) -> Sidecar:
+    def serving_process(self, number: int) -> Sidecar:
         """The process that a call of this sidecar's application comes to."""
 
 
@@ -61,8 +61,8 @@
 
     def begin(self) -> None:
         sidecars = self.simulation.sidecars
-        uneven, chance = self.scenario.sidecars.uneven, self.simulation.streams.of("uneven")
-        parts = [lognormal(chance.random(), uneven) for _ in sidecars]
+        uneven, rng = self.scenario.sidecars.uneven, self.simulation.streams.of("uneven")
+        parts = [lognormal(rng.random(), uneven) for _ in sidecars]
         rate = self.scenario.rate() * self.load.share / 1000.0
         for sidecar, part in zip(sidecars, parts, strict=True):
             own = rate * part / sum(parts)
@@ -94,13 +94,13 @@
 
     def _start_call(self, number: int, stream: Stream) -> None:
         """The same number of draws for every call, so that a change of one share moves no other draw."""
-        klass = self.scenario.classes[stream.pick(self.class_bounds)]
+        klass = self.scenario.classes[stream.pick_index(self.class_bounds)]
         bounds = self.member_bounds
         if self.member_factors:
             bounds = list(accumulate(s * self.member_factors.get(m, 1.0) for m, s in enumerate(self.shares)))
-        member = stream.pick(bounds)
+        member = stream.pick_index(bounds)
         drawn = stream.random()
-        key = stream.pick(self.key_bounds) if self.key_bounds else -1
+        key = stream.pick_index(self.key_bounds) if self.key_bounds else -1
         part = -math.log(1.0 - drawn) if klass.dist == "exp" else lognormal(drawn, klass.cv)
         call = Call(klass, member, self.clock.due, klass.worth, klass.work_ms * part, key)
         call.draw = stream.random()
@@ -121,59 +121,59 @@
 
     def _start_try(self, number: int, call: Call) -> None:
         """As clients of the platform do: a try is given up before the call is; the last has what is left."""
-        now, made, sidecar = self.clock.now, self.config, self.simulation.reached(number)
+        now, config, sidecar = self.clock.now, self.config, self.simulation.serving_process(number)
         call.tries += 1
         self.tries_started += 1
-        held = Try(
-            f"c{self.try_name_prefix}{self.tries_started}", call, sidecar, made.marked and call.tries > 1
+        client_try = Try(
+            f"c{self.try_name_prefix}{self.tries_started}", call, sidecar, config.marked and call.tries > 1
         )
         self.simulation.measures.bin().offered += 1
         if not sidecar.up:
-            held.open = False
-            self._schedule_retry(held, "cut", 0.0)
+            client_try.open = False
+            self._schedule_retry(client_try, "cut", 0.0)
             return
         left = call.started_at + call.klass.deadline_ms - now
-        life = min(call.klass.deadline_ms * made.try_share, left) if call.tries < made.tries else left
+        life = min(call.klass.deadline_ms * config.try_share, left) if call.tries < config.tries else left
         waits = (
             life / 3.0 if call.impatient and call.tries == 1 else life + self.scenario.allow.answer_slack_ms
         )
-        self.clock.schedule(waits, self._give_up, held, not call.impatient or call.tries > 1)
-        sidecar.handle_request(held, now + life)
+        self.clock.schedule(waits, self._give_up, client_try, not call.impatient or call.tries > 1)
+        sidecar.handle_request(client_try, now + life)
 
-    def _give_up(self, held: Try, overdue: bool) -> None:
-        if not held.open:
+    def _give_up(self, client_try: Try, overdue: bool) -> None:
+        if not client_try.open:
             return
-        sidecar, until = held.sidecar, self.clock.now - self.scenario.allow.answer_slack_ms
-        stood = sidecar.paused or until <= sidecar.resumed_at  # still, when its time was over
-        if overdue and sidecar.up and not stood and held.incarnation == sidecar.incarnation:
-            self.simulation.checker.overdue(sidecar.number, held.name)
-        sidecar.client_gone(held)
-        self.try_ended(held, "lost", 0.0)
-
-    def try_ended(self, held: Try, what: str, advice_ms: float) -> None:
+        sidecar, deadline = client_try.sidecar, self.clock.now - self.scenario.allow.answer_slack_ms
+        stood = sidecar.paused or deadline <= sidecar.resumed_at  # still, when its time was over
+        if overdue and sidecar.up and not stood and client_try.incarnation == sidecar.incarnation:
+            self.simulation.checker.overdue(sidecar.number, client_try.name)
+        sidecar.client_gone(client_try)
+        self.try_ended(client_try, "lost", 0.0)
+
+    def try_ended(self, client_try: Try, what: str, advice_ms: float) -> None:
         """The one outcome of a try, as its client sees it."""
-        if not held.open:
+        if not client_try.open:
             return
-        held.open = False
-        call, measures = held.call, self.simulation.measures
+        client_try.open = False
+        call, measures = client_try.call, self.simulation.measures
         spent = self.clock.now - call.started_at
         measures.record_outcome(what)
         if what == "served":
             measures.record_served(call, spent)
         else:
-            self._schedule_retry(held, what, advice_ms)
+            self._schedule_retry(client_try, what, advice_ms)
 
-    def _schedule_retry(self, held: Try, what: str, advice_ms: float) -> None:
-        call, made = held.call, self.config
+    def _schedule_retry(self, client_try: Try, what: str, advice_ms: float) -> None:
+        call, config = client_try.call, self.config
         # What failed may have run: a client repeats only what is harmless, and what was refused or never
         # taken.
         harmless = what in ("refused", "cut") or call.klass.effect != "unsafe"
         turn = 0.5 + ((call.draw * 7.0 + call.tries * 0.618) % 1.0)
-        wait = made.backoff_ms * turn * (2.0 ** (call.tries - 1) if made.growing else 1.0)
+        wait = config.backoff_ms * turn * (2.0 ** (call.tries - 1) if config.growing else 1.0)
         if call.ignores_retry_after:
-            wait = made.backoff_ms * 0.5 * (1.0 + turn / 3.0)
-        elif what == "refused" and advice_ms > 0 and made.max_retry_after_ms > 0:
-            wait = min(advice_ms, made.max_retry_after_ms)
+            wait = config.backoff_ms * 0.5 * (1.0 + turn / 3.0)
+        elif what == "refused" and advice_ms > 0 and config.max_retry_after_ms > 0:
+            wait = min(advice_ms, config.max_retry_after_ms)
         left = call.started_at + call.klass.deadline_ms - self.clock.now
-        if harmless and call.tries < made.tries and wait < left:
-            self.clock.schedule(wait, self._start_try, held.sidecar.number, call)
+        if harmless and call.tries < config.tries and wait < left:
+            self.clock.schedule(wait, self._start_try, client_try.sidecar.number, call)
--- a/lab/command.py
+++ b/lab/command.py
@@ -17,7 +17,7 @@
 from lab.policies import POLICIES, policy
 from lab.results import Folder, of_one_code
 from lab.revisions import Revisions, libraries
-from lab.scenario import Wrong
+from lab.scenario import InvalidInput
 from lab.simulation import Simulation
 
 
@@ -39,7 +39,7 @@
     """
     decides, watched = policy(way)
     simulation = Simulation(
-        scenario.load(file).changed(changes_of(settings)).play_of(seed), seed, decides, watched
+        scenario.load(file).with_changes(changes_of(settings)).scenario_for(seed), seed, decides, watched
     )
     row = simulation.run()
     click.echo(msgspec.json.format(msgspec.json.encode(msgspec.structs.asdict(row))).decode())
@@ -214,7 +214,7 @@
         words = f"{number(way.mean, 2)} {ends} of the way; {metric} {values}, {way.n} seeds"
         click.echo(f"{item.point.label()}: {words}")
     if not found:
-        raise Wrong(f"{folder}: no play of {floor!r} and {ceiling!r} beside another; play all three")
+        raise InvalidInput(f"{folder}: no play of {floor!r} and {ceiling!r} beside another; play all three")
     return 0
 
 
@@ -243,13 +243,13 @@
     """
     from lab import many  # the sidecar's own packages are needed for this alone
 
-    source = scenario.load(file).changed(changes_of(settings))
+    source = scenario.load(file).with_changes(changes_of(settings))
     try:
         found, up_s = many.play(source, seed, drivers, speaks)
     except many.Broken as fault:
         click.echo(str(fault), err=True)
         return 1
-    real, emulated = found.row, Simulation(source.play_of(seed), seed).run()
+    real, emulated = found.row, Simulation(source.scenario_for(seed), seed).run()
     shown = {
         "sockets": msgspec.structs.asdict(real) | found.percentiles(),
         "emulated": msgspec.structs.asdict(emulated),
--- a/lab/command_options.py
+++ b/lab/command_options.py
@@ -15,7 +15,7 @@
 
 from lab.policies import Unknown
 from lab.results import Mixed
-from lab.scenario import Wrong
+from lab.scenario import InvalidInput
 
 P = ParamSpec("P")
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -30,7 +30,7 @@
     def call(*args: P.args, **kwargs: P.kwargs) -> None:
         try:
             sys.exit(command(*args, **kwargs) or 0)
-        except (Wrong, Unknown, Mixed) as fault:
+        except (InvalidInput, Unknown, Mixed) as fault:
             click.echo(f"lab: {fault}", err=True)
             sys.exit(2)
 
@@ -64,12 +64,12 @@
 
 
 def changes_of(given: tuple[str, ...]) -> dict[str, Any]:
-    """PLACE=VALUE words; values as JSON, or as text. Raises Wrong."""
+    """PLACE=VALUE words; values as JSON, or as text. Raises InvalidInput."""
     found: dict[str, Any] = {}
     for word in given:
         place, equals, value = word.partition("=")
         if not equals:
-            raise Wrong(f"--set {word!r}: no value; write it as load.share=0.9")
+            raise InvalidInput(f"--set {word!r}: no value; write it as load.share=0.9")
         try:
             found[place] = msgspec.json.decode(value)
         except msgspec.DecodeError:
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -21,7 +21,7 @@
     clock: Clock
     streams: Streams
     evenness: Evenness
-    leaving: set[str]
+    removed_servers: set[str]
 
     def processes(self) -> list[Sidecar]:
         """All that hear of the list."""
@@ -95,10 +95,10 @@
     def _deliver(self, sidecar: Sidecar, incarnation: int, version: int) -> None:
         """All changes up to a version, in their order; one that came by an earlier message is not told
         again."""
-        if sidecar.incarnation != incarnation or sidecar.version >= version:
+        if sidecar.incarnation != incarnation or sidecar.list_version >= version:
             return
-        entries = tuple(self.changes[sidecar.version : version])
-        sidecar.version = version
+        entries = tuple(self.changes[sidecar.list_version : version])
+        sidecar.list_version = version
         sidecar.handle_event(api.ServerList(ListKind.DELTA, version, entries))
 
     def subscribe(self, sidecar: Sidecar) -> None:
@@ -123,8 +123,10 @@
             self._failed(sidecar, incarnation)
             return
         sidecar.subscribed = True
-        sidecar.version = len(self.changes)
-        sidecar.handle_event(api.ServerList(ListKind.FULL, sidecar.version, tuple(self.entries.values())))
+        sidecar.list_version = len(self.changes)
+        sidecar.handle_event(
+            api.ServerList(ListKind.FULL, sidecar.list_version, tuple(self.entries.values()))
+        )
 
     def begin_outage(self) -> None:
         """Pushed: nothing comes. Asked: the calls that wait end."""
@@ -149,5 +151,5 @@
 
     def report_ready(self, servers: list[Server]) -> None:
         for server in servers:
-            if server.state == "up" and server.name not in self.simulation.leaving:
+            if server.state == "up" and server.name not in self.simulation.removed_servers:
                 self.update_entry(server, ServerState.READY)
--- a/lab/driver.py
+++ b/lab/driver.py
@@ -51,7 +51,7 @@
         write_frame(sink, msgspec.msgpack.encode(what))
 
     job = msgspec.convert(await read(reader), Part)
-    simulation = SocketSimulation(job.source.play_of(job.seed), job.seed, job.speaks, job.shard)
+    simulation = SocketSimulation(job.source.scenario_for(job.seed), job.seed, job.speaks, job.shard)
     simulation.told_of_falls = lambda number: tell({"fell": number})
     try:
         tell({"reached": await simulation.open()})
--- a/lab/evenness.py
+++ b/lab/evenness.py
@@ -1,6 +1,6 @@
 """How evenly calls come to servers, by the same measures in virtual time and on sockets.
 
-Counts are kept in cells of 50 ms. A server counts in a window while it is sound all the way: up, listed,
+Counts are kept in cells of 50 ms. A server counts in a window while it is healthy all the way: up, listed,
 warm and neither slow nor failing. Shares are by what each can do; beside a play's figures stand those of
 random choice on the same arrivals, since chance alone makes some of everything measured here.
 """
@@ -31,14 +31,14 @@
     has to be told in the order of its instants."""
 
     def __init__(self, settle_ms: float) -> None:
-        self.settle = settle_ms
+        self.settle_ms = settle_ms
         self.capacity: dict[int, float] = {}
         self.counts: dict[int, list[int]] = {}
         self.causes: list[Cause] = []
         self._marks: dict[int, list[tuple[float, str, bool]]] = {}
         self._state: dict[int, tuple[int, int]] = {}  # idle workers and calls that wait
-        self._at, self._idle, self._waiting, self._workers = settle_ms, 0, 0, 0
-        self._size: dict[int, int] = {}
+        self._last_ms, self._idle, self._waiting, self._workers = settle_ms, 0, 0, 0
+        self._worker_counts: dict[int, int] = {}
         self.wasted = self.worked = 0.0  # worker-milliseconds: idle while another queued; all
 
     # What happens
@@ -57,8 +57,8 @@
 
     def moved(self, now: float, server: int, workers: int, running: int, waiting: int) -> None:
         """What a server has in hand now; 0 workers: it is down."""
-        if now > self._at:
-            span, self._at = now - self._at, now
+        if now > self._last_ms:
+            span, self._last_ms = now - self._last_ms, now
             self.wasted += span * (self._idle if self._idle < self._waiting else self._waiting)
             self.worked += span * self._workers
         idle, queued = self._state.get(server, (0, 0))
@@ -66,12 +66,12 @@
         self._state[server] = new
         self._idle += new[0] - idle
         self._waiting += new[1] - queued
-        self._workers += workers - self._size.get(server, 0)
-        self._size[server] = workers
+        self._workers += workers - self._worker_counts.get(server, 0)
+        self._worker_counts[server] = workers
 
-    def mark(self, now: float, server: int, why: str, unsound: bool) -> None:
+    def mark(self, now: float, server: int, reason: str, unhealthy: bool) -> None:
         """From now on a server is not to be counted on, for this reason; or no longer for it."""
-        self._marks.setdefault(server, []).append((now, why, unsound))
+        self._marks.setdefault(server, []).append((now, reason, unhealthy))
 
     def cause(self, now: float, what: str, servers: Iterable[int] = ()) -> None:
         self.causes.append(Cause(now, what, tuple(servers)))
@@ -85,14 +85,14 @@
     def dispersion(self, until: float) -> tuple[float, ...]:
         """For each window's length: the spread of counts over servers, of what independent random callers
         make of the same calls (Pearson's statistic over its degrees of freedom, the mean over windows)."""
-        sound = self._sound(until)
-        return tuple(self._dispersion(sound, until, width) for width in WINDOWS_MS)
+        healthy = self._healthy_cells(until)
+        return tuple(self._dispersion(healthy, until, width) for width in WINDOWS_MS)
 
     def unused(self, until: float) -> int:
-        """Windows in which a sound server had nothing though its part would have been enough."""
-        sound, missing = self._sound(until), 0
-        for first, last in windows(self.settle, until, UNUSED_MS):
-            parts = self._parts(sound, first, last)
+        """Windows in which a healthy server had nothing though its part would have been enough."""
+        healthy, missing = self._healthy_cells(until), 0
+        for first, last in windows(self.settle_ms, until, UNUSED_MS):
+            parts = self._parts(healthy, first, last)
             total = sum(self._count(server, first, last) for server in parts)
             for server, part in parts.items():
                 enough = part * total >= UNUSED_RATE * UNUSED_MS / 1000.0
@@ -147,32 +147,32 @@
     def _count(self, server: int, first: int, last: int) -> int:
         return sum(self.counts[server][first:last])
 
-    def _sound(self, until: float) -> Mapping[int, Sequence[bool]]:
-        """By server, whether it is sound in each cell."""
+    def _healthy_cells(self, until: float) -> Mapping[int, Sequence[bool]]:
+        """By server, whether it is healthy in each cell."""
         cells, found = int(until / CELL_MS), dict[int, list[bool]]()
         for server in self.counts:
             whole, why, at = [True] * cells, set[str](), 0
-            for now, reason, unsound in self._marks.get(server, ()):
-                cell = min(int(now / CELL_MS) + (not unsound), cells)
+            for now, reason, unhealthy in self._marks.get(server, ()):
+                cell = min(int(now / CELL_MS) + (not unhealthy), cells)
                 if why and cell > at:
                     whole[at:cell] = [False] * (cell - at)
-                at = int(now / CELL_MS) if unsound and not why else max(cell, at) if why else at
-                (why.add if unsound else why.discard)(reason)
+                at = int(now / CELL_MS) if unhealthy and not why else max(cell, at) if why else at
+                (why.add if unhealthy else why.discard)(reason)
             if why:
                 whole[at:] = [False] * max(cells - at, 0)
             found[server] = whole
         return found
 
-    def _parts(self, sound: Mapping[int, Sequence[bool]], first: int, last: int) -> dict[int, float]:
-        """The part of each server that is sound throughout."""
-        there = [server for server, cells in sound.items() if all(cells[first:last])]
+    def _parts(self, healthy: Mapping[int, Sequence[bool]], first: int, last: int) -> dict[int, float]:
+        """The part of each server that is healthy throughout."""
+        there = [server for server, cells in healthy.items() if all(cells[first:last])]
         whole = sum(self.capacity[server] for server in there)
         return {server: self.capacity[server] / whole for server in there}
 
-    def _dispersion(self, sound: Mapping[int, Sequence[bool]], until: float, width: float) -> float:
+    def _dispersion(self, healthy: Mapping[int, Sequence[bool]], until: float, width: float) -> float:
         values = []
-        for first, last in windows(self.settle, until, width):
-            parts = self._parts(sound, first, last)
+        for first, last in windows(self.settle_ms, until, width):
+            parts = self._parts(healthy, first, last)
             total = sum(self._count(server, first, last) for server in parts)
             if len(parts) < 2 or not total:
                 continue
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -24,7 +24,7 @@
 from msgspec import Meta
 
 from lab.policies import Unknown, policy
-from lab.scenario import Source, Wrong
+from lab.scenario import InvalidInput, Source
 from lab.scenario import load as load_scenario
 from lab.scenario_tables import Table
 
@@ -72,7 +72,7 @@
     """An experiment with its scenarios read; ``points`` in a stated order."""
 
     def __init__(self, experiment: Experiment, sources: Mapping[str, Source]) -> None:
-        """Raises Wrong where a level does not fit its scenario, or the plays are too many."""
+        """Raises InvalidInput where a level does not fit its scenario, or the plays are too many."""
         self.experiment, self.sources = experiment, dict(sources)
         levels = list(experiment.factors.items())
         self.points = [
@@ -82,14 +82,16 @@
             for way in experiment.policies
         ]
         if len(self.points) * experiment.seeds > MOST_PLAYS:
-            raise Wrong(f"{experiment.name}: seeds: more than {MOST_PLAYS} plays; take fewer seeds or levels")
+            raise InvalidInput(
+                f"{experiment.name}: seeds: more than {MOST_PLAYS} plays; take fewer seeds or levels"
+            )
         for point in self.points:
             self.source(point)
 
     def source(self, point: Point) -> Source:
-        """Raises Wrong."""
-        source = self.sources[point.scenario].changed(point.changes)
-        source.play_of(self.experiment.first_seed)
+        """Raises InvalidInput."""
+        source = self.sources[point.scenario].with_changes(point.changes)
+        source.scenario_for(self.experiment.first_seed)
         return source
 
     def plays(self, codes: Mapping[str, str], seeds: Iterable[int] | None = None) -> Iterator[Play]:
@@ -106,29 +108,29 @@
 
 
 def shard(plays: list[Play], part: str) -> list[Play]:
-    """The plays of shard "2/5": every fifth, from the second on. Raises Wrong."""
+    """The plays of shard "2/5": every fifth, from the second on. Raises InvalidInput."""
     number, _, of = part.partition("/")
     if not (number.isdigit() and of.isdigit() and 1 <= int(number) <= int(of)):
-        raise Wrong(f"--shard: {part!r} is none; write it as 2/5, the first number at most the second")
+        raise InvalidInput(f"--shard: {part!r} is none; write it as 2/5, the first number at most the second")
     return plays[int(number) - 1 :: int(of)]
 
 
 def load(path: Path) -> Plan:
-    """Raises Wrong: one line with file and field."""
+    """Raises InvalidInput: one line with file and field."""
     try:
         experiment = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
         for name in experiment.policies:
             policy(name)
     except msgspec.ValidationError as fault:
         text, _, place = str(fault).partition(" - at `$.")
-        raise Wrong(f"{path}: {place.rstrip('`') or 'the file'}: {text}") from None
+        raise InvalidInput(f"{path}: {place.rstrip('`') or 'the file'}: {text}") from None
     except (OSError, Unknown, tomllib.TOMLDecodeError) as fault:
-        raise Wrong(f"{path}: {fault}") from None
+        raise InvalidInput(f"{path}: {fault}") from None
     sources: dict[str, Source] = {}
     for name in experiment.scenarios:
         source = load_scenario((path.parent / name).resolve())
         stem = Path(name).stem
         if stem in sources:
-            raise Wrong(f"{path}: scenarios: two are named {stem!r}; rename one file")
+            raise InvalidInput(f"{path}: scenarios: two are named {stem!r}; rename one file")
         sources[stem] = source
     return Plan(experiment, sources)
--- a/lab/hunt.py
+++ b/lab/hunt.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from lab.measures import Row
-from lab.scenario import Draw, Source, put
+from lab.scenario import Draw, Source, set_field
 from lab.streams import Streams
 
 KEPT = 4  # of the worst, round which the next draws lie
@@ -106,5 +106,5 @@
         """A scenario's tree with what was drawn put in: it draws nothing any more."""
         tree: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(self.source.tree))
         for place, value in tried.values.items():
-            put(tree, place, value, self.source.path)
+            set_field(tree, place, value, self.source.path)
         return tree
--- a/lab/hunt_commands.py
+++ b/lab/hunt_commands.py
@@ -15,7 +15,7 @@
 from lab.policies import policy
 from lab.reduce import RULES, Symptom, reduced
 from lab.revisions import Revisions
-from lab.scenario import Source, Wrong
+from lab.scenario import InvalidInput, Source
 from lab.simulation import Simulation
 from lab.worker import Job, broken
 
@@ -58,7 +58,7 @@
                 jobs.append(
                     (
                         Play(point=point, seed=seed, code=""),
-                        Job(source=source.changed(values), policy=way, seed=seed),
+                        Job(source=source.with_changes(values), policy=way, seed=seed),
                         place,
                     )
                 )
@@ -98,15 +98,15 @@
 ) -> int:
     """Shrinks a scenario to the smallest that still shows a symptom, as a file."""
     if (rule is None) == (below is None):
-        raise Wrong("--rule or --below: give one of them, as the symptom")
+        raise InvalidInput("--rule or --below: give one of them, as the symptom")
     symptom = Symptom(rule=rule or "", below=below or 0.0)
     decides, watched = policy(way)
     source = scenario.load(file)
 
     def shows(tree: dict[str, Any]) -> bool:
         try:
-            made = Source(path=str(file), tree=tree, draws={}).play_of(seed)
-        except Wrong:
+            made = Source(path=str(file), tree=tree, draws={}).scenario_for(seed)
+        except InvalidInput:
             return False
         return symptom.shows(Simulation(made, seed, decides, watched).run())
 
@@ -114,7 +114,7 @@
         hunt.Tried(values=hunt.draw(source.draws, seed), seed=seed, row=broken(""))
     )
     if not shows(tree):
-        raise Wrong(
+        raise InvalidInput(
             f"{file}: seed {seed}: it does not show the symptom ({symptom.words()}); take another seed"
         )
     smaller, made = reduced(tree, shows, plays, lambda words: click.echo(f"kept: {words}", err=True))
--- a/lab/ledger.py
+++ b/lab/ledger.py
@@ -14,87 +14,87 @@
 from hareloom import interface as api
 from hareloom.interface import ListKind, Outcome, ServerState
 
-Note = tuple[float, str, list[Any]]  # milliseconds from the play's start, what, and its arguments
+RecordedEvent = tuple[float, str, list[Any]]  # milliseconds from the play's start, what, and its arguments
 
 
-class Notes:
+class EventRecorder:
     """Stands in for the checker and for the measure of evenness, and keeps what it is told."""
 
-    def __init__(self, now: Callable[[], float], most: int) -> None:
+    def __init__(self, now: Callable[[], float], max_events: int) -> None:
         """``most`` notes are kept; what is beyond is counted, and spoils the play."""
-        self._now, self._most = now, most
-        self.kept: list[Note] = []
-        self.beyond = 0
+        self._now, self._max_events = now, max_events
+        self.events: list[RecordedEvent] = []
+        self.dropped = 0
 
-    def _note(self, what: str, *arguments: Any) -> None:
-        if len(self.kept) >= self._most:
-            self.beyond += 1
+    def _record(self, what: str, *arguments: Any) -> None:
+        if len(self.events) >= self._max_events:
+            self.dropped += 1
         else:
-            self.kept.append((self._now(), what, list(arguments)))
+            self.events.append((self._now(), what, list(arguments)))
 
     def restart(self) -> None:
         """What was noted so far was setting up: it counts as at the play's first instant."""
-        self.kept = [(0.0, what, given) for _, what, given in self.kept]
+        self.events = [(0.0, what, given) for _, what, given in self.events]
 
     # The checker's
 
     def breach(self, rule: str, words: str) -> None:
-        self._note("breach", rule, words)
+        self._record("breach", rule, words)
 
     def started(self, sidecar: int) -> None:
-        self._note("started", sidecar)
+        self._record("started", sidecar)
 
     def listed(self, sidecar: int, now: float, event: api.ServerList) -> None:
         entries = [[entry.server, entry.state.value] for entry in event.entries]
-        self._note("listed", sidecar, event.kind.value, entries)
+        self._record("listed", sidecar, event.kind.value, entries)
 
-    def asked(self, sidecar: int, name: str, klass: str, until: float) -> None:
-        self._note("asked", sidecar, name, klass, until)
+    def asked(self, sidecar: int, name: str, class_name: str, deadline: float) -> None:
+        self._record("asked", sidecar, name, class_name, deadline)
 
     def sent(
         self, sidecar: int, name: str, attempt: int | str, place: tuple[str, str, int], now: float
     ) -> None:
-        self._note("sent", sidecar, name, attempt, list(place))
+        self._record("sent", sidecar, name, attempt, list(place))
 
     def ended(self, sidecar: int, name: str, attempt: int | str, outcome: Outcome) -> None:
-        self._note("ended", sidecar, name, attempt, outcome.value)
+        self._record("ended", sidecar, name, attempt, outcome.value)
 
     def final(self, sidecar: int, name: str, what: str, now: float) -> None:
-        self._note("final", sidecar, name, what)
+        self._record("final", sidecar, name, what)
 
     def left(self, sidecar: int, name: str, now: float) -> None:
-        self._note("left", sidecar, name)
+        self._record("left", sidecar, name)
 
     def overdue(self, sidecar: int, name: str) -> None:
-        self._note("overdue", sidecar, name)
+        self._record("overdue", sidecar, name)
 
-    def ran(self, name: str, klass: str) -> None:
-        self._note("ran", name, klass)
+    def ran(self, name: str, class_name: str) -> None:
+        self._record("ran", name, class_name)
 
     # The measure of evenness'
 
     def joins(self, server: int, capacity: float) -> None:
-        self._note("joins", server, capacity)
+        self._record("joins", server, capacity)
 
     def came(self, now: float, server: int) -> None:
-        self._note("came", server)
+        self._record("came", server)
 
     def moved(self, now: float, server: int, workers: int, running: int, waiting: int) -> None:
-        self._note("moved", server, workers, running, waiting)
+        self._record("moved", server, workers, running, waiting)
 
-    def mark(self, now: float, server: int, why: str, unsound: bool) -> None:
-        self._note("mark", server, why, unsound)
+    def mark(self, now: float, server: int, reason: str, unhealthy: bool) -> None:
+        self._record("mark", server, reason, unhealthy)
 
     def cause(self, now: float, what: str, servers: Iterable[int] = ()) -> None:
-        self._note("cause", what, list(servers))
+        self._record("cause", what, list(servers))
 
 
-def merged(ledgers: Sequence[Iterable[Note]]) -> Iterable[Note]:
+def merge_recordings(ledgers: Sequence[Iterable[RecordedEvent]]) -> Iterable[RecordedEvent]:
     """All notes in the order of their instants; each ledger is in that order already."""
     return merge(*ledgers, key=itemgetter(0))
 
 
-def told(notes: Iterable[Note], checker: Any, evenness: Any) -> None:
+def replay(notes: Iterable[RecordedEvent], checker: Any, evenness: Any) -> None:
     """Tells them what was noted. Each process lays out every server: only the first word of one counts."""
     laid: set[int] = set()
     for now, what, given in notes:
--- a/lab/many.py
+++ b/lab/many.py
@@ -81,7 +81,7 @@
         start = time.monotonic() + SOON_S
         for driver in made:
             driver.tell({"start": start})
-        seconds = source.play_of(seed).seconds
+        seconds = source.scenario_for(seed).seconds
         async with asyncio.timeout(2.0 * seconds + START_S):
             await asyncio.gather(*(_follow(driver, made) for driver in made))
             for driver in made:
@@ -111,7 +111,7 @@
     source: Source, seed: int, drivers: int | None = None, speaks: Speaks = "http"
 ) -> tuple[Concluded, float]:
     """What a play came to, and the seconds until all sidecars were up. Raises Broken."""
-    scenario = source.play_of(seed)
+    scenario = source.scenario_for(seed)
     count = drivers or drivers_for(scenario)
     reports, up = asyncio.run(_whole(source, seed, count, speaks))
     return Concluded(scenario, seed, reports), up
--- a/lab/measures.py
+++ b/lab/measures.py
@@ -14,7 +14,7 @@
 from lab.scenario_tables import Scenario
 
 BIN_MS = 250.0
-BACK = 0.95  # recovered: so much of the service before the first trouble
+RECOVERED_SHARE = 0.95  # recovered: so much of the service before the first trouble
 
 
 class Bin:
@@ -84,7 +84,7 @@
         self.offered_worth: dict[tuple[str, int], float] = {}
         self.earned_worth: dict[tuple[str, int], float] = {}
         self.late = 0.0
-        self._settle = scenario.settle_ms
+        self._settle_ms = scenario.settle_ms
         self._bin, self._until = Bin(), -1.0
 
     def bin(self) -> Bin:
@@ -106,7 +106,7 @@
         made = self.bin()
         made.first += 1
         made.asked += call.worth
-        if call.started_at >= self._settle:
+        if call.started_at >= self._settle_ms:
             place = (call.klass.name, call.member)
             self.offered_worth[place] = self.offered_worth.get(place, 0.0) + call.worth
 
@@ -121,7 +121,7 @@
         got = call.worth * (1.0 if spent <= klass.aim_ms and not call.cpu_delayed else klass.late_worth)
         call.earned = got
         self.bin_at(call.started_at).got += got
-        if call.started_at >= self._settle:
+        if call.started_at >= self._settle_ms:
             place = (klass.name, call.member)
             self.earned_worth[place] = self.earned_worth.get(place, 0.0) + got
             self.late += call.worth - got
@@ -136,7 +136,7 @@
         if call.earned > late:
             lost, call.earned = call.earned - late, late
             self.bin_at(call.started_at).got -= lost
-            if call.started_at >= self._settle:
+            if call.started_at >= self._settle_ms:
                 self.earned_worth[(call.klass.name, call.member)] -= lost
                 self.late += lost
 
@@ -194,18 +194,18 @@
         events: int,
         even: Evenness | None = None,
     ) -> Row:
-        first = int(self._settle / BIN_MS)
+        first = int(self._settle_ms / BIN_MS)
         # Calls of the last seconds may still be out; what counts ends a deadline before the end.
         most = max(item.deadline_ms for item in self.scenario.classes)
         last = max(int((1000.0 * self.scenario.seconds - most) / BIN_MS), first + 1)
         bins = self.bins[first:last] or [Bin()]
         calls = max(sum(b.first for b in bins), 1)
         tries = max(sum(b.offered for b in bins), 1)
-        service = share(bins)
+        service = earned_share(bins)
         goal = self.scenario.goal
         width = max(int(goal.window_ms / BIN_MS), 1)
         window = min(
-            (share(bins[at : at + width]) for at in range(max(len(bins) - width, 0) + 1)), default=1.0
+            (earned_share(bins[at : at + width]) for at in range(max(len(bins) - width, 0) + 1)), default=1.0
         )
         klass = self._worst(
             [(item.name, m) for m in range(len(self.scenario.members))] for item in self.scenario.classes
@@ -270,18 +270,18 @@
             return math.nan
         begin = min(item.at_ms for item in troubles)
         end = max(item.at_ms + item.for_ms * (2 * item.times - 1) + item.spread_ms for item in troubles)
-        before = self.bins[int(self._settle / BIN_MS) : int(begin / BIN_MS)]
-        level, second = BACK * share(before), int(1000.0 / BIN_MS)
+        before = self.bins[int(self._settle_ms / BIN_MS) : int(begin / BIN_MS)]
+        level, second = RECOVERED_SHARE * earned_share(before), int(1000.0 / BIN_MS)
         most = max(item.deadline_ms for item in self.scenario.classes)
         last = int((1000.0 * self.scenario.seconds - most) / BIN_MS) - second
         at = int(end / BIN_MS)
         for number in range(last, at - 1, -1):  # from the end backwards: it has to stay so
-            if share(self.bins[number : number + second]) < level:
+            if earned_share(self.bins[number : number + second]) < level:
                 return math.inf if number >= last - second else (number + second - at) * BIN_MS
         return 0.0
 
 
-def share(bins: list[Bin]) -> float:
+def earned_share(bins: list[Bin]) -> float:
     """Worth got of worth asked; 1 where nothing was."""
     asked = sum(b.asked for b in bins)
     return sum(b.got for b in bins) / asked if asked > 0 else 1.0
--- a/lab/policies/oracle.py
+++ b/lab/policies/oracle.py
@@ -12,7 +12,7 @@
 
 from hareloom import interface as api
 from lab.policies.plain import Held, Known, Plain
-from lab.sight import Sight, State
+from lab.sight import FleetView, ServerSnapshot
 
 LOOK_MS = 2.0  # how often a call that waits looks for a place
 FULL_SHARE = 0.8  # of what makes a starting server fall: no more is sent there
@@ -25,7 +25,7 @@
 class Oracle(Plain):
     """Sees the present, also what all others send."""
 
-    late = False
+    delayed_view = False
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -34,8 +34,8 @@
         self.epochs: dict[str, tuple[Known, int]] = {}  # of requests that are out, where to
         self.begun: dict[str, float] = {}
 
-    def given(self, sight: Sight, sidecar: int, one_way_ms: float) -> None:
-        self.sight, self.number, self.one_way = sight, sidecar, one_way_ms
+    def attach_view(self, view: FleetView, sidecar: int, one_way_ms: float) -> None:
+        self.view, self.number, self.one_way = view, sidecar, one_way_ms
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request):
@@ -55,17 +55,17 @@
     # Where to
 
     def pick(self, among: Sequence[Known], held: Held) -> Known | None:
-        work, sight = self.sight.works[held.klass.name], self.sight
+        work, view = self.view.mean_work_ms[held.klass.name], self.view
         best: Known | None = None
         least, patience = math.inf, self.patience(held)
         soon = self.now + self.one_way
-        if not held.sent and not self.late and sight.wanted(self._value(held)):
+        if not held.sent and not self.delayed_view and view.more_valuable_waits(self._value(held)):
             return None  # what is worth more is waiting somewhere, and has the first free place
         for server in among:
-            state = sight.look(server.entry.server)
-            if state is None or not state.up or state.errors > BROKEN:
+            state = view.snapshot(server.entry.server)
+            if state is None or not state.up or state.error_share > BROKEN:
                 continue
-            if not state.warm and not self.dares(state):
+            if not state.is_warm and not self.dares(state):
                 continue
             begin = self._begin(server, state, soon)
             end = begin + work / state.speed
@@ -76,9 +76,9 @@
                 best, least = server, end
         if best is not None:
             name = best.entry.server
-            seen = self.sight.late_ms + 1.5 * self.one_way
-            self.sight.sent(name, work, seen)
-            state = sight.look(name)
+            seen = self.view.delay_ms + 1.5 * self.one_way
+            self.view.record_sent(name, work, seen)
+            state = view.snapshot(name)
             assert state is not None
             self.epochs[held.request] = (best, state.epoch)
         return best
@@ -86,9 +86,9 @@
     def look_ms(self) -> float:
         return LOOK_MS
 
-    def dares(self, state: State) -> bool:
+    def dares(self, state: ServerSnapshot) -> bool:
         """Whether a starting server can take one more."""
-        return state.part < FULL_SHARE * self.settings.rules.fall_multiple
+        return state.load_ratio < FULL_SHARE * self.settings.rules.fall_multiple
 
     def patience(self, held: Held) -> float:
         """How long in ms a call may wait at a server: as long as one that waits here does not look."""
@@ -98,13 +98,13 @@
         """By what servers are told apart, the least first."""
         return end
 
-    def _begin(self, server: Known, state: State, soon: float) -> float:
+    def _begin(self, server: Known, state: ServerSnapshot, soon: float) -> float:
         """When a call that comes at ``soon`` would begin there."""
-        coming = self.sight.coming(server.entry.server)
-        if not coming and not state.waiting:
-            return max(state.free[0], soon)
-        free = [max(at, soon) for at in state.free]
-        ahead = state.waiting / (state.speed * len(free))
+        coming = self.view.work_in_flight(server.entry.server)
+        if not coming and not state.queued_work:
+            return max(state.worker_free_at[0], soon)
+        free = [max(at, soon) for at in state.worker_free_at]
+        ahead = state.queued_work / (state.speed * len(free))
         for work in coming:
             free[0] += work / state.speed
             free.sort()
@@ -113,7 +113,7 @@
     def _value(self, held: Held) -> float:
         """Worth for its work, as an answer would come now."""
         klass = held.klass
-        work = self.sight.works[klass.name]
+        work = self.view.mean_work_ms[klass.name]
         late = self.now + work + self.one_way > self.begun.get(held.request, self.now) + klass.aim_ms
         return klass.worth * (klass.late_worth if late else 1.0) / work
 
@@ -130,7 +130,7 @@
         line = [held for held in self.line if held.open]
         line.sort(key=lambda held: (-self._value(held), -held.until))
         self.line, blocked = [], False
-        self.sight.want(self.number, 0.0, self.now)
+        self.view.announce_waiting(self.number, 0.0, self.now)
         for held in line:
             if held.sent or not blocked:
                 if self._send(held):
@@ -139,7 +139,7 @@
             self.line.append(held)
         first = next((held for held in self.line if not held.sent), None)
         if first is not None:
-            self.sight.want(self.number, self._value(first), self.now + 2.0 * LOOK_MS)
+            self.view.announce_waiting(self.number, self._value(first), self.now + 2.0 * LOOK_MS)
 
     def looked(self) -> None:
         """A look round: calls out at a server that is no more are taken back, and go again if they may."""
@@ -149,7 +149,7 @@
             if held is None or not held.out or held.sent[-1][0] is not server:
                 del self.epochs[request]
                 continue
-            state = self.sight.look(server.entry.server)
+            state = self.view.snapshot(server.entry.server)
             if state is not None and (not state.up or state.epoch != epoch):
                 del self.epochs[request]
                 if self.settings.limits.may_cancel and held.open and self._again_somewhere(held):
@@ -167,13 +167,13 @@
 class LateOracle(Oracle):
     """Sees servers as they were a round trip ago, and beyond that only what it sent itself."""
 
-    late = True
+    delayed_view = True
 
     def look_ms(self) -> float:
         least = min(klass.aim_ms for klass in self.classes.values())
         return min(LOOK_MS * max(self.settings.peers / CROWD, 1.0), LONGEST * least)
 
-    def dares(self, state: State) -> bool:
+    def dares(self, state: ServerSnapshot) -> bool:
         return super().dares(state) and self.chance.random() < CROWD / max(self.settings.peers, CROWD)
 
     def patience(self, held: Held) -> float:
--- a/lab/pool.py
+++ b/lab/pool.py
@@ -23,18 +23,18 @@
 from lab.revisions import ROOT
 from lab.worker import Job, broken, read_frame, write_frame
 
-TRIES = 2
+MAX_TRIES = 2
 
 
-class Killed(Exception):
+class WorkerDied(Exception):
     """The worker ended, or was ended, before its play did."""
 
 
 class _Worker:
     """One process, for the decision modules of one place."""
 
-    def __init__(self, place: Path, most_s: float) -> None:
-        self.place, self._most_s = place, most_s
+    def __init__(self, place: Path, timeout_s: float) -> None:
+        self.place, self._timeout_s = place, timeout_s
         paths = [str(place)] if place != ROOT else []
         self._process = subprocess.Popen(
             [sys.executable, "-P", "-m", "lab.worker"],
@@ -44,10 +44,10 @@
             stdout=subprocess.PIPE,
         )
 
-    def play(self, job: Job) -> Found:
-        """Raises Killed."""
+    def run(self, job: Job) -> Found:
+        """Raises WorkerDied."""
         assert self._process.stdin is not None and self._process.stdout is not None
-        alarm = threading.Timer(self._most_s, self._process.kill)
+        alarm = threading.Timer(self._timeout_s, self._process.kill)
         alarm.start()
         try:
             write_frame(self._process.stdin, msgspec.msgpack.encode(job))
@@ -57,13 +57,13 @@
         finally:
             alarm.cancel()
         if message is None:
-            raise Killed(f"the worker ended: status {self._process.wait()}")
+            raise WorkerDied(f"the worker ended: status {self._process.wait()}")
         return msgspec.msgpack.decode(message, type=Found)
 
     def kill(self) -> None:
         self._process.kill()
 
-    def end(self) -> None:
+    def close(self) -> None:
         self.kill()
         self._process.wait()
         for stream in (self._process.stdin, self._process.stdout):
@@ -73,9 +73,9 @@
 
 
 def run(
-    plays: Iterable[tuple[Play, Job, Path]], workers: int, most_s: float = 3600.0
+    plays: Iterable[tuple[Play, Job, Path]], workers: int, timeout_s: float = 3600.0
 ) -> Iterator[tuple[Play, Found]]:
-    """Each play with what it came to, as they end; ``most_s`` seconds of real time a play at the most.
+    """Each play with what it came to, as they end; ``timeout_s`` seconds of real time a play at the most.
     Leaving the iteration early ends all workers."""
     waiting: queue.SimpleQueue[tuple[Play, Job, Path] | None] = queue.SimpleQueue()
     ended: queue.SimpleQueue[tuple[Play, Found] | BaseException] = queue.SimpleQueue()
@@ -85,7 +85,7 @@
         count += 1
     alive: dict[int, _Worker] = {}
     threads = [
-        threading.Thread(target=_serve, args=(waiting, ended, most_s, stop, alive), daemon=True)
+        threading.Thread(target=_run_worker, args=(waiting, ended, timeout_s, stop, alive), daemon=True)
         for _ in range(min(workers, count))
     ]
     for _ in threads:
@@ -106,10 +106,10 @@
             thread.join()
 
 
-def _serve(
+def _run_worker(
     waiting: queue.SimpleQueue[tuple[Play, Job, Path] | None],
     ended: queue.SimpleQueue[tuple[Play, Found] | BaseException],
-    most_s: float,
+    timeout_s: float,
     stop: threading.Event,
     alive: dict[int, _Worker],
 ) -> None:
@@ -117,22 +117,22 @@
     try:
         while not stop.is_set() and (item := waiting.get()) is not None:
             play, job, place = item
-            for turn in range(TRIES):
+            for turn in range(MAX_TRIES):
                 if worker is None or worker.place != place:
                     if worker is not None:
-                        worker.end()
-                    worker = alive[threading.get_ident()] = _Worker(place, most_s)
+                        worker.close()
+                    worker = alive[threading.get_ident()] = _Worker(place, timeout_s)
                 try:
-                    found = worker.play(job)
+                    found = worker.run(job)
                     break
-                except Killed as fault:
-                    worker.end()
+                except WorkerDied as fault:
+                    worker.close()
                     worker, found = None, Found(row=broken(str(fault)), quantiles_ms=[])
-                    if stop.is_set() or turn + 1 == TRIES:
+                    if stop.is_set() or turn + 1 == MAX_TRIES:
                         break
             ended.put((play, found))
     except BaseException as fault:  # the iteration must hear of it, or it waits for good
         ended.put(fault)
     finally:
         if worker is not None:
-            worker.end()
+            worker.close()
--- a/lab/revisions.py
+++ b/lab/revisions.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from lab.scenario import Wrong
+from lab.scenario import InvalidInput
 
 ROOT = Path(__file__).resolve().parent.parent
 DECIDES = ("hareloom", "anisestair/storms")
@@ -47,12 +47,12 @@
 
     def place(self, policy: str) -> Path:
         """Where a policy's decision modules are: this checkout, or a folder with an older revision's.
-        Raises Wrong."""
+        Raises InvalidInput."""
         revision = policy.partition("@")[2]
         return self._of(revision)[0] if revision else ROOT
 
     def code(self, policy: str) -> str:
-        """Digest of all that decides this policy's plays. Raises Wrong."""
+        """Digest of all that decides this policy's plays. Raises InvalidInput."""
         own = digest(ROOT, MODEL)
         name, _, revision = policy.partition("@")
         # A plain policy's decisions are the model's; of the module it has the types of events alone.
@@ -65,12 +65,14 @@
             return self._known[revision]
         named = _git("rev-parse", "--verify", "--quiet", f"{revision}^{{commit}}").decode().strip()
         if not named:
-            raise Wrong(f"policy: {revision!r} is no revision of this repository; name one that git knows")
+            raise InvalidInput(
+                f"policy: {revision!r} is no revision of this repository; name one that git knows"
+            )
         place = self._folder / named[:16]
         if not place.exists():
             archive = _git("archive", "--format=tar", named, *DECIDES)
             if not archive:
-                raise Wrong(f"policy: {revision!r} has no {' or '.join(DECIDES)}; name a later one")
+                raise InvalidInput(f"policy: {revision!r} has no {' or '.join(DECIDES)}; name a later one")
             unfinished = self._folder / f"{named[:16]}.unfinished"
             with tarfile.open(fileobj=BytesIO(archive)) as tar:
                 tar.extractall(unfinished, filter="data")
--- a/lab/running.py
+++ b/lab/running.py
@@ -33,7 +33,7 @@
     progress: Progress = silent,
     most_s: float = 3600.0,
 ) -> Loaded:
-    """Plays what is missing and makes one file of it; the rows of all plays. Raises Wrong."""
+    """Plays what is missing and makes one file of it; the rows of all plays. Raises InvalidInput."""
     results = Folder(folder, libraries())
     with tempfile.TemporaryDirectory(prefix="lab-") as scratch:
         revisions = Revisions(Path(scratch))
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -59,7 +59,7 @@
     def discovery(self) -> ServerEvents:
         """Who is told of starts and ends."""
 
-    def fell(self, server: Server) -> None:
+    def server_fell(self, server: Server) -> None:
         """A server was pushed over."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -123,7 +123,7 @@
         self.rng = rng
         self.queue_capacity = kind.workers * made.queue
         self.state, self.epoch = UP, 0
-        self.started = self.clock.now if cold else -math.inf
+        self.started_at = self.clock.now if cold else -math.inf
         self.reported_start: float | None = self.clock.now if cold else None
         self.running, self.waiting = 0, deque[Attempt]()
         self.open_attempts: set[Attempt] = set()
@@ -159,9 +159,9 @@
         if epoch == self.epoch:
             self.mark("cold", False)
 
-    def mark(self, why: str, unsound: bool) -> None:
+    def mark(self, reason: str, unhealthy: bool) -> None:
         """From now on it is not to be counted on, for this reason, or no longer for it."""
-        self.simulation.evenness.mark(self.clock.now, self.number, why, unsound)
+        self.simulation.evenness.mark(self.clock.now, self.number, reason, unhealthy)
 
     def location(self) -> tuple[str, str, int]:
         """Its name, zone and cell."""
@@ -178,7 +178,7 @@
 
     def warm_fraction(self) -> float:
         """The share of its capacity that it has."""
-        age = self.clock.now - self.started
+        age = self.clock.now - self.started_at
         if age >= self.config.warm_up_ms:
             return 1.0
         return self.config.cold_share + (1.0 - self.config.cold_share) * age / self.config.warm_up_ms
@@ -225,7 +225,7 @@
         if part > made.fall_multiple and (warm_fraction < 1.0 or made.falls_warm):
             self.falls += 1
             self.simulation.measures.record_fall(warm_fraction < 1.0)
-            self.simulation.fell(self)
+            self.simulation.server_fell(self)
             self.stop(DEAD)
             self.clock.schedule(made.down_ms, self.start)
 
@@ -342,7 +342,7 @@
         if self.state == UP:
             return
         self.state, self.epoch = UP, self.epoch + 1
-        self.started = self.reported_start = self.clock.now
+        self.started_at = self.reported_start = self.clock.now
         self._report_load()
         self._start_warm_up()
         self.mark("down", False)
--- a/lab/sidecars.py
+++ b/lab/sidecars.py
@@ -17,7 +17,7 @@
 from lab.measures import Measures
 from lab.scenario_tables import Scenario
 from lab.servers import DEAD, SILENT, UP, Attempt, Server
-from lab.sight import Sees, Sight
+from lab.sight import FleetView, NeedsFleetView
 from lab.streams import Streams, golden_ratio_draw, lognormal
 
 
@@ -35,7 +35,7 @@
 class TryListener(Protocol):
     """Who is told what became of a client's try."""
 
-    def try_ended(self, held: Try, what: str, advice_ms: float) -> None:
+    def try_ended(self, client_try: Try, what: str, advice_ms: float) -> None:
         """The one outcome of a try, with the time after which its client may come again."""
 
 
@@ -70,10 +70,10 @@
     def settings(self, zone: str, number: int) -> api.Settings:
         """The decisions' settings for a sidecar of this zone and number."""
 
-    def sight(self, sidecar: int, late: bool) -> Sight:
+    def fleet_view(self, sidecar: int, late: bool) -> FleetView:
         """What a policy that sees servers' states may look at."""
 
-    def swallowed(self, sidecar: Sidecar, server: Server) -> bool:
+    def is_dropped(self, sidecar: Sidecar, server: Server) -> bool:
         """Whether nothing of an attempt arrives, nor anything comes back."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -108,7 +108,7 @@
         )
         self.up, self.paused, self.incarnation, self.resumed_at = False, False, 0, -1.0
         self.inbox: deque[tuple[Callable[..., None], tuple[object, ...]]] = deque()
-        self.version, self.subscribed = 0, False
+        self.list_version, self.subscribed = 0, False
         self.known: dict[str, api.ServerEntry] = {}  # the list as it last had it
         self.open_tries: dict[str, Try] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
@@ -121,10 +121,10 @@
         self.up, self.paused, self.incarnation = True, False, self.incarnation + 1
         seed = self.simulation.seed * 100_003 + self.number * 101 + self.incarnation + 7919 * self.generation
         self.balancer = self.policy(self.settings, seed)
-        if isinstance(self.balancer, Sees):
+        if isinstance(self.balancer, NeedsFleetView):
             net = self.simulation.scenario.network
-            sight = self.simulation.sight(self.number, self.balancer.late)
-            self.balancer.given(sight, self.number, max(net.same_ms, net.cross_ms))
+            fleet_view = self.simulation.fleet_view(self.number, self.balancer.delayed_view)
+            self.balancer.attach_view(fleet_view, self.number, max(net.same_ms, net.cross_ms))
         self._servers_examined = 0.0
         self.storm_watch = Watch(self.settings, seed) if self.watch_storms else None
         self.subscribed = self.simulation.scenario.discovery.mode == "push"
@@ -134,12 +134,12 @@
         entries = tuple(self.known.values())
         if not self.generation or self.incarnation > 1:
             self.simulation.checker.started(self.number)  # to the rules two processes are one sidecar
-        self.handle_event(api.ServerList(ListKind.CACHED, self.version, entries))
+        self.handle_event(api.ServerList(ListKind.CACHED, self.list_version, entries))
         if first and self.subscribed:
-            self.handle_event(api.ServerList(ListKind.FULL, self.version, entries))
+            self.handle_event(api.ServerList(ListKind.FULL, self.list_version, entries))
 
     def crash(self) -> None:
-        """What it held is the clients' to try again; its attempts' connections end."""
+        """What it client_try is the clients' to try again; its attempts' connections end."""
         if not self.up:
             return
         self.up, self.incarnation = False, self.incarnation + 1
@@ -154,8 +154,8 @@
             self.simulation.servers[number].connections -= len(kept)
         self.idle_connections.clear()
         tries, self.open_tries = self.open_tries, {}
-        for held in tries.values():
-            self.simulation.clients.try_ended(held, "cut", 0.0)
+        for client_try in tries.values():
+            self.simulation.clients.try_ended(client_try, "cut", 0.0)
 
     def pause(self) -> None:
         self.paused = True
@@ -212,32 +212,34 @@
         sends = sum(isinstance(action, api.Send) for action in actions)
         looks = getattr(self.balancer, "looks", None)
         if looks is None:
-            looked = sends * self.simulation.scenario.sidecars.cpu.looks
+            examined = sends * self.simulation.scenario.sidecars.cpu.looks
         else:
-            looked, self._servers_examined = looks - self._servers_examined, looks
-        self.cpu_meter.charge(now, event, sends, looked)
+            examined, self._servers_examined = looks - self._servers_examined, looks
+        self.cpu_meter.charge(now, event, sends, examined)
 
     def _fire_timer(self, incarnation: int, token: int) -> None:
         if incarnation == self.incarnation:
             self.handle_event(api.Timer(token))
 
-    def handle_request(self, held: Try, until: float) -> None:
+    def handle_request(self, client_try: Try, deadline: float) -> None:
         """A client's request has come whole. A process that stands still accepts it all the same."""
         if self.paused:
-            self.inbox.append((self.handle_request, (held, until)))
+            self.inbox.append((self.handle_request, (client_try, deadline)))
             return
-        if not held.open:
+        if not client_try.open:
             return
-        self.open_tries[held.name] = held
-        self.simulation.checker.asked(self.number, held.name, held.call.klass.name, until)
+        self.open_tries[client_try.name] = client_try
+        self.simulation.checker.asked(self.number, client_try.name, client_try.call.klass.name, deadline)
         if self.cpu_meter is not None:
-            self.cpu_meter.request_accepted(self.clock.now, held.call)
-        self.handle_event(api.Request(held.name, held.call.klass.name, until, None, held.marked))
+            self.cpu_meter.request_accepted(self.clock.now, client_try.call)
+        self.handle_event(
+            api.Request(client_try.name, client_try.call.klass.name, deadline, None, client_try.marked)
+        )
 
-    def client_gone(self, held: Try) -> None:
+    def client_gone(self, client_try: Try) -> None:
         """The client waits no longer."""
-        if self.open_tries.pop(held.name, None) is not None and self.up:
-            self._client_gone(held.name)
+        if self.open_tries.pop(client_try.name, None) is not None and self.up:
+            self._client_gone(client_try.name)
 
     def _client_gone(self, name: str) -> None:
         """A process that stands still learns of it when it goes on; until then it may answer nobody."""
@@ -250,10 +252,10 @@
 
     def _finish(self, name: str, what: str, advice_ms: float) -> None:
         self.simulation.checker.final(self.number, name, what, self.clock.now)
-        held = self.open_tries.pop(name, None)
+        client_try = self.open_tries.pop(name, None)
         self._forget(name)
-        if held is not None:
-            self.simulation.clients.try_ended(held, what, advice_ms)
+        if client_try is not None:
+            self.simulation.clients.try_ended(client_try, what, advice_ms)
 
     def _forget(self, name: str) -> None:
         """Counts of attempts are kept while one can still end."""
@@ -270,26 +272,26 @@
         self.attempts_open[name] = self.attempts_open.get(name, 0) + 1
         server = simulation.by_name[action.server]
         simulation.checker.sent(self.number, name, number, server.location(), now)
-        held = self.open_tries.get(name)
+        client_try = self.open_tries.get(name)
         work, key, klass = 0.0, -1, ""
-        if held is not None:
-            call = held.call
+        if client_try is not None:
+            call = client_try.call
             noise = lognormal(golden_ratio_draw(call.draw, call.tries * 8 + number), call.klass.noise)
             work, key, klass = call.work * noise, call.key, call.klass.name
         attempt = self.attempts[name, number] = Attempt(self, name, number, server, now, work, key, klass)
         simulation.measures.bin().sent += 1
         self.clock.schedule(action.timeout_ms, self.attempt_ended, attempt, Outcome.TIMEOUT)
-        if simulation.swallowed(self, server):
+        if simulation.is_dropped(self, server):
             return  # nothing comes back, not even of the connect
         link = simulation.links.of(self.zone, server.zone)
-        one_way = self.delay(server) + link.message_delay_ms(simulation.links.chance)
+        one_way = self.delay(server) + link.message_delay_ms(simulation.links.rng)
         epoch, opened = self._take_idle_connection(server)
         attempt.opened = opened if epoch >= 0 else now
         if epoch >= 0:
             attempt.epoch = epoch
-            if link.dead_before > opened:
+            if link.half_open_before > opened:
                 return  # open at this end alone
-            if link.reset and simulation.links.chance.random() < link.reset:
+            if link.reset_share and simulation.links.rng.random() < link.reset_share:
                 self.clock.schedule(one_way, self.attempt_ended, attempt, Outcome.RESET)
                 return
             self.clock.schedule(one_way, server.arrive, attempt)
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -23,7 +23,7 @@
 from lab.scenario_tables import Kind, Scenario
 from lab.servers import Attempt, Server
 from lab.sidecars import Policy, Sidecar
-from lab.sight import Sight
+from lab.sight import FleetView
 from lab.streams import Streams
 from lab.versions import Change
 
@@ -59,27 +59,27 @@
         self.evenness = Evenness(scenario.settle_ms)
         self.discovery = Discovery(self)
         self.clients = Clients(self)
-        self._sights: dict[int, Sight] = {}
-        self._lay_out(Server)
+        self._views: dict[int, FleetView] = {}
+        self._create_servers(Server)
         self.sidecars = [Sidecar(self, n, policy, watch_storms) for n in range(scenario.sidecars.count)]
 
     def processes(self) -> list[Sidecar]:
         """All that hear of the list: where a sidecar is being replaced, both of its processes."""
         return [*self.sidecars, *(item for at in self.changes.values() for item in at.beside())]
 
-    def reached(self, number: int) -> Sidecar:
+    def serving_process(self, number: int) -> Sidecar:
         """The process that a call of this sidecar's application comes to."""
         change = self.changes.get(number)
         return self.sidecars[number] if change is None else change.reached()
 
-    def _lay_out(self, make: type[Server]) -> None:
+    def _create_servers(self, server_class: type[Server]) -> None:
         """The servers of the start, and that nothing has befallen the network or any sidecar yet."""
         self.changes: dict[int, Change] = {}  # of versions that are under way, by sidecar
-        self.cut: set[str] = set()  # zones that no message leaves or enters
-        self.loss = 0.0  # share of attempts that are swallowed
+        self.cut_zones: set[str] = set()  # zones that no message leaves or enters
+        self.loss_share = 0.0  # share of attempts that are swallowed
         self.links = Links(lambda: self.clock.now, self.streams.of("links"))
-        self.leaving: set[str] = set()  # servers that do not come back
-        self._loss, self._make = self.streams.of("loss"), make
+        self.removed_servers: set[str] = set()  # servers that do not come back
+        self._loss_rng, self._server_class = self.streams.of("loss"), server_class
         self.servers: list[Server] = []
         self.by_name: dict[str, Server] = {}
         made = self.scenario.servers
@@ -88,17 +88,17 @@
             # Kinds are laid out evenly by their shares: which server is of which is the same for every seed.
             place = (number + 0.5) / made.count * bounds[-1]
             kind = next(kind for kind, bound in zip(made.kinds, bounds, strict=True) if place <= bound)
-            self._put(make(self, number, kind, f"s-{number}"))
+            self._register_server(server_class(self, number, kind, f"s-{number}"))
 
-    def _put(self, server: Server) -> None:
+    def _register_server(self, server: Server) -> None:
         self.servers.append(server)
         self.by_name[server.name] = server
 
     def add_server(self, kind: Kind) -> None:
         """A machine that the simulation has not had, started now."""
         number = len(self.servers)
-        server = self._make(self, number, kind, f"s-{number}", cold=True)
-        self._put(server)
+        server = self._server_class(self, number, kind, f"s-{number}", cold=True)
+        self._register_server(server)
         self.discovery.server_started(server)
 
     def settings(self, zone: str, number: int = -1) -> api.Settings:
@@ -135,39 +135,39 @@
         limits = replace(limits, cpu_us_per_s=made.sidecars.cpu.per_s)
         return replace(settings, limits=limits, costs=api.Costs(**made.sidecars.cpu.costs()))
 
-    def sight(self, sidecar: int, late: bool) -> Sight:
+    def fleet_view(self, sidecar: int, late: bool) -> FleetView:
         """Made when the first policy asks for it: one for all that see the present, else each its own, over
-        the same past."""
+        the same history."""
         net = self.scenario.network
         trip = 2.0 * max(net.same_ms, net.cross_ms) if late else 0.0
         key = sidecar if late else -1
-        if key not in self._sights:
+        if key not in self._views:
             works = {item.name: item.work_ms for item in self.scenario.classes}
-            past = next((sight for sight in self._sights.values() if sight.late_ms > 0), None)
-            self._sights[key] = Sight(self.clock, self.by_name, works, trip, past)
-        return self._sights[key]
+            history = next((view for view in self._views.values() if view.delay_ms > 0), None)
+            self._views[key] = FleetView(self.clock, self.by_name, works, trip, history)
+        return self._views[key]
 
-    def fell(self, server: Server) -> None:
+    def server_fell(self, server: Server) -> None:
         """A server was pushed over."""
 
     # Messages
 
-    def swallowed(self, sidecar: Sidecar, server: Server) -> bool:
+    def is_dropped(self, sidecar: Sidecar, server: Server) -> bool:
         """Whether nothing of an attempt arrives, nor anything comes back."""
-        if self.cut and (sidecar.zone in self.cut) != (server.zone in self.cut):
+        if self.cut_zones and (sidecar.zone in self.cut_zones) != (server.zone in self.cut_zones):
             return True
-        if not self.links.of(sidecar.zone, server.zone).there:
+        if not self.links.of(sidecar.zone, server.zone).requests_arrive:
             return True
-        return self.loss > 0 and self._loss.random() < self.loss
+        return self.loss_share > 0 and self._loss_rng.random() < self.loss_share
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
         """What a server answers, or its end, on its way back."""
         sidecar, server = attempt.sidecar, attempt.server
-        if self.cut and (sidecar.zone in self.cut) != (server.zone in self.cut):
+        if self.cut_zones and (sidecar.zone in self.cut_zones) != (server.zone in self.cut_zones):
             return
         link = self.links.of(sidecar.zone, server.zone)
-        if link.back:
-            late = sidecar.delay(server) + link.message_delay_ms(self.links.chance)
+        if link.answers_arrive:
+            late = sidecar.delay(server) + link.message_delay_ms(self.links.rng)
             self.clock.schedule(late, sidecar.attempt_ended, attempt, outcome)
 
     # The play
@@ -175,9 +175,9 @@
     def run(self) -> Row:
         """Plays it to the end, or to the bound of its events; what it came to."""
         entries, fault = self.discovery.initial_list(self.servers), ""
-        chance, spread = self.streams.of("start"), self.scenario.sidecars.start_spread_ms
+        rng, spread = self.streams.of("start"), self.scenario.sidecars.start_spread_ms
         for sidecar in self.sidecars:
-            self.clock.schedule(chance.uniform(0.0, spread), sidecar.start, entries)
+            self.clock.schedule(rng.uniform(0.0, spread), sidecar.start, entries)
         self.clock.schedule(spread, self.clients.begin)
         troubles.plan(self)
         try:
--- a/lab/socket_servers.py
+++ b/lab/socket_servers.py
@@ -40,7 +40,7 @@
     noise_of: dict[str, float]
     relayed: tuple[str, ...]
 
-    def swallowed(self, sidecar: Any, server: Server) -> bool:
+    def is_dropped(self, sidecar: Any, server: Server) -> bool:
         """Whether nothing of an attempt arrives, nor anything comes back."""
 
 
@@ -99,7 +99,7 @@
         )
         attempt.side, attempt.epoch, attempt.msgid = self, self.epoch, msgid
         self.held[msgid] = attempt
-        if simulation.swallowed(sidecar, server):
+        if simulation.is_dropped(sidecar, server):
             return
         if server.connections > server.config.connections:
             simulation.reply(attempt, Outcome.FULL)
@@ -226,9 +226,16 @@
         if place[1] != self.zone:
             return
         for relay in self.relays.get(place[0], ()):
-            faults = Faults(link.there, link.back, link.late_ms, 0.0, link.loss, link.reset)
+            faults = Faults(
+                link.requests_arrive,
+                link.answers_arrive,
+                link.delay_ms,
+                0.0,
+                link.loss_share,
+                link.reset_share,
+            )
             relay.set_faults(faults)
-            if link.dead_before >= self.clock.now - 1.0 and link.dead_before >= 0.0:
+            if link.half_open_before >= self.clock.now - 1.0 and link.half_open_before >= 0.0:
                 relay.make_half_open()
 
     def _cut(self) -> None:
--- a/lab/socket_sidecars.py
+++ b/lab/socket_sidecars.py
@@ -116,7 +116,7 @@
             if self.sidecar.simulation.scenario.discovery.mode == "ask":
                 self.transport.abort()
             return
-        if not after.isdigit() or int(after) < self.sidecar.version + 1 or not wait.isdigit():
+        if not after.isdigit() or int(after) < self.sidecar.list_version + 1 or not wait.isdigit():
             self.send()
         else:
             delay = min(int(wait), 60_000) / 1000.0
@@ -149,7 +149,7 @@
             simulation.streams.of("net", number),
             simulation.streams.of("lag", number),
         )
-        self.up, self.paused, self.incarnation, self.version, self.subscribed = False, False, 0, 0, True
+        self.up, self.paused, self.incarnation, self.list_version, self.subscribed = False, False, 0, 0, True
         self.generation, self.resumed_at, self.list_calls = 0, -1.0, 0
         self.known: dict[str, api.ServerEntry] = {}
         self.idle: list[_ClientSide] = []
@@ -192,7 +192,7 @@
             self.running.read_on()
         self.up, self.incarnation = True, self.incarnation + 1
         self.simulation.checker.started(self.number)
-        told = api.ServerList(ListKind.FULL, self.version, tuple(self.known.values()))
+        told = api.ServerList(ListKind.FULL, self.list_version, tuple(self.known.values()))
         self.simulation.checker.listed(self.number, self.simulation.clock.now, told)
 
     def _operator(self) -> str:
@@ -253,7 +253,7 @@
     def list_told(self) -> dict[str, Any]:
         simulation = self.simulation
         if simulation.scenario.discovery.mode == "ask":
-            self.version = len(simulation.discovery.changes)
+            self.list_version = len(simulation.discovery.changes)
             self.known = dict(simulation.discovery.entries)
         reached = {name: simulation.wire(name).dials() for name in self.known}
         dials = {name: found.get(self.zone, found[""]) for name, found in reached.items()}
@@ -274,7 +274,7 @@
             for entry in self.known.values()
             if entry.state is not api.ServerState.GONE
         ]
-        return {"seq": self.version + 1, "whole": True, "hosts": hosts}
+        return {"seq": self.list_version + 1, "whole": True, "hosts": hosts}
 
     # Calls
 
@@ -354,7 +354,7 @@
     """A sidecar of another process of the rig: nothing of it is here but its place."""
 
     is_local = False
-    up, paused, incarnation, version, generation, subscribed = True, False, 0, 0, 0, False
+    up, paused, incarnation, list_version, generation, subscribed = True, False, 0, 0, 0, False
     resumed_at = -1.0
 
     def __init__(self, number: int, zone: str) -> None:
--- a/lab/socket_simulation.py
+++ b/lab/socket_simulation.py
@@ -32,9 +32,9 @@
 from lab.discovery import Discovery
 from lab.evenness import Evenness
 from lab.launch import Launcher, cpu_s, memory_kb
-from lab.ledger import Notes, merged, told
+from lab.ledger import EventRecorder, merge_recordings, replay
 from lab.measures import Measures, Row
-from lab.scenario import Wrong
+from lab.scenario import InvalidInput
 from lab.scenario_tables import Scenario
 from lab.servers import Attempt, Server
 from lab.simulation import Simulation
@@ -55,9 +55,9 @@
     ``open``, then ``ready`` with what all processes' ``open`` gave, then ``take_place``, then ``report``."""
 
     def __init__(self, scenario: Scenario, seed: int, speaks: Speaks = "http", shard: Shard = (0, 1)) -> None:
-        """Raises Wrong for a scenario that cannot be played over sockets."""
+        """Raises InvalidInput for a scenario that cannot be played over sockets."""
         if any(item.kind == "upgrade" for item in scenario.troubles):
-            raise Wrong(
+            raise InvalidInput(
                 f"{scenario.name}: troubles: changes of versions over sockets are benchmarks/upgrade.py's"
             )
         self.shard = shard
@@ -70,7 +70,7 @@
         self.wall = WallClock(scenario.most_events)
         self.clock = cast(Any, self.wall)
         self.measures = Measures(self.scenario, self.clock)
-        self.notes = Notes(lambda: self.wall.now, MOST_NOTES)
+        self.notes = EventRecorder(lambda: self.wall.now, MOST_NOTES)
         self.checker = self.evenness = cast(Any, self.notes)
         self.latency = HdrHistogram(1, MOST_US, 3)
         self.noise_of = {item.name: item.noise for item in scenario.classes}
@@ -80,7 +80,7 @@
         self.discovery = Discovery(self)
         self.clients = Clients(self)
         self.clients.try_name_prefix = f"{shard[0]}-"
-        self._lay_out(self._server)  # type: ignore[arg-type]
+        self._create_servers(self._server)  # type: ignore[arg-type]
         self.links.on_change = self._link
         count = scenario.sidecars.count
         self.peers = [Peer(self, n, zones[n % len(zones)]) for n in range(count)]
@@ -106,7 +106,7 @@
         for server in self.servers:
             cast(SocketServer, server).fault(place, link)
 
-    def fell(self, server: Server) -> None:
+    def server_fell(self, server: Server) -> None:
         self.told_of_falls(server.number)
 
     def heard_of_fall(self, number: int) -> None:
@@ -122,7 +122,7 @@
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
         assert isinstance(attempt, SocketAttempt)
         sidecar, server = attempt.sidecar, attempt.server
-        if self.cut and (sidecar.zone in self.cut) != (server.zone in self.cut):
+        if self.cut_zones and (sidecar.zone in self.cut_zones) != (server.zone in self.cut_zones):
             return
         self.clock.schedule(sidecar.delay(server), attempt.side.answer, attempt, outcome)
 
@@ -221,8 +221,8 @@
     def report(self) -> dict[str, Any]:
         """What this process saw, as MessagePack takes it."""
         return {
-            "notes": self.notes.kept,
-            "beyond": self.notes.beyond,
+            "notes": self.notes.events,
+            "beyond": self.notes.dropped,
             "measures": self.measures.export(),
             "latency": self.latency.encode(),
             "peak": max((server.peak for server in self.servers), default=0.0),
@@ -255,7 +255,7 @@
         self.evenness = Evenness(made.settle_ms)
         self.measures = Measures(made, virtual.clock)
         self.latency = HdrHistogram(1, MOST_US, 3)
-        told(merged([report["notes"] for report in reports]), self.checker, self.evenness)
+        replay(merge_recordings([report["notes"] for report in reports]), self.checker, self.evenness)
         for report in reports:
             self.measures.merge(report["measures"])
             self.latency.decode_and_add(report["latency"])
--- a/lab/statistics.py
+++ b/lab/statistics.py
@@ -18,7 +18,7 @@
 POWER = 0.8  # how often a true difference of the smallest that would show is seen
 _NORMAL = NormalDist()
 _Z = _NORMAL.inv_cdf(0.5 + LEVEL / 2.0)
-FEW = 5  # below so many pairs an interval says nothing
+MIN_PAIRS = 5  # below so many pairs an interval says nothing
 
 
 class Interval(msgspec.Struct, frozen=True):
@@ -29,11 +29,11 @@
     high: float
     n: int
 
-    def half(self) -> float:
+    def half_width(self) -> float:
         return (self.high - self.low) / 2.0
 
 
-def interval(values: Sequence[float]) -> Interval:
+def mean_interval(values: Sequence[float]) -> Interval:
     """The mean's interval at 95%, bias-corrected and accelerated (Efron, "Better Bootstrap Confidence
     Intervals", 1987)."""
     data = np.asarray(values, dtype=np.float64)
@@ -41,7 +41,7 @@
     if n == 0:
         return Interval(math.nan, math.nan, math.nan, 0)
     mean = float(data.mean())
-    if n < FEW:
+    if n < MIN_PAIRS:
         return Interval(mean, math.nan, math.nan, n)
     if float(data.std()) == 0.0:
         return Interval(mean, mean, mean, n)
@@ -52,11 +52,11 @@
     left_out = (data.sum() - data) / (n - 1)  # the jackknife
     spread = left_out.mean() - left_out
     squares = float((spread**2).sum())
-    bend = float((spread**3).sum()) / (6.0 * squares**1.5) if squares > 0 else 0.0
+    acceleration = float((spread**3).sum()) / (6.0 * squares**1.5) if squares > 0 else 0.0
     ends = []
     for z in (-_Z, _Z):
-        moved = _NORMAL.cdf(bias + (bias + z) / max(1.0 - bend * (bias + z), 1e-9))
-        ends.append(float(means[min(max(int(moved * RESAMPLES), 0), RESAMPLES - 1)]))
+        adjusted = _NORMAL.cdf(bias + (bias + z) / max(1.0 - acceleration * (bias + z), 1e-9))
+        ends.append(float(means[min(max(int(adjusted * RESAMPLES), 0), RESAMPLES - 1)]))
     return Interval(mean, ends[0], ends[1], n)
 
 
@@ -70,8 +70,8 @@
 
     def verdict(self, first: str, second: str, metric: str) -> str:
         found = self.difference
-        if found.n < FEW:
-            return f"{found.n} seeds say nothing; play {FEW} at the least"
+        if found.n < MIN_PAIRS:
+            return f"{found.n} seeds say nothing; play {MIN_PAIRS} at the least"
         ends = f"[{found.low:+.4f}, {found.high:+.4f}]"
         if found.low > 0.0 or found.high < 0.0:
             more, less = (first, second) if found.mean > 0 else (second, first)
@@ -82,11 +82,11 @@
         return words
 
 
-def compared(first: dict[int, float], second: dict[int, float]) -> Comparison:
+def compare_paired(first: dict[int, float], second: dict[int, float]) -> Comparison:
     """Values by seed; seeds that only one has are left out."""
     seeds = sorted(first.keys() & second.keys())
     differences = [first[seed] - second[seed] for seed in seeds]
-    found = interval(differences)
+    found = mean_interval(differences)
     deviation = float(np.std(differences, ddof=1)) if len(seeds) > 1 else math.nan
     shows = (_Z + _NORMAL.inv_cdf(POWER)) * deviation / math.sqrt(max(len(seeds), 1))
     settles = 0
@@ -95,26 +95,26 @@
     return Comparison(found, shows, settles)
 
 
-LEAST_WAY = 0.01  # a ceiling nearer than that to the floor says nothing of the way between
+MIN_GAP = 0.01  # a ceiling nearer than that to the floor says nothing of the way between
 
 
-def way(own: dict[int, float], floor: dict[int, float], ceiling: dict[int, float]) -> Interval:
+def gap_closed(own: dict[int, float], floor: dict[int, float], ceiling: dict[int, float]) -> Interval:
     """What part of the way from a floor to a ceiling a policy goes, values by seed: a ratio of means, its
-    interval by a bootstrap over the seeds that all three have. NaN where the two lie within LEAST_WAY."""
+    interval by a bootstrap over the seeds that all three have. NaN where the two lie within MIN_GAP."""
     seeds = sorted(own.keys() & floor.keys() & ceiling.keys())
     table = np.array([(own[seed], floor[seed], ceiling[seed]) for seed in seeds], dtype=np.float64)
-    if not seeds or table[:, 2].mean() - table[:, 1].mean() < LEAST_WAY:
+    if not seeds or table[:, 2].mean() - table[:, 1].mean() < MIN_GAP:
         return Interval(math.nan, math.nan, math.nan, len(seeds))
-    mean = _part(table)
-    if len(seeds) < FEW:
+    mean = _gap_share(table)
+    if len(seeds) < MIN_PAIRS:
         return Interval(float(mean), math.nan, math.nan, len(seeds))
     generator = np.random.Generator(np.random.Philox(key=len(seeds)))
-    drawn = _part(table[generator.integers(0, len(seeds), size=(RESAMPLES, len(seeds)))])
+    drawn = _gap_share(table[generator.integers(0, len(seeds), size=(RESAMPLES, len(seeds)))])
     low, high = np.quantile(drawn, [0.5 - LEVEL / 2.0, 0.5 + LEVEL / 2.0])
     return Interval(float(mean), float(min(low, mean)), float(max(high, mean)), len(seeds))
 
 
-def _part(table: Any) -> Any:
+def _gap_share(table: Any) -> Any:
     own, floor, ceiling = (table[..., column].mean(axis=-1) for column in range(3))
     return (own - floor) / np.maximum(ceiling - floor, 1e-12)
 
@@ -122,12 +122,12 @@
 def more_seeds(found: Interval, precision: float, most: int) -> int:
     """How many further seeds make the interval half as wide as ``precision``, by the root of n; at least a
     fifth more, at most ``most`` in all. 0: it is narrow enough, or the bound is reached."""
-    if found.n >= most or (found.n >= FEW and found.half() <= precision):
+    if found.n >= most or (found.n >= MIN_PAIRS and found.half_width() <= precision):
         return 0
-    if found.n < FEW or precision <= 0:
-        wanted = max(2 * found.n, FEW)
+    if found.n < MIN_PAIRS or precision <= 0:
+        wanted = max(2 * found.n, MIN_PAIRS)
     else:
         # Nobody plays more than ``most``, however narrow it is asked to be.
-        wider = min(found.half() / precision, math.sqrt(most))
+        wider = min(found.half_width() / precision, math.sqrt(most))
         wanted = math.ceil(found.n * wider**2)
     return min(max(wanted, math.ceil(1.2 * found.n), found.n + 1), most) - found.n
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -44,19 +44,19 @@
     def exponential(self, mean: float) -> float:
         return -mean * math.log(1.0 - self.random())
 
-    def whole(self, below: int) -> int:
+    def integer_below(self, below: int) -> int:
         """At least 0, below ``below``."""
         return int(self.random() * below)
 
-    def pick(self, bounds: Sequence[float]) -> int:
+    def pick_index(self, bounds: Sequence[float]) -> int:
         """The place of a draw among cumulated shares, the last of which is their sum."""
         place = bisect_right(bounds, self.random() * bounds[-1])
         return place if place < len(bounds) else len(bounds) - 1
 
-    def shuffled(self, size: int) -> list[int]:
+    def permutation(self, size: int) -> list[int]:
         order = list(range(size))
         for at in range(size - 1, 0, -1):
-            other = self.whole(at + 1)
+            other = self.integer_below(at + 1)
             order[at], order[other] = order[other], order[at]
         return order
 
--- a/lab/tables.py
+++ b/lab/tables.py
@@ -11,7 +11,7 @@
 
 from lab.experiment import Point
 from lab.results import QUANTILES, finite, point_of
-from lab.statistics import Comparison, Interval, compared, interval, way
+from lab.statistics import Comparison, Interval, compare_paired, gap_closed, mean_interval
 
 BROKEN = ("broke_lost", "broke_twice", "broke_drain", "broke_fall")
 
@@ -40,7 +40,7 @@
         found.append(
             Cell(
                 point_of(group[0]),
-                interval([row[metric] for row in group]),
+                mean_interval([row[metric] for row in group]),
                 statistics.median_high(back) if back else math.nan,
                 sum(math.isinf(value) for value in back),
                 sum(row["falls"] for row in group),
@@ -61,7 +61,7 @@
 
 
 def against(rows: Sequence[dict[str, Any]], first: Point, second: Point, metric: str) -> Comparison:
-    return compared(by_seed(rows, first, metric), by_seed(rows, second, metric))
+    return compare_paired(by_seed(rows, first, metric), by_seed(rows, second, metric))
 
 
 def beside(rows: Sequence[dict[str, Any]], policy: str, metric: str) -> list[tuple[Point, Comparison]]:
@@ -99,8 +99,8 @@
             for end in (floor, ceiling)
         ]
         if ends[0] and ends[1]:
-            low, high = (interval(list(end.values())) for end in ends)
-            found.append(Gone(point, cell.metric, low, high, way(by_seed(rows, point, metric), *ends)))
+            low, high = (mean_interval(list(end.values())) for end in ends)
+            found.append(Gone(point, cell.metric, low, high, gap_closed(by_seed(rows, point, metric), *ends)))
     return found
 
 
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -24,12 +24,15 @@
 
 
 class TroublesHost(ChangeHost, Protocol):
-    """What troubles need of the simulation that they befall. ``cut``: zones that no message leaves or enters;
-    ``loss``: share of attempts that are swallowed; ``leaving``: servers that do not come back."""
+    """The parts of the simulation that troubles use.
 
-    cut: set[str]
-    loss: float
-    leaving: set[str]
+    ``cut_zones``: zones that no message leaves or enters; ``loss_share``: share of attempts that are lost;
+    ``removed_servers``: servers that do not come back.
+    """
+
+    cut_zones: set[str]
+    loss_share: float
+    removed_servers: set[str]
     evenness: Evenness
 
     @property
@@ -57,12 +60,12 @@
     def affected_servers(self) -> list[Server]:
         servers = self.simulation.servers
         count = min(math.ceil(self.trouble.share * len(servers)), len(servers))
-        return [servers[at] for at in sorted(self.rng.shuffled(len(servers))[:count])]
+        return [servers[at] for at in sorted(self.rng.permutation(len(servers))[:count])]
 
     def affected_sidecars(self) -> list[Sidecar]:
         sidecars = self.simulation.sidecars
         count = min(math.ceil(self.trouble.share * len(sidecars)), len(sidecars))
-        return [sidecars[at] for at in sorted(self.rng.shuffled(len(sidecars))[:count])]
+        return [sidecars[at] for at in sorted(self.rng.permutation(len(sidecars))[:count])]
 
     def _schedule_span(self, begin: Callable[[], object], end: Callable[[], object]) -> None:
         self.clock.schedule(self.start, begin)
@@ -110,9 +113,9 @@
                 partial(self._degrade, server, "errors", usual, False),
             )
 
-    def _degrade(self, server: Server, how: str, value: float, unsound: bool = True) -> None:
+    def _degrade(self, server: Server, how: str, value: float, unhealthy: bool = True) -> None:
         setattr(server, how, value)
-        server.mark(how, unsound)
+        server.mark(how, unhealthy)
 
     def plan_replaced(self) -> None:
         """Each hit server ends at a time of its own; a new one, of another name, takes its place."""
@@ -123,7 +126,7 @@
 
     def _replace(self, server: Server) -> None:
         self._stop(server, DEAD)
-        self.simulation.leaving.add(server.name)
+        self.simulation.removed_servers.add(server.name)
         self.simulation.add_server(server.kind)
 
     def plan_drain(self) -> None:
@@ -151,7 +154,7 @@
 
     def _remove(self, server: Server) -> None:
         most = max(item.deadline_ms for item in self.simulation.scenario.classes)
-        self.simulation.leaving.add(server.name)
+        self.simulation.removed_servers.add(server.name)
         self.simulation.discovery.update_entry(server, ServerState.DRAINING)
         self.clock.schedule(self.simulation.scenario.allow.drain_grace_ms + most, self._stop, server, DEAD)
 
@@ -161,13 +164,14 @@
         zones = self.simulation.scenario.network.zones
         if len(zones) > 1:
             self._schedule_span(
-                lambda: self.simulation.cut.add(zones[-1]), lambda: self.simulation.cut.discard(zones[-1])
+                lambda: self.simulation.cut_zones.add(zones[-1]),
+                lambda: self.simulation.cut_zones.discard(zones[-1]),
             )
 
     def plan_loss(self) -> None:
         self._schedule_span(
-            partial(setattr, self.simulation, "loss", min(self.trouble.size, 1.0)),
-            partial(setattr, self.simulation, "loss", 0.0),
+            partial(setattr, self.simulation, "loss_share", min(self.trouble.size, 1.0)),
+            partial(setattr, self.simulation, "loss_share", 0.0),
         )
 
     def _plan_links(self) -> None:
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -53,7 +53,7 @@
         simulation, old, new = self.simulation, self.old, self.new
         simulation.changes[self.number] = self
         new.known = dict(old.known)
-        new.version = old.version
+        new.list_version = old.list_version
         new.start()
         if new.subscribed:
             # A watch that begins is told what has changed, also what is still on its way to the old process.
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -54,7 +54,7 @@
     """Raises nothing: what goes wrong is in the row."""
     try:
         decides, watched = policy(job.policy)
-        simulation = Simulation(job.source.play_of(job.seed), job.seed, decides, watched)
+        simulation = Simulation(job.source.scenario_for(job.seed), job.seed, decides, watched)
         row = simulation.run()
     except Exception as fault:  # whatever it is, it is this play's alone
         return Found(row=broken(f"{type(fault).__name__}: {fault}"), quantiles_ms=[])
--- a/tests/test_even_load.py
+++ b/tests/test_even_load.py
@@ -17,7 +17,7 @@
 
 def played(**changes: Any) -> tuple[Simulation, Row]:
     given = {"seconds": 14.0, **{place.replace("__", "."): value for place, value in changes.items()}}
-    simulation = Simulation(SOURCE.changed(given).play_of(1), 1)
+    simulation = Simulation(SOURCE.with_changes(given).scenario_for(1), 1)
     row = simulation.run()
     assert not simulation.checker.violations and not row.falls and not row.fault, (
         simulation.checker.first_violations
@@ -75,7 +75,9 @@
     assert row.service > 0.97 and row.peak < 2.0
     counts = attempts_between(simulation, 12_000.0, 16_000.0)
     assert all(
-        counts[server.number] > 0 for server in simulation.servers if server.name not in simulation.leaving
+        counts[server.number] > 0
+        for server in simulation.servers
+        if server.name not in simulation.removed_servers
     )
 
 
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -10,7 +10,7 @@
 
 from lab import scenario
 from lab.evenness import Evenness
-from lab.ledger import Notes, merged, told
+from lab.ledger import EventRecorder, merge_recordings, replay
 from lab.policies import policy
 from lab.simulation import Simulation
 
@@ -80,7 +80,7 @@
 
 def test_notes_of_two_processes_come_to_what_one_saw() -> None:
     now = [0.0]
-    whole, parts = even(4), [Notes(lambda: now[0], 100_000) for _ in range(2)]
+    whole, parts = even(4), [EventRecorder(lambda: now[0], 100_000) for _ in range(2)]
     for notes in parts:
         for number in range(4):
             notes.joins(number, 2.0)
@@ -91,30 +91,30 @@
         for seen in (whole, parts[number % 2]):
             seen.came(now[0], number)
             seen.moved(now[0], number, 2, draw.randrange(3) if seen is whole else 0, 0)
-        parts[number % 2].kept[-1][2][2] = 2 - whole._state[number][0]
+        parts[number % 2].events[-1][2][2] = 2 - whole._state[number][0]
 
     class Silent:
         now = 0.0
 
     again = Evenness(0.0)
-    told(merged([notes.kept for notes in parts]), Silent(), again)
+    replay(merge_recordings([notes.events for notes in parts]), Silent(), again)
     assert again.dispersion(20_000.0) == whole.dispersion(20_000.0) and again.waste() == whole.waste()
 
 
 def test_notes_beyond_their_bound_are_counted() -> None:
-    notes = Notes(lambda: 0.0, 3)
+    notes = EventRecorder(lambda: 0.0, 3)
     for number in range(5):
         notes.came(0.0, number)
-    assert len(notes.kept) == 3 and notes.beyond == 2
+    assert len(notes.events) == 3 and notes.dropped == 2
 
 
 def test_sets_by_turns_spread_calls_of_many_that_see_little() -> None:
     """200 sidecars at two calls a second and 40 servers in virtual time: counts vary less than with random
     choice, and every server gets calls."""
-    source = scenario.load(Path("lab/scenarios/even.toml")).changed({"seconds": 15.0})
+    source = scenario.load(Path("lab/scenarios/even.toml")).with_changes({"seconds": 15.0})
     found = {}
     for name in ("module", "random"):
-        simulation = Simulation(source.play_of(1), 1, *policy(name))
+        simulation = Simulation(source.scenario_for(1), 1, *policy(name))
         found[name] = simulation.run()
         assert not simulation.checker.violations and found[name].unused == 0
     assert found["module"].spread_1s < 0.8 * found["random"].spread_1s
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -119,8 +119,8 @@
 
 
 def service(balancer: Policy, share: float) -> float:
-    source = scenario.load(BUSY).changed({"seconds": 6.0, "settle_ms": 1000.0, "load.share": share})
-    return Simulation(source.play_of(1), 1, balancer).run().service
+    source = scenario.load(BUSY).with_changes({"seconds": 6.0, "settle_ms": 1000.0, "load.share": share})
+    return Simulation(source.scenario_for(1), 1, balancer).run().service
 
 
 def test_service_falls_smoothly_where_a_textbook_policy_falls_off_a_cliff() -> None:
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -25,8 +25,8 @@
 from lab.reduce import Symptom, candidates, reduced
 from lab.results import Folder, Mixed, of_one_code
 from lab.revisions import libraries
-from lab.scenario import Draw, Wrong
-from lab.statistics import compared, interval, more_seeds
+from lab.scenario import Draw, InvalidInput
+from lab.statistics import compare_paired, mean_interval, more_seeds
 from lab.worker import Job, broken
 
 TINY = """
@@ -137,7 +137,7 @@
 
 def test_a_worker_that_is_killed_costs_its_play_alone(plan: Plan, monkeypatch: pytest.MonkeyPatch) -> None:
     killed = []
-    usual = pool._Worker.play
+    usual = pool._Worker.run
 
     def play(worker: Any, job: Job) -> Any:
         if job.seed == 2 and job.policy == "module":
@@ -145,7 +145,7 @@
             killed.append(1)
         return usual(worker, job)
 
-    monkeypatch.setattr(pool._Worker, "play", play)
+    monkeypatch.setattr(pool._Worker, "run", play)
     codes = dict.fromkeys(plan.experiment.policies, "c")
     jobs = [
         (play_, Job(source=plan.source(play_.point), policy=play_.point.policy, seed=play_.seed), pool.ROOT)
@@ -153,7 +153,7 @@
     ]
     found = {(p.point.label(), p.seed): f.row for p, f in pool.run(jobs, 2)}
     faults = {key: row.fault for key, row in found.items() if row.fault}
-    assert len(found) == len(jobs) and len(killed) == pool.TRIES * len(faults)
+    assert len(found) == len(jobs) and len(killed) == pool.MAX_TRIES * len(faults)
     assert all(seed == 2 and "the worker ended" in fault for (_, seed), fault in faults.items()) and faults
 
 
@@ -162,7 +162,7 @@
     job = Job(source=msgspec.structs.replace(source, tree={"name": 3}), policy="module", seed=1)
     point = Point(scenario="tiny", policy="module")
     [(_, found)] = pool.run([(Play(point=point, seed=1, code=""), job, pool.ROOT)], 1)
-    assert found.row.fault.startswith("Wrong: ") and found.row.score == 0.0
+    assert found.row.fault.startswith("InvalidInput: ") and found.row.score == 0.0
 
 
 # What is asked for
@@ -174,7 +174,7 @@
     assert sorted(p.key() for part in parts for p in part) == sorted(p.key() for p in plays)
     assert [p.seed for p in plays] == sorted(p.seed for p in plays)
     for bad in ("0/3", "4/3", "3", "a/b"):
-        with pytest.raises(Wrong, match="--shard"):
+        with pytest.raises(InvalidInput, match="--shard"):
             experiment.shard(plays, bad)
 
 
@@ -200,7 +200,7 @@
 def test_what_cannot_be_used_is_one_line_with_file_and_field(tmp_path: Path, text: str, said: str) -> None:
     file = tmp_path / "s.toml"
     file.write_text(('name = "s"\n' if "include" not in text else "") + text)
-    with pytest.raises(Wrong, match=said) as found:
+    with pytest.raises(InvalidInput, match=said) as found:
         scenario.load(file)
     assert "\n" not in str(found.value)
 
@@ -211,10 +211,12 @@
         'include = ["under.toml"]\n[load]\nshare = 0.4\n[draw]\n"servers.count" = { low = 3, high = 90 }\n'
     )
     source = scenario.load(tmp_path / "s.toml")
-    made = source.play_of(1)
+    made = source.scenario_for(1)
     assert (made.name, made.load.share, made.load.burst) == ("u", 0.4, 3)
-    assert len({source.play_of(seed).servers.count for seed in range(20)}) > 8
-    assert {source.changed({"servers.count": 7}).play_of(seed).servers.count for seed in range(5)} == {7}
+    assert len({source.scenario_for(seed).servers.count for seed in range(20)}) > 8
+    assert {
+        source.with_changes({"servers.count": 7}).scenario_for(seed).servers.count for seed in range(5)
+    } == {7}
 
 
 # Is it better
@@ -224,22 +226,22 @@
     held = 0
     for turn in range(200):
         values = [math.exp(((turn * 7919 + n * 104_729) % 10_007) / 10_007 * 2.0) for n in range(30)]
-        found = interval(values)
+        found = mean_interval(values)
         truth = (math.exp(2.0) - 1.0) / 2.0
         held += found.low <= truth <= found.high
     assert held >= 180
-    assert math.isnan(interval([1.0, 2.0]).low) and interval([3.0] * 9).half() == 0.0
+    assert math.isnan(mean_interval([1.0, 2.0]).low) and mean_interval([3.0] * 9).half_width() == 0.0
 
 
 def test_a_verdict_says_better_or_how_many_seeds_would_tell() -> None:
     base = {n: math.sin(n * 12.9898) for n in range(20)}
     better = {n: value + 0.2 + 0.02 * math.cos(n * 78.2) for n, value in base.items()}
-    assert compared(better, base).verdict("a", "b", "score").startswith("a has 0.2")
-    assert compared(base, better).verdict("a", "b", "score").startswith("b has 0.2")
+    assert compare_paired(better, base).verdict("a", "b", "score").startswith("a has 0.2")
+    assert compare_paired(base, better).verdict("a", "b", "score").startswith("b has 0.2")
     same = {n: value + 0.05 * math.cos(n * 3.7) for n, value in base.items()}
-    words = compared(same, base).verdict("a", "b", "score")
+    words = compare_paired(same, base).verdict("a", "b", "score")
     assert words.startswith("no difference seen at n = 20") and "seeds would settle" in words
-    assert compared({1: 1.0}, {1: 2.0}).verdict("a", "b", "score").startswith("1 seeds say nothing")
+    assert compare_paired({1: 1.0}, {1: 2.0}).verdict("a", "b", "score").startswith("1 seeds say nothing")
 
 
 @settings(deadline=None, max_examples=60)
@@ -248,11 +250,11 @@
 def test_more_seeds_end_at_the_bound_or_where_it_is_narrow_enough(
     values: list[float], precision: float, most: int
 ) -> None:
-    found = interval(values)
+    found = mean_interval(values)
     more = more_seeds(found, precision, most)
     assert more >= 0 and (more == 0 or found.n + more <= most)
     if more == 0:
-        assert found.n >= most or found.half() <= precision
+        assert found.n >= most or found.half_width() <= precision
 
 
 # What is found is made small
@@ -278,7 +280,7 @@
         search.told(tried)
     [worst] = search.worst(1)
     assert abs(worst.values["load.share"] - 0.9) < 0.1 and 16 <= worst.values["servers.count"] <= 25
-    made = scenario.typed(search.file_of(worst), "found")
+    made = scenario.parse_scenario(search.file_of(worst), "found")
     assert made.load.share == worst.values["load.share"]
     broke = hunt.Tried(values=worst.values, seed=99, row=row(score=0.9, broke_twice=1))
     search.told([broke])
--- a/tests/test_lab_hedged.py
+++ b/tests/test_lab_hedged.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lab.policies.hedged import LEAST, SHARE, Hedged, Mesh, RecentTimes
-from lab.scenario import load, put, typed
+from lab.scenario import load, parse_scenario, set_field
 from lab.simulation import Simulation
 
 ROOT = Path(__file__).parents[1]
@@ -32,8 +32,8 @@
     """The row of a play, its calls that may be repeated, and its hedges."""
     tree = dict(load(ROOT / "lab/scenarios/short_aims.toml").tree)
     for place, value in {"seconds": 8, "settle_ms": 2000, **changes}.items():
-        put(tree, place.replace("__", "."), value, "test")
-    simulation = Simulation(typed(tree, "test"), 3, policy)
+        set_field(tree, place.replace("__", "."), value, "test")
+    simulation = Simulation(parse_scenario(tree, "test"), 3, policy)
     row = simulation.run()
     hedges = sum(getattr(one.balancer, "hedges", 0) for one in simulation.sidecars)
     return row, row.calls, hedges
--- a/tests/test_lab_simulation.py
+++ b/tests/test_lab_simulation.py
@@ -37,7 +37,7 @@
 
 
 def made(**tables: Any) -> Scenario:
-    return scenario.typed(scenario.laid(SMALL, tables), "test")
+    return scenario.parse_scenario(scenario.merge_tables(SMALL, tables), "test")
 
 
 def kept(row: Row) -> bool:
@@ -99,7 +99,7 @@
     plain = msgspec.to_builtins(play_scenario)
     rows = []
     for tree in (plain, slower(plain)):
-        play = Simulation(scenario.typed(tree, "test"), 5, Balancer)
+        play = Simulation(scenario.parse_scenario(tree, "test"), 5, Balancer)
         factor = 1.0 if tree is plain else 8.0
         for sidecar in play.sidecars:  # what the platform sets is no part of a scenario
             rules = replace(sidecar.settings.rules, ask_within_ms=10_000.0 * factor)
@@ -201,12 +201,12 @@
 @pytest.mark.parametrize("seed", range(1, 25))
 def test_the_rules_hold_on_any_drawn_deployment(seed: int) -> None:
     """The panel in the small: rules alone, over ranges beyond those of both operators."""
-    source = scenario.load(LIBRARY / "anything.toml").changed(
+    source = scenario.load(LIBRARY / "anything.toml").with_changes(
         {"seconds": 8.0, "troubles.0.at_ms": 2500.0, "troubles.0.for_ms": 2000.0, "troubles.1.at_ms": 3500.0}
         | {"servers.count": 3 + seed % 7, "sidecars.count": 1 + seed % 4, "load.share": 0.3 + seed % 3 * 0.5}
         | {"servers.kinds.0.workers": 1 + seed % 2, "classes.0.work_ms": 20.0 + 10 * (seed % 5)}
     )
-    play = Simulation(source.play_of(seed), seed)
+    play = Simulation(source.scenario_for(seed), seed)
     assert kept(play.run()), play.checker.first_violations
 
 
@@ -232,7 +232,7 @@
     """Found by a hunt and reduced: one sidecar, three servers that end and are back, cold, four seconds
     later."""
     source = scenario.load(Path(__file__).resolve().parent / "reduced" / "returned_unheard.toml")
-    assert Simulation(source.play_of(28), 28).run().falls == 0
+    assert Simulation(source.scenario_for(28), 28).run().falls == 0
 
 
 # The checker sees what breaks them
@@ -342,7 +342,7 @@
 
 @pytest.mark.parametrize("path", sorted(LIBRARY.glob("*.toml")), ids=lambda path: path.stem)
 def test_every_scenario_of_the_library_loads(path: Path) -> None:
-    assert scenario.load(path).play_of(1).name == scenario.load(path).play_of(2).name
+    assert scenario.load(path).scenario_for(1).name == scenario.load(path).scenario_for(2).name
 
 
 SET: Mapping[str, Mapping[str, Any]] = {
@@ -360,9 +360,9 @@
     rows = []
     for name, changes in SET.items():
         small = {"seconds": 7.0, "servers.count": 6, "sidecars.count": 3, "settle_ms": 1000.0}
-        source = scenario.load(LIBRARY / f"{name}.toml").changed(small | dict(changes))
+        source = scenario.load(LIBRARY / f"{name}.toml").with_changes(small | dict(changes))
         for decides in ("module", "least of two"):
-            row = Simulation(source.play_of(1), 1, *policy(decides)).run()
+            row = Simulation(source.scenario_for(1), 1, *policy(decides)).run()
             rows.append([round(v, 9) if isinstance(v, float) else v for v in msgspec.structs.astuple(row)])
     assert xxhash.xxh3_64_hexdigest(msgspec.json.encode(rows)) == DIGEST
 
--- a/tests/test_lab_upgrade.py
+++ b/tests/test_lab_upgrade.py
@@ -17,7 +17,7 @@
     from lab.policies import policy as by_name
 
     change = SOURCE.tree["troubles"][0] | {"size": still_ms}
-    made = SOURCE.changed({"troubles": [change], "seconds": 22}).play_of(seed)
+    made = SOURCE.with_changes({"troubles": [change], "seconds": 22}).scenario_for(seed)
     simulation = Simulation(made, seed, *by_name(policy))
     return simulation, simulation.run()
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -21,7 +21,7 @@
 
 from lab import many, scenario, socket_simulation
 from lab.checker import Checker
-from lab.scenario import Source, Wrong
+from lab.scenario import InvalidInput, Source
 from rigs.relay import Faults, TcpRelay, UdpRelay
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -120,11 +120,11 @@
     many.play(small, 1, drivers=1)
     monkeypatch.undo()
     (report,) = reports
-    assert not socket_simulation.Concluded(small.play_of(1), 1, [report]).checker.violations
+    assert not socket_simulation.Concluded(small.scenario_for(1), 1, [report]).checker.violations
     sent = next(item for item in report["notes"] if item[1] == "sent")
     again = [sent[0] + 1.0, "sent", [*sent[2][:2], "again", *sent[2][3:]]]
     report["notes"] = sorted([*report["notes"], again], key=lambda item: item[0])
-    assert socket_simulation.Concluded(small.play_of(1), 1, [report]).checker.violations["twice"] == 1
+    assert socket_simulation.Concluded(small.scenario_for(1), 1, [report]).checker.violations["twice"] == 1
 
 
 def test_a_rig_that_is_killed_leaves_nothing_running(tmp_path: Path) -> None:
@@ -161,12 +161,12 @@
 
 
 def test_changes_of_versions_are_not_played_over_sockets() -> None:
-    with pytest.raises(Wrong, match="changes of versions"):
+    with pytest.raises(InvalidInput, match="changes of versions"):
         asyncio.run(_open(source([{"kind": "upgrade"}])))
 
 
 async def _open(made: Source) -> None:
-    socket_simulation.SocketSimulation(made.play_of(1), 1)
+    socket_simulation.SocketSimulation(made.scenario_for(1), 1)
 
 
 # Relays
@@ -321,14 +321,16 @@
 
 
 def test_the_checker_and_the_notes_take_the_same_words() -> None:
-    from lab.ledger import Notes
+    from lab.ledger import EventRecorder
 
     for name in ("started", "listed", "asked", "sent", "ended", "final", "left", "overdue", "ran", "breach"):
         assert (
-            Notes.__dict__[name].__code__.co_varnames[: Notes.__dict__[name].__code__.co_argcount]
+            EventRecorder.__dict__[name].__code__.co_varnames[
+                : EventRecorder.__dict__[name].__code__.co_argcount
+            ]
             == (Checker.__dict__[name].__code__.co_varnames[: Checker.__dict__[name].__code__.co_argcount])
         ), name
 
 
 def test_the_scenario_of_the_many_loads() -> None:
-    assert scenario.load(ROOT / "lab/scenarios/even.toml").play_of(1).sidecars.count == 200
+    assert scenario.load(ROOT / "lab/scenarios/even.toml").scenario_for(1).sidecars.count == 200
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -359,7 +359,7 @@
     made = {"name": "t", "seconds": 32, "sidecars": {"count": 3}, "load": {"share": 0.7}}
     servers = {"count": 5, "kinds": [{"workers": 2}]}
     simulation = Simulation(
-        scenario.typed(made | {"servers": servers} | tables, "test"), 1, watch_storms=True
+        scenario.parse_scenario(made | {"servers": servers} | tables, "test"), 1, watch_storms=True
     )
     simulation.run()
     return simulation.measures.storm_changes
