--- a/benchmarks/order_plays.py
+++ b/benchmarks/order_plays.py
@@ -1,8 +1,8 @@
-"""Drawn plays of rivalling operators and troubles, in virtual time, their zones drawn too.
+"""Randomly drawn plays of conflicting operators and faults, in virtual time and with random zones.
 
     python -m benchmarks.order_plays [--plays 20] [--from 0] [--at-once 1] [--seconds 3600] [--out FILE]
 
-Prints what was broken, and the total as JSON last. Ends with 1 where a rule was broken.
+Prints each violation, and the totals as JSON last. The exit code is 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def one(seed: int) -> Played:
-    """Runs in a process of the pool."""
+    """Plays one seed, in a process of the pool."""
     return timed(seed, _play)
 
 
--- a/rigs/answer_world.py
+++ b/rigs/answer_world.py
@@ -65,7 +65,7 @@
         if answer.silent:
             return exchange
         message = http.Message(status=answer.status, headers=headers, body=body_of(seal))
-        world.loop.call_later(world.draw.choice(world.work_times_s), exchange.end, ResponseReceived(message))
+        world.loop.call_later(world.rng.choice(world.work_times_s), exchange.end, ResponseReceived(message))
         return exchange
 
 
@@ -101,7 +101,7 @@
 
     def draw_route(self) -> Route:
         """Any route, with equal probability."""
-        return self.draw.choice(self.routes)
+        return self.rng.choice(self.routes)
 
     def _apply_fault(self, fault: str, incarnation: Incarnation, end: ConnectionEnd) -> float | None:
         if fault == "freeze here":
--- a/rigs/call_hosts.py
+++ b/rigs/call_hosts.py
@@ -27,8 +27,8 @@
 
 
 class Attempt(NamedTuple):
-    number: int
-    second: int
+    number: int  # of the call, in the session of its first hop
+    second: int  # the second hop that it is sent to
     state: State
     incarnation: int  # of the second hop; 0: unknown
     outcome: Outcome | None = None
@@ -93,7 +93,7 @@
     first_hops: tuple[int, ...]  # the first hop of each call
     second_hops: int
     budget: FaultBudget
-    ids: tuple[str, ...] = ("a", "b")
+    ids: tuple[str, ...] = ("a", "b")  # the attempt id of each call
     held_bytes: int = 100
     late: tuple[int, ...] = ()  # calls that are sent only after the others have ended
     # Whether calls may end at any time, by their deadline; else only without an open attempt.
@@ -191,9 +191,9 @@
 
     def find_open_attempt(self, first: int, number: int) -> tuple[int, int] | None:
         """The call and the index of the open attempt with that number."""
-        for call, one in enumerate(self.calls):
+        for call, record in enumerate(self.calls):
             if self.scenario.first_hops[call] == first:
-                for index, attempt in enumerate(one.attempts):
+                for index, attempt in enumerate(record.attempts):
                     if attempt.number == number and attempt.state in (State.SENT, State.UNCLEAR):
                         return call, index
         return None
@@ -219,13 +219,13 @@
 
     def may_send(self, call: int) -> bool:
         """Whether the shipped rules permit another attempt."""
-        one = self.calls[call]
+        record = self.calls[call]
         request = SimpleNamespace(
-            open=one.result == "open" and not self.open_attempts(call),
+            open=record.result == "open" and not self.open_attempts(call),
             streaming=False,
             attempts=[
                 SimpleNamespace(may_have_run=attempt.outcome not in NEVER_RAN, sent_at=0.0)
-                for attempt in one.attempts
+                for attempt in record.attempts
             ],
             max_attempts=MAX_ATTEMPTS,
             klass=SimpleNamespace(effect=Effect.UNSAFE),
@@ -237,17 +237,17 @@
 
     def finish(self, call: int) -> None:
         """Answers the client now and gives up any open attempts."""
-        one = self.calls[call]
+        record = self.calls[call]
         nothing = cast(Any, None)
         request = ClientRequest("", nothing, "", nothing, [], "", "", 0.0, 0.0, lambda final: None)
         request.outgoing = [
-            cast(Any, attempt) if attempt.state not in CLOSED_STATES else None for attempt in one.attempts
+            cast(Any, attempt) if attempt.state not in CLOSED_STATES else None for attempt in record.attempts
         ]
         request.unclear = any(
             attempt.outcome is not None
             and attempt.outcome not in NEVER_RAN
             and attempt.outcome is not Outcome.OK
-            for attempt in one.attempts
+            for attempt in record.attempts
         )
         final = request.client_result(False, 0.0)
         assert isinstance(final, Refused | Failed)
@@ -269,10 +269,10 @@
         index = self.link_index(link.id)
         self.links[index] = link._replace(open_at_first=False, to_first=(), verified=False)
         known = self.known_incarnations[link.first][link.second]
-        for call, one in enumerate(self.calls):
+        for call, record in enumerate(self.calls):
             if self.scenario.first_hops[call] != link.first:
                 continue
-            for at, attempt in enumerate(one.attempts):
+            for at, attempt in enumerate(record.attempts):
                 if attempt.second != link.second or attempt.state not in (State.SENT, State.UNCLEAR):
                     continue
                 if self.apply(call, at, Event.LINK_LOST):
--- a/rigs/call_model.py
+++ b/rigs/call_model.py
@@ -49,9 +49,9 @@
 
     def _events(self, current: CallState) -> Iterator[Any]:
         scenario, budget = self.scenario, current.budget
-        for call, one in enumerate(current.calls):
+        for call, record in enumerate(current.calls):
             first = scenario.first_hops[call]
-            if one.result == "new":
+            if record.result == "new":
                 if call not in scenario.late or all(
                     other.result not in ("new", "open")
                     for index, other in enumerate(current.calls)
@@ -59,7 +59,7 @@
                 ):
                     yield ("receive request", call)
                 continue
-            if one.result == "open":
+            if record.result == "open":
                 if current.may_send(call):
                     for second in range(scenario.second_hops):
                         link = current.open_link(first, second)
@@ -72,9 +72,9 @@
                     yield ("finish", call)
                 if open_attempts and budget["client_drops"]:
                     yield ("client leaves", call)
-                if not open_attempts and (one.attempts or not scenario.may_end_early):
+                if not open_attempts and (record.attempts or not scenario.may_end_early):
                     yield ("finish", call)
-            for index, attempt in enumerate(one.attempts):
+            for index, attempt in enumerate(record.attempts):
                 if attempt.state is State.UNCLEAR:
                     yield ("query times out", call, index)
                     link = current.open_link(first, attempt.second)
@@ -126,12 +126,12 @@
 
     def _needs_link(self, current: CallState, first: int, second: int) -> bool:
         """Whether a call could use a new link between the two hops."""
-        for call, one in enumerate(current.calls):
-            if self.scenario.first_hops[call] == first and one.result == "open":
+        for call, record in enumerate(current.calls):
+            if self.scenario.first_hops[call] == first and record.result == "open":
                 if current.may_send(call):
                     return True
                 if any(
-                    attempt.state is State.UNCLEAR and attempt.second == second for attempt in one.attempts
+                    attempt.state is State.UNCLEAR and attempt.second == second for attempt in record.attempts
                 ):
                     return True
         return False
@@ -164,10 +164,10 @@
         first = self.scenario.first_hops[call]
         incarnation, last_number = current.first_hops[first]
         current.first_hops[first] = (incarnation, last_number + 1)
-        one = current.calls[call]
+        record = current.calls[call]
         state = table.FIRST_HOP_TABLE[State.CHOSEN, Event.LINK_UP]
-        attempts = (*one.attempts, Attempt(last_number + 1, second, state, 0))
-        current.calls[call] = one._replace(attempts=attempts)
+        attempts = (*record.attempts, Attempt(last_number + 1, second, state, 0))
+        current.calls[call] = record._replace(attempts=attempts)
         link = current.open_link(first, second)
         assert link is not None
         current.send_to_second(link, ("call", last_number + 1, call))
@@ -277,26 +277,26 @@
         for at, link in enumerate(current.links):
             if link.first == first:
                 current.links[at] = link._replace(open_at_first=False, to_first=(), verified=False)
-        for call, one in enumerate(current.calls):
-            if self.scenario.first_hops[call] == first and one.result == "open":
-                attempts = tuple(attempt._replace(state=State.WITHDRAWN) for attempt in one.attempts)
+        for call, record in enumerate(current.calls):
+            if self.scenario.first_hops[call] == first and record.result == "open":
+                attempts = tuple(attempt._replace(state=State.WITHDRAWN) for attempt in record.attempts)
                 current.calls[call] = Call("closed", attempts)
 
     def violations(self, before: ModelState | None, event: Any, after: ModelState) -> Iterable[Violation]:
         _, calls, links, second_hops, executions, _, violation, _ = after
         if violation:
             yield Violation(violation.split(":")[0], violation)
-        for call, one in enumerate(calls):
+        for call, record in enumerate(calls):
             if executions[call] > 1:
                 yield Violation("twice", f"call {call} was executed {executions[call]} times")
-            if one.result == "503" and executions[call]:
+            if record.result == "503" and executions[call]:
                 yield Violation(
                     "promise",
                     f"call {call} was answered with a promise that it does not run, and was executed",
                 )
-            if one.result.startswith("served"):
-                if one.result != f"served {call}":
-                    yield Violation("wrong answer", f"call {call} was {one.result}")
+            if record.result.startswith("served"):
+                if record.result != f"served {call}":
+                    yield Violation("wrong answer", f"call {call} was {record.result}")
                 if not executions[call]:
                     yield Violation("wrong answer", f"call {call} was served and never executed")
         for second, hop in enumerate(second_hops):
@@ -306,7 +306,7 @@
 
     def obligations(self, state: ModelState) -> Iterable[Any]:
         """Every call that was received ends."""
-        return [call for call, one in enumerate(state[1]) if one.result == "open"]
+        return [call for call, record in enumerate(state[1]) if record.result == "open"]
 
     def fairness_label(self, event: Any) -> Any:
         """Every event is fair except faults and ends by a deadline of the client or of the first hop."""
--- a/rigs/call_world.py
+++ b/rigs/call_world.py
@@ -93,8 +93,8 @@
     async def send(
         self, attempt: bytes, payload: bytes, on_end: Callable[[ExchangeOutcome], None], body: BodyBytes = b""
     ) -> PendingExchange | None:
-        world, draw = self.world, self.world.draw
-        chance = draw.random() if world.upstreams_fail else 1.0
+        world, rng = self.world, self.world.rng
+        chance = rng.random() if world.upstreams_fail else 1.0
         if chance < 0.02:
             on_end(NotSent(False))
             return None
@@ -106,7 +106,7 @@
         else:
             headers = [(b"attempt-id", attempt), (b"response-seal", b"s")]
             outcome = ResponseReceived(http.Message(status=200, headers=headers, body=b"of " + request_body))
-        world.loop.call_later(draw.choice(world.work_times_s), exchange.end, outcome)
+        world.loop.call_later(rng.choice(world.work_times_s), exchange.end, outcome)
         return exchange
 
     def close_expired(self) -> None:
@@ -135,7 +135,7 @@
             mock.patch.object(PeerLink, "_on_link_lost", self._recording_link_loss(PeerLink._on_link_lost))
         )
         self.fault_kinds, self.upstreams_fail = fault_kinds, upstreams_fail
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.queries_lost_calls = queries_lost_calls
         self.work_times_s = (0.003, 0.02, 0.08, 0.3 if upstreams_fail else 0.15)
         self.executions: Counter[str] = Counter()
@@ -184,7 +184,7 @@
 
     def _apply_fault(self, fault: str, incarnation: Incarnation, end: ConnectionEnd) -> float | None:
         network, other = self.network, end.other.incarnation
-        seconds = self.draw.choice((0.3, 0.5, 0.7, 1.0, 2.0, 5.0))
+        seconds = self.rng.choice((0.3, 0.5, 0.7, 1.0, 2.0, 5.0))
         if fault == "late":
             return seconds
         if fault == "doubled":
@@ -196,7 +196,7 @@
             self.loop.call_later(1.5 * LATENCY_S, network.break_connection, end)
         elif fault == "all reset":
             for wire_end in list(network.ends):
-                if not wire_end.closed and self.draw.random() < 0.5:
+                if not wire_end.closed and self.rng.random() < 0.5:
                     network.break_connection(wire_end)
         elif fault in ("cut", "cut one way"):
             self.partition([incarnation.machine], [other.machine], both_ways=fault == "cut")
@@ -260,7 +260,7 @@
         ]
         target = route.prefix.encode() + b"x"
         request.request_body = request.token.encode()
-        if self.draw.random() < LONG_BODY_SHARE:
+        if self.rng.random() < LONG_BODY_SHARE:
             request.request_body = request.request_body.ljust(LONG_BODY_BYTES, PADDING)
         message = http.Message(method=b"POST", target=target, headers=headers, body=request.request_body)
 
@@ -287,14 +287,14 @@
         yield self.env.timeout(0.05)
 
     def draw_route(self) -> Route:
-        return WRITE if self.draw.random() < 0.8 else READ
+        return WRITE if self.rng.random() < 0.8 else READ
 
     def draw_faults(self) -> None:
-        for _ in range(self.draw.choice((1, 1, 2, 3, 4))):
-            self.faults[self.draw.randrange(FAULT_FRAMES)] = self.draw.choice(self.fault_kinds)
+        for _ in range(self.rng.choice((1, 1, 2, 3, 4))):
+            self.faults[self.rng.randrange(FAULT_FRAMES)] = self.rng.choice(self.fault_kinds)
 
     def play(self, world: World) -> Script:
-        draw = self.draw
+        rng = self.rng
         yield from self.boot_sidecars()
         for number in range(4):  # so that all links are up before the first fault
             self.request(self.machines["f1" if number % 2 else "f2"], self.routes[-1], f"w{number}", 900)
@@ -302,10 +302,10 @@
         self.draw_faults()
         self.recording_points = True
         for number in range(REQUESTS):
-            sidecar = self.machines[draw.choice(("f1", "f1", "f2", "f2", "s1"))]
-            attempt = f"a{draw.randrange(number + 1)}" if draw.random() < 0.1 else f"a{number}"
-            self.request(sidecar, self.draw_route(), attempt, draw.choice(self.client_deadlines_ms))
-            yield self.env.timeout(draw.choice((0.0, 0.002, 0.02, 0.1)))
+            sidecar = self.machines[rng.choice(("f1", "f1", "f2", "f2", "s1"))]
+            attempt = f"a{rng.randrange(number + 1)}" if rng.random() < 0.1 else f"a{number}"
+            self.request(sidecar, self.draw_route(), attempt, rng.choice(self.client_deadlines_ms))
+            yield self.env.timeout(rng.choice((0.0, 0.002, 0.02, 0.1)))
         self.recording_points = False
         yield self.env.timeout(SETTLE_S)
 
--- a/rigs/order_model/frozen.py
+++ b/rigs/order_model/frozen.py
@@ -123,81 +123,83 @@
     answers: InternTable  # of (batches acknowledged, batches refused for a conflict), both frozen sets
 
 
-def freeze_acceptor(one: Acceptor) -> AcceptorState:
+def freeze_acceptor(acceptor: Acceptor) -> AcceptorState:
     """Everything that can affect the behaviour of an acceptor."""
     return AcceptorState(
-        one.floor,
-        one.ceiling,
-        tuple(sorted((slot, (b.round, b.proposer)) for slot, b in one.promises.items())),
-        _freeze_votes(one.votes),
+        acceptor.floor,
+        acceptor.ceiling,
+        tuple(sorted((slot, (b.round, b.proposer)) for slot, b in acceptor.promises.items())),
+        _freeze_votes(acceptor.votes),
         tuple(
             sorted(
                 (key, version, LETTER_BY_DIGEST[digest_of(value)])
-                for key, (version, value) in one.decided.items()
+                for key, (version, value) in acceptor.decided.items()
             )
         ),
         tuple(
             sorted(
-                (key, tuple(sorted(digests.items()))) for key, digests in one.past_digests.items() if digests
+                (key, tuple(sorted(digests.items())))
+                for key, digests in acceptor.past_digests.items()
+                if digests
             )
         ),
-        tuple(sorted(one.unknown_up_to.items())),
-        tuple(sorted(one.generations.items())),
-        tuple(sorted(one.tags.items())),
+        tuple(sorted(acceptor.unknown_up_to.items())),
+        tuple(sorted(acceptor.generations.items())),
+        tuple(sorted(acceptor.tags.items())),
     )
 
 
 def thaw_acceptor(name: str, state: AcceptorState) -> Acceptor:
     """Creates an acceptor in that state."""
-    one = Acceptor(name)
-    one.floor, one.ceiling = state.floor, state.ceiling
-    one.promises = {slot: Ballot(*ballot) for slot, ballot in state.promises}
-    one.votes = _thaw_votes(state.votes)
-    one.decided = {key: (version, VALUES[letter]) for key, version, letter in state.decided}
-    one.past_digests = {key: dict(digests) for key, digests in state.past_digests}
-    one.unknown_up_to, one.generations = dict(state.unknown_up_to), dict(state.generations)
-    one.tags = dict(state.tags)
-    return one
-
-
-def freeze_proposer(one: Proposer) -> ProposerState:
+    acceptor = Acceptor(name)
+    acceptor.floor, acceptor.ceiling = state.floor, state.ceiling
+    acceptor.promises = {slot: Ballot(*ballot) for slot, ballot in state.promises}
+    acceptor.votes = _thaw_votes(state.votes)
+    acceptor.decided = {key: (version, VALUES[letter]) for key, version, letter in state.decided}
+    acceptor.past_digests = {key: dict(digests) for key, digests in state.past_digests}
+    acceptor.unknown_up_to, acceptor.generations = dict(state.unknown_up_to), dict(state.generations)
+    acceptor.tags = dict(state.tags)
+    return acceptor
+
+
+def freeze_proposer(proposer: Proposer) -> ProposerState:
     """Everything that can affect the behaviour of a proposer."""
-    accept = one._accept
+    accept = proposer._accept
     writes = {} if accept is None else accept.writes
     return ProposerState(
-        (one.ballot.round, one.ballot.proposer),
+        (proposer.ballot.round, proposer.ballot.proposer),
         None
         if accept is None
         else tuple(sorted((slot, LETTER_BY_DIGEST[digest_of(value)]) for slot, value in writes.items())),
-        tuple(sorted(one.decided_digests.items())),
-        tuple(sorted(one._own_decided)),
-        one._conflict_was_known,
-        tuple(sorted(one._promises.items())) if accept is None else (),
-        _freeze_votes(one._votes) if accept is None else (),
-        tuple(sorted(one._empty_slots)),
-        one._own_vote_found,
-        tuple(sorted(one._accepted_by)),
+        tuple(sorted(proposer.decided_digests.items())),
+        tuple(sorted(proposer._own_decided)),
+        proposer._conflict_was_known,
+        tuple(sorted(proposer._promises.items())) if accept is None else (),
+        _freeze_votes(proposer._votes) if accept is None else (),
+        tuple(sorted(proposer._empty_slots)),
+        proposer._own_vote_found,
+        tuple(sorted(proposer._accepted_by)),
     )
 
 
-def thaw_proposer(one: Proposer, state: ProposerState, view: View) -> Proposer:
-    """Puts ``one``, a new proposer without a ballot, into that state."""
-    one.ballot, one.view = Ballot(*state.ballot), view
-    one.decided_digests, one._own_decided, one._conflict_was_known = (
+def thaw_proposer(proposer: Proposer, state: ProposerState, view: View) -> Proposer:
+    """Puts ``proposer``, a new proposer without a ballot, into that state."""
+    proposer.ballot, proposer.view = Ballot(*state.ballot), view
+    proposer.decided_digests, proposer._own_decided, proposer._conflict_was_known = (
         dict(state.decided_digests),
         set(state.own_decided),
         state.conflict_was_known,
     )
-    one._promises, one._votes = dict(state.promises), _thaw_votes(state.votes)
-    one._empty_slots, one._own_vote_found, one._accepted_by = (
+    proposer._promises, proposer._votes = dict(state.promises), _thaw_votes(state.votes)
+    proposer._empty_slots, proposer._own_vote_found, proposer._accepted_by = (
         set(state.empty_slots),
         state.own_vote_found,
         set(state.accepted_by),
     )
     if state.accept is not None:
         writes: Mapping[Slot, Value] = {slot: VALUES[letter] for slot, letter in state.accept}
-        one._accept = Accept(one.ballot, view.epoch, dict(one._promises), writes, {})
-    return one
+        proposer._accept = Accept(proposer.ballot, view.epoch, dict(proposer._promises), writes, {})
+    return proposer
 
 
 def persisted(member: Member, acceptor: AcceptorState, written: Sequence[str]) -> Member:
@@ -214,8 +216,8 @@
 
 def restarted(disk: AcceptorState) -> AcceptorState:
     """The state of the next incarnation, which refuses all rounds up to the ceiling found on disk."""
-    one = Acceptor("", disk.ceiling)
-    return disk._replace(floor=one.floor, ceiling=one.ceiling, promises=())
+    acceptor = Acceptor("", disk.ceiling)
+    return disk._replace(floor=acceptor.floor, ceiling=acceptor.ceiling, promises=())
 
 
 # Renaming of members
--- a/rigs/order_model/model.py
+++ b/rigs/order_model/model.py
@@ -7,7 +7,7 @@
 disk and is fenced. Decided items also spread by the pull exchange.
 
 A state consists of ids of `InternTable` entries, and the effect of an event on the few entries that it
-touches is cached: the shipped code runs some thousands of times, not once for each of a million states.
+touches is cached: the shipped code runs some thousand times, not once for each of a million states.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         """``name`` is used in reports only."""
         self.name, self.scenario = name, scenario
         self.names = MEMBER_NAMES[: scenario.members]
-        self.view = View(1, {one: Place("", "") for one in self.names})
+        self.view = View(1, {name: Place("", "") for name in self.names})
         self.tolerance = Tolerance(1, 0, 0)
         self.tables = Tables(InternTable(), InternTable(), InternTable(), InternTable(), InternTable())
         # The results depend on the arguments alone.
@@ -224,7 +224,7 @@
         self, world: GlobalState, ballot: tuple[int, str], member_at: int, arrives: bool
     ) -> GlobalState:
         batch_at = int(ballot[1][1:])
-        sent = next(one for one in self.tables.accepts[world.accepts] if one.ballot == ballot)
+        sent = next(sent for sent in self.tables.accepts[world.accepts] if sent.ballot == ballot)
         member_id, batch_id, found = self._cached_accept(
             batch_at, world.batches[batch_at], member_at, world.members[member_at], arrives, sent
         )
--- a/rigs/order_model/reduction.py
+++ b/rigs/order_model/reduction.py
@@ -124,17 +124,19 @@
             return accepts, chosen
         awaited = {self._cached_awaited(id) for id in batches}
         obsolete = {
-            one.ballot
-            for one, changes in zip(sent, effective, strict=True)
-            if not changes and one.ballot not in awaited
+            accept.ballot
+            for accept, has_effect in zip(sent, effective, strict=True)
+            if not has_effect and accept.ballot not in awaited
         }
         kept = tuple(
-            one
-            for one in self._tables.chosen[chosen]
-            if one[0] not in obsolete or not self._cached_all_decided(members, accepts, one[0])
+            entry
+            for entry in self._tables.chosen[chosen]
+            if entry[0] not in obsolete or not self._cached_all_decided(members, accepts, entry[0])
         )
         needed = {ballot for ballot, _ in kept}
-        remaining = tuple([one for one in sent if one.ballot not in obsolete or one.ballot in needed])
+        remaining = tuple(
+            [accept for accept in sent if accept.ballot not in obsolete or accept.ballot in needed]
+        )
         return self._tables.accepts.intern(remaining), self._tables.chosen.intern(kept)
 
     def _awaited_ballot(self, id: int) -> FrozenBallot:
@@ -153,7 +155,7 @@
         acceptors = [frozen.thaw_acceptor("", self._tables.members[id].acceptor) for id in members]
         if any(acceptor.votes_under(Ballot(*ballot)) for acceptor in acceptors):
             return False
-        writes = next(one.writes for one in self._tables.accepts[accepts] if one.ballot == ballot)
+        writes = next(sent.writes for sent in self._tables.accepts[accepts] if sent.ballot == ballot)
         return all(
             any(isinstance(acceptor.state(slot), Decision) for acceptor in acceptors) for slot, _ in writes
         )
@@ -178,13 +180,13 @@
             for slot, _ in sent.writes:
                 ballots.setdefault(slot, set()).add(sent.ballot)
         return self._live_ballots.intern(
-            tuple(sorted((slot, tuple(sorted(some))) for slot, some in ballots.items()))
+            tuple(sorted((slot, tuple(sorted(found))) for slot, found in ballots.items()))
         )
 
     def _relative(self, id: int, live: int) -> int:
         member: Member = self._tables.members[id]
         acceptor, ballots = member.acceptor, self._live_ballots[live]
-        rounds = [ballot[0] for _, some in ballots for ballot in some]
+        rounds = [ballot[0] for _, slot_ballots in ballots for ballot in slot_ballots]
         floor = max((round for round in rounds if round <= acceptor.floor), default=0)
         refusals = Refusals(acceptor, floor, dict(ballots))
         promises = [
@@ -230,7 +232,7 @@
 
     def _marks_of_accepts(self, id: int) -> list[tuple[bool, ...]]:
         generations = [dict(sent.generations) for sent in self._tables.accepts[id]]
-        return [tuple(name in one for one in generations) for name in self._names]
+        return [tuple(name in by_member for by_member in generations) for name in self._names]
 
     def _new_names(self, order: tuple[int, ...]) -> dict[str, str]:
         return {self._names[old]: self._names[new] for new, old in enumerate(order)}
@@ -267,7 +269,7 @@
 
     def lowest_equivalent(self, slot: Slot, promised: FrozenBallot) -> FrozenBallot | None:
         """The lowest ballot whose promise refuses the same ballots; None if votes and floor refuse them."""
-        below: Iterable[FrozenBallot] = [one for one in self.live.get(slot, ()) if one < promised]
+        below: Iterable[FrozenBallot] = [ballot for ballot in self.live.get(slot, ()) if ballot < promised]
         last = max(below, default=None)
         if last is None or last[0] <= self.floor:
             return None
