--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -24,7 +24,7 @@
 
 import uvloop
 
-from benchmarks.mesh_request import WARM, Calls
+from benchmarks.mesh_request import WARM_UP_CALLS, Calls
 from rigs.fleet import HttpMessageProtocol, LoadResult, header_value
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, ROOT, Mesh
 from rigs.mesh_peers import Address, Client, Operator, Upstream, patch_body, polled, route
@@ -279,7 +279,7 @@
             await mesh.start_proxy(at, upstream)
         await _take_up(mesh)
         address = mesh.outbound(FIRST_PROXY_HOST)
-        await short_calls(address, WARM)
+        await short_calls(address, WARM_UP_CALLS)
         alone = await short_calls(address, given.calls)
         rate = given.rate * 1e6 / given.bodies
         await there.begin(address, given.bodies, given.mib << 20, rate)
--- a/tests/mesh/test_benchmarks_mesh.py
+++ b/tests/mesh/test_benchmarks_mesh.py
@@ -207,23 +207,23 @@
 
 
 class Pipe:
-    """A transport whose other end is in the same process, at once; writes come in two parts."""
+    """A transport that delivers each write immediately and in two parts to a protocol in this process."""
 
     def __init__(self) -> None:
-        self.other: asyncio.Protocol
+        self.peer: asyncio.Protocol
         self.open = True
 
     def write(self, data: bytes) -> None:
         if self.open:
-            self.other.data_received(data[:9])
-            self.other.data_received(data[9:])
+            self.peer.data_received(data[:9])
+            self.peer.data_received(data[9:])
 
     def close(self) -> None:
         self.open = False
 
 
-def test_a_closed_loop_asks_so_many_calls_one_at_a_time_and_tells_refusals_apart() -> None:
-    class Turns(mesh_request.Sealed):
+def test_a_closed_loop_makes_the_given_number_of_calls_one_at_a_time_and_counts_refusals() -> None:
+    class RefusingServer(mesh_request.SealingServer):
         count = 0
 
         def message(self, head: bytes, body: bytes) -> None:
@@ -235,18 +235,20 @@
                 self.transport.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
 
     async def play() -> mesh_request.Calls:
-        calls, there, back = mesh_request.Calls(8), Pipe(), Pipe()
-        caller, server = mesh_request.Caller(calls), Turns()
-        there.other, back.other = server, caller
-        server.connection_made(cast(asyncio.Transport, back))
-        caller.connection_made(cast(asyncio.Transport, there))
-        assert server.count == 8 and not there.open
+        calls, caller_pipe, server_pipe = mesh_request.Calls(8), Pipe(), Pipe()
+        caller, server = mesh_request.Caller(calls), RefusingServer()
+        caller_pipe.peer, server_pipe.peer = server, caller
+        server.connection_made(cast(asyncio.Transport, server_pipe))
+        caller.connection_made(cast(asyncio.Transport, caller_pipe))
+        assert server.count == 8 and not caller_pipe.open
         return calls
 
     calls = asyncio.run(play())
     assert (calls.left, len(calls.latencies), calls.not_served) == (0, 6, 2)
 
 
-def test_costs_are_a_call_and_of_both() -> None:
-    found = mesh_request.costs({"first": 100.0, "second": 50.0}, {"first": 300.0, "second": 150.0}, 1000)
+def test_cpu_is_per_call_and_summed_over_both_proxies() -> None:
+    found = mesh_request.cpu_per_call(
+        {"first": 100.0, "second": 50.0}, {"first": 300.0, "second": 150.0}, 1000
+    )
     assert found == pytest.approx({"first": 0.2, "second": 0.1, "both": 0.3})
