--- a/benchmarks/owner_plays.py
+++ b/benchmarks/owner_plays.py
@@ -1,9 +1,10 @@
-"""Drawn plays of a divided service under troubles, in virtual time: no key is held twice, all are in the end.
+"""Runs random scenarios of a sharded service under faults, in virtual time. No key may have two holders, and
+every key must have one in the end.
 
     python -m benchmarks.owner_plays [--plays 20] [--from 0] [--at-once 1] [--seconds 3600] [--out FILE]
 
-Prints what was broken, and the total as JSON last, with the tenths of a second in which a part of the keys
-had no holder. Ends with 1 where a rule was broken.
+Prints the violations and, last, the totals as JSON, with the number of samples, a tenth of a second apart,
+in which some keys had no holder. Exits with 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -19,48 +20,50 @@
 from simulation.mesh.key_servers import KEY_COUNT, KeyOwnershipWorld, sharded_service_body
 from simulation.mesh.world import Script
 
-GIVEN_S, TAKEN_OVER_S = 10.0, 20.0
-LOOK_S = 0.1
+ASSIGNMENT_TIMEOUT_S, TAKEOVER_TIMEOUT_S = 10.0, 20.0
+SAMPLE_INTERVAL_S = 0.1
 
 
-def _play(seed: int) -> tuple[list[str], Counter[str]]:
+def _run_scenario(seed: int) -> tuple[list[str], Counter[str]]:
     counts: Counter[str] = Counter()
-    draw = random.Random(seed)
-    cores, proxies, troubles = draw.choice((3, 5)), draw.choice((2, 4, 7)), draw.choice((3, 6, 9))
+    rng = random.Random(seed)
+    cores, proxies, troubles = rng.choice((3, 5)), rng.choice((2, 4, 7)), rng.choice((3, 6, 9))
 
-    def held_once(world: KeyOwnershipWorld) -> bool:
+    def each_key_has_one_holder(world: KeyOwnershipWorld) -> bool:
         return bool(np.all(world.holder_counts() == 1))
 
-    def looks(world: KeyOwnershipWorld) -> Script:
+    def sample_unheld_keys(world: KeyOwnershipWorld) -> Script:
         while True:
-            yield world.env.timeout(LOOK_S)
-            without = np.count_nonzero(world.holder_counts() == 0)
+            yield world.env.timeout(SAMPLE_INTERVAL_S)
+            unheld = np.count_nonzero(world.holder_counts() == 0)
             counts["looks"] += 1
-            if without:
+            if unheld:
                 counts["looks with keys without a holder"] += 1
-                counts["of which over half of the keys"] += int(without > KEY_COUNT // 2)
+                counts["of which over half of the keys"] += int(unheld > KEY_COUNT // 2)
 
-    def day(world: KeyOwnershipWorld) -> Script:
+    def script(world: KeyOwnershipWorld) -> Script:
         yield from world.boot(cores, proxies)
         yield from world.commit(world.controllers(), sharded_service_body(1))
-        yield from world.wait_until(lambda: held_once(world), GIVEN_S, "each key has one holder")
+        yield from world.wait_until(
+            lambda: each_key_has_one_holder(world), ASSIGNMENT_TIMEOUT_S, "each key has one holder"
+        )
         world.env.process(key_troubles.traffic(world, seed))
-        world.env.process(looks(world))
+        world.env.process(sample_unheld_keys(world))
         yield from key_troubles.inject_random_faults(world, seed, count=troubles)
         yield world.env.timeout(key_troubles.LONG_PARTITION_S)
         world.heal()
         yield from world.wait_until(
-            lambda: held_once(world), TAKEN_OVER_S, "each key has one holder in the end"
+            lambda: each_key_has_one_holder(world), TAKEOVER_TIMEOUT_S, "each key has one holder in the end"
         )
 
     with KeyOwnershipWorld() as world:
-        return world.run(day), counts  # type: ignore[arg-type]
+        return world.run(script), counts  # type: ignore[arg-type]
 
 
-def one(seed: int) -> Played:
-    """Runs in a process of the pool."""
-    return timed(seed, _play)
+def run_timed(seed: int) -> Played:
+    """Runs one scenario and measures its CPU time, in a process of the pool."""
+    return timed(seed, _run_scenario)
 
 
 if __name__ == "__main__":
-    sys.exit(run("owners", one, arguments(str(__doc__))))
+    sys.exit(run("owners", run_timed, arguments(str(__doc__))))
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,10 +1,11 @@
-"""What a request through the sidecar costs, in a closed loop over loopback.
+"""Measures the cost of a request through the sidecar, in a closed loop over loopback.
 
     python -m benchmarks.request_cost [--against CHECKOUT] [--rounds 5] [--seconds 4] [--connections 8]
 
-Requests a second, the sidecar's CPU a request, latency p50 and p99 added to asking an order server directly,
-and peak memory. With --against, the sidecar of another checkout takes turns with this one (A B B A ...), each
-round against a new process, and the ratio of the median CPU a request is given.
+Reports requests per second, the sidecar's CPU per request, the p50 and p99 latency added to that of direct
+requests to an order server, and peak memory. With --against, the sidecar of another checkout alternates with
+this one (A B B A ...), each round with a new process, and the ratio of the median CPU per request is
+reported.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SERVERS = 4
-WARM_S = 0.5  # connections open and first samples come in this time, before anything is counted
+WARM_UP_S = 0.5  # before the measurement: connections open and the first samples arrive
 
 
 async def one_round(checkout: Path, connections: int, seconds: float) -> dict[str, float]:
@@ -33,13 +34,13 @@
     try:
         direct = await fleet.closed_loop(servers[0][1], connections, seconds / 2.0)
         async with fleet.run_sidecar(checkout, hosts, discovery_port) as running:
-            await fleet.closed_loop(running.port, connections, WARM_S)
+            await fleet.closed_loop(running.port, connections, WARM_UP_S)
             before = running.cpu_s()
             through = await fleet.closed_loop(running.port, connections, seconds)
-            asked = through.served + through.not_served
+            completed = through.served + through.not_served
             return {
-                "requests_per_s": asked / through.seconds,
-                "cpu_us": (running.cpu_s() - before) / asked * 1e6,
+                "requests_per_s": completed / through.seconds,
+                "cpu_us": (running.cpu_s() - before) / completed * 1e6,
                 "added_p50_ms": through.percentile_ms(0.5) - direct.percentile_ms(0.5),
                 "added_p99_ms": through.percentile_ms(0.99) - direct.percentile_ms(0.99),
                 "peak_mb": running.peak_mb(),
@@ -50,26 +51,34 @@
             server.close()
 
 
-def middle(rounds: list[dict[str, float]]) -> dict[str, float]:
+def medians(rounds: list[dict[str, float]]) -> dict[str, float]:
     return {name: round(statistics.median(item[name] for item in rounds), 3) for name in rounds[0]}
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--against", type=Path, help="another checkout, measured in turn with this one")
-    words.add_argument("--rounds", type=int, default=5)
-    words.add_argument("--seconds", type=float, default=4.0)
-    words.add_argument("--connections", type=int, default=8)
-    given = words.parse_args()
-    checkouts = {"here": ROOT} | ({"against": given.against.resolve()} if given.against else {})
-    found: dict[str, list[dict[str, float]]] = {name: [] for name in checkouts}
-    for number in range(given.rounds):
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--against", type=Path, help="another checkout, measured alternately with this one")
+    parser.add_argument("--rounds", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=4.0)
+    parser.add_argument("--connections", type=int, default=8)
+    args = parser.parse_args()
+    checkouts = {"here": ROOT} | ({"against": args.against.resolve()} if args.against else {})
+    rounds_by_checkout: dict[str, list[dict[str, float]]] = {name: [] for name in checkouts}
+    for number in range(args.rounds):
         for name in list(checkouts)[:: -1 if number % 2 else 1]:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-                found[name].append(runner.run(one_round(checkouts[name], given.connections, given.seconds)))
-            print(name, {key: round(value, 3) for key, value in found[name][-1].items()}, flush=True)
-    result: dict[str, Any] = {name: middle(rounds) for name, rounds in found.items()}
-    if given.against:
+                rounds_by_checkout[name].append(
+                    runner.run(one_round(checkouts[name], args.connections, args.seconds))
+                )
+            print(
+                name,
+                {key: round(value, 3) for key, value in rounds_by_checkout[name][-1].items()},
+                flush=True,
+            )
+    result: dict[str, Any] = {name: medians(rounds) for name, rounds in rounds_by_checkout.items()}
+    if args.against:
         result["cpu_ratio"] = round(result["here"]["cpu_us"] / result["against"]["cpu_us"], 3)
     print(json.dumps(result))
 
--- a/benchmarks/rpc.py
+++ b/benchmarks/rpc.py
@@ -1,10 +1,10 @@
-"""MessagePack-RPC through the sidecar beside HTTP, in closed loops over loopback, in the same run.
+"""Compares MessagePack-RPC and HTTP through the sidecar, in closed loops over loopback, in the same run.
 
     python -m benchmarks.rpc [--seconds 3] [--rounds 3]
 
-Calls a second, the sidecar's CPU a call, and latency p50 and p99 added to asking an order server directly, at
-1, 8 and 64 calls in flight: pipelined on one connection for RPC, a connection each for HTTP. Medians of the
-rounds.
+Reports calls per second, the sidecar's CPU per call, and the p50 and p99 latency added to that of direct
+calls to an order server, with 1, 8 and 64 calls in flight: pipelined on one connection for RPC, on a
+connection each for HTTP. Values are medians of the rounds.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 IN_FLIGHT = (1, 8, 64)
 SERVERS = 4
-WARM_S = 0.5
+WARM_UP_S = 0.5
 OPERATOR = """
 [rpc]
 listen = "127.0.0.1:0"
@@ -41,7 +41,7 @@
 
 
 class EchoServer(asyncio.Protocol):
-    """Answers every call at once with 64 bytes."""
+    """Responds to every call immediately with 64 bytes."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -49,17 +49,17 @@
 
     def data_received(self, data: bytes) -> None:
         self.unpacker.feed(data)
-        answers = [msgpack.packb([1, message[1], None, b"x" * 64]) for message in self.unpacker]
-        self.transport.write(b"".join(answers))
+        responses = [msgpack.packb([1, message[1], None, b"x" * 64]) for message in self.unpacker]
+        self.transport.write(b"".join(responses))
 
 
 class Pipeline(asyncio.Protocol):
-    """One connection with so many calls in flight; the next goes out when one has come back."""
+    """One connection with ``in_flight`` calls in flight, which sends the next call after each response."""
 
     def __init__(self, in_flight: int, until: float) -> None:
         self.in_flight, self.until = in_flight, until
         self.msgid = self.not_served = 0
-        self.sent: dict[int, float] = {}
+        self.sent_at: dict[int, float] = {}
         self.latencies: list[float] = []
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -67,11 +67,11 @@
         self.transport = cast(asyncio.Transport, transport)
         self.unpacker = msgpack.Unpacker(raw=True)
         for _ in range(self.in_flight):
-            self.ask()
+            self.send_next()
 
-    def ask(self) -> None:
+    def send_next(self) -> None:
         self.msgid += 1
-        self.sent[self.msgid] = time.perf_counter()
+        self.sent_at[self.msgid] = time.perf_counter()
         method, key = ("order.sale", []) if self.msgid % 3 else ("listing.add", [f"k{self.msgid}"])
         self.transport.write(msgpack.packb([0, self.msgid, method, [b"b" * 200, *key]]))
 
@@ -79,14 +79,14 @@
         self.unpacker.feed(data)
         now = time.perf_counter()
         for message in self.unpacker:
-            sent = self.sent.pop(message[1])
+            sent_at = self.sent_at.pop(message[1])
             if message[2] is None:
-                self.latencies.append(now - sent)
+                self.latencies.append(now - sent_at)
             else:
                 self.not_served += 1
             if now < self.until:
-                self.ask()
-        if not self.sent:
+                self.send_next()
+        if not self.sent_at:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -94,7 +94,7 @@
             self.done.set_result(None)
 
 
-async def pipelined(port: int, in_flight: int, seconds: float) -> fleet.LoadResult:
+async def pipelined_loop(port: int, in_flight: int, seconds: float) -> fleet.LoadResult:
     start = time.perf_counter()
     loop = asyncio.get_running_loop()
     _, caller = await loop.create_connection(lambda: Pipeline(in_flight, start + seconds), "127.0.0.1", port)
@@ -106,10 +106,10 @@
 
 
 async def one_round(seconds: float) -> list[dict[str, float | str]]:
-    plain = [await fleet.serve_on_loopback(fleet.OrderServer) for _ in range(SERVERS)]
-    spoken = [await fleet.serve_on_loopback(EchoServer) for _ in range(SERVERS)]
-    hosts = fleet.host_entries([port for _, port in plain])
-    for host, (_, port) in zip(hosts, spoken, strict=True):
+    http_servers = [await fleet.serve_on_loopback(fleet.OrderServer) for _ in range(SERVERS)]
+    rpc_servers = [await fleet.serve_on_loopback(EchoServer) for _ in range(SERVERS)]
+    hosts = fleet.host_entries([port for _, port in http_servers])
+    for host, (_, port) in zip(hosts, rpc_servers, strict=True):
         host["dial_rpc"] = f"127.0.0.1:{port}"
     discovery, discovery_port = await fleet.serve_on_loopback(fleet.Discovery)
     fleet.Discovery.hosts = hosts
@@ -120,55 +120,57 @@
             file.flush()
             async with fleet.run_sidecar(ROOT, hosts, discovery_port, "--operator", file.name) as running:
                 rpc_port = await running.next_listener_port()
-                loads = {
-                    "http": (fleet.closed_loop, running.port, plain[0][1]),
-                    "rpc": (pipelined, rpc_port, spoken[0][1]),
+                protocols = {
+                    "http": (fleet.closed_loop, running.port, http_servers[0][1]),
+                    "rpc": (pipelined_loop, rpc_port, rpc_servers[0][1]),
                 }
                 for in_flight in IN_FLIGHT:
-                    for name, (load, port, straight) in loads.items():
-                        direct = await load(straight, in_flight, seconds / 2.0)
-                        await load(port, in_flight, WARM_S)
+                    for name, (run_load, port, direct_port) in protocols.items():
+                        direct = await run_load(direct_port, in_flight, seconds / 2.0)
+                        await run_load(port, in_flight, WARM_UP_S)
                         before = running.cpu_s()
-                        through = await load(port, in_flight, seconds)
-                        asked = through.served + through.not_served
+                        through = await run_load(port, in_flight, seconds)
+                        completed = through.served + through.not_served
                         rows.append(
                             {
                                 "protocol": name,
                                 "in_flight": in_flight,
-                                "calls_per_s": asked / through.seconds,
-                                "cpu_us": (running.cpu_s() - before) / asked * 1e6,
+                                "calls_per_s": completed / through.seconds,
+                                "cpu_us": (running.cpu_s() - before) / completed * 1e6,
                                 "added_p50_ms": through.percentile_ms(0.5) - direct.percentile_ms(0.5),
                                 "added_p99_ms": through.percentile_ms(0.99) - direct.percentile_ms(0.99),
                                 "not_served": float(through.not_served),
                                 "peak_mb": running.peak_mb(),
                             }
                         )
-                        print({key: _short(value) for key, value in rows[-1].items()}, flush=True)
+                        print({key: _rounded(value) for key, value in rows[-1].items()}, flush=True)
     finally:
-        for server, _ in [*plain, *spoken, (discovery, 0)]:
+        for server, _ in [*http_servers, *rpc_servers, (discovery, 0)]:
             server.close()
     return rows
 
 
-def _short(value: float | str) -> float | str:
+def _rounded(value: float | str) -> float | str:
     return round(value, 3) if isinstance(value, float) else value
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seconds", type=float, default=3.0)
-    words.add_argument("--rounds", type=int, default=3)
-    given = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seconds", type=float, default=3.0)
+    parser.add_argument("--rounds", type=int, default=3)
+    args = parser.parse_args()
     rounds = []
-    for _ in range(given.rounds):
+    for _ in range(args.rounds):
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            rounds.append(runner.run(one_round(given.seconds)))
-    middle = []
+            rounds.append(runner.run(one_round(args.seconds)))
+    medians_by_row = []
     for rows in zip(*rounds, strict=True):
         numbers = [name for name, value in rows[0].items() if isinstance(value, float)]
         medians = {name: round(statistics.median(float(row[name]) for row in rows), 3) for name in numbers}
-        middle.append(rows[0] | medians)
-    print(json.dumps(middle))
+        medians_by_row.append(rows[0] | medians)
+    print(json.dumps(medians_by_row))
 
 
 if __name__ == "__main__":
