--- a/benchmarks/order_plays.py
+++ b/benchmarks/order_plays.py
@@ -22,10 +22,10 @@
     return broken, counts
 
 
-def one(seed: int) -> Played:
+def run_timed(seed: int) -> Played:
     """Plays one seed, in a process of the pool."""
     return timed(seed, _play)
 
 
 if __name__ == "__main__":
-    sys.exit(run("orders", one, arguments(str(__doc__))))
+    sys.exit(run("orders", run_timed, arguments(str(__doc__))))
--- a/benchmarks/shutdown_plays.py
+++ b/benchmarks/shutdown_plays.py
@@ -18,7 +18,7 @@
 
 
 def _run_seed(seed: int) -> tuple[list[str], Counter[str]]:
-    result = run_plan(draw_plan(seed, troubles=seed % 2 == 0))
+    result = run_plan(draw_plan(seed, link_resets=seed % 2 == 0))
     counts = Counter(
         {
             "requests": result.requests,
@@ -33,10 +33,10 @@
     return [f"{finding.rule} {finding.attempt}: {finding.evidence}" for finding in result.findings], counts
 
 
-def one(seed: int) -> Played:
+def run_timed(seed: int) -> Played:
     """Runs one seed, in a process of the pool."""
     return timed(seed, _run_seed)
 
 
 if __name__ == "__main__":
-    sys.exit(run("shutdown", one, arguments(str(__doc__))))
+    sys.exit(run("shutdown", run_timed, arguments(str(__doc__))))
--- a/rigs/member_model.py
+++ b/rigs/member_model.py
@@ -378,19 +378,19 @@
 SWAP = Change("d", "c")
 SCENARIOS = {
     "two wipes": Scenario((), "abc", wipes=2),
-    "two rivals, a wipe": Scenario((), "abc", ballots=2, wipes=1),
+    "two values, a wipe": Scenario((), "abc", ballots=2, wipes=1),
     "one leaves": Scenario((Change(leaves="c"),), "abc", failures=1),
-    "a replacement, what left goes": Scenario((SWAP,), removals=1),
+    "a replacement, then a removal": Scenario((SWAP,), removals=1),
 }
 CHAIN = Scenario((SWAP, Change("c", "b")))
 LARGE_SCENARIOS = {
-    "a replacement, a wipe of one that stays": Scenario((SWAP,), wipes=1, wiped="a"),
-    "a replacement, a wipe of one that leaves": Scenario((SWAP,), wipes=1, wiped="c"),
-    "a replacement, a wipe of one that joins": Scenario((SWAP,), wipes=1, wiped="d"),
+    "a replacement, a wipe of a staying member": Scenario((SWAP,), wipes=1, wiped="a"),
+    "a replacement, a wipe of the leaving member": Scenario((SWAP,), wipes=1, wiped="c"),
+    "a replacement, a wipe of the joining member": Scenario((SWAP,), wipes=1, wiped="d"),
     "a replacement, a wipe": Scenario((SWAP,), wipes=1),
-    "a replacement, two rivals": Scenario((SWAP,), ballots=2),
-    "a replacement of one gone, what left goes": Scenario((SWAP,), failures=1, removals=1),
-    "a replacement, two rivals, a wipe": Scenario((SWAP,), ballots=2, wipes=1),
+    "a replacement, two values": Scenario((SWAP,), ballots=2),
+    "a replacement of a failed member, then a removal": Scenario((SWAP,), failures=1, removals=1),
+    "a replacement, two values, a wipe": Scenario((SWAP,), ballots=2, wipes=1),
     "a replacement, two wipes": Scenario((SWAP,), wipes=2),
     "three replacements": Scenario((SWAP, Change("e", "b"), Change("c", "a")), "abcde"),
 }
--- a/rigs/shutdown_world/plan.py
+++ b/rigs/shutdown_world/plan.py
@@ -44,8 +44,8 @@
     resets_s: tuple[float, ...] = ()  # all links between the sidecars are reset
 
 
-def draw_plan(seed: int, troubles: bool = False) -> Plan:
-    """Draws the plan of a seed. ``troubles``: with link resets, which do not occur without faults."""
+def draw_plan(seed: int, link_resets: bool = False) -> Plan:
+    """Draws the plan of a seed. ``link_resets``: links are reset, too, which only faults cause."""
     rng = random.Random(seed)
     first = rng.uniform(0.3, 2.0)
     second = rng.choice((NEVER, NEVER, rng.uniform(0.0, 6.0)))
@@ -68,5 +68,5 @@
         news_s=rng.choice((0.02, 0.3, 1.0)),
         hups_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(0, 3))),
         changes_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(0, 4))),
-        resets_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(1, 3))) if troubles else (),
+        resets_s=tuple(rng.uniform(0.0, 6.0) for _ in range(rng.randint(1, 3))) if link_resets else (),
     )
--- a/rigs/silence_model.py
+++ b/rigs/silence_model.py
@@ -1,8 +1,8 @@
 """A small model of failure detection, for `statecheck`: a zone whose machines fail one by one or are cut off
 all at once, assessed by the shipped code (`membership.failure_detection`).
 
-Two members in other zones listen; the first, the judge, assesses the nodes every half second. The zone has a
-member, its successor and a sidecar, and the membership store still lists dead nodes of it. A partition cuts
+Two members in other zones listen; one of them, the judge, assesses the nodes every half second. The zone has
+a member, its successor and a sidecar, and the membership store still lists dead nodes of it. A partition cuts
 the zone off from both listeners or from the judge alone; its nodes fall silent within the partition window of
 each other, and reconnect within RECONNECT_S of its end, in any order.
 """
@@ -206,7 +206,7 @@
 
 
 SCENARIOS = {
-    "dead in the store": Scenario(partitions=0),
-    "a cut": Scenario(failures=0),
-    "a cut, one dies": Scenario(("member", "sidecar"), ("member",), failures=1),
+    "dead nodes in the store": Scenario(partitions=0),
+    "a partition": Scenario(failures=0),
+    "a partition, a failure": Scenario(("member", "sidecar"), ("member",), failures=1),
 }
--- a/tests/mesh/test_lost_links.py
+++ b/tests/mesh/test_lost_links.py
@@ -38,7 +38,7 @@
     return Call("a1", 0, connection, effectful, "red", sent_at=1.0, time_left_s=1.0)
 
 
-def a_run(instance: str = "red-1") -> Execution:
+def an_execution(instance: str = "red-1") -> Execution:
     return Execution("a1", instance, "red", "proxy-1", 1.1, 1.2, "ok", seal=f"{instance}.1", response_crc=7)
 
 
@@ -46,11 +46,11 @@
     """Two calls that were served correctly."""
     ledger = Ledger()
     for at, key in enumerate((KEY, OTHER)):
-        call, run = a_call(connection=at), a_run(f"red-{at}")
+        call, execution = a_call(connection=at), an_execution(f"red-{at}")
         call.status, call.ended_at, call.response_key = 200, 1.3, key
-        call.seal, call.response_crc = run.seal, run.response_crc
+        call.seal, call.response_crc = execution.seal, execution.response_crc
         ledger.calls[key] = call
-        ledger.executions[key].append(run)
+        ledger.executions[key].append(execution)
     return ledger
 
 
@@ -60,7 +60,7 @@
 
 
 def execute_again(ledger: Ledger) -> None:
-    ledger.executions[KEY].append(a_run("red-9"))
+    ledger.executions[KEY].append(an_execution("red-9"))
 
 
 def answer_promise(status: int) -> Callable[[Ledger], None]:
@@ -137,7 +137,7 @@
     ledger = served()
     assert not list(ledger.violations())
     break_rule(ledger)
-    assert [(fault.rule, fault.key) for fault in ledger.violations()] == [(rule, KEY)]
+    assert [(violation.rule, violation.key) for violation in ledger.violations()] == [(rule, KEY)]
 
 
 @pytest.mark.parametrize("end", [CONNECTION_CLOSED, CLIENT_LEFT])
@@ -276,7 +276,7 @@
 
 def test_a_disabled_guard_is_detected(tmp_path: Path) -> None:
     settings = RunSettings(proxies=2, connections=3, pause_s=0.05, misbehavior=5.0, disabled_guards=("ids",))
-    rules = {fault.rule for fault in run_for(tmp_path, 3.0, ("reset",), settings).ledger.violations()}
+    rules = {violation.rule for violation in run_for(tmp_path, 3.0, ("reset",), settings).ledger.violations()}
     assert Rule.CONNECTION in rules and Rule.SEAL in rules
 
 
--- a/tests/mesh/test_shutdown_world.py
+++ b/tests/mesh/test_shutdown_world.py
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("first", [7000, 7005])
 def test_link_resets_during_a_shutdown_lose_nothing(first: int) -> None:
     for seed in range(first, first + RUNS):
-        assert run_plan(draw_plan(seed, troubles=True)).findings == [], seed
+        assert run_plan(draw_plan(seed, link_resets=True)).findings == [], seed
 
 
 def pipelining_plan() -> Plan:
--- a/tests/mesh/test_silence_model.py
+++ b/tests/mesh/test_silence_model.py
@@ -47,10 +47,10 @@
 
 
 SEEDED_FAULTS: list[tuple[Callable[[Patch], None], str, str]] = [
-    (counts_dead_nodes_of_the_zone, "dead in the store", "kept"),
-    (drops_silent_zones, "a cut", "dropped"),
-    (partition_window_too_short, "a cut", "dropped"),
-    (counts_links_that_are_just_up, "a cut", "dropped"),
+    (counts_dead_nodes_of_the_zone, "dead nodes in the store", "kept"),
+    (drops_silent_zones, "a partition", "dropped"),
+    (partition_window_too_short, "a partition", "dropped"),
+    (counts_links_that_are_just_up, "a partition", "dropped"),
 ]
 
 
