--- a/rigs/soak/configuration_ledger.py
+++ b/rigs/soak/configuration_ledger.py
@@ -87,6 +87,7 @@
         self._disturbances = disturbances
         self._versions: dict[str, dict[int, list[Variant]]] = defaultdict(dict)
         self._names_by_prefix: dict[str, set[str]] = defaultdict(set)
+        # By node and incarnation: the highest version of each route that was seen in force, and since when.
         self._seen_versions: dict[tuple[str, int], dict[str, tuple[int, float]]] = defaultdict(dict)
         self._initial_names: set[str] = set()
         self.writes: list[WriteRecord] = []
--- a/rigs/soak/nodes.py
+++ b/rigs/soak/nodes.py
@@ -86,6 +86,7 @@
         self.name, self.program, self._layout, self._disturbances = name, program, layout, disturbances
         self.ip = f"{layout.network}.{host}"
         self._seeds, self._on_finding, self._on_core_change = seeds, on_finding, on_core_change
+        # ``retired``: stopped or replaced, and never started again.
         self.incarnation, self.ready, self.retired, self.frozen = 0, False, False, False
         self.term_at: dict[int, float] = {}  # time of the first SIGTERM, by incarnation
         self.down_s, self.wipe, self.cold_boot = DEFAULT_DOWN_S, False, True
