--- a/benchmarks/day_drawer.py
+++ b/benchmarks/day_drawer.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from benchmarks.draw_deployments import FLOOR
-from benchmarks.tolerated_losses import Losses
-from benchmarks.trouble_kinds import FIGURES, Entry, Kind, KindsText, parse_kinds_text
+from benchmarks.tolerated_losses import LossBudget
+from benchmarks.trouble_kinds import FIGURES, Entry, FaultKind, KindsText, parse_kinds_text
 
 Site = Mapping[str, Any]
 Day = dict[str, Any]
@@ -66,9 +66,9 @@
     )
 
 
-def merged_kinds(said: Sequence[KindsText]) -> dict[str, Kind]:
+def merged_kinds(said: Sequence[KindsText]) -> dict[str, FaultKind]:
     """What all sites' texts say of each kind, since one text may point to a kind that only others list."""
-    found: dict[str, Kind] = {}
+    found: dict[str, FaultKind] = {}
     for one in said:
         for kind in one.kinds:
             known = found.setdefault(kind.name, kind)
@@ -107,10 +107,10 @@
 
     site: Site
     text: KindsText
-    kinds: Mapping[str, Kind]  # of all sites
+    kinds: Mapping[str, FaultKind]  # of all sites
     usage: SiteUsage
 
-    def variant(self, kind: Kind, rng: random.Random) -> str:
+    def variant(self, kind: FaultKind, rng: random.Random) -> str:
         """A variant as one of the sites has it, or any words that fit the kind; empty for none."""
         if rng.random() < 0.2:
             return rng.choice(self.usage.variants.get(kind.name, ("",)))
@@ -125,7 +125,7 @@
         last += self.text.kind_modifiers.get(kind.name, ())
         return " ".join(dict.fromkeys([*which, *own, *(word for word in last if rng.random() < 0.25)]))
 
-    def entry(self, kind: Kind, at: float, rng: random.Random) -> Entry:
+    def entry(self, kind: FaultKind, at: float, rng: random.Random) -> Entry:
         """One entry of a kind that begins ``at`` seconds after the traffic."""
         found: Entry = {"at": at, "kind": kind.name}
         middles = {**kind.figures, **self.usage.figures.get(kind.name, {})}
@@ -138,14 +138,14 @@
         for name, middle in middles.items():
             middle = self.text.figures.get(name) if middle is None else middle
             if middle is not None and rng.random() < 0.85:
-                found[name] = drawn_figure(name, middle, kind.whole_x, rng)
+                found[name] = drawn_figure(name, middle, kind.has_integer_x, rng)
         how = self.variant(kind, rng)
         if how:
             found["how"] = how
         self._place(kind, found, rng)
         return found
 
-    def _place(self, kind: Kind, entry: Entry, rng: random.Random) -> None:
+    def _place(self, kind: FaultKind, entry: Entry, rng: random.Random) -> None:
         known = {
             "zone": [zone["name"] for zone in self.site["zones"]],
             "service": [service["name"] for service in self.site["services"]],
@@ -177,12 +177,12 @@
 
     def bounded(self, drawn: Mapping[str, list[Entry]]) -> dict[str, list[Entry]]:
         """Without what the deployment could not bear for good, in the order of time."""
-        losses, kept = Losses.of(self.site), {part: list[Entry]() for part in PARTS}
+        budget, kept = LossBudget.for_site(self.site), {part: list[Entry]() for part in PARTS}
         timed = [(part, entry) for part in PARTS for entry in drawn[part]]
         for part, entry in sorted(timed, key=lambda one: float(one[1]["at"])):
             kind = self.kinds[entry["kind"]]
-            left = losses.allowed(entry, kind.figures, kind.target) if kind.removes(entry) else entry
-            left = left or kind.sparing(entry)
+            left = budget.limit(entry, kind.figures, kind.target) if kind.is_permanent(entry) else entry
+            left = left or kind.without_permanent_loss(entry)
             if left is not None:
                 kept[part].append(left)
         return kept
--- a/benchmarks/reduce_days.py
+++ b/benchmarks/reduce_days.py
@@ -1,4 +1,4 @@
-"""What is left of a day that breaks a rule once all entries that it does not need are taken out."""
+"""Reduces a day that breaks a rule to the entries that are needed to break it (delta debugging)."""
 
 from __future__ import annotations
 
@@ -10,87 +10,94 @@
 from benchmarks.day_drawer import PARTS, Day, describe
 from benchmarks.day_files import read_day, write_day
 
-Item = tuple[str, Any]  # a part's name and an entry, or what closes the day
+Item = tuple[str, Any]  # the name of a part and one of its entries, or "closing" and the closing fault
 
 
 def removable_items(day: Day) -> list[Item]:
-    """All that can be taken out of a day."""
+    """Returns all items that can be removed from a day."""
     closing = [("closing", day["closing"])] if "closing" in day else []
     return [(part, entry) for part in PARTS for entry in day[part]] + closing
 
 
-def day_with(day: Day, left: Sequence[Item]) -> Day:
-    """The same day with these items alone."""
+def day_with(day: Day, kept: Sequence[Item]) -> Day:
+    """Returns the day with only these items."""
     found = {key: value for key, value in day.items() if key != "closing"}
-    found.update({part: [entry for name, entry in left if name == part] for part in PARTS})
-    found.update({name: entry for name, entry in left if name == "closing"})
+    found.update({part: [entry for name, entry in kept if name == part] for part in PARTS})
+    found.update({name: entry for name, entry in kept if name == "closing"})
     return found
 
 
-def minimized(
-    whole: Sequence[Item], breaks: Callable[[Sequence[Sequence[Item]]], Sequence[bool]], most: int
+def minimize(
+    items: Sequence[Item], breaks: Callable[[Sequence[Sequence[Item]]], Sequence[bool]], max_days: int
 ) -> tuple[list[Item], int, bool]:
-    """What is left of items that break together; days asked for; and whether no item more can go alone.
+    """Reduces items that break a rule together. Returns the remaining items, the number of days run, and
+    whether the result is minimal: no single item can be removed.
 
-    ``breaks`` judges several at once. Halves are tried first, then ever smaller parts; ``most`` days are
-    asked for at the most. Source: Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input".
+    ``breaks`` judges several candidates at once. Halves are tried first, then ever smaller parts, with at
+    most ``max_days`` days. Source: Zeller and Hildebrandt, "Simplifying and isolating failure-inducing
+    input".
     """
-    left, asked, parts = list(whole), 0, 2
-    while len(left) > 1:
-        parts = min(parts, len(left))
-        cuts = [len(left) * number // parts for number in range(parts + 1)]
-        tried = [left[:start] + left[end:] for start, end in zip(cuts, cuts[1:], strict=False)]
-        tried = tried[: most - asked]
-        if not tried:
-            return left, asked, False
-        asked += len(tried)
-        smaller = [one for one, broke in zip(tried, breaks(tried), strict=True) if broke]
-        if smaller:
-            left, parts = smaller[0], max(parts - 1, 2)
-        elif len(tried) < parts:
-            return left, asked, False
-        elif parts == len(left):
+    remaining, days_run, parts = list(items), 0, 2
+    while len(remaining) > 1:
+        parts = min(parts, len(remaining))
+        cuts = [len(remaining) * number // parts for number in range(parts + 1)]
+        candidates = [remaining[:start] + remaining[end:] for start, end in zip(cuts, cuts[1:], strict=False)]
+        candidates = candidates[: max_days - days_run]
+        if not candidates:
+            return remaining, days_run, False
+        days_run += len(candidates)
+        still_broken = [
+            candidate
+            for candidate, is_broken in zip(candidates, breaks(candidates), strict=True)
+            if is_broken
+        ]
+        if still_broken:
+            remaining, parts = still_broken[0], max(parts - 1, 2)
+        elif len(candidates) < parts:
+            return remaining, days_run, False
+        elif parts == len(remaining):
             break
         else:
             parts = 2 * parts
-    return left, asked, True
+    return remaining, days_run, True
 
 
 def breaks_alike(first: Result, other: Result) -> bool:
-    """Whether a day broke as another did: by a rule before a fault, by a fault before the gate."""
-    named = {*first.signs} - {"fault", "gate"}
-    wanted = named or ({"fault"} if "fault" in first.signs else {*first.signs})
-    return other.state == "broken" and bool(wanted & {*other.signs})
+    """Tells whether a day broke as another did. Rules take precedence over a fault, a fault over the gate."""
+    rules = {*first.signs} - {"fault", "gate"}
+    expected_signs = rules or ({"fault"} if "fault" in first.signs else {*first.signs})
+    return other.state == "broken" and bool(expected_signs & {*other.signs})
 
 
 def reduce_day(
-    bench: Bench, site: Path, path: Path, first: Result, most: int, jobs: int
+    bench: Bench, site: Path, path: Path, first: Result, max_days: int, jobs: int
 ) -> tuple[Path, dict[str, Any]]:
-    """The file of what is left of a broken day, and how it was found."""
+    """Reduces a broken day; returns the file of the reduced day and a summary."""
     day, number = read_day(path), 0
 
-    def breaks(tried: Sequence[Sequence[Item]]) -> list[bool]:
+    def breaks(candidates: Sequence[Sequence[Item]]) -> list[bool]:
         nonlocal number
         paths = []
-        for left in tried:
+        for kept in candidates:
             number += 1
             name = f"{path.stem}-less{number}"
             paths.append(
-                write_day(path.with_name(f"{name}.toml"), day_with(day, left) | {"name": name}, bench.bare)
+                write_day(path.with_name(f"{name}.toml"), day_with(day, kept) | {"name": name}, bench.bare)
             )
         with pooled(bench, jobs) as pool:
             return [
-                breaks_alike(first, found) for found in pool.map(lambda one: bench.play(site, one), paths)
+                breaks_alike(first, result)
+                for result in pool.map(lambda day_path: bench.play(site, day_path), paths)
             ]
 
-    left, asked, done = minimized(removable_items(day), breaks, most)
+    remaining, days_run, is_minimal = minimize(removable_items(day), breaks, max_days)
     name = f"{path.stem}-reduced"
-    found = day_with(day, left) | {"name": name}
+    reduced = day_with(day, remaining) | {"name": name}
     summary = {
         "from": len(removable_items(day)),
-        "to": len(left),
-        "days": asked,
-        "least": done,
-        "kinds": describe(found),
+        "to": len(remaining),
+        "days": days_run,
+        "least": is_minimal,
+        "kinds": describe(reduced),
     }
-    return write_day(path.with_name(f"{name}.toml"), found, bench.bare), summary
+    return write_day(path.with_name(f"{name}.toml"), reduced, bench.bare), summary
--- a/tests/mesh/test_draw_days.py
+++ b/tests/mesh/test_draw_days.py
@@ -16,7 +16,7 @@
 from benchmarks import bench_runs, day_files, draw_days
 from benchmarks.bench_runs import Bench, Result, records, result
 from benchmarks.day_drawer import Drawer, describe, drawers
-from benchmarks.reduce_days import Item, breaks_alike, day_with, minimized, removable_items
+from benchmarks.reduce_days import Item, breaks_alike, day_with, minimize, removable_items
 from benchmarks.trouble_kinds import KindsTextError, parse_kinds_text
 
 KINDS = """Made-up words. for_s: how long (4). gap_s: a pause (2). share: a part, 0 to 1.
@@ -86,7 +86,7 @@
     kinds = {kind.name: kind for kind in said.kinds}
     assert kinds["srv_halt"].modifiers == ("near",)
     assert kinds["srv_halt"].figures == {"share": 0.2, "x": 3.0}
-    assert kinds["roll_all"].whole_x
+    assert kinds["roll_all"].has_integer_x
     assert [kinds[name].target for name in HOWS] == ["servers", "servers", "machines", "machines", *[""] * 5]
     assert kinds["crowd"].places == ("zone", "class")
     assert said.selectors == {"machines": ("first", "last"), "servers": ("everyone", "lone")}
@@ -199,7 +199,7 @@
     def breaks(tried: Sequence[Sequence[Item]]) -> list[bool]:
         return [all(item in one for item in wanted) for one in tried]
 
-    left, asked, least = minimized(ENTRIES, breaks, 100)
+    left, asked, least = minimize(ENTRIES, breaks, 100)
     assert (left, least) == (wanted, True)
     assert 0 < asked < 100
 
@@ -212,7 +212,7 @@
         asked.extend(tried)
         return [False for _ in tried]
 
-    left, days, least = minimized(ENTRIES, breaks, most)
+    left, days, least = minimize(ENTRIES, breaks, most)
     assert (left, days, len(asked)) == (ENTRIES, min(most, 26), min(most, 26))  # 2, 4, 8, then 12 parts
     assert least == (most >= 26)
 
--- a/tests/mesh/test_tolerated_losses.py
+++ b/tests/mesh/test_tolerated_losses.py
@@ -1,4 +1,4 @@
-"""Drawn days take away for good no more than a majority of the core and most of each service survive."""
+"""After the permanent budget of a drawn day, a majority of the core and most of each service remain."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.day_drawer import Drawer, drawers
-from benchmarks.tolerated_losses import MOST_GONE, Losses
+from benchmarks.tolerated_losses import MAX_LOST_UPSTREAM_SHARE, LossBudget
 
 KINDS = """Made-up words. for_s: how long (4). gap_s: a pause (2). share: a part, 0 to 1.
 
@@ -18,13 +18,13 @@
 roll_term: share (1) get SIGTERM, x (1) at a time, and start again; how: remove (they leave)
 release: share (.5) are replaced, x (1) at a time; the new one starts first, the old one drains
 """
-PER_PLACE = {("shop", "a"): 6, ("shop", "b"): 4, ("desk", "b"): 2}
+UPSTREAMS_BY_PLACE = {("shop", "a"): 6, ("shop", "b"): 4, ("desk", "b"): 2}
 
 
 def site(core: int = 5) -> dict[str, Any]:
     sides = [
         {"class": "side", "zone": zone, "app": app, "count": count}
-        for (app, zone), count in PER_PLACE.items()
+        for (app, zone), count in UPSTREAMS_BY_PLACE.items()
     ]
     return {
         "length_s": 20.0,
@@ -40,20 +40,20 @@
     return drawers([site(core)], [KINDS])[0]
 
 
-def lost_of(entries: list[dict[str, Any]], one: Drawer) -> tuple[int, dict[str, float]]:
-    """Counted machines, and the share of each service, that leave for good on a day."""
+def permanent_losses(entries: list[dict[str, Any]], one: Drawer) -> tuple[int, dict[str, float]]:
+    """Returns the machines that count and the share of each service that are lost permanently on a day."""
     counted, shares = 0, Counter[str]()
     for entry in entries:
         kind = one.kinds[entry["kind"]]
-        if not kind.removes(entry):
+        if not kind.is_permanent(entry):
             continue
         if entry.get("on") == "core":
             counted += entry["count"] if "count" in entry else round(5 * entry.get("share", 1.0))
             continue
         for service in ("shop", "desk"):
-            here = [n for (name, zone), n in PER_PLACE.items() if name == service
+            here = [n for (name, zone), n in UPSTREAMS_BY_PLACE.items() if name == service
                     and zone == entry.get("zone", zone)]  # fmt: skip
-            whole = sum(n for (name, _), n in PER_PLACE.items() if name == service)
+            whole = sum(n for (name, _), n in UPSTREAMS_BY_PLACE.items() if name == service)
             if entry.get("service", service) == service:
                 shares[service] += entry.get("share", kind.figures["share"]) * sum(here) / whole
     return counted, dict(shares)
@@ -70,24 +70,30 @@
 def test_no_drawn_day_takes_a_majority_or_most_of_a_service(
     bounded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without the bound, days are drawn that do: the check sees them."""
+    """Without the limit, some drawn days do, and the check finds them."""
     one = drawer()
-    lost = [lost_of(day, one) for day in days(one, bounded, monkeypatch)]
+    lost = [permanent_losses(day, one) for day in days(one, bounded, monkeypatch)]
     too_many_counted = [counted for counted, _ in lost if 2 * counted >= 5]
-    too_many_upstreams = [shares for _, shares in lost if max(shares.values(), default=0) > MOST_GONE + 0.01]
+    too_many_upstreams = [
+        shares for _, shares in lost if max(shares.values(), default=0) > MAX_LOST_UPSTREAM_SHARE + 0.01
+    ]
     assert bool(too_many_counted) is not bounded
     assert bool(too_many_upstreams) is not bounded
     if bounded:
-        assert any(counted == 2 for counted, _ in lost)  # and as much as may be
-        assert any(max(shares.values(), default=0) > MOST_GONE - 0.01 for _, shares in lost)
+        assert any(counted == 2 for counted, _ in lost)  # the limit is used up
+        assert any(max(shares.values(), default=0) > MAX_LOST_UPSTREAM_SHARE - 0.01 for _, shares in lost)
 
 
-def test_an_entry_is_cut_down_then_spares_and_what_cannot_spare_is_dropped() -> None:
+def test_an_entry_is_reduced_then_loses_its_permanent_variant_or_is_dropped() -> None:
     roll = {"at": 1.0, "kind": "roll_term", "how": "busy remove", "share": 0.84}
     leave = {"at": 2.0, "kind": "scale_in", "share": 0.3}
     spot = {"at": 3.0, "kind": "scale_in", "share": 0.3, "how": "spot"}
     kept = drawer().bounded({"plan": [roll, {**roll, "at": 1.5}, leave, spot], "faults": []})
-    assert kept["plan"] == [{**roll, "share": MOST_GONE}, {**roll, "at": 1.5, "how": "busy"}, spot]
+    assert kept["plan"] == [
+        {**roll, "share": MAX_LOST_UPSTREAM_SHARE},
+        {**roll, "at": 1.5, "how": "busy"},
+        spot,
+    ]
 
 
 @pytest.mark.parametrize(("core", "left"), [(1, 0), (2, 0), (3, 1), (9, 4)])
@@ -97,11 +103,11 @@
     assert (entry.get("count", 0), "how" in entry) == (left, left > 0)
 
 
-def test_a_zone_counts_with_its_part_of_the_service_that_it_holds_most_of() -> None:
-    losses = Losses.of(site())
+def test_an_entry_for_a_zone_counts_by_the_service_that_it_affects_most() -> None:
+    budget = LossBudget.for_site(site())
     one = {"kind": "scale_in", "zone": "a", "share": 0.5}  # 3 of 10 in the shop, none of the desk
-    assert losses.allowed(one, {}, "servers") == one
-    assert losses.upstreams == pytest.approx(MOST_GONE - 0.3)
-    cut = losses.allowed({"kind": "scale_in", "zone": "b", "count": 2}, {}, "servers")
+    assert budget.limit(one, {}, "servers") == one
+    assert budget.upstream_share == pytest.approx(MAX_LOST_UPSTREAM_SHARE - 0.3)
+    cut = budget.limit({"kind": "scale_in", "zone": "b", "count": 2}, {}, "servers")
     assert cut == {"kind": "scale_in", "zone": "b", "share": 0.1}  # zone b has the whole desk
-    assert losses.allowed(one, {}, "servers") is None
+    assert budget.limit(one, {}, "servers") is None
