--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -1,4 +1,4 @@
-"""The list of servers: what is noticed, when, and how each sidecar hears of it."""
+"""Model of service discovery: when it notices a change of a server, and when each sidecar receives it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DiscoveryHost(Protocol):
-    """What discovery needs of the simulation that it is part of."""
+    """The parts of the simulation that discovery uses."""
 
     scenario: Scenario
     clock: Clock
@@ -24,31 +24,32 @@
     removed_servers: set[str]
 
     def processes(self) -> list[Sidecar]:
-        """All that hear of the list."""
+        """Returns all sidecar processes that receive the server list."""
 
 
 class Discovery:
-    """The list as it stands, its changes by version, and those who are told."""
+    """The current server list and its changes by version."""
 
     def __init__(self, simulation: DiscoveryHost) -> None:
         self.simulation, self.config, self.clock = simulation, simulation.scenario.discovery, simulation.clock
         self.rng = simulation.streams.of("discovery")
         self.entries: dict[str, api.ServerEntry] = {}
-        self.changes: list[api.ServerEntry] = []  # the n-th made version n + 1
+        self.changes: list[api.ServerEntry] = []  # the change at index n made version n + 1
         self.is_down, self.extra_delay_ms = False, 0.0
-        self.extra_delay_by_sidecar: dict[int, float] = {}  # by sidecar, how much later it hears than others
+        self.extra_delay_by_sidecar: dict[int, float] = {}  # added delay of a sidecar's updates, by number
         self.wrong: set[str] = set()
-        self.free_at = 0.0  # asked: calls are served in turn
+        self.free_at = 0.0  # in the mode "ask": when the next call can be served, one after the other
 
     def initial_list(self, servers: list[Server]) -> tuple[api.ServerEntry, ...]:
-        """The list at the start, which every sidecar has."""
+        """Returns the list at the start, which every sidecar has."""
         for server in servers:
             self.entries[server.name] = server.entry(ServerState.READY)
         return tuple(self.entries.values())
 
-    # What is noticed
+    # Detection of changes
 
     def server_stopped(self, server: Server, silent: bool) -> None:
+        """Called when a server stops; it is reported as gone after the detection delay."""
         low, high = self.config.silent_notice_ms if silent else self.config.notice_ms
         self.clock.schedule(self.rng.uniform(low, high), self._gone, server, server.epoch)
 
@@ -57,6 +58,7 @@
             self.update_entry(server, ServerState.GONE)
 
     def server_started(self, server: Server) -> None:
+        """Called when a server starts; it is reported as ready after the registration delay."""
         if server.name not in self.entries:
             self.simulation.evenness.mark(self.clock.now, server.number, "unlisted", True)
         self.clock.schedule(self.rng.uniform(*self.config.add_ms), self._added, server, server.epoch)
@@ -66,7 +68,7 @@
             self.update_entry(server, ServerState.READY)
 
     def update_entry(self, server: Server, state: ServerState) -> None:
-        """A change of the list; all who are told of changes hear of it, each after its own lag."""
+        """Changes a server's entry in the list; each subscribed sidecar receives it after its own delay."""
         entry = server.entry(state)
         if self.entries.get(server.name) == entry:
             return
@@ -74,10 +76,10 @@
             self.entries.pop(server.name, None)
         else:
             self.entries[server.name] = entry
-        even, now = self.simulation.evenness, self.clock.now
-        even.mark(now, server.number, "unlisted", state is not ServerState.READY)
+        evenness, now = self.simulation.evenness, self.clock.now
+        evenness.mark(now, server.number, "unlisted", state is not ServerState.READY)
         if state is ServerState.READY:
-            even.cause(now, "listed", (server.number,))
+            evenness.cause(now, "listed", (server.number,))
         self.changes.append(entry)
         if self.is_down:
             return
@@ -85,16 +87,16 @@
             if sidecar.subscribed:
                 self.schedule_push(sidecar)
 
-    # How a sidecar hears
+    # Delivery to sidecars
 
     def schedule_push(self, sidecar: Sidecar) -> None:
-        lag = sidecar.list_delay_rng.uniform(*self.config.lag_ms)  # its own draws, whatever the others hear
-        lag += self.extra_delay_ms + self.extra_delay_by_sidecar.get(sidecar.number, 0.0)
-        self.clock.schedule(lag, self._deliver, sidecar, sidecar.incarnation, len(self.changes))
+        """Schedules the delivery of all changes so far to a sidecar."""
+        delay = sidecar.list_delay_rng.uniform(*self.config.lag_ms)  # drawn from the sidecar's own stream
+        delay += self.extra_delay_ms + self.extra_delay_by_sidecar.get(sidecar.number, 0.0)
+        self.clock.schedule(delay, self._deliver, sidecar, sidecar.incarnation, len(self.changes))
 
     def _deliver(self, sidecar: Sidecar, incarnation: int, version: int) -> None:
-        """All changes up to a version, in their order; one that came by an earlier message is not told
-        again."""
+        """Delivers all changes up to a version in their order, without those already delivered."""
         if sidecar.incarnation != incarnation or sidecar.list_version >= version:
             return
         entries = tuple(self.changes[sidecar.list_version : version])
@@ -102,8 +104,8 @@
         sidecar.handle_event(api.ServerList(ListKind.DELTA, version, entries))
 
     def subscribe(self, sidecar: Sidecar) -> None:
-        """A call for the changes from here on, where the list is asked for. Calls wait in turn, and fail
-        where they wait too long or nobody is there."""
+        """Handles a sidecar's call for the list and its later changes, in the mode "ask". Calls are served
+        one after the other; a call fails if it waits too long or discovery is down."""
         wait = max(self.free_at - self.clock.now, 0.0)
         if self.is_down or wait > self.config.timeout_ms:
             self.clock.schedule(self.config.timeout_ms, self._failed, sidecar, sidecar.incarnation)
@@ -129,7 +131,7 @@
         )
 
     def begin_outage(self) -> None:
-        """Pushed: nothing comes. Asked: the calls that wait end."""
+        """Takes discovery down. Nothing is delivered; in the mode "ask", open calls fail."""
         self.is_down = True
         if self.config.mode == "ask":
             for sidecar in self.simulation.processes():
@@ -137,6 +139,7 @@
                     self._failed(sidecar, sidecar.incarnation)
 
     def end_outage(self) -> None:
+        """Brings discovery back. In the mode "push", every sidecar receives the missed changes."""
         self.is_down = False
         self.simulation.evenness.cause(self.clock.now, "discovery is back")
         if self.config.mode == "push":
@@ -145,11 +148,12 @@
                     self.schedule_push(sidecar)
 
     def report_gone(self, servers: list[Server]) -> None:
-        """Servers that answer are called gone."""
+        """Reports servers as gone although they are up."""
         for server in servers:
             self.update_entry(server, ServerState.GONE)
 
     def report_ready(self, servers: list[Server]) -> None:
+        """Reports those of the servers as ready that are up and were not removed."""
         for server in servers:
             if server.state == "up" and server.name not in self.simulation.removed_servers:
                 self.update_entry(server, ServerState.READY)
--- a/lab/links.py
+++ b/lab/links.py
@@ -1,7 +1,7 @@
-"""Links between zones, and what may befall them, as the simulation's models see it.
+"""Model of the network links between zones and of their faults.
 
-A link leads from the sidecars of one zone to the servers of another, or of the same. Over sockets a relay
-does the same to real connections (rigs/relay.py).
+A link leads from the sidecars of one zone to the servers of a zone. In runs over sockets, a relay applies the
+same faults to real connections (rigs/relay.py).
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 if TYPE_CHECKING:
     from lab.streams import Stream
 
-RETRANSMIT_MS = 200.0  # what is lost on a connection is sent again after so long, then twice that
-ZonePair = tuple[str, str]  # zone of the sidecars, zone of the servers
+RETRANSMIT_MS = 200.0  # first retransmission timeout of a lost message; it doubles each time
+ZonePair = tuple[str, str]  # of the sidecars and of the servers
 
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """``there``: requests arrive; ``back``: answers do."""
+    """The state of a link."""
 
     requests_arrive: bool = True
     answers_arrive: bool = True
-    delay_ms: float = 0.0  # each way
-    loss_share: float = 0.0  # of messages, which then come late
-    reset_share: float = 0.0  # of requests, whose connection is reset
-    half_open_before: float = -1.0  # connections opened before are open at this end alone
+    delay_ms: float = 0.0  # added delay in each direction
+    loss_share: float = 0.0  # share of messages that are lost and retransmitted, so they arrive late
+    reset_share: float = 0.0  # share of requests whose connection is reset
+    half_open_before: float = -1.0  # connections opened before this instant are half-open
 
     def message_delay_ms(self, rng: Stream) -> float:
-        """How much later a message arrives, ms."""
+        """Draws the added delay of a message in ms."""
         delay, retransmit = self.delay_ms, RETRANSMIT_MS
         while self.loss_share and retransmit < 10_000.0 and rng.random() < self.loss_share:
             delay, retransmit = delay + retransmit, 2.0 * retransmit
@@ -42,7 +42,7 @@
 
 
 class Links:
-    """The state of all links; those that are sound are not kept."""
+    """The state of all links. Links without an entry are healthy."""
 
     def __init__(self, now: Callable[[], float], rng: Stream) -> None:
         self._now, self.rng = now, rng
@@ -52,13 +52,13 @@
     def of(self, sidecar_zone: str, server_zone: str) -> Link:
         return self._degraded.get((sidecar_zone, server_zone), HEALTHY) if self._degraded else HEALTHY
 
-    def begin(self, zones: ZonePair, trouble: Trouble, requests_pass: bool) -> None:
-        """``there``: the direction that a cut one way takes."""
+    def begin(self, zones: ZonePair, trouble: Trouble, cuts_requests: bool) -> None:
+        """Starts a fault. A one-way cut drops requests if ``cuts_requests``, and answers otherwise."""
         link, size = self._degraded.get(zones, HEALTHY), min(trouble.size, 1.0)
         if trouble.kind == "cut":
             link = replace(link, requests_arrive=False, answers_arrive=False)
         elif trouble.kind == "one_way":
-            link = replace(link, requests_arrive=not requests_pass, answers_arrive=requests_pass)
+            link = replace(link, requests_arrive=not cuts_requests, answers_arrive=cuts_requests)
         elif trouble.kind == "far":
             link = replace(link, delay_ms=trouble.size)
         elif trouble.kind == "lossy":
@@ -70,7 +70,7 @@
         self._set(zones, link)
 
     def end(self, zones: ZonePair) -> None:
-        """Sound again; what was half open stays so."""
+        """Ends the fault of a link; half-open connections stay half-open."""
         self._set(zones, Link(half_open_before=self.of(*zones).half_open_before))
 
     def _set(self, zones: ZonePair, link: Link) -> None:
@@ -79,13 +79,17 @@
 
 
 def affected_links(zones: tuple[str, ...], trouble: Trouble, rng: Stream) -> list[ZonePair]:
-    """The links that a trouble is about: a share of those between zones, or of all where there is one
-    zone."""
-    places = [(a, b) for a in zones for b in zones if a != b or len(zones) == 1]
-    count = min(max(round(trouble.share * len(places)), 1), len(places))
-    return [places[at] for at in sorted(rng.permutation(len(places))[:count])]
+    """Draws the links that a trouble affects: a share of those between zones, or of the only zone's own."""
+    links = [
+        (client_zone, server_zone)
+        for client_zone in zones
+        for server_zone in zones
+        if client_zone != server_zone or len(zones) == 1
+    ]
+    count = min(max(round(trouble.share * len(links)), 1), len(links))
+    return [links[index] for index in sorted(rng.permutation(len(links))[:count])]
 
 
 def has_link_troubles(troubles: tuple[Trouble, ...]) -> bool:
-    """Whether a play has troubles of links at all."""
+    """Whether any of the troubles affects links."""
     return any(item.kind in LINK_KINDS for item in troubles)
--- a/lab/pool.py
+++ b/lab/pool.py
@@ -1,8 +1,7 @@
-"""Plays over all cores: a worker process a core, each at one play at a time.
+"""Distributes simulation runs ("plays") over worker processes, one run at a time in each.
 
-A worker that dies, or that is at one play for too long, is replaced; its play is tried once more, then told
-as broken by what it did to its worker. The order in which plays end is no matter: rows are sorted where they
-land.
+A worker that dies or exceeds the time limit is replaced. Its run is retried once, then reported as failed
+with the worker's end as the reason. Runs may finish in any order: the results are sorted when written.
 """
 
 from __future__ import annotations
@@ -27,15 +26,15 @@
 
 
 class WorkerDied(Exception):
-    """The worker ended, or was ended, before its play did."""
+    """The worker process results, or was killed, before it finished its run."""
 
 
 class _Worker:
-    """One process, for the decision modules of one place."""
+    """A worker process that imports the decision code from one directory."""
 
-    def __init__(self, place: Path, timeout_s: float) -> None:
-        self.place, self._timeout_s = place, timeout_s
-        paths = [str(place)] if place != ROOT else []
+    def __init__(self, directory: Path, timeout_s: float) -> None:
+        self.directory, self._timeout_s = directory, timeout_s
+        paths = [str(directory)] if directory != ROOT else []
         self._process = subprocess.Popen(
             [sys.executable, "-P", "-m", "lab.worker"],
             cwd=ROOT,
@@ -45,56 +44,60 @@
         )
 
     def run(self, job: Job) -> Found:
-        """Raises WorkerDied."""
+        """Returns the result of a run. Raises WorkerDied."""
         assert self._process.stdin is not None and self._process.stdout is not None
-        alarm = threading.Timer(self._timeout_s, self._process.kill)
-        alarm.start()
+        timer = threading.Timer(self._timeout_s, self._process.kill)
+        timer.start()
         try:
             write_frame(self._process.stdin, msgspec.msgpack.encode(job))
             message = read_frame(self._process.stdout)
         except OSError:
             message = None
         finally:
-            alarm.cancel()
+            timer.cancel()
         if message is None:
             raise WorkerDied(f"the worker ended: status {self._process.wait()}")
         return msgspec.msgpack.decode(message, type=Found)
 
     def kill(self) -> None:
+        """Kills the process without jobs for its end."""
         self._process.kill()
 
     def close(self) -> None:
+        """Kills the process, waits for its end and closes its pipes."""
         self.kill()
         self._process.wait()
         for stream in (self._process.stdin, self._process.stdout):
             if stream is not None:
-                with suppress(BrokenPipeError):  # it ended with a job half written
+                with suppress(BrokenPipeError):  # the process ended before the whole job was written
                     stream.close()
 
 
 def run(
     plays: Iterable[tuple[Play, Job, Path]], workers: int, timeout_s: float = 3600.0
 ) -> Iterator[tuple[Play, Found]]:
-    """Each play with what it came to, as they end; ``timeout_s`` seconds of real time a play at the most.
-    Leaving the iteration early ends all workers."""
-    waiting: queue.SimpleQueue[tuple[Play, Job, Path] | None] = queue.SimpleQueue()
-    ended: queue.SimpleQueue[tuple[Play, Found] | BaseException] = queue.SimpleQueue()
+    """Yields each run with its result as it finishes. A run may take ``timeout_s`` seconds of real time.
+
+    Leaving the iteration early kills all workers.
+    """
+    jobs: queue.SimpleQueue[tuple[Play, Job, Path] | None] = queue.SimpleQueue()
+    results: queue.SimpleQueue[tuple[Play, Found] | BaseException] = queue.SimpleQueue()
     count, stop = 0, threading.Event()
     for item in plays:
-        waiting.put(item)
+        jobs.put(item)
         count += 1
     alive: dict[int, _Worker] = {}
     threads = [
-        threading.Thread(target=_run_worker, args=(waiting, ended, timeout_s, stop, alive), daemon=True)
+        threading.Thread(target=_run_worker, args=(jobs, results, timeout_s, stop, alive), daemon=True)
         for _ in range(min(workers, count))
     ]
     for _ in threads:
-        waiting.put(None)
+        jobs.put(None)
     for thread in threads:
         thread.start()
     try:
         for _ in range(count):
-            found = ended.get()
+            found = results.get()
             if isinstance(found, BaseException):
                 raise found
             yield found
@@ -107,32 +110,32 @@
 
 
 def _run_worker(
-    waiting: queue.SimpleQueue[tuple[Play, Job, Path] | None],
-    ended: queue.SimpleQueue[tuple[Play, Found] | BaseException],
+    jobs: queue.SimpleQueue[tuple[Play, Job, Path] | None],
+    results: queue.SimpleQueue[tuple[Play, Found] | BaseException],
     timeout_s: float,
     stop: threading.Event,
     alive: dict[int, _Worker],
 ) -> None:
     worker: _Worker | None = None
     try:
-        while not stop.is_set() and (item := waiting.get()) is not None:
-            play, job, place = item
-            for turn in range(MAX_TRIES):
-                if worker is None or worker.place != place:
+        while not stop.is_set() and (item := jobs.get()) is not None:
+            play, job, directory = item
+            for attempt in range(MAX_TRIES):
+                if worker is None or worker.directory != directory:
                     if worker is not None:
                         worker.close()
-                    worker = alive[threading.get_ident()] = _Worker(place, timeout_s)
+                    worker = alive[threading.get_ident()] = _Worker(directory, timeout_s)
                 try:
                     found = worker.run(job)
                     break
-                except WorkerDied as fault:
+                except WorkerDied as error:
                     worker.close()
-                    worker, found = None, Found(row=broken(str(fault)), quantiles_ms=[])
-                    if stop.is_set() or turn + 1 == MAX_TRIES:
+                    worker, found = None, Found(row=broken(str(error)), quantiles_ms=[])
+                    if stop.is_set() or attempt + 1 == MAX_TRIES:
                         break
-            ended.put((play, found))
-    except BaseException as fault:  # the iteration must hear of it, or it waits for good
-        ended.put(fault)
+            results.put((play, found))
+    except BaseException as error:  # passed on, otherwise the iteration would wait forever
+        results.put(error)
     finally:
         if worker is not None:
             worker.close()
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -1,7 +1,7 @@
-"""A server as the simulation sees it: workers, a queue, a cold start, falls, slow states, pauses and silence.
+"""Model of a server: workers, a queue, cold starts, overload crashes ("falls"), slow states, pauses, outages.
 
-A call's speed is that of the moment in which a worker takes it: what changes while it runs counts from the
-next.
+The speed of a call is fixed when a worker starts it: a later change of the server's speed affects only calls
+that start after the change.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 
 
 class AttemptSidecar(Protocol):
-    """What an attempt needs of the sidecar that sent it."""
+    """The parts of the sending sidecar that an attempt uses."""
 
     number: int
     zone: str
 
     def delay(self, server: Server) -> float:
-        """The time of one message to a server, one way, in ms."""
+        """Returns the one-way delay in ms of one message to a server."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """The attempt has come to this end, as the sidecar sees it."""
+        """Notifies the sidecar of the outcome of an attempt."""
 
 
 class ServerEvents(Protocol):
-    """Who notices that servers start and end."""
+    """Receives the starts and stops of servers."""
 
     def server_started(self, server: Server) -> None:
-        """A server is up."""
+        """Called when a server has started."""
 
     def server_stopped(self, server: Server, silent: bool) -> None:
-        """A server has stopped, with its connections open where ``silent``."""
+        """Called when a server has stopped; if ``silent``, its connections were not closed."""
 
 
 class ServerHost(Protocol):
-    """What a server needs of the simulation that it is part of."""
+    """The parts of the simulation that a server uses."""
 
     scenario: Scenario
     clock: Clock
@@ -57,17 +57,17 @@
 
     @property
     def discovery(self) -> ServerEvents:
-        """Who is told of starts and ends."""
+        """Receives the starts and stops of servers."""
 
     def server_fell(self, server: Server) -> None:
-        """A server was pushed over."""
+        """Called when a server has crashed from overload."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt's answer, or its end, leaves the server."""
+        """Sends the outcome of an attempt back to its sidecar."""
 
 
 class Attempt:
-    """One attempt on its way, from the send to what comes of it."""
+    """One attempt at a request, from the send to its outcome."""
 
     __slots__ = (
         "sidecar",
@@ -98,37 +98,43 @@
     ) -> None:
         self.sidecar, self.request, self.number, self.server = sidecar, request, number, server
         self.sent, self.work, self.key, self.klass = sent, work, key, klass
-        self.open = True  # its sidecar still waits for it
-        self.epoch = -1  # the server's life to which its connection goes; -1: it has none
-        self.state = ""  # at the server: "waiting", "running", or neither
-        self.ends = 0.0  # when it is done, once it runs
-        self.opened = 0.0  # when its connection was
+        self.open = True  # the sidecar still waits for the outcome
+        self.epoch = -1  # epoch of the server that its connection belongs to; -1: no connection
+        self.state = ""  # at the server: "waiting", "running" or empty
+        self.ends = 0.0  # when its work is done, once it runs
+        self.opened = 0.0  # when its connection was opened
 
 
 class Server:
-    """``work`` and spans in ms; ``peak`` is the most that came, as a multiple of what it could do."""
+    """One server. Work and times are in ms.
+
+    ``epoch`` counts its starts and stops. ``peak`` is the highest load that it received while cold, as a
+    multiple of its capacity at that time. ``slow`` divides its speed and ``errors`` is the share of calls
+    that fail; troubles set both by name.
+    """
 
     def __init__(
         self, simulation: ServerHost, number: int, kind: Kind, name: str, cold: bool = False
     ) -> None:
-        made = simulation.scenario.servers
-        self.simulation, self.clock, self.config, self.kind = simulation, simulation.clock, made, kind
+        config = simulation.scenario.servers
+        self.simulation, self.clock, self.config, self.kind = simulation, simulation.clock, config, kind
         self.number, self.name = number, name
         self.zone = simulation.scenario.network.zones[number % len(simulation.scenario.network.zones)]
-        self.cell = number // made.cell
+        self.cell = number // config.cell
         rng = simulation.streams.of("server", name)
-        spread = made.speed_cv * math.sqrt(3.0)  # an even draw of that coefficient of variation
+        # Half the width of the uniform distribution with this coefficient of variation.
+        spread = config.speed_cv * math.sqrt(3.0)
         self.speed = max(kind.speed * rng.uniform(1.0 - spread, 1.0 + spread), 0.05)
-        self.can_choke = rng.random() < made.choke.share
+        self.can_choke = rng.random() < config.choke.share
         self.rng = rng
-        self.queue_capacity = kind.workers * made.queue
+        self.queue_capacity = kind.workers * config.queue
         self.state, self.epoch = UP, 0
         self.started_at = self.clock.now if cold else -math.inf
         self.reported_start: float | None = self.clock.now if cold else None
         self.running, self.waiting = 0, deque[Attempt]()
         self.open_attempts: set[Attempt] = set()
         self.connections = 0
-        self.slow, self.errors = 1.0, made.error_share
+        self.slow, self.errors = 1.0, config.error_share
         self.is_choked, self.choked_since, self.crowded_since, self.idle_since = (
             False,
             0.0,
@@ -139,15 +145,15 @@
         self.recent_arrivals, self.recent_work = deque[tuple[float, float]](), 0.0
         self.peak, self.falls = 0.0, 0
         self.cached_keys: dict[int, float] = {}
-        if made.pause_every_ms > 0:
-            self.clock.schedule(rng.exponential(made.pause_every_ms), self._pause)
+        if config.pause_every_ms > 0:
+            self.clock.schedule(rng.exponential(config.pause_every_ms), self._pause)
         simulation.evenness.joins(number, kind.workers * self.speed)
         self._report_load()
         if cold:
             self._start_warm_up()
 
     def _report_load(self) -> None:
-        """Tells what it has in hand."""
+        """Reports its workers, running calls and queued calls to the evenness measure."""
         workers = self.kind.workers if self.state == UP else 0
         self.simulation.evenness.moved(self.clock.now, self.number, workers, self.running, len(self.waiting))
 
@@ -160,33 +166,34 @@
             self.mark("cold", False)
 
     def mark(self, reason: str, unhealthy: bool) -> None:
-        """From now on it is not to be counted on, for this reason, or no longer for it."""
+        """Marks the server as unhealthy for a reason from now on, or as no longer so for that reason."""
         self.simulation.evenness.mark(self.clock.now, self.number, reason, unhealthy)
 
     def location(self) -> tuple[str, str, int]:
-        """Its name, zone and cell."""
+        """Returns its name, zone and cell."""
         return self.name, self.zone, self.cell
 
     def entry(self, state: api.ServerState) -> api.ServerEntry:
+        """Returns its entry in the server list, with this state."""
         return api.ServerEntry(
             self.name, state, self.zone, self.cell, self.kind.name, self._size(), self.reported_start
         )
 
     def _size(self) -> float:
-        """As registered: workers beside those of the first kind; true speeds are not told."""
+        """Returns its registered size: workers relative to the first kind. True speeds are not reported."""
         return self.kind.workers / self.config.kinds[0].workers
 
     def warm_fraction(self) -> float:
-        """The share of its capacity that it has."""
+        """Returns the share of its full capacity that it has reached since its start."""
         age = self.clock.now - self.started_at
         if age >= self.config.warm_up_ms:
             return 1.0
         return self.config.cold_share + (1.0 - self.config.cold_share) * age / self.config.warm_up_ms
 
-    # What comes
+    # Arrivals
 
     def arrive(self, attempt: Attempt) -> None:
-        """The last byte of a request is here."""
+        """Called when a request has arrived completely."""
         if self.state != UP or attempt.epoch != self.epoch:
             if self.state != SILENT:
                 self.simulation.reply(attempt, Outcome.RESET)
@@ -195,7 +202,7 @@
         work = self._work_with_cache(attempt)
         self.record_load(work)
         if self.state != UP:
-            return  # it fell over by this one; what it held was reset
+            return  # this request config it crash; its open attempts were reset
         if self.errors > 0 and self.rng.random() < self.errors:
             self.simulation.reply(attempt, Outcome.ERROR)
         elif self.running < self.kind.workers:
@@ -211,50 +218,51 @@
             self.simulation.reply(attempt, Outcome.FULL)
 
     def record_load(self, work: float) -> None:
-        """Counts work that came: too much for too long, and a starting server falls."""
-        made, now = self.config, self.clock.now
+        """Records work that arrived. A cold server crashes if it receives too much for too long."""
+        config, now = self.config, self.clock.now
         self.recent_arrivals.append((now, work))
         self.recent_work += work
-        while self.recent_arrivals[0][0] < now - made.fall_ms:
+        while self.recent_arrivals[0][0] < now - config.fall_ms:
             self.recent_work -= self.recent_arrivals.popleft()[1]
         warm_fraction = self.warm_fraction()
-        part = self.recent_work / (self.kind.workers * self.speed * made.fall_ms * warm_fraction)
-        self.simulation.measures.record_load(self.number, part)
-        if warm_fraction < 1.0 and part > self.peak:
-            self.peak = part
-        if part > made.fall_multiple and (warm_fraction < 1.0 or made.falls_warm):
+        load_ratio = self.recent_work / (self.kind.workers * self.speed * config.fall_ms * warm_fraction)
+        self.simulation.measures.record_load(self.number, load_ratio)
+        if warm_fraction < 1.0 and load_ratio > self.peak:
+            self.peak = load_ratio
+        if load_ratio > config.fall_multiple and (warm_fraction < 1.0 or config.falls_warm):
             self.falls += 1
             self.simulation.measures.record_fall(warm_fraction < 1.0)
             self.simulation.server_fell(self)
             self.stop(DEAD)
-            self.clock.schedule(made.down_ms, self.start)
+            self.clock.schedule(config.down_ms, self.start)
 
     def _work_with_cache(self, attempt: Attempt) -> float:
+        """Returns the work of an attempt, which is less if the server has seen its key recently."""
         keys, now = self.simulation.scenario.load.keys, self.clock.now
         if attempt.key < 0 or keys.gain <= 0:
             return attempt.work
-        known = now - self.cached_keys.pop(attempt.key, -math.inf) <= keys.kept_ms
+        is_cached = now - self.cached_keys.pop(attempt.key, -math.inf) <= keys.kept_ms
         self.cached_keys[attempt.key] = now
         if len(self.cached_keys) > keys.kept:
-            del self.cached_keys[next(iter(self.cached_keys))]  # the one met longest ago
-        return attempt.work * (1.0 - keys.gain if known else 1.0)
+            del self.cached_keys[next(iter(self.cached_keys))]  # the least recently seen one
+        return attempt.work * (1.0 - keys.gain if is_cached else 1.0)
 
     # Work
 
     def _start_work(self, attempt: Attempt, work: float) -> None:
-        made, waiting = self.config, len(self.waiting)
+        config, waiting = self.config, len(self.waiting)
         self.running += 1
         attempt.state = "running"
         self.open_attempts.add(attempt)
-        slower = self.slow * (made.choke.slower if self.is_choked else 1.0)
+        slowdown = self.slow * (config.choke.slower if self.is_choked else 1.0)
         if waiting:
-            slower *= 1.0 + made.thrash * waiting / self.queue_capacity
+            slowdown *= 1.0 + config.thrash * waiting / self.queue_capacity
         if self.can_choke:
             self._update_choke()
         self._report_load()
-        span = work * slower / (self.speed * self.warm_fraction())
-        attempt.ends = self.clock.now + span
-        self.clock.schedule(span, self._done, attempt, self.epoch)
+        duration = work * slowdown / (self.speed * self.warm_fraction())
+        attempt.ends = self.clock.now + duration
+        self.clock.schedule(duration, self._done, attempt, self.epoch)
 
     def _done(self, attempt: Attempt, epoch: int) -> None:
         if epoch != self.epoch or attempt.state != "running":
@@ -275,14 +283,14 @@
 
     def _start_waiting(self) -> None:
         while self.waiting and self.running < self.kind.workers:
-            following = self.waiting.popleft()
-            if following.state == "waiting":
-                self._start_work(following, following.work)
+            attempt = self.waiting.popleft()
+            if attempt.state == "waiting":
+                self._start_work(attempt, attempt.work)
         if self.can_choke:
             self._update_choke()
 
     def cancel(self, attempt: Attempt) -> None:
-        """Its sidecar has closed the connection; what that stops hangs on the server."""
+        """Called when the sidecar has closed the connection. The scenario says which attempts that stops."""
         if attempt.state == "waiting" and self.config.cancels != "none":
             self.waiting.remove(attempt)
         elif attempt.state == "running" and self.config.cancels == "all":
@@ -295,7 +303,7 @@
         self._report_load()
 
     def _update_choke(self) -> None:
-        """The slow state: in after a queue that stood, out after rest."""
+        """Enters the slow state after a long queue has persisted, and leaves it after a time of low load."""
         choke, now, workers = self.config.choke, self.clock.now, self.kind.workers
         if not self.is_choked:
             if len(self.waiting) <= choke.waiting * workers:
@@ -314,16 +322,19 @@
             self.is_choked, self.crowded_since = False, math.inf
 
     def _pause(self) -> None:
-        made = self.config
-        self.paused_until = self.clock.now + self.rng.exponential(made.pause_ms)
-        self.clock.schedule(self.rng.exponential(made.pause_every_ms) + made.pause_ms, self._pause)
+        config = self.config
+        self.paused_until = self.clock.now + self.rng.exponential(config.pause_ms)
+        self.clock.schedule(self.rng.exponential(config.pause_every_ms) + config.pause_ms, self._pause)
 
-    # Life
+    # Start and stop
 
     def stop(self, state: str) -> None:
-        """Dead: what is open is reset. Silent: it is not. The list is told by whoever notices, later."""
+        """Stops the server. DEAD: its open connections are reset; SILENT: they are not.
+
+        Discovery notices the stop and updates the server list later.
+        """
         self.state, self.epoch = state, self.epoch + 1
-        held, self.open_attempts, self.running = self.open_attempts, set(), 0
+        lost, self.open_attempts, self.running = self.open_attempts, set(), 0
         self.waiting.clear()
         self.recent_arrivals.clear()
         self.recent_work, self.connections, self.is_choked = 0.0, 0, False
@@ -331,14 +342,14 @@
         self.cached_keys.clear()
         self._report_load()
         self.mark("down", True)
-        for attempt in sorted(held, key=lambda item: (item.sent, item.sidecar.number, item.request)):
+        for attempt in sorted(lost, key=lambda item: (item.sent, item.sidecar.number, item.request)):
             attempt.state = ""
             if state == DEAD:
                 self.simulation.reply(attempt, Outcome.RESET)
         self.simulation.discovery.server_stopped(self, state == SILENT)
 
     def start(self) -> None:
-        """Up again, cold, under the same name and with another birth."""
+        """Starts the server again, cold, with the same name and a new start time."""
         if self.state == UP:
             return
         self.state, self.epoch = UP, self.epoch + 1
--- a/lab/sidecars.py
+++ b/lab/sidecars.py
@@ -1,4 +1,4 @@
-"""A sidecar in virtual time: what hosts a decision module, with its connections, and what may befall it."""
+"""Model of a sidecar in virtual time. It hosts a load balancer, keeps connections, can pause and crash."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 
 
 class LoadBalancer(Protocol):
-    """What takes a sidecar's decisions: the module, or a policy to hold it against."""
+    """Takes a sidecar's decisions: the shipped balancer, or a baseline policy to compare it with."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
 
 
 Policy = Callable[[api.Settings, int], LoadBalancer]
-# A connection kept: the server's life, since when it is idle, and when it was opened.
+# The server's epoch, the instant since which the connection is idle, and the instant at which it was opened.
 IdleConnection = tuple[int, float, float]
 
 
 class TryListener(Protocol):
-    """Who is told what became of a client's try."""
+    """Receives the outcomes of clients' tries."""
 
-    def try_ended(self, client_try: Try, what: str, advice_ms: float) -> None:
-        """The one outcome of a try, with the time after which its client may come again."""
+    def try_ended(self, client_try: Try, outcome: str, advice_ms: float) -> None:
+        """Called once per try with its outcome, and with the retry delay that the client is advised."""
 
 
 class Subscriptions(Protocol):
-    """Where a sidecar asks for the list of servers."""
+    """Serves the server list."""
 
     def subscribe(self, sidecar: Sidecar) -> None:
-        """Ask for the list and its changes from here on."""
+        """Requests the list and its changes from now on."""
 
 
 class SidecarHost(Protocol):
-    """What a sidecar needs of the simulation that it is part of."""
+    """The parts of the simulation that a sidecar uses."""
 
     scenario: Scenario
     seed: int
@@ -61,34 +61,35 @@
 
     @property
     def clients(self) -> TryListener:
-        """Who is told what became of tries."""
+        """Receives the outcomes of tries."""
 
     @property
     def discovery(self) -> Subscriptions:
-        """Where the list of servers is asked for."""
+        """Serves the server list."""
 
     def settings(self, zone: str, number: int) -> api.Settings:
-        """The decisions' settings for a sidecar of this zone and number."""
+        """Returns the balancer's settings for a sidecar of this zone and number."""
 
-    def fleet_view(self, sidecar: int, late: bool) -> FleetView:
-        """What a policy that sees servers' states may look at."""
+    def fleet_view(self, sidecar: int, delayed: bool) -> FleetView:
+        """Returns the view of the servers' true states for a policy that needs one."""
 
     def is_dropped(self, sidecar: Sidecar, server: Server) -> bool:
-        """Whether nothing of an attempt arrives, nor anything comes back."""
+        """Whether the network drops an attempt, so that neither it nor an answer arrives."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt's answer, or its end, leaves its server."""
+        """Sends the outcome of an attempt from its server to its sidecar."""
 
 
 class Sidecar:
-    """``life`` counts its starts: what was planned in an earlier one is void."""
+    """One sidecar. ``incarnation`` counts its starts and crashes: timers of an earlier one are void."""
 
-    is_local = True  # not of another process, as in a rig of several
+    is_local = True  # False for sidecars of another process, over sockets
 
     def __init__(
         self, simulation: SidecarHost, number: int, policy: Policy, watch_storms: bool, generation: int = 0
     ) -> None:
-        """``version``: how many processes this sidecar has been before; two of them may be there at once."""
+        """``generation``: how often an upgrade has replaced this sidecar's process before; during an upgrade,
+        two processes exist."""
         self.simulation, self.clock, self.number, self.generation = (
             simulation,
             simulation.clock,
@@ -109,15 +110,15 @@
         self.up, self.paused, self.incarnation, self.resumed_at = False, False, 0, -1.0
         self.inbox: deque[tuple[Callable[..., None], tuple[object, ...]]] = deque()
         self.list_version, self.subscribed = 0, False
-        self.known: dict[str, api.ServerEntry] = {}  # the list as it last had it
+        self.known: dict[str, api.ServerEntry] = {}  # the most recent server list
         self.open_tries: dict[str, Try] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.attempts_sent: dict[str, int] = {}  # attempts of a request so far, and those that have not ended
+        self.attempts_sent: dict[str, int] = {}  # by request: attempts so far, and those in flight
         self.attempts_open: dict[str, int] = {}
-        self.idle_connections: dict[int, list[IdleConnection]] = {}  # by server, the one used last at the end
+        self.idle_connections: dict[int, list[IdleConnection]] = {}  # by server, the most recently used last
 
     def start(self, entries: tuple[api.ServerEntry, ...] | None = None) -> None:
-        """Starts, or starts again with nothing but its last list."""
+        """Starts with these entries, or restarts with only its most recent list."""
         self.up, self.paused, self.incarnation = True, False, self.incarnation + 1
         seed = self.simulation.seed * 100_003 + self.number * 101 + self.incarnation + 7919 * self.generation
         self.balancer = self.policy(self.settings, seed)
@@ -128,18 +129,18 @@
         self._servers_examined = 0.0
         self.storm_watch = Watch(self.settings, seed) if self.watch_storms else None
         self.subscribed = self.simulation.scenario.discovery.mode == "push"
-        first = entries is not None
+        is_first_start = entries is not None
         if entries is not None:
             self.known = {entry.server: entry for entry in entries}
         entries = tuple(self.known.values())
         if not self.generation or self.incarnation > 1:
-            self.simulation.checker.started(self.number)  # to the rules two processes are one sidecar
+            self.simulation.checker.started(self.number)  # the rules count both processes as one sidecar
         self.handle_event(api.ServerList(ListKind.CACHED, self.list_version, entries))
-        if first and self.subscribed:
+        if is_first_start and self.subscribed:
             self.handle_event(api.ServerList(ListKind.FULL, self.list_version, entries))
 
     def crash(self) -> None:
-        """What it client_try is the clients' to try again; its attempts' connections end."""
+        """Crashes: its open tries end as "cut", for their clients to retry, and its connections close."""
         if not self.up:
             return
         self.up, self.incarnation = False, self.incarnation + 1
@@ -150,26 +151,28 @@
         self.attempts.clear()
         self.attempts_sent.clear()
         self.attempts_open.clear()
-        for number, kept in self.idle_connections.items():
-            self.simulation.servers[number].connections -= len(kept)
+        for number, idle in self.idle_connections.items():
+            self.simulation.servers[number].connections -= len(idle)
         self.idle_connections.clear()
         tries, self.open_tries = self.open_tries, {}
         for client_try in tries.values():
             self.simulation.clients.try_ended(client_try, "cut", 0.0)
 
     def pause(self) -> None:
+        """Stops processing. What arrives is queued until `resume`."""
         self.paused = True
 
     def resume(self) -> None:
-        """All that came in the meantime, in its order."""
+        """Continues after a pause and processes what has arrived meanwhile, in its order."""
         self.paused, self.resumed_at = False, self.clock.now
         while self.inbox and not self.paused:
-            what, arguments = self.inbox.popleft()
-            what(*arguments)
+            handler, arguments = self.inbox.popleft()
+            handler(*arguments)
 
     # Events
 
     def handle_event(self, event: api.Event) -> None:
+        """Passes an event to the balancer and performs the actions that it returns."""
         if self.paused:
             self.inbox.append((self.handle_event, (event,)))
             return
@@ -207,7 +210,8 @@
                 self.simulation.discovery.subscribe(self)
 
     def _charge_cpu(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
-        """Looks are counted where the module counts them, else as many as a pick is taken to need."""
+        """Charges the CPU cost of an event. Servers examined are counted by the balancer if it can, otherwise
+        the scenario's number for each send is assumed."""
         assert self.cpu_meter is not None
         sends = sum(isinstance(action, api.Send) for action in actions)
         looks = getattr(self.balancer, "looks", None)
@@ -222,7 +226,7 @@
             self.handle_event(api.Timer(token))
 
     def handle_request(self, client_try: Try, deadline: float) -> None:
-        """A client's request has come whole. A process that stands still accepts it all the same."""
+        """Called when a client's request has arrived completely. A paused process also accepts it."""
         if self.paused:
             self.inbox.append((self.handle_request, (client_try, deadline)))
             return
@@ -237,12 +241,12 @@
         )
 
     def client_gone(self, client_try: Try) -> None:
-        """The client waits no longer."""
+        """Called when the client gives up this try."""
         if self.open_tries.pop(client_try.name, None) is not None and self.up:
             self._client_gone(client_try.name)
 
     def _client_gone(self, name: str) -> None:
-        """A process that stands still learns of it when it goes on; until then it may answer nobody."""
+        """Handles a client that has gone. A paused process learns of it when it resumes."""
         if self.paused:
             self.inbox.append((self._client_gone, (name,)))
             return
@@ -250,15 +254,15 @@
         self.handle_event(api.ClientGone(name))
         self._forget(name)
 
-    def _finish(self, name: str, what: str, advice_ms: float) -> None:
-        self.simulation.checker.final(self.number, name, what, self.clock.now)
+    def _finish(self, name: str, outcome: str, advice_ms: float) -> None:
+        self.simulation.checker.final(self.number, name, outcome, self.clock.now)
         client_try = self.open_tries.pop(name, None)
         self._forget(name)
         if client_try is not None:
-            self.simulation.clients.try_ended(client_try, what, advice_ms)
+            self.simulation.clients.try_ended(client_try, outcome, advice_ms)
 
     def _forget(self, name: str) -> None:
-        """Counts of attempts are kept while one can still end."""
+        """Drops the attempt counts of a finished request once none of its attempts is in flight."""
         if name not in self.open_tries and not self.attempts_open.get(name):
             self.attempts_sent.pop(name, None)
             self.attempts_open.pop(name, None)
@@ -282,7 +286,7 @@
         simulation.measures.bin().sent += 1
         self.clock.schedule(action.timeout_ms, self.attempt_ended, attempt, Outcome.TIMEOUT)
         if simulation.is_dropped(self, server):
-            return  # nothing comes back, not even of the connect
+            return  # no answer arrives, not even to a connect
         link = simulation.links.of(self.zone, server.zone)
         one_way = self.delay(server) + link.message_delay_ms(simulation.links.rng)
         epoch, opened = self._take_idle_connection(server)
@@ -290,7 +294,7 @@
         if epoch >= 0:
             attempt.epoch = epoch
             if link.half_open_before > opened:
-                return  # open at this end alone
+                return  # half-open: the other end no longer has the connection
             if link.reset_share and simulation.links.rng.random() < link.reset_share:
                 self.clock.schedule(one_way, self.attempt_ended, attempt, Outcome.RESET)
                 return
@@ -299,15 +303,15 @@
         simulation.measures.bin().connects += 1
         if self.storm_watch is not None:
             self.storm_watch.opened(now)
-        made = simulation.scenario.servers
+        config = simulation.scenario.servers
         if server.state == DEAD:
             self.clock.schedule(2.0 * one_way, self.attempt_ended, attempt, Outcome.CONNECT_FAILED)
         elif server.state == SILENT:
             wait = simulation.scenario.network.connect_timeout_ms
             self.clock.schedule(wait, self.attempt_ended, attempt, Outcome.CONNECT_FAILED)
         else:
-            hello = one_way * (1.0 + 2.0 * made.handshake_rtts)
-            self.clock.schedule(hello, self._connected, attempt, server.epoch)
+            handshake = one_way * (1.0 + 2.0 * config.handshake_rtts)
+            self.clock.schedule(handshake, self._connected, attempt, server.epoch)
 
     def _connected(self, attempt: Attempt, epoch: int) -> None:
         server = attempt.server
@@ -317,7 +321,9 @@
             self.attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         if server.connections >= server.config.connections:
-            self.simulation.reply(attempt, Outcome.FULL)  # too many connections: turned away unseen
+            self.simulation.reply(
+                attempt, Outcome.FULL
+            )  # too many connections: rejected before the request is read
             return
         server.connections += 1
         attempt.epoch = epoch
@@ -329,29 +335,32 @@
         server.arrive(attempt)
 
     def _take_idle_connection(self, server: Server) -> tuple[int, float]:
-        """The life to which a kept connection goes, the one used last first, and when it was opened; -1:
-        there is none. One to a server that is silent is found out by its silence, one to an earlier life by
-        its reset."""
-        kept = self.idle_connections.get(server.number)
-        if not kept:
+        """Takes the most recently used idle connection to a server.
+
+        Returns the server's epoch at which it was opened, and the instant; the epoch is -1 if there is no
+        connection. The sidecar cannot tell that a server is silent or has restarted: the attempt then ends by
+        timeout or by reset.
+        """
+        idle = self.idle_connections.get(server.number)
+        if not idle:
             return -1, 0.0
-        idle = self.clock.now - 0.9 * server.config.idle_ms  # let go before the other side does
-        while kept:
-            epoch, since, opened = kept.pop()
-            if since >= idle and (epoch == server.epoch or server.state != DEAD):
+        oldest = self.clock.now - 0.9 * server.config.idle_ms  # given up before the server closes it
+        while idle:
+            epoch, since, opened = idle.pop()
+            if since >= oldest and (epoch == server.epoch or server.state != DEAD):
                 return epoch, opened
             if epoch == server.epoch:
                 server.connections -= 1
         return -1, 0.0
 
     def delay(self, server: Server) -> float:
-        """One way, ms."""
+        """Returns the one-way delay in ms of one message to a server."""
         net = self.simulation.scenario.network
         base = net.same_ms if server.zone == self.zone else net.cross_ms
         return base * (1.0 + net.jitter * self.network_rng.random())
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """What a sidecar sees of an attempt's end; only the first counts."""
+        """Called with the outcome of an attempt as the sidecar sees it; later calls are ignored."""
         if self.paused:
             if attempt.open:
                 self.inbox.append((self.attempt_ended, (attempt, outcome)))
@@ -362,11 +371,11 @@
         name, number, server = attempt.request, int(attempt.number), attempt.server
         del self.attempts[name, number]
         self.attempts_open[name] -= 1
-        whole = outcome is Outcome.OK or outcome is Outcome.ERROR or outcome is Outcome.FULL
+        complete = outcome is Outcome.OK or outcome is Outcome.ERROR or outcome is Outcome.FULL
         if attempt.epoch == server.epoch and attempt.epoch >= 0:
-            if whole:
-                kept = (attempt.epoch, self.clock.now, attempt.opened)
-                self.idle_connections.setdefault(server.number, []).append(kept)
+            if complete:
+                idle = (attempt.epoch, self.clock.now, attempt.opened)
+                self.idle_connections.setdefault(server.number, []).append(idle)
             else:
                 server.connections -= 1
                 server.cancel(attempt)
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -1,7 +1,7 @@
-"""The whole simulation in virtual time: a play is a function of its scenario, its seed and the code.
+"""The simulation in virtual time. A run (a "play") is a pure function of its scenario, its seed and the code.
 
-What decides is real (the module, the watch for storms, or a policy to hold against them); servers, network,
-discovery and clients are models. Nothing here reads a clock or a file.
+The decisions are the real code: the balancer, storm detection, or a baseline policy to compare them with.
+Servers, network, discovery and clients are models. Nothing here reads a clock or a file.
 """
 
 from __future__ import annotations
@@ -28,7 +28,8 @@
 from lab.versions import Change
 
 
-def classes(scenario: Scenario) -> tuple[api.RequestClass, ...]:
+def request_classes(scenario: Scenario) -> tuple[api.RequestClass, ...]:
+    """Returns the scenario's request classes as the balancer's settings hold them."""
     return tuple(
         api.RequestClass(
             item.name,
@@ -45,8 +46,8 @@
 
 
 class Simulation:
-    """One play. ``watch_storms``: the watch for storms stands before each module, as the operator's file has
-    it."""
+    """One run of a scenario. ``watch_storms``: each sidecar has storm detection on, as the operator's
+    configuration can set it."""
 
     def __init__(
         self, scenario: Scenario, seed: int, policy: Policy = Balancer, watch_storms: bool = False
@@ -64,30 +65,30 @@
         self.sidecars = [Sidecar(self, n, policy, watch_storms) for n in range(scenario.sidecars.count)]
 
     def processes(self) -> list[Sidecar]:
-        """All that hear of the list: where a sidecar is being replaced, both of its processes."""
-        return [*self.sidecars, *(item for at in self.changes.values() for item in at.beside())]
+        """Returns all sidecar processes that receive the server list: during an upgrade, old and new."""
+        return [*self.sidecars, *(item for change in self.changes.values() for item in change.beside())]
 
     def serving_process(self, number: int) -> Sidecar:
-        """The process that a call of this sidecar's application comes to."""
+        """Returns the process that receives the next request for this sidecar."""
         change = self.changes.get(number)
         return self.sidecars[number] if change is None else change.reached()
 
     def _create_servers(self, server_class: type[Server]) -> None:
-        """The servers of the start, and that nothing has befallen the network or any sidecar yet."""
-        self.changes: dict[int, Change] = {}  # of versions that are under way, by sidecar
+        """Creates the initial servers and the fault state of the network, free of faults."""
+        self.changes: dict[int, Change] = {}  # upgrades in progress, by sidecar number
         self.cut_zones: set[str] = set()  # zones that no message leaves or enters
-        self.loss_share = 0.0  # share of attempts that are swallowed
+        self.loss_share = 0.0  # share of attempts that are lost without an answer
         self.links = Links(lambda: self.clock.now, self.streams.of("links"))
-        self.removed_servers: set[str] = set()  # servers that do not come back
+        self.removed_servers: set[str] = set()  # names of servers that do not return
         self._loss_rng, self._server_class = self.streams.of("loss"), server_class
         self.servers: list[Server] = []
         self.by_name: dict[str, Server] = {}
-        made = self.scenario.servers
-        bounds = list(accumulate(kind.share for kind in made.kinds))
-        for number in range(made.count):
-            # Kinds are laid out evenly by their shares: which server is of which is the same for every seed.
-            place = (number + 0.5) / made.count * bounds[-1]
-            kind = next(kind for kind, bound in zip(made.kinds, bounds, strict=True) if place <= bound)
+        config = self.scenario.servers
+        bounds = list(accumulate(kind.share for kind in config.kinds))
+        for number in range(config.count):
+            # Kinds are assigned evenly by their shares, so a server has the same kind for every seed.
+            position = (number + 0.5) / config.count * bounds[-1]
+            kind = next(kind for kind, bound in zip(config.kinds, bounds, strict=True) if position <= bound)
             self._register_server(server_class(self, number, kind, f"s-{number}"))
 
     def _register_server(self, server: Server) -> None:
@@ -95,65 +96,68 @@
         self.by_name[server.name] = server
 
     def add_server(self, kind: Kind) -> None:
-        """A machine that the simulation has not had, started now."""
+        """Starts a new server now, with a new name."""
         number = len(self.servers)
         server = self._server_class(self, number, kind, f"s-{number}", cold=True)
         self._register_server(server)
         self.discovery.server_started(server)
 
     def settings(self, zone: str, number: int = -1) -> api.Settings:
-        made = self.scenario
+        """Returns the balancer's settings for a sidecar of this zone and number."""
+        scenario = self.scenario
         limits = api.Limits(
-            max_attempts=made.allow.max_attempts,
-            may_cancel=made.allow.cancel,
-            second_copies=made.allow.second_copies,
-            max_retry_after_ms=made.clients.max_retry_after_ms,
-            connect_timeout_ms=made.network.connect_timeout_ms,
-            idle_ms=made.servers.idle_ms,
+            max_attempts=scenario.allow.max_attempts,
+            may_cancel=scenario.allow.cancel,
+            second_copies=scenario.allow.second_copies,
+            max_retry_after_ms=scenario.clients.max_retry_after_ms,
+            connect_timeout_ms=scenario.network.connect_timeout_ms,
+            idle_ms=scenario.servers.idle_ms,
         )
         rules = api.Rules(
-            made.allow.answer_slack_ms,
-            made.allow.drain_grace_ms,
-            cold_from=made.servers.cold_share,
-            cold_ms=made.servers.warm_up_ms,
-            fall_multiple=made.servers.fall_multiple,
-            fall_ms=made.servers.fall_ms,
+            scenario.allow.answer_slack_ms,
+            scenario.allow.drain_grace_ms,
+            cold_from=scenario.servers.cold_share,
+            cold_ms=scenario.servers.warm_up_ms,
+            fall_multiple=scenario.servers.fall_multiple,
+            fall_ms=scenario.servers.fall_ms,
         )
         settings = api.Settings(
-            classes=classes(made),
-            peers=made.sidecars.count,
+            classes=request_classes(scenario),
+            peers=scenario.sidecars.count,
             zone=zone,
-            asks_for_list=made.discovery.mode == "ask",
+            asks_for_list=scenario.discovery.mode == "ask",
             limits=limits,
             rules=rules,
-            worst_class_weight=made.goal.klass,
+            worst_class_weight=scenario.goal.klass,
         )
-        if hasattr(settings, "me"):  # older revisions are not told
+        if hasattr(settings, "me"):  # older revisions of the balancer have no such field
             settings = replace(settings, me=number)
-        if made.sidecars.cpu.per_s <= 0 or not hasattr(api, "Costs"):
-            return settings  # older revisions, played for comparison, are not told, and charged all the same
-        limits = replace(limits, cpu_us_per_s=made.sidecars.cpu.per_s)
-        return replace(settings, limits=limits, costs=api.Costs(**made.sidecars.cpu.costs()))
-
-    def fleet_view(self, sidecar: int, late: bool) -> FleetView:
-        """Made when the first policy asks for it: one for all that see the present, else each its own, over
-        the same history."""
+        if scenario.sidecars.cpu.per_s <= 0 or not hasattr(api, "Costs"):
+            return settings  # older revisions, run for comparison, know no costs; they are charged anyway
+        limits = replace(limits, cpu_us_per_s=scenario.sidecars.cpu.per_s)
+        return replace(settings, limits=limits, costs=api.Costs(**scenario.sidecars.cpu.costs()))
+
+    def fleet_view(self, sidecar: int, delayed: bool) -> FleetView:
+        """Returns the view of the servers' true states for a policy, made on first use.
+
+        All policies without a delay share one view; each with a delay has its own, over a shared history.
+        """
         net = self.scenario.network
-        trip = 2.0 * max(net.same_ms, net.cross_ms) if late else 0.0
-        key = sidecar if late else -1
+        round_trip = 2.0 * max(net.same_ms, net.cross_ms) if delayed else 0.0
+        key = sidecar if delayed else -1
         if key not in self._views:
-            works = {item.name: item.work_ms for item in self.scenario.classes}
+            mean_work_ms = {item.name: item.work_ms for item in self.scenario.classes}
             history = next((view for view in self._views.values() if view.delay_ms > 0), None)
-            self._views[key] = FleetView(self.clock, self.by_name, works, trip, history)
+            self._views[key] = FleetView(self.clock, self.by_name, mean_work_ms, round_trip, history)
         return self._views[key]
 
     def server_fell(self, server: Server) -> None:
-        """A server was pushed over."""
+        """Called after a server has crashed from overload."""
 
-    # Messages
+    # Network
 
     def is_dropped(self, sidecar: Sidecar, server: Server) -> bool:
-        """Whether nothing of an attempt arrives, nor anything comes back."""
+        """Whether the network drops an attempt, so that neither it nor an answer arrives."""
         if self.cut_zones and (sidecar.zone in self.cut_zones) != (server.zone in self.cut_zones):
             return True
         if not self.links.of(sidecar.zone, server.zone).requests_arrive:
@@ -161,19 +165,19 @@
         return self.loss_share > 0 and self._loss_rng.random() < self.loss_share
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """What a server answers, or its end, on its way back."""
+        """Delivers a server's answer, or the loss of its connection, to the sidecar after the delay."""
         sidecar, server = attempt.sidecar, attempt.server
         if self.cut_zones and (sidecar.zone in self.cut_zones) != (server.zone in self.cut_zones):
             return
         link = self.links.of(sidecar.zone, server.zone)
         if link.answers_arrive:
-            late = sidecar.delay(server) + link.message_delay_ms(self.links.rng)
-            self.clock.schedule(late, sidecar.attempt_ended, attempt, outcome)
+            delay = sidecar.delay(server) + link.message_delay_ms(self.links.rng)
+            self.clock.schedule(delay, sidecar.attempt_ended, attempt, outcome)
 
-    # The play
+    # The run
 
     def run(self) -> Row:
-        """Plays it to the end, or to the bound of its events; what it came to."""
+        """Runs the scenario to its end or to its limit on events, and returns the summary row."""
         entries, fault = self.discovery.initial_list(self.servers), ""
         rng, spread = self.streams.of("start"), self.scenario.sidecars.start_spread_ms
         for sidecar in self.sidecars:
@@ -182,10 +186,10 @@
         troubles.plan(self)
         try:
             self.clock.run(1000.0 * self.scenario.seconds)
-        except TooManyEvents as bound:
-            fault = str(bound)
+        except TooManyEvents as error:
+            fault = str(error)
         peak = max((server.peak for server in self.servers), default=0.0)
-        broken = dict(self.checker.violations)
+        violations = dict(self.checker.violations)
         return self.measures.row(
-            broken, self.checker.ran_twice, peak, fault, self.clock.events, self.evenness
+            violations, self.checker.ran_twice, peak, fault, self.clock.events, self.evenness
         )
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -1,7 +1,7 @@
-"""What befalls the simulation, when: each trouble of a scenario planned on the clock before the play begins.
+"""Fault injection: schedules each trouble of a scenario on the clock before the run begins.
 
-Who is hit is drawn from a stream of the trouble's own, before anything has happened: the same under every
-policy.
+The servers, sidecars and links that a trouble affects are drawn in advance from the trouble's own random
+stream, so they are the same under every policy.
 """
 
 from __future__ import annotations
@@ -37,20 +37,22 @@
 
     @property
     def clients(self) -> Clients:
-        """The callers, whose load troubles change."""
+        """The clients, whose load troubles change."""
 
     def add_server(self, kind: Kind) -> None:
-        """Start a machine that has not been there."""
+        """Starts a new server."""
 
 
 def plan(simulation: TroublesHost) -> None:
+    """Schedules all troubles of the simulation's scenario."""
     for number, trouble in enumerate(simulation.scenario.troubles):
         planned = _Planned(simulation, trouble, simulation.streams.of("trouble", number, trouble.kind))
         getattr(planned, f"plan_{trouble.kind}")()
 
 
 class _Planned:
-    """One trouble; a method a kind. What it hits is among the servers and sidecars of the play's start."""
+    """One trouble, with a ``plan_`` method for each kind. It affects only servers and sidecars that exist at
+    the start of the run."""
 
     def __init__(self, simulation: TroublesHost, trouble: Trouble, chance: Stream) -> None:
         self.simulation, self.trouble, self.rng = simulation, trouble, chance
@@ -58,14 +60,16 @@
         self.start, self.end = trouble.at_ms, trouble.at_ms + trouble.for_ms
 
     def affected_servers(self) -> list[Server]:
+        """Draws the servers that the trouble affects."""
         servers = self.simulation.servers
         count = min(math.ceil(self.trouble.share * len(servers)), len(servers))
-        return [servers[at] for at in sorted(self.rng.permutation(len(servers))[:count])]
+        return [servers[index] for index in sorted(self.rng.permutation(len(servers))[:count])]
 
     def affected_sidecars(self) -> list[Sidecar]:
+        """Draws the sidecars that the trouble affects."""
         sidecars = self.simulation.sidecars
         count = min(math.ceil(self.trouble.share * len(sidecars)), len(sidecars))
-        return [sidecars[at] for at in sorted(self.rng.permutation(len(sidecars))[:count])]
+        return [sidecars[index] for index in sorted(self.rng.permutation(len(sidecars))[:count])]
 
     def _schedule_span(self, begin: Callable[[], object], end: Callable[[], object]) -> None:
         self.clock.schedule(self.start, begin)
@@ -76,8 +80,8 @@
     def _plan_stops(self, state: str) -> None:
         for server in self.affected_servers():
             later = self.rng.uniform(0.0, self.trouble.spread_ms)
-            for turn in range(self.trouble.times):
-                begin = self.start + 2.0 * turn * self.trouble.for_ms
+            for index in range(self.trouble.times):
+                begin = self.start + 2.0 * index * self.trouble.for_ms
                 self.clock.schedule(begin, self._stop, server, state)
                 self.clock.schedule(begin + self.trouble.for_ms + later, server.start)
 
@@ -106,19 +110,19 @@
             )
 
     def plan_errors(self) -> None:
-        usual = self.simulation.scenario.servers.error_share
+        default = self.simulation.scenario.servers.error_share
         for server in self.affected_servers():
             self._schedule_span(
                 partial(self._degrade, server, "errors", min(self.trouble.size, 1.0)),
-                partial(self._degrade, server, "errors", usual, False),
+                partial(self._degrade, server, "errors", default, False),
             )
 
-    def _degrade(self, server: Server, how: str, value: float, unhealthy: bool = True) -> None:
-        setattr(server, how, value)
-        server.mark(how, unhealthy)
+    def _degrade(self, server: Server, attribute: str, value: float, unhealthy: bool = True) -> None:
+        setattr(server, attribute, value)
+        server.mark(attribute, unhealthy)
 
     def plan_replaced(self) -> None:
-        """Each hit server ends at a time of its own; a new one, of another name, takes its place."""
+        """Stops each affected server at a time of its own, and starts a new one under another name."""
         for server in self.affected_servers():
             self.clock.schedule(
                 self.start + self.rng.uniform(0.0, self.trouble.for_ms), self._replace, server
@@ -130,35 +134,39 @@
         self.simulation.add_server(server.kind)
 
     def plan_drain(self) -> None:
-        """One after the other: told to finish, ended when its calls are done at the latest, and back cold."""
-        hit = self.affected_servers()
-        for turn, server in enumerate(hit):
-            begin = self.start + turn * self.trouble.for_ms / max(len(hit), 1)
+        """Drains one server after the other: each stops once its calls must be done, and restarts cold."""
+        affected = self.affected_servers()
+        for index, server in enumerate(affected):
+            begin = self.start + index * self.trouble.for_ms / max(len(affected), 1)
             self.clock.schedule(begin, self._drain, server)
 
     def _drain(self, server: Server) -> None:
-        most = max(item.deadline_ms for item in self.simulation.scenario.classes)
-        wait = self.simulation.scenario.allow.drain_grace_ms + most
+        longest_deadline = max(item.deadline_ms for item in self.simulation.scenario.classes)
+        wait = self.simulation.scenario.allow.drain_grace_ms + longest_deadline
         self.simulation.discovery.update_entry(server, ServerState.DRAINING)
         self.clock.schedule(wait, self._stop, server, DEAD)
         self.clock.schedule(wait + 500.0, server.start)
 
     def plan_shrink(self) -> None:
-        """The fleet gets smaller for good, and the load with it."""
-        hit = self.affected_servers()
-        for turn, server in enumerate(hit):
-            self.clock.schedule(self.start + turn * self.trouble.for_ms / len(hit), self._remove, server)
+        """Reduces the fleet permanently, and the load in proportion."""
+        affected = self.affected_servers()
+        for index, server in enumerate(affected):
+            self.clock.schedule(
+                self.start + index * self.trouble.for_ms / len(affected), self._remove, server
+            )
         self.clock.schedule(
             self.start, setattr, self.simulation.clients, "load_factor", 1.0 - self.trouble.share
         )
 
     def _remove(self, server: Server) -> None:
-        most = max(item.deadline_ms for item in self.simulation.scenario.classes)
+        longest_deadline = max(item.deadline_ms for item in self.simulation.scenario.classes)
         self.simulation.removed_servers.add(server.name)
         self.simulation.discovery.update_entry(server, ServerState.DRAINING)
-        self.clock.schedule(self.simulation.scenario.allow.drain_grace_ms + most, self._stop, server, DEAD)
+        self.clock.schedule(
+            self.simulation.scenario.allow.drain_grace_ms + longest_deadline, self._stop, server, DEAD
+        )
 
-    # The network
+    # Network
 
     def plan_partition(self) -> None:
         zones = self.simulation.scenario.network.zones
@@ -176,9 +184,11 @@
 
     def _plan_links(self) -> None:
         links = self.simulation.links
-        for place in affected_links(self.simulation.scenario.network.zones, self.trouble, self.rng):
-            there = self.rng.random() < 0.5
-            self._schedule_span(partial(links.begin, place, self.trouble, there), partial(links.end, place))
+        for zones in affected_links(self.simulation.scenario.network.zones, self.trouble, self.rng):
+            cuts_requests = self.rng.random() < 0.5
+            self._schedule_span(
+                partial(links.begin, zones, self.trouble, cuts_requests), partial(links.end, zones)
+            )
 
     plan_cut = plan_one_way = plan_far = plan_lossy = plan_resets = plan_half_open = _plan_links
 
@@ -186,8 +196,8 @@
 
     def plan_disagree(self) -> None:
         late = self.simulation.discovery.extra_delay_by_sidecar
-        hit = {sidecar.number: self.trouble.size for sidecar in self.affected_sidecars()}
-        self._schedule_span(lambda: late.update(hit), late.clear)
+        affected = {sidecar.number: self.trouble.size for sidecar in self.affected_sidecars()}
+        self._schedule_span(lambda: late.update(affected), late.clear)
 
     def plan_away(self) -> None:
         self._schedule_span(self.simulation.discovery.begin_outage, self.simulation.discovery.end_outage)
@@ -200,10 +210,10 @@
         )
 
     def plan_wrong(self) -> None:
-        hit = self.affected_servers()
+        affected = self.affected_servers()
         self._schedule_span(
-            lambda: self.simulation.discovery.report_gone(hit),
-            lambda: self.simulation.discovery.report_ready(hit),
+            lambda: self.simulation.discovery.report_gone(affected),
+            lambda: self.simulation.discovery.report_ready(affected),
         )
 
     # Clients
@@ -218,8 +228,8 @@
 
     def plan_hot(self) -> None:
         hot = self.simulation.clients.sidecar_factors
-        hit = {sidecar.number: self.trouble.size for sidecar in self.affected_sidecars()}
-        self._schedule_span(lambda: hot.update(hit), hot.clear)
+        affected = {sidecar.number: self.trouble.size for sidecar in self.affected_sidecars()}
+        self._schedule_span(lambda: hot.update(affected), hot.clear)
 
     def plan_loud(self) -> None:
         names = [item.name for item in self.simulation.scenario.members]
@@ -247,8 +257,8 @@
     def plan_upgrade(self) -> None:
         for sidecar in self.affected_sidecars():
             begin = self.start + self.rng.uniform(0.0, self.trouble.for_ms)
-            for turn in range(self.trouble.times):
-                later = begin + turn * (self.trouble.for_ms + self.trouble.spread_ms)
+            for index in range(self.trouble.times):
+                later = begin + index * (self.trouble.for_ms + self.trouble.spread_ms)
                 self.clock.schedule(later, self._upgrade, sidecar.number)
 
     def _upgrade(self, number: int) -> None:
