--- a/benchmarks/bench_runs.py
+++ b/benchmarks/bench_runs.py
@@ -179,7 +179,7 @@
 
 
 @contextmanager
-def pooled(bench: Bench, jobs: int) -> Iterator[ThreadPoolExecutor]:
+def run_pool(bench: Bench, jobs: int) -> Iterator[ThreadPoolExecutor]:
     """Threads that play days; where their user fails or is ended, so are the days under way."""
     with ThreadPoolExecutor(jobs) as pool:
         try:
--- a/benchmarks/draw_days.py
+++ b/benchmarks/draw_days.py
@@ -32,7 +32,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.bench_runs import Bench, Result, pooled
+from benchmarks.bench_runs import Bench, Result, run_pool
 from benchmarks.day_drawer import Day, describe, drawers
 from benchmarks.day_files import ROOT, DayFileError, inside_repository, read_day, write_day
 from benchmarks.reduce_days import reduce_day
@@ -128,7 +128,7 @@
     drawn, table = draw(bench, given.sites, out, given.seed, given.count), out / "days.jsonl"
     bench.build()
     results: dict[Path, Result] = {}
-    with pooled(bench, given.jobs) as pool:
+    with run_pool(bench, given.jobs) as pool:
         under_way = {pool.submit(bench.play, *one): one for one in drawn}
         for done in as_completed(under_way):
             site, path = under_way[done]
--- a/benchmarks/reduce_days.py
+++ b/benchmarks/reduce_days.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.bench_runs import Bench, Result, pooled
+from benchmarks.bench_runs import Bench, Result, run_pool
 from benchmarks.day_drawer import PARTS, Day, describe
 from benchmarks.day_files import read_day, write_day
 
@@ -84,7 +84,7 @@
             paths.append(
                 write_day(path.with_name(f"{name}.toml"), day_with(day, kept) | {"name": name}, bench.bare)
             )
-        with pooled(bench, jobs) as pool:
+        with run_pool(bench, jobs) as pool:
             return [
                 breaks_alike(first, result)
                 for result in pool.map(lambda day_path: bench.play(site, day_path), paths)
