--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -1,8 +1,8 @@
-"""The operators' address under load: python -m benchmarks.admin [--seconds N]
+"""Measures the admin endpoint of a sidecar under load: python -m benchmarks.admin [--seconds N]
 
-How long /admin/stats takes while the sidecar serves as many requests as it can, beside hostile callers, and
-with its loop held up; what ten calls a second cost; and the figures beside what callers and order servers
-counted themselves.
+Measures the latency of /admin/stats while the sidecar serves as many requests as it can, during connections
+from hostile clients, and while the process is paused by signals; the CPU time of ten calls per second; and
+compares the reported statistics with what callers and upstream servers counted themselves.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
 from rigs import fleet
 from rigs.versions import Platform, call
 
-HOSTILE, CONNECTIONS = 200, 16
-CALLS_A_SECOND = 10.0
+HOSTILE_CLIENTS, CONNECTIONS = 200, 16
+CALLS_PER_SECOND = 10.0
 
 
-class Counting(fleet.OrderServer):
-    """Counts the whole requests that came, as the ledger that figures are held against."""
+class CountingServer(fleet.OrderServer):
+    """An upstream server that counts complete requests, for comparison with the reported statistics."""
 
-    seen = 0
+    request_count = 0
 
     def message(self, head: bytes, body: bytes) -> None:
-        Counting.seen += 1
+        CountingServer.request_count += 1
         super().message(head, body)
 
 
-async def hostile(port: int, until: float) -> None:
-    """Sends nothing, half a call a byte at a time, or a megabyte of header, again and again."""
-    number = 0
+async def run_hostile_client(port: int, until: float) -> None:
+    """Repeatedly connects and sends nothing, part of a request byte by byte, or a header of one megabyte."""
+    attempt = 0
     while time.perf_counter() < until:
-        number += 1
+        attempt += 1
         try:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
-            if number % 3 == 1:
+            if attempt % 3 == 1:
                 for byte in b"GET /adm":
                     writer.write(bytes([byte]))
                     await asyncio.sleep(0.05)
-            elif number % 3 == 2:
+            elif attempt % 3 == 2:
                 writer.write(b"GET /admin/stats HTTP/1.1\r\nx: " + b"y" * 1_000_000)
             await asyncio.sleep(0.5)
             writer.transport.abort()
@@ -54,9 +54,9 @@
             await asyncio.sleep(0.05)
 
 
-async def asked(port: int, until: float) -> tuple[list[float], int]:
-    """How long each call took, in seconds, and how many failed."""
-    times, failed = [], 0
+async def call_stats(port: int, until: float) -> tuple[list[float], int]:
+    """Returns the duration of each call in seconds, and the number of failed calls."""
+    durations_s, failed = [], 0
     while time.perf_counter() < until:
         start = time.perf_counter()
         try:
@@ -65,13 +65,13 @@
         except (OSError, TimeoutError, ValueError):
             status = 0
         failed += status != 200
-        times.append(time.perf_counter() - start)
-        await asyncio.sleep(max(start + 1.0 / CALLS_A_SECOND - time.perf_counter(), 0.0))
-    return times, failed
+        durations_s.append(time.perf_counter() - start)
+        await asyncio.sleep(max(start + 1.0 / CALLS_PER_SECOND - time.perf_counter(), 0.0))
+    return durations_s, failed
 
 
-def row(times: list[float], failed: int) -> dict[str, Any]:
-    ranked = sorted(times)
+def summarize(durations_s: list[float], failed: int) -> dict[str, Any]:
+    ranked = sorted(durations_s)
     return {
         "calls": len(ranked),
         "failed": failed,
@@ -82,62 +82,62 @@
 
 
 async def measure(seconds: float) -> dict[str, Any]:
-    servers = [await fleet.serve_on_loopback(Counting) for _ in range(4)]
+    servers = [await fleet.serve_on_loopback(CountingServer) for _ in range(4)]
     hosts = fleet.host_entries([port for _, port in servers])
     discovery, port = await fleet.serve_on_loopback(type("Told", (fleet.Discovery,), {"hosts": hosts}))
     data = {
         "name": "n1", "discovery": f"127.0.0.1:{port}", "seed": "7", "limits": {"sockets": 512},
         "known": {"seq": 1, "whole": True, "hosts": hosts}, "settings": fleet.SETTINGS,
     }  # fmt: skip
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(ROOT, Path(folder), data, blocking=False)
         process, mgmt = await platform.start()
         await platform.wait_for_log(process, "ready")
         running = fleet.RunningSidecar(process, platform.port)
         idle = running.cpu_s()
-        await asked(mgmt, time.perf_counter() + seconds)
-        found["cpu_ms_a_second_of_10_calls"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
+        await call_stats(mgmt, time.perf_counter() + seconds)
+        results["cpu_ms_a_second_of_10_calls"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
         idle = running.cpu_s()
         await asyncio.sleep(seconds)
-        found["cpu_ms_a_second_idle"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
+        results["cpu_ms_a_second_idle"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
 
         until = time.perf_counter() + seconds
         load, calls = await asyncio.gather(
-            fleet.closed_loop(platform.port, CONNECTIONS, seconds), asked(mgmt, until)
+            fleet.closed_loop(platform.port, CONNECTIONS, seconds), call_stats(mgmt, until)
         )
-        found["under_load"] = row(*calls) | {"requests_a_second": round(load.served / load.seconds)}
+        results["under_load"] = summarize(*calls) | {"requests_a_second": round(load.served / load.seconds)}
         await asyncio.sleep(0.6)
         _, figures = await call(mgmt, "/admin/stats")
-        found["figures"] = {
+        results["figures"] = {
             "served_by_callers": load.served, "passed": sum(figures["passed"].values()),
             "refused_or_failed_by_callers": load.not_served,
             "dropped_and_bad_gateway": sum(
                 sum(figures[name].values()) for name in ("dropped", "bad_gateway")
             ),
-            "seen_by_servers": Counting.seen, "upstream_tries": figures["upstream_tries"],
+            "seen_by_servers": CountingServer.request_count, "upstream_tries": figures["upstream_tries"],
             "in_progress": figures["in_progress"],
         }  # fmt: skip
 
         until = time.perf_counter() + seconds
-        crowd = [asyncio.create_task(hostile(mgmt, until)) for _ in range(HOSTILE)]
-        calls = await asked(mgmt, until)
-        await asyncio.gather(*crowd)
-        found[f"beside_{HOSTILE}_hostile"] = row(*calls)
+        clients = [asyncio.create_task(run_hostile_client(mgmt, until)) for _ in range(HOSTILE_CLIENTS)]
+        calls = await call_stats(mgmt, until)
+        await asyncio.gather(*clients)
+        results[f"beside_{HOSTILE_CLIENTS}_hostile"] = summarize(*calls)
 
-        # Held up as a whole, every half second for 0.4 s: longer than any list or burst holds the loop.
+        # Pauses of 0.4 s every half second, longer than any server list or burst blocks the event loop.
         until = time.perf_counter() + seconds
-        holds = asyncio.create_task(held_up(process, until))
-        found["process_stopped_0.4_of_0.5_s"] = row(*await asked(mgmt, until))
-        await holds
+        pauses = asyncio.create_task(pause_repeatedly(process, until))
+        results["process_stopped_0.4_of_0.5_s"] = summarize(*await call_stats(mgmt, until))
+        await pauses
         await platform.close()
     for server in [discovery, *(server for server, _ in servers)]:
         server.close()
-    return found
+    return results
 
 
-async def held_up(process: asyncio.subprocess.Process, until: float) -> None:
-    """The harshest of hold-ups: no thread of the process runs. Held by signals to a process of our own."""
+async def pause_repeatedly(process: asyncio.subprocess.Process, until: float) -> None:
+    """Repeatedly stops and continues the whole process by signals, so that no thread of it runs."""
     while time.perf_counter() < until:
         os.kill(process.pid, signal.SIGSTOP)
         await asyncio.sleep(0.4)
@@ -146,12 +146,12 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(prog="python -m benchmarks.admin")
-    words.add_argument("--seconds", type=float, default=10.0)
-    found = asyncio.run(measure(words.parse_args().seconds))
-    for name, value in found.items():
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.admin")
+    parser.add_argument("--seconds", type=float, default=10.0)
+    results = asyncio.run(measure(parser.parse_args().seconds))
+    for name, value in results.items():
         print(f"{name:<32} {value}")
-    print(json.dumps(found))
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_runs.py
+++ b/benchmarks/bench_runs.py
@@ -1,4 +1,4 @@
-"""Days played by the bench's program, one a run, and how they ended by what it prints and leaves."""
+"""Runs single days with the bench's program, and determines how they ended from its output and reports."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from benchmarks.trouble_kinds import KindsTextError
 
 JOURNAL = ROOT / "journal"
-QUICK_S = 300.0  # for what plays nothing: a machine short of memory was seen to take over 60 s for it
-END_S = 10.0  # for a run to end after SIGTERM
-LAST = 6  # lines of what the bench printed, kept of a day that is unclear or given up
+COMMAND_TIMEOUT_S = 300.0  # for commands that run no day: over 60 s on a machine short of memory
+TERMINATION_TIMEOUT_S = 10.0  # for a run to end after SIGTERM
+MAX_OUTPUT_LINES = 6  # last lines of the bench's output that are kept for a day that is unclear or given up
 
 
 @dataclass(frozen=True)
 class Result:
-    """How a day ended; ``signs`` are the rules broken, `fault` and `gate`."""
+    """How a day ended. ``signs`` holds the broken rules, "fault" for a fault, "gate" for a failed gate."""
 
     state: str
     signs: tuple[str, ...] = ()
     rules: Mapping[str, Any] | None = None
     fault: str = ""
-    short: tuple[str, ...] = ()
-    first: tuple[str, ...] = ()  # what was seen first of each broken rule
+    short: tuple[str, ...] = ()  # the goals that were missed
+    first: tuple[str, ...] = ()  # the first violation of each broken rule
     seconds: float = 0.0
     journal: str = ""
-    said: str = ""
+    said: str = ""  # the last lines of output
 
 
-def records(value: Any) -> Iterator[Mapping[str, Any]]:
-    """What speaks of a day's end, anywhere in the bench's own JSON: its journal's words, or its report's of a
-    bad one, since the report doesn't say that the gate was passed."""
+def find_records(value: Any) -> Iterator[Mapping[str, Any]]:
+    """Yields the records of how days ended, at any depth of the bench's JSON: those of its journal, and those
+    of failed days in its report, since the report does not say that the gate was passed."""
     if isinstance(value, dict):
         if {"rules", "fault", "gate"} <= value.keys():
             yield value
@@ -50,19 +50,19 @@
                 yield {"rules": value["breaks"], "gate": False, **value}
         else:
             for part in value.values():
-                yield from records(part)
+                yield from find_records(part)
     elif isinstance(value, list):
         for part in value:
-            yield from records(part)
+            yield from find_records(part)
 
 
-def result(code: int | None, out: str, found: Sequence[Mapping[str, Any]]) -> Result:
-    """Of a run that ended with ``code`` (none: ended from here), printed ``out`` and left these records."""
-    said = "\n".join(out.strip().splitlines()[-LAST:])
-    rules = {name: number for one in found for name, number in (one["rules"] or {}).items() if number}
-    fault = next((str(one["fault"]) for one in found if one["fault"]), "")
-    short = tuple(str(line) for one in found for line in one.get("short") or ())
-    observed = [one for part in found for one in part.get("first") or () if isinstance(one, dict)]
+def parse_result(code: int | None, out: str, day_records: Sequence[Mapping[str, Any]]) -> Result:
+    """Returns the result of a run with this exit code (None if it was terminated), output and records."""
+    last_lines = "\n".join(out.strip().splitlines()[-MAX_OUTPUT_LINES:])
+    rules = {name: number for one in day_records for name, number in (one["rules"] or {}).items() if number}
+    fault = next((str(one["fault"]) for one in day_records if one["fault"]), "")
+    short = tuple(str(line) for one in day_records for line in one.get("short") or ())
+    observed = [one for part in day_records for one in part.get("first") or () if isinstance(one, dict)]
     first = tuple(f"{one.get('rule')} at {one.get('at_s')} s: {one.get('what')}" for one in observed)
     gave_up = re.search(
         r"(?<!worth )given up|gave (?:it )?up|too busy|day.cap", f"{fault}\n{out}", re.IGNORECASE
@@ -70,54 +70,60 @@
     signs = (
         *rules,
         *(["fault"] if fault and not gave_up else []),
-        *(["gate"] if any(one["gate"] is False for one in found) and not gave_up else []),
+        *(["gate"] if any(one["gate"] is False for one in day_records) and not gave_up else []),
     )
     if not signs:
         table = re.search(r"\bBROKEN: *(.*)", out)
         signs = tuple(re.findall(r"\b([A-Z]{3,}|fault)\b", table[1])) or ("unnamed",) if table else ()
-    ended = Result("unclear", signs, rules, fault, short, first, said=said)
+    unclear = Result("unclear", signs, rules, fault, short, first, said=last_lines)
     if signs:
-        return replace(ended, state="broken", said="")
+        return replace(unclear, state="broken", said="")
     if code is None or gave_up:
-        return replace(ended, state="given up")
-    whole = found and all(one["gate"] is True and isinstance(one["rules"], dict) for one in found)
-    if code == 0 and whole and not fault and not short:
-        return replace(ended, state="clean", said="")
-    return ended
+        return replace(unclear, state="given up")
+    is_complete = day_records and all(
+        one["gate"] is True and isinstance(one["rules"], dict) for one in day_records
+    )
+    if code == 0 and is_complete and not fault and not short:
+        return replace(unclear, state="clean", said="")
+    return unclear
 
 
-def loaded(text: str) -> list[Any]:
-    """JSON, one value or one a line; nothing of what is neither."""
+def parse_json_values(text: str) -> list[Any]:
+    """Parses a JSON value, or one JSON value per line; lines that are not JSON are skipped."""
     try:
         return [json.loads(text)]
     except ValueError:
         pass
-    found = []
+    values = []
     for line in text.splitlines():
         try:
-            found.append(json.loads(line))
+            values.append(json.loads(line))
         except ValueError:
             continue
-    return found
+    return values
 
 
 @dataclass(frozen=True)
 class Bench:
-    """The bench's program, and how days are played by it."""
+    """The bench's program and the options for its runs."""
 
     program: Path
     no_cpu: bool = False
-    day_cap: float | None = None  # of processor time, in seconds
+    day_cap: float | None = None  # CPU time of a day, in seconds
     wall_s: float = 900.0
     why: str = ""
-    bare: bool = False  # a day's fields stand at the top of its file, not under [[day]]
-    running: set[subprocess.Popen[str]] = field(default_factory=set)
+    bare: bool = False  # the fields of a day are at the top level of its file, not under [[day]]
+    active_runs: set[subprocess.Popen[str]] = field(default_factory=set)
 
     def kinds(self, site: Path) -> str:
-        """Raises KindsTextError."""
+        """Returns what the bench prints about the kinds of faults of a site. Raises KindsTextError."""
         try:
             done = subprocess.run(
-                [self.program, "kinds", site], cwd=ROOT, capture_output=True, text=True, timeout=QUICK_S
+                [self.program, "kinds", site],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                timeout=COMMAND_TIMEOUT_S,
             )
         except (OSError, subprocess.TimeoutExpired) as fault:
             raise KindsTextError(f"{self.program} kinds {site}: {fault}") from fault
@@ -126,13 +132,13 @@
         return done.stdout
 
     def build(self) -> None:
-        """Once, so that days played at once needn't."""
-        subprocess.run([self.program, "build"], cwd=ROOT, check=True, timeout=2 * QUICK_S)
+        """Builds the project once, so that days that run at the same time need not."""
+        subprocess.run([self.program, "build"], cwd=ROOT, check=True, timeout=2 * COMMAND_TIMEOUT_S)
 
     def play(self, site: Path, day: Path) -> Result:
-        """A day in full; a run past ``wall_s`` is ended with all that it started."""
+        """Runs a day; after ``wall_s`` the run and all processes that it started are terminated."""
         seed = str(read_day(day)["seed"])
-        report, before = day.with_suffix(".report"), {entry.name for entry in JOURNAL.glob("*.json")}
+        report, earlier_entries = day.with_suffix(".report"), {entry.name for entry in JOURNAL.glob("*.json")}
         report.unlink(missing_ok=True)
         arguments = [str(word) for word in (self.program, "run", site, day, "--seed", seed)]
         arguments += ["--report", str(report), "--jobs", "1"]
@@ -141,62 +147,67 @@
         arguments += ["--why", self.why] if self.why else []
         start, code = time.monotonic(), None
         with (
-            day.with_suffix(".out").open("w+", encoding="utf-8", errors="replace") as into,
+            day.with_suffix(".out").open("w+", encoding="utf-8", errors="replace") as output_file,
             subprocess.Popen(
                 arguments,
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
-                stdout=into,
-                stderr=into,
+                stdout=output_file,
+                stderr=output_file,
                 text=True,
                 start_new_session=True,
             ) as run,
         ):
-            self.running.add(run)
+            self.active_runs.add(run)
             try:
                 code = run.wait(self.wall_s)
             except subprocess.TimeoutExpired:
-                end(run)
+                terminate(run)
             finally:
-                self.running.discard(run)
-            into.seek(0)
-            out = into.read()
-        entry, found = journalled(day, before)
+                self.active_runs.discard(run)
+            output_file.seek(0)
+            out = output_file.read()
+        entry, day_records = find_journal_entry(day, earlier_entries)
         if report.exists():
-            found += [one for part in loaded(report.read_text("utf-8", "replace")) for one in records(part)]
+            day_records += [
+                one
+                for part in parse_json_values(report.read_text("utf-8", "replace"))
+                for one in find_records(part)
+            ]
         seconds = round(time.monotonic() - start, 1)
-        return replace(result(code, out, found), seconds=seconds, journal=entry)
+        return replace(parse_result(code, out, day_records), seconds=seconds, journal=entry)
 
 
-def end(run: subprocess.Popen[str]) -> None:
-    """With all that it started."""
+def terminate(run: subprocess.Popen[str]) -> None:
+    """Terminates a run and all processes that it started."""
     with suppress(ProcessLookupError):
         os.killpg(run.pid, signal.SIGTERM)
         try:
-            run.wait(END_S)
+            run.wait(TERMINATION_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             os.killpg(run.pid, signal.SIGKILL)
 
 
 @contextmanager
 def run_pool(bench: Bench, jobs: int) -> Iterator[ThreadPoolExecutor]:
-    """Threads that play days; where their user fails or is ended, so are the days under way."""
+    """A pool of threads that run days. If the body raises, the days that still run are terminated."""
     with ThreadPoolExecutor(jobs) as pool:
         try:
             yield pool
         except BaseException:
             pool.shutdown(wait=False, cancel_futures=True)
-            for run in list(bench.running):
-                end(run)
+            for run in list(bench.active_runs):
+                terminate(run)
             raise
 
 
-def journalled(day: Path, before: set[str]) -> tuple[str, list[Mapping[str, Any]]]:
-    """The journal's entry of a run, and the records in it; other runs may have left theirs meanwhile."""
+def find_journal_entry(day: Path, earlier_entries: set[str]) -> tuple[str, list[Mapping[str, Any]]]:
+    """Returns the name of a run's journal entry and its records, or "" and no records if there is none.
+    ``earlier_entries`` holds the names of earlier entries; other runs may have added entries since."""
     for path in sorted(JOURNAL.glob("*.json")):
-        if path.name in before:
+        if path.name in earlier_entries:
             continue
-        for entry in loaded(path.read_text("utf-8", "replace")):
+        for entry in parse_json_values(path.read_text("utf-8", "replace")):
             if isinstance(entry, dict) and any(day.name in str(word) for word in entry.get("argv", ())):
-                return path.name, list(records(entry))
+                return path.name, list(find_records(entry))
     return "", []
--- a/tests/mesh/test_architecture.py
+++ b/tests/mesh/test_architecture.py
@@ -1,35 +1,35 @@
-"""The page of the architecture has the picture that the contracts draw, and names files that are there."""
+"""The architecture page has the diagram of the import contract, and the files that it names exist."""
 
 import re
 from pathlib import Path
 
 import pytest
 
-from benchmarks.architecture import PAGE, layers, picture, with_picture
+from benchmarks.architecture import PAGE, draw_diagram, read_layers, replace_diagram
 
 ROOT = Path(__file__).parents[2]
 PROJECT = (ROOT / "pyproject.toml").read_text()
 
 
-def test_the_picture_is_the_contracts() -> None:
-    """Where this fails, `python -m benchmarks.architecture --write` draws it anew."""
+def test_the_page_has_the_diagram_of_the_import_contract() -> None:
+    """If this fails, run `python -m benchmarks.architecture --write`."""
     page = PAGE.read_text()
-    assert with_picture(page, picture(layers(PROJECT))) == page
+    assert replace_diagram(page, draw_diagram(read_layers(PROJECT))) == page
 
 
 def test_every_package_of_the_mesh_is_in_one_layer() -> None:
-    found = [package for row in layers(PROJECT) for package in row]
-    there = {path.parent.name for path in (ROOT / "mesh").glob("*/__init__.py")}
-    assert sorted(found) == sorted(there)
+    found = [package for row in read_layers(PROJECT) for package in row]
+    existing = {path.parent.name for path in (ROOT / "mesh").glob("*/__init__.py")}
+    assert sorted(found) == sorted(existing)
 
 
-def test_the_files_on_the_page_are_there() -> None:
+def test_the_files_named_on_the_page_exist() -> None:
     named = set(re.findall(r"`((?:\w+/)+\w+\.(?:py|md))`", PAGE.read_text()))
     assert len(named) > 30
     assert [path for path in named if not ((ROOT / "mesh" / path).is_file() or (ROOT / path).is_file())] == []
 
 
-def test_a_contract_that_is_missing_is_told_and_another_picture_is_seen() -> None:
+def test_a_missing_contract_raises_and_an_old_diagram_is_replaced() -> None:
     with pytest.raises(LookupError):
-        layers("[tool.importlinter]\ncontracts = []\n")
-    assert with_picture("a\n```mermaid\nold\n```\nb\n", "new\n") == "a\n```mermaid\nnew\n```\nb\n"
+        read_layers("[tool.importlinter]\ncontracts = []\n")
+    assert replace_diagram("a\n```mermaid\nold\n```\nb\n", "new\n") == "a\n```mermaid\nnew\n```\nb\n"
--- a/tests/mesh/test_draw_days.py
+++ b/tests/mesh/test_draw_days.py
@@ -14,7 +14,7 @@
 import tomli_w
 
 from benchmarks import bench_runs, day_files, draw_days
-from benchmarks.bench_runs import Bench, Result, records, result
+from benchmarks.bench_runs import Bench, Result, find_records, parse_result
 from benchmarks.day_drawer import Drawer, describe, drawers
 from benchmarks.reduce_days import Item, breaks_alike, day_with, minimize, removable_items
 from benchmarks.trouble_kinds import KindsTextError, parse_kinds_text
@@ -170,17 +170,17 @@
 def test_an_end_is_clean_only_where_the_bench_says_so(
     code: int | None, out: str, found: list[dict[str, Any]], state: str, signs: tuple[str, ...]
 ) -> None:
-    read = result(code, out, found)
+    read = parse_result(code, out, found)
     assert (read.state, read.signs) == (state, signs)
 
 
 def test_a_report_tells_of_a_bad_end_only() -> None:
     said: dict[str, Any] = {"breaks": {}, "fault": None, "short": []}
-    assert result(0, "", list(records(said))).state == "unclear"
+    assert parse_result(0, "", list(find_records(said))).state == "unclear"
     first = [{"rule": "LOST", "at_s": 3.5, "what": "an answer"}]
-    lost = result(0, "", list(records(said | {"breaks": {"LOST": 1}, "first": first})))
+    lost = parse_result(0, "", list(find_records(said | {"breaks": {"LOST": 1}, "first": first})))
     assert (lost.signs, lost.first) == (("LOST", "gate"), ("LOST at 3.5 s: an answer",))
-    assert result(0, "", list(records(said | {"short": ["a floor"]}))).signs == ("gate",)
+    assert parse_result(0, "", list(find_records(said | {"short": ["a floor"]}))).signs == ("gate",)
 
 
 def test_a_day_breaks_as_another_by_a_rule_before_a_fault_before_the_gate() -> None:
@@ -307,5 +307,5 @@
     for name, day in (("1", "day-1-1.toml"), ("2", "day-1-11.toml"), ("3", "day-1-1.toml")):
         entry = {"argv": [f".../{day}"], "days": [record(rules={"LOST": int(name)})]}
         (tmp_path / f"{name}.json").write_text(json.dumps(entry, indent=1))
-    found = bench_runs.journalled(Path("/x/day-1-1.toml"), {"1.json"})
+    found = bench_runs.find_journal_entry(Path("/x/day-1-1.toml"), {"1.json"})
     assert found == ("3.json", [record(rules={"LOST": 3})])
