--- a/benchmarks/contact_plays.py
+++ b/benchmarks/contact_plays.py
@@ -10,7 +10,7 @@
 import sys
 from collections import Counter
 
-from benchmarks.drawn_plays import Played, arguments, run, timed
+from benchmarks.drawn_plays import RunResult, measure_run, parse_arguments, run_seeds
 from simulation.mesh.cuts import run_drawn
 from simulation.mesh.zones import draw_zones
 
@@ -28,10 +28,10 @@
     return broken, counts
 
 
-def one(seed: int) -> Played:
+def one(seed: int) -> RunResult:
     """Runs in a process of the pool."""
-    return timed(seed, _play)
+    return measure_run(seed, _play)
 
 
 if __name__ == "__main__":
-    sys.exit(run("contact", one, arguments(str(__doc__))))
+    sys.exit(run_seeds("contact", one, parse_arguments(str(__doc__))))
--- a/benchmarks/drawn_plays.py
+++ b/benchmarks/drawn_plays.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class RunResult:
     """One play: its seed, what it broke, a line each, how often there was what, and its processor time."""
 
     seed: int
@@ -40,7 +40,7 @@
     broken: dict[int, list[str]] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
 
-    def add(self, one: Played) -> None:
+    def add(self, one: RunResult) -> None:
         """Counts one more play."""
         self.cpu_s_a_play += (one.cpu_s - self.cpu_s_a_play) / (self.plays + 1)
         self.plays += 1
@@ -49,14 +49,14 @@
             self.broken[one.seed] = one.broken
 
 
-def timed(seed: int, play: Callable[[int], tuple[list[str], Counter[str]]]) -> Played:
+def measure_run(seed: int, play: Callable[[int], tuple[list[str], Counter[str]]]) -> RunResult:
     """A play with its processor time."""
     began = time.process_time()
     broken, counts = play(seed)
-    return Played(seed, broken, counts, time.process_time() - began)
+    return RunResult(seed, broken, counts, time.process_time() - began)
 
 
-def arguments(description: str) -> argparse.Namespace:
+def parse_arguments(description: str) -> argparse.Namespace:
     """What all kinds of plays are asked for by."""
     words = argparse.ArgumentParser(
         description=description, formatter_class=argparse.RawDescriptionHelpFormatter
@@ -69,7 +69,7 @@
     return words.parse_args()
 
 
-def run(kind: str, one: Callable[[int], Played], given: argparse.Namespace) -> int:
+def run_seeds(kind: str, one: Callable[[int], RunResult], given: argparse.Namespace) -> int:
     """Prints what was broken, and the total as JSON last. 1 where a play broke a rule."""
     total, began = Total(kind, given.first), time.perf_counter()
     seeds = range(given.first, given.first + given.plays)
--- a/benchmarks/order_plays.py
+++ b/benchmarks/order_plays.py
@@ -10,7 +10,7 @@
 import sys
 from collections import Counter
 
-from benchmarks.drawn_plays import Played, arguments, run, timed
+from benchmarks.drawn_plays import RunResult, measure_run, parse_arguments, run_seeds
 from simulation.mesh.plays import run_play
 from simulation.mesh.zones import draw_zones
 
@@ -22,10 +22,10 @@
     return broken, counts
 
 
-def run_timed(seed: int) -> Played:
+def run_timed(seed: int) -> RunResult:
     """Plays one seed, in a process of the pool."""
-    return timed(seed, _play)
+    return measure_run(seed, _play)
 
 
 if __name__ == "__main__":
-    sys.exit(run("orders", run_timed, arguments(str(__doc__))))
+    sys.exit(run_seeds("orders", run_timed, parse_arguments(str(__doc__))))
--- a/benchmarks/owner_plays.py
+++ b/benchmarks/owner_plays.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from benchmarks.drawn_plays import Played, arguments, run, timed
+from benchmarks.drawn_plays import RunResult, measure_run, parse_arguments, run_seeds
 from simulation.mesh import key_troubles
 from simulation.mesh.key_servers import KEY_COUNT, KeyOwnershipWorld, sharded_service_body
 from simulation.mesh.world import Script
@@ -60,10 +60,10 @@
         return world.run(script), counts  # type: ignore[arg-type]
 
 
-def run_timed(seed: int) -> Played:
+def run_timed(seed: int) -> RunResult:
     """Runs one scenario and measures its CPU time, in a process of the pool."""
-    return timed(seed, _run_scenario)
+    return measure_run(seed, _run_scenario)
 
 
 if __name__ == "__main__":
-    sys.exit(run("owners", run_timed, arguments(str(__doc__))))
+    sys.exit(run_seeds("owners", run_timed, parse_arguments(str(__doc__))))
--- a/benchmarks/shutdown_plays.py
+++ b/benchmarks/shutdown_plays.py
@@ -11,7 +11,7 @@
 import sys
 from collections import Counter
 
-from benchmarks.drawn_plays import Played, arguments, run, timed
+from benchmarks.drawn_plays import RunResult, measure_run, parse_arguments, run_seeds
 from rigs.shutdown_world import draw_plan, run_plan
 
 LONG_SHUTDOWN_S = 5.0  # only a wait until the end of the grace takes longer
@@ -33,10 +33,10 @@
     return [f"{finding.rule} {finding.attempt}: {finding.evidence}" for finding in result.findings], counts
 
 
-def run_timed(seed: int) -> Played:
+def run_timed(seed: int) -> RunResult:
     """Runs one seed, in a process of the pool."""
-    return timed(seed, _run_seed)
+    return measure_run(seed, _run_seed)
 
 
 if __name__ == "__main__":
-    sys.exit(run("shutdown", run_timed, arguments(str(__doc__))))
+    sys.exit(run_seeds("shutdown", run_timed, parse_arguments(str(__doc__))))
