--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -16,7 +16,7 @@
 from rigs.whole_sidecar import SidecarRig, peer_call, run_with_sidecar
 
 
-def test_a_call_is_taken_for_a_repeats_by_its_deadline_while_that_runs() -> None:
+def test_a_call_is_attributed_to_a_running_repeat_by_its_deadline() -> None:
     runs = RepeatRuns()
     assert not runs.may_have_made(1000.0)
     runs.begin("one", 1000.0)
@@ -30,7 +30,7 @@
     assert not runs.may_have_made(1000.0) and len(runs) == 1
 
 
-def test_what_is_charged_is_never_refused_and_leaves_less_for_further_tries() -> None:
+def test_charges_are_never_refused_and_reduce_the_budget_for_retries() -> None:
     budget = RetryBudget(0.2, 1000.0, 8.0)
     for _ in range(int(USED_SHARE * 8.0)):
         budget.charge(0.0)
@@ -40,16 +40,17 @@
     assert budget.try_spend(2000.0, 1)
 
 
-def test_a_frame_tells_a_repeat_and_an_older_programs_has_none() -> None:
+def test_a_frame_marks_a_repeat_and_frames_of_older_releases_lack_the_mark() -> None:
     call = replace(peer_call("a1", "/x"), repeat=True)
     head = call.head(1)
     assert read_call(head, b"").repeat
-    told = msgspec.to_builtins(head)
-    earlier = msgspec.convert({**told, "v": told["v"][:5]}, CallHead)  # from a release that does not send it
+    fields = msgspec.to_builtins(head)
+    # As from a release that does not send the mark.
+    earlier = msgspec.convert({**fields, "v": fields["v"][:5]}, CallHead)
     assert not read_call(earlier, b"").repeat
 
 
-class Sent:
+class SentCalls:
     """Records the calls that a sidecar sends."""
 
     def __init__(self, balancers: ServiceBalancers) -> None:
@@ -57,20 +58,20 @@
         self._send = balancers.peer_links.send
         balancers.peer_links.send = self.send  # type: ignore[method-assign]
 
-    def send(self, call: Call, *way: object) -> object:
+    def send(self, call: Call, *arguments: object) -> object:
         self.calls.append(call)
-        return self._send(call, *way)  # type: ignore[arg-type]
+        return self._send(call, *arguments)  # type: ignore[arg-type]
 
 
 def test_the_calls_of_a_repeats_run_are_told_on_as_repeats_and_charged(tmp_path: Path) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy, sent = there.proxy, Sent(there.proxy.balancers)
+    async def test(rig: SidecarRig) -> None:
+        proxy, sent = rig.proxy, SentCalls(rig.proxy.balancers)
         ended: list[object] = []
         repeat = replace(peer_call("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
         proxy.upstream_dispatch.accept(repeat, ended.append)
-        assert (await soon(there.upstream.incoming.get())).get(b"attempt-id") == "b1"
+        assert (await soon(rig.upstream.incoming.get())).get(b"attempt-id") == "b1"
 
-        client = await there.client()
+        client = await rig.client()
         # "own" is the upstream's own call.
         assert (await client.request("own", "/read/ok", time_remaining_ms=2000)).status == 200
         assert (await client.request("other", "/read/ok", time_remaining_ms=900)).status == 200
@@ -78,7 +79,7 @@
         budget = proxy.balancers.by_service["s"].budget
         assert (budget.charged, budget.spent) == (1, 0)
 
-        there.upstream.release.set()
+        rig.upstream.release.set()
         await until(lambda: bool(ended))
         await turns()
         assert len(proxy.upstream_dispatch.repeats) == 0
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -1,4 +1,4 @@
-"""What a sidecar publishes about the instances at its machine, compared with what the others have."""
+"""What a sidecar publishes about the instances on its machine, given what its peers have published."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from rigs.whole_sidecar import SidecarRig, run_with_sidecar
 
 
-def told(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
-    """The others publish this about an instance."""
+def publish_from_peer(proxy: Proxy, instance: str, version: int, value: dict[str, Any] | None) -> None:
+    """Applies a value of an instance as published by a peer."""
     item = proxy.membership_store.write(INSTANCE, instance, version, value)
     proxy._on_items("roll", [item])  # type: ignore[list-item]
 
@@ -36,7 +36,7 @@
 
 
 def state(proxy: Proxy, instance: str) -> str | None:
-    """The value in this sidecar's roll; None: removed."""
+    """Returns the state of an instance in this sidecar's membership store; None: removed."""
     found = proxy.membership_store.items[INSTANCE, instance].value
     return None if found is None else str(found["state"])
 
@@ -44,10 +44,10 @@
 def test_lives_before_the_one_that_beats_here_are_gone_and_others_machines_are_left_alone(
     tmp_path: Path,
 ) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy = there.proxy
-        told(proxy, "i-before", 5000, value())
-        told(proxy, "i-elsewhere", 5000, value(node="n2"))
+    async def test(rig: SidecarRig) -> None:
+        proxy = rig.proxy
+        publish_from_peer(proxy, "i-before", 5000, value())
+        publish_from_peer(proxy, "i-elsewhere", 5000, value(node="n2"))
         proxy.registry.reconcile()
         assert state(proxy, "i-before") is None
         assert proxy.membership_store.items[INSTANCE, "i-before"].version == FINAL_VERSION
@@ -56,15 +56,15 @@
     run_with_sidecar(tmp_path, test)
 
 
-def test_without_a_beat_what_is_said_of_this_machine_stands_until_the_upstream_was_silent(
+def test_without_a_heartbeat_published_states_hold_until_the_upstream_is_silent_for_too_long(
     tmp_path: Path,
 ) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy = there.proxy
-        there.upstream.instance = "i-late"
+    async def test(rig: SidecarRig) -> None:
+        proxy = rig.proxy
+        rig.upstream.instance = "i-late"
         proxy.upstream.heartbeat = None  # as before the first heartbeat
-        told(proxy, "i-1", proxy.upstream.version + 1, value())
-        told(proxy, "i-drains", 5000, value(state=DECAYING))
+        publish_from_peer(proxy, "i-1", proxy.upstream.version + 1, value())
+        publish_from_peer(proxy, "i-drains", 5000, value(state=DECAYING))
         proxy.registry.reconcile()
         assert (state(proxy, "i-1"), state(proxy, "i-drains")) == (SETTLED, DECAYING)
         assert proxy.upstream.published_decaying == {"i-drains"}
@@ -76,9 +76,9 @@
 
 
 def test_one_that_the_others_gave_up_and_that_beats_is_said_again_above_their_word(tmp_path: Path) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy = there.proxy
-        told(proxy, "i-1", FINAL_VERSION, None)
+    async def test(rig: SidecarRig) -> None:
+        proxy = rig.proxy
+        publish_from_peer(proxy, "i-1", FINAL_VERSION, None)
         proxy.registry.reconcile()
         assert state(proxy, "i-1") == SETTLED
         assert proxy.membership_store.items[INSTANCE, "i-1"].version > FINAL_VERSION
@@ -86,22 +86,24 @@
     run_with_sidecar(tmp_path, test)
 
 
-def test_a_beat_of_a_life_that_is_over_is_not_acknowledged_and_nothing_is_said_of_it(tmp_path: Path) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy, upstream = there.proxy, Upstream("i-dead", "s")
-        upstream.address = there.upstream.address
-        told(proxy, "i-dead", FINAL_VERSION, None)
-        assert await upstream.send_heartbeat(there.control) == 503
+def test_a_heartbeat_of_an_ended_incarnation_is_not_acknowledged_and_nothing_is_published(
+    tmp_path: Path,
+) -> None:
+    async def test(rig: SidecarRig) -> None:
+        proxy, upstream = rig.proxy, Upstream("i-dead", "s")
+        upstream.address = rig.upstream.address
+        publish_from_peer(proxy, "i-dead", FINAL_VERSION, None)
+        assert await upstream.send_heartbeat(rig.control) == 503
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
-        assert await there.upstream.send_heartbeat(there.control) == 200
+        assert await rig.upstream.send_heartbeat(rig.control) == 200
 
     run_with_sidecar(tmp_path, test)
 
 
-def test_what_was_said_of_the_dead_once_more_above_its_end_is_taken_back(tmp_path: Path) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy = there.proxy
-        told(proxy, "i-dead", FINAL_VERSION + 1, value())
+def test_a_value_published_above_the_end_of_an_incarnation_is_withdrawn(tmp_path: Path) -> None:
+    async def test(rig: SidecarRig) -> None:
+        proxy = rig.proxy
+        publish_from_peer(proxy, "i-dead", FINAL_VERSION + 1, value())
         proxy.registry.reconcile()
         assert (state(proxy, "i-dead"), state(proxy, "i-1")) == (None, SETTLED)
 
@@ -109,34 +111,34 @@
 
 
 def test_at_an_end_the_others_are_told_first_and_clients_answered_until_they_know(tmp_path: Path) -> None:
-    async def test(there: SidecarRig) -> None:
-        proxy, loop = there.proxy, asyncio.get_running_loop()
-        told_in_turn: list[str | None] = []
-        proxy.channels.schedule_answers = lambda: told_in_turn.append(state(proxy, "i-1"))  # type: ignore[method-assign]
-        ends = loop.create_task(proxy.stop())
+    async def test(rig: SidecarRig) -> None:
+        proxy, loop = rig.proxy, asyncio.get_running_loop()
+        published_states: list[str | None] = []
+        proxy.channels.schedule_answers = lambda: published_states.append(state(proxy, "i-1"))  # type: ignore[method-assign]
+        stop_task = loop.create_task(proxy.stop())
         await turns()
-        assert told_in_turn and told_in_turn[-1] == DECAYING
-        assert (await call(there.readiness, b"GET", b"/"))[0] == 503
+        assert published_states and published_states[-1] == DECAYING
+        assert (await call(rig.readiness, b"GET", b"/"))[0] == 503
         for attempt in ("a1", "a2"):  # new connections are accepted, and close with their response
-            client = await there.client()
-            answer = await client.request(attempt, "/read/ok")
+            client = await rig.client()
+            response = await client.request(attempt, "/read/ok")
             # its own upstream accepts nothing new, and there is no other
-            assert (answer.status, answer.get(b"connection")) == (503, "close")
+            assert (response.status, response.get(b"connection")) == (503, "close")
             assert await client.read() is None
         assert proxy.client_listener._listener is not None
         move(NOTICE_S)
         await until(lambda: proxy.client_listener._listener is None)
         move(1.0)
-        await soon(ends)
+        await soon(stop_task)
 
     run_with_sidecar(tmp_path, test)
 
 
-def test_settings_that_change_leave_the_upstream_as_it_is(tmp_path: Path) -> None:
-    async def test(there: SidecarRig) -> None:
-        before = dict(there.proxy.membership_store.items)
-        there.proxy.apply_settings(replace(there.proxy.settings, seeds=(("127.0.0.8", 1),)))
-        there.proxy.registry.reconcile()
-        assert there.proxy.membership_store.items == before
+def test_changed_settings_leave_the_upstream_unchanged(tmp_path: Path) -> None:
+    async def test(rig: SidecarRig) -> None:
+        before = dict(rig.proxy.membership_store.items)
+        rig.proxy.apply_settings(replace(rig.proxy.settings, seeds=(("127.0.0.8", 1),)))
+        rig.proxy.registry.reconcile()
+        assert rig.proxy.membership_store.items == before
 
     run_with_sidecar(tmp_path, test)
