--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -1,16 +1,17 @@
-"""How long a control process takes to be level again, by how much it lacks.
+"""Measures how long a restarted controller takes to catch up, by the number of items that it lacks.
 
     python -m benchmarks.catch_up [--items 100 1000 10000] [--tries 5] [--real] [--json FILE]
 
-Three control processes hold so many routes; one is killed, and comes back
+Three controllers hold this many routes. One of them is killed and restarted
 
-- ``old``: with its disk, while a tenth, and all, of the routes were changed meanwhile, each once,
-- ``empty``: with an empty folder.
+- ``old``: with its disk, after a tenth of the routes, or all of them, were changed once,
+- ``empty``: with an empty state folder.
 
-Level is: its disk counts, and it holds what the others hold. Without ``--real`` in virtual time (2 ms between
-machines, 5 ms a sync): seconds, and bytes that came over its links. With it, real processes on loopback, one
-core's three at a time: seconds from its start, the time to start with them; its memory at the peak; its file.
-p50 and p99 of the tries. The last line is JSON.
+It has caught up once its disk counts as complete and it holds the same items as the others. Without
+``--real``, the controllers are simulated in virtual time (2 ms between machines, 5 ms for a sync): prints the
+seconds and the bytes received over its links. With ``--real``, three real processes run on loopback: prints
+the seconds since its start, including the time to start, its peak memory and the size of its store file. The
+figures are the p50 and p99 over the trials. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -43,15 +44,15 @@
 Script = Generator[simpy.Event, Any, Any]
 Figures = dict[str, float]
 
-BATCH = 500  # routes of one order
-WITHIN_S = 60.0
-CORE = 3
+ROUTES_PER_WRITE = 500
+TIMEOUT_S = 60.0
+CONTROLLER_COUNT = 3
 DISK_MB = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """``lacks``: of so many items, all where the disk is ``empty``."""
+    """``lacks``: how many items the controller lacks at its restart; all if the disk is ``empty``."""
 
     items: int
     disk: str
@@ -62,63 +63,65 @@
         return f"{self.items} items, {self.disk} disk, {self.lacks} lacking"
 
 
-def cases(items: Sequence[int]) -> list[Case]:
-    found = []
+def cases_for(items: Sequence[int]) -> list[Case]:
+    result = []
     for count in items:
-        found += [
+        result += [
             Case(count, "old", max(count // 10, 1)),
             Case(count, "old", count),
             Case(count, "empty", count),
         ]
-    return found
+    return result
 
 
-def orders(first: int, last: int, version: int) -> list[dict[str, Any]]:
-    """Of routes with these numbers, in orders of BATCH."""
+def write_bodies(first: int, last: int, version: int) -> list[dict[str, Any]]:
+    """Returns the write requests for the routes with these numbers, ROUTES_PER_WRITE in each."""
     return [
         patch_body(
-            *(route(f"n{n}", f"/n{n}/", "p", version) for n in range(at, min(at + BATCH, last))),
+            *(route(f"n{n}", f"/n{n}/", "p", version) for n in range(at, min(at + ROUTES_PER_WRITE, last))),
             services=["p"] if at == first and version == 1 else [],
         )
-        for at in range(first, last, BATCH)
+        for at in range(first, last, ROUTES_PER_WRITE)
     ]
 
 
 # In virtual time
 
 
-def virtual(case: Case) -> Figures:
-    """One try."""
-    found: Figures = {}
+def run_simulated(case: Case) -> Figures:
+    """Runs one trial in virtual time."""
+    figures: Figures = {}
 
     def script(world: World) -> Script:
-        yield from world.boot(CORE, proxies=0)
-        taker = world.controllers()[-1]
-        for body in orders(0, case.items, 1):
-            yield from _sent(world, body)
+        yield from world.boot(CONTROLLER_COUNT, proxies=0)
+        restarted = world.controllers()[-1]
+        for body in write_bodies(0, case.items, 1):
+            yield from _send_write(world, body)
         yield world.env.timeout(2.0)
-        world.kill(taker)
+        world.kill(restarted)
         if case.disk == "empty":
-            taker.disk.wipe()
+            restarted.disk.wipe()
         else:
-            for body in orders(0, case.lacks, 2):
-                yield from _sent(world, body)
+            for body in write_bodies(0, case.lacks, 2):
+                yield from _send_write(world, body)
         yield world.env.timeout(2.0)
-        carried = _counted(world, taker)
-        began = float(world.env.now)
-        world.start(taker)
-        yield from world.wait_until(lambda: _level(world, taker), WITHIN_S, f"{case.name}: level")
-        found.update(s=float(world.env.now) - began, bytes=carried())
+        received_bytes = _count_received_bytes(world, restarted)
+        started_at = float(world.env.now)
+        world.start(restarted)
+        yield from world.wait_until(
+            lambda: _has_caught_up(world, restarted), TIMEOUT_S, f"{case.name}: caught up"
+        )
+        figures.update(s=float(world.env.now) - started_at, bytes=received_bytes())
 
-    # The checker looks at every item at every step, which is not what is measured.
+    # The checker examines every item at every step; its cost is not to be measured.
     with World() as world, mock.patch.object(InvariantChecker, "_check_quorums"):
-        broken = world.run(script)
-    if broken:
-        raise RuntimeError("; ".join(broken))
-    return found
+        violations = world.run(script)
+    if violations:
+        raise RuntimeError("; ".join(violations))
+    return figures
 
 
-def _sent(world: World, body: dict[str, Any]) -> Script:
+def _send_write(world: World, body: dict[str, Any]) -> Script:
     message = http.Message(method=b"PATCH", target=b"/configuration", body=json.dumps(body).encode())
     for _ in range(50):
         incarnation = world.controllers()[0].incarnation
@@ -127,11 +130,11 @@
         if answer is not None and answer.status == 200:
             return
         yield world.env.timeout(0.2)
-    raise RuntimeError(f"not taken: {answer}")
+    raise RuntimeError(f"write request was not accepted: {answer}")
 
 
-def _level(world: World, taker: Machine) -> bool:
-    program, other = taker.program, world.controllers()[0].program
+def _has_caught_up(world: World, machine: Machine) -> bool:
+    program, other = machine.program, world.controllers()[0].program
     return (
         program is not None
         and program.disk_writer.complete
@@ -140,16 +143,16 @@
     )
 
 
-def _counted(world: World, taker: Machine) -> Callable[[], float]:
-    """Bytes that come over the taker's links from now on."""
-    total, carry = [0], world.network._transmit
+def _count_received_bytes(world: World, machine: Machine) -> Callable[[], float]:
+    """Starts to count the bytes that a machine receives; the returned function gives their number."""
+    total, transmit = [0], world.network._transmit
 
-    def carries(end: ConnectionEnd, data: bytes, delay_s: float) -> None:
-        if end.other.incarnation.machine is taker:
+    def counting_transmit(end: ConnectionEnd, data: bytes, delay_s: float) -> None:
+        if end.other.incarnation.machine is machine:
             total[0] += len(data)
-        carry(end, data, delay_s)
+        transmit(end, data, delay_s)
 
-    world.network._transmit = carries  # type: ignore[method-assign]
+    world.network._transmit = counting_transmit  # type: ignore[method-assign]
     return lambda: float(total[0])
 
 
@@ -157,105 +160,112 @@
 
 
 class Mesh:
-    """One core on loopback, in a folder of its own."""
+    """Three controllers on loopback, with their settings and disks in one folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         net = f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}"
-        self.ips = [f"{net}.{61 + at}" for at in range(CORE)]
+        self.ips = [f"{net}.{61 + number}" for number in range(CONTROLLER_COUNT)]
         self.ports = free_ports(self.ips, 4)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.operator = Operator([(ip, self.ports[1]) for ip in self.ips])
 
-    async def start(self, at: int, cold: bool) -> None:
-        settings = self.folder / f"core-{at}.toml"
-        disk = self.folder / f"disk-{at}"
+    async def start(self, number: int, cold: bool) -> None:
+        settings = self.folder / f"core-{number}.toml"
+        disk = self.folder / f"disk-{number}"
         disk.mkdir(exist_ok=True)
         write_settings(
-            settings, f"core-{at}", self.ips[at], "supervisor", self.ports, self.ips, state_dir=str(disk)
+            settings,
+            f"core-{number}",
+            self.ips[number],
+            "supervisor",
+            self.ports,
+            self.ips,
+            state_dir=str(disk),
         )
         text = settings.read_text().replace("disk_mb = 50", f"disk_mb = {DISK_MB}")
         settings.write_text(text if cold else text.replace("cold_boot = true", "cold_boot = false"))
-        with (self.folder / f"core-{at}.log").open("ab") as log:
-            self.processes[at] = await asyncio.create_subprocess_exec(
+        with (self.folder / f"core-{number}.log").open("ab") as log:
+            self.processes[number] = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "mesh.control_plane"),
                 env={**os.environ, "ANISESTAIR_BOOT": str(settings)},
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=log,
             )
 
-    async def kill(self, at: int) -> None:
-        process = self.processes.pop(at)
+    async def kill(self, number: int) -> None:
+        process = self.processes.pop(number)
         if process.returncode is None:
             process.send_signal(signal.SIGKILL)
             await process.wait()
 
-    async def status(self, at: int) -> dict[str, Any]:
-        reply = await ask((self.ips[at], self.ports[0]), "status", 1.0)
+    async def status(self, number: int) -> dict[str, Any]:
+        reply = await ask((self.ips[number], self.ports[0]), "status", 1.0)
         return dict(reply.value) if isinstance(reply, Answered) else {}
 
-    async def level(self, at: int, within_s: float) -> float:
-        """Seconds until it is; raises TimeoutError."""
-        began = time.monotonic()
-        async with asyncio.timeout(within_s):
+    async def wait_until_caught_up(self, number: int, timeout_s: float) -> float:
+        """Waits until a controller holds what the others hold, and returns the seconds waited. Raises
+        TimeoutError."""
+        started = time.monotonic()
+        async with asyncio.timeout(timeout_s):
             while True:
-                told, other = await self.status(at), await self.status(0 if at else 1)
-                if told and told["whole"] and told["in_touch"]:
-                    if told["charter"]["digest"] == other.get("charter", {}).get("digest"):
-                        return time.monotonic() - began
+                own_status, other_status = await self.status(number), await self.status(0 if number else 1)
+                if own_status and own_status["whole"] and own_status["in_touch"]:
+                    if own_status["charter"]["digest"] == other_status.get("charter", {}).get("digest"):
+                        return time.monotonic() - started
                 await asyncio.sleep(0.02)
 
-    def peak_mb(self, at: int) -> float:
-        status = Path(f"/proc/{self.processes[at].pid}/status").read_text()
+    def peak_mb(self, number: int) -> float:
+        status = Path(f"/proc/{self.processes[number].pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) / 1024.0
 
-    def file_mb(self, at: int) -> float:
-        return (self.folder / f"disk-{at}" / "charter" / "store.mdb").stat().st_size / (1 << 20)
+    def file_mb(self, number: int) -> float:
+        return (self.folder / f"disk-{number}" / "charter" / "store.mdb").stat().st_size / (1 << 20)
 
 
-async def real(items: int, tries: int) -> dict[str, list[Figures]]:
-    """All cases of that size, on one mesh: each try kills the last process of it."""
-    found: dict[str, list[Figures]] = {}
+async def run_real(items: int, trials: int) -> dict[str, list[Figures]]:
+    """Runs all cases of this size on one mesh; each trial kills and restarts the last controller."""
+    figures_by_case: dict[str, list[Figures]] = {}
     folder = Path(tempfile.mkdtemp(prefix="catch-up-"))
-    mesh, version, last = Mesh(folder), 1, CORE - 1
+    mesh, version, last = Mesh(folder), 1, CONTROLLER_COUNT - 1
     try:
-        for at in range(CORE):
+        for at in range(CONTROLLER_COUNT):
             await mesh.start(at, cold=True)
-        for body in orders(0, items, version):
-            await mesh.operator.change(body, WITHIN_S)
-        await mesh.level(last, WITHIN_S)
-        for case in cases([items]):
-            for _ in range(tries):
+        for body in write_bodies(0, items, version):
+            await mesh.operator.change(body, TIMEOUT_S)
+        await mesh.wait_until_caught_up(last, TIMEOUT_S)
+        for case in cases_for([items]):
+            for _ in range(trials):
                 await mesh.kill(last)
                 if case.disk == "empty":
                     shutil.rmtree(folder / f"disk-{last}")
                 else:
                     version += 1
-                    for body in orders(0, case.lacks, version):
-                        await mesh.operator.change(body, WITHIN_S)
+                    for body in write_bodies(0, case.lacks, version):
+                        await mesh.operator.change(body, TIMEOUT_S)
                 await mesh.start(last, cold=False)
-                took = await mesh.level(last, WITHIN_S)
-                figures = {"s": took, "peak_mb": mesh.peak_mb(last), "file_mb": mesh.file_mb(last)}
-                found.setdefault(case.name, []).append(figures)
-        return found
+                elapsed_s = await mesh.wait_until_caught_up(last, TIMEOUT_S)
+                figures = {"s": elapsed_s, "peak_mb": mesh.peak_mb(last), "file_mb": mesh.file_mb(last)}
+                figures_by_case.setdefault(case.name, []).append(figures)
+        return figures_by_case
     finally:
         for at in list(mesh.processes):
             await mesh.kill(at)
         shutil.rmtree(folder, ignore_errors=True)
 
 
-# What is told
+# Output
 
 
-def summary(tries: Sequence[Figures]) -> Figures:
-    """p50 and p99 of each figure."""
-    told: Figures = {}
-    for name in tries[0]:
-        ordered = sorted(one[name] for one in tries)
+def summarize(trials: Sequence[Figures]) -> Figures:
+    """Returns the p50 and p99 of each figure."""
+    result: Figures = {}
+    for name in trials[0]:
+        ordered = sorted(trial[name] for trial in trials)
         for share in (50, 99):
-            told[f"{name}_p{share}"] = round(ordered[math.ceil(share / 100.0 * len(ordered)) - 1], 3)
-    return told
+            result[f"{name}_p{share}"] = round(ordered[math.ceil(share / 100.0 * len(ordered)) - 1], 3)
+    return result
 
 
 def main(arguments: Sequence[str] | None = None) -> dict[str, Any]:
@@ -265,18 +275,19 @@
     parser.add_argument("--real", action="store_true")
     parser.add_argument("--json", type=Path)
     options = parser.parse_args(arguments)
-    told: dict[str, Figures] = {}
+    summaries: dict[str, Figures] = {}
     for count in options.items:
         if options.real:
-            tries = asyncio.run(real(count, options.tries))
-        else:  # one try: the same seed gives the same figures
-            tries = {case.name: [virtual(case)] for case in cases([count])}
-        for name, figures in tries.items():
-            told[name] = summary(figures)
+            trials = asyncio.run(run_real(count, options.tries))
+        else:  # one trial: all trials in virtual time have the same result
+            trials = {case.name: [run_simulated(case)] for case in cases_for([count])}
+        for name, figures in trials.items():
+            summaries[name] = summarize(figures)
             print(
-                f"{name:45} " + "  ".join(f"{key} {value:g}" for key, value in told[name].items()), flush=True
+                f"{name:45} " + "  ".join(f"{key} {value:g}" for key, value in summaries[name].items()),
+                flush=True,
             )
-    result = {"real": options.real, "tries": options.tries if options.real else 1, "cases": told}
+    result = {"real": options.real, "tries": options.tries if options.real else 1, "cases": summaries}
     if options.json is not None:
         options.json.write_text(json.dumps(result) + "\n")
     print(json.dumps(result))
--- a/benchmarks/contact_cost.py
+++ b/benchmarks/contact_cost.py
@@ -1,5 +1,5 @@
-"""What contact costs one of N control processes: bytes of frames and processor time a second, by its own code
-on frames as they are; links and system calls are not in it. The last line is JSON.
+"""Measures the cost of contact probes for one of N controllers: frames, bytes and CPU time per second. Links
+and system calls are not included. Each line is JSON.
 
     python -m benchmarks.contact_cost [MEMBERS] [ROUNDS]
 """
@@ -26,7 +26,7 @@
 
 @dataclass(eq=False)
 class _Link:
-    """A channel, as far as contact looks at one."""
+    """A stand-in for a channel, with the attributes that the contact probes use."""
 
     peer_source: str
     peer_hello: dict[str, str]
@@ -42,42 +42,44 @@
     member_set: Any = SimpleNamespace(own_address=names[0], tolerance=Tolerance(1, 0, 0), view=lambda: view)
     sent: list[bytes] = []
     link = SimpleNamespace(send=lambda head: sent.append(frame(head)))
-    pulled = SimpleNamespace(pull_complete=True)
-    channels: list[Any] = [_Link(name, {"ip": name, "role": CONTROLLER}, link, pulled) for name in names[1:]]
-    owner: Any = SimpleNamespace(loop=loop, open=channels)
+    exchange = SimpleNamespace(pull_complete=True)
+    channels: list[Any] = [
+        _Link(name, {"ip": name, "role": CONTROLLER}, link, exchange) for name in names[1:]
+    ]
+    channels_owner: Any = SimpleNamespace(loop=loop, open=channels)
     disk_writer: Any = SimpleNamespace(complete=True)
     event_log: Any = SimpleNamespace(emit=lambda *_, **__: None)
     contact_probes = ContactProbes(
-        CONTACT_MS, owner, member_set, disk_writer, lambda *_: None, lambda: 0.0, event_log
+        CONTACT_MS, channels_owner, member_set, disk_writer, lambda *_: None, lambda: 0.0, event_log
     )
-    for one in channels:
-        contact_probes.link_opened(one)
-    size = frames = 0
-    every_s = PROBE_INTERVAL_SHARE * CONTACT_MS / 1000.0
-    began = time.process_time()
+    for channel in channels:
+        contact_probes.link_opened(channel)
+    total_bytes = frame_count = 0
+    interval_s = PROBE_INTERVAL_SHARE * CONTACT_MS / 1000.0
+    started_s = time.process_time()
     for number in range(1, rounds + 1):
-        at = now[0] = number * every_s
-        contact_probes.tick(at, at)
-        for step in range(int(every_s / TICK_S)):  # the looks between, and who asks whether all is held
-            contact_probes.tick(at + step * TICK_S / 10, at + step * TICK_S / 10)
+        now_s = now[0] = number * interval_s
+        contact_probes.tick(now_s, now_s)
+        for step in range(int(interval_s / TICK_S)):  # the ticks between probes, and a query of the result
+            contact_probes.tick(now_s + step * TICK_S / 10, now_s + step * TICK_S / 10)
             contact_probes.holds_all()
-        for one in channels:
-            question = frame({"t": "probe", "n": number, "e": 7})
-            answer = frame({"t": "probed", "n": number, "e": 7, "w": True, "c": True})
-            for head, _ in Frames().feed(question + answer):
-                contact_probes.handle_frame(one, head)
-            size += len(question) + len(answer)
-        size += sum(map(len, sent))
-        frames += len(sent) + 2 * len(channels)
+        for channel in channels:
+            probe = frame({"t": "probe", "n": number, "e": 7})
+            reply = frame({"t": "probed", "n": number, "e": 7, "w": True, "c": True})
+            for head, _ in Frames().feed(probe + reply):
+                contact_probes.handle_frame(channel, head)
+            total_bytes += len(probe) + len(reply)
+        total_bytes += sum(map(len, sent))
+        frame_count += len(sent) + 2 * len(channels)
         sent.clear()
-    spent = time.process_time() - began
-    lasted = rounds * every_s
+    cpu_s = time.process_time() - started_s
+    duration_s = rounds * interval_s
     return {
         "members": members,
-        "frames_s": round(frames / lasted, 1),
-        "bytes_s": round(size / lasted),
-        "bytes_frame": round(size / frames, 1),
-        "cpu_share": round(spent / lasted, 6),
+        "frames_s": round(frame_count / duration_s, 1),
+        "bytes_s": round(total_bytes / duration_s),
+        "bytes_frame": round(total_bytes / frame_count, 1),
+        "cpu_share": round(cpu_s / duration_s, 6),
     }
 
 
--- a/benchmarks/contact_plays.py
+++ b/benchmarks/contact_plays.py
@@ -1,8 +1,8 @@
-"""Drawn plays of control machines that are cut off, in virtual time, their zones drawn too.
+"""Runs random partitions of controllers in virtual time, with random zones.
 
     python -m benchmarks.contact_plays [--plays 20] [--from 0] [--at-once 1] [--seconds 3600] [--out FILE]
 
-Prints what was broken, and the total as JSON last. Ends with 1 where a rule was broken.
+Prints the violations and, last, the totals as JSON. Exits with 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from simulation.mesh.cuts import run_drawn
 from simulation.mesh.zones import draw_zones
 
-SERIES = 64  # a play's draw is of this and its seed
+SERIES = 64  # part of the random seed of every run, with the number of the run
 
 
-def _play(seed: int) -> tuple[list[str], Counter[str]]:
+def _run_seed(seed: int) -> tuple[list[str], Counter[str]]:
     zones = draw_zones(f"{SERIES}/{seed}")
-    name, broken, world = run_drawn(SERIES, seed, zones)
+    name, violations, world = run_drawn(SERIES, seed, zones)
     counts = Counter(
         {f"answered {status} while cut off": count for status, count in world.answers_by_status.items()}
     )
     counts[f"cut {name}"] += 1
     counts[f"zones {zones.count}, of which lost {zones.tolerance.zones}"] += 1
-    return broken, counts
+    return violations, counts
 
 
-def one(seed: int) -> RunResult:
-    """Runs in a process of the pool."""
-    return measure_run(seed, _play)
+def run_timed(seed: int) -> RunResult:
+    """Runs one seed, in a process of the pool."""
+    return measure_run(seed, _run_seed)
 
 
 if __name__ == "__main__":
-    sys.exit(run_seeds("contact", one, parse_arguments(str(__doc__))))
+    sys.exit(run_seeds("contact", run_timed, parse_arguments(str(__doc__))))
--- a/benchmarks/core_share.py
+++ b/benchmarks/core_share.py
@@ -1,11 +1,12 @@
-"""What part of the core's machines a deployment's `disturbance` asks for, by zones, and what the rest costs.
+"""Determines the share of the core machines that must be used to tolerate a given loss, by zones.
 
     python -m benchmarks.core_share                        a table of layouts
-    python -m benchmarks.core_share 2,2,1 --machines 1     one: core machines by zone, what may be lost
+    python -m benchmarks.core_share 2,2,1 --machines 1     one layout (core machines by zone) and tolerance
 
-The deploy file's `share` is of each zone's machines, rounded up. A share bears the loss where whatever may be
-lost at once leaves more than half of those that are used, and where among those left every write that was
-taken still has a holder, by the same function that decides when a write is durable. The last line is JSON.
+The `share` of the deploy file applies to the machines of each zone and is rounded up. A share tolerates a
+loss if more than half of the used machines remain after it, whichever are lost, and if every accepted write
+still has a holder among them, according to the function that decides when a write is durable. The last line
+is JSON.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreShare:
-    """How few machines of a layout bear a loss. ``share`` is the least of the deploy file's that uses no
-    fewer; None where even all of them do not bear it."""
+    """The smallest number of machines of a layout that tolerates a loss, and the smallest ``share`` in the
+    deploy file that uses them; both are None if not even all machines tolerate it."""
 
     layout: tuple[int, ...]
     machines: int
@@ -45,8 +46,8 @@
     share: float | None
 
 
-def used(layout: Sequence[int], share: float) -> dict[str, Place]:
-    """The machines that a share of each zone's uses."""
+def used_machines(layout: Sequence[int], share: float) -> dict[str, Place]:
+    """Returns the machines that are used with this share of each zone."""
     return {
         f"{zone}-{number}": Place(str(zone), "region")
         for zone, count in enumerate(layout)
@@ -54,8 +55,8 @@
     }
 
 
-def losses(members: Mapping[str, Place], tolerance: Tolerance) -> Iterator[frozenset[str]]:
-    """All that may be lost at once, the largest losses alone."""
+def possible_losses(members: Mapping[str, Place], tolerance: Tolerance) -> Iterator[frozenset[str]]:
+    """Yields the sets of machines that may be lost at once, only those of the maximum size."""
     count = min(tolerance.machines, len(members))
     yield from map(frozenset, combinations(members, count))
     zones = sorted({place.zone for place in members.values()})
@@ -63,37 +64,44 @@
         yield frozenset(name for name, place in members.items() if place.zone in lost)
 
 
-def bears(members: Mapping[str, Place], tolerance: Tolerance) -> bool:
-    """Whether writes go on and none is lost, whatever that is to be borne is lost."""
-    for lost in losses(members, tolerance):
+def tolerates_loss(members: Mapping[str, Place], tolerance: Tolerance) -> bool:
+    """Whether writes continue and none is lost after any tolerated loss."""
+    for lost in possible_losses(members, tolerance):
         left = members.keys() - lost
         if 2 * len(left) <= len(members) or not durable(left, members, tolerance):
             return False
-        if not _holds(members, lost, tolerance):
+        if not _keeps_all_writes(members, lost, tolerance):
             return False
     return True
 
 
-def _holds(members: Mapping[str, Place], lost: Collection[str], tolerance: Tolerance) -> bool:
-    """Whether no set that is taken for durable lies among the lost alone."""
+def _keeps_all_writes(members: Mapping[str, Place], lost: Collection[str], tolerance: Tolerance) -> bool:
+    """Whether no durable set consists of lost machines only."""
     return not durable(lost, members, tolerance)
 
 
-def shares(layout: Sequence[int]) -> list[float]:
-    """Those that differ in how many machines they use, the least first; rounded up to hundredths."""
+def distinct_shares(layout: Sequence[int]) -> list[float]:
+    """Returns the shares that use different numbers of machines, ascending, rounded up to hundredths."""
     steps = {math.ceil(100 * part / count) / 100 for count in layout for part in range(1, count + 1)}
     return sorted(steps)
 
 
 def core_share(layout: Sequence[int], tolerance: Tolerance) -> CoreShare:
-    """The least share of a layout that bears a loss."""
-    least = next((one for one in shares(layout) if bears(used(layout, one), tolerance)), None)
-    needed = None if least is None else len(used(layout, least))
-    return CoreShare(tuple(layout), tolerance.machines, tolerance.zones, sum(layout), needed, least)
+    """Returns the smallest share of a layout that tolerates a loss."""
+    smallest = next(
+        (
+            share
+            for share in distinct_shares(layout)
+            if tolerates_loss(used_machines(layout, share), tolerance)
+        ),
+        None,
+    )
+    needed = None if smallest is None else len(used_machines(layout, smallest))
+    return CoreShare(tuple(layout), tolerance.machines, tolerance.zones, sum(layout), needed, smallest)
 
 
 def main() -> None:
-    """The command line."""
+    """Runs the command."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -107,13 +115,15 @@
         layouts = (tuple(int(part) for part in options.layout.split(",")),)
         tolerances = (Tolerance(options.machines, options.zones, 0),)
     rows = [core_share(layout, tolerance) for tolerance in tolerances for layout in layouts]
-    print("| core by zone | to be borne | paid | needed | least share |\n| --- | --- | --- | --- | --- |")
-    for one in rows:
-        borne = f"{one.machines} machines" if one.machines else f"{one.zones} zones"
-        needed = "more than there are" if one.needed is None else one.needed
-        share = "-" if one.share is None else one.share
-        print(f"| {', '.join(map(str, one.layout))} | {borne} | {one.paid} | {needed} | {share} |")
-    print(json.dumps([asdict(one) for one in rows]))
+    print(
+        "| core by zone | tolerated loss | machines | needed | min. share |\n| --- | --- | --- | --- | --- |"
+    )
+    for row in rows:
+        loss = f"{row.machines} machines" if row.machines else f"{row.zones} zones"
+        needed = "more than available" if row.needed is None else row.needed
+        share = "-" if row.share is None else row.share
+        print(f"| {', '.join(map(str, row.layout))} | {loss} | {row.paid} | {needed} | {share} |")
+    print(json.dumps([asdict(row) for row in rows]))
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_benchmarks_core_share.py
+++ b/tests/mesh/test_benchmarks_core_share.py
@@ -1,8 +1,8 @@
-"""How few machines of the core bear what is to be borne."""
+"""The smallest share of the core machines that tolerates a loss."""
 
 import pytest
 
-from benchmarks.core_share import bears, core_share, used
+from benchmarks.core_share import core_share, tolerates_loss, used_machines
 from mesh.replication.quorum import Tolerance
 
 
@@ -20,13 +20,13 @@
         ((5, 5), Tolerance(0, 1, 0), None, None),
     ],
 )
-def test_the_least_share_that_bears_a_loss(
+def test_the_smallest_share_that_tolerates_a_loss(
     layout: tuple[int, ...], tolerance: Tolerance, needed: int | None, share: float | None
 ) -> None:
     found = core_share(layout, tolerance)
     assert (found.needed, found.share) == (needed, share)
 
 
-def test_one_machine_less_in_a_single_zone_bears_nothing() -> None:
-    assert not bears(used((3,), 0.5), Tolerance(1, 0, 0))
-    assert bears(used((3,), 1.0), Tolerance(1, 0, 0))
+def test_one_machine_less_in_a_single_zone_tolerates_no_loss() -> None:
+    assert not tolerates_loss(used_machines((3,), 0.5), Tolerance(1, 0, 0))
+    assert tolerates_loss(used_machines((3,), 1.0), Tolerance(1, 0, 0))
