--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -20,7 +20,7 @@
 
 from lab import many, report, scenario
 from lab.measures import Row
-from lab.policies import policy
+from lab.policies import find_policy
 from lab.results import KEY, Folder
 from lab.scenario import Source
 from lab.simulation import Simulation
@@ -34,7 +34,7 @@
 
 
 def virtual(source: Source, seed: int, name: str) -> Row:
-    return Simulation(source.scenario_for(seed), seed, *policy(name)).run()
+    return Simulation(source.scenario_for(seed), seed, *find_policy(name)).run()
 
 
 def served(row: Row) -> float:
--- a/lab/command.py
+++ b/lab/command.py
@@ -14,7 +14,7 @@
 from lab.command_options import FILE, FOLDER, SET, WORKERS, ProgressBar, changes_of, told
 from lab.experiment import Experiment, Plan, Point
 from lab.hunt_commands import hunt_worst, shrink
-from lab.policies import POLICIES, policy
+from lab.policies import POLICIES, find_policy
 from lab.results import Folder, of_one_code
 from lab.revisions import Revisions, libraries
 from lab.scenario import InvalidInput
@@ -37,7 +37,7 @@
 
     Example: python -m lab play lab/scenarios/outage.toml --set load.share=0.9
     """
-    decides, watched = policy(way)
+    decides, watched = find_policy(way)
     simulation = Simulation(
         scenario.load(file).with_changes(changes_of(settings)).scenario_for(seed), seed, decides, watched
     )
@@ -129,7 +129,7 @@
 
     Example: python -m lab compare lab/scenarios/outage.toml --a module --b module@HEAD~20 --until 0.004
     """
-    policy(first), policy(second)
+    find_policy(first), find_policy(second)
     changes = [changes_of(set_a), changes_of(set_b)]
     sources = {path.stem: scenario.load(path) for path in files}
     ways = dict.fromkeys((first, second))
--- a/lab/command_options.py
+++ b/lab/command_options.py
@@ -13,7 +13,7 @@
 import msgspec
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from lab.policies import Unknown
+from lab.policies import UnknownPolicy
 from lab.results import Mixed
 from lab.scenario import InvalidInput
 
@@ -30,7 +30,7 @@
     def call(*args: P.args, **kwargs: P.kwargs) -> None:
         try:
             sys.exit(command(*args, **kwargs) or 0)
-        except (InvalidInput, Unknown, Mixed) as fault:
+        except (InvalidInput, UnknownPolicy, Mixed) as fault:
             click.echo(f"lab: {fault}", err=True)
             sys.exit(2)
 
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -23,7 +23,7 @@
 import msgspec
 from msgspec import Meta
 
-from lab.policies import Unknown, policy
+from lab.policies import UnknownPolicy, find_policy
 from lab.scenario import InvalidInput, Source
 from lab.scenario import load as load_scenario
 from lab.scenario_tables import Table
@@ -120,11 +120,11 @@
     try:
         experiment = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
         for name in experiment.policies:
-            policy(name)
+            find_policy(name)
     except msgspec.ValidationError as fault:
         text, _, place = str(fault).partition(" - at `$.")
         raise InvalidInput(f"{path}: {place.rstrip('`') or 'the file'}: {text}") from None
-    except (OSError, Unknown, tomllib.TOMLDecodeError) as fault:
+    except (OSError, UnknownPolicy, tomllib.TOMLDecodeError) as fault:
         raise InvalidInput(f"{path}: {fault}") from None
     sources: dict[str, Source] = {}
     for name in experiment.scenarios:
--- a/lab/hunt_commands.py
+++ b/lab/hunt_commands.py
@@ -12,7 +12,7 @@
 from lab import hunt, pool, scenario
 from lab.command_options import FILE, FOLDER, WORKERS, ProgressBar, told
 from lab.experiment import Play, Point
-from lab.policies import policy
+from lab.policies import find_policy
 from lab.reduce import RULES, Symptom, reduced
 from lab.revisions import Revisions
 from lab.scenario import InvalidInput, Source
@@ -45,7 +45,7 @@
     file: Path, way: str, rounds: int, plays: int, first_seed: int, found: Path, workers: int
 ) -> int:
     """Searches a scenario's ranges for the plays that break a rule or lose most."""
-    policy(way)
+    find_policy(way)
     source = scenario.load(file)
     search = hunt.Hunt(source, first_seed)
     with tempfile.TemporaryDirectory() as scratch:
@@ -100,7 +100,7 @@
     if (rule is None) == (below is None):
         raise InvalidInput("--rule or --below: give one of them, as the symptom")
     symptom = Symptom(rule=rule or "", below=below or 0.0)
-    decides, watched = policy(way)
+    decides, watched = find_policy(way)
     source = scenario.load(file)
 
     def shows(tree: dict[str, Any]) -> bool:
--- a/lab/policies/__init__.py
+++ b/lab/policies/__init__.py
@@ -1,26 +1,26 @@
-"""Policies to hold the module against, each behind the module's own interface, and the table of all by name.
+"""Load-balancing policies to compare ``hareloom.Balancer`` with, behind the same interface, by name.
 
-They keep the rules on repeats, drains and final answers; what their kind has no notion of (a cold start, an
-overload) they do not keep, and the checker counts it.
+All keep the rules on retries, draining servers and final answers. Rules about things that a textbook policy
+does not know (warming or overloaded servers) may be broken; the checker counts that.
 """
 
 from __future__ import annotations
 
 from hareloom import Balancer
 from lab.policies.choices import Ejecting, LeastOfTwo, Random, RoundRobin, SmoothedOfTwo
-from lab.policies.hedged import Hedged, Mesh
+from lab.policies.hedged import HedgingBalancer, ProxyBalancer
 from lab.policies.limits import GradientLimit
 from lab.policies.module import NoLimit, NoRetries
 from lab.policies.oracle import LateOracle, Oracle
 from lab.policies.repeats import FixedRetries, JitteredBackoff, RetryBudget
 from lab.sidecars import Policy
 
-# What decides, and whether the watch for storms stands before it.
+# Each policy, and whether the detection of retry storms (anisestair.storms) runs in front of it.
 POLICIES: dict[str, tuple[Policy, bool]] = {
     "module": (Balancer, False),
     "module+storms": (Balancer, True),
-    "mesh": (Mesh, False),
-    "mesh with hedges": (Hedged, False),
+    "mesh": (ProxyBalancer, False),
+    "mesh with hedges": (HedgingBalancer, False),
     "module without limit": (NoLimit, False),
     "module without retries": (NoRetries, False),
     "round robin": (RoundRobin, False),
@@ -37,14 +37,15 @@
 }
 
 
-class Unknown(ValueError):
-    """No policy of that name: one line."""
+class UnknownPolicy(ValueError):
+    """There is no policy of that name; the message is one line."""
 
 
-def policy(name: str) -> tuple[Policy, bool]:
-    """What decides, and whether the watch for storms is on. A revision after an @ is the worker's to load.
-    Raises Unknown."""
+def find_policy(name: str) -> tuple[Policy, bool]:
+    """The policy of this name, and whether storm detection runs in front of it.
+
+    A revision after "@" is ignored here; the worker loads it. Raises UnknownPolicy."""
     found = POLICIES.get(name.partition("@")[0])
     if found is None:
-        raise Unknown(f"policy: {name!r} is none; one of: {', '.join(sorted(POLICIES))}")
+        raise UnknownPolicy(f"policy: {name!r} is unknown; choose one of: {', '.join(sorted(POLICIES))}")
     return found
--- a/lab/policies/hedged.py
+++ b/lab/policies/hedged.py
@@ -1,10 +1,10 @@
-"""The module as the mesh's proxies host it, and the same with hedges: a second try of a call that may be
-repeated while its first is still at work.
+"""The balancer with the settings that the mesh's proxies use, and the same with hedged requests: a second
+attempt of a repeatable call while its first one is still in flight.
 
-A hedge goes out once a call has been out for longer than most of its class's recent tries, and no earlier
-than leaves a usual try its time within the aim: before that the first try is the better bet, and after that
-a second one comes too late as well. What they take is bounded as a share of the calls, and none goes out
-while answers say that the service is at its limit. `docs/design/calm_day.md` has what they came to.
+A hedge is sent once a call has taken longer than most recent first attempts of its class, but not before the
+point where a typical attempt would still just meet the aim: until then the first attempt is more likely to be
+in time, and much later a second one would be late as well. Hedges are limited to a share of the calls, and none is
+sent while answers report a full upstream. `docs/design/calm_day.md` has the results.
 """
 
 from __future__ import annotations
@@ -17,103 +17,117 @@
 from hareloom import interface as api
 from hareloom.interface import Outcome
 
-KEPT, LEAST = 256, 64  # recent times of a class; before so many nothing is said
-SLOW = 0.92  # quantile of the times from which on a try counts as slow
-USUAL = 0.8  # a second try is given the time that so many take
-WORTH_IT = 0.2  # what is left of the aim must be enough for so many of the second tries
-SHARE, SAVED = 0.06, 5.0  # hedges a call, saved up to so many
-PAUSE_AIMS = 4.0  # after an upstream had no room, in aims
-ATTEMPTS = 4  # of a request at the most, as a route with two trials has
+HISTORY_SIZE, MIN_SAMPLES = 256, 64  # latencies kept of a class; fewer than the minimum give no estimate
+SLOW_QUANTILE = 0.92  # an attempt that takes longer than this quantile counts as slow
+TYPICAL_QUANTILE = 0.8  # a hedge is given the time within which this share of attempts end
+MIN_SUCCESS_QUANTILE = 0.2  # no hedge unless this share of attempts would end within the rest of the aim
+HEDGES_PER_CALL, MAX_HEDGE_CREDIT = 0.06, 5.0  # credit that each call adds, and its upper bound
+PAUSE_AIMS = 4.0  # no hedges for this multiple of the aim after an upstream was full
+MAX_ATTEMPTS = 4  # of a request, as for a route with two trials
 
 
-class RecentTimes:
-    """The last times of a class's tries, ms, and their quantiles."""
+class RecentLatencies:
+    """Recent latencies of a class's first attempts in ms, and their quantiles."""
 
     def __init__(self) -> None:
-        """Nothing is known yet."""
+        """Starts without samples."""
         self._order: deque[float] = deque()
         self._sorted: list[float] = []
 
-    def add(self, took_ms: float) -> None:
-        """Notes one; beyond KEPT the oldest is forgotten."""
-        self._order.append(took_ms)
-        insort(self._sorted, took_ms)
-        if len(self._order) > KEPT:
+    def add(self, latency_ms: float) -> None:
+        """Adds a sample, and drops the oldest beyond HISTORY_SIZE."""
+        self._order.append(latency_ms)
+        insort(self._sorted, latency_ms)
+        if len(self._order) > HISTORY_SIZE:
             del self._sorted[bisect_left(self._sorted, self._order.popleft())]
 
-    def quantile(self, part: float) -> float:
-        """The time that this part of them does not exceed. Raises IndexError where there are none."""
-        return self._sorted[min(int(part * len(self._sorted)), len(self._sorted) - 1)]
+    def quantile(self, share: float) -> float:
+        """The latency that this share of the samples does not exceed. Raises IndexError without samples."""
+        return self._sorted[min(int(share * len(self._sorted)), len(self._sorted) - 1)]
 
-    def wait_ms(self, left_ms: float) -> float | None:
-        """How long a first try is waited for, with so much of its aim left; None: there is to be no
-        second."""
-        if len(self._sorted) < LEAST:
+    def hedge_delay_ms(self, remaining_ms: float) -> float | None:
+        """How long to wait for a first attempt before the hedge, given the time that remains of its aim;
+        None for no hedge."""
+        if len(self._sorted) < MIN_SAMPLES:
             return None
-        wait_ms = max(self.quantile(SLOW), left_ms - self.quantile(USUAL))
-        return wait_ms if wait_ms + self.quantile(WORTH_IT) <= left_ms else None
+        delay_ms = max(self.quantile(SLOW_QUANTILE), remaining_ms - self.quantile(TYPICAL_QUANTILE))
+        return delay_ms if delay_ms + self.quantile(MIN_SUCCESS_QUANTILE) <= remaining_ms else None
 
 
-class Mesh(Balancer):
-    """With a queue before each upstream, so that nothing is held back at the caller's side."""
+class ProxyBalancer(Balancer):
+    """The balancer of the mesh's proxies: the queue is in front of each upstream, so calls are not paced at
+    the caller."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """As `Balancer`."""
-        limits = replace(settings.limits, paced=False, max_attempts=ATTEMPTS, may_cancel=True)
+        limits = replace(settings.limits, paced=False, max_attempts=MAX_ATTEMPTS, may_cancel=True)
         super().__init__(replace(settings, limits=limits), seed)
 
 
-class Hedged(Mesh):
-    """Its own timers have tokens below 0."""
+class HedgingBalancer(ProxyBalancer):
+    """With hedged requests. Timers of hedges have negative tokens, those of the balancer positive ones."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """As `Balancer`."""
         super().__init__(settings, seed)
         self.hedges = 0
-        self._times: dict[str, RecentTimes] = {}
-        self._waiting: dict[int, str] = {}  # requests by the token of their timer
-        self._tokens, self._saved, self._paused_until = 0, SAVED, 0.0
+        self._latencies: dict[str, RecentLatencies] = {}
+        self._hedge_timers: dict[int, str] = {}  # request names by the token of the hedge timer
+        self._last_token, self._credit, self._paused_until = 0, MAX_HEDGE_CREDIT, 0.0
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """As `Balancer.handle`, with the hedges that are due."""
+        """As `Balancer.handle`, and sends the hedges that are due."""
         if isinstance(event, api.Timer) and event.token < 0:
-            return self._hedge(now, event.token)
+            return self._send_hedge(now, event.token)
         if isinstance(event, api.AttemptEnded):
-            self._note(now, event)
+            self._observe(now, event)
         actions = super().handle(now, event)
         if isinstance(event, api.Request) and self.settings.limits.second_copies:
-            actions += self._plan(event)
+            actions += self._schedule_hedge(event)
         return actions
 
-    def _plan(self, event: api.Request) -> list[api.Action]:
-        """The timer of a hedge, where there is to be one."""
-        self._saved = min(self._saved + SHARE, SAVED)
-        held, times = self.requests.get(event.request), self._times.get(event.klass)
-        if held is None or not held.inflight or times is None or held.klass.effect is not api.Effect.SAFE:
+    def _schedule_hedge(self, event: api.Request) -> list[api.Action]:
+        """The timer of the request's hedge, if there is to be one."""
+        self._credit = min(self._credit + HEDGES_PER_CALL, MAX_HEDGE_CREDIT)
+        pending, latencies = self.requests.get(event.request), self._latencies.get(event.klass)
+        if (
+            pending is None
+            or not pending.inflight
+            or latencies is None
+            or pending.klass.effect is not api.Effect.SAFE
+        ):
             return []
-        wait_ms = times.wait_ms(held.klass.aim_ms)
-        if wait_ms is None:
+        delay_ms = latencies.hedge_delay_ms(pending.klass.aim_ms)
+        if delay_ms is None:
             return []
-        self._tokens -= 1
-        self._waiting[self._tokens] = event.request
-        return [api.SetTimer(wait_ms, self._tokens)]
+        self._last_token -= 1
+        self._hedge_timers[self._last_token] = event.request
+        return [api.SetTimer(delay_ms, self._last_token)]
 
-    def _hedge(self, now: float, token: int) -> list[api.Action]:
-        """A second try of what is still out, elsewhere."""
+    def _send_hedge(self, now: float, token: int) -> list[api.Action]:
+        """Sends a second attempt to another server if the first one is still in flight."""
         self.now, self.actions = now, []
-        held = self.requests.get(self._waiting.pop(token))
-        alone = held is not None and held.open and held.inflight == 1 and len(held.attempts) == 1
-        if held is not None and alone and self._saved >= 1.0 and now >= self._paused_until:
-            if len(self.working.set) > 1 and self.send(held):
-                self._saved -= 1.0
+        pending = self.requests.get(self._hedge_timers.pop(token))
+        only_attempt_in_flight = (
+            pending is not None and pending.open and pending.inflight == 1 and len(pending.attempts) == 1
+        )
+        if (
+            pending is not None
+            and only_attempt_in_flight
+            and self._credit >= 1.0
+            and now >= self._paused_until
+        ):
+            if len(self.working.set) > 1 and self.send(pending):
+                self._credit -= 1.0
                 self.hedges += 1
         return self.actions
 
-    def _note(self, now: float, event: api.AttemptEnded) -> None:
-        held = self.requests.get(event.request)
-        if held is None:
+    def _observe(self, now: float, event: api.AttemptEnded) -> None:
+        """Records the latency of first attempts, and pauses hedges if an upstream was full."""
+        pending = self.requests.get(event.request)
+        if pending is None:
             return
         if event.attempt == 0 and event.outcome is Outcome.OK:
-            self._times.setdefault(held.klass.name, RecentTimes()).add(event.latency_ms)
+            self._latencies.setdefault(pending.klass.name, RecentLatencies()).add(event.latency_ms)
         if event.outcome is Outcome.FULL:
-            self._paused_until = now + PAUSE_AIMS * held.klass.aim_ms
+            self._paused_until = now + PAUSE_AIMS * pending.klass.aim_ms
--- a/lab/policies/module.py
+++ b/lab/policies/module.py
@@ -1,4 +1,4 @@
-"""The module with one thing taken out: how much that thing is worth."""
+"""The balancer with one feature disabled, to measure what the feature contributes."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class NoLimit(Balancer):
-    """Nothing is held back: what is left is its choice of server and its retry budget."""
+    """No limit on attempts in flight; the choice of servers and the retry budget remain."""
 
     limit = property(lambda self: 1e9, lambda self, value: None)
 
 
 class NoRetries(Balancer):
-    """Nothing is tried again."""
+    """No retries: the retry budget is always empty."""
 
     budget = property(lambda self: 0.0, lambda self, value: None)
--- a/lab/policies/plain.py
+++ b/lab/policies/plain.py
@@ -1,7 +1,7 @@
-"""What the plain policies have in common: requests and attempts kept by the rules, one choice left open.
+"""The base of the textbook policies: it tracks requests and attempts under the checker's rules.
 
-A policy is this with another choice of server (``pick``), of whether a failed call is tried again
-(``again``), or of whether a call is taken at all (``admits``).
+Subclasses override the choice of a server (``choose``), whether and when a failed call is retried
+(``retry_delay_ms``), or whether a call is admitted at all (``admits``).
 """
 
 from __future__ import annotations
@@ -13,171 +13,186 @@
 from hareloom.interface import NEVER_RAN, Effect, Group, ListKind, Outcome, ServerState
 from lab.checker import may_follow
 
-TRIES = 2  # attempts a call, where nothing else is said: once more
+DEFAULT_MAX_ATTEMPTS = 2  # per call, where a policy does not override ``retry_delay_ms``
 
 
-class Known:
-    """A server as a policy knows it."""
+class ServerRecord:
+    """What a policy knows of a server."""
 
-    __slots__ = ("entry", "out", "smoothed", "sampled", "failures", "ejected_until", "ejections")
+    __slots__ = ("entry", "in_flight", "smoothed", "sampled", "failures", "ejected_until", "ejections")
 
     def __init__(self, entry: api.ServerEntry) -> None:
-        self.entry, self.out = entry, 0
-        self.smoothed, self.sampled = 0.0, -1.0  # latency in ms, and when it was last moved
+        self.entry, self.in_flight = entry, 0
+        self.smoothed, self.sampled = 0.0, -1.0  # smoothed latency in ms, and when it was last updated
         self.failures, self.ejected_until, self.ejections = 0, -1.0, 0
 
 
-class Held:
-    __slots__ = ("request", "klass", "until", "sent", "open", "out", "at")
+class PendingRequest:
+    """A request without a final answer, or with attempts still in flight."""
 
-    def __init__(self, request: str, klass: api.RequestClass, until: float) -> None:
-        self.request, self.klass, self.until = request, klass, until
-        # Each attempt's server, instant, and whether it may have run.
-        self.sent: list[tuple[Known, float, bool]] = []
-        self.open, self.out = True, 0
-        self.at = -1.0  # when it is to be tried again, where that waits
+    __slots__ = ("request", "klass", "deadline", "attempts", "open", "in_flight", "retry_at")
 
+    def __init__(self, request: str, klass: api.RequestClass, deadline: float) -> None:
+        self.request, self.klass, self.deadline = request, klass, deadline
+        # Of each attempt: its server, when it was sent, and whether it may have run.
+        self.attempts: list[tuple[ServerRecord, float, bool]] = []
+        self.open, self.in_flight = True, 0
+        self.retry_at = -1.0
+
+
+class BasePolicy:
+    """A policy with the interface of ``hareloom.Balancer``."""
 
-class Plain:
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.chance, self.now = settings, random.Random(seed), 0.0
+        self.settings, self.rng, self.now = settings, random.Random(seed), 0.0
         self.classes = {item.name: item for item in settings.classes}
-        self.servers: dict[str, Known] = {}
-        self.ready: list[Known] = []
-        self.held: dict[str, Held] = {}
-        self.timers: dict[int, tuple[str, Held]] = {}
-        self.token, self.asked, self.out = 0, False, 0
+        self.servers: dict[str, ServerRecord] = {}
+        self.ready_servers: list[ServerRecord] = []
+        self.pending: dict[str, PendingRequest] = {}
+        self.timers: dict[int, tuple[str, PendingRequest]] = {}
+        self.token, self.subscribed, self.in_flight = 0, False, 0
         self.actions: list[api.Action] = []
 
-    # What a policy decides
+    # Decisions of a policy
 
-    def pick(self, among: Sequence[Known], held: Held) -> Known | None:
-        """The server for an attempt, None for none now; ``among`` is never empty."""
+    def choose(self, candidates: Sequence[ServerRecord], pending: PendingRequest) -> ServerRecord | None:
+        """The server for an attempt, or None for none now; ``candidates`` is never empty."""
         raise NotImplementedError
 
-    def holds(self, held: Held) -> bool:
-        """Whether a call without a place waits for one; else it is finished."""
+    def queues(self, pending: PendingRequest) -> bool:
+        """Whether a call that cannot be sent now is queued; otherwise it is finished."""
         return False
 
-    def looked(self) -> None:
-        """A timer of the policy's own has come."""
+    def on_poll(self) -> None:
+        """The policy's own timer has fired."""
 
-    def admits(self, held: Held) -> bool:
+    def admits(self, pending: PendingRequest) -> bool:
+        """Whether a new call is sent at all; otherwise it is refused."""
         return True
 
-    def again(self, held: Held) -> float | None:
-        """The wait in ms before a failed call is tried again; None: it is not."""
-        return 0.0 if len(held.sent) < TRIES else None
+    def retry_delay_ms(self, pending: PendingRequest) -> float | None:
+        """The delay before a failed call is retried, in ms; None if it is not retried."""
+        return 0.0 if len(pending.attempts) < DEFAULT_MAX_ATTEMPTS else None
 
-    def learnt(self, server: Known, outcome: Outcome, latency: float) -> None:
-        """What an attempt's end says."""
+    def record_outcome(self, server: ServerRecord, outcome: Outcome, latency: float) -> None:
+        """Called at the end of each attempt; ``latency`` in ms."""
 
-    def taken(self, held: Held) -> None:
-        """A call was taken."""
+    def on_request(self, pending: PendingRequest) -> None:
+        """Called for each new call, before ``admits``."""
 
-    # What the rules make of it
+    # Event handling under the rules
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.now, self.actions = now, []
         if isinstance(event, api.Request):
-            held = self.held[event.request] = Held(event.request, self.classes[event.klass], event.deadline)
-            self._timer(event.deadline - self.settings.tick_ms, "end", held)
-            self.taken(held)
-            if not self.admits(held) or not (self._send(held) or self.holds(held)):
-                self._finish(held)
+            pending = self.pending[event.request] = PendingRequest(
+                event.request, self.classes[event.klass], event.deadline
+            )
+            self._set_timer(event.deadline - self.settings.tick_ms, "deadline", pending)
+            self.on_request(pending)
+            if not self.admits(pending) or not (self._send_attempt(pending) or self.queues(pending)):
+                self._finish(pending)
         elif isinstance(event, api.AttemptEnded):
-            self._ended(event)
+            self._attempt_ended(event)
         elif isinstance(event, api.Timer):
-            what, held = self.timers.pop(event.token, ("", None))  # type: ignore[assignment]
-            if what == "ask":
+            kind, pending = self.timers.pop(event.token, ("", None))  # type: ignore[assignment]
+            if kind == "subscribe":
                 self.actions.append(api.Subscribe())
-            elif what == "look":
-                self.looked()
-            elif held is not None and held.open and not (what == "again" and self._send(held)):
-                if what == "end" or not held.out:
-                    self._finish(held)
+            elif kind == "poll":
+                self.on_poll()
+            elif (
+                pending is not None and pending.open and not (kind == "retry" and self._send_attempt(pending))
+            ):
+                if kind == "deadline" or not pending.in_flight:
+                    self._finish(pending)
         elif isinstance(event, api.ServerList):
-            self._list(event)
-        elif isinstance(event, api.ClientGone) and (gone := self.held.get(event.request)) is not None:
-            self._close(gone)
+            self._apply_list(event)
+        elif isinstance(event, api.ClientGone) and (abandoned := self.pending.get(event.request)) is not None:
+            self._close(abandoned)
         return self.actions
 
-    def _timer(self, instant: float, what: str, held: Held | None) -> None:
+    def _set_timer(self, instant: float, kind: str, pending: PendingRequest | None) -> None:
         self.token += 1
-        self.timers[self.token] = (what, held)  # type: ignore[assignment]
+        self.timers[self.token] = (kind, pending)  # type: ignore[assignment]
         self.actions.append(api.SetTimer(max(instant - self.now, 0.0), self.token))
 
-    def _send(self, held: Held) -> bool:
-        if self.now >= held.until - self.settings.tick_ms or held.out:
+    def _send_attempt(self, pending: PendingRequest) -> bool:
+        if self.now >= pending.deadline - self.settings.tick_ms or pending.in_flight:
             return False
-        if len(held.sent) >= self.settings.limits.max_attempts:
+        if len(pending.attempts) >= self.settings.limits.max_attempts:
             return False
-        among = self._able(held)
-        server = self.pick(among, held) if among else None
+        candidates = self._eligible_servers(pending)
+        server = self.choose(candidates, pending) if candidates else None
         if server is None:
             return False
-        server.out += 1
-        self.out += 1
-        held.out += 1
-        held.sent.append((server, self.now, True))
-        self.actions.append(api.Send(held.request, server.entry.server, held.until - self.now))
+        server.in_flight += 1
+        self.in_flight += 1
+        pending.in_flight += 1
+        pending.attempts.append((server, self.now, True))
+        self.actions.append(api.Send(pending.request, server.entry.server, pending.deadline - self.now))
         return True
 
-    def _able(self, held: Held) -> list[Known]:
-        """The servers that it may go to by the rules, those that it has not been at before the others."""
-        ran = [(s.entry.zone, s.entry.cell, at) for s, at, may in held.sent if may]
-        among = self.ready
+    def _eligible_servers(self, pending: PendingRequest) -> list[ServerRecord]:
+        """The servers that the rules allow for the next attempt: only untried ones, if there are any."""
+        ran = [(s.entry.zone, s.entry.cell, at) for s, at, may_have_run in pending.attempts if may_have_run]
+        candidates = self.ready_servers
         if ran:
-            # A connection may take its time: what is written must still be inside the window.
+            # The attempt must still be inside the deduplication window if connecting takes until its timeout.
             at = self.now + self.settings.limits.connect_timeout_ms
-            among = [s for s in among if may_follow(held.klass, ran, s.entry.zone, s.entry.cell, at)]
-        if held.sent:
-            tried = {id(server) for server, _, _ in held.sent}
-            among = [s for s in among if id(s) not in tried] or among
-        return among
-
-    def _ended(self, event: api.AttemptEnded) -> None:
-        held = self.held.get(event.request)
-        if held is None:
+            candidates = [
+                s for s in candidates if may_follow(pending.klass, ran, s.entry.zone, s.entry.cell, at)
+            ]
+        if pending.attempts:
+            tried = {id(server) for server, _, _ in pending.attempts}
+            candidates = [s for s in candidates if id(s) not in tried] or candidates
+        return candidates
+
+    def _attempt_ended(self, event: api.AttemptEnded) -> None:
+        pending = self.pending.get(event.request)
+        if pending is None:
             return
-        server, at, _ = held.sent[event.attempt]
-        held.sent[event.attempt] = (server, at, event.outcome not in NEVER_RAN)
-        held.out -= 1
-        self.out -= 1
-        server.out -= 1
-        self.learnt(server, event.outcome, event.latency_ms)
-        if event.closed or not held.open:
-            self._close(held)
+        server, at, _ = pending.attempts[event.attempt]
+        pending.attempts[event.attempt] = (server, at, event.outcome not in NEVER_RAN)
+        pending.in_flight -= 1
+        self.in_flight -= 1
+        server.in_flight -= 1
+        self.record_outcome(server, event.outcome, event.latency_ms)
+        if event.closed or not pending.open:
+            self._close(pending)
             return
-        wait = self.again(held)
-        if wait is None:
-            self._finish(held)
-        elif wait > 0:
-            self._timer(self.now + wait, "again", held)
-        elif not (self._send(held) or self.holds(held)):
-            self._finish(held)
-
-    def _finish(self, held: Held) -> None:
-        klass = held.klass
-        ran = any(may for _, _, may in held.sent)
-        free = klass.effect is Effect.SAFE or klass.effect is Effect.KEYED and klass.group is Group.ALL
-        advice = min(self.settings.limits.max_retry_after_ms, 0.15 * klass.aim_ms)
-        self.actions.append(api.Fail(held.request) if ran and not free else api.Refuse(held.request, advice))
-        self._close(held)
-
-    def _close(self, held: Held) -> None:
-        if held.open and held.out and self.settings.limits.may_cancel:
-            self.actions.append(api.Cancel(held.request, len(held.sent) - 1))
-        held.open = False
-        if not held.out:
-            self.held.pop(held.request, None)
-
-    def _list(self, event: api.ServerList) -> None:
+        delay = self.retry_delay_ms(pending)
+        if delay is None:
+            self._finish(pending)
+        elif delay > 0:
+            self._set_timer(self.now + delay, "retry", pending)
+        elif not (self._send_attempt(pending) or self.queues(pending)):
+            self._finish(pending)
+
+    def _finish(self, pending: PendingRequest) -> None:
+        klass = pending.klass
+        may_have_run = any(executed for _, _, executed in pending.attempts)
+        repeatable = klass.effect is Effect.SAFE or klass.effect is Effect.KEYED and klass.group is Group.ALL
+        retry_after_ms = min(self.settings.limits.max_retry_after_ms, 0.15 * klass.aim_ms)
+        self.actions.append(
+            api.Fail(pending.request)
+            if may_have_run and not repeatable
+            else api.Refuse(pending.request, retry_after_ms)
+        )
+        self._close(pending)
+
+    def _close(self, pending: PendingRequest) -> None:
+        if pending.open and pending.in_flight and self.settings.limits.may_cancel:
+            self.actions.append(api.Cancel(pending.request, len(pending.attempts) - 1))
+        pending.open = False
+        if not pending.in_flight:
+            self.pending.pop(pending.request, None)
+
+    def _apply_list(self, event: api.ServerList) -> None:
         if event.kind is ListKind.LOST:
-            self._timer(self.now + self.chance.uniform(500.0, 1500.0), "ask", None)
+            self._set_timer(self.now + self.rng.uniform(500.0, 1500.0), "subscribe", None)
             return
-        if self.settings.asks_for_list and not self.asked:
-            self.asked = True
+        if self.settings.asks_for_list and not self.subscribed:
+            self.subscribed = True
             self.actions.append(api.Subscribe())
         if event.kind is not ListKind.DELTA:
             named = {entry.server for entry in event.entries}
@@ -187,7 +202,7 @@
             if entry.state is ServerState.GONE:
                 self.servers.pop(entry.server, None)
             elif known is None or known.entry.started_at != entry.started_at:
-                self.servers[entry.server] = Known(entry)
+                self.servers[entry.server] = ServerRecord(entry)
             else:
                 known.entry = entry
-        self.ready = [s for s in self.servers.values() if s.entry.state is ServerState.READY]
+        self.ready_servers = [s for s in self.servers.values() if s.entry.state is ServerState.READY]
--- a/lab/policies/repeats.py
+++ b/lab/policies/repeats.py
@@ -1,33 +1,33 @@
-"""Whether again, and when: the ways to retry, with servers chosen as the least out of two."""
+"""Textbook retry policies, with servers chosen as the least loaded of two."""
 
 from __future__ import annotations
 
 from hareloom import interface as api
 from lab.policies.choices import LeastOfTwo
-from lab.policies.plain import Held
+from lab.policies.plain import PendingRequest
 
-BUDGET_SHARE, BUDGET_SAVED = 0.1, 10.0  # repeats a call, saved up to so many
-BACKOFF_MS, BACKOFF_MOST_MS = 25.0, 1000.0
+BUDGET_PER_CALL, MAX_BUDGET = 0.1, 10.0  # retries that each call adds to the budget, and its upper bound
+BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 1000.0
 
 
 class FixedRetries(LeastOfTwo):
-    """Again at once, as often as the settings let."""
+    """Immediate retries, up to the maximum number of attempts in the settings."""
 
-    def again(self, held: Held) -> float | None:
+    def retry_delay_ms(self, pending: PendingRequest) -> float | None:
         return 0.0
 
 
 class RetryBudget(LeastOfTwo):
-    """Again at once, while repeats are a small part of all calls."""
+    """Immediate retries while the budget lasts, which is a small share of all calls."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.budget = BUDGET_SAVED
+        self.budget = MAX_BUDGET
 
-    def taken(self, held: Held) -> None:
-        self.budget = min(self.budget + BUDGET_SHARE, BUDGET_SAVED)
+    def on_request(self, pending: PendingRequest) -> None:
+        self.budget = min(self.budget + BUDGET_PER_CALL, MAX_BUDGET)
 
-    def again(self, held: Held) -> float | None:
+    def retry_delay_ms(self, pending: PendingRequest) -> float | None:
         if self.budget < 1.0:
             return None
         self.budget -= 1.0
@@ -35,8 +35,8 @@
 
 
 class JitteredBackoff(LeastOfTwo):
-    """Again after a wait drawn from 0 to a bound that doubles ("full jitter")."""
+    """Retries after a random delay between 0 and a bound that doubles with each attempt ("full jitter")."""
 
-    def again(self, held: Held) -> float | None:
-        most = min(BACKOFF_MS * 2.0 ** len(held.sent), BACKOFF_MOST_MS)
-        return max(self.chance.uniform(0.0, most), 1.0)
+    def retry_delay_ms(self, pending: PendingRequest) -> float | None:
+        bound = min(BACKOFF_MS * 2.0 ** len(pending.attempts), MAX_BACKOFF_MS)
+        return max(self.rng.uniform(0.0, bound), 1.0)
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from lab.measures import BIN_MS, Measures, Row
-from lab.policies import policy
+from lab.policies import find_policy
 from lab.results import COUNTS, QUANTILES, Found
 from lab.scenario import Source
 from lab.simulation import Simulation
@@ -53,7 +53,7 @@
 def play(job: Job) -> Found:
     """Raises nothing: what goes wrong is in the row."""
     try:
-        decides, watched = policy(job.policy)
+        decides, watched = find_policy(job.policy)
         simulation = Simulation(job.source.scenario_for(job.seed), job.seed, decides, watched)
         row = simulation.run()
     except Exception as fault:  # whatever it is, it is this play's alone
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -11,7 +11,7 @@
 from lab import scenario
 from lab.evenness import Evenness
 from lab.ledger import EventRecorder, merge_recordings, replay
-from lab.policies import policy
+from lab.policies import find_policy
 from lab.simulation import Simulation
 
 
@@ -114,7 +114,7 @@
     source = scenario.load(Path("lab/scenarios/even.toml")).with_changes({"seconds": 15.0})
     found = {}
     for name in ("module", "random"):
-        simulation = Simulation(source.scenario_for(1), 1, *policy(name))
+        simulation = Simulation(source.scenario_for(1), 1, *find_policy(name))
         found[name] = simulation.run()
         assert not simulation.checker.violations and found[name].unused == 0
     assert found["module"].spread_1s < 0.8 * found["random"].spread_1s
--- a/tests/test_lab_ceiling.py
+++ b/tests/test_lab_ceiling.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lab import scenario
-from lab.policies import policy
+from lab.policies import find_policy
 from lab.simulation import Simulation
 from lab.statistics import gap_closed
 
@@ -23,7 +23,7 @@
     changes = SMALL | {"sidecars.count": sidecars} | (TROUBLES if name != "calm" else {})
     source, found = scenario.load(LIBRARY / f"{name}.toml").with_changes(changes), {}
     for decides in ("random", "module", "late oracle", "oracle"):
-        play = Simulation(source.scenario_for(3), 3, *policy(decides))
+        play = Simulation(source.scenario_for(3), 3, *find_policy(decides))
         row = play.run()
         found[decides] = row.service
         if decides != "random":
@@ -34,7 +34,7 @@
 
 def test_sight_is_as_late_as_it_says() -> None:
     source = scenario.load(LIBRARY / "calm.toml").with_changes({"network.cross_ms": 20.0, "seconds": 5.0})
-    play = Simulation(source.scenario_for(1), 1, *policy("random"))
+    play = Simulation(source.scenario_for(1), 1, *find_policy("random"))
     now, late = play.fleet_view(0, False), play.fleet_view(0, True)
     assert (now.delay_ms, late.delay_ms) == (0.0, 40.0) and play.fleet_view(1, True) is not late
     seen = []
--- a/tests/test_lab_simulation.py
+++ b/tests/test_lab_simulation.py
@@ -17,7 +17,7 @@
 from hareloom import interface as api
 from lab import scenario, socket_simulation
 from lab.measures import Row
-from lab.policies import POLICIES, policy
+from lab.policies import POLICIES, find_policy
 from lab.policies.choices import LeastOfTwo, Random
 from lab.scenario_tables import Scenario, Trouble
 from lab.simulation import Simulation
@@ -193,7 +193,7 @@
         {"kind": "dead", "at_ms": 4500, "for_ms": 1000, "share": 0.4},
         {"kind": "errors", "at_ms": 3000, "for_ms": 2000, "share": 0.5, "size": 0.4},
     ]
-    decides, watched = policy(name)
+    decides, watched = find_policy(name)
     play = Simulation(made(troubles=troubles, load={"share": 0.9}), 4, decides, watched)
     assert kept(play.run()), play.checker.first_violations
 
@@ -272,11 +272,11 @@
 
 
 class Drains(Random):
-    def _list(self, event: api.ServerList) -> None:
-        known = list(self.ready)
-        super()._list(event)
-        names = {server.entry.server for server in self.ready}
-        self.ready += [server for server in known if server.entry.server not in names]
+    def _apply_list(self, event: api.ServerList) -> None:
+        known = list(self.ready_servers)
+        super()._apply_list(event)
+        names = {server.entry.server for server in self.ready_servers}
+        self.ready_servers += [server for server in known if server.entry.server not in names]
 
 
 @pytest.mark.parametrize(
@@ -362,7 +362,7 @@
         small = {"seconds": 7.0, "servers.count": 6, "sidecars.count": 3, "settle_ms": 1000.0}
         source = scenario.load(LIBRARY / f"{name}.toml").with_changes(small | dict(changes))
         for decides in ("module", "least of two"):
-            row = Simulation(source.scenario_for(1), 1, *policy(decides)).run()
+            row = Simulation(source.scenario_for(1), 1, *find_policy(decides)).run()
             rows.append([round(v, 9) if isinstance(v, float) else v for v in msgspec.structs.astuple(row)])
     assert xxhash.xxh3_64_hexdigest(msgspec.json.encode(rows)) == DIGEST
 
--- a/tests/test_lab_upgrade.py
+++ b/tests/test_lab_upgrade.py
@@ -14,11 +14,11 @@
 
 
 def played(seed: int, still_ms: float, policy: str = "module") -> tuple[Simulation, Row]:
-    from lab.policies import policy as by_name
+    from lab.policies import find_policy
 
     change = SOURCE.tree["troubles"][0] | {"size": still_ms}
     made = SOURCE.with_changes({"troubles": [change], "seconds": 22}).scenario_for(seed)
-    simulation = Simulation(made, seed, *by_name(policy))
+    simulation = Simulation(made, seed, *find_policy(policy))
     return simulation, simulation.run()
 
 
