--- a/lab/policies/hedged.py
+++ b/lab/policies/hedged.py
@@ -3,8 +3,8 @@
 
 A hedge is sent once a call has taken longer than most recent first attempts of its class, but not before the
 point where a typical attempt would still just meet the aim: until then the first attempt is more likely to be
-in time, and much later a second one would be late as well. Hedges are limited to a share of the calls, and none is
-sent while answers report a full upstream. `docs/design/calm_day.md` has the results.
+in time, and much later a second one would be late as well. Hedges are limited to a share of the calls, and
+none is sent while answers report a full upstream. `docs/design/calm_day.md` has the results.
 """
 
 from __future__ import annotations
