--- a/benchmarks/day_files.py
+++ b/benchmarks/day_files.py
@@ -1,4 +1,6 @@
-"""Files of days; they hold what sites hold, and so are written outside the repository alone."""
+"""Reads and writes day files. They contain parts of site files, so they are written outside the repository
+only.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +15,13 @@
 
 
 class DayFileError(Exception):
-    """A day file without what every day has; one line."""
+    """A day file lacks required fields; the message is one line."""
 
 
 def read_day(path: Path) -> Day:
-    """The first day of a file, whether it stands at the top or under ``[[day]]``. Raises DayFileError."""
-    found = tomllib.loads(path.read_text(encoding="utf-8"))
-    day: Day = found.get("day", [found])[0]
+    """Returns the first day of a file, either at its top level or under ``[[day]]``. Raises DayFileError."""
+    data = tomllib.loads(path.read_text(encoding="utf-8"))
+    day: Day = data.get("day", [data])[0]
     missing = [field for field in ("name", "seed", "plan", "faults") if field not in day]
     if missing:
         raise DayFileError(f"{path}: {', '.join(missing)} missing; write the day as benchmarks/days does")
@@ -27,11 +29,11 @@
 
 
 def write_day(path: Path, day: Day, bare: bool) -> Path:
-    """Under ``[[day]]``, or with its fields at the top where it is ``bare``."""
+    """Writes a day under ``[[day]]``, or at the top level of the file if ``bare``."""
     path.write_text(tomli_w.dumps(day if bare else {"day": [day]}), encoding="utf-8")
     return path
 
 
 def inside_repository(folder: Path) -> bool:
-    """Whether a folder lies in this checkout."""
+    """Whether a folder is inside this checkout."""
     return folder.resolve().is_relative_to(ROOT)
--- a/benchmarks/days_played.py
+++ b/benchmarks/days_played.py
@@ -1,12 +1,12 @@
-"""Tells which days of the mesh were played, from the bench's journal, as a table in Markdown.
+"""Writes a Markdown table of the days that were run with the mesh, from the bench's journal.
 
     python -m benchmarks.days_played [--since 20261202T0555] [--write docs/design/days_played.md]
 
-A row is one day of one site: how often it was played, with which seeds, how often it ended clean, what broke,
-and the journal entries. A play is clean where the bench names no broken rule and no fault and says that the
-gate was passed; where it says nothing of the gate, the play counts as `no gate told`, never as clean. Runs
-that left no days are listed below the table, since they were played in part or not at all. With `--write`,
-the table replaces what stands between the two marks in that page.
+Each row is one day of one site: the number of runs, their seeds, how many were clean, the violations, and the
+journal entries. A run is clean if the bench reports no broken rule and no fault and states that the gate was
+passed; if it states nothing about the gate, the run counts as `no gate told`, not as clean. Journal entries
+without any day are listed below the table, since they are partial runs or failed to start. With `--write`,
+the table replaces the text between the two marks in that page.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 ROOT = Path(__file__).resolve().parent.parent
 JOURNAL = ROOT / "journal"
 MESH_COMMANDS = ("run", "score", "hunt", "replay", "incident")
-NO_LINE_LIMIT = 0  # lines of policy are bounded, and told, where the sidecar in service is played
+NO_LINE_LIMIT = 0  # entries of the sidecar in service state a limit for the lines of its policy
 BEGIN, END = "<!-- days_played: begin -->", "<!-- days_played: end -->"
-MOST_SEEDS = 5  # named in a row; of more, the count alone
-MOST_ENTRIES = 3  # named in a row, the latest; broken plays name their own
-BENCH_DRAWN = re.compile(r"(?:fresh|hunt)-[0-9a-f]+(?:-\d+)?")
-OWN_DRAWN = re.compile(r"day-(\d+)-\d+")
-TRIAL = "trial"  # how the reason of a trial begins
+MAX_SEEDS = 5  # listed in a row; only the count if there are more
+MAX_ENTRIES = 3  # latest entries listed in a row; failed runs name theirs as well
+BENCH_DRAWN_NAME = re.compile(r"(?:fresh|hunt)-[0-9a-f]+(?:-\d+)?")
+DRAWN_NAME = re.compile(r"day-(\d+)-\d+")
+TRIAL = "trial"  # prefix of the reason of a trial
 
 Entry = Mapping[str, Any]
 
 
 class PageMarksError(Exception):
-    """A page without both marks; one line."""
+    """The page lacks the marks; the message is one line."""
 
 
 @dataclass(frozen=True)
-class Play:
-    """One day as it was played once."""
+class DayRun:
+    """One run of a day."""
 
     site: str
     day: str
     seed: int | None
     entry: str
-    signs: tuple[str, ...]  # broken rules, `fault` and `gate`
-    gate_told: bool
+    signs: tuple[str, ...]  # broken rules, "fault" and "gate"
+    gate_known: bool
     trial: bool
 
 
 @dataclass(frozen=True)
 class Unfinished:
-    """A run that left no days."""
+    """A journal entry without days."""
 
     entry: str
     command: str
@@ -63,7 +63,7 @@
 
 
 def read_entries(folder: Path, since: str) -> Iterator[tuple[str, Entry]]:
-    """The mesh's entries with their names, oldest first; ``since`` is the start of such a name."""
+    """Yields the mesh's entries with their names, oldest first, from the name ``since`` on."""
     for path in sorted(folder.glob("*.json")):
         if path.name < since:
             continue
@@ -73,12 +73,12 @@
 
 
 def site_of(entry: Entry) -> str:
-    """Its name; that of the file where the run did not come so far."""
+    """Returns the name of the site, or of the site file if the entry does not name the site."""
     return str(entry.get("site") or Path(str(entry["argv"][0])).stem)
 
 
 def signs_of(day: Mapping[str, Any]) -> tuple[str, ...]:
-    """What speaks against a day: rules broken with their counts, a fault, a gate that it failed."""
+    """Returns the broken rules of a day with their counts, "fault" for a fault, "gate" for a failed gate."""
     rules = [f"{name} {count}" for name, count in (day.get("rules") or {}).items() if count]
     fault = ["fault"] if day.get("fault") else []
     gate = ["gate"] if day.get("gate") is False else []
@@ -86,75 +86,85 @@
 
 
 def label_of(name: str, seed: int | None) -> str:
-    """A day's name without its seed; one name for all days that were drawn in the same way."""
-    plain = name.partition(" --seed ")[0].removesuffix(f"-{seed}")
-    if BENCH_DRAWN.fullmatch(plain):
+    """Returns the name of a day without its seed; randomly drawn days share a name."""
+    plain_name = name.partition(" --seed ")[0].removesuffix(f"-{seed}")
+    if BENCH_DRAWN_NAME.fullmatch(plain_name):
         return "drawn by the bench"
-    drawn = OWN_DRAWN.fullmatch(plain)
-    return f"drawn days, seed {drawn[1]}" if drawn else plain
+    match = DRAWN_NAME.fullmatch(plain_name)
+    return f"drawn days, seed {match[1]}" if match else plain_name
 
 
-def plays_of(name: str, entry: Entry) -> Iterator[Play]:
-    """Each day of one entry of the journal."""
+def runs_of(name: str, entry: Entry) -> Iterator[DayRun]:
+    """Yields the runs of a journal entry."""
     trial = str(entry.get("why") or "").lower().startswith(TRIAL)
     for day in entry["days"]:
         seed = day.get("seed")
         label = "the sealed incident" if entry["cmd"] == "incident" else label_of(str(day["name"]), seed)
-        gate_told = isinstance(day.get("gate"), bool)
-        yield Play(site_of(entry), label, seed, name, signs_of(day), gate_told, trial)
+        gate_known = isinstance(day.get("gate"), bool)
+        yield DayRun(site_of(entry), label, seed, name, signs_of(day), gate_known, trial)
 
 
 def unfinished_of(name: str, entry: Entry) -> Unfinished:
-    """An entry that ended without days."""
+    """Returns the summary of an entry without days."""
     error = str(entry.get("error") or "no days left")
     return Unfinished(name, str(entry["cmd"]), site_of(entry), str(entry.get("why") or ""), error)
 
 
-def grouped(plays: Iterable[Play]) -> dict[tuple[str, str], list[Play]]:
-    """Plays by site and day."""
-    found: dict[tuple[str, str], list[Play]] = {}
-    for play in plays:
-        found.setdefault((play.site, play.day), []).append(play)
-    return dict(sorted(found.items()))
+def group_by_day(runs: Iterable[DayRun]) -> dict[tuple[str, str], list[DayRun]]:
+    """Groups the runs by site and day."""
+    groups: dict[tuple[str, str], list[DayRun]] = {}
+    for run in runs:
+        groups.setdefault((run.site, run.day), []).append(run)
+    return dict(sorted(groups.items()))
 
 
-def told_seeds(plays: Sequence[Play]) -> str:
-    """The seeds of some plays, as a cell of the table."""
-    seeds = sorted({play.seed for play in plays if play.seed is not None})
-    if len(seeds) > MOST_SEEDS or any(seed > 99 for seed in seeds):
+def format_seeds(runs: Sequence[DayRun]) -> str:
+    """Formats the seeds of some runs as a table cell."""
+    seeds = sorted({run.seed for run in runs if run.seed is not None})
+    if len(seeds) > MAX_SEEDS or any(seed > 99 for seed in seeds):
         return f"{len(seeds)} seeds" if len(seeds) != 1 else str(seeds[0])
     return ", ".join(map(str, seeds)) or "not told"
 
 
-def told_result(plays: Sequence[Play]) -> str:
-    """How some plays of one day ended, as a cell of the table."""
-    broken = [play for play in plays if play.signs]
-    untold = sum(not play.signs and not play.gate_told for play in plays)
-    trials = sum(play.trial for play in plays)
-    parts = [f"{len(plays) - len(broken) - untold} clean"]
-    parts += [f"{untold} no gate told"] if untold else []
-    parts += [f"broken: {', '.join(play.signs)} (seed {play.seed}, {play.entry[-8:]})" for play in broken]
+def format_result(runs: Sequence[DayRun]) -> str:
+    """Formats the results of some runs of one day as a table cell."""
+    broken = [run for run in runs if run.signs]
+    gate_unknown = sum(not run.signs and not run.gate_known for run in runs)
+    trials = sum(run.trial for run in runs)
+    parts = [f"{len(runs) - len(broken) - gate_unknown} clean"]
+    parts += [f"{gate_unknown} no gate told"] if gate_unknown else []
+    parts += [f"broken: {', '.join(run.signs)} (seed {run.seed}, {run.entry[-8:]})" for run in broken]
     parts += [f"{trials} of these trials"] if trials else []
     return "; ".join(parts)
 
 
-def told_entries(plays: Sequence[Play]) -> str:
-    """The newest entries of some plays, as a cell of the table."""
-    names = list(dict.fromkeys(play.entry[-8:] for play in plays))
-    more = f" and {len(names) - MOST_ENTRIES} before" if len(names) > MOST_ENTRIES else ""
-    return " ".join(names[-MOST_ENTRIES:]) + more
+def format_entries(runs: Sequence[DayRun]) -> str:
+    """Formats the latest entries of some runs as a table cell."""
+    names = list(dict.fromkeys(run.entry[-8:] for run in runs))
+    more = f" and {len(names) - MAX_ENTRIES} before" if len(names) > MAX_ENTRIES else ""
+    return " ".join(names[-MAX_ENTRIES:]) + more
 
 
-def table(plays: Sequence[Play], unfinished: Sequence[Unfinished]) -> str:
-    """The Markdown of all plays; the last line of the first part is the sum."""
+def format_table(runs: Sequence[DayRun], unfinished: Sequence[Unfinished]) -> str:
+    """Formats the table of all runs, their totals, and the table of entries without days."""
     lines = ["| site | day | plays | seeds | result | journal |", "| --- | --- | --- | --- | --- | --- |"]
-    for (site, day), some in grouped(plays).items():
-        cells = (site, day, str(len(some)), told_seeds(some), told_result(some), told_entries(some))
+    for (site, day), day_runs in group_by_day(runs).items():
+        cells = (
+            site,
+            day,
+            str(len(day_runs)),
+            format_seeds(day_runs),
+            format_result(day_runs),
+            format_entries(day_runs),
+        )
         lines.append(f"| {' | '.join(cells)} |")
-    broken = sum(bool(play.signs) for play in plays)
-    untold = sum(not play.signs and not play.gate_told for play in plays)
-    clean = len(plays) - broken - untold
-    lines += ["", f"In all {len(plays)} plays: {clean} clean, {broken} broken, {untold} without a gate told."]
+    broken = sum(bool(run.signs) for run in runs)
+    gate_unknown = sum(not run.signs and not run.gate_known for run in runs)
+    clean = len(runs) - broken - gate_unknown
+    lines += [
+        "",
+        f"In all {len(runs)} plays: {clean} clean, {broken} broken, {gate_unknown} without a gate told.",
+    ]
     if unfinished:
         lines += ["", f"Runs that left no days, {len(unfinished)} (not counted above):", ""]
         lines += ["| journal | command | site | why | error |", "| --- | --- | --- | --- | --- |"]
@@ -165,35 +175,37 @@
     return "\n".join(lines)
 
 
-def with_table(page: str, made: str) -> str:
-    """The page with what stands between its marks replaced. Raises PageMarksError."""
+def replace_table(page: str, table: str) -> str:
+    """Returns the page with the text between its marks replaced. Raises PageMarksError."""
     before, begin, rest = page.partition(BEGIN)
     _, end, after = rest.partition(END)
     if not begin or not end:
         raise PageMarksError(f"the page needs the lines {BEGIN} and {END}")
-    return f"{before}{BEGIN}\n{made}\n{END}{after}"
+    return f"{before}{BEGIN}\n{table}\n{END}{after}"
 
 
 def main() -> int:
-    """Prints or writes the table; the exit code is 1 for a page without its marks."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--since", default="", help="the first entry's name begins so or comes later")
-    words.add_argument("--journal", type=Path, default=JOURNAL)
-    words.add_argument("--write", type=Path, help="a page with both marks")
-    given = words.parse_args()
-    entries = list(read_entries(given.journal, given.since))
-    plays = [play for name, entry in entries for play in plays_of(name, entry)]
+    """Prints or writes the table; returns the exit code, 1 for a page without the marks."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--since", default="", help="start of the name of the first entry")
+    parser.add_argument("--journal", type=Path, default=JOURNAL)
+    parser.add_argument("--write", type=Path, help="page with both marks")
+    args = parser.parse_args()
+    entries = list(read_entries(args.journal, args.since))
+    runs = [run for name, entry in entries for run in runs_of(name, entry)]
     unfinished = [unfinished_of(name, entry) for name, entry in entries if not entry["days"]]
-    made = table(plays, unfinished)
-    if given.write is None:
-        print(made)
+    table = format_table(runs, unfinished)
+    if args.write is None:
+        print(table)
         return 0
     try:
-        page = with_table(given.write.read_text(encoding="utf-8"), made)
+        page = replace_table(args.write.read_text(encoding="utf-8"), table)
     except (OSError, PageMarksError) as fault:
-        print(f"days_played: {given.write}: {fault}", file=sys.stderr)
+        print(f"days_played: {args.write}: {fault}", file=sys.stderr)
         return 1
-    given.write.write_text(page, encoding="utf-8")
+    args.write.write_text(page, encoding="utf-8")
     return 0
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,11 @@
-"""What a decision costs: the module alone, in a closed loop, by size of fleet and number of attempts out.
+"""Measures the CPU time of a request's decisions by the number of servers and of outstanding attempts.
 
     python -m benchmarks.decisions [--against CHECKOUT] [--rounds 5] [--requests 3000]
 
-A request is all of its events: asked, timers, answered. Each cell is a process of its own; with --against,
-those of another checkout take turns with this one's, and the median ratio is given. Microseconds a request,
-in the module's own calls.
+Runs the balancer module alone in a closed loop and prints microseconds per request, spent in calls of the
+module. A request includes all of its events: the request, timers and the answer. Each cell runs in its own
+process; with --against, those of another checkout alternate with those of this one, and the median ratio is
+printed. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -23,15 +24,15 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-SERVERS, OUT = (15, 100, 1000), (1, 50, 500)
+SERVER_COUNTS, OUTSTANDING_COUNTS = (15, 100, 1000), (1, 50, 500)
 
 
-def one(servers: int, out: int, requests: int) -> float:
-    """Microseconds a request, of the `hareloom` that this process finds."""
+def measure_cell(servers: int, outstanding: int, requests: int) -> float:
+    """Returns the microseconds per request with the `hareloom` that this process imports."""
     from hareloom import Balancer
     from hareloom import interface as api
 
-    chance = random.Random(servers * 1000 + out)
+    rng = random.Random(servers * 1000 + outstanding)
     classes = (
         api.RequestClass("sale", 400.0, 1200.0, worth=10.0, late_worth=0.3),
         api.RequestClass("look", 750.0, 4000.0, worth=8.0, late_worth=0.5, effect=api.Effect.SAFE),
@@ -49,76 +50,91 @@
     sends: deque[tuple[str, float]] = deque()
     running: deque[tuple[str, float]] = deque()
 
-    spent = 0.0
+    spent_s = 0.0
 
-    def give(event: Any) -> None:
-        nonlocal spent
-        begun = time.perf_counter()
+    def handle(event: Any) -> None:
+        nonlocal spent_s
+        started = time.perf_counter()
         actions = balancer.handle(now, event)
-        spent += time.perf_counter() - begun
+        spent_s += time.perf_counter() - started
         for action in actions:
             if isinstance(action, api.Send):
                 sends.append((action.request, now))
             elif isinstance(action, api.SetTimer):
                 heappush(timers, (now + action.delay_ms, action.token))
 
-    give(api.ServerList(api.ListKind.FULL, 1, entries))
+    handle(api.ServerList(api.ListKind.FULL, 1, entries))
     for step in range(requests + requests // 4):
         if step == requests // 4:
-            spent = 0.0
-        pace: Any = getattr(balancer, "limits", balancer)  # an older checkout's holds its own
-        pace.limit = max(pace.limit, out + 1.0)
-        while len(running) < out:
+            spent_s = 0.0
+        # In older checkouts, the balancer itself has the limit.
+        limit_holder: Any = getattr(balancer, "limits", balancer)
+        limit_holder.limit = max(limit_holder.limit, outstanding + 1.0)
+        while len(running) < outstanding:
             count += 1
-            give(api.Request(f"r{count}", ("sale", "look")[count % 2], now + 1200.0))
+            handle(api.Request(f"r{count}", ("sale", "look")[count % 2], now + 1200.0))
             while sends:
                 running.append(sends.popleft())
-            if count > 20 * (requests + out):
+            if count > 20 * (requests + outstanding):
                 break
         now += 2.0
         while timers and timers[0][0] <= now:
-            give(api.Timer(heappop(timers)[1]))
+            handle(api.Timer(heappop(timers)[1]))
         name, sent = running.popleft()
-        latency = now - sent + chance.uniform(30.0, 90.0)
-        give(api.AttemptEnded(name, 0, api.Outcome.OK, latency, True))
-    return spent / requests * 1e6
-
-
-def cell(checkout: Path, servers: int, out: int, requests: int) -> float:
-    words = [sys.executable, __file__, "--cell", str(servers), str(out), "--requests", str(requests)]
-    run = subprocess.run(
-        words, env=os.environ | {"PYTHONPATH": str(checkout)}, capture_output=True, check=True
+        latency = now - sent + rng.uniform(30.0, 90.0)
+        handle(api.AttemptEnded(name, 0, api.Outcome.OK, latency, True))
+    return spent_s / requests * 1e6
+
+
+def run_cell_process(checkout: Path, servers: int, outstanding: int, requests: int) -> float:
+    command = [
+        sys.executable,
+        __file__,
+        "--cell",
+        str(servers),
+        str(outstanding),
+        "--requests",
+        str(requests),
+    ]
+    completed = subprocess.run(
+        command, env=os.environ | {"PYTHONPATH": str(checkout)}, capture_output=True, check=True
     )
-    return float(run.stdout)
+    return float(completed.stdout)
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--against", type=Path, help="another checkout, measured in turn with this one")
-    words.add_argument("--rounds", type=int, default=5)
-    words.add_argument("--requests", type=int, default=3000)
-    words.add_argument("--cell", type=int, nargs=2, metavar=("SERVERS", "OUT"), help="one cell, this process")
-    given = words.parse_args()
-    if given.cell:
-        print(one(given.cell[0], given.cell[1], given.requests))
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--against", type=Path, help="another checkout, measured alternately with this one")
+    parser.add_argument("--rounds", type=int, default=5)
+    parser.add_argument("--requests", type=int, default=3000)
+    parser.add_argument(
+        "--cell", type=int, nargs=2, metavar=("SERVERS", "OUT"), help="measure one cell in this process"
+    )
+    args = parser.parse_args()
+    if args.cell:
+        print(measure_cell(args.cell[0], args.cell[1], args.requests))
         return
     rows = []
-    for servers in SERVERS:
-        for out in OUT:
-            here, there = list[float](), list[float]()
-            for _ in range(given.rounds):
-                if given.against:
-                    there.append(cell(given.against.resolve(), servers, out, given.requests))
-                here.append(cell(ROOT, servers, out, given.requests))
+    for servers in SERVER_COUNTS:
+        for outstanding in OUTSTANDING_COUNTS:
+            own_us, other_us = list[float](), list[float]()
+            for _ in range(args.rounds):
+                if args.against:
+                    other_us.append(
+                        run_cell_process(args.against.resolve(), servers, outstanding, args.requests)
+                    )
+                own_us.append(run_cell_process(ROOT, servers, outstanding, args.requests))
             row: dict[str, Any] = {
                 "servers": servers,
-                "out": out,
-                "cpu_us": round(statistics.median(here), 1),
+                "out": outstanding,
+                "cpu_us": round(statistics.median(own_us), 1),
             }
-            if there:
-                ratios = [new / old for new, old in zip(here, there, strict=True)]
+            if other_us:
+                ratios = [new / old for new, old in zip(own_us, other_us, strict=True)]
                 row |= {
-                    "against_us": round(statistics.median(there), 1),
+                    "against_us": round(statistics.median(other_us), 1),
                     "ratio": round(statistics.median(ratios), 3),
                 }
             rows.append(row)
--- a/benchmarks/deployment_kinds.py
+++ b/benchmarks/deployment_kinds.py
@@ -1,6 +1,5 @@
-"""Kinds of deployments that are drawn beside the plain ones: each fixes one thing that constants may hang on.
-
-A kind says what is other than in a plain drawn deployment; all else is drawn as ever.
+"""Kinds of drawn deployments. Each fixes one property on which constants of the mesh may depend; everything
+else is drawn as for a plain deployment.
 """
 
 from __future__ import annotations
@@ -11,17 +10,17 @@
 
 @dataclass(frozen=True)
 class DeploymentKind:
-    """What is fixed in place of drawn; none of a thing leaves it drawn."""
+    """The properties that are fixed; None, or the default, leaves a property to be drawn."""
 
     name: str
     core_count: int | None = None
-    counted: bool = True  # whether any loss at all is tolerated
+    tolerates_losses: bool = True  # whether any loss is tolerated
     region_count: int | None = None
-    times: float = 1.0  # factor on what calls take, aim at and may take
-    longest_deadline_ms: float | None = None  # of the kind of request with the longest; all times go along
-    single_upstream: bool = False  # one of the services has one upstream
+    time_factor: float = 1.0  # factor for the work, aim and deadline of calls
+    longest_deadline_ms: float | None = None  # of all request classes; all their times scale with it
+    single_upstream: bool = False  # one of the services has only one upstream
     bounds: Mapping[str, float] = field(default_factory=dict)
-    net: Mapping[str, float] = field(default_factory=dict)
+    network: Mapping[str, float] = field(default_factory=dict)
 
 
 PLAIN = DeploymentKind("plain")
@@ -29,13 +28,13 @@
     kind.name: kind
     for kind in (
         PLAIN,
-        DeploymentKind("fast", times=0.1),
+        DeploymentKind("fast", time_factor=0.1),
         DeploymentKind("short-deadlines", longest_deadline_ms=95.0),
-        DeploymentKind("far-regions", region_count=2, net={"cross_region_ms": 55.0}),
+        DeploymentKind("far-regions", region_count=2, network={"cross_region_ms": 55.0}),
         DeploymentKind("core-1", core_count=1),
         DeploymentKind("core-9", core_count=9),
         DeploymentKind("core-11", core_count=11),
-        DeploymentKind("none-counted", counted=False),
+        DeploymentKind("none-counted", tolerates_losses=False),
         DeploymentKind("grace-2", bounds={"grace_s": 2}),
         DeploymentKind("grace-30", bounds={"grace_s": 30}),
         DeploymentKind("settle-700", bounds={"config_ms": 700}),
--- a/tests/mesh/test_benchmarks_mesh.py
+++ b/tests/mesh/test_benchmarks_mesh.py
@@ -68,8 +68,8 @@
 @settings(max_examples=150, deadline=None)
 @given(seed=st.integers(0, 2**32))
 def test_a_drawn_deployment_names_its_own_places_and_can_bear_what_it_says(seed: int) -> None:
-    first, site = like(), draw_deployments.drawn(like(), "n", "w.json", random.Random(seed))
-    assert site == draw_deployments.drawn(like(), "n", "w.json", random.Random(seed))
+    first, site = like(), draw_deployments.draw_site(like(), "n", "w.json", random.Random(seed))
+    assert site == draw_deployments.draw_site(like(), "n", "w.json", random.Random(seed))
     assert tomllib.loads(tomli_w.dumps(site)) == site
     zones = [zone["name"] for zone in site["zones"]]
     regions = {zone["region"] for zone in site["zones"]}
@@ -100,7 +100,7 @@
 
 
 def of_kind(name: str, seed: int) -> dict[str, Any]:
-    return draw_deployments.drawn(like(), "n", "w.json", random.Random(seed), KINDS[name])
+    return draw_deployments.draw_site(like(), "n", "w.json", random.Random(seed), KINDS[name])
 
 
 @settings(max_examples=40, deadline=None)
@@ -138,8 +138,8 @@
     for one in (plain, site):
         sides = [m for m in one["machines"] if m["class"] == "side"]
         assert {m["zone"] for m in sides} == {zone["name"] for zone in one["zones"]}
-    usual = {one["name"]: draw_deployments.power(one, 2) for one in like()["services"]}  # of two upstreams
-    power = {s["name"]: draw_deployments.power(s, per_service[s["name"]]) for s in site["services"]}
+    usual = {one["name"]: draw_deployments.capacity(one, 2) for one in like()["services"]}  # of two upstreams
+    power = {s["name"]: draw_deployments.capacity(s, per_service[s["name"]]) for s in site["services"]}
     per_s = sum(entry["per_s"] for entry in site["traffic"])
     assert per_s <= 30.0 * min(power[name] / usual[name] for name in usual) + 0.5  # the one upstream bears it
 
@@ -150,7 +150,7 @@
     broken = like()
     del broken["net"]
     with pytest.raises(draw_deployments.SiteFileError, match=r"plain: KeyError\('net'\)"):
-        draw_deployments.drawn(broken, "n", "w.json", random.Random(1))
+        draw_deployments.draw_site(broken, "n", "w.json", random.Random(1))
     inside = draw_deployments.ROOT / "benchmarks" / "drawn"
     monkeypatch.setattr("sys.argv", ["draw", "site.toml", "--out", str(inside), "--seed", "1"])
     assert draw_deployments.main() == 2
--- a/tests/mesh/test_draw_days.py
+++ b/tests/mesh/test_draw_days.py
@@ -108,8 +108,8 @@
 def test_the_same_seed_gives_the_same_valid_day_inside_the_sites_bounds() -> None:
     one, plain = drawer(), site()
     for number in range(50):
-        day = one.day(f"d-{number}", number, f"s/{number}")
-        assert day == one.day(f"d-{number}", number, f"s/{number}") == tomllib.loads(tomli_w.dumps(day))
+        day = one.draw_day(f"d-{number}", number, f"s/{number}")
+        assert day == one.draw_day(f"d-{number}", number, f"s/{number}") == tomllib.loads(tomli_w.dumps(day))
         assert [*HOWS][number % len(HOWS)] in {entry["kind"] for entry in day["plan"] + day["faults"]}
         for entry in day["plan"] + day["faults"]:
             assert 0 < entry["at"] < plain["length_s"]
@@ -121,7 +121,7 @@
 
 def test_every_kind_variant_moment_and_closing_fault_comes_up() -> None:
     one = drawer()
-    days = [one.day("d", number, f"s/{number}") for number in range(600)]
+    days = [one.draw_day("d", number, f"s/{number}") for number in range(600)]
     entries = [entry for day in days for part in ("plan", "faults") for entry in day[part]]
     for name, hows in HOWS.items():
         seen = {word for entry in entries if entry["kind"] == name for word in entry.get("how", "").split()}
@@ -218,7 +218,7 @@
 
 
 def test_what_closes_a_day_can_be_taken_out_too() -> None:
-    day = drawer().day("d", 0, "s") | {"closing": {"kind": "dark_all"}}
+    day = drawer().draw_day("d", 0, "s") | {"closing": {"kind": "dark_all"}}
     whole = removable_items(day)
     assert day_with(day, whole) == day
     assert "closing" not in day_with(day, whole[:-1]) and day_with(day, [whole[-1]])["faults"] == []
--- a/tests/mesh/test_tolerated_losses.py
+++ b/tests/mesh/test_tolerated_losses.py
@@ -61,8 +61,8 @@
 
 def days(one: Drawer, bounded: bool, monkeypatch: pytest.MonkeyPatch) -> list[list[dict[str, Any]]]:
     if not bounded:
-        monkeypatch.setattr(Drawer, "bounded", lambda _, drawn: drawn)
-    found = [one.entries(list(one.kinds)[n % 4], random.Random(n)) for n in range(300)]
+        monkeypatch.setattr(Drawer, "limit_losses", lambda _, drawn: drawn)
+    found = [one.draw_entries(list(one.kinds)[n % 4], random.Random(n)) for n in range(300)]
     return [day["plan"] + day["faults"] for day in found]
 
 
@@ -88,7 +88,7 @@
     roll = {"at": 1.0, "kind": "roll_term", "how": "busy remove", "share": 0.84}
     leave = {"at": 2.0, "kind": "scale_in", "share": 0.3}
     spot = {"at": 3.0, "kind": "scale_in", "share": 0.3, "how": "spot"}
-    kept = drawer().bounded({"plan": [roll, {**roll, "at": 1.5}, leave, spot], "faults": []})
+    kept = drawer().limit_losses({"plan": [roll, {**roll, "at": 1.5}, leave, spot], "faults": []})
     assert kept["plan"] == [
         {**roll, "share": MAX_LOST_UPSTREAM_SHARE},
         {**roll, "at": 1.5, "how": "busy"},
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(("core", "left"), [(1, 0), (2, 0), (3, 1), (9, 4)])
 def test_a_majority_of_the_core_stays(core: int, left: int) -> None:
     roll = {"at": 1.0, "kind": "roll_term", "on": "core", "how": "remove", "share": 1.0}
-    (entry,) = drawer(core).bounded({"plan": [roll], "faults": []})["plan"]
+    (entry,) = drawer(core).limit_losses({"plan": [roll], "faults": []})["plan"]
     assert (entry.get("count", 0), "how" in entry) == (left, left > 0)
 
 
