--- a/benchmarks/mesh_news.py
+++ b/benchmarks/mesh_news.py
@@ -55,7 +55,7 @@
 
     messages: float = 0.0
     bytes: float = 0.0
-    alive: float = 0.0
+    alive: float = 0.0  # heartbeats
     cpu_ms: float = 0.0
 
     def since(self, before: Usage, divisor: float) -> dict[str, float]:
--- a/rigs/market.py
+++ b/rigs/market.py
@@ -20,10 +20,8 @@
 from rigs.rpc_peer import RpcCaller, RpcServer
 
 DRAIN_LIMIT_S = 2.05  # the limit of 2 s, plus 50 ms for delays on sockets
-DISCOVERY_NOTICE_S = 6.0  # a drain counts as published after this time, even if the message did not arrive
-DEADLINE_SLACK_S = (
-    0.25  # a response counts as late only this long after the deadline, as the machine may be busy
-)
+NOTICE_LIMIT_S = 6.0  # after this time a drain counts as told, even if discovery did not send it
+DEADLINE_SLACK_S = 0.25  # after the deadline, before a response counts as late on a busy machine
 OVERLOAD_WINDOW_S = 0.5  # a starting server fails if it is overloaded for this long
 OVERLOAD_FACTOR = 2.0  # overload: this multiple of its current capacity
 MIN_OVERLOAD_CALLS = 5  # fewer calls in the window may be a random burst
@@ -35,7 +33,7 @@
 
     name: str
     repeat: str  # "never", "keyed" or "free"
-    rate: float  # calls a second
+    rate: float  # calls per second
     given_up_ms: float
     burst: int = 1  # calls that start together
     size: int = 64  # bytes of the body
@@ -74,8 +72,8 @@
                 kind.remembered_by
             ]
             now = time.monotonic()
-            since = self._keys.get((kind.name, scope, key))
-            if since is not None and (now - since) * 1000.0 < kind.remembers_ms:
+            first_run_at = self._keys.get((kind.name, scope, key))
+            if first_run_at is not None and (now - first_run_at) * 1000.0 < kind.remembers_ms:
                 return
             self._keys[kind.name, scope, key] = now
         self.runs[kind.name][call] += 1
@@ -84,9 +82,9 @@
         """Returns the number of calls that ran more than once although their kind does not allow it."""
         return sum(
             count > 1
-            for name, counted in self.runs.items()
+            for name, runs_by_call in self.runs.items()
             if self.kinds[name].repeat != "free"
-            for count in counted.values()
+            for count in runs_by_call.values()
         )
 
 
@@ -107,7 +105,7 @@
         self.zone, self.cell, self.capacity = zone, cell, capacity
         self.health, self.started_ms, self.dial, self.dial_rpc = "up", 0.0, "", ""
         self.cold_share, self.warm_up_s, self.started_at = 1.0, 0.0, 0.0
-        self.drain_started_at = self.drain_published_at = -1.0  # -1: not yet
+        self.drained_at = self.listed_at = -1.0  # start of its drain, and when discovery told it
         self.calls_received, self.late_calls, self.max_overload = 0, 0, 0.0
         self.connections: set[asyncio.Transport] = set()
         self._recent: deque[float] = deque()
@@ -156,14 +154,9 @@
         now = time.monotonic()
         self.calls_received += 1
         if (
-            self.drain_started_at >= 0
+            self.drained_at >= 0
             and now
-            > (
-                self.drain_published_at
-                if self.drain_published_at >= 0
-                else self.drain_started_at + DISCOVERY_NOTICE_S
-            )
-            + DRAIN_LIMIT_S
+            > (self.listed_at if self.listed_at >= 0 else self.drained_at + NOTICE_LIMIT_S) + DRAIN_LIMIT_S
         ):
             self.late_calls += 1
         if self.warm_up_s > 0 and now < self.started_at + self.warm_up_s:
@@ -328,7 +321,7 @@
             connection.send()
 
     def drain(self, server: Server) -> None:
-        server.health, server.drain_started_at = "draining", time.monotonic()
+        server.health, server.drained_at = "draining", time.monotonic()
         self.publish()
 
     def remove(self, server: Server) -> None:
@@ -362,7 +355,7 @@
 
 
 class _Discovery(fleet.OrderServer):
-    """One discovery connection: a watch is held until there is a change or its wait time is over."""
+    """One connection to discovery. A watch is held until a change or the end of its wait time."""
 
     def __init__(self, market: Market) -> None:
         super().__init__()
@@ -386,8 +379,8 @@
         if self.transport.is_closing():
             return
         for server in self.market.listed:
-            if server.drain_started_at >= 0 and server.drain_published_at < 0:
-                server.drain_published_at = time.monotonic()
+            if server.drained_at >= 0 and server.listed_at < 0:
+                server.listed_at = time.monotonic()
         body = json.dumps({"seq": self.market.seq, "whole": True, "hosts": self.market.hosts()}).encode()
         self.transport.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
 
--- a/tests/test_configure_real.py
+++ b/tests/test_configure_real.py
@@ -150,7 +150,7 @@
 def test_with_a_wrong_discovery_address_drains_are_not_kept(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("rigs.market.DISCOVERY_NOTICE_S", 0.0)  # do not wait for the 6 s of the protocol
+    monkeypatch.setattr("rigs.market.NOTICE_LIMIT_S", 0.0)  # do not wait for the 6 s of the protocol
 
     async def drain_one(market: Market, running: fleet.RunningSidecar) -> None:
         await asyncio.sleep(0.5)
