--- a/tests/mesh/test_benchmarks_mesh.py
+++ b/tests/mesh/test_benchmarks_mesh.py
@@ -1,4 +1,4 @@
-"""The mesh's benchmarks at their smallest: that they see what they are to see, without ports or real time."""
+"""The mesh's benchmarks at their smallest sizes, without ports or real time."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from simulation.mesh.seeds import pulls_are_not_repeated
 
 
-def like() -> dict[str, Any]:
-    """A deployment of three zones in the form of the bench's site files, as plain as it can be."""
+def base_site() -> dict[str, Any]:
+    """A minimal deployment with three zones, in the format of the bench's site files."""
     side = {"class": "side", "cpu_share": 1.0, "memory_mb": 200, "fds": 1000}
     core = {"class": "core", "cpu_share": 0.5, "memory_mb": 100, "fds": 500, "spare": 1}
     zones, shape = ("a", "b", "c"), {"kind": "wave", "phase": 0.1}
@@ -67,15 +67,15 @@
 
 @settings(max_examples=150, deadline=None)
 @given(seed=st.integers(0, 2**32))
-def test_a_drawn_deployment_names_its_own_places_and_can_bear_what_it_says(seed: int) -> None:
-    first, site = like(), draw_deployments.draw_site(like(), "n", "w.json", random.Random(seed))
-    assert site == draw_deployments.draw_site(like(), "n", "w.json", random.Random(seed))
+def test_a_drawn_deployment_refers_to_its_own_places_and_survives_its_tolerated_losses(seed: int) -> None:
+    first, site = base_site(), draw_deployments.draw_site(base_site(), "n", "w.json", random.Random(seed))
+    assert site == draw_deployments.draw_site(base_site(), "n", "w.json", random.Random(seed))
     assert tomllib.loads(tomli_w.dumps(site)) == site
     zones = [zone["name"] for zone in site["zones"]]
     regions = {zone["region"] for zone in site["zones"]}
     assert 1 <= len(zones) <= 5 and len(regions) <= min(2, len(zones))
     machines = {kind: [m for m in site["machines"] if m["class"] == kind] for kind in ("side", "core")}
-    assert {m["zone"] for m in machines["side"]} == set(zones)  # clients live on them
+    assert {m["zone"] for m in machines["side"]} == set(zones)  # clients run on them
     assert {m["app"] for m in machines["side"]} == {"x", "y"}
     (day,) = site["day"]
     for traffic in (site["traffic"], day["traffic"]):
@@ -86,9 +86,9 @@
 
     cores = [m["count"] for m in machines["core"]]
     assert 1 <= sum(cores) <= 9 and {m["zone"] for m in machines["core"]} <= set(zones)
-    lost = site["tolerate"]
-    assert 2 * lost["machines"] < sum(cores)
-    if lost["zones"]:
+    tolerated = site["tolerate"]
+    assert 2 * tolerated["machines"] < sum(cores)
+    if tolerated["zones"]:
         assert len(zones) >= 3 and 2 * max(cores) < sum(cores)
         assert any(entry.get("share") == 1.0 for entry in day["faults"])
     for machine in site["machines"]:
@@ -99,37 +99,37 @@
     assert site["bounds"]["closed"] is False
 
 
-def of_kind(name: str, seed: int) -> dict[str, Any]:
-    return draw_deployments.draw_site(like(), "n", "w.json", random.Random(seed), KINDS[name])
+def draw_of_kind(name: str, seed: int) -> dict[str, Any]:
+    return draw_deployments.draw_site(base_site(), "n", "w.json", random.Random(seed), KINDS[name])
 
 
 @settings(max_examples=40, deadline=None)
 @given(seed=st.integers(0, 2**32))
-def test_a_kind_of_deployment_fixes_what_it_names_and_leaves_the_rest_drawn(seed: int) -> None:
-    plain = of_kind("plain", seed)
+def test_a_kind_of_deployment_fixes_only_its_own_properties(seed: int) -> None:
+    plain = draw_of_kind("plain", seed)
     for count in (1, 9, 11):
-        machines = of_kind(f"core-{count}", seed)["machines"]
+        machines = draw_of_kind(f"core-{count}", seed)["machines"]
         assert sum(m["count"] for m in machines if m["class"] == "core") == count
-    assert of_kind("none-counted", seed)["tolerate"] == {"machines": 0, "zones": 0, "regions": 0}
-    far = of_kind("far-regions", seed)
+    assert draw_of_kind("none-counted", seed)["tolerate"] == {"machines": 0, "zones": 0, "regions": 0}
+    far = draw_of_kind("far-regions", seed)
     assert far["net"]["cross_region_ms"] == 55.0 and len({zone["region"] for zone in far["zones"]}) == 2
     bounds = {"grace-2": ("grace_s", 2), "grace-30": ("grace_s", 30), "settle-700": ("config_ms", 700)}
     for name, (key, value) in {**bounds, "ack-1500": ("ack_ms", 1500)}.items():
-        site = of_kind(name, seed)
+        site = draw_of_kind(name, seed)
         assert site["bounds"] == {**plain["bounds"], key: value} and site["machines"] == plain["machines"]
-    (usual,), (fast,) = plain["classes"], of_kind("fast", seed)["classes"]
-    assert fast["aim_ms"] == pytest.approx(usual["aim_ms"] / 10, abs=0.1)
-    assert fast["work_ms"] == {"median": pytest.approx(2.0), "sigma": 0.5}  # its shape is kept
-    (short,) = of_kind("short-deadlines", seed)["classes"]
+    (plain_class,), (fast,) = plain["classes"], draw_of_kind("fast", seed)["classes"]
+    assert fast["aim_ms"] == pytest.approx(plain_class["aim_ms"] / 10, abs=0.1)
+    assert fast["work_ms"] == {"median": pytest.approx(2.0), "sigma": 0.5}  # its shape is unchanged
+    (short,) = draw_of_kind("short-deadlines", seed)["classes"]
     assert short["deadline_ms"] == pytest.approx(95, rel=0.01)
-    ratio = usual["work_ms"]["median"] / usual["deadline_ms"]
+    ratio = plain_class["work_ms"]["median"] / plain_class["deadline_ms"]
     assert short["work_ms"]["median"] / short["deadline_ms"] == pytest.approx(ratio, rel=0.01)
 
 
 @settings(max_examples=40, deadline=None)
 @given(seed=st.integers(0, 2**32))
-def test_a_service_of_one_upstream_leaves_every_zone_its_machines(seed: int) -> None:
-    plain, site = of_kind("plain", seed), of_kind("single-upstream", seed)
+def test_a_service_with_a_single_upstream_leaves_machines_in_every_zone(seed: int) -> None:
+    plain, site = draw_of_kind("plain", seed), draw_of_kind("single-upstream", seed)
     per_service = dict.fromkeys("xy", 0)
     for machine in site["machines"]:
         if machine["class"] == "side":
@@ -138,16 +138,18 @@
     for one in (plain, site):
         sides = [m for m in one["machines"] if m["class"] == "side"]
         assert {m["zone"] for m in sides} == {zone["name"] for zone in one["zones"]}
-    usual = {one["name"]: draw_deployments.capacity(one, 2) for one in like()["services"]}  # of two upstreams
-    power = {s["name"]: draw_deployments.capacity(s, per_service[s["name"]]) for s in site["services"]}
+    # Each service of the base site has two upstreams.
+    base_capacities = {one["name"]: draw_deployments.capacity(one, 2) for one in base_site()["services"]}
+    capacities = {s["name"]: draw_deployments.capacity(s, per_service[s["name"]]) for s in site["services"]}
     per_s = sum(entry["per_s"] for entry in site["traffic"])
-    assert per_s <= 30.0 * min(power[name] / usual[name] for name in usual) + 0.5  # the one upstream bears it
+    # The single upstream can handle the traffic.
+    assert per_s <= 30.0 * min(capacities[name] / base_capacities[name] for name in base_capacities) + 0.5
 
 
-def test_a_site_without_its_parts_and_a_folder_of_the_repository_are_refused(
+def test_an_incomplete_site_and_a_folder_inside_the_repository_are_rejected(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    broken = like()
+    broken = base_site()
     del broken["net"]
     with pytest.raises(draw_deployments.SiteFileError, match=r"plain: KeyError\('net'\)"):
         draw_deployments.draw_site(broken, "n", "w.json", random.Random(1))
@@ -157,12 +159,12 @@
     assert "give a folder outside" in capsys.readouterr().err and not inside.exists()
 
 
-def test_drawn_files_stand_beside_what_their_messages_look_like(
+def test_drawn_files_are_written_next_to_a_copy_of_the_wire_format(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    (tmp_path / "plain.toml").write_text(tomli_w.dumps(like()))
+    (tmp_path / "plain.toml").write_text(tomli_w.dumps(base_site()))
     (tmp_path / "wire.json").write_text("{}")
-    words = [
+    arguments = [
         "draw",
         str(tmp_path / "plain.toml"),
         "--out",
@@ -172,7 +174,7 @@
         "--count",
         "3",
     ]
-    monkeypatch.setattr("sys.argv", words)
+    monkeypatch.setattr("sys.argv", arguments)
     assert draw_deployments.main() == 0
     files = sorted((tmp_path / "out").glob("*.toml"))
     assert [file.name for file in files] == [f"drawn-1-{number}.toml" for number in range(3)]
--- a/tests/mesh/test_days_played.py
+++ b/tests/mesh/test_days_played.py
@@ -1,4 +1,4 @@
-"""The table of days played, from journal entries of the bench's form; and sites composed of own days."""
+"""The table of the days that were run, from journal entries like the bench's; and composed sites."""
 
 from __future__ import annotations
 
@@ -46,37 +46,37 @@
     return tmp_path
 
 
-def called(monkeypatch: pytest.MonkeyPatch, *words: object) -> int:
-    monkeypatch.setattr("sys.argv", ["days_played", *map(str, words)])
+def run_main(monkeypatch: pytest.MonkeyPatch, *arguments: object) -> int:
+    monkeypatch.setattr("sys.argv", ["days_played", *map(str, arguments)])
     return days_played.main()
 
 
-def test_the_table_tells_every_play_and_what_did_not_finish(
+def test_the_table_lists_all_runs_and_unfinished_ones(
     journal: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert called(monkeypatch, "--journal", journal) == 0
+    assert run_main(monkeypatch, "--journal", journal) == 0
     lines = capsys.readouterr().out.splitlines()
     assert lines[2:5] == ROWS
     assert "In all 6 plays: 4 clean, 1 broken, 1 without a gate told." in lines
     assert lines[-1] == "| dddddddd | hunt | plain | a hunt | the run did not finish |"
 
 
-def test_a_page_keeps_all_but_its_table_and_needs_both_marks(
+def test_a_page_keeps_everything_but_its_table_and_needs_both_marks(
     journal: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     page = tmp_path / "page.md"
     page.write_text(f"before\n{days_played.BEGIN}\nan old table\n{days_played.END}\nafter\n")
-    words = ("--journal", journal, "--since", "20261202T050004", "--write", page)
-    assert called(monkeypatch, *words) == called(monkeypatch, *words) == 0
+    arguments = ("--journal", journal, "--since", "20261202T050004", "--write", page)
+    assert run_main(monkeypatch, *arguments) == run_main(monkeypatch, *arguments) == 0
     lines = page.read_text().splitlines()
     assert (lines[0], lines[-1], "an old table" in lines) == ("before", "after", False)
     assert lines[4] == ROWS[1] and "aaaaaaaa" not in page.read_text()
     page.write_text("no marks\n")
-    assert called(monkeypatch, *words) == 1
+    assert run_main(monkeypatch, *arguments) == 1
     assert "needs the lines" in capsys.readouterr().err and page.read_text() == "no marks\n"
 
 
-OWN = {
+OWN_DAY = {
     "name": "cut",
     "seed": 9,
     "plan": [],
@@ -86,44 +86,47 @@
 
 
 def write_site(folder: Path) -> Path:
-    usual = {"name": "quiet", "seed": 1, "floor_zones": [0.4], "closing": {"kind": "x"}, "slot": "quiet"}
+    site_day = {"name": "quiet", "seed": 1, "floor_zones": [0.4], "closing": {"kind": "x"}, "slot": "quiet"}
     path = folder / "plain.toml"
-    path.write_text(tomli_w.dumps({"name": "plain", "wire": "wire.json", "day": [usual]}))
+    path.write_text(tomli_w.dumps({"name": "plain", "wire": "wire.json", "day": [site_day]}))
     (folder / "wire.json").write_text("{}")
-    (folder / "cut.toml").write_text(tomli_w.dumps(OWN))
+    (folder / "cut.toml").write_text(tomli_w.dumps(OWN_DAY))
     return path
 
 
-def test_a_composed_site_has_each_day_with_each_seed_and_no_floor_or_closing_of_the_sites_own(
+def test_a_composed_site_has_each_day_with_each_seed_without_floors_or_closing_fault_of_the_site(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    words = [write_site(tmp_path), tmp_path / "cut.toml", "--out", tmp_path / "out", "--seeds", 1, 2]
-    monkeypatch.setattr("sys.argv", ["compose_site", *map(str, words)])
+    arguments = [write_site(tmp_path), tmp_path / "cut.toml", "--out", tmp_path / "out", "--seeds", 1, 2]
+    monkeypatch.setattr("sys.argv", ["compose_site", *map(str, arguments)])
     assert compose_site.main() == 0
     path = Path(capsys.readouterr().out.strip())
-    made = tomllib.loads(path.read_text())
-    assert (made["name"], (path.parent / made["wire"]).read_text()) == ("plain", "{}")
-    expected = [{"slot": "quiet", **OWN, "name": f"cut-{seed}", "seed": seed} for seed in (1, 2)]
-    assert made["day"] == expected
-    assert compose_site.with_seeds([OWN], []) == [OWN]
+    composed = tomllib.loads(path.read_text())
+    assert (composed["name"], (path.parent / composed["wire"]).read_text()) == ("plain", "{}")
+    expected = [{"slot": "quiet", **OWN_DAY, "name": f"cut-{seed}", "seed": seed} for seed in (1, 2)]
+    assert composed["day"] == expected
+    assert compose_site.with_seeds([OWN_DAY], []) == [OWN_DAY]
 
 
 @pytest.mark.parametrize("path", sorted((compose_site.ROOT / "benchmarks" / "days").glob("*.toml")))
-def test_an_own_day_bears_its_files_name_and_begins_within_the_traffic(path: Path) -> None:
-    own = read_day(path)
-    entries = own["plan"] + own["faults"]
-    assert own["name"] == path.stem and own["goal"] == {"floor": 0.0}
+def test_a_kept_day_is_named_like_its_file_and_its_entries_begin_during_the_traffic(path: Path) -> None:
+    kept_day = read_day(path)
+    entries = kept_day["plan"] + kept_day["faults"]
+    assert kept_day["name"] == path.stem and kept_day["goal"] == {"floor": 0.0}
     assert entries and all(0 < entry["at"] < 30 and entry["kind"] for entry in entries)
 
 
-def test_a_day_without_its_parts_and_a_folder_of_the_repository_are_refused(
+def test_an_incomplete_day_and_a_folder_inside_the_repository_are_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     site, bad = write_site(tmp_path), tmp_path / "bad.toml"
     bad.write_text('name = "bad"\nplan = []\n')
     with pytest.raises(DayFileError, match="seed, faults missing"):
         read_day(bad)
-    for out, code, said in ((tmp_path, 1, "seed, faults missing"), (compose_site.ROOT, 2, "give a folder")):
+    for out, code, message in (
+        (tmp_path, 1, "seed, faults missing"),
+        (compose_site.ROOT, 2, "give a folder"),
+    ):
         monkeypatch.setattr("sys.argv", ["compose_site", str(site), str(bad), "--out", str(out)])
         assert compose_site.main() == code
-        assert said in capsys.readouterr().err
+        assert message in capsys.readouterr().err
--- a/tests/mesh/test_draw_days.py
+++ b/tests/mesh/test_draw_days.py
@@ -1,4 +1,4 @@
-"""Days drawn from made-up kinds of troubles, played by a stand-in of the bench, read, and taken apart."""
+"""Random days with made-up kinds of faults: drawn, run by a stand-in for the bench, evaluated and reduced."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 news: how: one two three
 more_news: the same, of count items; on all: soon; how far: those too
 """
-HOWS = {
+VARIANTS_BY_KIND = {
     "srv_halt": {"quick", "slow", "near"},
     "srv_lie": {"loud", "mute", "ill"},
     "roll_all": {"off"},
@@ -80,55 +80,65 @@
     return drawers([site()], [text])[0]
 
 
-def test_kinds_variants_and_figures_are_read_from_what_is_printed() -> None:
-    said = parse_kinds_text(KINDS)
-    assert {kind.name: {*kind.variants, *kind.modifiers} for kind in said.kinds} == HOWS
-    kinds = {kind.name: kind for kind in said.kinds}
+def test_kinds_variants_and_figures_are_parsed_from_the_output() -> None:
+    parsed = parse_kinds_text(KINDS)
+    assert {kind.name: {*kind.variants, *kind.modifiers} for kind in parsed.kinds} == VARIANTS_BY_KIND
+    kinds = {kind.name: kind for kind in parsed.kinds}
     assert kinds["srv_halt"].modifiers == ("near",)
     assert kinds["srv_halt"].figures == {"share": 0.2, "x": 3.0}
     assert kinds["roll_all"].has_integer_x
-    assert [kinds[name].target for name in HOWS] == ["servers", "servers", "machines", "machines", *[""] * 5]
+    assert [kinds[name].target for name in VARIANTS_BY_KIND] == [
+        "servers",
+        "servers",
+        "machines",
+        "machines",
+        *[""] * 5,
+    ]
     assert kinds["crowd"].places == ("zone", "class")
-    assert said.selectors == {"machines": ("first", "last"), "servers": ("everyone", "lone")}
-    assert (said.machine_modifiers, said.kind_modifiers, said.cut_variants) == (
+    assert parsed.selectors == {"machines": ("first", "last"), "servers": ("everyone", "lone")}
+    assert (parsed.machine_modifiers, parsed.kind_modifiers, parsed.cut_variants) == (
         ("again", "soon"),
         {"srv_halt": ("loud",)},
         ("noisy",),
     )
-    assert (said.closing_kinds, said.closing_variants) == (("dark_all", "lose_all"), ("late", "early"))
-    assert said.figures == {"count": 1.0, "for_s": 4.0, "gap_s": 2.0}
+    assert (parsed.closing_kinds, parsed.closing_variants) == (("dark_all", "lose_all"), ("late", "early"))
+    assert parsed.figures == {"count": 1.0, "for_s": 4.0, "gap_s": 2.0}
 
 
 @pytest.mark.parametrize("text", ["", "unknown verb: kinds", "one\n\ntwo three\n"])
-def test_a_text_without_kinds_is_refused(text: str) -> None:
+def test_a_text_without_kinds_is_rejected(text: str) -> None:
     with pytest.raises(KindsTextError):
         parse_kinds_text(text)
 
 
-def test_the_same_seed_gives_the_same_valid_day_inside_the_sites_bounds() -> None:
+def test_the_same_seed_gives_the_same_valid_day_within_the_bounds_of_the_site() -> None:
     one, plain = drawer(), site()
     for number in range(50):
         day = one.draw_day(f"d-{number}", number, f"s/{number}")
         assert day == one.draw_day(f"d-{number}", number, f"s/{number}") == tomllib.loads(tomli_w.dumps(day))
-        assert [*HOWS][number % len(HOWS)] in {entry["kind"] for entry in day["plan"] + day["faults"]}
+        assert [*VARIANTS_BY_KIND][number % len(VARIANTS_BY_KIND)] in {
+            entry["kind"] for entry in day["plan"] + day["faults"]
+        }
         for entry in day["plan"] + day["faults"]:
             assert 0 < entry["at"] < plain["length_s"]
             assert 0 < entry.get("share", 1) <= 1 and entry.get("count", 1) >= 1
             assert entry.get("zone", "a") in "ab" and entry.get("class", "read") == "read"
         assert (day["goal"], day["floor_zones"]) == ({"floor": 0.25, "mark": 0.9}, [0.2])
-    assert one.site == plain  # untouched
+    assert one.site == plain  # not modified
 
 
-def test_every_kind_variant_moment_and_closing_fault_comes_up() -> None:
+def test_every_kind_variant_time_and_closing_fault_occurs() -> None:
     one = drawer()
     days = [one.draw_day("d", number, f"s/{number}") for number in range(600)]
     entries = [entry for day in days for part in ("plan", "faults") for entry in day[part]]
-    for name, hows in HOWS.items():
+    for name, variants in VARIANTS_BY_KIND.items():
         seen = {word for entry in entries if entry["kind"] == name for word in entry.get("how", "").split()}
-        assert hows <= seen, name
+        assert variants <= seen, name
         assert any("how" not in entry for entry in entries if entry["kind"] == name)
-    said = {word for entry in entries if entry["kind"] == "core_cut" for word in entry.get("how", "").split()}
-    assert {"first", "last", "again", "soon", "noisy"} <= said
+    words = {
+        word for entry in entries if entry["kind"] == "core_cut" for word in entry.get("how", "").split()
+    }
+    assert {"first", "last", "again", "soon", "noisy"} <= words
     assert any(entry.get("on") == "core" for entry in entries if entry["kind"] == "roll_all")
     assert all("to_zone" in entry for entry in entries if "near" in entry.get("how", ""))
     assert {entry["kind"] for day in days for entry in day["plan"]} == {"news", "roll_all"}
@@ -167,23 +177,23 @@
         (0, "row\n", [record(rules=None)], "unclear", ()),
     ],
 )
-def test_an_end_is_clean_only_where_the_bench_says_so(
+def test_a_result_is_clean_only_if_the_bench_states_it(
     code: int | None, out: str, found: list[dict[str, Any]], state: str, signs: tuple[str, ...]
 ) -> None:
-    read = parse_result(code, out, found)
-    assert (read.state, read.signs) == (state, signs)
+    parsed = parse_result(code, out, found)
+    assert (parsed.state, parsed.signs) == (state, signs)
 
 
-def test_a_report_tells_of_a_bad_end_only() -> None:
-    said: dict[str, Any] = {"breaks": {}, "fault": None, "short": []}
-    assert parse_result(0, "", list(find_records(said))).state == "unclear"
+def test_a_report_shows_failures_only() -> None:
+    report: dict[str, Any] = {"breaks": {}, "fault": None, "short": []}
+    assert parse_result(0, "", list(find_records(report))).state == "unclear"
     first = [{"rule": "LOST", "at_s": 3.5, "what": "an answer"}]
-    lost = parse_result(0, "", list(find_records(said | {"breaks": {"LOST": 1}, "first": first})))
+    lost = parse_result(0, "", list(find_records(report | {"breaks": {"LOST": 1}, "first": first})))
     assert (lost.signs, lost.first) == (("LOST", "gate"), ("LOST at 3.5 s: an answer",))
-    assert parse_result(0, "", list(find_records(said | {"short": ["a floor"]}))).signs == ("gate",)
+    assert parse_result(0, "", list(find_records(report | {"short": ["a floor"]}))).signs == ("gate",)
 
 
-def test_a_day_breaks_as_another_by_a_rule_before_a_fault_before_the_gate() -> None:
+def test_days_break_alike_by_rules_then_by_fault_then_by_gate() -> None:
     lost, gate = Result("broken", ("LOST", "gate")), Result("broken", ("gate",))
     assert breaks_alike(lost, Result("broken", ("LOST",)))
     assert not breaks_alike(lost, gate) and breaks_alike(gate, lost)
@@ -193,38 +203,39 @@
 ENTRIES: list[Item] = [("faults", {"at": float(at), "kind": "k"}) for at in range(12)]
 
 
-def test_what_is_left_of_a_day_breaks_only_together() -> None:
-    wanted = [ENTRIES[2], ENTRIES[9]]
+def test_minimized_entries_break_only_together() -> None:
+    required = [ENTRIES[2], ENTRIES[9]]
 
-    def breaks(tried: Sequence[Sequence[Item]]) -> list[bool]:
-        return [all(item in one for item in wanted) for one in tried]
+    def breaks(candidates: Sequence[Sequence[Item]]) -> list[bool]:
+        return [all(item in candidate for item in required) for candidate in candidates]
 
-    left, asked, least = minimize(ENTRIES, breaks, 100)
-    assert (left, least) == (wanted, True)
-    assert 0 < asked < 100
+    remaining, days_run, is_minimal = minimize(ENTRIES, breaks, 100)
+    assert (remaining, is_minimal) == (required, True)
+    assert 0 < days_run < 100
 
 
-@pytest.mark.parametrize("most", [0, 1, 5, 20, 30])
-def test_taking_apart_asks_for_no_more_days_than_it_may(most: int) -> None:
-    asked = []
+@pytest.mark.parametrize("max_days", [0, 1, 5, 20, 30])
+def test_minimizing_runs_at_most_the_given_number_of_days(max_days: int) -> None:
+    judged = []
 
-    def breaks(tried: Sequence[Sequence[Item]]) -> list[bool]:
-        asked.extend(tried)
-        return [False for _ in tried]
+    def breaks(candidates: Sequence[Sequence[Item]]) -> list[bool]:
+        judged.extend(candidates)
+        return [False for _ in candidates]
 
-    left, days, least = minimize(ENTRIES, breaks, most)
-    assert (left, days, len(asked)) == (ENTRIES, min(most, 26), min(most, 26))  # 2, 4, 8, then 12 parts
-    assert least == (most >= 26)
+    remaining, days_run, is_minimal = minimize(ENTRIES, breaks, max_days)
+    # 26 days: 2, 4, 8, then 12 parts.
+    assert (remaining, days_run, len(judged)) == (ENTRIES, min(max_days, 26), min(max_days, 26))
+    assert is_minimal == (max_days >= 26)
 
 
-def test_what_closes_a_day_can_be_taken_out_too() -> None:
+def test_the_closing_fault_can_be_removed_too() -> None:
     day = drawer().draw_day("d", 0, "s") | {"closing": {"kind": "dark_all"}}
-    whole = removable_items(day)
-    assert day_with(day, whole) == day
-    assert "closing" not in day_with(day, whole[:-1]) and day_with(day, [whole[-1]])["faults"] == []
+    items = removable_items(day)
+    assert day_with(day, items) == day
+    assert "closing" not in day_with(day, items[:-1]) and day_with(day, [items[-1]])["faults"] == []
 
 
-STAND_IN = """#!{python}
+BENCH_STAND_IN = """#!{python}
 import json, pathlib, sys, threading, tomllib
 verb = sys.argv[1]
 if verb == "kinds":
@@ -243,48 +254,53 @@
 @pytest.fixture
 def bench(tmp_path: Path) -> Path:
     path = tmp_path / "bench"
-    path.write_text(STAND_IN.format(python=sys.executable, kinds=KINDS))
+    path.write_text(BENCH_STAND_IN.format(python=sys.executable, kinds=KINDS))
     path.chmod(0o755)
     (tmp_path / "plain.toml").write_text(tomli_w.dumps(site()))
     return path
 
 
-def called(
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], *said: object
+def run_main(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], *arguments: object
 ) -> tuple[int, Any]:
-    monkeypatch.setattr(sys, "argv", ["draw_days", *map(str, said)])
+    monkeypatch.setattr(sys, "argv", ["draw_days", *map(str, arguments)])
     monkeypatch.setattr(draw_days.signal, "signal", lambda *_: None)
     code = draw_days.main()
     out = capsys.readouterr().out.splitlines()
     return code, json.loads(out[-1]) if out else None
 
 
-def test_one_command_plays_them_all_keeps_a_table_and_takes_the_broken_apart(
+def test_one_command_runs_days_records_them_and_reduces_broken_ones(
     bench: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out = tmp_path / "out"
-    given = (bench, tmp_path / "plain.toml", "--out", out)
-    code, last = called(
-        monkeypatch, capsys, "play", *given, "--seed", 5, "--count", 8, "--jobs", 3, "--reduce"
+    bench_arguments = (bench, tmp_path / "plain.toml", "--out", out)
+    code, result = run_main(
+        monkeypatch, capsys, "play", *bench_arguments, "--seed", 5, "--count", 8, "--jobs", 3, "--reduce"
     )
     rows = [json.loads(row) for row in (out / "days.jsonl").read_text().splitlines()]
     played = [row for row in rows if "reduced" not in row]
     broken = [row for row in played if row["state"] == "broken"]
     assert {row["day"] for row in played} == {f"day-5-{number}" for number in range(8)}
     assert all(row["state"] == ("broken" if "crowd" in row["kinds"] else "clean") for row in played)
-    assert 0 < len(broken) < 8  # each of nine kinds begins one
-    assert (code, last["played"], last["broken"], last["unclear"]) == (1, 8, len(broken), 0)
-    assert last["signs"] == {"LOST": len(broken), "gate": len(broken)}
+    assert 0 < len(broken) < 8  # eight days begin with eight of the nine kinds
+    assert (code, result["played"], result["broken"], result["unclear"]) == (1, 8, len(broken), 0)
+    assert result["signs"] == {"LOST": len(broken), "gate": len(broken)}
     assert [row["reduced"]["kinds"] for row in rows if "reduced" in row] == [["crowd"]] * len(broken)
-    left = day_files.read_day(out / f"{broken[0]['day']}-reduced.toml")
-    assert (describe(left), left["seed"]) == (["crowd"], broken[0]["seed"])
-    code, last = called(
-        monkeypatch, capsys, "reduce", *given[:2], out / f"{broken[0]['day']}.toml", *given[2:]
+    reduced = day_files.read_day(out / f"{broken[0]['day']}-reduced.toml")
+    assert (describe(reduced), reduced["seed"]) == (["crowd"], broken[0]["seed"])
+    code, result = run_main(
+        monkeypatch,
+        capsys,
+        "reduce",
+        *bench_arguments[:2],
+        out / f"{broken[0]['day']}.toml",
+        *bench_arguments[2:],
     )
-    assert (code, last["kinds"], last["least"]) == (0, ["crowd"], True)
+    assert (code, result["kinds"], result["least"]) == (0, ["crowd"], True)
 
 
-def test_a_day_that_takes_too_long_is_ended(bench: Path, tmp_path: Path) -> None:
+def test_a_day_that_takes_too_long_is_terminated(bench: Path, tmp_path: Path) -> None:
     day = day_files.write_day(tmp_path / "hang.toml", site()["day"][0] | {"name": "hang"}, False)
     found = Bench(bench, wall_s=0.5).play(tmp_path / "plain.toml", day)
     assert (found.state, found.seconds < 30) == ("given up", True)
@@ -294,13 +310,13 @@
     bench: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     inside = day_files.ROOT / "found"
-    code, _ = called(
+    code, _ = run_main(
         monkeypatch, capsys, "draw", bench, tmp_path / "plain.toml", "--out", inside, "--seed", 1
     )
     assert code == 2
 
 
-def test_the_journals_entry_of_a_run_is_found_among_others(
+def test_the_journal_entry_of_a_run_is_found_among_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(bench_runs, "JOURNAL", tmp_path)
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""The list of files that break the newest linter rules names just those that do, and only shrinks."""
+"""The list of exceptions from the newest linter rules is exact, and the violations only become fewer."""
 
 import json
 from collections import Counter
@@ -8,26 +8,26 @@
 
 from benchmarks.lint_exceptions import RULES, Violations, by_file, listed, rule_of, violations, written
 
-# Violations when the rules were switched on. Lower a bound when you have mended some; never raise one.
-MOST_VIOLATIONS = {"ARG": 472, "C901": 37, "D1": 1254, "N": 17, "PLR0915": 15}
+# Violations when the rules were enabled. Lower a bound after fixing some; never raise one.
+MAX_VIOLATIONS = {"ARG": 472, "C901": 37, "D1": 1254, "N": 17, "PLR0915": 15}
 
 
 @cache
-def broken() -> Violations:
+def current_violations() -> Violations:
     return violations()
 
 
-def test_the_list_names_the_files_that_break_a_rule_and_no_other() -> None:
-    """Where this fails, `python -m benchmarks.lint_exceptions --write` writes the list anew."""
-    assert by_file(broken()) == listed()
+def test_the_list_names_exactly_the_files_that_break_a_rule() -> None:
+    """If this fails, run `python -m benchmarks.lint_exceptions --write`."""
+    assert by_file(current_violations()) == listed()
 
 
 @pytest.mark.parametrize("rule", RULES)
 def test_violations_only_become_fewer(rule: str) -> None:
-    assert broken()[rule].total() <= MOST_VIOLATIONS[rule]
+    assert current_violations()[rule].total() <= MAX_VIOLATIONS[rule]
 
 
-def test_a_code_belongs_to_its_rule_and_the_list_reads_back() -> None:
+def test_a_code_belongs_to_its_rule_and_the_written_list_has_the_rules_of_a_file() -> None:
     assert [rule_of(code) for code in ("ARG002", "D103", "N818", "PLR0915", "C901")] == [
         *("ARG", "D1", "N", "PLR0915", "C901")
     ]
