--- a/rigs/market.py
+++ b/rigs/market.py
@@ -20,7 +20,7 @@
 from rigs.rpc_peer import RpcCaller, RpcServer
 
 DRAIN_LIMIT_S = 2.05  # the limit of 2 s, plus 50 ms for delays on sockets
-NOTICE_LIMIT_S = 6.0  # after this time a drain counts as told, even if discovery did not send it
+NOTICE_LIMIT_S = 6.0  # after this time a drain counts as published, even if discovery did not send it
 DEADLINE_SLACK_S = 0.25  # after the deadline, before a response counts as late on a busy machine
 OVERLOAD_WINDOW_S = 0.5  # a starting server fails if it is overloaded for this long
 OVERLOAD_FACTOR = 2.0  # overload: this multiple of its current capacity
@@ -105,7 +105,7 @@
         self.zone, self.cell, self.capacity = zone, cell, capacity
         self.health, self.started_ms, self.dial, self.dial_rpc = "up", 0.0, "", ""
         self.cold_share, self.warm_up_s, self.started_at = 1.0, 0.0, 0.0
-        self.drained_at = self.listed_at = -1.0  # start of its drain, and when discovery told it
+        self.drained_at = self.listed_at = -1.0  # start of its drain, and its publication by discovery
         self.calls_received, self.late_calls, self.max_overload = 0, 0, 0.0
         self.connections: set[asyncio.Transport] = set()
         self._recent: deque[float] = deque()
--- a/tests/mesh/test_tolerated_losses.py
+++ b/tests/mesh/test_tolerated_losses.py
@@ -40,29 +40,29 @@
     return drawers([site(core)], [KINDS])[0]
 
 
-def permanent_losses(entries: list[dict[str, Any]], one: Drawer) -> tuple[int, dict[str, float]]:
+def permanent_losses(entries: list[dict[str, Any]], day_drawer: Drawer) -> tuple[int, dict[str, float]]:
     """Returns the machines that count and the share of each service that are lost permanently on a day."""
     counted, shares = 0, Counter[str]()
     for entry in entries:
-        kind = one.kinds[entry["kind"]]
+        kind = day_drawer.kinds[entry["kind"]]
         if not kind.is_permanent(entry):
             continue
         if entry.get("on") == "core":
             counted += entry["count"] if "count" in entry else round(5 * entry.get("share", 1.0))
             continue
         for service in ("shop", "desk"):
-            here = [n for (name, zone), n in UPSTREAMS_BY_PLACE.items() if name == service
+            affected = [n for (name, zone), n in UPSTREAMS_BY_PLACE.items() if name == service
                     and zone == entry.get("zone", zone)]  # fmt: skip
-            whole = sum(n for (name, _), n in UPSTREAMS_BY_PLACE.items() if name == service)
+            total = sum(n for (name, _), n in UPSTREAMS_BY_PLACE.items() if name == service)
             if entry.get("service", service) == service:
-                shares[service] += entry.get("share", kind.figures["share"]) * sum(here) / whole
+                shares[service] += entry.get("share", kind.figures["share"]) * sum(affected) / total
     return counted, dict(shares)
 
 
-def days(one: Drawer, bounded: bool, monkeypatch: pytest.MonkeyPatch) -> list[list[dict[str, Any]]]:
+def days(day_drawer: Drawer, bounded: bool, monkeypatch: pytest.MonkeyPatch) -> list[list[dict[str, Any]]]:
     if not bounded:
         monkeypatch.setattr(Drawer, "limit_losses", lambda _, drawn: drawn)
-    found = [one.draw_entries(list(one.kinds)[n % 4], random.Random(n)) for n in range(300)]
+    found = [day_drawer.draw_entries(list(day_drawer.kinds)[n % 4], random.Random(n)) for n in range(300)]
     return [day["plan"] + day["faults"] for day in found]
 
 
@@ -71,8 +71,8 @@
     bounded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Without the limit, some drawn days do, and the check finds them."""
-    one = drawer()
-    lost = [permanent_losses(day, one) for day in days(one, bounded, monkeypatch)]
+    day_drawer = drawer()
+    lost = [permanent_losses(day, day_drawer) for day in days(day_drawer, bounded, monkeypatch)]
     too_many_counted = [counted for counted, _ in lost if 2 * counted >= 5]
     too_many_upstreams = [
         shares for _, shares in lost if max(shares.values(), default=0) > MAX_LOST_UPSTREAM_SHARE + 0.01
@@ -105,9 +105,9 @@
 
 def test_an_entry_for_a_zone_counts_by_the_service_that_it_affects_most() -> None:
     budget = LossBudget.for_site(site())
-    one = {"kind": "scale_in", "zone": "a", "share": 0.5}  # 3 of 10 in the shop, none of the desk
-    assert budget.limit(one, {}, "servers") == one
+    entry = {"kind": "scale_in", "zone": "a", "share": 0.5}  # 3 of 10 in the shop, none of the desk
+    assert budget.limit(entry, {}, "servers") == entry
     assert budget.upstream_share == pytest.approx(MAX_LOST_UPSTREAM_SHARE - 0.3)
-    cut = budget.limit({"kind": "scale_in", "zone": "b", "count": 2}, {}, "servers")
-    assert cut == {"kind": "scale_in", "zone": "b", "share": 0.1}  # zone b has the whole desk
-    assert budget.limit(one, {}, "servers") is None
+    reduced = budget.limit({"kind": "scale_in", "zone": "b", "count": 2}, {}, "servers")
+    assert reduced == {"kind": "scale_in", "zone": "b", "share": 0.1}  # zone b has the whole desk
+    assert budget.limit(entry, {}, "servers") is None
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -371,10 +371,10 @@
 
 @pytest.mark.parametrize("class_", ["sale", "listing"])
 def test_a_connection_closed_after_each_byte_of_a_response(class_: str) -> None:
-    whole = msgpack.packb([1, 0, None, "served"])
+    complete_response = msgpack.packb([1, 0, None, "served"])
 
     async def test() -> None:
-        for cut in range(len(whole) + 1):
+        for cut in range(len(complete_response) + 1):
             calls = 0
 
             async def connected(
@@ -388,7 +388,7 @@
                         calls += 1
                         response = msgpack.packb([1, msgid, None, "served"])
                         writer.write(response[:cut] if calls == 1 else response)
-                        if calls == 1 and cut < len(whole):
+                        if calls == 1 and cut < len(complete_response):
                             writer.close()
                             return
 
@@ -399,7 +399,7 @@
                 caller = await rig.caller()
                 if class_ == "sale":
                     error, result = await response_of(caller.send("order.sale", {"id": "c"}))
-                    assert (error is None, calls) == (cut == len(whole), 1), "never sent again"
+                    assert (error is None, calls) == (cut == len(complete_response), 1), "never sent again"
                 else:
                     error, result = await response_of(caller.send("listing.x", {"id": "c", "key": "k"}))
                     assert (error, result) == (None, "served")
