--- a/benchmarks/lint_exceptions.py
+++ b/benchmarks/lint_exceptions.py
@@ -17,7 +17,7 @@
 from collections import Counter
 from pathlib import Path
 
-LIST = Path("lint_exceptions.toml")
+LIST_PATH = Path("lint_exceptions.toml")
 RULES = ("ARG", "C901", "D1", "N", "PLR0915")
 REASON = """\
 # Files that broke a rule when it was switched on; written by `python -m benchmarks.lint_exceptions --write`.
@@ -36,7 +36,7 @@
     return next(rule for rule in RULES if code.startswith(rule))
 
 
-def violations() -> Violations:
+def find_violations() -> Violations:
     """What the files of this folder break, whatever is excepted. Docstrings of tests do not count."""
     command = [
         *(sys.executable, "-m", "ruff", "check", ".", "--output-format", "json"),
@@ -58,13 +58,13 @@
     return {path: [rule for rule in RULES if path in found[rule]] for path in files}
 
 
-def listed() -> dict[str, list[str]]:
+def read_list() -> dict[str, list[str]]:
     """The rules that the list excepts for each file."""
-    told = tomllib.loads(LIST.read_text())["lint"]["per-file-ignores"]
+    told = tomllib.loads(LIST_PATH.read_text())["lint"]["per-file-ignores"]
     return {path: rules for path, rules in told.items() if path != "tests/**"}
 
 
-def written(files: dict[str, list[str]]) -> str:
+def format_list(files: dict[str, list[str]]) -> str:
     """The list as it stands in its file."""
     rows = "".join(f"{json.dumps(path)} = {json.dumps(rules)}\n" for path, rules in files.items())
     return f'{REASON}[lint.per-file-ignores]\n{TESTS_REASON}"tests/**" = ["D1"]\n{rows}'
@@ -74,15 +74,15 @@
     """Compare or write; the exit code."""
     words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     words.add_argument("--write", action="store_true")
-    found = violations()
+    found = find_violations()
     files = by_file(found)
     if words.parse_args().write:
-        LIST.write_text(written(files))
+        LIST_PATH.write_text(format_list(files))
     differing = sorted(
-        path for path in files.keys() | listed().keys() if files.get(path) != listed().get(path)
+        path for path in files.keys() | read_list().keys() if files.get(path) != read_list().get(path)
     )
     for path in differing:
-        print(f"{path}: breaks {files.get(path, [])}, listed {listed().get(path, [])}")
+        print(f"{path}: breaks {files.get(path, [])}, listed {read_list().get(path, [])}")
     counts = {rule: {"files": len(counted), "violations": counted.total()} for rule, counted in found.items()}
     print(json.dumps(counts))
     return 1 if differing else 0
--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -30,7 +30,7 @@
 
 import grimp
 
-from benchmarks.lint_exceptions import LIST, listed
+from benchmarks.lint_exceptions import LIST_PATH, read_list
 
 MAX_LINES = 400
 FRAME_KIND_KEY = "t"
@@ -125,7 +125,7 @@
 
 def exception_count() -> int:
     """Returns the number of listed exceptions, each a file and a rule."""
-    return sum(len(rules) for rules in listed().values()) if LIST.exists() else 0
+    return sum(len(rules) for rules in read_list().values()) if LIST_PATH.exists() else 0
 
 
 def undocumented_counts() -> tuple[int, int]:
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from benchmarks.lint_exceptions import RULES, Violations, by_file, listed, rule_of, violations, written
+from benchmarks.lint_exceptions import (
+    RULES,
+    Violations,
+    by_file,
+    find_violations,
+    format_list,
+    read_list,
+    rule_of,
+)
 
 # Violations when the rules were enabled. Lower a bound after fixing some; never raise one.
 MAX_VIOLATIONS = {"ARG": 472, "C901": 37, "D1": 1254, "N": 17, "PLR0915": 15}
@@ -14,12 +22,12 @@
 
 @cache
 def current_violations() -> Violations:
-    return violations()
+    return find_violations()
 
 
 def test_the_list_names_exactly_the_files_that_break_a_rule() -> None:
     """If this fails, run `python -m benchmarks.lint_exceptions --write`."""
-    assert by_file(current_violations()) == listed()
+    assert by_file(current_violations()) == read_list()
 
 
 @pytest.mark.parametrize("rule", RULES)
@@ -33,4 +41,4 @@
     ]
     found: Violations = {rule: Counter() for rule in RULES}
     found["D1"]["a/b.py"] = 2
-    assert json.dumps(by_file(found)["a/b.py"]) in written(by_file(found))
+    assert json.dumps(by_file(found)["a/b.py"]) in format_list(by_file(found))
