--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -39,6 +39,6 @@
     assert [rule_of(code) for code in ("ARG002", "D103", "N818", "PLR0915", "C901")] == [
         *("ARG", "D1", "N", "PLR0915", "C901")
     ]
-    found: Violations = {rule: Counter() for rule in RULES}
-    found["D1"]["a/b.py"] = 2
-    assert json.dumps(by_file(found)["a/b.py"]) in format_list(by_file(found))
+    violations: Violations = {rule: Counter() for rule in RULES}
+    violations["D1"]["a/b.py"] = 2
+    assert json.dumps(by_file(violations)["a/b.py"]) in format_list(by_file(violations))
