--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -21,7 +21,7 @@
 from lab import many, report, scenario
 from lab.measures import Row
 from lab.policies import find_policy
-from lab.results import KEY, Folder
+from lab.results import KEY, ResultFolder
 from lab.scenario import Source
 from lab.simulation import Simulation
 
@@ -118,7 +118,7 @@
                         rows.append(dict(zip(KEY, key, strict=True)) | msgspec.structs.asdict(row))
                         rows[-1]["quantiles_ms"] = []
     if given.report:
-        folder = Folder(given.report)
+        folder = ResultFolder(given.report)
         folder.add(rows, [])
         page = report.write(folder.compact(), given.report, "Hundreds of processes", metric="spread_5s")
         print(page)
--- a/lab/charts.py
+++ b/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts as PNG: drawn from tables alone, the same bytes for the same results."""
+"""Charts as PNG files, drawn from tables alone: the same results give the same bytes."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 from lab.measures import BIN_MS  # noqa: E402
 from lab.results import QUANTILES  # noqa: E402
-from lab.tables import Cell, Map  # noqa: E402
+from lab.tables import Cell, MetricMap  # noqa: E402
 
-MOST_SERVERS = 12  # lines in one picture; the others are one band
+MAX_SERVER_LINES = 12  # lines in one chart; the other servers are drawn as one band
 
 
 def _save(figure: Any, path: Path) -> None:
@@ -27,22 +27,22 @@
 
 
 def scores(found: Sequence[Cell], metric: str, path: Path) -> None:
-    """Each point's mean with its interval, a colour a policy."""
+    """The mean of each point with its interval, one colour per policy."""
     policies = sorted({cell.point.policy for cell in found})
-    places = sorted({(cell.point.scenario, cell.point.factors()) for cell in found})
+    points = sorted({(cell.point.scenario, cell.point.factors()) for cell in found})
     colours = matplotlib.colormaps["tab20"]
-    figure, axes = plt.subplots(figsize=(9, 1.2 + 0.32 * len(places) * max(len(policies), 2) / 2))
+    figure, axes = plt.subplots(figsize=(9, 1.2 + 0.32 * len(points) * max(len(policies), 2) / 2))
     for cell in found:
-        row = places.index((cell.point.scenario, cell.point.factors()))
-        turn = policies.index(cell.point.policy)
-        at = row + 0.8 * (turn + 0.5) / len(policies) - 0.4
+        row = points.index((cell.point.scenario, cell.point.factors()))
+        policy_index = policies.index(cell.point.policy)
+        at = row + 0.8 * (policy_index + 0.5) / len(policies) - 0.4
         low, high = np.nan_to_num([cell.metric.low, cell.metric.high], nan=cell.metric.mean)
-        axes.plot([low, high], [at, at], color=colours(turn % 20), linewidth=1.5)
-        axes.plot(cell.metric.mean, at, "o", color=colours(turn % 20), markersize=4)
-    for turn, policy in enumerate(policies):
-        axes.plot([], [], "o-", color=colours(turn % 20), label=policy)
+        axes.plot([low, high], [at, at], color=colours(policy_index % 20), linewidth=1.5)
+        axes.plot(cell.metric.mean, at, "o", color=colours(policy_index % 20), markersize=4)
+    for policy_index, policy in enumerate(policies):
+        axes.plot([], [], "o-", color=colours(policy_index % 20), label=policy)
     axes.set_yticks(
-        range(len(places)), [f"{name} {factors if factors != '{}' else ''}" for name, factors in places]
+        range(len(points)), [f"{name} {factors if factors != '{}' else ''}" for name, factors in points]
     )
     axes.tick_params(axis="y", labelsize=7)
     axes.invert_yaxis()
@@ -52,50 +52,54 @@
     _save(figure, path)
 
 
-def over_time(rows: Sequence[dict[str, Any]], title: str, multiple: float, path: Path) -> None:
-    """One play: what was offered and served a second, connects, and each server's load against its limit."""
+def over_time(rows: Sequence[dict[str, Any]], title: str, fall_multiple: float, path: Path) -> None:
+    """One play over time: calls and connects per second, and each server's load relative to its capacity."""
     seconds = [row["t_ms"] / 1000.0 for row in rows]
-    each = 1000.0 / BIN_MS
+    per_second = 1000.0 / BIN_MS
     figure, (calls, connects, loads) = plt.subplots(
         3, 1, figsize=(9, 7), sharex=True, height_ratios=(3, 1.2, 2.4)
     )
     for name in ("offered", "first", "served", "refused", "failed", "lost"):
-        calls.plot(seconds, [row[name] * each for row in rows], label=name, linewidth=1.0)
-    calls.set_ylabel("tries a second")
+        calls.plot(seconds, [row[name] * per_second for row in rows], label=name, linewidth=1.0)
+    calls.set_ylabel("tries per second")
     calls.set_title(title, fontsize=9)
     calls.legend(fontsize=7, ncols=3)
-    connects.plot(seconds, [row["connects"] * each for row in rows], color="tab:brown", linewidth=1.0)
-    connects.set_ylabel("connects a second")
-    _loads(loads, seconds, rows, multiple)
+    connects.plot(seconds, [row["connects"] * per_second for row in rows], color="tab:brown", linewidth=1.0)
+    connects.set_ylabel("connects per second")
+    _loads(loads, seconds, rows, fall_multiple)
     for axes in (calls, connects, loads):
         axes.grid(alpha=0.3)
     _save(figure, path)
 
 
-def _loads(axes: Axes, seconds: list[float], rows: Sequence[dict[str, Any]], multiple: float) -> None:
-    most = max((len(row["loads"]) for row in rows), default=0)
-    table = np.zeros((len(rows), most))
-    for at, row in enumerate(rows):
-        table[at, : len(row["loads"])] = row["loads"]
-    ranked = sorted(range(most), key=lambda server: (-float(table[:, server].max(initial=0.0)), server))
-    if most > MOST_SERVERS:
-        rest = table[:, ranked[MOST_SERVERS:]]
-        axes.fill_between(seconds, rest.min(axis=1), rest.max(axis=1), color="0.85", label="the others")
-    for server in sorted(ranked[:MOST_SERVERS]):
-        axes.plot(seconds, table[:, server], linewidth=0.8)
-    axes.axhline(multiple, color="black", linestyle="--", linewidth=1.0, label="falls over")
-    axes.set_ylabel("load of what it can do")
+def _loads(axes: Axes, seconds: list[float], rows: Sequence[dict[str, Any]], fall_multiple: float) -> None:
+    server_count = max((len(row["loads"]) for row in rows), default=0)
+    loads_by_bin = np.zeros((len(rows), server_count))
+    for index, row in enumerate(rows):
+        loads_by_bin[index, : len(row["loads"])] = row["loads"]
+    ranked = sorted(
+        range(server_count), key=lambda server: (-float(loads_by_bin[:, server].max(initial=0.0)), server)
+    )
+    if server_count > MAX_SERVER_LINES:
+        other_loads = loads_by_bin[:, ranked[MAX_SERVER_LINES:]]
+        axes.fill_between(
+            seconds, other_loads.min(axis=1), other_loads.max(axis=1), color="0.85", label="other servers"
+        )
+    for server in sorted(ranked[:MAX_SERVER_LINES]):
+        axes.plot(seconds, loads_by_bin[:, server], linewidth=0.8)
+    axes.axhline(fall_multiple, color="black", linestyle="--", linewidth=1.0, label="failure limit")
+    axes.set_ylabel("load / capacity")
     axes.set_xlabel("s")
     axes.legend(fontsize=7)
 
 
 def latencies(curves: dict[str, list[float]], title: str, path: Path) -> None:
-    """Latency by percentile, the far end stretched."""
+    """Latency by percentile, on a scale that stretches the high percentiles."""
     figure, axes = plt.subplots(figsize=(9, 4))
-    places = [-np.log10(max(1.0 - part, 5e-5)) for part in QUANTILES]
+    positions = [-np.log10(max(1.0 - quantile, 5e-5)) for quantile in QUANTILES]
     for policy, values in curves.items():
-        axes.plot(places, values, marker=".", linewidth=1.0, label=policy)
-    axes.set_xticks(places, [f"{100 * part:g}" for part in QUANTILES], fontsize=6, rotation=60)
+        axes.plot(positions, values, marker=".", linewidth=1.0, label=policy)
+    axes.set_xticks(positions, [f"{100 * quantile:g}" for quantile in QUANTILES], fontsize=6, rotation=60)
     axes.set_yscale("log")
     axes.set_ylabel("ms")
     axes.set_xlabel("percentile of served calls")
@@ -105,8 +109,8 @@
     _save(figure, path)
 
 
-def plane(found: Map, metric: str, path: Path) -> None:
-    """A metric over two factors; the line is the edge within which half of the plays come back."""
+def metric_map(found: MetricMap, metric: str, path: Path) -> None:
+    """A metric over two factors; the contour line is where service recovers in half of the plays."""
     figure, axes = plt.subplots(figsize=(7, 4.2))
     values = np.array(found.values)
     image = axes.imshow(values, origin="lower", aspect="auto", cmap="viridis", vmin=0.0, vmax=1.0)
@@ -122,13 +126,20 @@
                     fontsize=7,
                     color="w" if value < 0.6 else "k",
                 )
-    back = np.array(found.back)
-    if back.shape[0] > 1 and back.shape[1] > 1 and np.nanmin(back) < 0.5 < np.nanmax(back):
-        axes.contour(np.nan_to_num(back), levels=[0.5], colors="red", linewidths=1.5)
+    recovered_share = np.array(found.recovered_share)
+    if (
+        recovered_share.shape[0] > 1
+        and recovered_share.shape[1] > 1
+        and np.nanmin(recovered_share) < 0.5 < np.nanmax(recovered_share)
+    ):
+        axes.contour(np.nan_to_num(recovered_share), levels=[0.5], colors="red", linewidths=1.5)
     axes.set_xticks(range(len(found.xs)), [f"{value:g}" for value in found.xs])
     axes.set_yticks(range(len(found.ys)), [f"{value:g}" for value in found.ys])
     axes.set_xlabel(found.x)
     axes.set_ylabel(found.y)
-    axes.set_title(f"{found.scenario}, {found.policy}{': ' + found.rest if found.rest else ''}", fontsize=9)
+    axes.set_title(
+        f"{found.scenario}, {found.policy}{': ' + found.other_levels if found.other_levels else ''}",
+        fontsize=9,
+    )
     figure.colorbar(image, label=metric)
     _save(figure, path)
--- a/lab/command_options.py
+++ b/lab/command_options.py
@@ -1,4 +1,4 @@
-"""What the commands of `python -m lab` share: options, progress, and how a command that cannot run ends."""
+"""Shared parts of the commands of `python -m lab`: options, progress bar and error handling."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
 from lab.policies import UnknownPolicy
-from lab.results import Mixed
+from lab.results import MixedCodes
 from lab.scenario import InvalidInput
 
 P = ParamSpec("P")
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-FOLDER = click.Path(file_okay=False, path_type=Path)
+FILE_PATH = click.Path(exists=True, dir_okay=False, path_type=Path)
+FOLDER_PATH = click.Path(file_okay=False, path_type=Path)
 CORES = os.cpu_count() or 1
 
 
-def told(command: Callable[P, int | None]) -> Callable[P, None]:
-    """What cannot be used ends in one line and status 2."""
+def reports_errors(command: Callable[P, int | None]) -> Callable[P, None]:
+    """Decorator: invalid input ends the command with a one-line message and exit status 2."""
 
     @wraps(command)
     def call(*args: P.args, **kwargs: P.kwargs) -> None:
         try:
             sys.exit(command(*args, **kwargs) or 0)
-        except (InvalidInput, UnknownPolicy, Mixed) as fault:
+        except (InvalidInput, UnknownPolicy, MixedCodes) as fault:
             click.echo(f"lab: {fault}", err=True)
             sys.exit(2)
 
@@ -38,10 +38,10 @@
 
 
 class ProgressBar:
-    """Progress on a terminal's standard error; nothing where there is none."""
+    """A progress bar on standard error if that is a terminal; otherwise nothing."""
 
     def __init__(self) -> None:
-        """Shown while its context lasts."""
+        """The bar is shown while the context is active."""
         self._bar = Progress(
             *(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn()),
             transient=True,
@@ -50,34 +50,34 @@
         self._task = self._bar.add_task("plays")
 
     def __enter__(self) -> ProgressBar:
-        """Show it."""
+        """Shows the bar."""
         self._bar.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Take it away."""
+        """Removes the bar."""
         self._bar.stop()
 
-    def __call__(self, done: int, of: int, last: str) -> None:
-        """So many plays are done, of so many."""
-        self._bar.update(self._task, completed=done, total=of)
+    def __call__(self, done: int, total: int, last: str) -> None:
+        """Updates the number of plays done."""
+        self._bar.update(self._task, completed=done, total=total)
 
 
-def changes_of(given: tuple[str, ...]) -> dict[str, Any]:
-    """PLACE=VALUE words; values as JSON, or as text. Raises InvalidInput."""
-    found: dict[str, Any] = {}
-    for word in given:
-        place, equals, value = word.partition("=")
+def parse_changes(arguments: tuple[str, ...]) -> dict[str, Any]:
+    """Parses PATH=VALUE arguments; a value that is not JSON is taken as text. Raises InvalidInput."""
+    changes: dict[str, Any] = {}
+    for argument in arguments:
+        path, equals, value = argument.partition("=")
         if not equals:
-            raise InvalidInput(f"--set {word!r}: no value; write it as load.share=0.9")
+            raise InvalidInput(f"--set {argument!r}: has no value; write it as load.share=0.9")
         try:
-            found[place] = msgspec.json.decode(value)
+            changes[path] = msgspec.json.decode(value)
         except msgspec.DecodeError:
-            found[place] = value
-    return found
+            changes[path] = value
+    return changes
 
 
-SET = click.option(
-    "--set", "settings", multiple=True, metavar="PLACE=VALUE", help="another value in the scenario"
+SET_OPTION = click.option(
+    "--set", "settings", multiple=True, metavar="PATH=VALUE", help="overrides a value of the scenario"
 )
-WORKERS = click.option("--workers", type=click.IntRange(1, 256), default=CORES, show_default=True)
+WORKERS_OPTION = click.option("--workers", type=click.IntRange(1, 256), default=CORES, show_default=True)
--- a/lab/driver.py
+++ b/lab/driver.py
@@ -1,9 +1,9 @@
-"""One process of a rig that plays a scenario over sockets with others: it speaks for a part of the servers
-and of the sidecars' clients, starts its part of the sidecars, and tells at the end what it saw.
+"""A driver: one of several processes that together run a scenario over real sockets.
 
-Frames on standard input and output as a worker's (lab/worker.py): the job; where its servers are reached;
-where all are; that its sidecars are up; the instant at which the play begins; falls, as they happen, both
-ways; the report.
+It emulates a part of the servers and of the sidecars' clients, starts its part of the sidecars, and reports
+what it saw at the end. Messages on standard input and output are framed as a worker's (lab/worker.py), in
+this order: the job; the addresses of its servers; the addresses of all servers; that its sidecars are up; the
+start time of the play; server failures as they happen, in both directions; the report.
 """
 
 from __future__ import annotations
@@ -18,62 +18,69 @@
 
 from lab.scenario import Source
 from lab.socket_servers import Shard
-from lab.socket_sidecars import Speaks
+from lab.socket_sidecars import CallProtocol
 from lab.socket_simulation import SocketSimulation
-from lab.worker import MOST_FRAME, write_frame
+from lab.worker import MAX_FRAME_BYTES, write_frame
 
 
-class Part(msgspec.Struct, frozen=True, kw_only=True):
-    """A driver's job."""
+class DriverJob(msgspec.Struct, frozen=True, kw_only=True):
+    """The job of a driver."""
 
     source: Source
     seed: int
     shard: Shard
-    speaks: Speaks = "http"
+    protocol: CallProtocol = msgspec.field(default="http", name="speaks")
 
 
-async def read(reader: asyncio.StreamReader) -> Any:
-    """The next frame. Raises EOFError once whoever gave the job is gone."""
+async def read_message(reader: asyncio.StreamReader) -> Any:
+    """The next message. Raises EOFError if the other process has ended."""
     try:
         size = int.from_bytes(await reader.readexactly(4), "big")
-        if size > MOST_FRAME:
+        if size > MAX_FRAME_BYTES:
             raise EOFError
         return msgspec.msgpack.decode(await reader.readexactly(size))
     except asyncio.IncompleteReadError:
         raise EOFError from None
 
 
-async def drive(sink: IO[bytes]) -> None:
-    loop, reader = asyncio.get_running_loop(), asyncio.StreamReader(limit=MOST_FRAME)
+async def run_driver(sink: IO[bytes]) -> None:
+    """Runs the job that arrives on standard input."""
+    loop, reader = asyncio.get_running_loop(), asyncio.StreamReader(limit=MAX_FRAME_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
-    def tell(what: Any) -> None:
-        write_frame(sink, msgspec.msgpack.encode(what))
+    def send(content: Any) -> None:
+        write_frame(sink, msgspec.msgpack.encode(content))
 
-    job = msgspec.convert(await read(reader), Part)
-    simulation = SocketSimulation(job.source.scenario_for(job.seed), job.seed, job.speaks, job.shard)
-    simulation.told_of_falls = lambda number: tell({"fell": number})
+    job = msgspec.convert(await read_message(reader), DriverJob)
+    simulation = SocketSimulation(job.source.scenario_for(job.seed), job.seed, job.protocol, job.shard)
+    simulation.on_server_fall = lambda number: send({"fell": number})
     try:
-        tell({"reached": await simulation.open()})
-        reached = (await read(reader))["reached"]
-        tell({"up_s": await simulation.ready({int(number): dials for number, dials in reached.items()})})
-        start = (await read(reader))["start"]
-
-        async def hear() -> None:
+        send({"reached": await simulation.start_servers()})
+        addresses = (await read_message(reader))["reached"]
+        send(
+            {
+                "up_s": await simulation.start_sidecars(
+                    {int(number): by_zone for number, by_zone in addresses.items()}
+                )
+            }
+        )
+        start = (await read_message(reader))["start"]
+
+        async def receive_failures() -> None:
             while True:
-                simulation.heard_of_fall((await read(reader))["fell"])
+                simulation.apply_remote_fall((await read_message(reader))["fell"])
 
-        hearing = asyncio.ensure_future(hear())
-        playing = asyncio.ensure_future(simulation.take_place(start))
-        await asyncio.wait([hearing, playing], return_when=asyncio.FIRST_COMPLETED)
-        if not playing.done():  # nobody is there to be told
+        receiving = asyncio.ensure_future(receive_failures())
+        playing = asyncio.ensure_future(simulation.run_play(start))
+        await asyncio.wait([receiving, playing], return_when=asyncio.FIRST_COMPLETED)
+        if not playing.done():  # the parent process has ended
             playing.cancel()
             return
-        hearing.cancel()
-        await asyncio.wait([hearing])
+        receiving.cancel()
+        await asyncio.wait([receiving])
         await playing
-        tell({"report": simulation.report()})
-        while "over" not in await read(reader):  # what others still have here is served until all are done
+        send({"report": simulation.report()})
+        while "over" not in await read_message(reader):  # other drivers may still use the servers of this one
             pass
     finally:
         await simulation.close()
@@ -81,10 +88,10 @@
 
 def main() -> None:
     gc.set_threshold(200_000, 20, 50)
-    sink, sys.stdout = sys.stdout.buffer, sys.stderr  # nothing else may write there
+    sink, sys.stdout = sys.stdout.buffer, sys.stderr  # nothing else may write to the message stream
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
-            runner.run(drive(sink))
+            runner.run(run_driver(sink))
         except EOFError:
             return
 
--- a/lab/launch.py
+++ b/lab/launch.py
@@ -1,5 +1,5 @@
-"""Starting real sidecars for a play: forked from one process that has loaded the program, each with its
-configuration in a file and its log read as it comes."""
+"""Starts real sidecars for a play: forked from one process that has the program loaded, each with its
+configuration in a file. Their logs are read continuously."""
 
 from __future__ import annotations
 
@@ -14,42 +14,44 @@
 from rigs.fleet import CLOCK_TICKS_PER_S, START_TIMEOUT_S, StartError
 from rigs.zygote import ForkedProcess, Zygote
 
-LINES_KEPT = 50  # of what a process said last
+LAST_LINES = 50  # number of last log lines kept of a process
 
 
-class Program:
-    """A sidecar that runs, the port on which it listens, and what it said last."""
+class SidecarProcess:
+    """A running sidecar, its listening port, and its last log lines."""
 
     def __init__(
-        self, process: ForkedProcess, port: int, said: deque[str], reader: asyncio.StreamReader
+        self, process: ForkedProcess, port: int, last_lines: deque[str], reader: asyncio.StreamReader
     ) -> None:
-        self.process, self.port, self.said, self._reader = process, port, said, reader
-        self._rest: asyncio.Task[None] | None = None
+        self.forked, self.port, self.last_lines, self._reader = process, port, last_lines, reader
+        self._drain_task: asyncio.Task[None] | None = None
 
     async def next_listener_port(self) -> int:
         """Returns the port of the next listener in the log. Raises StartError."""
         async with asyncio.timeout(START_TIMEOUT_S):
-            while line := await self._line():
+            while line := await self._read_line():
                 if found := re.search(r"listening .*:(\d+)$", line):
                     return int(found[1])
-        raise StartError("\n".join(self.said))
+        raise StartError("\n".join(self.last_lines))
 
-    async def _line(self) -> str:
+    async def _read_line(self) -> str:
         line = (await self._reader.readline()).decode(errors="replace").strip()
-        self.said.append(line)
+        self.last_lines.append(line)
         return line
 
-    def read_on(self) -> None:
-        """What it says from here on is read, so that it is never held up by that, and the last lines kept."""
-        self._rest = asyncio.get_running_loop().create_task(self._read())
+    def drain_log(self) -> None:
+        """Reads the log from now on, so that the process never blocks on a full pipe; keeps the last
+        lines."""
+        self._drain_task = asyncio.get_running_loop().create_task(self._drain())
 
-    async def _read(self) -> None:
-        while await self._line():
+    async def _drain(self) -> None:
+        while await self._read_line():
             pass
 
 
 class Launcher:
-    """``begin`` before the first ``program``, ``close`` at the end: nothing that was started is left."""
+    """Starts sidecars. Call ``start`` before the first ``start_sidecar``, and ``close`` at the end, which
+    ends all of them."""
 
     def __init__(self) -> None:
         self._zygote = Zygote(ROOT)
@@ -58,36 +60,36 @@
         self._pipes: list[asyncio.ReadTransport] = []
         self.pids: list[int] = []
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         await self._zygote.start()
 
-    async def program(self, config: str, operator: str = "") -> Program:
+    async def start_sidecar(self, config: str, operator: str = "") -> SidecarProcess:
         """Starts a sidecar with this text as its JSON configuration and, if not empty, this operator's file.
         Raises StartError with its last log lines if it exits before it listens."""
         self._count += 1
-        file = Path(self._folder.name) / f"{self._count}.json"
-        file.write_text(config, encoding="utf-8")
-        words: tuple[str, ...] = ()
+        config_file = Path(self._folder.name) / f"{self._count}.json"
+        config_file.write_text(config, encoding="utf-8")
+        arguments: tuple[str, ...] = ()
         if operator:
-            more = file.with_suffix(".toml")
-            more.write_text(operator, encoding="utf-8")
-            words = ("--operator", str(more))
-        ours, theirs = os.pipe()
+            operator_file = config_file.with_suffix(".toml")
+            operator_file.write_text(operator, encoding="utf-8")
+            arguments = ("--operator", str(operator_file))
+        read_fd, write_fd = os.pipe()
         loop, reader = asyncio.get_running_loop(), asyncio.StreamReader()
         pipe, _ = await loop.connect_read_pipe(
-            lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(ours, "rb")
+            lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(read_fd, "rb")
         )
         self._pipes.append(pipe)
         try:
-            process = await self._zygote.fork(words, {"BALANCER_CONFIG": str(file)}, theirs)
+            process = await self._zygote.fork(arguments, {"BALANCER_CONFIG": str(config_file)}, write_fd)
         finally:
-            os.close(theirs)
+            os.close(write_fd)
         self.pids.append(process.pid)
-        made = Program(process, 0, deque(maxlen=LINES_KEPT), reader)
-        made.port = await made.next_listener_port()
+        sidecar = SidecarProcess(process, 0, deque(maxlen=LAST_LINES), reader)
+        sidecar.port = await sidecar.next_listener_port()
         if not operator:
-            made.read_on()
-        return made
+            sidecar.drain_log()
+        return sidecar
 
     async def close(self) -> None:
         await self._zygote.close()
@@ -97,7 +99,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """User and system time of a process so far (proc(5), stat, fields 14 and 15); 0 where it has ended."""
+    """User and system time of a process so far (proc(5), stat, fields 14 and 15); 0 if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     except OSError:
@@ -106,7 +108,7 @@
 
 
 def memory_kb(pid: int) -> tuple[int, int, int]:
-    """Resident, proportional and own memory of a process in kB (proc(5), smaps_rollup); zeros where it has
+    """Resident, proportional and private memory of a process in kB (proc(5), smaps_rollup); zeros if it has
     ended."""
     try:
         text = Path(f"/proc/{pid}/smaps_rollup").read_text(encoding="ascii")
--- a/lab/pool.py
+++ b/lab/pool.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from lab.experiment import Play
-from lab.results import Found
+from lab.results import PlayResult
 from lab.revisions import ROOT
-from lab.worker import Job, broken, read_frame, write_frame
+from lab.worker import Job, failed_row, read_frame, write_frame
 
 MAX_TRIES = 2
 
@@ -43,7 +43,7 @@
             stdout=subprocess.PIPE,
         )
 
-    def run(self, job: Job) -> Found:
+    def run(self, job: Job) -> PlayResult:
         """Returns the result of a run. Raises WorkerDied."""
         assert self._process.stdin is not None and self._process.stdout is not None
         timer = threading.Timer(self._timeout_s, self._process.kill)
@@ -57,7 +57,7 @@
             timer.cancel()
         if message is None:
             raise WorkerDied(f"the worker ended: status {self._process.wait()}")
-        return msgspec.msgpack.decode(message, type=Found)
+        return msgspec.msgpack.decode(message, type=PlayResult)
 
     def kill(self) -> None:
         """Kills the process without jobs for its end."""
@@ -75,13 +75,13 @@
 
 def run(
     plays: Iterable[tuple[Play, Job, Path]], workers: int, timeout_s: float = 3600.0
-) -> Iterator[tuple[Play, Found]]:
+) -> Iterator[tuple[Play, PlayResult]]:
     """Yields each run with its result as it finishes. A run may take ``timeout_s`` seconds of real time.
 
     Leaving the iteration early kills all workers.
     """
     jobs: queue.SimpleQueue[tuple[Play, Job, Path] | None] = queue.SimpleQueue()
-    results: queue.SimpleQueue[tuple[Play, Found] | BaseException] = queue.SimpleQueue()
+    results: queue.SimpleQueue[tuple[Play, PlayResult] | BaseException] = queue.SimpleQueue()
     count, stop = 0, threading.Event()
     for item in plays:
         jobs.put(item)
@@ -111,7 +111,7 @@
 
 def _run_worker(
     jobs: queue.SimpleQueue[tuple[Play, Job, Path] | None],
-    results: queue.SimpleQueue[tuple[Play, Found] | BaseException],
+    results: queue.SimpleQueue[tuple[Play, PlayResult] | BaseException],
     timeout_s: float,
     stop: threading.Event,
     alive: dict[int, _Worker],
@@ -130,7 +130,7 @@
                     break
                 except WorkerDied as error:
                     worker.close()
-                    worker, found = None, Found(row=broken(str(error)), quantiles_ms=[])
+                    worker, found = None, PlayResult(row=failed_row(str(error)), quantiles_ms=[])
                     if stop.is_set() or attempt + 1 == MAX_TRIES:
                         break
             results.put((play, found))
--- a/lab/report.py
+++ b/lab/report.py
@@ -1,4 +1,4 @@
-"""One HTML page with its charts, from a folder of results alone."""
+"""An HTML page with charts, made from a folder of results alone."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from typing import Any
 
 from lab import charts, tables
-from lab.results import Loaded, of_one_code
-from lab.tables import Cell, number
+from lab.results import LoadedResults, rows_of_one_code
+from lab.tables import Cell, format_number
 
-MOST_PICTURES = 24  # of plays over time
+MAX_TIME_CHARTS = 24  # charts of single plays over time
 
 STYLE = (
     "body{font:15px/1.45 sans-serif;max-width:1000px;margin:2em auto;padding:0 1em}"
@@ -22,35 +22,37 @@
 
 
 def write(
-    loaded: Loaded,
+    loaded: LoadedResults,
     folder: Path,
     title: str,
     metric: str = "score",
-    multiple: float = 2.5,
-    own: str = "",
+    fall_multiple: float = 2.5,
+    reference: str = "",
     codes: Sequence[str] = (),
 ) -> Path:
-    """The page's path. ``own`` is the policy that all others are held against; the first by name where it is
-    empty. Raises results.Mixed where rows of several codes lie in one policy and ``codes`` names none."""
-    rows = of_one_code(loaded.rows, codes)
+    """Writes the page and returns its path.
+
+    ``reference``: the policy that all others are compared with; the first by name if it is empty. Raises
+    results.MixedCodes if a policy has rows of several code versions and ``codes`` names none."""
+    rows = rows_of_one_code(loaded.rows, codes)
     folder.mkdir(parents=True, exist_ok=True)
     found = tables.cells(rows, metric)
     parts = [f"<h1>{escape(title)}</h1>", f"<p>{len(rows)} plays; metric: {escape(metric)}.</p>"]
     if found:
         charts.scores(found, metric, folder / "scores.png")
-        parts += [_image("scores.png"), _table(found, metric)]
-        parts.append(_broken(found))
-        parts.append(_beside(rows, own or found[0].point.policy, metric))
-    for at, plane in enumerate(tables.maps(rows, metric)):
-        name = f"map-{at}.png"
-        charts.plane(plane, metric, folder / name)
+        parts += [_image("scores.png"), _score_table(found, metric)]
+        parts.append(_rule_table(found))
+        parts.append(_comparison_table(rows, reference or found[0].point.policy, metric))
+    for index, metric_map in enumerate(tables.metric_maps(rows, metric)):
+        name = f"map-{index}.png"
+        charts.metric_map(metric_map, metric, folder / name)
         parts.append(_image(name))
     for scenario in sorted({row["scenario"] for row in rows}):
-        if curves := tables.curves(rows, scenario):
-            name = f"latency-{_plain(scenario)}.png"
+        if curves := tables.latency_curves(rows, scenario):
+            name = f"latency-{_file_name_part(scenario)}.png"
             charts.latencies(curves, scenario, folder / name)
             parts.append(_image(name))
-    parts += _plays(loaded.series, {row["code"] for row in rows}, multiple, own, folder)
+    parts += _time_charts(loaded.series, {row["code"] for row in rows}, fall_multiple, reference, folder)
     page = folder / "report.html"
     body = "\n".join(parts)
     page.write_text(
@@ -60,24 +62,24 @@
     return page
 
 
-def _plays(
-    series: Sequence[dict[str, Any]], codes: set[str], multiple: float, own: str, folder: Path
+def _time_charts(
+    series: Sequence[dict[str, Any]], codes: set[str], fall_multiple: float, reference: str, folder: Path
 ) -> list[str]:
     groups: dict[tuple[str, str, str, int], list[dict[str, Any]]] = {}
     for row in series:
         if row["code"] in codes:
             groups.setdefault((row["scenario"], row["factors"], row["policy"], row["seed"]), []).append(row)
     parts = ["<h2>Over time</h2>"] if groups else []
-    for at, (place, rows) in enumerate(
-        sorted(groups.items(), key=lambda item: (item[0][2] != own, item[0]))[:MOST_PICTURES]
+    for index, (key, rows) in enumerate(
+        sorted(groups.items(), key=lambda item: (item[0][2] != reference, item[0]))[:MAX_TIME_CHARTS]
     ):
-        scenario, factors, policy, seed = place
-        name = f"time-{at:02}-{_plain(scenario)}-{_plain(policy)}.png"
+        scenario, factors, policy, seed = key
+        name = f"time-{index:02}-{_file_name_part(scenario)}-{_file_name_part(policy)}.png"
         words = f"{scenario}, {policy}, seed {seed}" + (f", {factors}" if factors != "{}" else "")
-        charts.over_time(rows, words, multiple, folder / name)
+        charts.over_time(rows, words, fall_multiple, folder / name)
         parts.append(_image(name))
-    if len(groups) > MOST_PICTURES:
-        parts.append(f"<p>{len(groups) - MOST_PICTURES} further plays are in series.parquet.</p>")
+    if len(groups) > MAX_TIME_CHARTS:
+        parts.append(f"<p>{len(groups) - MAX_TIME_CHARTS} more plays are in series.parquet.</p>")
     return parts
 
 
@@ -85,11 +87,11 @@
     return f'<p><img src="{escape(name)}" alt="{escape(name)}"></p>'
 
 
-def _plain(text: str) -> str:
+def _file_name_part(text: str) -> str:
     return re.sub(r"[^a-z0-9]+", "-", text.lower()).strip("-")
 
 
-def _table(found: Sequence[Cell], metric: str) -> str:
+def _score_table(found: Sequence[Cell], metric: str) -> str:
     heads = (
         "scenario",
         "levels",
@@ -97,19 +99,19 @@
         metric,
         "95% interval",
         "plays",
-        "back after, s",
+        "recovered after, s",
         "never",
         "falls",
     )
     lines = ["<table><tr>" + "".join(f"<th>{escape(head)}</th>" for head in heads) + "</tr>"]
     for cell in found:
-        levels = ", ".join(f"{place} {value}" for place, value in cell.point.changes.items())
-        back = number(cell.recovered_ms / 1000.0, 1)
+        levels = ", ".join(f"{path} {value}" for path, value in cell.point.changes.items())
+        recovered = format_number(cell.recovered_ms / 1000.0, 1)
         fields = (cell.point.scenario, levels, cell.point.policy)
         figures = (
-            number(cell.metric.mean),
-            f"{number(cell.metric.low)} to {number(cell.metric.high)}",
-            *(str(cell.metric.n), back, str(cell.never), str(cell.falls)),
+            format_number(cell.metric.mean),
+            f"{format_number(cell.metric.low)} to {format_number(cell.metric.high)}",
+            *(str(cell.metric.n), recovered, str(cell.never), str(cell.falls)),
         )
         mark = ' class="broken"' if cell.broken or cell.faults else ""
         lines.append(
@@ -121,18 +123,26 @@
     return "\n".join([*lines, "</table>"])
 
 
-def _beside(rows: Sequence[dict[str, Any]], own: str, metric: str) -> str:
-    """A policy's differences from each other on the same seeds; what an interval does not tell apart is
-    grey."""
-    compared = tables.beside(rows, own, metric)
+def _comparison_table(rows: Sequence[dict[str, Any]], reference: str, metric: str) -> str:
+    """The differences between the reference policy and each other one on the same seeds.
+
+    Rows whose interval includes zero are grey."""
+    compared = tables.comparisons(rows, reference, metric)
     if not compared:
         return ""
-    heads = ("scenario", "levels", "against", f"{metric}: {own} less it", "95% interval", "seeds")
-    lines = [f"<h2>{escape(own)} against the others</h2>"]
+    heads = (
+        "scenario",
+        "levels",
+        "other policy",
+        f"{metric}: {reference} minus other",
+        "95% interval",
+        "seeds",
+    )
+    lines = [f"<h2>{escape(reference)} against the others</h2>"]
     lines.append("<table><tr>" + "".join(f"<th>{escape(head)}</th>" for head in heads) + "</tr>")
     for point, item in compared:
         found = item.difference
-        levels = ", ".join(f"{place} {value}" for place, value in point.changes.items())
+        levels = ", ".join(f"{path} {value}" for path, value in point.changes.items())
         mark = "" if found.low > 0 or found.high < 0 else " class=same"
         words = (
             point.scenario,
@@ -146,18 +156,20 @@
     return "\n".join([*lines, "</table>"])
 
 
-def _broken(found: Sequence[Cell]) -> str:
-    """Which policies break which rules, over all scenarios, in plays."""
+def _rule_table(found: Sequence[Cell]) -> str:
+    """By policy, in how many plays each rule was broken, over all scenarios."""
     totals: dict[str, dict[str, int]] = {}
     plays: dict[str, int] = {}
     for cell in found:
         plays[cell.point.policy] = plays.get(cell.point.policy, 0) + cell.metric.n
-        own = totals.setdefault(cell.point.policy, {})
+        policy_totals = totals.setdefault(cell.point.policy, {})
         for rule, count in cell.broken.items():
-            own[rule] = own.get(rule, 0) + count
+            policy_totals[rule] = policy_totals.get(rule, 0) + count
         if cell.faults:
-            own["did not end"] = own.get("did not end", 0) + cell.faults
-    lines = ["<h2>Broken rules</h2><table><tr><th>policy</th><th>plays</th><th>plays that broke</th></tr>"]
+            policy_totals["did not end"] = policy_totals.get("did not end", 0) + cell.faults
+    lines = [
+        "<h2>Broken rules</h2><table><tr><th>policy</th><th>plays</th><th>plays that broke a rule</th></tr>"
+    ]
     for policy in sorted(totals):
         words = ", ".join(f"{rule}: {count}" for rule, count in sorted(totals[policy].items())) or "none"
         lines.append(
--- a/lab/running.py
+++ b/lab/running.py
@@ -1,4 +1,4 @@
-"""Making the plays of a plan: what is missing is played over all cores, and lands as it comes."""
+"""Runs the missing plays of a plan on all cores, and saves results as they arrive."""
 
 from __future__ import annotations
 
@@ -10,39 +10,42 @@
 from typing import Any
 
 from lab import pool
-from lab.experiment import Plan, Play, missing, shard
-from lab.results import Folder, Loaded, rows_of
+from lab.experiment import Plan, Play, missing_plays, select_shard
+from lab.results import LoadedResults, ResultFolder, result_rows
 from lab.revisions import Revisions, libraries
 from lab.worker import Job
 
-LAND_EACH, LAND_S = 64, 5.0  # a part holds so many plays, or what came in so many seconds
-Progress = Callable[[int, int, str], None]  # done, of how many, what the last one was
+# A part file is written after this many plays or, if there are fewer, after this many seconds.
+MAX_PLAYS_PER_PART, MAX_PART_AGE_S = 64, 5.0
+Progress = Callable[[int, int, str], None]  # plays done, plays in total, label of the last one
 
 
-def silent(done: int, of: int, last: str) -> None:
-    """No progress."""
+def no_progress(done: int, total: int, last: str) -> None:
+    """Reports no progress."""
 
 
-def make(
+def run_missing_plays(
     plan: Plan,
     folder: Path,
     *,
     workers: int,
-    part: str = "1/1",
+    shard: str = "1/1",
     seeds: Iterable[int] | None = None,
-    progress: Progress = silent,
-    most_s: float = 3600.0,
-) -> Loaded:
-    """Plays what is missing and makes one file of it; the rows of all plays. Raises InvalidInput."""
-    results = Folder(folder, libraries())
+    progress: Progress = no_progress,
+    timeout_s: float = 3600.0,
+) -> LoadedResults:
+    """Runs the plays that have no result yet, and merges all results into one file, which it returns.
+
+    Raises InvalidInput."""
+    results = ResultFolder(folder, libraries())
     with tempfile.TemporaryDirectory(prefix="lab-") as scratch:
         revisions = Revisions(Path(scratch))
-        codes = {way: revisions.code(way) for way in plan.experiment.policies}
+        codes = {policy: revisions.code(policy) for policy in plan.experiment.policies}
         loaded = results.load()
         for path in loaded.damaged:
-            print(f"{path}: could not be read and was set aside; its plays are made again", file=sys.stderr)
-        wanted = shard(missing(plan.plays(codes, seeds), loaded.done()), part)
-        kept = plan.experiment.first_seed + plan.experiment.series_seeds
+            print(f"{path}: could not be read and was set aside; its plays are run again", file=sys.stderr)
+        plays = select_shard(missing_plays(plan.plays(codes, seeds), loaded.done()), shard)
+        series_end = plan.experiment.first_seed + plan.experiment.series_seeds
         jobs = [
             (
                 play,
@@ -50,39 +53,40 @@
                     source=plan.source(play.point),
                     policy=play.point.policy,
                     seed=play.seed,
-                    series=play.seed < kept,
+                    series=play.seed < series_end,
                 ),
-                revisions.place(play.point.policy),
+                revisions.directory(play.point.policy),
             )
-            for play in wanted
+            for play in plays
         ]
-        _land(results, jobs, workers, part, progress, most_s)
+        _run_and_save(results, jobs, workers, shard, progress, timeout_s)
     return results.compact()
 
 
-def _land(
-    results: Folder,
+def _run_and_save(
+    results: ResultFolder,
     jobs: list[tuple[Play, Job, Path]],
     workers: int,
-    part: str,
+    shard: str,
     progress: Progress,
-    most_s: float,
+    timeout_s: float,
 ) -> None:
+    """Runs the jobs on the workers and saves their rows in parts."""
     rows: list[dict[str, Any]] = []
     series: list[dict[str, Any]] = []
-    landed = time.monotonic()
+    saved_at = time.monotonic()
     try:
-        for done, (play, found) in enumerate(pool.run(jobs, workers, most_s), 1):
+        for done, (play, found) in enumerate(pool.run(jobs, workers, timeout_s), 1):
             progress(done, len(jobs), f"{play.point.label()}, seed {play.seed}")
             if found.row.fault.startswith("the worker ended"):
                 print(f"{play.point.label()}, seed {play.seed}: {found.row.fault}", file=sys.stderr)
-                continue  # no result: a second run makes it again
-            row, over_time = rows_of(play, found)
+                continue  # not saved as a result, so that the next invocation repeats it
+            row, play_series = result_rows(play, found)
             rows.append(row)
-            series += over_time
-            if len(rows) >= LAND_EACH or time.monotonic() - landed > LAND_S:
-                results.add(rows, series, part)
-                rows, series, landed = [], [], time.monotonic()
+            series += play_series
+            if len(rows) >= MAX_PLAYS_PER_PART or time.monotonic() - saved_at > MAX_PART_AGE_S:
+                results.add(rows, series, shard)
+                rows, series, saved_at = [], [], time.monotonic()
     finally:
         if rows:
-            results.add(rows, series, part)
+            results.add(rows, series, shard)
--- a/lab/wall.py
+++ b/lab/wall.py
@@ -1,4 +1,4 @@
-"""Real time for the simulation's models: the same plans as in virtual time, carried out when they are due."""
+"""Real time for the simulation's models: events run when they are due on the machine's clock."""
 
 from __future__ import annotations
 
@@ -12,74 +12,79 @@
 
 
 class WallClock:
-    """Milliseconds since the start. ``due`` is the instant for which what runs now was planned: what it
-    plans in turn counts from there, so that a busy machine delays things but does not thin them out."""
+    """A clock in milliseconds since the start.
 
-    def __init__(self, most_events: int) -> None:
-        self.events, self._most = 0, most_events
+    ``due`` is the time for which the running event was scheduled. What that event schedules counts from
+    then, so a busy machine delays events but does not lower their rate."""
+
+    def __init__(self, max_events: int) -> None:
+        self.events, self._max_events = 0, max_events
         self._loop = asyncio.get_running_loop()
         self._start = time.monotonic()
         self._heap: list[tuple[float, int, Callable[..., object], Any]] = []
-        self._count, self._due = 0, -1.0
-        self._alarm: asyncio.TimerHandle | None = None
+        self._sequence, self._due = 0, -1.0
+        self._timer: asyncio.TimerHandle | None = None
         self._until = 0.0
-        self._ended: asyncio.Future[None] = self._loop.create_future()
-        self.most_late_ms = 0.0  # the latest that anything was
+        self._finished: asyncio.Future[None] = self._loop.create_future()
+        self.max_delay_ms = 0.0  # the longest that any event ran after it was due
 
     def restart(self, at: float | None = None) -> None:
-        """0 is now, or that instant of the machine's monotonic clock: what took place before was setting
-        up."""
+        """Sets time 0 to now, or to an instant of the machine's monotonic clock; what ran before was
+        setup."""
         self._start = time.monotonic() if at is None else at
 
     @property
     def now(self) -> float:
+        """The current time."""
         return (time.monotonic() - self._start) * 1000.0
 
     @property
     def due(self) -> float:
+        """The time that the running event was scheduled for; outside of events, the current time."""
         return self._due if self._due >= 0.0 else self.now
 
-    def schedule(self, delay: float, what: Callable[..., object], *args: object) -> None:
-        self._count += 1
-        instant = self.due + (delay if delay > 0.0 else 0.0)
-        heappush(self._heap, (instant, self._count, what, args))
-        if self._due < 0.0 and self._heap[0][1] == self._count:
-            self._arm()
+    def schedule(self, delay: float, callback: Callable[..., object], *args: object) -> None:
+        """Calls back after a delay in ms."""
+        self._sequence += 1
+        due_at = self.due + (delay if delay > 0.0 else 0.0)
+        heappush(self._heap, (due_at, self._sequence, callback, args))
+        if self._due < 0.0 and self._heap[0][1] == self._sequence:
+            self._set_timer()
 
-    def _arm(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
+    def _set_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
         when = min(self._heap[0][0], self._until) if self._heap else self._until
-        self._alarm = self._loop.call_later(max((when - self.now) / 1000.0, 0.0), self._ring)
+        self._timer = self._loop.call_later(max((when - self.now) / 1000.0, 0.0), self._run_due_events)
 
-    def _ring(self) -> None:
+    def _run_due_events(self) -> None:
         heap, now = self._heap, self.now
         try:
             while heap and heap[0][0] <= min(now, self._until):
-                self._due, _, what, args = heappop(heap)
-                self.most_late_ms = max(self.most_late_ms, now - self._due)
+                self._due, _, callback, args = heappop(heap)
+                self.max_delay_ms = max(self.max_delay_ms, now - self._due)
                 self.events += 1
-                if self.events > self._most:
-                    raise TooManyEvents(f"more than {self._most} events by {now:.0f} ms")
-                what(*args)
+                if self.events > self._max_events:
+                    raise TooManyEvents(f"more than {self._max_events} events by {now:.0f} ms")
+                callback(*args)
         except Exception as fault:
-            if not self._ended.done():
-                self._ended.set_exception(fault)
+            if not self._finished.done():
+                self._finished.set_exception(fault)
             return
         finally:
             self._due = -1.0
         if now >= self._until:
-            if not self._ended.done():
-                self._ended.set_result(None)
+            if not self._finished.done():
+                self._finished.set_result(None)
             return
-        self._arm()
+        self._set_timer()
 
     async def run_until(self, until: float) -> None:
-        """Raises TooManyEvents, and whatever a plan raised."""
+        """Runs events up to this time. Raises TooManyEvents, and any exception of an event."""
         self._until = until
-        self._arm()
+        self._set_timer()
         try:
-            await self._ended
+            await self._finished
         finally:
-            if self._alarm is not None:
-                self._alarm.cancel()
+            if self._timer is not None:
+                self._timer.cancel()
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,8 +1,7 @@
-"""A process that plays what it is told: one job a frame on standard input, what it came to on standard
-output.
+"""A worker process: reads jobs from standard input, and writes the result of each to standard output.
 
-A frame is its length in four bytes, the first the highest, and a message in MessagePack. A play that breaks
-costs itself alone; a worker that dies costs the play it was at.
+A frame is a length in four bytes, big-endian, and a MessagePack message. A play that raises fails alone; a
+worker that dies loses only the play that it was running.
 """
 
 from __future__ import annotations
@@ -16,14 +15,16 @@
 
 from lab.measures import BIN_MS, Measures, Row
 from lab.policies import find_policy
-from lab.results import COUNTS, QUANTILES, Found
+from lab.results import COUNTS, QUANTILES, PlayResult
 from lab.scenario import Source
 from lab.simulation import Simulation
 
-MOST_FRAME = 64 * 1024 * 1024
+MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
+    """One play to run. ``series``: whether its time series is kept."""
+
     source: Source
     policy: str
     seed: int
@@ -31,34 +32,35 @@
 
 
 def write_frame(stream: IO[bytes], message: bytes) -> None:
+    """Writes a message with its length, and flushes."""
     stream.write(len(message).to_bytes(4, "big") + message)
     stream.flush()
 
 
 def read_frame(stream: IO[bytes]) -> bytes | None:
-    """None at the end, also where a frame is cut short or longer than a bound."""
+    """The next message; None at the end, or if a frame is truncated or longer than MAX_FRAME_BYTES."""
     head = stream.read(4)
-    if len(head) < 4 or (size := int.from_bytes(head, "big")) > MOST_FRAME:
+    if len(head) < 4 or (size := int.from_bytes(head, "big")) > MAX_FRAME_BYTES:
         return None
     message = stream.read(size)
     return message if len(message) == size else None
 
 
-def broken(fault: str) -> Row:
-    """The row of a play that did not end."""
-    kinds: dict[type, Any] = {float: 0.0, int: 0, str: fault}
-    return Row(**{item.name: kinds[item.type] for item in msgspec.structs.fields(Row)})
+def failed_row(fault: str) -> Row:
+    """The row of a play that failed."""
+    values: dict[type, Any] = {float: 0.0, int: 0, str: fault}
+    return Row(**{item.name: values[item.type] for item in msgspec.structs.fields(Row)})
 
 
-def play(job: Job) -> Found:
-    """Raises nothing: what goes wrong is in the row."""
+def run_job(job: Job) -> PlayResult:
+    """Runs a job. Raises nothing: an error becomes the fault of the row."""
     try:
-        decides, watched = find_policy(job.policy)
-        simulation = Simulation(job.source.scenario_for(job.seed), job.seed, decides, watched)
+        policy, watch_storms = find_policy(job.policy)
+        simulation = Simulation(job.source.scenario_for(job.seed), job.seed, policy, watch_storms)
         row = simulation.run()
-    except Exception as fault:  # whatever it is, it is this play's alone
-        return Found(row=broken(f"{type(fault).__name__}: {fault}"), quantiles_ms=[])
-    return Found(
+    except Exception as fault:  # an error of one play must not end the worker
+        return PlayResult(row=failed_row(f"{type(fault).__name__}: {fault}"), quantiles_ms=[])
+    return PlayResult(
         row=row,
         quantiles_ms=quantiles(simulation.measures),
         series=series(simulation.measures, len(simulation.servers)) if job.series else [],
@@ -66,32 +68,34 @@
 
 
 def quantiles(measures: Measures) -> list[float]:
+    """The latencies at QUANTILES in ms; empty if nothing was served."""
     ranked = sorted(measures.latencies)
     last = len(ranked) - 1
-    return [ranked[min(int(part * len(ranked)), last)] for part in QUANTILES] if ranked else []
+    return [ranked[min(int(quantile * len(ranked)), last)] for quantile in QUANTILES] if ranked else []
 
 
 def series(measures: Measures, servers: int) -> list[tuple[float, list[int], float, float, list[float]]]:
+    """The time series of a play, one entry per bin."""
     return [
         (
             number * BIN_MS,
-            [getattr(made, name) for name in COUNTS],
-            made.asked,
-            made.got,
-            [made.peak.get(server, 0.0) for server in range(servers)],
+            [getattr(bin_, name) for name in COUNTS],
+            bin_.asked,
+            bin_.got,
+            [bin_.peak.get(server, 0.0) for server in range(servers)],
         )
-        for number, made in enumerate(measures.bins)
+        for number, bin_ in enumerate(measures.bins)
     ]
 
 
 def main() -> None:
-    gc.set_threshold(200_000, 20, 50)  # a play makes many objects that live for a while, and few cycles
+    gc.set_threshold(200_000, 20, 50)  # a play allocates many medium-lived objects and few cycles
     source, sink = sys.stdin.buffer, sys.stdout.buffer
-    sys.stdout = sys.stderr  # nothing else may write there
-    with suppress(BrokenPipeError):  # whoever asked has ended
+    sys.stdout = sys.stderr  # nothing else may write to the result stream
+    with suppress(BrokenPipeError):  # the parent process has ended
         while (message := read_frame(source)) is not None:
-            found = play(msgspec.msgpack.decode(message, type=Job))
-            write_frame(sink, msgspec.msgpack.encode(found))
+            result = run_job(msgspec.msgpack.decode(message, type=Job))
+            write_frame(sink, msgspec.msgpack.encode(result))
 
 
 if __name__ == "__main__":
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -22,12 +22,12 @@
 from lab.command import main
 from lab.experiment import Plan, Play, Point
 from lab.measures import Row
-from lab.reduce import Symptom, candidates, reduced
-from lab.results import Folder, Mixed, of_one_code
+from lab.reduce import Symptom, candidates, reduce_scenario
+from lab.results import MixedCodes, ResultFolder, rows_of_one_code
 from lab.revisions import libraries
 from lab.scenario import Draw, InvalidInput
 from lab.statistics import compare_paired, mean_interval, more_seeds
-from lab.worker import Job, broken
+from lab.worker import Job, failed_row
 
 TINY = """
 name = "tiny"
@@ -68,7 +68,7 @@
     (folder / "tiny.toml").write_text(TINY)
     (folder / "plan.toml").write_text(PLAN)
     plan = experiment.load(folder / "plan.toml")
-    running.make(plan, folder / "all", workers=2)
+    running.run_missing_plays(plan, folder / "all", workers=2)
     yield plan, folder / "all"
 
 
@@ -83,9 +83,11 @@
 def test_one_worker_and_two_shards_come_to_the_same_bytes(played: tuple[Plan, Path], tmp_path: Path) -> None:
     plan, whole = played
     for part in ("1/2", "2/2"):
-        running.make(plan, tmp_path / part[0], workers=1, part=part)
-    Folder(tmp_path / "both", libraries()).compact([Folder(tmp_path / "1"), Folder(tmp_path / "2")])
-    assert len(Folder(whole).load().rows) == 24
+        running.run_missing_plays(plan, tmp_path / part[0], workers=1, shard=part)
+    ResultFolder(tmp_path / "both", libraries()).compact(
+        [ResultFolder(tmp_path / "1"), ResultFolder(tmp_path / "2")]
+    )
+    assert len(ResultFolder(whole).load().rows) == 24
     for name in ("plays.parquet", "series.parquet"):
         assert (tmp_path / "both" / name).read_bytes() == (whole / name).read_bytes()
 
@@ -96,12 +98,12 @@
     plan, whole = played
     folder = copied(whole, tmp_path / "here")
     seen: list[int] = []
-    running.make(plan, folder, workers=1, progress=lambda done, of, _: seen.append(of))
+    running.run_missing_plays(plan, folder, workers=1, progress=lambda done, of, _: seen.append(of))
     assert not seen
-    loaded = Folder(folder).load()
+    loaded = ResultFolder(folder).load()
     (folder / "plays.parquet").unlink()
-    Folder(folder).add(loaded.rows[:-2], [])
-    running.make(plan, folder, workers=1, progress=lambda done, of, _: seen.append(of))
+    ResultFolder(folder).add(loaded.rows[:-2], [])
+    running.run_missing_plays(plan, folder, workers=1, progress=lambda done, of, _: seen.append(of))
     assert seen == [2, 2]
 
 
@@ -115,23 +117,23 @@
     file.write_bytes(file.read_bytes()[:keep])
     (folder / "parts").mkdir()
     (folder / "parts" / "plays-all-1-00000.unfinished").write_bytes(b"PAR1 killed in mid-write")
-    loaded = running.make(plan, folder, workers=2)
-    assert list(map(repr, loaded.rows)) == list(map(repr, Folder(whole).load().rows))  # NaN is as NaN
+    loaded = running.run_missing_plays(plan, folder, workers=2)
+    assert list(map(repr, loaded.rows)) == list(map(repr, ResultFolder(whole).load().rows))  # NaN is as NaN
     assert (folder / "plays.damaged").exists() and "set aside" in capsys.readouterr().err
 
 
 def test_results_of_another_code_are_not_mixed_in(played: tuple[Plan, Path], tmp_path: Path) -> None:
     plan, whole = played
     folder = copied(whole, tmp_path / "here")
-    rows = Folder(folder).load().rows
+    rows = ResultFolder(folder).load().rows
     older = [row | {"code": "0" * 16, "score": 0.0} for row in rows]
-    Folder(folder).add(older, [])
-    with pytest.raises(Mixed, match=r"several codes .*--code"):
-        of_one_code(Folder(folder).load().rows)
-    one = of_one_code(Folder(folder).load().rows, {row["code"] for row in rows})
+    ResultFolder(folder).add(older, [])
+    with pytest.raises(MixedCodes, match=r"several codes .*--code"):
+        rows_of_one_code(ResultFolder(folder).load().rows)
+    one = rows_of_one_code(ResultFolder(folder).load().rows, {row["code"] for row in rows})
     assert list(map(repr, one)) == list(map(repr, rows))
     seen: list[int] = []
-    running.make(plan, folder, workers=1, progress=lambda done, of, _: seen.append(of))
+    running.run_missing_plays(plan, folder, workers=1, progress=lambda done, of, _: seen.append(of))
     assert not seen, "this code's plays are all there"
 
 
@@ -170,12 +172,12 @@
 
 def test_shards_split_the_plays_and_seeds_come_first(plan: Plan) -> None:
     plays = list(plan.plays({"module": "a", "least of two": "b"}))
-    parts = [experiment.shard(plays, f"{n}/3") for n in (1, 2, 3)]
+    parts = [experiment.select_shard(plays, f"{n}/3") for n in (1, 2, 3)]
     assert sorted(p.key() for part in parts for p in part) == sorted(p.key() for p in plays)
     assert [p.seed for p in plays] == sorted(p.seed for p in plays)
     for bad in ("0/3", "4/3", "3", "a/b"):
         with pytest.raises(InvalidInput, match="--shard"):
-            experiment.shard(plays, bad)
+            experiment.select_shard(plays, bad)
 
 
 @pytest.mark.parametrize(
@@ -261,7 +263,7 @@
 
 
 def row(**fields: Any) -> Row:
-    return msgspec.structs.replace(broken(""), **fields)
+    return msgspec.structs.replace(failed_row(""), **fields)
 
 
 def test_a_hunt_closes_in_on_the_worst(tmp_path: Path) -> None:
@@ -271,19 +273,19 @@
         '"clients.growing" = { one_of = [true, false] }',
     ]
     (tmp_path / "s.toml").write_text("\n".join(['name = "s"', "[draw]", *drawn]))
-    search = hunt.Hunt(scenario.load(tmp_path / "s.toml"))
+    search = hunt.WorstCaseSearch(scenario.load(tmp_path / "s.toml"))
     for _ in range(6):
         tried = []
         for values, seed in search.propose(16):
             score = abs(values["load.share"] - 0.9) + abs(math.log(values["servers.count"] / 20.0))
-            tried.append(hunt.Tried(values=values, seed=seed, row=row(score=score)))
-        search.told(tried)
+            tried.append(hunt.Trial(values=values, seed=seed, row=row(score=score)))
+        search.record_trials(tried)
     [worst] = search.worst(1)
     assert abs(worst.values["load.share"] - 0.9) < 0.1 and 16 <= worst.values["servers.count"] <= 25
-    made = scenario.parse_scenario(search.file_of(worst), "found")
+    made = scenario.parse_scenario(search.scenario_tree(worst), "found")
     assert made.load.share == worst.values["load.share"]
-    broke = hunt.Tried(values=worst.values, seed=99, row=row(score=0.9, broke_twice=1))
-    search.told([broke])
+    broke = hunt.Trial(values=worst.values, seed=99, row=row(score=0.9, broke_twice=1))
+    search.record_trials([broke])
     assert search.worst(1) == [broke], "a broken rule is worse than any score"
 
 
@@ -294,7 +296,7 @@
 ) -> None:
     given_, high = Draw(low=low, high=low * times, log=log), low * times
     value = low + (high - low) * at
-    half = hunt.halved(given_, value)
+    half = hunt.halved_range(given_, value)
     assert half.low is not None and half.high is not None
     assert low - 1e-6 <= half.low <= value + 1e-6 and value - 1e-6 <= half.high <= high + 1e-6
 
@@ -313,11 +315,11 @@
         kinds = [item["kind"] for item in made["troubles"]]
         return "slow" in kinds and made["servers"]["count"] >= 4 and made["load"].get("burst", 1) == 4
 
-    smaller, plays = reduced(tree, shows, 200)
+    smaller, plays = reduce_scenario(tree, shows, 200)
     assert smaller["troubles"] == [{"kind": "slow", "at_ms": 1000.0}] and smaller["servers"] == {"count": 4}
     assert smaller["sidecars"] == {"count": 1} and smaller["load"] == {"burst": 4} and plays <= 200
     assert smaller["seconds"] < 8.0
-    assert reduced(tree, lambda _: True, 3)[1] == 3 and tree["sidecars"] == {"count": 8}
+    assert reduce_scenario(tree, lambda _: True, 3)[1] == 3 and tree["sidecars"] == {"count": 8}
     assert all(made != tree for _, made in candidates(tree))
 
 
@@ -342,9 +344,10 @@
 
 def test_a_report_is_a_function_of_its_rows(played: tuple[Plan, Path], tmp_path: Path) -> None:
     _, whole = played
-    codes = sorted({row["code"] for row in Folder(whole).load().rows})
+    codes = sorted({row["code"] for row in ResultFolder(whole).load().rows})
     pages = [
-        report.write(Folder(whole).load(), tmp_path / n, "try", own="module", codes=codes) for n in ("a", "b")
+        report.write(ResultFolder(whole).load(), tmp_path / n, "try", reference="module", codes=codes)
+        for n in ("a", "b")
     ]
     text = pages[0].read_text()
     assert (
@@ -360,7 +363,7 @@
 
 
 def test_cells_hold_what_their_rows_hold(played: tuple[Plan, Path]) -> None:
-    rows = Folder(played[1]).load().rows
+    rows = ResultFolder(played[1]).load().rows
     found = tables.cells(rows, "service")
     assert len(found) == 8 and all(cell.metric.n == 3 for cell in found)
     [cell] = [
@@ -368,9 +371,9 @@
         for c in found
         if c.point.policy == "module" and c.point.changes == {"load.share": 0.5, "servers.warm_up_ms": 500}
     ]
-    own = tables.by_seed(rows, cell.point, "service")
+    own = tables.metric_by_seed(rows, cell.point, "service")
     assert cell.metric.mean == pytest.approx(statistics.mean(own.values())) and len(own) == 3
-    assert len(tables.beside(rows, "module", "score")) == 4
+    assert len(tables.comparisons(rows, "module", "score")) == 4
 
 
 def test_the_command_plays_compares_reduces_and_names_what_is_wrong(tmp_path: Path) -> None:
@@ -398,7 +401,7 @@
     words = ["compare", str(file), "--b", "module@HEAD", "--seeds", "5", "--workers", "2"]
     result = CliRunner().invoke(main, [*words, "--out", str(tmp_path / "out")])
     assert result.exit_code == 0 and "at n = 5" in result.output
-    rows = Folder(tmp_path / "out").load().rows
+    rows = ResultFolder(tmp_path / "out").load().rows
     assert {row["policy"] for row in rows} == {"module", "module@HEAD"} and not any(r["fault"] for r in rows)
     result = CliRunner().invoke(main, ["compare", str(file), "--b", "module@nowhere"])
     assert result.exit_code == 2 and "no revision" in result.output
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -57,24 +57,24 @@
 
 
 @pytest.fixture(scope="module")
-def played() -> socket_simulation.Concluded:
+def played() -> socket_simulation.SocketPlayResult:
     found, _ = many.play(source(FAULTS), 2, drivers=2)
     return found
 
 
-def test_ten_sidecars_with_faults_between_keep_the_rules(played: socket_simulation.Concluded) -> None:
+def test_ten_sidecars_with_faults_between_keep_the_rules(played: socket_simulation.SocketPlayResult) -> None:
     assert not played.row.fault and not played.checker.violations, played.checker.first_violations
     assert played.row.ran_twice == 0 and played.row.falls == 0
 
 
-def test_the_ledger_has_all_that_was_served(played: socket_simulation.Concluded) -> None:
+def test_the_ledger_has_all_that_was_served(played: socket_simulation.SocketPlayResult) -> None:
     bins = played.measures.bins
     served = sum(item.served for item in bins)
     assert served > 200 and played.latency.get_total_count() == served
     assert sum(sum(cells) for cells in played.evenness.counts.values()) >= served
 
 
-def test_no_server_is_left_idle_and_service_is_back(played: socket_simulation.Concluded) -> None:
+def test_no_server_is_left_idle_and_service_is_back(played: socket_simulation.SocketPlayResult) -> None:
     assert all(sum(cells) > 0 for cells in played.evenness.counts.values())
     late = played.measures.bins[
         26:30
@@ -82,7 +82,7 @@
     assert sum(item.served for item in late) > 0.8 * sum(item.first for item in late)
 
 
-def test_both_drivers_and_every_sidecar_took_part(played: socket_simulation.Concluded) -> None:
+def test_both_drivers_and_every_sidecar_took_part(played: socket_simulation.SocketPlayResult) -> None:
     assert len(played.memory_kb) == 12  # ten, two of which began again
     assert all(own <= part <= resident for resident, part, own in played.memory_kb)
 
@@ -108,23 +108,26 @@
 def test_a_check_of_the_rules_sees_a_sale_that_is_sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same notes, with what was never asked twice told twice: the check is not blind."""
     reports: list[dict[str, Any]] = []
-    real = socket_simulation.Concluded.__init__
+    real = socket_simulation.SocketPlayResult.__init__
 
     def keep(self: Any, scenario: Any, seed: int, found: Any) -> None:
         reports.extend(found)
         real(self, scenario, seed, found)
 
-    monkeypatch.setattr(socket_simulation.Concluded, "__init__", keep)
+    monkeypatch.setattr(socket_simulation.SocketPlayResult, "__init__", keep)
     sale = msgspec.json.decode(msgspec.json.encode(PATIENT | {"effect": "unsafe"}))
     small = source([], seconds=2.0, classes=[sale], sidecars={"count": 2})
     many.play(small, 1, drivers=1)
     monkeypatch.undo()
     (report,) = reports
-    assert not socket_simulation.Concluded(small.scenario_for(1), 1, [report]).checker.violations
+    assert not socket_simulation.SocketPlayResult(small.scenario_for(1), 1, [report]).checker.violations
     sent = next(item for item in report["notes"] if item[1] == "sent")
     again = [sent[0] + 1.0, "sent", [*sent[2][:2], "again", *sent[2][3:]]]
     report["notes"] = sorted([*report["notes"], again], key=lambda item: item[0])
-    assert socket_simulation.Concluded(small.scenario_for(1), 1, [report]).checker.violations["twice"] == 1
+    assert (
+        socket_simulation.SocketPlayResult(small.scenario_for(1), 1, [report]).checker.violations["twice"]
+        == 1
+    )
 
 
 def test_a_rig_that_is_killed_leaves_nothing_running(tmp_path: Path) -> None:
@@ -292,7 +295,7 @@
     """A driver that ends before its report is named, and the others are ended."""
 
     async def play() -> None:
-        real = many.read
+        real = many.read_message
         count = 0
 
         async def dies(reader: Any) -> Any:
@@ -305,12 +308,12 @@
                         break
             return await real(reader)
 
-        many.read = dies  # type: ignore[assignment]
+        many.read_message = dies  # type: ignore[assignment]
         try:
-            with pytest.raises(many.Broken, match="ended with -9"):
-                await many._whole(source([], seconds=2.0, sidecars={"count": 2}), 1, 2, "http")
+            with pytest.raises(many.DriverDied, match="ended with -9"):
+                await many._play_with_drivers(source([], seconds=2.0, sidecars={"count": 2}), 1, 2, "http")
         finally:
-            many.read = real
+            many.read_message = real
         assert not [
             pid
             for pid in family(os.getpid())[1:]
