--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -25,7 +25,7 @@
 from lab.sidecars import Policy, Sidecar
 from lab.sight import FleetView
 from lab.streams import Streams
-from lab.versions import Change
+from lab.versions import SidecarUpgrade
 
 
 def request_classes(scenario: Scenario) -> tuple[api.RequestClass, ...]:
@@ -66,16 +66,19 @@
 
     def processes(self) -> list[Sidecar]:
         """Returns all sidecar processes that receive the server list: during an upgrade, old and new."""
-        return [*self.sidecars, *(item for change in self.changes.values() for item in change.beside())]
+        return [
+            *self.sidecars,
+            *(item for upgrade in self.upgrades.values() for item in upgrade.other_processes()),
+        ]
 
     def serving_process(self, number: int) -> Sidecar:
         """Returns the process that receives the next request for this sidecar."""
-        change = self.changes.get(number)
-        return self.sidecars[number] if change is None else change.reached()
+        upgrade = self.upgrades.get(number)
+        return self.sidecars[number] if upgrade is None else upgrade.serving_process()
 
     def _create_servers(self, server_class: type[Server]) -> None:
         """Creates the initial servers and the fault state of the network, free of faults."""
-        self.changes: dict[int, Change] = {}  # upgrades in progress, by sidecar number
+        self.upgrades: dict[int, SidecarUpgrade] = {}  # upgrades in progress, by sidecar number
         self.cut_zones: set[str] = set()  # zones that no message leaves or enters
         self.loss_share = 0.0  # share of attempts that are lost without an answer
         self.links = Links(lambda: self.clock.now, self.streams.of("links"))
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -264,4 +264,4 @@
     def _upgrade(self, number: int) -> None:
         simulation = self.simulation
         if number not in simulation.changes and simulation.sidecars[number].up:
-            versions.Change(simulation, number, self.trouble.size).begin()
+            versions.SidecarUpgrade(simulation, number, self.trouble.size).begin()
