--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -20,10 +20,10 @@
 from lab.servers import DEAD, SILENT, UP, Server
 from lab.sidecars import Sidecar
 from lab.streams import Stream
-from lab.versions import ChangeHost
+from lab.versions import UpgradeHost
 
 
-class TroublesHost(ChangeHost, Protocol):
+class TroublesHost(UpgradeHost, Protocol):
     """The parts of the simulation that troubles use.
 
     ``cut_zones``: zones that no message leaves or enters; ``loss_share``: share of attempts that are lost;
@@ -263,5 +263,5 @@
 
     def _upgrade(self, number: int) -> None:
         simulation = self.simulation
-        if number not in simulation.changes and simulation.sidecars[number].up:
+        if number not in simulation.upgrades and simulation.sidecars[number].up:
             versions.SidecarUpgrade(simulation, number, self.trouble.size).begin()
