--- a/benchmarks/bench_runs.py
+++ b/benchmarks/bench_runs.py
@@ -135,7 +135,7 @@
         """Builds the project once, so that days that run at the same time need not."""
         subprocess.run([self.program, "build"], cwd=ROOT, check=True, timeout=2 * COMMAND_TIMEOUT_S)
 
-    def play(self, site: Path, day: Path) -> Result:
+    def run_day(self, site: Path, day: Path) -> Result:
         """Runs a day; after ``wall_s`` the run and all processes that it started are terminated."""
         seed = str(read_day(day)["seed"])
         report, earlier_entries = day.with_suffix(".report"), {entry.name for entry in JOURNAL.glob("*.json")}
--- a/benchmarks/draw_days.py
+++ b/benchmarks/draw_days.py
@@ -138,7 +138,7 @@
     bench.build()
     results: dict[Path, Result] = {}
     with run_pool(bench, args.jobs) as pool:
-        pending = {pool.submit(bench.play, *one): one for one in drawn}
+        pending = {pool.submit(bench.run_day, *one): one for one in drawn}
         for future in as_completed(pending):
             site, path = pending[future]
             results[path] = result = future.result()
@@ -162,7 +162,7 @@
     (site,) = args.sites
     bench.build()
     path = write_day(out / args.day.name, read_day(args.day), bench.bare)
-    result = bench.play(site, path)
+    result = bench.run_day(site, path)
     print(result_line(read_day(path), result), flush=True)
     if result.state != "broken":
         print(json.dumps({"day": path.stem, "state": result.state}))
--- a/benchmarks/reduce_days.py
+++ b/benchmarks/reduce_days.py
@@ -87,7 +87,7 @@
         with run_pool(bench, jobs) as pool:
             return [
                 breaks_alike(first, result)
-                for result in pool.map(lambda day_path: bench.play(site, day_path), paths)
+                for result in pool.map(lambda day_path: bench.run_day(site, day_path), paths)
             ]
 
     remaining, days_run, is_minimal = minimize(removable_items(day), breaks, max_days)
--- a/tests/mesh/test_draw_days.py
+++ b/tests/mesh/test_draw_days.py
@@ -302,7 +302,7 @@
 
 def test_a_day_that_takes_too_long_is_terminated(bench: Path, tmp_path: Path) -> None:
     day = day_files.write_day(tmp_path / "hang.toml", site()["day"][0] | {"name": "hang"}, False)
-    found = Bench(bench, wall_s=0.5).play(tmp_path / "plain.toml", day)
+    found = Bench(bench, wall_s=0.5).run_day(tmp_path / "plain.toml", day)
     assert (found.state, found.seconds < 30) == ("given up", True)
 
 
