--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -84,7 +84,9 @@
 async def measure(seconds: float) -> dict[str, Any]:
     servers = [await fleet.serve_on_loopback(CountingServer) for _ in range(4)]
     hosts = fleet.host_entries([port for _, port in servers])
-    discovery, port = await fleet.serve_on_loopback(type("Told", (fleet.Discovery,), {"hosts": hosts}))
+    discovery, port = await fleet.serve_on_loopback(
+        type("StaticDiscovery", (fleet.Discovery,), {"hosts": hosts})
+    )
     data = {
         "name": "n1", "discovery": f"127.0.0.1:{port}", "seed": "7", "limits": {"sockets": 512},
         "known": {"seq": 1, "whole": True, "hosts": hosts}, "settings": fleet.SETTINGS,
@@ -92,23 +94,23 @@
     results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(ROOT, Path(folder), data, blocking=False)
-        process, mgmt = await platform.start()
+        process, admin_port = await platform.start()
         await platform.wait_for_log(process, "ready")
-        running = fleet.RunningSidecar(process, platform.port)
-        idle = running.cpu_s()
-        await call_stats(mgmt, time.perf_counter() + seconds)
-        results["cpu_ms_a_second_of_10_calls"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
-        idle = running.cpu_s()
+        sidecar = fleet.RunningSidecar(process, platform.port)
+        cpu_before_s = sidecar.cpu_s()
+        await call_stats(admin_port, time.perf_counter() + seconds)
+        results["cpu_ms_a_second_of_10_calls"] = round((sidecar.cpu_s() - cpu_before_s) / seconds * 1000.0, 2)
+        cpu_before_s = sidecar.cpu_s()
         await asyncio.sleep(seconds)
-        results["cpu_ms_a_second_idle"] = round((running.cpu_s() - idle) / seconds * 1000.0, 2)
+        results["cpu_ms_a_second_idle"] = round((sidecar.cpu_s() - cpu_before_s) / seconds * 1000.0, 2)
 
         until = time.perf_counter() + seconds
         load, calls = await asyncio.gather(
-            fleet.closed_loop(platform.port, CONNECTIONS, seconds), call_stats(mgmt, until)
+            fleet.closed_loop(platform.port, CONNECTIONS, seconds), call_stats(admin_port, until)
         )
         results["under_load"] = summarize(*calls) | {"requests_a_second": round(load.served / load.seconds)}
         await asyncio.sleep(0.6)
-        _, figures = await call(mgmt, "/admin/stats")
+        _, figures = await call(admin_port, "/admin/stats")
         results["figures"] = {
             "served_by_callers": load.served, "passed": sum(figures["passed"].values()),
             "refused_or_failed_by_callers": load.not_served,
@@ -120,15 +122,15 @@
         }  # fmt: skip
 
         until = time.perf_counter() + seconds
-        clients = [asyncio.create_task(run_hostile_client(mgmt, until)) for _ in range(HOSTILE_CLIENTS)]
-        calls = await call_stats(mgmt, until)
+        clients = [asyncio.create_task(run_hostile_client(admin_port, until)) for _ in range(HOSTILE_CLIENTS)]
+        calls = await call_stats(admin_port, until)
         await asyncio.gather(*clients)
         results[f"beside_{HOSTILE_CLIENTS}_hostile"] = summarize(*calls)
 
         # Pauses of 0.4 s every half second, longer than any server list or burst blocks the event loop.
         until = time.perf_counter() + seconds
         pauses = asyncio.create_task(pause_repeatedly(process, until))
-        results["process_stopped_0.4_of_0.5_s"] = summarize(*await call_stats(mgmt, until))
+        results["process_stopped_0.4_of_0.5_s"] = summarize(*await call_stats(admin_port, until))
         await pauses
         await platform.close()
     for server in [discovery, *(server for server, _ in servers)]:
--- a/benchmarks/bench_runs.py
+++ b/benchmarks/bench_runs.py
@@ -59,18 +59,28 @@
 def parse_result(code: int | None, out: str, day_records: Sequence[Mapping[str, Any]]) -> Result:
     """Returns the result of a run with this exit code (None if it was terminated), output and records."""
     last_lines = "\n".join(out.strip().splitlines()[-MAX_OUTPUT_LINES:])
-    rules = {name: number for one in day_records for name, number in (one["rules"] or {}).items() if number}
-    fault = next((str(one["fault"]) for one in day_records if one["fault"]), "")
-    short = tuple(str(line) for one in day_records for line in one.get("short") or ())
-    observed = [one for part in day_records for one in part.get("first") or () if isinstance(one, dict)]
-    first = tuple(f"{one.get('rule')} at {one.get('at_s')} s: {one.get('what')}" for one in observed)
+    rules = {
+        name: number for record in day_records for name, number in (record["rules"] or {}).items() if number
+    }
+    fault = next((str(record["fault"]) for record in day_records if record["fault"]), "")
+    short = tuple(str(line) for record in day_records for line in record.get("short") or ())
+    violations = [
+        violation
+        for record in day_records
+        for violation in record.get("first") or ()
+        if isinstance(violation, dict)
+    ]
+    first = tuple(
+        f"{violation.get('rule')} at {violation.get('at_s')} s: {violation.get('what')}"
+        for violation in violations
+    )
     gave_up = re.search(
         r"(?<!worth )given up|gave (?:it )?up|too busy|day.cap", f"{fault}\n{out}", re.IGNORECASE
     )
     signs = (
         *rules,
         *(["fault"] if fault and not gave_up else []),
-        *(["gate"] if any(one["gate"] is False for one in day_records) and not gave_up else []),
+        *(["gate"] if any(record["gate"] is False for record in day_records) and not gave_up else []),
     )
     if not signs:
         table = re.search(r"\bBROKEN: *(.*)", out)
@@ -81,7 +91,7 @@
     if code is None or gave_up:
         return replace(unclear, state="given up")
     is_complete = day_records and all(
-        one["gate"] is True and isinstance(one["rules"], dict) for one in day_records
+        record["gate"] is True and isinstance(record["rules"], dict) for record in day_records
     )
     if code == 0 and is_complete and not fault and not short:
         return replace(unclear, state="clean", said="")
@@ -110,15 +120,15 @@
     program: Path
     no_cpu: bool = False
     day_cap: float | None = None  # CPU time of a day, in seconds
-    wall_s: float = 900.0
-    why: str = ""
+    wall_s: float = 900.0  # after which a run is terminated
+    why: str = ""  # the reason recorded in the journal
     bare: bool = False  # the fields of a day are at the top level of its file, not under [[day]]
     active_runs: set[subprocess.Popen[str]] = field(default_factory=set)
 
     def kinds(self, site: Path) -> str:
         """Returns what the bench prints about the kinds of faults of a site. Raises KindsTextError."""
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [self.program, "kinds", site],
                 cwd=ROOT,
                 capture_output=True,
@@ -127,9 +137,11 @@
             )
         except (OSError, subprocess.TimeoutExpired) as fault:
             raise KindsTextError(f"{self.program} kinds {site}: {fault}") from fault
-        if done.returncode:
-            raise KindsTextError(f"{self.program} kinds {site}: {(done.stderr or done.stdout).strip()[:200]}")
-        return done.stdout
+        if completed.returncode:
+            raise KindsTextError(
+                f"{self.program} kinds {site}: {(completed.stderr or completed.stdout).strip()[:200]}"
+            )
+        return completed.stdout
 
     def build(self) -> None:
         """Builds the project once, so that days that run at the same time need not."""
@@ -145,7 +157,7 @@
         arguments += ["--no-cpu"] if self.no_cpu else []
         arguments += [] if self.day_cap is None else ["--day-cap", f"{self.day_cap:g}"]
         arguments += ["--why", self.why] if self.why else []
-        start, code = time.monotonic(), None
+        started, code = time.monotonic(), None
         with (
             day.with_suffix(".out").open("w+", encoding="utf-8", errors="replace") as output_file,
             subprocess.Popen(
@@ -170,11 +182,11 @@
         entry, day_records = find_journal_entry(day, earlier_entries)
         if report.exists():
             day_records += [
-                one
+                record
                 for part in parse_json_values(report.read_text("utf-8", "replace"))
-                for one in find_records(part)
+                for record in find_records(part)
             ]
-        seconds = round(time.monotonic() - start, 1)
+        seconds = round(time.monotonic() - started, 1)
         return replace(parse_result(code, out, day_records), seconds=seconds, journal=entry)
 
 
--- a/benchmarks/day_drawer.py
+++ b/benchmarks/day_drawer.py
@@ -157,7 +157,11 @@
         names_by_place = {
             "zone": [zone["name"] for zone in self.site["zones"]],
             "service": [service["name"] for service in self.site["services"]],
-            "class": [one["name"] for one in self.site["classes"] if not one.get("inner")],
+            "class": [
+                request_class["name"]
+                for request_class in self.site["classes"]
+                if not request_class.get("inner")
+            ],
         }
         usual_places = {"machines": ("zone",), "servers": ("zone", "service")}.get(kind.target, ())
         for place in dict.fromkeys((*usual_places, *kind.places)):
@@ -191,8 +195,8 @@
     def limit_losses(self, entries_by_part: Mapping[str, list[Entry]]) -> dict[str, list[Entry]]:
         """Limits the permanent losses of entries, in the order of time, to what the deployment tolerates."""
         budget, kept = LossBudget.for_site(self.site), {part: list[Entry]() for part in PARTS}
-        all_entries = [(part, entry) for part in PARTS for entry in entries_by_part[part]]
-        for part, entry in sorted(all_entries, key=lambda one: float(one[1]["at"])):
+        entries = [(part, entry) for part in PARTS for entry in entries_by_part[part]]
+        for part, entry in sorted(entries, key=lambda part_and_entry: float(part_and_entry[1]["at"])):
             kind = self.kinds[entry["kind"]]
             limited = budget.limit(entry, kind.figures, kind.target) if kind.is_permanent(entry) else entry
             limited = limited or kind.without_permanent_loss(entry)
--- a/benchmarks/days_played.py
+++ b/benchmarks/days_played.py
@@ -169,8 +169,8 @@
         lines += ["", f"Runs that left no days, {len(unfinished)} (not counted above):", ""]
         lines += ["| journal | command | site | why | error |", "| --- | --- | --- | --- | --- |"]
         lines += [
-            f"| {one.entry[-8:]} | {one.command} | {one.site} | {one.reason} | {one.error} |"
-            for one in unfinished
+            f"| {entry.entry[-8:]} | {entry.command} | {entry.site} | {entry.reason} | {entry.error} |"
+            for entry in unfinished
         ]
     return "\n".join(lines)
 
--- a/benchmarks/draw_days.py
+++ b/benchmarks/draw_days.py
@@ -138,7 +138,7 @@
     bench.build()
     results: dict[Path, Result] = {}
     with run_pool(bench, args.jobs) as pool:
-        pending = {pool.submit(bench.run_day, *one): one for one in drawn}
+        pending = {pool.submit(bench.run_day, *job): job for job in drawn}
         for future in as_completed(pending):
             site, path = pending[future]
             results[path] = result = future.result()
--- a/benchmarks/draw_deployments.py
+++ b/benchmarks/draw_deployments.py
@@ -290,24 +290,24 @@
 def describe_site(site: Site) -> str:
     """Describes a site in one line."""
     sidecar_count = sum(machine["count"] for machine in _sidecar_machines(site))
-    cores = [m for m in site["machines"] if m["class"] == "core"]
+    cores = [machine for machine in site["machines"] if machine["class"] == "core"]
     tolerated = ", ".join(f"{count} {kind}" for kind, count in site["tolerate"].items() if count) or "nothing"
     bounds = site["bounds"]
     slots = "/".join(f"{service['slots']}" for service in site["services"])
     regions, cores_by_zone = (
         {zone["region"] for zone in site["zones"]},
-        "+".join(str(m["count"]) for m in cores),
+        "+".join(str(machine["count"]) for machine in cores),
     )
     return (
         f"{site['name']}: zones {len(site['zones'])} in {len(regions)} regions, "
-        f"{sidecar_count} sides, {sum(m['count'] for m in cores)} cores ({cores_by_zone}), "
+        f"{sidecar_count} sides, {sum(machine['count'] for machine in cores)} cores ({cores_by_zone}), "
         f"may lose {tolerated}; side {_sidecar_machines(site)[0]['cpu_share']:g} cpu "
         f"{_sidecar_machines(site)[0]['memory_mb']} MB, "
         f"core {cores[0]['cpu_share']:g} cpu {cores[0]['memory_mb']} MB; slots {slots}, "
         f"beat {site['discovery']['beat_ms']} ms, drain {bounds['drain_ms']} ms, "
         f"settle {bounds['config_ms']} ms, contact {bounds['touch_ms']} ms, "
         f"ack {bounds['ack_ms']} ms, grace {bounds['grace_s']:g} s, "
-        f"{sum(one['per_s'] for one in site['traffic']):.0f} a second"
+        f"{sum(traffic['per_s'] for traffic in site['traffic']):.0f} a second"
     )
 
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -34,7 +34,7 @@
 
 def run_real(sidecars: int, seconds: float) -> dict[str, Any]:
     result, startup_s = many.play(scenario_source(sidecars, seconds), 1)
-    memory_kb = [own for _, _, own in result.memory_kb]
+    memory_kb = [process_kb for _, _, process_kb in result.memory_kb]
     return {
         "sidecars": sidecars,
         "connections": sum(result.connections) / len(result.connections),
--- a/benchmarks/lost_calls.py
+++ b/benchmarks/lost_calls.py
@@ -39,16 +39,16 @@
 def lost_requests(
     fault_kinds: Sequence[str], runs: int, first: int, queries_lost_calls: bool
 ) -> list[RecordedRequest]:
-    found: list[RecordedRequest] = []
+    lost: list[RecordedRequest] = []
     for seed in range(first, first + runs):
         world = CallWorld(seed, queries_lost_calls, fault_kinds, upstreams_fail=False)
         violations = world.find_violations()
         if violations and queries_lost_calls:  # without queries, a duplicate frame is executed twice
             raise SystemExit(f"run {seed} of {fault_kinds}: {violations}")
-        found += [
+        lost += [
             request for request in world.requests if request.link_lost_at is not None and request.statuses
         ]
-    return found
+    return lost
 
 
 def summary(requests: list[RecordedRequest]) -> dict[str, Any]:
