--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -143,9 +143,9 @@
             for key, acked in self.acknowledged_versions.items():
                 held = program.config_store.items.get(key)
                 have = held.version if held is not None else 0
-                late = [(v, at) for v, at in acked if v > have and at < now - MAX_STALENESS_S]
-                if late:
-                    version, at = late[0]
+                missing = [(v, at) for v, at in acked if v > have and at < now - MAX_STALENESS_S]
+                if missing:
+                    version, at = missing[0]
                     self.report(
                         f"{machine.name} {what} {key[1]} r{have}, r{version} was acknowledged {at:.3f}"
                     )
--- a/simulation/mesh/key_troubles.py
+++ b/simulation/mesh/key_troubles.py
@@ -85,15 +85,15 @@
 
 def proxy_partitioned(world: KeyOwnershipWorld, rng: random.Random) -> Script:
     """Cuts the proxy off from all controllers, but not from its upstream."""
-    one = _draw_proxy(world, rng)
-    yield from _partition_for_a_while(world, [one], world.controllers(), rng.uniform(0.5, LONG_PARTITION_S))
+    proxy = _draw_proxy(world, rng)
+    yield from _partition_for_a_while(world, [proxy], world.controllers(), rng.uniform(0.5, LONG_PARTITION_S))
 
 
 def proxy_with_isolated_controller(world: KeyOwnershipWorld, rng: random.Random) -> Script:
     """A proxy and one controller reach each other, but not the other controllers."""
-    machine, one = _draw_proxy(world, rng), _draw_controller(world, rng)
-    others = [other for other in world.controllers() if other is not one]
-    yield from _partition_for_a_while(world, [machine, one], others, rng.uniform(3.0, LONG_PARTITION_S))
+    proxy, controller = _draw_proxy(world, rng), _draw_controller(world, rng)
+    others = [other for other in world.controllers() if other is not controller]
+    yield from _partition_for_a_while(world, [proxy, controller], others, rng.uniform(3.0, LONG_PARTITION_S))
 
 
 def machine_power_loss(world: KeyOwnershipWorld, rng: random.Random) -> Script:
@@ -123,9 +123,9 @@
 
 def controller_isolated(world: KeyOwnershipWorld, rng: random.Random) -> Script:
     """One controller is cut off from the others, but not from the proxies."""
-    one = _draw_controller(world, rng)
-    others = [other for other in world.controllers() if other is not one]
-    yield from _partition_for_a_while(world, [one], others, rng.uniform(0.5, 6.0))
+    controller = _draw_controller(world, rng)
+    others = [other for other in world.controllers() if other is not controller]
+    yield from _partition_for_a_while(world, [controller], others, rng.uniform(0.5, 6.0))
 
 
 def all_controllers_killed(world: KeyOwnershipWorld, rng: random.Random) -> Script:
@@ -138,8 +138,8 @@
 
 def long_isolation(world: KeyOwnershipWorld) -> Script:
     """A proxy with an isolated controller, for longer than it takes to reassign the proxy's keys."""
-    machine, one = world.machines["s1"], world.controllers()[0]
-    world.partition([machine, one], [other for other in world.controllers() if other is not one])
+    proxy, controller = world.machines["s1"], world.controllers()[0]
+    world.partition([proxy, controller], [other for other in world.controllers() if other is not controller])
     yield world.env.timeout(LONG_PARTITION_S)
 
 
--- a/simulation/mesh/members.py
+++ b/simulation/mesh/members.py
@@ -83,9 +83,11 @@
     began = world.env.now
     running = [machine for machine, _ in world.programs(controllers=True)]
     answer = yield from world.commit(running, write_body(version))
-    took = world.env.now - began
-    if answer is None or answer.status != 200 or took > within_s:
-        world.checker.violations.append(f"write r{version}: {answer and answer.status} after {took:.1f} s")
+    elapsed_s = world.env.now - began
+    if answer is None or answer.status != 200 or elapsed_s > within_s:
+        world.checker.violations.append(
+            f"write r{version}: {answer and answer.status} after {elapsed_s:.1f} s"
+        )
 
 
 # Fixed plays
@@ -139,25 +141,25 @@
     recovery."""
     for number in range(4):
         yield from confirm_write(world, number + 1)
-        unlucky = world.controllers()[number % len(world.controllers())]
-        incarnation = unlucky.incarnation
+        victim = world.controllers()[number % len(world.controllers())]
+        incarnation = victim.incarnation
         assert incarnation is not None
         troubles.wiped(world, incarnation, None)
         yield world.env.timeout(1.0 + CONVERGENCE_S + 0.1)
-        yield from world.wait_for_members([unlucky], 0.1)
+        yield from world.wait_for_members([victim], 0.1)
 
 
 def wipe_while_replacing(world: World) -> Script:
     """Wipes disks while all controllers are replaced."""
     for number, old in enumerate(list(world.controllers())):
         yield from confirm_write(world, number + 1)
-        unlucky = world.controllers()[1]
-        incarnation = unlucky.incarnation
+        victim = world.controllers()[1]
+        incarnation = victim.incarnation
         assert incarnation is not None
         troubles.wiped(world, incarnation, None)
         new = start_successor(world, 11 + number)
         yield world.env.timeout(1.0 + CONVERGENCE_S)
-        yield from world.wait_for_members([new, unlucky], 1.0)
+        yield from world.wait_for_members([new, victim], 1.0)
         yield from stop_machine(world, old)
         remove_machine(world, old)
         yield world.env.timeout(CONVERGENCE_S)
@@ -268,43 +270,43 @@
         for _ in range(rng.randrange(2, 5)):
             version += 1
             yield from world.commit([m for m, _ in world.programs(controllers=True)], write_body(version))
-            what = rng.choice(("wipe", "crash", "power", "replace", "lose", "end", "back", "all", "cut"))
-            one = rng.choice(world.controllers())
-            incarnation = one.incarnation
+            fault = rng.choice(("wipe", "crash", "power", "replace", "lose", "end", "back", "all", "cut"))
+            target = rng.choice(world.controllers())
+            incarnation = target.incarnation
             assert incarnation is not None
-            if what in ("wipe", "crash", "power"):
-                {"wipe": troubles.wiped, "crash": troubles.crash, "power": troubles.power}[what](
+            if fault in ("wipe", "crash", "power"):
+                {"wipe": troubles.wiped, "crash": troubles.crash, "power": troubles.power}[fault](
                     world, incarnation, None
                 )
                 yield world.env.timeout(rng.uniform(1.0, 2.0))
-            elif what == "replace":
+            elif fault == "replace":
                 number += 1
                 new = start_successor(world, number)
                 yield world.env.timeout(rng.uniform(0.0, 3.0))
                 yield from world.wait_for_members([new], JOIN_S)
-                yield from stop_machine(world, one)
-                remove_machine(world, one)
-            elif what == "lose":
+                yield from stop_machine(world, target)
+                remove_machine(world, target)
+            elif fault == "lose":
                 number += 1
-                remove_machine(world, one)
+                remove_machine(world, target)
                 yield world.env.timeout(rng.uniform(0.0, 2.0))
                 new = start_successor(world, number)
                 yield from world.wait_for_members([new], JOIN_S)
-            elif what == "end":
-                yield from stop_machine(world, one)
-                world.restart(one, rng.uniform(0.1, 2.0))
+            elif fault == "end":
+                yield from stop_machine(world, target)
+                world.restart(target, rng.uniform(0.1, 2.0))
                 yield world.env.timeout(2.0)
-            elif what == "back":
-                others = [machine for machine in world.machines.values() if machine is not one]
-                world.partition([one], others)
+            elif fault == "back":
+                others = [machine for machine in world.machines.values() if machine is not target]
+                world.partition([target], others)
                 yield world.env.timeout(rng.choice((1.0, 6.0, 25.0)))
                 world.heal()
-            elif what == "all":
+            elif fault == "all":
                 troubles.all_killed(world, incarnation, None)
                 yield world.env.timeout(1.0)
             else:
-                others = [machine for machine in world.machines.values() if machine is not one]
-                world.partition([one], others, both_ways=False)
+                others = [machine for machine in world.machines.values() if machine is not target]
+                world.partition([target], others, both_ways=False)
                 yield world.env.timeout(rng.uniform(0.5, 5.0))
                 world.heal()
             version += 1
--- a/simulation/mesh/plays.py
+++ b/simulation/mesh/plays.py
@@ -130,8 +130,8 @@
     world.heal()
     yield world.env.timeout(RECOVERY_S)
     yield from world.checker.check_recovered()
-    for body, before in sent.items():
-        yield from _repeat_write(world, rng, body, before, counts)
+    for body, earlier in sent.items():
+        yield from _repeat_write(world, rng, body, earlier, counts)
     yield from world.checker.check_recovered()
 
 
@@ -166,7 +166,7 @@
 
 
 def _repeat_write(
-    world: World, rng: random.Random, body: bytes, before: Answer | None, counts: Counter[str]
+    world: World, rng: random.Random, body: bytes, earlier: Answer | None, counts: Counter[str]
 ) -> Script:
     """Sends a write again to any controller: its answer must be clear and agree with the earlier one."""
     until, answer = world.env.now + CLEAR_ANSWER_S, None
@@ -175,8 +175,8 @@
         yield world.env.timeout(0.05)
     status = answer.status if answer is not None else 0
     counts[f"in the end {status}"] += 1
-    if before is not None and before.status in (200, 409) and status != before.status:
-        world.checker.violations.append(f"{status} to a write that had {before.status}: {body[:200]!r}")
+    if earlier is not None and earlier.status in (200, 409) and status != earlier.status:
+        world.checker.violations.append(f"{status} to a write that had {earlier.status}: {body[:200]!r}")
     if count_items(body) == 1 and status not in (200, 409):
-        said = answer.body if answer is not None else b"nothing"
-        world.checker.violations.append(f"no clear answer in the end, {said!r}: {body[:200]!r}")
+        reply = answer.body if answer is not None else b"nothing"
+        world.checker.violations.append(f"no clear answer in the end, {reply!r}: {body[:200]!r}")
--- a/simulation/mesh/replacements.py
+++ b/simulation/mesh/replacements.py
@@ -122,7 +122,7 @@
         yield from self.confirm_write()
         yield self.env.timeout(SUCCESSOR_DELAY_S)
         new = self.start_successor(number, old)
-        began = float(self.env.now)
+        started_at = float(self.env.now)
         if after_start is not None:
             after_start(new)
         yield from self.wait_until(
@@ -132,12 +132,12 @@
         )
         # With an even number the lost member does not reduce the tolerance and may be removed later.
         if self.layout.controllers % 2:
-            left_s = began + CONVERGENCE_S - float(self.env.now)
+            left_s = started_at + CONVERGENCE_S - float(self.env.now)
             yield from self.wait_until(
                 self.only_running_are_members(), left_s, f"{old.name} is no longer a member"
             )
-        self.removal_times_s.append(float(self.env.now) - began)
-        yield self.env.timeout(max(began + CONVERGENCE_S - float(self.env.now), 0.0))
+        self.removal_times_s.append(float(self.env.now) - started_at)
+        yield self.env.timeout(max(started_at + CONVERGENCE_S - float(self.env.now), 0.0))
 
 
 ZonedPlay = Callable[[ZonedWorld], Script]
@@ -149,21 +149,21 @@
     disk."""
 
     def play(world: ZonedWorld) -> Script:
-        waiting = world.controllers()
+        remaining = world.controllers()
         for number in range(count):
             if number == 1:
                 for proxy in world.proxies()[:scale_in]:
                     remove_machine(world, proxy)
                 yield world.env.timeout(1.0)
-            old = waiting.pop(0)
+            old = remaining.pop(0)
             yield from world.replace(11 + number, old)
-            waiting.append(world.machines[f"c{11 + number}"])
+            remaining.append(world.machines[f"c{11 + number}"])
             if wipe_disks:
-                unlucky = waiting[number % len(waiting)]
-                assert unlucky.incarnation is not None
-                troubles.wiped(world, unlucky.incarnation, None)
+                victim = remaining[number % len(remaining)]
+                assert victim.incarnation is not None
+                troubles.wiped(world, victim.incarnation, None)
                 yield world.env.timeout(POWER_S + CONVERGENCE_S)
-                yield from world.wait_for_members([unlucky], 0.1)
+                yield from world.wait_for_members([victim], 0.1)
             yield from world.confirm_write()
 
     return play
@@ -171,13 +171,13 @@
 
 def replace_two_at_once(world: ZonedWorld) -> Script:
     """In two zones, if there are as many: starts both successors, then stops both predecessors."""
-    olds = world.controllers()[:2]
-    news = [world.start_successor(11 + number, old) for number, old in enumerate(olds)]
-    yield from world.wait_for_members(news)
+    predecessors = world.controllers()[:2]
+    successors = [world.start_successor(11 + number, old) for number, old in enumerate(predecessors)]
+    yield from world.wait_for_members(successors)
     yield from world.confirm_write()
-    ends = [world.env.process(stop_machine(world, old)) for old in olds]
-    yield ends[0] & ends[1]
-    for old in olds:
+    stops = [world.env.process(stop_machine(world, old)) for old in predecessors]
+    yield stops[0] & stops[1]
+    for old in predecessors:
         remove_machine(world, old)
     yield from world.wait_until(
         world.only_running_are_members(), CONVERGENCE_S, "two successors are members in place of two"
@@ -240,8 +240,8 @@
 
         world.env.process(remove_proxies())
         yield from world.replace(11 + number, old)
-        beside = world.add(f"s{10 + 3 * number + 3}", f"10.0.1.{10 + 3 * number + 3}", controller=False)
-        world.start(beside)
+        new_proxy = world.add(f"s{10 + 3 * number + 3}", f"10.0.1.{10 + 3 * number + 3}", controller=False)
+        world.start(new_proxy)
         yield world.env.timeout(1.0)
     yield from lose_each_in_turn(world)
 
--- a/simulation/mesh/staged.py
+++ b/simulation/mesh/staged.py
@@ -239,26 +239,26 @@
     def _check_report(self, incarnation: Incarnation) -> None:
         """A report may not confirm a version that is not in force at its proxy."""
         program = incarnation.program
-        item = program.reports.items[REPORT, incarnation.machine.name]
-        report = read(item.value)
+        report_item = program.reports.items[REPORT, incarnation.machine.name]
+        report = read(report_item.value)
         for _, controller in self.programs(controllers=True):
-            for one in controller.config_store.items.values():
-                if one.kind == "route" and one.value is not None and report.confirms(one):
-                    in_force = program.routes.get(one.name)
-                    if in_force is None or in_force.version < one.version:
+            for item in controller.config_store.items.values():
+                if item.kind == "route" and item.value is not None and report.confirms(item):
+                    in_force = program.routes.get(item.name)
+                    if in_force is None or in_force.version < item.version:
                         self.checker._report(
-                            f"{incarnation.machine.name} confirms {one.name} r{one.version} too early"
+                            f"{incarnation.machine.name} confirms {item.name} r{item.version} too early"
                         )
 
     def check_calls(self) -> None:
         """Checks all calls at the end of a run."""
-        for one in self.calls.values():
-            if one.effectful and len(one.runs) > 1:
-                self.checker._report(f"{one.attempt} ran {len(one.runs)} times, at {one.runs}")
-            if one.status == 0 and one.incarnation.alive and one.at < self.env.now - MAX_CALL_S:
-                self.checker._report(f"{one.attempt} at {one.incarnation.machine.name} was never answered")
-            if one.effectful and one.status in (502, 504) and not self.disturbed_at:
-                self.checker._report(f"{one.attempt}: {one.status}, and no machine was disturbed")
+        for call in self.calls.values():
+            if call.effectful and len(call.runs) > 1:
+                self.checker._report(f"{call.attempt} ran {len(call.runs)} times, at {call.runs}")
+            if call.status == 0 and call.incarnation.alive and call.at < self.env.now - MAX_CALL_S:
+                self.checker._report(f"{call.attempt} at {call.incarnation.machine.name} was never answered")
+            if call.effectful and call.status in (502, 504) and not self.disturbed_at:
+                self.checker._report(f"{call.attempt}: {call.status}, and no machine was disturbed")
 
 
 def route_rule(
--- a/simulation/mesh/troubles.py
+++ b/simulation/mesh/troubles.py
@@ -42,11 +42,11 @@
 
 def all_power_one_wiped(world: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
     """All machines lose power, and this controller (or the first one) loses its disk."""
-    unlucky = incarnation.machine if incarnation.machine.is_controller else world.controllers()[0]
+    victim = incarnation.machine if incarnation.machine.is_controller else world.controllers()[0]
     for machine in world.machines.values():
         world.power_off(machine)
         world.restart(machine, POWER_S)
-    unlucky.disk.wipe()
+    victim.disk.wipe()
     return None
 
 
@@ -54,11 +54,11 @@
     """All machines lose power, and the next controller loses its disk."""
     controllers = world.controllers()
     at = controllers.index(incarnation.machine) + 1 if incarnation.machine in controllers else 0
-    unlucky = controllers[at % len(controllers)]
+    victim = controllers[at % len(controllers)]
     for machine in world.machines.values():
         world.power_off(machine)
         world.restart(machine, POWER_S)
-    unlucky.disk.wipe()
+    victim.disk.wipe()
     return None
 
 
--- a/simulation/mesh/wire.py
+++ b/simulation/mesh/wire.py
@@ -131,16 +131,16 @@
         if client_end.closed:
             return None
         client_end.link.connection_made(client_end)
-        for one in (client_end, server_end):
-            duplicate = self.duplicates.pop((one.incarnation, one.other.incarnation), None)
+        for end in (client_end, server_end):
+            duplicate = self.duplicates.pop((end.incarnation, end.other.incarnation), None)
             if duplicate is not None:  # after the first frames of the connection
-                self.loop.call_later(5 * LATENCY_S, self._transmit, one, duplicate, 0.0)
+                self.loop.call_later(5 * LATENCY_S, self._transmit, end, duplicate, 0.0)
         return client_end.link
 
     # Data transfer
 
-    def is_partitioned(self, one: str, other: str) -> bool:
-        return (one, other) in self.blocked_paths or (other, one) in self.blocked_paths
+    def is_partitioned(self, host: str, other: str) -> bool:
+        return (host, other) in self.blocked_paths or (other, host) in self.blocked_paths
 
     def send(self, end: ConnectionEnd, data: bytes) -> None:
         delay_s: float | None = 0.0
@@ -198,8 +198,8 @@
 
     def break_connection(self, end: ConnectionEnd) -> None:
         """Resets both ends; frames in flight are lost."""
-        for one in (end, end.other):
-            one.mark_closed(ConnectionResetError("reset"))
+        for closed_end in (end, end.other):
+            closed_end.mark_closed(ConnectionResetError("reset"))
 
     # Faults
 
--- a/simulation/mesh/witness.py
+++ b/simulation/mesh/witness.py
@@ -76,8 +76,8 @@
                 content = canonical_content(Item(write.kind, write.name, write.version, write.value))
                 key = (write.kind, write.name)
                 self.sent_contents.setdefault(key, {}).setdefault(write.version, set()).add(content)
-                number = (*key, write.version)
-                self.bodies_by_content.setdefault(number, {}).setdefault(content, set()).add(body)
+                slot = (*key, write.version)
+                self.bodies_by_content.setdefault(slot, {}).setdefault(content, set()).add(body)
 
     def check_answer(
         self,
@@ -86,14 +86,14 @@
         method: bytes,
         body: bytes,
         answer: Answer,
-        began: float,
+        started_at: float,
         lacks_majority: bool,
     ) -> None:
         if answer.status == 200 and lacks_majority:
             self._report(f"{machine.name} has no majority and answers {method.decode()} with 200")
         if method == b"GET" and answer.status == 200:
             self.reads += 1
-            self._check_read(machine, answer.body, began)
+            self._check_read(machine, answer.body, started_at)
         elif method == b"PATCH" and answer.status == 200:
             self.acknowledgements += 1
             self._check_acknowledgement(machine, body)
@@ -140,12 +140,12 @@
         """Checks one item in force, as held by a process or a disk."""
         if item.kind not in OPERATOR_KINDS:
             return
-        number, content = (item.kind, item.name, item.version), canonical_content(item)
-        if self.acknowledged_contents.get(number, content) != content:
-            self._report(f"{who} has another content of {number} than was acknowledged")
-        bodies = self.bodies_by_content.get(number, {}).get(content)
+        slot, content = (item.kind, item.name, item.version), canonical_content(item)
+        if self.acknowledged_contents.get(slot, content) != content:
+            self._report(f"{who} has another content of {slot} than was acknowledged")
+        bodies = self.bodies_by_content.get(slot, {}).get(content)
         if bodies and bodies <= self.conflicting_bodies:
-            self._report(f"{who} has {number} with a content that was refused as a conflict")
+            self._report(f"{who} has {slot} with a content that was refused as a conflict")
 
     def _check_refusal(self, machine: Machine, body: bytes, status: int) -> None:
         """A final refusal: 409 requires a conflicting decision, and an acknowledged write is never
@@ -157,37 +157,37 @@
         self.conflicting_bodies.add(body)
         change = decode_change(body)
         writes = change.writes if isinstance(change, ConfigurationWrite) else ()
-        numbers = {(write.kind, write.name, write.version): write.value for write in writes}
-        if not any(self._has_conflicting_decision(number, value) for number, value in numbers.items()):
+        slots = {(write.kind, write.name, write.version): write.value for write in writes}
+        if not any(self._has_conflicting_decision(slot, value) for slot, value in slots.items()):
             self._report(f"{machine.name} answers 409, and no item has a conflicting decision")
         for controllers in (True, False):
             for other, program in self.world.programs(controllers):
-                for number in numbers:
-                    item = program.config_store.items.get(number[:2])
-                    if item is not None and item.version == number[2]:
+                for slot in slots:
+                    item = program.config_store.items.get(slot[:2])
+                    if item is not None and item.version == slot[2]:
                         self._check_item(other.name, item)
 
-    def _has_conflicting_decision(self, number: Slot, value: Any) -> bool:
+    def _has_conflicting_decision(self, slot: Slot, value: Any) -> bool:
         """Whether a process or a disk has another decision; the proposer knows it before them."""
         digest = digest_of(value)
         for _, program in self.world.programs(controllers=True):
-            state = program.acceptor.state(number)
+            state = program.acceptor.state(slot)
             if isinstance(state, Decision) and state.digest != digest:
                 return True
         for machine in self.world.controllers():
             for item in machine.disk.state().items:
-                if (item.kind, item.name, item.version) == number and digest_of(item.value) != digest:
+                if (item.kind, item.name, item.version) == slot and digest_of(item.value) != digest:
                     return True
         return False
 
-    def _check_read(self, machine: Machine, body: bytes, began: float) -> None:
+    def _check_read(self, machine: Machine, body: bytes, started_at: float) -> None:
         change = decode_change(b'{"apply":' + body + b"}")
         if not isinstance(change, ConfigurationWrite):
             self._report(f"{machine.name}: answer to GET cannot be decoded: {body[:80]!r}")
             return
         found = {(write.kind, write.name): write for write in change.writes}
         for key, (version, at) in self.acknowledged.items():
-            if at > began:
+            if at > started_at:
                 continue
             read = found.get(key)
             if read is not None and read.version < version:
@@ -202,9 +202,9 @@
                 )
             self._check_item(f"{machine.name}: GET", Item(*key, write.version, write.value))
 
-    def _was_removed(self, key: Key, least: int) -> bool:
+    def _was_removed(self, key: Key, min_version: int) -> bool:
         return any(
-            v >= least and b"null" in content for v, content in self.sent_contents.get(key, {}).items()
+            v >= min_version and b"null" in content for v, content in self.sent_contents.get(key, {}).items()
         )
 
     # Contents of processes
@@ -243,30 +243,30 @@
             if program is not None:
                 view = program.member_set.view()
                 views.append((machine.name, view))
-                counts, epoch = program.disk_writer.complete, view.epoch
+                complete, epoch = program.disk_writer.complete, view.epoch
                 items, votes = program.config_store.items, program.acceptor.votes
             else:
                 kept = machine.disk.state()
-                counts, epoch = kept.complete, 0  # not running: as if it could answer a reader of any epoch
+                complete, epoch = kept.complete, 0  # not running: as if it could answer a reader of any epoch
                 items, votes = {item.key: item for item in kept.items}, kept.votes
-            if counts:
+            if complete:
                 held.append(DiskContents(machine.ip, epoch, items, votes))
         for key, (version, _) in self.acknowledged.items():
-            number = (*key, version)
-            lacking = [one for one in held if not self._is_known(number, one.items, one.votes)]
+            slot = (*key, version)
+            lacking = [disk for disk in held if not self._is_known(slot, disk.items, disk.votes)]
             for name, view in views:
-                quorum = [one.ip for one in lacking if one.epoch <= view.epoch]
+                quorum = [disk.ip for disk in lacking if disk.epoch <= view.epoch]
                 if view.epoch and view.overlaps(quorum, self.world.tolerance):
                     self._report(f"{when}: {quorum} are a read quorum for {name}, and lack {key} r{version}")
 
-    def _is_known(self, number: Slot, items: Mapping[Key, Item], votes: Mapping[Slot, Vote]) -> bool:
+    def _is_known(self, slot: Slot, items: Mapping[Key, Item], votes: Mapping[Slot, Vote]) -> bool:
         """In force, superseded, or an open vote, which every read brings to its decision."""
-        item, vote = items.get(number[:2]), votes.get(number)
-        if item is not None and item.version >= number[2]:
+        item, vote = items.get(slot[:2]), votes.get(slot)
+        if item is not None and item.version >= slot[2]:
             return True
         return (
             vote is not None
-            and canonical_content(Item(*number, vote.value)) == self.acknowledged_contents[number]
+            and canonical_content(Item(*slot, vote.value)) == self.acknowledged_contents[slot]
         )
 
     def watch(self) -> Generator[simpy.Event, Any, None]:
@@ -280,11 +280,11 @@
             return
         self.check_proxies_know(acked_at)
 
-    def check_proxies_know(self, until: float) -> None:
+    def check_proxies_know(self, deadline: float) -> None:
         for machine, program in self.world.programs(controllers=False):
             for key, (version, at) in self.acknowledged.items():
                 held = program.config_store.items.get(key)
-                if at <= until and (held is None or held.version < version):
+                if at <= deadline and (held is None or held.version < version):
                     self._report(f"{machine.name} does not know {key} r{version}, acknowledged at {at:.3f}")
 
     # The end of a run
@@ -313,8 +313,8 @@
         self._check_quorums("in the end")
         self.check_proxies_know(float(world.env.now))
         for name in ("config_store", "membership_store"):
-            until = world.env.now + (LEASE_PROPAGATION_S if name == "membership_store" else 0.0)
-            while not _copies_agree(stores := self._stores(name)) and world.env.now < until:
+            deadline = world.env.now + (LEASE_PROPAGATION_S if name == "membership_store" else 0.0)
+            while not _copies_agree(stores := self._stores(name)) and world.env.now < deadline:
                 yield world.env.timeout(0.01)
             if not _copies_agree(stores):
                 self._report(f"the copies of the {name} differ in the end: {_describe_differences(stores)}")
