--- a/tests/mesh/test_catching_up_world.py
+++ b/tests/mesh/test_catching_up_world.py
@@ -135,7 +135,7 @@
         assert run_play(unlimited_names) == []
 
 
-def test_without_forgetting_the_store_is_full_for_good() -> None:
+def test_without_tombstone_collection_the_store_stays_full() -> None:
     with (
         mock.patch("mesh.control_plane.program.MAX_CONFIG_ITEMS", 60),
         mock.patch("mesh.control_plane.tombstone_collection.TombstoneCollection.tick"),
@@ -169,7 +169,7 @@
     assert run_play(script) == []
 
 
-def test_a_drop_is_forgotten_only_once_all_members_have_it() -> None:
+def test_a_tombstone_is_collected_only_once_all_members_have_it() -> None:
     def script(world: World) -> Script:
         yield from boot_with_routes(world)
         away = world.controllers()[2]
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize("fault", ["doubts", "starts over"])
-def test_the_checks_see_what_comes_back(fault: str) -> None:
+def test_the_checks_detect_removed_items_that_return(fault: str) -> None:
     if fault == "doubts":
         with (
             mock.patch("mesh.data_plane.program.Proxy._check_unconfirmed"),
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("at", range(0, 60, 6))
-def test_a_kill_at_any_point_of_it_does_not_matter(at: int) -> None:
+def test_a_kill_at_any_point_of_a_catch_up_is_harmless(at: int) -> None:
     """Kills whichever process is at that point."""
 
     def script(world: World) -> Script:
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -38,13 +38,13 @@
 
 
 @pytest.mark.parametrize("name", PARTITIONS)
-def test_a_cut_after_the_last_acknowledgement_breaks_nothing(name: str) -> None:
+def test_a_partition_after_the_last_acknowledgement_violates_nothing(name: str) -> None:
     assert violations_without_fault(name) == []
 
 
 @pytest.mark.parametrize("number", [7, 61, 150])
 @pytest.mark.parametrize("name", ["one", "restart"])
-def test_a_cut_at_a_numbered_point_breaks_nothing(name: str, number: int) -> None:
+def test_a_partition_at_a_numbered_point_violates_nothing(name: str, number: int) -> None:
     assert violations_without_fault(name, number) == []
 
 
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("play_seed", [3, 5, 11])
-def test_a_vote_that_was_taken_up_in_vain_still_counts_as_open(
+def test_a_failed_recovery_does_not_restart_the_age_of_an_open_vote(
     play_seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert run_play("halves", 4, random.Random(f"halves/{play_seed}"))[0] == []
@@ -109,7 +109,7 @@
     ]
 
 
-def test_a_sidecar_with_only_the_cut_off_one_in_reach_goes_on_says_so_once_and_takes_the_newest() -> None:
+def test_a_proxy_that_reaches_only_an_isolated_controller_logs_it_once_and_catches_up_later() -> None:
     def script(world: PartitionWorld) -> Script:
         proxy, at = world.machines["s1"], world.controllers()[0]
         isolate(world, at, proxy)
@@ -133,7 +133,7 @@
     assert run_world(script) == []
 
 
-def test_a_life_that_begins_is_not_ready_by_one_without_contact_and_seeks_the_next() -> None:
+def test_a_starting_proxy_is_not_ready_by_a_controller_without_contact_and_tries_the_next() -> None:
     def script(world: PartitionWorld) -> Script:
         at = world.controllers()[0]
         isolate(world, at)
@@ -154,7 +154,7 @@
     assert run_world(script) == []
 
 
-def test_who_reaches_one_with_contact_sends_callers_there() -> None:
+def test_a_controller_without_contact_redirects_to_one_with_contact() -> None:
     def script(world: PartitionWorld) -> Script:
         controllers = world.controllers()
         at, near = controllers[0], controllers[1]
@@ -171,7 +171,7 @@
     assert run_world(script, controllers=5) == []
 
 
-def test_one_that_was_frozen_serves_nobody_by_what_it_knew_before() -> None:
+def test_a_frozen_controller_serves_nothing_from_its_old_state() -> None:
     """When it resumes, its sockets hold a write, a read and the first request of a proxy."""
 
     def script(world: PartitionWorld) -> Script:
@@ -193,7 +193,7 @@
     assert run_world(script) == []
 
 
-def test_a_time_of_day_that_steps_costs_one_round_of_questions() -> None:
+def test_a_step_of_the_wall_clock_costs_one_round_of_probes() -> None:
     def script(world: PartitionWorld) -> Script:
         at = world.controllers()[0]
         for step_s in (3600.0, -7200.0):
@@ -206,7 +206,7 @@
     assert run_world(script) == []
 
 
-def test_questions_of_contact_are_few_and_short() -> None:
+def test_contact_probes_are_few_and_short() -> None:
     """Two controllers exchange four frames per eighth of contact_ms, of at most 40 bytes each."""
 
     def script(world: PartitionWorld) -> Script:
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("contact", [True, False])
-def test_a_go_word_of_one_without_contact_is_passed_over(contact: bool) -> None:
+def test_an_approval_without_contact_is_ignored(contact: bool) -> None:
     def script(world: PartitionWorld) -> Script:
         stages: Any = world.machines["s1"].program.staged_routes
         taken: list[Any] = []
--- a/tests/mesh/test_day_100_4_world.py
+++ b/tests/mesh/test_day_100_4_world.py
@@ -62,11 +62,11 @@
 
 
 @pytest.mark.parametrize("controllers", [3, 5])
-def test_orders_go_on_once_every_control_machine_has_left_while_one_was_cut_off(controllers: int) -> None:
+def test_writes_continue_after_all_controllers_were_replaced_while_one_was_cut_off(controllers: int) -> None:
     assert run_play(controllers, _all_leave_while_one_is_cut_off) == []
 
 
-def test_without_a_change_of_members_the_same_play_ends_in_no_order(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_member_changes_the_same_play_ends_without_writes(monkeypatch: pytest.MonkeyPatch) -> None:
     """As in the incident: no member was ever removed, and the remaining first members confirmed nothing."""
     monkeypatch.setattr(member_changes, "plan_change", lambda *_: ChangePlan(None, {}, "nobody leaves"))
     assert any("write r2: " in line for line in run_play(3, _all_leave_while_one_is_cut_off))
--- a/tests/mesh/test_large_orders_world.py
+++ b/tests/mesh/test_large_orders_world.py
@@ -109,7 +109,7 @@
         return world.run(script) + violations
 
 
-def test_large_orders_are_in_force_in_time_where_proxies_start_over_beside_small_orders() -> None:
+def test_large_writes_are_in_force_in_time_while_proxies_restart_beside_small_writes() -> None:
     def day(world: World, orders: OrderLog) -> Script:
         yield from orders.send(large(1))
         proxies = [machine for machine in world.machines.values() if not machine.is_controller]
@@ -203,7 +203,7 @@
     assert run_day(day) == []
 
 
-def test_who_cannot_be_heard_holds_no_acknowledgement_up() -> None:
+def test_an_unreachable_proxy_delays_no_acknowledgement() -> None:
     def day(world: World, orders: OrderLog) -> Script:
         world.power_off(world.machines["s1"])
         yield world.env.timeout(1.0)
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -56,12 +56,12 @@
 
 
 @pytest.mark.parametrize("seed", [*range(8), REMOVED_UNKNOWINGLY_SEED])
-def test_a_drawn_play_breaks_nothing(seed: int) -> None:
+def test_a_random_play_violates_nothing(seed: int) -> None:
     assert run_play(*members.draw_play(seed)) == []
 
 
 @pytest.mark.parametrize("controllers", [1, 2, 4, 5, 11])
-def test_founders_and_joiners_all_count_within_10_s_of_a_first_start(controllers: int) -> None:
+def test_founders_and_joiners_are_members_within_10_s_of_a_first_start(controllers: int) -> None:
     def script(world: World) -> Script:
         world.founders = [world.add(f"c{n}", f"10.0.0.{n}") for n in range(1, min(controllers, 3) + 1)]
         all_of = [*world.founders, *(world.add(f"c{n}", f"10.0.0.{n}") for n in range(4, controllers + 1))]
@@ -109,7 +109,7 @@
         assert run_killed_first_start(synced)
 
 
-def test_nobody_begins_anew_while_one_is_missing() -> None:
+def test_no_first_view_is_formed_while_a_founder_is_missing() -> None:
     def script(world: World) -> Script:
         world.founders = [world.add(f"c{n}", f"10.0.0.{n}") for n in range(1, 4)]
         for machine in world.founders[:2]:
@@ -121,7 +121,7 @@
         assert world.run(script) == []
 
 
-def test_where_zones_may_be_lost_a_successor_takes_its_zone_and_the_next_zone_may_be_lost() -> None:
+def test_with_zone_tolerance_a_successor_takes_its_zone_and_another_zone_may_be_lost() -> None:
     """Three zones with one member and one proxy each; the member of one zone is lost for good."""
     where = {"c1": "a", "c2": "b", "c3": "c", "c11": "c", "s1": "a", "s2": "b", "s3": "c"}
 
@@ -278,7 +278,7 @@
     return found
 
 
-def test_what_is_borne_is_told_when_it_falls_below_what_is_asked_and_when_it_is_back() -> None:
+def test_a_loss_margin_below_the_requirement_and_its_recovery_are_logged() -> None:
     def loses(world: World) -> Script:
         logged = capture_events(world)
         first, *_, last = world.controllers()
@@ -296,7 +296,7 @@
     assert run_play(3, loses) == []
 
 
-def test_a_word_removes_one_that_is_gone_and_is_refused_with_a_reason_where_that_is_not_safe() -> None:
+def test_an_operator_removes_a_lost_member_and_is_refused_with_a_reason_if_unsafe() -> None:
     def asks(world: World) -> Script:
         controllers = world.controllers()
         answers: list[Any] = []
@@ -326,7 +326,7 @@
     assert run_play(4, asks) == []
 
 
-def test_a_restart_in_turn_changes_no_members_and_a_place_that_changes_is_made_known() -> None:
+def test_a_rolling_restart_changes_no_members_and_a_changed_zone_is_published() -> None:
     def restarts(world: World) -> Script:
         controllers = world.controllers()
         epoch = controllers[0].program.member_set.view().epoch
@@ -347,7 +347,7 @@
     assert run_play(3, restarts) == []
 
 
-def test_settings_that_count_a_machine_no_more_or_again_are_heeded_where_that_is_safe() -> None:
+def test_settings_that_end_or_restore_membership_apply_where_safe() -> None:
     def retunes(world: World) -> Script:
         controllers = world.controllers()
         last, other = controllers[3], controllers[2]
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("controllers", [3, 4, 5])
-def test_of_three_orders_of_one_number_one_is_acknowledged_and_the_others_are_refused(
+def test_of_three_writes_of_one_version_one_is_acknowledged_and_the_others_are_refused(
     controllers: int,
 ) -> None:
     def three(world: World) -> Script:
@@ -99,7 +99,7 @@
     assert run_world(three, controllers) == []
 
 
-def test_a_drop_and_a_set_of_one_version_are_rivals() -> None:
+def test_a_removal_and_a_write_of_one_version_conflict() -> None:
     def drop_or_set(world: World) -> Script:
         yield from world.commit(world.controllers(), patch_body(["r1"], 1, 1))
         bodies = [patch_body(["r1"], 2, 2), patch_body(["r1"], 2, 0, drop=True)]
@@ -111,7 +111,7 @@
     assert run_world(drop_or_set) == []
 
 
-def test_the_same_order_is_200_at_any_time_at_any_process_and_another_content_never() -> None:
+def test_a_repeated_write_is_always_accepted_and_another_content_never() -> None:
     def again(world: World) -> Script:
         one, two, rival = patch_body(["r1"], 1, 1), patch_body(["r1"], 2, 2), patch_body(["r1"], 1, 3)
         for body in (one, one, two, one):  # the last one: after it was superseded
@@ -131,7 +131,7 @@
     assert run_world(again) == []
 
 
-def test_orders_that_cross_on_two_items_do_not_lock_each_other() -> None:
+def test_writes_of_two_items_in_opposite_order_do_not_deadlock() -> None:
     def cross(world: World) -> Script:
         for version in range(1, 6):
             bodies = [patch_body(["r1", "r2"], version, 1), patch_body(["r2", "r1"], version, 2)]
@@ -145,7 +145,7 @@
     assert run_world(cross) == []
 
 
-def test_a_large_order_of_which_one_route_is_rivalled_is_refused_whole() -> None:
+def test_a_large_write_with_one_conflicting_route_is_refused_whole() -> None:
     def large(world: World) -> Script:
         yield from world.commit(world.controllers(), patch_body(["r1"], 1, 1))
         names = [f"r{n}" for n in range(1, 161)]
@@ -158,7 +158,7 @@
     assert run_world(large) == []
 
 
-def test_an_order_of_several_pages_is_decided_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_of_several_pages_is_decided_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(accept_pages, "PAGE_BYTES", 600)
 
     def pages(world: World) -> Script:
@@ -169,7 +169,7 @@
     assert run_world(pages) == []
 
 
-def test_eight_orders_at_once_are_all_acknowledged_in_time() -> None:
+def test_eight_concurrent_writes_are_all_acknowledged_in_time() -> None:
     def eight(world: World) -> Script:
         began = world.env.now
         sent = [(at % 3, patch_body([f"r{at}"], 1, 1)) for at in range(8)]
@@ -179,7 +179,7 @@
     assert run_world(eight) == []
 
 
-def test_more_orders_than_may_wait_are_told_to_come_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_writes_beyond_the_queue_limit_are_answered_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(proposals_module, "MAX_PENDING_WRITES", 3)
     assert MAX_PENDING_WRITES == 256
 
@@ -190,7 +190,7 @@
     assert run_world(many) == []
 
 
-def test_more_reads_than_may_be_under_way_are_told_to_come_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reads_beyond_the_limit_are_answered_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(quorum_reads, "MAX_PENDING_READS", 3)
     assert MAX_PENDING_READS == 256
 
@@ -208,7 +208,7 @@
     assert run_world(many) == []
 
 
-def test_a_stalled_disk_holds_nobody_up() -> None:
+def test_a_stalled_disk_delays_no_write() -> None:
     def stalled(world: World) -> Script:
         controllers = world.controllers()
         controllers[1].disk.hangs_until = world.env.now + 2.0
@@ -221,7 +221,7 @@
     assert run_world(stalled) == []
 
 
-def test_what_its_proposer_left_half_voted_is_decided_within_the_stated_time() -> None:
+def test_a_vote_without_a_proposer_is_decided_within_the_stated_time() -> None:
     def left(world: World) -> Script:
         first, *others = world.controllers()
         world.env.process(world.patch(first, patch_body(["r1", "r2"], 1, 1)))
@@ -257,7 +257,7 @@
     assert run_world(reads) == []
 
 
-def test_what_refuses_every_ballot_at_once_makes_no_ballots_without_a_pause(
+def test_ballots_that_are_always_refused_are_retried_with_a_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     ballots = []
@@ -275,7 +275,7 @@
     assert MAX_IMMEDIATE_BALLOTS < len(ballots) < 100
 
 
-def test_an_order_goes_on_after_its_caller_has_left() -> None:
+def test_a_write_continues_after_its_caller_has_left() -> None:
     def leaves(world: World) -> Script:
         controllers = world.controllers()
         for machine in controllers[1:]:
@@ -289,7 +289,7 @@
     assert run_world(leaves) == []
 
 
-def test_a_digest_that_was_overtaken_outlives_a_lost_disk() -> None:
+def test_the_digest_of_a_superseded_version_survives_a_lost_disk() -> None:
     def lost(world: World) -> Script:
         controllers = world.controllers()
         for version in (1, 2, 3):
@@ -365,7 +365,7 @@
 
 @pytest.mark.parametrize("name", SCRIPTS)
 @pytest.mark.parametrize("fault", FAULTS)
-def test_whatever_befalls_at_a_point_one_number_has_one_order(name: str, fault: str) -> None:
+def test_with_a_fault_at_any_point_each_version_has_one_content(name: str, fault: str) -> None:
     script, violations_at = SCRIPTS[name], {}
     applicable = [
         at
@@ -383,7 +383,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(8), 1196])
-def test_a_drawn_play_breaks_nothing(seed: int) -> None:
+def test_a_random_play_violates_nothing(seed: int) -> None:
     """For more seeds: python -m benchmarks.order_plays --plays 10000."""
     violations, counts = run_play(seed)
     assert violations == [] and counts["acknowledged"] > 0, json.dumps(counts)
--- a/tests/mesh/test_owners_world.py
+++ b/tests/mesh/test_owners_world.py
@@ -64,7 +64,7 @@
     assert run_play(scenario) == []
 
 
-def test_keys_of_one_that_drains_are_without_a_holder_for_a_moment_only() -> None:
+def test_keys_of_a_draining_upstream_have_no_holder_only_briefly() -> None:
     def scenario(world: KeyOwnershipWorld) -> Script:
         instance = world.instances["s2"]
         instance.state = "decaying"
@@ -99,7 +99,7 @@
     assert run_play(scenario) == []
 
 
-def test_one_busy_part_of_the_keys_is_spread_over_all_upstreams() -> None:
+def test_a_hot_key_range_is_spread_over_all_upstreams() -> None:
     def scenario(world: KeyOwnershipWorld) -> Script:
         rng = random.Random(3)
 
@@ -138,11 +138,11 @@
 
 
 @pytest.mark.parametrize("scene", key_troubles.SCENES, ids=lambda one: one.__name__)
-def test_scenes_that_need_one_clause_each_break_nothing(scene: Callable[[KeyOwnershipWorld], Script]) -> None:
+def test_scenarios_for_single_clauses_violate_nothing(scene: Callable[[KeyOwnershipWorld], Script]) -> None:
     assert not any("OWNER" in line for line in run_play(scene))
 
 
-def test_after_a_loss_of_all_keys_are_held_again_by_the_next_lives_words() -> None:
+def test_after_all_upstreams_restart_keys_are_held_again_without_waiting_for_leases() -> None:
     """No lease needs to expire if the proxy beside a holder knows that its incarnation has ended."""
 
     def scenario(world: KeyOwnershipWorld) -> Script:
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -67,7 +67,7 @@
 # Rules
 
 
-def test_a_machine_that_dies_for_good_is_dropped_in_the_bound_and_leaves_nothing_behind() -> None:
+def test_a_lost_machine_is_removed_in_time_with_all_its_entries() -> None:
     def dies(world: ReapingWorld) -> Script:
         proxies = [world.machines[name] for name in ("s2", "s3", "s4", "s5")]
         for one in proxies:
@@ -92,7 +92,7 @@
     assert run_play(after_boot(dies)) == []
 
 
-def test_a_control_process_whose_disk_counts_is_not_dropped_and_another_one_is() -> None:
+def test_a_lost_member_is_not_removed_and_a_lost_non_member_is() -> None:
     def dies(world: ReapingWorld) -> Script:
         world.start(world.add("c4", "10.0.0.4", counted=False))
         yield world.env.timeout(5.0)
@@ -109,7 +109,7 @@
     assert run_play(after_boot(dies)) == []
 
 
-def test_a_zone_that_is_cut_off_is_kept_and_after_much_longer_it_is_not(
+def test_a_partitioned_zone_is_kept_until_a_much_longer_silence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(controller_program, "silence_thresholds", lambda *_: replace(SPANS, zone_gone_s=60.0))
@@ -144,7 +144,7 @@
     assert run_play(after_boot(partition)) == []
 
 
-def test_a_node_that_was_only_cut_off_comes_back_and_serves() -> None:
+def test_a_removed_node_that_was_only_cut_off_returns_and_serves_calls() -> None:
     def away(world: ReapingWorld) -> Script:
         one, other = world.machines["s1"], world.machines["s2"]
         incarnation = one.incarnation
@@ -182,7 +182,7 @@
     return ends == [UpstreamResponse(200, [], instance.encode(), True)]
 
 
-def test_one_that_was_away_until_even_its_drop_was_forgotten_is_known_again() -> None:
+def test_a_node_that_returns_after_its_tombstone_was_collected_is_known_again() -> None:
     def away(world: ReapingWorld) -> Script:
         isolate(world, "s1")
         yield world.env.timeout(GONE_S + REMOVAL_DELAY_S)
@@ -197,7 +197,7 @@
     assert run_play(after_boot(away, proxies=2), {}) == []
 
 
-def test_who_stood_still_forgets_and_asks_anew_though_its_links_looked_open() -> None:
+def test_a_node_that_was_frozen_resynchronizes_although_its_links_look_open() -> None:
     def still(world: ReapingWorld) -> Script:
         incarnation = world.machines["s1"].incarnation
         world.freeze(world.machines["s1"], proxy_program.RESYNC_AFTER_S + 20.0)
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("how", ["killed", "cut", "frozen", "restarted"])
-def test_whatever_befalls_the_holder_the_next_one_does_it_under_a_higher_epoch(how: str) -> None:
+def test_after_a_fault_of_the_holder_the_next_one_acts_under_a_higher_epoch(how: str) -> None:
     def befalls(world: ReapingWorld) -> Script:
         holder, after = (world.machines[name] for name in lease_order()[:2])
         world.power_off(world.machines["s1"])
@@ -250,7 +250,7 @@
     assert run_play(after_boot(befalls)) == []
 
 
-def test_of_an_even_core_cut_in_two_neither_half_holds_it_and_neither_drops() -> None:
+def test_of_two_equal_halves_neither_holds_the_lease_and_neither_removes() -> None:
     def halves(world: ReapingWorld) -> Script:
         left = [world.machines[name] for name in (lease_order(4)[0], lease_order(4)[2])]
         right = [world.machines[name] for name in (lease_order(4)[1], lease_order(4)[3])]
@@ -267,7 +267,7 @@
     assert run_play(after_boot(halves, controllers=4), {}) == []
 
 
-def test_two_that_do_not_hear_each_other_do_not_outbid_each_other_all_the_time() -> None:
+def test_two_controllers_that_do_not_hear_each_other_seldom_take_the_lease_from_each_other() -> None:
     def apart(world: ReapingWorld) -> Script:
         one, two = (world.machines[name] for name in lease_order()[:2])
         world.partition([one], [two])
@@ -301,11 +301,11 @@
     assert removed_names(world) == ["s1"]
 
 
-def test_orders_of_an_old_epoch_are_refused_and_their_giver_stops() -> None:
+def test_requests_of_an_old_epoch_are_refused_and_their_sender_stops() -> None:
     assert run_play(after_boot(act_under_old_epoch)) == []
 
 
-def test_answers_that_come_too_late_drop_nothing() -> None:
+def test_late_answers_remove_nothing() -> None:
     def late(world: ReapingWorld) -> Script:
         holder, _, third = (world.machines[name] for name in lease_order())
         isolate(world, "s1")
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -90,11 +90,11 @@
     assert world.events_of(events.REPAIR_STARTED) and not world.events_of(events.COPIES_DIFFERED)
 
 
-def test_a_copy_that_went_back_is_mended_and_whoever_asks_it_hears_of_it() -> None:
+def test_an_older_copy_is_repaired_also_at_proxies() -> None:
     assert run_play(copies_went_back) == []
 
 
-def test_a_second_content_of_one_version_is_told_and_turns_over_nobody() -> None:
+def test_a_second_content_of_one_version_is_reported_and_not_spread() -> None:
     """Only damage causes this, since one content is decided. Which bytes are greater must not matter."""
 
     def split(world: ReapingWorld) -> Script:
@@ -151,7 +151,7 @@
     return world.network.sent_frames - before
 
 
-def test_a_drop_that_was_forgotten_does_not_come_back_and_is_not_talked_of_for_ever() -> None:
+def test_a_collected_tombstone_does_not_return_and_causes_no_endless_repair() -> None:
     def forgets(world: ReapingWorld) -> Script:
         sent = yield from collected_tombstone(world)
         assert sent < 300
@@ -160,7 +160,7 @@
     assert run_play(forgets) == []
 
 
-def test_a_tree_that_is_wrong_is_told_now_and_then() -> None:
+def test_a_wrong_digest_tree_is_logged_at_intervals() -> None:
     def wrong(world: ReapingWorld) -> Script:
         store = world.machines["c2"].program.config_store
         store.digests.update(store.items[R1], altered_item(store.items[R1], 3))
@@ -172,7 +172,7 @@
     assert run_play(wrong) == []
 
 
-def test_a_control_process_takes_no_repair_from_a_sidecar() -> None:
+def test_a_controller_accepts_no_repair_from_a_proxy() -> None:
     def sidecar(world: ReapingWorld) -> Script:
         controller, proxy = world.machines["c1"].program, world.machines["s1"].program
         (channel, *_) = [one for one in proxy.channels.open if one.peer_hello["ip"] == "10.0.0.1"]
@@ -191,7 +191,7 @@
     assert run_play(sidecar) == []
 
 
-def test_copies_that_differ_in_many_items_are_mended_in_rounds_one_right_after_the_other() -> None:
+def test_many_differences_are_repaired_in_consecutive_rounds() -> None:
     def many(world: ReapingWorld) -> Script:
         full, lacks = world.machines["c1"].program, world.machines["c2"].program
         taken = full.config_store.write_all([("plant", f"p{n}", 1, {}) for n in range(800)])
@@ -207,7 +207,7 @@
     assert run_play(many) == []
 
 
-def test_while_copies_change_they_are_compared_later_and_yet_in_the_end() -> None:
+def test_changing_copies_are_compared_later_but_regularly() -> None:
     def changes(world: ReapingWorld) -> Script:
         def stir() -> Script:
             for number in range(10**6):
@@ -284,7 +284,7 @@
 # Disk
 
 
-def test_a_row_that_rotted_is_found_and_the_store_written_anew_from_memory(tmp_path: Path) -> None:
+def test_a_damaged_row_is_found_and_the_store_rewritten_from_memory(tmp_path: Path) -> None:
     async def run() -> None:
         opened = DiskStore.open(tmp_path, 1 << 20)
         assert isinstance(opened, Fresh)
@@ -327,7 +327,7 @@
     asyncio.run(run())
 
 
-def test_a_store_that_cannot_be_written_anew_stays_as_it_is(tmp_path: Path) -> None:
+def test_a_store_that_cannot_be_rewritten_stays_as_it_is(tmp_path: Path) -> None:
     opened = DiskStore.open(tmp_path, 1 << 20)
     assert isinstance(opened, Fresh) and opened.disk_store.write([(b"a", b"1")]) == Durable()
     too_much = {b"%d" % n: bytes(4000) for n in range(1000)}
--- a/tests/mesh/test_replacements_world.py
+++ b/tests/mesh/test_replacements_world.py
@@ -49,7 +49,7 @@
         (Layout(3, controllers=6, proxies=6, tolerance=ZONES), replacements.partition_zone_after_replacement),
     ],
 )
-def test_whatever_befalls_the_zone_of_the_replaced_one(layout: Layout, play: ZonedPlay) -> None:
+def test_faults_in_the_zone_of_a_replaced_machine_violate_nothing(layout: Layout, play: ZonedPlay) -> None:
     assert run_play(layout, play)[0] == []
 
 
--- a/tests/mesh/test_simulated_mesh.py
+++ b/tests/mesh/test_simulated_mesh.py
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_undisturbed_a_script_breaks_nothing_and_has_points_of_each_kind(name: str) -> None:
+def test_a_script_without_faults_violates_nothing_and_has_points_of_each_kind(name: str) -> None:
     assert len(points(name)) >= SCRIPTS[name][1]
     assert {kind for kind, _ in points(name)} == {"send", "sync", "synced", "merge"}
 
@@ -279,7 +279,7 @@
     assert run_world(after_boot(3, dies, proxies=2)) == []
 
 
-def test_who_was_out_of_touch_for_longer_than_tombstones_are_kept_hears_of_the_ends() -> None:
+def test_a_proxy_cut_off_for_longer_than_the_tombstone_retention_learns_of_removals() -> None:
     def away(world: World) -> Script:
         one, ends = world.machines["s1"], world.machines["s2"]
         yield world.env.timeout(1.0)
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -79,7 +79,7 @@
 # Stages
 
 
-def test_a_route_that_moves_goes_to_a_few_first_and_to_the_others_within_the_hold() -> None:
+def test_a_moved_route_is_activated_by_canaries_first_and_by_others_within_the_hold() -> None:
     def play(world: RolloutWorld) -> Script:
         began = float(world.env.now)
         answer = yield from move_routes(world, 2)
@@ -112,7 +112,7 @@
     assert run_play(after_setup(play)) == []
 
 
-def test_what_cannot_hurt_is_taken_at_once_and_keeps_no_acknowledgement_waiting() -> None:
+def test_harmless_changes_are_activated_at_once_and_delay_no_acknowledgement() -> None:
     def play(world: RolloutWorld) -> Script:
         for version, rules in (
             (2, [route_rule("a", "p", 2, setpoint_ms=300)]),  # a changed target time
@@ -128,7 +128,7 @@
     assert run_play(after_setup(play, traffic_s=0.0)) == []
 
 
-def test_the_first_parts_good_word_lets_the_others_go_before_their_time() -> None:
+def test_an_approval_by_the_canaries_ends_the_hold_early() -> None:
     def play(world: RolloutWorld) -> Script:
         began = float(world.env.now)
         yield from move_routes(world, 2)
@@ -145,7 +145,7 @@
     assert run_play(after_setup(play, traffic_s=0.008, count=4)) == []
 
 
-def test_a_broken_change_is_told_loudly_while_only_the_first_part_goes_by_it() -> None:
+def test_a_broken_change_is_reported_while_only_canaries_use_it() -> None:
     def play(world: RolloutWorld) -> Script:
         world.failing_services.add("q")
         began = float(world.env.now)
@@ -167,7 +167,7 @@
     assert run_play(after_setup(play, traffic_s=0.01)) == []
 
 
-def test_an_operators_go_and_hold_are_obeyed_while_there_is_time() -> None:
+def test_an_operators_go_and_hold_commands_apply_during_the_hold() -> None:
     def play(world: RolloutWorld) -> Script:
         for machine in proxies(world):
             machine.program.staged_routes.apply_command("a", activation_module.RolloutCommand.GO, True)
@@ -186,7 +186,7 @@
     assert run_play(after_setup(play, traffic_s=0.0)) == []
 
 
-def test_a_second_hop_turns_away_by_an_old_version_once_and_says_the_newer_one() -> None:
+def test_a_second_hop_rejects_an_outdated_version_once_and_sends_the_newer_one() -> None:
     def play(world: RolloutWorld) -> Script:
         """For longer than the bound one proxy reaches no controller, only the other proxies."""
         isolated = proxies(world)[0]
@@ -214,7 +214,7 @@
     assert run_play(after_setup(play, traffic_s=0.0)) == []
 
 
-def test_a_call_ends_by_the_version_that_it_began_with() -> None:
+def test_a_call_ends_with_the_version_it_began_with() -> None:
     def play(world: RolloutWorld) -> Script:
         one = proxies(world)[0]
         for version, service in ((2, "q"), (3, "p"), (4, "q")):
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda one: one.__name__)
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.2, 0.58])
-def test_whatever_befalls_somebody_in_a_stage_the_rules_hold(
+def test_a_fault_during_any_stage_violates_nothing(
     trouble: Callable[[RolloutWorld, Machine, Machine], None], after_s: float
 ) -> None:
     """Before the change, while it spreads, while the other proxies hold it, and as they put it in force."""
@@ -384,11 +384,11 @@
 @pytest.mark.parametrize(
     "play", [supersede_repeatedly, remove_and_add, restart_during_stage, exceed_report_limit]
 )
-def test_versions_that_come_close_together_break_nothing(play: Play) -> None:
+def test_versions_in_quick_succession_violate_nothing(play: Play) -> None:
     assert run_play(after_setup(play)) == []
 
 
-def test_more_changes_than_may_be_held_back_are_taken_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_beyond_the_held_limit_are_activated_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(activation_module, "MAX_HELD", 60)
     assert run_play(after_setup(exceed_held_limit, traffic_s=0.0, count=2)) == []
 
