--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -28,7 +28,7 @@
 def scenario_source(sidecars: int, seconds: float) -> Source:
     base = scenario.load(ROOT / "lab/scenarios/even.toml")
     changes = {"sidecars.count": sidecars, "servers.count": 100, "seconds": seconds, "load.share": 1.0}
-    rate = base.with_changes(changes).scenario_for(1).rate()
+    rate = base.with_changes(changes).scenario_for(1).capacity_per_s()
     return base.with_changes(changes | {"load.share": CALLS_PER_S / rate})
 
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -52,7 +52,7 @@
         # Over sockets, each process of a run has its own prefix.
         self.tries_started, self.try_name_prefix = 0, ""
         # Token buckets by member: calls left at full worth, and the instant of the last refill.
-        capacity = scenario.rate() / 1000.0
+        capacity = scenario.capacity_per_s() / 1000.0
         self.entitled = [item.entitled * capacity for item in scenario.members]
         self.tokens = [(1000.0 * rate, 0.0) for rate in self.entitled]
 
@@ -61,7 +61,7 @@
         sidecars = self.simulation.sidecars
         uneven, rng = self.scenario.sidecars.uneven, self.simulation.streams.of("uneven")
         parts = [lognormal(rng.random(), uneven) for _ in sidecars]
-        rate = self.scenario.rate() * self.load.share / 1000.0
+        rate = self.scenario.capacity_per_s() * self.load.share / 1000.0
         for sidecar, part in zip(sidecars, parts, strict=True):
             sidecar_rate = rate * part / sum(parts)
             if sidecar_rate > 0 and sidecar.is_local:
--- a/lab/many.py
+++ b/lab/many.py
@@ -35,7 +35,7 @@
 
 def drivers_for(scenario: Scenario) -> int:
     """The number of driver processes for the load of a scenario."""
-    rate = scenario.rate() * scenario.load.share
+    rate = scenario.capacity_per_s() * scenario.load.share
     return max(min(round(rate / CALLS_PER_S_PER_DRIVER + 0.5), MAX_DRIVERS, scenario.sidecars.count), 1)
 
 
--- a/lab/scenario_tables.py
+++ b/lab/scenario_tables.py
@@ -1,4 +1,7 @@
-"""The tables of a scenario file, typed. Times are milliseconds, shares 0 to 1, rates a second."""
+"""The tables of a scenario file as types. Times are in milliseconds, shares from 0 to 1, rates per second.
+
+The names of fields and kinds are those of the files.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,11 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of a scenario file: unknown fields are refused."""
+    """A table of a scenario file. Unknown fields are rejected."""
 
 
 class Kind(Table, frozen=True, kw_only=True):
-    """Machines of one make; ``speed`` 1 does a class's work in the time it says."""
+    """A kind of server machine. At ``speed`` 1 the work of a class takes the time that the class states."""
 
     name: str = "std"
     share: Positive = 1.0
@@ -28,74 +31,76 @@
 
 
 class Choke(Table, frozen=True, kw_only=True):
-    """A server that turns slow under a queue and stays slow until it has been nearly idle for a while."""
+    """Servers that become slow after a long queue, and stay slow until they have been nearly idle."""
 
-    share: Share = 0.0  # of the servers, that can
-    waiting: Positive = 6.0  # calls waiting a worker
-    over_ms: Positive = 2000.0  # for so long
-    slower: Annotated[float, Meta(ge=1)] = 2.6
-    idle: Share = 0.3  # it recovers while it holds fewer a worker
-    idle_ms: Positive = 3000.0  # for so long
-    most_ms: Positive = 25_000.0  # or after this in any case
+    share: Share = 0.0  # share of the servers that can choke
+    waiting: Positive = 6.0  # queued calls per worker above which a server chokes
+    over_ms: Positive = 2000.0  # after the queue has been that long for this time
+    slower: Annotated[float, Meta(ge=1)] = 2.6  # factor on the time of a call
+    idle: Share = 0.3  # running and queued calls per worker below which it recovers
+    idle_ms: Positive = 3000.0  # after this time below
+    most_ms: Positive = 25_000.0  # the longest time in the slow state
 
 
 class Servers(Table, frozen=True, kw_only=True):
-    """The fleet: how many servers, of which kinds, and how they behave."""
+    """The servers: how many, of which kinds, and how they behave."""
 
     count: Annotated[int, Meta(ge=0, le=20_000)] = 15
     kinds: tuple[Kind, ...] = (Kind(),)
-    speed_cv: NotNegative = 0.0  # between machines of a kind
-    cell: Count = 2  # servers a cell
-    queue: Annotated[int, Meta(ge=0)] = 15  # calls that may wait, a worker; more are turned away
-    thrash: NotNegative = 0.5  # a full queue makes each call longer by this share
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.3  # what a start can do, of all
-    warm_up_ms: NotNegative = 8000.0
-    fall_multiple: Positive = 2.5  # a starting one falls when so many times what it can do comes
-    fall_ms: Positive = 1000.0  # for so long
-    falls_warm: bool = False  # and one that is warm as well
-    down_ms: Positive = 3000.0  # a fallen one is back, cold, after this
-    handshake_ms: NotNegative = 4.0  # work that a new connection costs
-    handshake_rtts: NotNegative = 1.0  # before the request can go
-    idle_ms: Positive = 5000.0  # a connection unused for so long is closed
-    connections: Count = 400  # open ones a server holds
-    error_share: Share = 0.0
-    pause_every_ms: NotNegative = 0.0  # on average; 0: never
-    pause_ms: NotNegative = 0.0
-    cancels: Literal["none", "queued", "all"] = "queued"  # what a cancel stops
+    speed_cv: NotNegative = 0.0  # coefficient of variation of the speeds within a kind
+    cell: Count = 2  # servers per cell
+    queue: Annotated[int, Meta(ge=0)] = 15  # places in the queue per worker; calls beyond are rejected
+    thrash: NotNegative = 0.5  # share by which a full queue lengthens each call
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = (
+        0.3  # share of its capacity that a server has at its start
+    )
+    warm_up_ms: NotNegative = 8000.0  # from a start to the full capacity
+    fall_multiple: Positive = 2.5  # a cold server crashes ("falls") at this multiple of its capacity
+    fall_ms: Positive = 1000.0  # the time over which that load is measured
+    falls_warm: bool = False  # warm servers crash as well
+    down_ms: Positive = 3000.0  # from a crash to the restart, cold
+    handshake_ms: NotNegative = 4.0  # work of the server for a new connection
+    handshake_rtts: NotNegative = 1.0  # round trips before the request can be sent
+    idle_ms: Positive = 5000.0  # idle time after which a connection is closed
+    connections: Count = 400  # open connections that a server accepts
+    error_share: Share = 0.0  # share of calls that fail
+    pause_every_ms: NotNegative = 0.0  # mean time between pauses of a server; 0: no pauses
+    pause_ms: NotNegative = 0.0  # mean length of a pause
+    cancels: Literal["none", "queued", "all"] = "queued"  # calls that a cancellation stops
     choke: Choke = Choke()
 
 
 class Network(Table, frozen=True, kw_only=True):
-    """Zones, and how long messages take."""
+    """The zones and the network delays."""
 
     zones: Annotated[tuple[str, ...], Meta(min_length=1)] = ("a",)
-    same_ms: NotNegative = 0.3  # one way
-    cross_ms: NotNegative = 1.5
-    jitter: NotNegative = 0.2  # of that, more at the most
+    same_ms: NotNegative = 0.3  # one-way delay within a zone
+    cross_ms: NotNegative = 1.5  # one-way delay between zones
+    jitter: NotNegative = 0.2  # greatest random addition, as a share of the delay
     connect_timeout_ms: Positive = 200.0
 
 
 class Discovery(Table, frozen=True, kw_only=True):
-    """How sidecars hear of servers."""
+    """Service discovery: "push" sends changes to subscribers, "ask" serves the list on request."""
 
     mode: Literal["push", "ask"] = "push"
-    notice_ms: Pair = (500.0, 1500.0)  # from a process's end to the list
-    silent_notice_ms: Pair = (5000.0, 12_000.0)  # from a machine's silence
-    add_ms: Pair = (300.0, 1500.0)  # from a start
-    lag_ms: Pair = (50.0, 500.0)  # from the list to a sidecar
-    call_ms: NotNegative = 2.0  # asked: one call after the other takes so long
-    timeout_ms: Positive = 2000.0  # asked: a call that waits longer fails
+    notice_ms: Pair = (500.0, 1500.0)  # from the end of a process to the change of the list
+    silent_notice_ms: Pair = (5000.0, 12_000.0)  # the same from the moment at which a machine becomes silent
+    add_ms: Pair = (300.0, 1500.0)  # the same from a start
+    lag_ms: Pair = (50.0, 500.0)  # from the change of the list to a sidecar
+    call_ms: NotNegative = 2.0  # "ask": time that each call takes, one after the other
+    timeout_ms: Positive = 2000.0  # "ask": a call that waits longer fails
 
 
 class Class(Table, frozen=True, kw_only=True):
-    """A kind of call: its work, its worth, and what a repeat does."""
+    """A class of requests: its work, its worth, and whether it may be repeated."""
 
     name: str
     share: Positive = 1.0
     work_ms: Positive = 20.0
-    dist: Literal["lognormal", "exp"] = "lognormal"  # of the work between calls
-    cv: NotNegative = 0.4  # between calls, where that is lognormal
-    noise: NotNegative = 0.2  # between attempts of one call
+    dist: Literal["lognormal", "exp"] = "lognormal"  # distribution of the work over calls
+    cv: NotNegative = 0.4  # coefficient of variation over calls, if lognormal
+    noise: NotNegative = 0.2  # coefficient of variation over the attempts of one call
     aim_ms: Positive = 400.0
     deadline_ms: Positive = 1200.0
     worth: NotNegative = 1.0
@@ -106,103 +111,124 @@
 
 
 class Member(Table, frozen=True, kw_only=True):
-    """A tenant: its share of calls, and what it is entitled to."""
+    """A tenant: its share of the calls and its entitlement."""
 
     name: str
     share: Positive = 1.0
-    entitled: Share = 1.0  # of what all servers can do; calls beyond are worth a tenth
+    entitled: Share = 1.0  # share of the total capacity; calls beyond it are worth a tenth
 
 
 class Keys(Table, frozen=True, kw_only=True):
-    """What a call is about: a server that met its key lately does less work for it."""
+    """Keys of calls: a server that has seen a key recently needs less work for it (a cache)."""
 
     count: Annotated[int, Meta(ge=0, le=1_000_000)] = 0
-    zipf: Positive = 1.0
-    gain: Share = 0.0
-    kept_ms: Positive = 5000.0
-    kept: Count = 100  # keys a server remembers
+    zipf: Positive = 1.0  # exponent of the Zipf distribution of keys
+    gain: Share = 0.0  # share of the work that a cached key saves
+    kept_ms: Positive = 5000.0  # how long a key stays cached
+    kept: Count = 100  # keys that a server caches
 
 
 class Load(Table, frozen=True, kw_only=True):
-    """How calls arrive."""
+    """The arrival of calls."""
 
-    share: Positive = 0.7  # first tries, of what all servers can do when warm
+    share: Positive = 0.7  # rate of calls, as a share of the warm servers' capacity
     shape: Literal["steady", "wave", "ramp"] = "steady"
-    swing: Share = 0.0
-    period_ms: Positive = 20_000.0
+    swing: Share = 0.0  # amplitude of the wave or ramp, as a share of the rate
+    period_ms: Positive = 20_000.0  # of the wave
     burst: Count = 1  # calls that arrive together
     keys: Keys = Keys()
 
 
 class Clients(Table, frozen=True, kw_only=True):
-    """How clients try again."""
+    """The timeouts and retries of clients."""
 
-    tries: Count = 3  # a call, in all
-    try_share: Annotated[float, Meta(gt=0, le=1)] = 0.6  # of the deadline, after which a try is given up
-    backoff_ms: Positive = 60.0
-    growing: bool = True  # the wait doubles with each try
-    ignoring: Share = 0.0  # of the calls: come back at once, whatever they were told
-    impatient: Share = 0.0  # of the calls: gone after a third of their time
-    marked: bool = True
-    max_retry_after_ms: NotNegative = 2000.0  # 0: no advice is taken
+    tries: Count = 3  # tries per call, the first included
+    try_share: Annotated[float, Meta(gt=0, le=1)] = 0.6  # timeout of a try, as a share of the deadline
+    backoff_ms: Positive = 60.0  # mean delay before the first retry
+    growing: bool = True  # the delay doubles with each retry
+    ignoring: Share = 0.0  # share of the calls that retry at once, whatever the retry delay in the answer
+    impatient: Share = 0.0  # share of the calls whose first try is abandoned after a third of its timeout
+    marked: bool = True  # retries are marked as such
+    max_retry_after_ms: NotNegative = 2000.0  # longest retry delay that clients follow; 0: they follow none
 
 
 class Cpu(Table, frozen=True, kw_only=True):
-    """What decisions cost a sidecar. ``per_s``: microseconds of CPU a second, 0: not charged. Costs are those
-    of the module on one machine (`python -m benchmarks.decisions --kinds`), times ``scale``."""
+    """The CPU cost of a sidecar's decisions in microseconds. ``per_s``: budget per second; 0: no charge.
+
+    The default costs are those of the shipped balancer on one machine (`python -m benchmarks.decisions
+    --kinds`); all costs are multiplied by ``scale``.
+    """
 
     per_s: NotNegative = 0.0
     scale: Positive = 1.0
     request: NotNegative = 4.0
     pick: NotNegative = 18.0
-    look: NotNegative = 0.4  # a server looked at
+    look: NotNegative = 0.4  # per server that a choice examines
     ended: NotNegative = 14.0
     timer: NotNegative = 6.0
-    entry: NotNegative = 4.0  # an entry of a list
+    entry: NotNegative = 4.0  # per entry of a server list
     other: NotNegative = 2.0
-    # A policy whose work cannot be counted is taken to look at so many servers for a send.
+    # Servers examined per send, assumed for a policy that does not count them.
     looks: NotNegative = 2.0
 
     def costs(self) -> dict[str, float]:
-        """By kind, as they are charged."""
+        """Returns the costs by kind of work, scaled."""
         names = ("request", "pick", "look", "ended", "timer", "entry", "other")
         return {name: self.scale * float(getattr(self, name)) for name in names}
 
 
 class Sidecars(Table, frozen=True, kw_only=True):
-    """How many sidecars, and how they start."""
+    """The sidecars: how many, and how they start."""
 
     count: Count = 5
     cpu: Cpu = Cpu()
-    uneven: NotNegative = 0.0  # coefficient of variation of their parts of the traffic
-    start_spread_ms: NotNegative = 0.0  # they begin within this; clients wait for them
+    uneven: NotNegative = 0.0  # coefficient of variation of their shares of the traffic
+    start_spread_ms: NotNegative = 0.0  # they start within this time; clients begin after it
 
 
 class Allow(Table, frozen=True, kw_only=True):
-    """What the decisions are allowed."""
+    """Limits on what the balancer may do."""
 
     max_attempts: Count = 4
     cancel: bool = True
-    second_copies: bool = False  # two attempts of a call may be out at once
+    second_copies: bool = False  # two attempts of a call may be in flight at once
     drain_grace_ms: NotNegative = 2000.0
     answer_slack_ms: NotNegative = 20.0
 
 
 class Trouble(Table, frozen=True, kw_only=True):
-    """What happens from ``at_ms`` for ``for_ms`` to a ``share`` of those that it is about.
-
-    silent, dead: servers vanish, or end, and return cold; slow: ``size`` times; errors: a ``size`` share of
-    calls fails at once; replaced: ended, with others of new names for them; drain: told to finish, then end
-    and return, one after the other; shrink: drained for good; none: no server at all; flapping: dead,
-    ``times`` times. partition: no message between the last zone and the others; loss: a ``size`` share of
-    attempts is swallowed. away, late, wrong: discovery; late by ``size`` ms, wrong: it calls a share gone
-    that answers. burst: ``size`` times the load; hot: a share of the sidecars, or one member, carries
-    ``size`` times its part. die, pause: a share of the sidecars. upgrade: a share of the sidecars is each
-    replaced by another process beside it, over ``for_ms``; where both are there, they stand still by turns
-    for ``size`` ms each. cut, one_way, far, lossy, resets, half_open: a share of the links between zones:
-    nothing passes; nothing passes one way; all is ``size`` ms later each way; a ``size`` share of messages is
-    sent again; a ``size`` share of requests is reset; what was open is open at this end alone. disagree: a
-    share of the sidecars hears of changes ``size`` ms later.
+    """A fault that is injected at ``at_ms`` for ``for_ms`` into a ``share`` of its targets.
+
+    Servers:
+        silent, dead: they vanish without closing connections, or end, and return cold
+        slow: their calls take ``size`` times as long
+        errors: a ``size`` share of their calls fails
+        replaced: they end, and servers with new names take their places
+        drain: one after the other is drained, ends and returns
+        shrink: they are drained and do not return; the load falls in proportion
+        none: all servers are down
+        flapping: as dead, ``times`` times
+    Network:
+        partition: no messages pass between the last zone and the others
+        loss: a ``size`` share of the attempts is lost
+    Discovery:
+        away: it is down
+        late: its updates are late by ``size`` ms
+        wrong: it reports servers as gone that are up
+        disagree: a share of the sidecars receives updates ``size`` ms later than the others
+    Load:
+        burst: the load is ``size`` times as high
+        hot, loud: a share of the sidecars, or one member, sends ``size`` times its usual load
+    Sidecars:
+        die, pause: they crash and restart, or pause
+        upgrade: over ``for_ms``, each is replaced by a second process that runs beside it; while both run,
+            they pause in turn for ``size`` ms each
+    Links between zones:
+        cut, one_way: nothing passes, in both directions or in one
+        far: messages take ``size`` ms longer in each direction
+        lossy: a ``size`` share of the messages is retransmitted
+        resets: a ``size`` share of the requests is reset
+        half_open: connections opened before become half-open
     """
 
     kind: Literal[
@@ -239,15 +265,15 @@
     share: Share = 0.18
     size: NotNegative = 2.0
     times: Count = 1
-    spread_ms: NotNegative = 0.0  # over which they return
-    member: str = ""  # loud: whose
+    spread_ms: NotNegative = 0.0  # time over which the recoveries are spread
+    member: str = ""  # loud: the name of the member
 
 
 LINK_KINDS = frozenset(("cut", "one_way", "far", "lossy", "resets", "half_open"))
 
 
 class Goal(Table, frozen=True, kw_only=True):
-    """Weights of service: over all, in the worst window, of the worst class, of the worst member."""
+    """Weights of the score: total service, and service in the worst window, class and member."""
 
     whole: NotNegative = 0.55
     window: NotNegative = 0.35
@@ -271,11 +297,11 @@
 
 
 class Scenario(Table, frozen=True, kw_only=True):
-    """All of it: one play, but for its seed."""
+    """A complete scenario. With a seed it determines a run."""
 
     name: str
     seconds: Annotated[float, Meta(gt=0, le=36_000)] = 40.0
-    settle_ms: NotNegative = 3000.0  # from the start, not counted
+    settle_ms: NotNegative = 3000.0  # time from the start that is not measured
     most_events: Annotated[int, Meta(ge=1, le=10**9)] = 20_000_000
     ties: Literal["first", "last"] = "first"
     servers: Servers = Servers()
@@ -291,12 +317,12 @@
     goal: Goal = Goal()
 
     def mean_work_ms(self) -> float:
-        """A call's mean work, over the classes by their shares."""
+        """Returns the mean work of a call over all classes."""
         total = sum(item.share for item in self.classes)
         return sum(item.share * item.work_ms for item in self.classes) / total
 
-    def rate(self) -> float:
-        """Calls a second that the servers can do when warm."""
+    def capacity_per_s(self) -> float:
+        """Returns the calls per second that all servers can process when warm."""
         kinds, total = self.servers.kinds, sum(kind.share for kind in self.servers.kinds)
         each = sum(kind.share * kind.workers * kind.speed for kind in kinds) / total
         return self.servers.count * each * 1000.0 / self.mean_work_ms()
--- a/lab/statistics.py
+++ b/lab/statistics.py
@@ -76,7 +76,7 @@
         """Returns the result of the comparison as a sentence."""
         found = self.difference
         if found.n < MIN_PAIRS:
-            return f"{found.n} seeds are too few; use at least {MIN_PAIRS}"
+            return f"{found.n} seeds are too few; use {MIN_PAIRS} or more"
         ends = f"[{found.low:+.4f}, {found.high:+.4f}]"
         if found.low > 0.0 or found.high < 0.0:
             more, less = (first, second) if found.mean > 0 else (second, first)
