--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -28,7 +28,7 @@
 from benchmarks.mesh_request import WARM_UP_CALLS, Calls
 from rigs.fleet import HttpMessageProtocol, LoadResult, header_value
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, ROOT, Mesh
-from rigs.mesh_peers import Address, Client, Operator, Upstream, patch_body, polled, route
+from rigs.mesh_peers import Address, Client, Operator, Upstream, patch_body, poll_until, route
 
 TARGET_RATIO = 1.2
 START_TIMEOUT_S = 10.0
@@ -264,7 +264,7 @@
             except OSError:  # not listening yet
                 return False
 
-        await polled(serves, START_TIMEOUT_S)
+        await poll_until(serves, START_TIMEOUT_S)
 
 
 async def run_round(folder: Path, args: argparse.Namespace) -> dict[str, Any]:
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -32,7 +32,7 @@
 from mesh.replication.items import Item
 from mesh.replication.store import Store
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
-from rigs.mesh_peers import Client, Operator, Upstream, patch_body, polled, route
+from rigs.mesh_peers import Client, Operator, Upstream, patch_body, poll_until, route
 
 START_TIMEOUT_S = 20.0
 CONNECTIONS = 500
@@ -78,7 +78,7 @@
     await Operator([mesh.control(FIRST_CONTROLLER_HOST)]).change(
         patch_body(route("read", "/read/", "red"), services=("red",)), START_TIMEOUT_S
     )
-    await polled(lambda: mesh.is_ready(FIRST_PROXY_HOST), START_TIMEOUT_S)
+    await poll_until(lambda: mesh.is_ready(FIRST_PROXY_HOST), START_TIMEOUT_S)
 
     async def serves() -> bool:
         client = await Client.connect(mesh.outbound(FIRST_PROXY_HOST))
@@ -86,7 +86,7 @@
         client.abort()
         return served
 
-    await polled(serves, START_TIMEOUT_S)
+    await poll_until(serves, START_TIMEOUT_S)
 
 
 async def _send_bodies(mesh: Mesh) -> list[asyncio.Task[http.Message]]:
--- a/benchmarks/mesh_request.py
+++ b/benchmarks/mesh_request.py
@@ -40,7 +40,7 @@
 from mesh.runtime.settings import Settings, parse_settings
 from rigs.fleet import CLOCK_TICKS_PER_S, HttpMessageProtocol, LoadResult, header_value
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
-from rigs.mesh_peers import Address, Operator, Upstream, patch_body, polled, route
+from rigs.mesh_peers import Address, Operator, Upstream, patch_body, poll_until, route
 
 TARGET_MS = 0.8
 START_TIMEOUT_S = 10.0
@@ -148,7 +148,7 @@
             except OSError:  # the proxy does not listen yet
                 return False
 
-        await polled(serves, START_TIMEOUT_S)
+        await poll_until(serves, START_TIMEOUT_S)
 
 
 async def _start_upstreams(mesh: Mesh) -> list[Upstream]:
--- a/rigs/lost_links/play.py
+++ b/rigs/lost_links/play.py
@@ -22,7 +22,7 @@
 from rigs.lost_links.ledger import InjectedFault, Ledger, LostCall
 from rigs.lost_links.upstreams import RecordingUpstream
 from rigs.mesh_demo import FIRST_CONTROLLER_HOST, FIRST_PROXY_HOST, Mesh
-from rigs.mesh_peers import Operator, free_ports, patch_body, polled, route
+from rigs.mesh_peers import Operator, free_ports, patch_body, poll_until, route
 from rigs.relay import Faults
 
 START_TIMEOUT_S = 30.0
@@ -127,7 +127,10 @@
         ]
         await operator.change(patch_body(*routes, services=("red", "blue")), START_TIMEOUT_S)
         for machine in self.machines:
-            await polled(lambda at=machine.index: self.mesh.is_ready(FIRST_PROXY_HOST + at), START_TIMEOUT_S)  # type: ignore[misc]
+            await poll_until(
+                lambda at=machine.index: self.mesh.is_ready(FIRST_PROXY_HOST + at),  # type: ignore[misc]
+                START_TIMEOUT_S,
+            )
         for machine in self.machines:
             self.clients.add(
                 machine.index, self.mesh.outbound(FIRST_PROXY_HOST + machine.index), settings.connections
@@ -307,7 +310,7 @@
         """Starts the sidecar again; the upstream may be a new one."""
         await self.mesh.restart(machine.node, "data_plane")
         self._restart_heartbeats(machine)
-        await polled(lambda: self.mesh.is_ready(FIRST_PROXY_HOST + machine.index), RESTART_TIMEOUT_S)
+        await poll_until(lambda: self.mesh.is_ready(FIRST_PROXY_HOST + machine.index), RESTART_TIMEOUT_S)
 
 
 FaultAction = Callable[[LostLinksRun, Machine], Awaitable[None]]
--- a/rigs/mesh_demo.py
+++ b/rigs/mesh_demo.py
@@ -29,7 +29,7 @@
     call,
     free_ports,
     patch_body,
-    polled,
+    poll_until,
     route,
     write_settings,
 )
@@ -244,7 +244,7 @@
                 if at != except_machine
             )
 
-        await polled(all_served, PROPAGATION_TIMEOUT_S)
+        await poll_until(all_served, PROPAGATION_TIMEOUT_S)
         return time.perf_counter() - began
 
     def stop(self) -> None:
@@ -275,7 +275,7 @@
             patch_body(route("read", "/read/", "red"), services=("red", "blue")), START_TIMEOUT_S
         )
         for at in range(len(SERVICES)):
-            await polled(lambda at=at: mesh.is_ready(FIRST_PROXY_HOST + at), START_TIMEOUT_S)  # type: ignore[misc]
+            await poll_until(lambda at=at: mesh.is_ready(FIRST_PROXY_HOST + at), START_TIMEOUT_S)  # type: ignore[misc]
         report("configuration acknowledged, all proxies ready")
         load = Load(mesh, len(SERVICES))
         try:
--- a/rigs/mesh_peers/client.py
+++ b/rigs/mesh_peers/client.py
@@ -10,7 +10,7 @@
 
 from anisestair.http import codec as http
 from rigs.mesh_peers.messages import MAX_BODY_BYTES, Address, read_message
-from rigs.mesh_peers.waiting import PATIENCE_S, soon
+from rigs.mesh_peers.waiting import PEER_TIMEOUT_S, with_timeout
 
 
 class Client:
@@ -23,7 +23,7 @@
     @staticmethod
     async def connect(address: Address) -> Client:
         """Raises OSError if the connection fails."""
-        return Client(*await soon(asyncio.open_connection(*address)))
+        return Client(*await with_timeout(asyncio.open_connection(*address)))
 
     def send(
         self,
@@ -51,7 +51,7 @@
     def write(self, data: bytes) -> None:
         self._writer.write(data)
 
-    async def read(self, timeout_s: float = PATIENCE_S) -> http.Message | None:
+    async def read(self, timeout_s: float = PEER_TIMEOUT_S) -> http.Message | None:
         """Reads the next response; None if the connection ends first. Raises TimeoutError."""
         return await asyncio.wait_for(read_message(self._reader, self._stream), timeout_s)
 
@@ -66,7 +66,7 @@
 
 
 async def call(
-    address: Address, method: bytes, path: bytes, body: bytes = b"", timeout_s: float = PATIENCE_S
+    address: Address, method: bytes, path: bytes, body: bytes = b"", timeout_s: float = PEER_TIMEOUT_S
 ) -> tuple[int, bytes]:
     """Makes a call on a new connection; returns the status and body, or 0 and b"" without a response."""
     try:
--- a/rigs/mesh_peers/operator.py
+++ b/rigs/mesh_peers/operator.py
@@ -8,7 +8,7 @@
 
 from rigs.mesh_peers.client import call
 from rigs.mesh_peers.messages import Address
-from rigs.mesh_peers.waiting import polled
+from rigs.mesh_peers.waiting import poll_until
 
 
 class Operator:
@@ -30,7 +30,7 @@
             assert not 400 <= status < 500, (status, response)
             return status == 200
 
-        await polled(acknowledged, timeout_s)
+        await poll_until(acknowledged, timeout_s)
 
     async def read(self, address: Address, timeout_s: float = 10.0) -> dict[str, Any]:
         """Reads the configuration from that process. Raises TimeoutError."""
@@ -42,7 +42,7 @@
                 found.update(json.loads(body))
             return status == 200
 
-        await polled(read, timeout_s)
+        await poll_until(read, timeout_s)
         return found
 
 
--- a/rigs/soak/fault_injection.py
+++ b/rigs/soak/fault_injection.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from rigs.mesh_peers import Address, call, polled
+from rigs.mesh_peers import Address, call, poll_until
 from rigs.soak import plan as events
 from rigs.soak.machines import Machines
 from rigs.soak.nodes import Node
@@ -116,7 +116,7 @@
         await machines.start_upstream(node, event.service, incarnation, upstream.address[1])
         disturbance.ended = self._now()
         if event.late_s:
-            await polled(lambda: self._heartbeat_acknowledged(node), HEARTBEAT_WAIT_S)
+            await poll_until(lambda: self._heartbeat_acknowledged(node), HEARTBEAT_WAIT_S)
             await asyncio.sleep(event.late_s)
             await upstream.send_heartbeat(node.control)
 
--- a/rigs/soak/runner.py
+++ b/rigs/soak/runner.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct
 
-from rigs.mesh_peers import call, polled
+from rigs.mesh_peers import call, poll_until
 from rigs.soak import plan as events
 from rigs.soak.clients import ConnectionUse, RouteTarget, SoakClient
 from rigs.soak.configuration_ledger import ConfigurationLedger, Finding
@@ -112,9 +112,9 @@
         await self.machines.start()
         self._spawn(self._watch_stalls())
         self._spawn(self._watch_self())
-        await polled(self._write_initial_configuration, START_TIMEOUT_S)
+        await poll_until(self._write_initial_configuration, START_TIMEOUT_S)
         for node in self.machines.proxies.values():
-            await polled(lambda node=node: self._is_ready(node), START_TIMEOUT_S)  # type: ignore[misc]
+            await poll_until(lambda node=node: self._is_ready(node), START_TIMEOUT_S)  # type: ignore[misc]
 
     async def _write_initial_configuration(self) -> bool:
         """Returns whether one of the controllers has acknowledged it."""
@@ -280,7 +280,7 @@
 
     async def _final_read(self, node: Node) -> None:
         try:
-            await polled(lambda: self._operators.read(node.name, node.control), START_TIMEOUT_S)
+            await poll_until(lambda: self._operators.read(node.name, node.control), START_TIMEOUT_S)
         except TimeoutError:
             description = f"{node.name} answers no read within {START_TIMEOUT_S} s without faults"
             self.findings.append(Finding("CONFIG", self._now(), description))
--- a/rigs/whole_sidecar.py
+++ b/rigs/whole_sidecar.py
@@ -13,7 +13,17 @@
 from mesh.event_log.log import EventLog
 from mesh.runtime.settings import Settings, parse_settings
 from mesh.transport.frames import Frames, frame
-from rigs.mesh_peers import Client, Upstream, free_ports, play, route, soon, turns, until, write_settings
+from rigs.mesh_peers import (
+    Client,
+    Upstream,
+    free_ports,
+    route,
+    run_async_test,
+    run_ready_callbacks,
+    wait_until,
+    with_timeout,
+    write_settings,
+)
 
 
 class SidecarRig:
@@ -44,7 +54,7 @@
 
     async def wait_for_clients(self, count: int) -> None:
         """Waits until exactly ``count`` client connections are open."""
-        await until(lambda: self.proxy.client_listener.held() == count)
+        await wait_until(lambda: self.proxy.client_listener.held() == count)
 
 
 def run_with_sidecar(
@@ -76,9 +86,9 @@
             assert proxy._server is not None
             proxy._server.close()
             upstream.close()
-            await turns()
+            await run_ready_callbacks()
 
-    play(run)
+    run_async_test(run)
 
 
 class PeerSidecar:
@@ -93,7 +103,7 @@
     @staticmethod
     async def connect(rig: SidecarRig) -> PeerSidecar:
         """Connects to the sidecar of ``rig``."""
-        return PeerSidecar(*await soon(asyncio.open_connection(*rig.peers, limit=1024)))
+        return PeerSidecar(*await with_timeout(asyncio.open_connection(*rig.peers, limit=1024)))
 
     def send(self, number: int, path: str, body: bytes = b"") -> None:
         """Sends a call frame."""
@@ -102,7 +112,7 @@
     async def next_end(self) -> End:
         """Returns the next end of a call."""
         while True:
-            data = await soon(self.reader.read(1 << 20))
+            data = await with_timeout(self.reader.read(1 << 20))
             ends = [item for item in self.frames.feed(data) if isinstance(item[0], EndHead)]
             if ends:
                 return read_end(*ends[0])
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -25,7 +25,7 @@
 from mesh.runtime.introspection_calls import Refusal
 from mesh.runtime.settings import Settings, parse_settings
 from mesh.storage.lmdb_store import DiskStore, Fresh
-from rigs.mesh_peers import Client, Upstream, free_ports, patch_body, polled, route, write_settings
+from rigs.mesh_peers import Client, Upstream, free_ports, patch_body, poll_until, route, write_settings
 
 T = TypeVar("T")
 NET = f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}"
@@ -62,7 +62,7 @@
         async def holds() -> bool:
             return condition()
 
-        self.do(polled(holds, START_TIMEOUT_S))
+        self.do(poll_until(holds, START_TIMEOUT_S))
 
     def _settings(self, name: str) -> Settings:
         settings = parse_settings((self.folder / f"{name}.toml").read_text())
--- a/tests/mesh/test_cli_questions.py
+++ b/tests/mesh/test_cli_questions.py
@@ -19,7 +19,7 @@
 )
 from mesh.transport.frames import Head
 from mesh.transport.link import Address, Link, listen
-from rigs.mesh_peers import play, turns
+from rigs.mesh_peers import run_async_test, run_ready_callbacks
 
 
 class FakeLink:
@@ -68,16 +68,16 @@
         operator_link = OperatorLink(fake_link, {"slow": slow})  # type: ignore[arg-type]
         for number in range(MAX_PENDING_QUESTIONS + 1):
             operator_link.handle_frame({"t": "ask", "n": number, "q": "slow"})
-        await turns()
+        await run_ready_callbacks()
         assert [one["n"] for one in fake_link.sent] == [MAX_PENDING_QUESTIONS] and "e" in fake_link.sent[0]
         release.set()
-        await turns()
+        await run_ready_callbacks()
         assert sorted(one["n"] for one in fake_link.sent[1:]) == list(range(MAX_PENDING_QUESTIONS))
         operator_link.handle_frame({"t": "ask", "n": 9, "q": "slow"})
-        await turns()
+        await run_ready_callbacks()
         assert fake_link.sent[-1] == {"t": "told", "n": 9, "a": {}}
 
-    play(run)
+    run_async_test(run)
 
 
 def test_the_oldest_operator_makes_room_for_one_more() -> None:
--- a/tests/mesh/test_control_confirmations.py
+++ b/tests/mesh/test_control_confirmations.py
@@ -13,7 +13,7 @@
 from mesh.dissemination.peers import Channels
 from mesh.event_log.log import EventLog
 from mesh.replication.items import Item
-from rigs.mesh_peers import move, play, turns
+from rigs.mesh_peers import advance_clock, run_async_test, run_ready_callbacks
 
 ACK_MS, CONTACT_MS = 4000.0, 3000.0
 CALL_TIMEOUT_S = 0.85  # a caller gets an answer within this time
@@ -41,7 +41,7 @@
         self.confirmations.tick(self.loop.time())  # the proxy's incarnation is known from now on
 
     def advance(self, seconds: float) -> None:
-        move(seconds)
+        advance_clock(seconds)
         self.link.last_received_at = self.loop.time()
         self.confirmations.tick(self.loop.time())
 
@@ -50,7 +50,7 @@
         task = self.loop.create_task(self.confirmations.wait_confirmed(items, CALL_TIMEOUT_S))
         while not task.done():
             self.advance(STEP_S)
-            await turns()
+            await run_ready_callbacks()
         return task.result()
 
     async def acknowledged_after_s(self, items: list[Item]) -> float:
@@ -80,7 +80,7 @@
             <= bound_s + CALL_TIMEOUT_S
         )
 
-    play(test, TEST_TIMEOUT_S)
+    run_async_test(test, TEST_TIMEOUT_S)
 
 
 def test_an_order_whose_parts_came_one_after_the_other_is_bound_from_the_last_of_them() -> None:
@@ -93,7 +93,7 @@
         bound_s = rig.confirmations.bound_s(LARGE_WRITE_ITEMS)
         assert bound_s - STEP_S <= await rig.acknowledged_after_s(ROUTES) <= bound_s + CALL_TIMEOUT_S
 
-    play(test, TEST_TIMEOUT_S)
+    run_async_test(test, TEST_TIMEOUT_S)
 
 
 def test_what_a_process_held_when_it_started_is_bound_from_its_start() -> None:
@@ -102,4 +102,4 @@
         rig.advance(CONTACT_MS / 1000.0 + 60.0)
         assert await rig.acknowledged_after_s(ROUTES) <= CALL_TIMEOUT_S
 
-    play(test, TEST_TIMEOUT_S)
+    run_async_test(test, TEST_TIMEOUT_S)
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -22,7 +22,7 @@
 from mesh.transport.body_pieces import PIECE_BYTES, WINDOW_BYTES
 from mesh.transport.frames import MAX_NETSTRING_BYTES
 from mesh.transport.link import Link
-from rigs.mesh_peers import move, soon, turns, until
+from rigs.mesh_peers import advance_clock, run_ready_callbacks, wait_until, with_timeout
 
 LONG = bytes(range(256)) * (20 * WINDOW_BYTES // 256)
 ROOM = 256 * 1024 * 1024
@@ -43,7 +43,7 @@
         await bench.known(far)
         await test(bench, far)
         answers = bench.peer_links.local.answers
-        await until(lambda: answers.held_bytes == 0)
+        await wait_until(lambda: answers.held_bytes == 0)
 
     over_earlier(run)
 
@@ -54,7 +54,7 @@
 
 async def midway(far: RemotePeer) -> IncomingCalls:
     """The second hop has received a part of a call's body and reads no more for now."""
-    await until(lambda: any(isinstance(head, BodyPiece) for head in far.heads))
+    await wait_until(lambda: any(isinstance(head, BodyPiece) for head in far.heads))
     far.deaf = True
     incoming = far.links[-1].peer
     assert isinstance(incoming, IncomingCalls) and incoming._receiving
@@ -72,10 +72,10 @@
 ) -> tuple[OutgoingCall, End]:
     out, end = bench.send(far, long_call("a1", body=body))
     before = len(far.second.taken)
-    await until(lambda: len(far.second.taken) > before)
+    await wait_until(lambda: len(far.second.taken) > before)
     assert far.second.taken[-1].call.body == body
     far.second.end(-1, dataclasses.replace(SERVED, body=answer))
-    return out, await soon(end)
+    return out, await with_timeout(end)
 
 
 def test_a_long_body_and_its_long_answer_cross_the_link_in_pieces_unchanged() -> None:
@@ -85,7 +85,7 @@
         pieces = [head for head in far.heads if isinstance(head, BodyPiece)]
         assert len(pieces) == len(LONG) // PIECE_BYTES
         assert (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
-        await until(lambda: (far.links[0].owed_replies, far.links[0].expected_replies) == (0, 0))
+        await wait_until(lambda: (far.links[0].owed_replies, far.links[0].expected_replies) == (0, 0))
         assert far.second.bodies.held_bytes == 0
 
     over(test)
@@ -104,13 +104,13 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         bench.send(far, long_call("long", body=LONG * 4))
         _, end = bench.send(far, call("short"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         assert far.second.taken[1].call.attempt == "short"
         incoming = far.links[0].peer
         assert isinstance(incoming, IncomingCalls) and incoming._receiving
         far.second.end(1, SERVED)
-        assert await soon(end) == SERVED
-        await until(lambda: len(far.second.taken) == 3)
+        assert await with_timeout(end) == SERVED
+        await wait_until(lambda: len(far.second.taken) == 3)
 
     over(test)
 
@@ -122,11 +122,11 @@
         await midway(far)
         assert out.state is State.SENDING
         link_of(bench).close("reset")
-        assert await soon(end) == NOT_RUN
+        assert await with_timeout(end) == NOT_RUN
         far.hear()
-        await turns()
+        await run_ready_callbacks()
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
-        await until(lambda: far.second.bodies.held_bytes == 0)
+        await wait_until(lambda: far.second.bodies.held_bytes == 0)
 
     over(test)
 
@@ -136,12 +136,12 @@
         body = bytes(WINDOW_BYTES)  # all of it may be sent before anything is acknowledged
         out, end = bench.send(far, long_call("a1", body=body))
         incoming = await midway(far)
-        await until(lambda: out.state is State.SENT and len(far.unread) > 0)
-        await turns()
+        await wait_until(lambda: out.state is State.SENT and len(far.unread) > 0)
+        await run_ready_callbacks()
         late, far.unread = far.unread, []
         link_of(bench).close("reset")
         far.deaf = False
-        assert await soon(end) == NOT_RUN
+        assert await with_timeout(end) == NOT_RUN
         for _, head, data in late:
             incoming.handle_frame(head, data)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
@@ -154,7 +154,7 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         bench.send(far, long_call("a1", body=bytes(WINDOW_BYTES)))
         incoming = await midway(far)
-        await turns()
+        await run_ready_callbacks()
         late, far.unread = far.unread, []
         (number,), session = incoming._receiving, far.sessions.by_incarnation["f1"]
         other = IncomingCalls(Link(lambda _: None, far._frame, far._lost), far.second, far.sessions, session)
@@ -172,7 +172,7 @@
         _, end = bench.send(far, long_call("a1"))
         await midway(far)
         far.close()
-        assert await soon(end) == NOT_RUN
+        assert await with_timeout(end) == NOT_RUN
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
 
     over(test)
@@ -185,7 +185,7 @@
         bench.peer_links.drop(out)
         assert out.state is State.WITHDRAWN
         far.hear()
-        await until(lambda: far.links[0].owed_replies == 0 and far.second.bodies.held_bytes == 0)
+        await wait_until(lambda: far.links[0].owed_replies == 0 and far.second.bodies.held_bytes == 0)
         assert await served(bench, far) != (None, None)  # the window is free again
         assert not end.done() and len(far.second.taken) == 2
 
@@ -197,15 +197,15 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.sessions._max_bytes = 2 * len(LONG)
         _, end = bench.send(far, long_call("a1", effectful, b"x"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.second.end(1, dataclasses.replace(SERVED, body=LONG))
         outgoing = bench.peer_links._links["there"]
-        await until(lambda: outgoing.transfer is not None and bool(outgoing.transfer._incoming))
+        await wait_until(lambda: outgoing.transfer is not None and bool(outgoing.transfer._incoming))
         assert not end.done()
         link_of(bench).close("reset")
-        told = await soon(end)
+        told = await with_timeout(end)
         assert told == dataclasses.replace(SERVED, body=LONG) if effectful else isinstance(told, Unclear)
-        await until(lambda: far.second.answers.held_bytes == 0)
+        await wait_until(lambda: far.second.answers.held_bytes == 0)
 
     over(test)
 
@@ -213,14 +213,14 @@
 def test_a_client_that_goes_away_midway_of_its_answer_gives_its_memory_back() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send(far, long_call("a1", body=b"x"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.second.end(1, dataclasses.replace(SERVED, body=LONG * 4))
         outgoing = bench.peer_links._links["there"]
-        await until(lambda: outgoing.transfer is not None and bool(outgoing.transfer._incoming))
+        await wait_until(lambda: outgoing.transfer is not None and bool(outgoing.transfer._incoming))
         bench.peer_links.drop(out)
         incoming = far.links[0].peer
         assert isinstance(incoming, IncomingCalls)
-        await until(
+        await wait_until(
             lambda: not incoming._sending and far.links[0].owed_replies == far.links[0].expected_replies == 0
         )
         assert not end.done() and (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
@@ -234,13 +234,13 @@
         for size in (2 * PIECE_BYTES, PIECE_BYTES):  # in pieces, and in one frame
             _, end = bench.send(far, long_call(f"a{size}", body=b"x"))
             before = len(far.second.taken)
-            await until(lambda before=before: len(far.second.taken) > before)  # type: ignore[misc]
+            await wait_until(lambda before=before: len(far.second.taken) > before)  # type: ignore[misc]
             far.second.end(-1, dataclasses.replace(SERVED, body=bytes(size)))
-            told = await soon(end)
+            told = await with_timeout(end)
             assert isinstance(told, Unclear) == (size > PIECE_BYTES)
         incoming = far.links[0].peer
         assert isinstance(incoming, IncomingCalls)
-        await until(lambda: not incoming._sending and far.links[0].owed_replies == 0)
+        await wait_until(lambda: not incoming._sending and far.links[0].owed_replies == 0)
 
     over(test)
 
@@ -250,13 +250,13 @@
         size, fit = 3 * PIECE_BYTES, 20
         far.second.bodies = BufferQuota(int(fit * size / LONG_BODY_SHARE) + 1, size, copies=1)
         sent = [bench.send(far, long_call(f"a{at}", body=bytes(size))) for at in range(500)]
-        await until(lambda: len(far.second.taken) == 1 + fit)
+        await wait_until(lambda: len(far.second.taken) == 1 + fit)
         assert far.second.bodies.held_bytes == fit * size
-        await until(lambda: sum(end.done() for _, end in sent) == 500 - fit)
+        await wait_until(lambda: sum(end.done() for _, end in sent) == 500 - fit)
         assert {end.result() for _, end in sent if end.done()} == {NotExecuted(RejectReason.FULL)}
         for at in range(1, 1 + fit):
             far.second.end(at, SERVED)
-        ends = await asyncio.gather(*(soon(end) for _, end in sent))
+        ends = await asyncio.gather(*(with_timeout(end) for _, end in sent))
         assert ends.count(SERVED) == fit and far.second.bodies.held_bytes == 0
         assert (link_of(bench).owed_replies, link_of(bench).expected_replies, far.links[0].owed_replies) == (
             0,
@@ -272,7 +272,7 @@
         bodies, far.second.bodies = far.second.bodies, BufferQuota(0, 0)
         for at in range(3):
             out, end = bench.send(far, long_call(f"a{at}", body=bytes(WINDOW_BYTES)))
-            assert out.state is State.SENT and await soon(end) == NotExecuted(RejectReason.FULL)
+            assert out.state is State.SENT and await with_timeout(end) == NotExecuted(RejectReason.FULL)
         assert (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
         far.second.bodies = bodies
         assert (await served(bench, far))[1] == dataclasses.replace(SERVED, body=LONG)
@@ -310,11 +310,11 @@
         await bench.known(far)
         far.links[0]._frames._room = BufferQuota(len(LONG), len(LONG))  # its copies leave half of that
         _, end = bench.send(far, long_call("a1"))
-        assert await soon(end) == NotExecuted(RejectReason.FULL)
+        assert await with_timeout(end) == NotExecuted(RejectReason.FULL)
         _, end = bench.send(far, call("a2"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.second.end(1, SERVED)
-        assert await soon(end) == SERVED and len(far.links) == 1
+        assert await with_timeout(end) == SERVED and len(far.links) == 1
 
     over_earlier(test)
 
@@ -324,7 +324,7 @@
         far.window = WINDOW_BYTES
         far.second.bodies = BufferQuota(ROOM, ROOM)
         bench.send(far, long_call("a1", effectful=False))
-        await until(lambda: len(far.second.taken) == 1)
+        await wait_until(lambda: len(far.second.taken) == 1)
         assert far.second.taken[0].call.body == LONG and "piece" in [kind_of(head) for head in far.heads]
 
     over_earlier(test)
@@ -335,15 +335,15 @@
         far.window, far.deaf = WINDOW_BYTES, True
         give_room(bench, far)
         _, end = bench.send(far, call("a1", effectful=False))
-        await until(lambda: len(far.unread) == 2)
-        move(INCARNATION_WAIT_S + 0.01)
-        await turns()
+        await wait_until(lambda: len(far.unread) == 2)
+        advance_clock(INCARNATION_WAIT_S + 0.01)
+        await run_ready_callbacks()
         outgoing = bench.peer_links._links["there"]
         assert outgoing.incarnation_known and outgoing.peer_incarnation is None
         far.hear()
-        await until(lambda: outgoing.peer_incarnation == far.life)
+        await wait_until(lambda: outgoing.peer_incarnation == far.life)
         far.second.end(0, SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
         await served(bench, far)
         assert "piece" in [kind_of(head) for head in far.heads]
 
@@ -358,6 +358,6 @@
         with pytest.raises(ValueError):
             incoming.handle_frame(BodyPiece(number=number), bytes(WINDOW_BYTES + 1))
         link_of(bench).close("over")
-        await until(lambda: far.second.bodies.held_bytes == 0)
+        await wait_until(lambda: far.second.bodies.held_bytes == 0)
 
     over(test)
--- a/tests/mesh/test_data_plane_client_connection.py
+++ b/tests/mesh/test_data_plane_client_connection.py
@@ -24,7 +24,16 @@
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.membership.instance_lifecycle import Upstream as Life
 from mesh.transport.link import Address
-from rigs.mesh_peers import Client, Upstream, move, play, route, soon, turns, until
+from rigs.mesh_peers import (
+    Client,
+    Upstream,
+    advance_clock,
+    route,
+    run_async_test,
+    run_ready_callbacks,
+    wait_until,
+    with_timeout,
+)
 
 INSTANCE = {"plant": "s", "zone": "z", "capacity": 32, "state": "settled", "cold_ms": 0.0}
 READ = route("read", "/read/", "s")
@@ -75,7 +84,7 @@
 
     async def came(self) -> str:
         """The id of the next request at the upstream."""
-        return (await soon(self.upstream.incoming.get())).get(b"attempt-id") or ""
+        return (await with_timeout(self.upstream.incoming.get())).get(b"attempt-id") or ""
 
 
 def beside(
@@ -99,7 +108,7 @@
                 connection.close()
             await sidecar.client_listener.stop(accept_s=0.0)
 
-    play(run)
+    run_async_test(run)
 
 
 def by_path(message: http.Message) -> str:
@@ -194,8 +203,8 @@
         client = await sidecar.client()
         client.send("a1", path)
         await sidecar.came()
-        await until(lambda: not sidecar.upstream_dispatch.running)
-        move(6.0)  # an idempotent request waits for an upstream with room
+        await wait_until(lambda: not sidecar.upstream_dispatch.running)
+        advance_clock(6.0)  # an idempotent request waits for an upstream with room
         answer = await client.read()
         assert answer and answer.status == status, answer
         assert (answer.get(b"retry-after") is not None) is (status == 503)
@@ -210,10 +219,10 @@
         client = await sidecar.client()
         client.send("a1", "/pay/hold", time_remaining_ms=800)
         await sidecar.came()
-        move(0.8 + DEADLINE_SLACK_MS / 1000.0)
+        advance_clock(0.8 + DEADLINE_SLACK_MS / 1000.0)
         answer = await client.read()
         assert answer and answer.status == 504
-        await until(lambda: not sidecar.upstream.open_connections)
+        await wait_until(lambda: not sidecar.upstream.open_connections)
 
     beside(test, by_path)
 
@@ -303,7 +312,7 @@
         for attempt in ("a2", "a3", "a4"):
             client.send(attempt, "/read/ok")
         assert {await sidecar.came() for _ in range(4)} == {"a1", "a2", "a3", "a4"}
-        await until(lambda: len(sidecar.upstream_dispatch.running) == 1)  # the others are answered
+        await wait_until(lambda: len(sidecar.upstream_dispatch.running) == 1)  # the others are answered
         (connection,) = sidecar.client_listener._connections
         assert len(connection._slots) == 4  # type: ignore[attr-defined]
         sidecar.upstream.release.set()
@@ -320,9 +329,9 @@
         client = await sidecar.client()
         client.send("a1", "/read/hold")
         client.send("a2", "/read/ok")
-        await until(lambda: len(sidecar.upstream_dispatch.running) == 1)
+        await wait_until(lambda: len(sidecar.upstream_dispatch.running) == 1)
         assert not waited
-        move(0.3)
+        advance_clock(0.3)
         sidecar.upstream.release.set()
         assert [await client.read() for _ in range(2)]
         assert waited["a1"] < 0.1 <= 0.3 <= waited["a2"]
@@ -338,7 +347,7 @@
         assert {await sidecar.came() for _ in range(MAX_PIPELINED)} == {
             f"a{at}" for at in range(MAX_PIPELINED)
         }
-        await turns()
+        await run_ready_callbacks()
         assert sidecar.upstream.incoming.empty() and sidecar.request_dispatcher.open_requests == MAX_PIPELINED
         sidecar.upstream.release.set()
         answers = [await client.read() for _ in range(MAX_PIPELINED + 4)]
@@ -355,7 +364,7 @@
         for attempt, path in ("a1", "/read/hold"), ("a2", "/read/ok"), ("a3", "/pay/ok"), ("a4", "/read/ok"):
             client.send(attempt, path)
         assert {await sidecar.came() for _ in range(2)} == {"a1", "a2"}
-        await turns()
+        await run_ready_callbacks()
         assert sidecar.upstream.incoming.empty()
         sidecar.upstream.release.set()
         assert {await sidecar.came() for _ in range(2)} == {"a3", "a4"}
@@ -372,12 +381,12 @@
         client.send("a2", "/read/ok")
         client.send("a3", "/pay/ok")
         assert await sidecar.came() == "a1"
-        await turns()
+        await run_ready_callbacks()
         sidecar.upstream.release.set()
         answer = await client.read()
         assert answer and answer.get(b"attempt-id") == "a1" and answer.get(b"connection") == "close"
         assert await client.read() is None
-        await turns()
+        await run_ready_callbacks()
         assert set(sidecar.upstream.runs) == {"a1"} and not sidecar.request_dispatcher.open_requests
 
     beside(test, by_path)
@@ -392,7 +401,7 @@
         assert isinstance(connection, PipelinedConnection)
         connection._slots[-1].closes = True
         client.send("a2", "/read/ok")
-        await until(lambda: bool(connection.waiting))
+        await wait_until(lambda: bool(connection.waiting))
         sidecar.upstream.release.set()
         answer = await client.read()
         assert answer is not None and answer.get(b"connection") == "close"
@@ -425,7 +434,7 @@
         other.send("b", "/read/hold")
         assert {await sidecar.came() for _ in range(3)} == {"a1", "a2", "b"}
         client.abort()
-        await until(
+        await wait_until(
             lambda: sidecar.request_dispatcher.open_requests == 1 and sidecar.upstream.open_connections == 1
         )
         sidecar.upstream.release.set()
@@ -448,7 +457,7 @@
         assert [answer and answer.status for answer in answers] == [200, 200]
         assert [answer and answer.get(b"connection") for answer in answers] == [None, "close"]
         assert await client.read() is None
-        await soon(ends)
+        await with_timeout(ends)
 
     beside(test, by_path)
 
@@ -461,16 +470,16 @@
         client.send("a1", "/read/hold")
         assert await sidecar.came() == "a1"
         ends = asyncio.get_running_loop().create_task(sidecar.client_listener.stop(accept_s=0.0))
-        await until(lambda: sidecar.client_listener._listener is None)
+        await wait_until(lambda: sidecar.client_listener._listener is None)
         (connection,) = sidecar.client_listener._connections
         assert connection.transport is not None
         connection.transport.pause_reading()  # as if it arrived in the same step as the response
         client.send("a2", "/read/ok")
-        await until(lambda: unread(connection.transport.get_extra_info("socket")))  # type: ignore[union-attr]
+        await wait_until(lambda: unread(connection.transport.get_extra_info("socket")))  # type: ignore[union-attr]
         sidecar.upstream.release.set()
         answers = [await client.read() for _ in range(2)]
         assert [answer and answer.status for answer in answers] == [200, 200]
         assert [answer and answer.get(b"connection") for answer in answers] == [None, "close"]
-        await soon(ends)
+        await with_timeout(ends)
 
     beside(test, by_path)
--- a/tests/mesh/test_data_plane_lost.py
+++ b/tests/mesh/test_data_plane_lost.py
@@ -36,7 +36,7 @@
 from mesh.event_log.log import EventLog
 from mesh.transport.frames import Head
 from mesh.transport.link import SILENCE_TIMEOUT_S, Address, Link, listen
-from rigs.mesh_peers import move, play, soon, turns, until
+from rigs.mesh_peers import advance_clock, run_async_test, run_ready_callbacks, wait_until, with_timeout
 
 SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body", True)
 NOT_RUN = NotExecuted(RejectReason.LOST)
@@ -146,20 +146,20 @@
     async def known(self, far: RemotePeer) -> None:
         """Opens a link and waits for the remote incarnation."""
         _, end = self.send(far, call("warm", effectful=False))
-        await until(lambda: len(far.second.taken) == 1)
+        await wait_until(lambda: len(far.second.taken) == 1)
         far.second.end(0, SERVED)
-        assert await soon(end) == SERVED
-        move(1.0)
+        assert await with_timeout(end) == SERVED
+        advance_clock(1.0)
 
     async def runs(self, seconds: float, far: RemotePeer | None = None) -> None:
         """Ticks the links at the interval of the programs, also those of ``far`` if it is given."""
         for _ in range(int(seconds / TICK_S) + 1):
-            move(TICK_S)
+            advance_clock(TICK_S)
             for link in far.links if far is not None else []:
                 link.tick(self.peer_links.loop.time())
-            await turns()
+            await run_ready_callbacks()
             self.peer_links.tick(self.peer_links.loop.time())
-            await turns()
+            await run_ready_callbacks()
 
 
 def over(test: Callable[[Bench, RemotePeer], Awaitable[None]]) -> None:
@@ -173,7 +173,7 @@
         finally:
             far.close()
 
-    play(run)
+    run_async_test(run)
 
 
 def test_what_had_not_come_is_barred_and_its_late_copy_does_not_run() -> None:
@@ -181,12 +181,12 @@
         await bench.known(far)
         far.deaf = True
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.unread) == 1)
+        await wait_until(lambda: len(far.unread) == 1)
         bench.peer_links._links["there"].link.close("reset")  # type: ignore[union-attr]
-        await until(lambda: len(far.links) == 2 and len(far.unread) == 2)
+        await wait_until(lambda: len(far.links) == 2 and len(far.unread) == 2)
         late = far.unread.pop(0)
         far.hear()
-        assert await soon(end) == NOT_RUN
+        assert await with_timeout(end) == NOT_RUN
         far._frame(*late)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
 
@@ -198,9 +198,9 @@
         await bench.known(far)
         far.second.lines = True
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.links[0].close("reset")
-        assert await soon(end) == NOT_RUN
+        assert await with_timeout(end) == NOT_RUN
         assert far.second.dropped == ["a1"] and far.second.taken[1].state is State.WITHDRAWN
 
     over(test)
@@ -211,19 +211,19 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         if when == "after":
             far.links[0].close("reset")
-            await until(lambda: "ask" in [kind_of(head) for head in far.heads])
+            await wait_until(lambda: "ask" in [kind_of(head) for head in far.heads])
             await bench.runs(0.8, far)  # it is known to run: no timeout any more
             assert not end.done()
         else:
             far.deaf = True
             far.links[0].close("reset")
-            await until(lambda: len(far.unread) == 1)
+            await wait_until(lambda: len(far.unread) == 1)
         far.second.end(1, SERVED)
         far.hear()
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
         assert not far.second.dropped and far.links[-1].owed_replies == 0
         link = bench.peer_links._links["there"].link
         assert link is not None and link.expected_replies == 0
@@ -235,10 +235,10 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         bench.peer_links._links["there"].link.close("reset")  # type: ignore[union-attr]
         far.second.end(1, SERVED)  # to a link that nobody reads
-        assert await soon(end) == SERVED and out.state is State.ENDED
+        assert await with_timeout(end) == SERVED and out.state is State.ENDED
 
     over(test)
 
@@ -247,10 +247,10 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.life = "s2"
         far.links[0].close("killed")
-        assert isinstance(await soon(end), Unclear)
+        assert isinstance(await with_timeout(end), Unclear)
         assert "ask" not in [kind_of(head) for head in far.heads]
 
     over(test)
@@ -260,9 +260,9 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1", effectful=False))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.links[0].close("reset")
-        assert isinstance(await soon(end), Unclear)
+        assert isinstance(await with_timeout(end), Unclear)
         assert far.second.dropped == ["a1"]
 
     over(test)
@@ -273,20 +273,20 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
-        move(waited_ms / 1000.0)
+        await wait_until(lambda: len(far.second.taken) == 2)
+        advance_clock(waited_ms / 1000.0)
         far.deaf = True
         far.links[0].close("reset")
-        await until(lambda: len(far.links) == 2)
+        await wait_until(lambda: len(far.links) == 2)
         began = bench.peer_links.loop.time()
         while not end.done():
-            move(0.01)
-            await turns()
+            advance_clock(0.01)
+            await run_ready_callbacks()
         assert isinstance(end.result(), Unclear)
         assert least - 0.05 <= bench.peer_links.loop.time() - began <= most
         assert not bench.peer_links._links["there"].to_query
         far.hear()
-        await turns()
+        await run_ready_callbacks()
 
     over(test)
 
@@ -296,11 +296,11 @@
         far.old = True
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.links[0].close("reset")
-        assert isinstance(await soon(end), Unclear) and far.second.dropped == ["a1"]
+        assert isinstance(await with_timeout(end), Unclear) and far.second.dropped == ["a1"]
         await bench.runs(0.2)
-        await until(lambda: bench.peer_links.reaches("there"))
+        await wait_until(lambda: bench.peer_links.reaches("there"))
 
     over(test)
 
@@ -310,7 +310,7 @@
         await bench.known(far)
         far.old = True
         far.links[0].close("replaced")
-        await until(lambda: not bench.peer_links.reaches("there"))
+        await wait_until(lambda: not bench.peer_links.reaches("there"))
         await bench.runs(SILENCE_TIMEOUT_S)
         assert not bench.peer_links.reaches("there")
         for _ in range(200):
@@ -326,14 +326,14 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.deaf = True
         ends = [bench.send(far, call(name, effectful=name == "write"))[1] for name in ("write", "read")]
-        await until(lambda: len(far.unread) == 2)  # the greeting and the idempotent call
-        await turns()
+        await wait_until(lambda: len(far.unread) == 2)  # the greeting and the idempotent call
+        await run_ready_callbacks()
         assert [head.get("a") for _, head, _ in far.unread] == [None, "read"]
         far.hear()
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         for at in (0, 1):
             far.second.end(at, SERVED)
-        assert [await soon(end) for end in ends] == [SERVED, SERVED]
+        assert [await with_timeout(end) for end in ends] == [SERVED, SERVED]
 
     over(test)
 
@@ -342,13 +342,13 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.old = True
         _, end = bench.send(far, call("write"))
-        await until(lambda: bench.peer_links._links["there"].verified)
-        await turns()
+        await wait_until(lambda: bench.peer_links._links["there"].verified)
+        await run_ready_callbacks()
         assert not far.second.taken
-        move(INCARNATION_WAIT_S)
-        await until(lambda: len(far.second.taken) == 1)
+        advance_clock(INCARNATION_WAIT_S)
+        await wait_until(lambda: len(far.second.taken) == 1)
         far.second.end(0, SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
 
     over(test)
 
@@ -357,13 +357,13 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.old = True
         _, end = bench.send(far, call("write"))
-        await until(lambda: bench.peer_links._links["there"].verified)
+        await wait_until(lambda: bench.peer_links._links["there"].verified)
         bench.peer_links._links[
             "there"
         ]._reject_waiting()  # the wait for a link is over, that for the incarnation is not
         assert not end.done() and bench.peer_links.reaches("there")
-        move(INCARNATION_WAIT_S)
-        await until(lambda: len(far.second.taken) == 1)
+        advance_clock(INCARNATION_WAIT_S)
+        await wait_until(lambda: len(far.second.taken) == 1)
 
     over(test)
 
@@ -372,9 +372,9 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.deaf = True
         _, end = bench.send(far, call("write"))
-        await until(lambda: bench.peer_links._links["there"].verified)
+        await wait_until(lambda: bench.peer_links._links["there"].verified)
         far.links[0].close("reset")
-        assert await soon(end) == NotExecuted(RejectReason.DOWN)
+        assert await with_timeout(end) == NotExecuted(RejectReason.DOWN)
 
     over(test)
 
@@ -383,10 +383,10 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1", aim_ms=800.0))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         began = bench.peer_links.loop.time()
         far.close()
-        assert await soon(end) == Unclear("connection refused")
+        assert await with_timeout(end) == Unclear("connection refused")
         assert bench.peer_links.loop.time() - began < 0.2
 
     over(test)
@@ -396,14 +396,14 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1", aim_ms=5000.0))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         for _ in range(3):
             links = len(far.links)
             far.links[-1].close("reset")
             await bench.runs(0.15, far)
-            await until(lambda links=links: len(far.links) > links)  # type: ignore[misc]
+            await wait_until(lambda links=links: len(far.links) > links)  # type: ignore[misc]
         far.second.end(1, SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
 
     over(test)
 
@@ -412,9 +412,9 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.links[0].close("reset")
-        await until(lambda: out.state is State.UNCLEAR)
+        await wait_until(lambda: out.state is State.UNCLEAR)
         bench.peer_links.drop(out)
         await bench.runs(1.0)
         assert not end.done() and not bench.peer_links._links["there"].to_query
@@ -427,13 +427,13 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         ends = [bench.send(far, call(f"a{at}", effectful=False))[1] for at in range(3 * BATCH_SIZE)]
-        await until(lambda: len(far.second.taken) == 1 + len(ends))
+        await wait_until(lambda: len(far.second.taken) == 1 + len(ends))
         far.links[0].close("reset")
-        await until(lambda: any(end.done() for end in ends))
+        await wait_until(lambda: any(end.done() for end in ends))
         seen = [sum(end.done() for end in ends)]
         while seen[-1] < len(ends):
-            move(PAUSE_S)
-            await turns()
+            advance_clock(PAUSE_S)
+            await run_ready_callbacks()
             seen.append(sum(end.done() for end in ends))
         steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
         assert max(steps) <= BATCH_SIZE, seen
@@ -446,13 +446,13 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         incoming = far.links[0].peer
         assert isinstance(incoming, IncomingCalls)
         incoming.handle_frame(call("a1").head(2), b"")
         assert len(far.second.taken) == 2
         far.second.end(1, SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
 
     over(test)
 
@@ -461,12 +461,12 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         ends = [bench.send(far, call("same"))[1] for _ in range(2)]
-        await until(lambda: len(far.second.taken) == 3)
+        await wait_until(lambda: len(far.second.taken) == 3)
         far.links[0].close("reset")
-        await until(lambda: [kind_of(head) for head in far.heads].count("ask") == 2)
+        await wait_until(lambda: [kind_of(head) for head in far.heads].count("ask") == 2)
         for at in (2, 1):
             far.second.end(at, dataclasses.replace(SERVED, body=b"%d" % at))
-        assert [(await soon(end)) for end in ends] == [
+        assert [(await with_timeout(end)) for end in ends] == [
             dataclasses.replace(SERVED, body=b"%d" % at) for at in (1, 2)
         ]
 
@@ -477,11 +477,11 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.links[0].send({**msgspec.to_builtins(end_head(2, NOT_RUN)[0]), "w": "no such word"})
-        await until(lambda: "ask" in [kind_of(head) for head in far.heads])
+        await wait_until(lambda: "ask" in [kind_of(head) for head in far.heads])
         far.second.end(1, SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
         assert module.IDLE not in bench.log.getvalue()
 
     over(test)
@@ -495,20 +495,20 @@
         for at in range(others):
             bench.send(far, call(f"r{at}", effectful=False))
         _, end = bench.send(far, call("pay", aim_ms=400.0))
-        await until(lambda: len(far.unread) == others + 1)
-        move(SILENCE_TIMEOUT_S)  # the aim is over: a quarter of it is left for queries
+        await wait_until(lambda: len(far.unread) == others + 1)
+        advance_clock(SILENCE_TIMEOUT_S)  # the aim is over: a quarter of it is left for queries
         far.unread.clear()  # the calls are never read
         far.deaf = False
         bench.peer_links._links["there"].link.close("silent")
         for _ in range(200):
-            await turns()
+            await run_ready_callbacks()
             if any(kind_of(head) == "ask" for head in far.heads) or end.done():
                 break
             bench.peer_links.tick(bench.peer_links.loop.time())
-            move(0.002)
+            advance_clock(0.002)
         for _ in range(50):
-            await turns()
-        assert isinstance(await soon(end), NotExecuted), (others, end)
+            await run_ready_callbacks()
+        assert isinstance(await with_timeout(end), NotExecuted), (others, end)
 
     assert MIN_QUERY_SHARE * 400.0 == 100.0
     over(test)
@@ -522,23 +522,23 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         _, taken = bench.send(far, call("a1", effectful))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.deaf = True
         _, unread = bench.send(far, call("a2", effectful))
-        await until(lambda: len(far.unread) == 1)
+        await wait_until(lambda: len(far.unread) == 1)
         (link,) = far.links
         link.peer.leave()
-        assert await soon(unread) == NotExecuted(RejectReason.LEAVING)
+        assert await with_timeout(unread) == NotExecuted(RejectReason.LEAVING)
         assert not bench.peer_links.reaches("there")
         far.hear()  # the late copy
         assert [running.call.attempt for running in far.second.taken] == ["warm", "a1"]
-        await until(lambda: not link.up)  # the first hop has read GoAway, and closes the link
+        await wait_until(lambda: not link.up)  # the first hop has read GoAway, and closes the link
         if effectful:  # queried over the next link, as its end may still come
             await bench.runs(0.1, far)
             far.second.end(1, SERVED)
-            assert await soon(taken) == SERVED
+            assert await with_timeout(taken) == SERVED
         else:
-            assert isinstance(await soon(taken), Unclear)
+            assert isinstance(await with_timeout(taken), Unclear)
 
     over(test)
 
@@ -553,10 +553,10 @@
             bench.peer_links.send(call("a1"), "there", far.address, again.set_result)
 
         bench.peer_links.send(call("a1"), "there", far.address, ended)
-        await until(lambda: len(far.unread) == 1)
+        await wait_until(lambda: len(far.unread) == 1)
         far.links[0].peer.leave()
-        assert await soon(again) == NotExecuted(RejectReason.DOWN)
-        await turns()
+        assert await with_timeout(again) == NotExecuted(RejectReason.DOWN)
+        await run_ready_callbacks()
         assert len(far.unread) == 1
 
     over(test)
@@ -568,19 +568,19 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         await bench.known(far)
         out, end = bench.send(far, call("a1"))
-        await until(lambda: len(far.second.taken) == 2)
+        await wait_until(lambda: len(far.second.taken) == 2)
         far.deaf = True
         far.links[0].close("reset")
-        await until(lambda: len(far.unread) == 1)  # the greeting
+        await wait_until(lambda: len(far.unread) == 1)  # the greeting
         far.links[-1].send(GreetingReply(incarnation="s1"))
-        await until(lambda: out.number in bench.peer_links._links["there"].open_calls)  # it is queried
+        await wait_until(lambda: out.number in bench.peer_links._links["there"].open_calls)  # it is queried
         far.links[-1].send(GoAway(last=0))
-        await until(lambda: not far.links[-1].up)
+        await wait_until(lambda: not far.links[-1].up)
         assert not end.done()
         far.unread.clear()
         far.deaf = False
         await bench.runs(0.2, far)
         far.second.end(1, SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
 
     over(test)
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -26,7 +26,16 @@
 from mesh.runtime.settings import Settings, parse_settings
 from mesh.transport.frames import Head
 from mesh.transport.link import SILENCE_TIMEOUT_S, Address, Link, listen
-from rigs.mesh_peers import Upstream, free_ports, move, play, soon, turns, until, write_settings
+from rigs.mesh_peers import (
+    Upstream,
+    advance_clock,
+    free_ports,
+    run_async_test,
+    run_ready_callbacks,
+    wait_until,
+    with_timeout,
+    write_settings,
+)
 
 SERVED = UpstreamResponse(200, [(b"response-seal", b"s")], b"body\x00", True)
 
@@ -85,7 +94,7 @@
 
     async def next(self) -> tuple[Link, Head, bytes]:
         """The next frame after a greeting."""
-        found = await soon(self.frames.get())
+        found = await with_timeout(self.frames.get())
         return found if found[1]["t"] != "hello" else await self.next()
 
     def close(self) -> None:
@@ -107,9 +116,9 @@
 
     async def comes_back(self) -> None:
         """A link that is down reconnects by itself."""
-        move(RECONNECT_S + 0.01)
+        advance_clock(RECONNECT_S + 0.01)
         self.tick()
-        await until(lambda: self.peer_links.reaches("there"))
+        await wait_until(lambda: self.peer_links.reaches("there"))
 
     def send(
         self, attempt: str, address: Address | None, node: str = "there", body: bytes = b""
@@ -129,28 +138,28 @@
         finally:
             far.close()
 
-    play(run)
+    run_async_test(run)
 
 
 def test_a_call_and_its_end_cross_the_link_unchanged() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         bench.peer_links.open_early("there", far.address)  # waiting for the link is charged to the call
-        await until(lambda: bench.peer_links._links["there"].verified)
+        await wait_until(lambda: bench.peer_links._links["there"].verified)
         _, end = bench.send("a1", far.address, body=b"\x00,:")
-        running = await soon(far.second.taken.get())
+        running = await with_timeout(far.second.taken.get())
         assert running.call == call("a1", b"\x00,:")
         assert far.links[0].owed_replies == 1
         running.on_end(SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
         for told in (
             NotExecuted(RejectReason.LEAVING),
             NotExecuted(RejectReason.OTHER, reached_upstream=True),
             Unclear("why"),
         ):
             _, end = bench.send("a2", far.address)
-            (await soon(far.second.taken.get())).on_end(told)
-            assert await soon(end) == told
+            (await with_timeout(far.second.taken.get())).on_end(told)
+            assert await with_timeout(end) == told
         assert len(far.links) == 1 and far.links[0].owed_replies == 0
         link = bench.peer_links._links["there"].link
         assert link is not None and link.expected_replies == 0
@@ -164,21 +173,21 @@
         frames = [await far.next() for _ in ends]
         link, head, _ = frames[1]
         link.send(*end_head(head["n"], SERVED))
-        assert await soon(ends[1]) == SERVED
+        assert await with_timeout(ends[1]) == SERVED
         link.close("cut")
         for end in ends[0], ends[2]:
-            assert isinstance(await soon(end), Unclear)
+            assert isinstance(await with_timeout(end), Unclear)
         assert not bench.peer_links.reaches("there") and bench.reached == [("there", False)]
         assert bench.send("b", far.address)[1].result() == NotExecuted(RejectReason.DOWN)
         bench.tick()  # not at once
-        await turns()
+        await run_ready_callbacks()
         assert len(far.links) == 1
         await bench.comes_back()
         assert bench.reached == [("there", False), ("there", True)]
         _, end = bench.send("c", far.address)
         link, head, _ = await far.next()
         link.send(*end_head(head["n"], SERVED))
-        assert await soon(end) == SERVED and len(far.links) == 2
+        assert await with_timeout(end) == SERVED and len(far.links) == 2
 
     over(test)
 
@@ -188,16 +197,16 @@
         _, first = bench.send("a1", far.address)
         link, head, _ = await far.next()
         link.send(*end_head(head["n"], SERVED))
-        await soon(first)
-        move(5.0)  # no call is open, so silence does not count
+        await with_timeout(first)
+        advance_clock(5.0)  # no call is open, so silence does not count
         _, end = bench.send("a2", far.address)
         bench.tick()
         await far.next()
         assert not end.done()
         for _ in range(int((SILENCE_TIMEOUT_S + 0.1) / TICK_S) + 1):  # at the interval of the program
-            move(TICK_S)
+            advance_clock(TICK_S)
             bench.tick()
-        assert await soon(end) == Unclear("silent")
+        assert await with_timeout(end) == Unclear("silent")
 
     over(test)
 
@@ -206,17 +215,17 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         _, end = bench.send("a1", far.address)
-        running = await soon(far.second.taken.get())
+        running = await with_timeout(far.second.taken.get())
         for _ in range(4):
-            move(0.8 * SILENCE_TIMEOUT_S)
+            advance_clock(0.8 * SILENCE_TIMEOUT_S)
             link = bench.peer_links._links["there"].link
             assert link is not None
             heard = link.last_received_at
             far.links[0].tick(bench.peer_links.loop.time())
-            await until(lambda link=link, heard=heard: link.last_received_at > heard)  # type: ignore[misc]
+            await wait_until(lambda link=link, heard=heard: link.last_received_at > heard)  # type: ignore[misc]
             bench.tick()
         running.on_end(SERVED)
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
 
     over(test, real=True)
 
@@ -224,10 +233,10 @@
 def test_a_link_that_does_not_come_up_turns_away_what_waits_and_at_once_what_comes_next() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.close()
-        await turns()
+        await run_ready_callbacks()
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(2)]
         for end in ends:
-            assert await soon(end) == NotExecuted(RejectReason.DOWN)
+            assert await with_timeout(end) == NotExecuted(RejectReason.DOWN)
         assert bench.send("b", far.address)[1].result() == NotExecuted(
             RejectReason.DOWN
         )  # without an attempt
@@ -238,7 +247,7 @@
         _, end = bench.send("d", far.address)
         link, head, _ = await far.next()
         link.send(*end_head(head["n"], SERVED))
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
 
     over(test)
 
@@ -251,17 +260,17 @@
         loop = bench.peer_links.loop
         connects, loop.create_connection = loop.create_connection, hang  # type: ignore[method-assign,assignment]
         _, end = bench.send("a1", far.address)
-        await turns()
+        await run_ready_callbacks()
         assert not end.done()
-        move(CONNECT_WAIT_S + 0.01)
-        await turns()
+        advance_clock(CONNECT_WAIT_S + 0.01)
+        await run_ready_callbacks()
         assert end.result() == NotExecuted(RejectReason.DOWN)
         assert bench.reached == [("there", False)]
         loop.create_connection = connects  # type: ignore[method-assign]
-        move(1.0)  # the connect times out
-        await until(lambda: bench.peer_links._links["there"].connecting is None)
+        advance_clock(1.0)  # the connect times out
+        await wait_until(lambda: bench.peer_links._links["there"].connecting is None)
         await bench.comes_back()
-        assert not far.frames.qsize() or (await soon(far.frames.get()))[1]["t"] == "hello"
+        assert not far.frames.qsize() or (await with_timeout(far.frames.get()))[1]["t"] == "hello"
 
     over(test)
 
@@ -288,11 +297,11 @@
 
         loop.create_connection = late  # type: ignore[method-assign,assignment]
         _, end = bench.send("a1", far.address)
-        await turns()
-        move(0.5 * CONNECT_WAIT_S)
+        await run_ready_callbacks()
+        advance_clock(0.5 * CONNECT_WAIT_S)
         goes_on.set()
         assert far.second is not None
-        told, began = (await soon(far.second.taken.get())).call, call("a1")
+        told, began = (await with_timeout(far.second.taken.get())).call, call("a1")
         least = 500.0 * CONNECT_WAIT_S - 1.0  # ages are sent as whole milliseconds
         most = 1000.0 * CONNECT_WAIT_S
         waited = (
@@ -311,15 +320,15 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         out, end = bench.send("a1", far.address)
-        running = await soon(far.second.taken.get())
+        running = await with_timeout(far.second.taken.get())
         bench.peer_links.drop(out)
-        await until(lambda: far.second is not None and far.second.dropped == ["a1"])
+        await wait_until(lambda: far.second is not None and far.second.dropped == ["a1"])
         link = bench.peer_links._links["there"].link
         assert link is not None and (link.expected_replies, far.links[0].owed_replies) == (0, 0)
         bench.peer_links.drop(out)  # without effect
         _, other = bench.send("a2", far.address)
-        (await soon(far.second.taken.get())).on_end(SERVED)
-        assert await soon(other) == SERVED
+        (await with_timeout(far.second.taken.get())).on_end(SERVED)
+        assert await with_timeout(other) == SERVED
         assert not end.done() and far.second.dropped == ["a1"]
         assert running.call.attempt == "a1"
 
@@ -336,7 +345,7 @@
         while (found := await far.next())[1]["t"] != "call":
             pass
         link.send(*end_head(found[1]["n"], Unclear("x")))
-        assert await soon(other) == Unclear("x")
+        assert await with_timeout(other) == Unclear("x")
         assert not end.done()
 
     over(test)
@@ -348,15 +357,15 @@
     async def test(bench: Bench, far: RemotePeer) -> None:
         assert far.second is not None
         ends = [bench.send(f"a{at}", far.address)[1] for at in range(4)]
-        assert await soon(ends[3]) == NotExecuted(RejectReason.FULL)
-        runnings = [await soon(far.second.taken.get()) for _ in range(3)]
+        assert await with_timeout(ends[3]) == NotExecuted(RejectReason.FULL)
+        runnings = [await with_timeout(far.second.taken.get()) for _ in range(3)]
         assert far.second.taken.empty() and far.links[0].owed_replies == 3
         runnings[0].on_end(SERVED)
-        assert await soon(ends[0]) == SERVED
+        assert await with_timeout(ends[0]) == SERVED
         bench.send("b", far.address)
-        assert (await soon(far.second.taken.get())).call.attempt == "b"
+        assert (await with_timeout(far.second.taken.get())).call.attempt == "b"
         far.second.full = True
-        assert await soon(bench.send("c", far.address)[1]) == NotExecuted(RejectReason.FULL)
+        assert await with_timeout(bench.send("c", far.address)[1]) == NotExecuted(RejectReason.FULL)
         assert far.links[0].owed_replies == 3
 
     over(test, real=True)
@@ -367,16 +376,20 @@
         assert far.second is not None
         bodies = far.second.bodies  # 2,048 bytes, at most 1,024 for one body
         first = [bench.send(f"a{at}", far.address, body=b"x" * 900) for at in range(3)]
-        assert await soon(first[2][1]) == NotExecuted(RejectReason.FULL) and bodies.held_bytes == 1800
-        assert await soon(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(RejectReason.FULL)
-        (await soon(far.second.taken.get())).on_end(SERVED)
-        assert await soon(first[0][1]) == SERVED
+        assert await with_timeout(first[2][1]) == NotExecuted(RejectReason.FULL) and bodies.held_bytes == 1800
+        assert await with_timeout(bench.send("b", far.address, body=b"x" * 1025)[1]) == NotExecuted(
+            RejectReason.FULL
+        )
+        (await with_timeout(far.second.taken.get())).on_end(SERVED)
+        assert await with_timeout(first[0][1]) == SERVED
         bench.peer_links.drop(first[1][0])
-        await until(lambda: bodies.held_bytes == 0)
+        await wait_until(lambda: bodies.held_bytes == 0)
         bench.send("c", far.address, body=b"x" * 900)
-        await until(lambda: bodies.held_bytes == 900)
+        await wait_until(lambda: bodies.held_bytes == 900)
         far.second.full = True
-        assert await soon(bench.send("d", far.address, body=b"x" * 900)[1]) == NotExecuted(RejectReason.FULL)
+        assert await with_timeout(bench.send("d", far.address, body=b"x" * 900)[1]) == NotExecuted(
+            RejectReason.FULL
+        )
         assert bodies.held_bytes == 900
         link = bench.peer_links._links["there"].link
         assert link is not None and isinstance(far.links[0].peer, IncomingCalls)
@@ -393,14 +406,14 @@
         _, old = bench.send("a1", far.address)
         await far.next()
         _, new = bench.send("a2", moved.address)
-        assert isinstance(await soon(old), Unclear)
+        assert isinstance(await with_timeout(old), Unclear)
         link, head, _ = await moved.next()
         assert head["a"] == "a2"
         link.send(*end_head(head["n"], SERVED))
-        assert await soon(new) == SERVED
-        await until(lambda: far.lost == 1)
+        assert await with_timeout(new) == SERVED
+        await wait_until(lambda: far.lost == 1)
         bench.peer_links.forget("there")
-        await until(lambda: moved.lost == 1)
+        await wait_until(lambda: moved.lost == 1)
         moved.close()
 
     over(test)
@@ -413,15 +426,15 @@
         heard = bench.peer_links.loop.time() + IDLE_S + 1.0
         outgoing = bench.peer_links._links["there"].link
         assert outgoing is not None
-        move(IDLE_S + 1.0)
+        advance_clock(IDLE_S + 1.0)
         outgoing.last_received_at = heard  # a keep-alive has arrived meanwhile
         bench.tick()
         assert outgoing.up
         link.send(*end_head(head["n"], SERVED))
-        assert await soon(end) == SERVED
+        assert await with_timeout(end) == SERVED
         bench.tick()
-        await until(lambda: far.lost == 1 and not outgoing.up)
-        await turns()
+        await wait_until(lambda: far.lost == 1 and not outgoing.up)
+        await run_ready_callbacks()
         assert bench.peer_links.reaches("there") and not bench.reached
 
     over(test)
@@ -430,7 +443,7 @@
 def test_calls_for_this_machine_take_no_link() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         out, end = bench.send("a1", None, node="here")
-        assert (await soon(bench.local.taken.get())).call == call("a1")
+        assert (await with_timeout(bench.local.taken.get())).call == call("a1")
         bench.peer_links.drop(out)
         assert bench.local.dropped == ["a1"] and not end.done()
         bench.local.full = True
@@ -444,7 +457,7 @@
         _, end = bench.send("a1", far.address)
         link, head, _ = await far.next()
         link.send({"t": "end", "n": head["n"], "w": "no such word", "v": False})
-        await until(lambda: far.lost == 1)
+        await wait_until(lambda: far.lost == 1)
         assert isinstance(await asyncio.wait_for(end, 0.2), Unclear)
 
     over(test)
@@ -490,13 +503,13 @@
         for number in range(3):
             head = replace(call(f"a{number}"), target=b"/x", max_wait_ms=500.0).head(number)
             proxy._on_frame(link, head, b"")
-        await until(lambda: len(upstream.received) == 2)
+        await wait_until(lambda: len(upstream.received) == 2)
         proxy._on_link_lost(link, "cut")
         try:
             assert not proxy.upstream_dispatch.running and not len(proxy.upstream_dispatch.queue)
         finally:
             upstream.close()
             proxy.upstream_connections.close()
-            await turns()
+            await run_ready_callbacks()
 
     over(test)
--- a/tests/mesh/test_data_plane_repeats.py
+++ b/tests/mesh/test_data_plane_repeats.py
@@ -12,7 +12,7 @@
 from mesh.admission.retry_budget import USED_SHARE, RetryBudget
 from mesh.data_plane.call_messages import Call, CallHead, read_call
 from mesh.data_plane.service_tables import ServiceBalancers
-from rigs.mesh_peers import soon, turns, until
+from rigs.mesh_peers import run_ready_callbacks, wait_until, with_timeout
 from rigs.whole_sidecar import SidecarRig, peer_call, run_with_sidecar
 
 
@@ -69,7 +69,7 @@
         ended: list[object] = []
         repeat = replace(peer_call("b1", "/read/hold"), remaining_ms=2000.0, repeat=True)
         proxy.upstream_dispatch.accept(repeat, ended.append)
-        assert (await soon(rig.upstream.incoming.get())).get(b"attempt-id") == "b1"
+        assert (await with_timeout(rig.upstream.incoming.get())).get(b"attempt-id") == "b1"
 
         client = await rig.client()
         # "own" is the upstream's own call.
@@ -80,8 +80,8 @@
         assert (budget.charged, budget.spent) == (1, 0)
 
         rig.upstream.release.set()
-        await until(lambda: bool(ended))
-        await turns()
+        await wait_until(lambda: bool(ended))
+        await run_ready_callbacks()
         assert len(proxy.upstream_dispatch.repeats) == 0
         assert (await client.request("later", "/read/ok", time_remaining_ms=2000)).status == 200
         assert not sent.calls[-1].repeat
--- a/tests/mesh/test_data_plane_rollouts.py
+++ b/tests/mesh/test_data_plane_rollouts.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from mesh.data_plane.shutdown import NOTICE_S
-from rigs.mesh_peers import Client, move, route, soon, turns, until
+from rigs.mesh_peers import Client, advance_clock, route, run_ready_callbacks, wait_until, with_timeout
 from rigs.whole_sidecar import SidecarRig, run_with_sidecar
 
 CHANGES = 150
@@ -97,9 +97,9 @@
         for number in range(CHANGES):
             before = traffic.responses
             change(rig, number)
-            await until(lambda before=before: traffic.responses > before)  # type: ignore[misc]
+            await wait_until(lambda before=before: traffic.responses > before)  # type: ignore[misc]
         traffic.stopped = True
-        await soon(asyncio.gather(*clients))
+        await with_timeout(asyncio.gather(*clients))
         assert (traffic.lost, traffic.failed) == ([], [])
         assert traffic.responses == traffic.sent > CHANGES
 
@@ -110,13 +110,13 @@
     async def test(rig: SidecarRig) -> None:
         traffic = Traffic(rig, ("/read/hold",))
         clients = [asyncio.get_running_loop().create_task(traffic.client(f"c{at}", 1)) for at in range(4)]
-        await until(lambda: len(rig.upstream.received) == len(clients))
+        await wait_until(lambda: len(rig.upstream.received) == len(clients))
         for connection in list(rig.proxy.client_listener._connections)[:2]:
             connection.close()
-        await until(lambda: len(traffic.lost) == 2)
+        await wait_until(lambda: len(traffic.lost) == 2)
         traffic.stopped = True
         rig.upstream.release.set()
-        await soon(asyncio.gather(*clients))
+        await with_timeout(asyncio.gather(*clients))
         assert len(traffic.lost) == 2
 
     run_with_sidecar(tmp_path, test)
@@ -126,16 +126,16 @@
     async def test(rig: SidecarRig) -> None:
         traffic, loop = Traffic(rig, ("/read/ok",)), asyncio.get_running_loop()
         clients = [loop.create_task(traffic.client(f"c{at}", 1 + at % MAX_PIPELINED)) for at in range(12)]
-        await until(lambda: traffic.responses > 50)
+        await wait_until(lambda: traffic.responses > 50)
         stop_task = loop.create_task(rig.proxy.stop())
-        await turns()
+        await run_ready_callbacks()
         change(rig, 1)
         before = traffic.responses
-        await until(lambda: traffic.responses > before + 50)
-        move(NOTICE_S)
-        await soon(asyncio.gather(*clients))  # no connection is accepted any more
-        move(2.0)
-        await soon(stop_task)
+        await wait_until(lambda: traffic.responses > before + 50)
+        advance_clock(NOTICE_S)
+        await with_timeout(asyncio.gather(*clients))  # no connection is accepted any more
+        advance_clock(2.0)
+        await with_timeout(stop_task)
         assert traffic.lost == []
         assert {status for _, status in traffic.failed} <= {503}  # its own upstream accepts nothing new
 
@@ -159,19 +159,19 @@
         stream, writer = await asyncio.open_connection(sock=small_buffer_socket, limit=1024)
         await rig.wait_for_clients(1)
         (connection,) = client_listener._connections
-        await until(lambda: connection.transport is not None)
+        await wait_until(lambda: connection.transport is not None)
         assert connection.transport is not None
         source = connection.transport.get_extra_info("socket")
         source.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
         client = Client(stream, writer)
         client.send("a1", "/read/ok", body=body, time_remaining_ms=30_000)
-        await until(lambda: connection.choked)
+        await wait_until(lambda: connection.choked)
         rig.apply_item("input_limits", "input_limits", {**LIMITS, "header_lag_ms": 100})
         client_listener._sweep()
         for _ in range(4):
-            move(0.5)
+            advance_clock(0.5)
             client_listener._sweep()
-            await turns()
+            await run_ready_callbacks()
         assert client_listener.held() == 1
         response = await client.read()
         assert response is not None and response.body.endswith(body)
--- a/tests/mesh/test_data_plane_service_balancers.py
+++ b/tests/mesh/test_data_plane_service_balancers.py
@@ -30,7 +30,7 @@
 from mesh.data_plane.service_balancers import DEADLINE_SLACK_MS, ServiceBalancer
 from mesh.data_plane.service_tables import ServiceBalancers
 from mesh.event_log.log import EventLog
-from rigs.mesh_peers import move, play, soon, turns
+from rigs.mesh_peers import advance_clock, run_async_test, run_ready_callbacks, with_timeout
 
 READ = Route("read", 1, "h", "/r/", False, 1000.0, 400.0, 3, 1, (("s", 1.0),))
 PAY = replace(READ, name="pay", prefix="/p/", effectful=True)
@@ -146,7 +146,7 @@
     async def run() -> None:
         await test(Bench(upstreams, slack, ratio))
 
-    play(run)
+    run_async_test(run)
 
 
 def test_a_call_goes_to_an_instance_of_its_service_and_its_answer_to_the_client() -> None:
@@ -159,8 +159,8 @@
         bench.end(OK)
         assert final.result() == Served(OK)
         assert ask.finished and not bench.table(READ).requests
-        move(2.0)
-        await turns()
+        advance_clock(2.0)
+        await run_ready_callbacks()
         assert not bench.peer_links.dropped
 
     with_balancer(test)
@@ -196,8 +196,8 @@
 def test_an_effectful_call_that_is_still_out_at_its_deadline_is_not_promised() -> None:
     async def test(bench: Bench) -> None:
         ask, final = bench.ask(PAY)
-        move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
-        assert await soon(final) == Failed(True)
+        advance_clock(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
+        assert await with_timeout(final) == Failed(True)
         assert [sent.call.attempt for sent in bench.peer_links.dropped] == [ask.attempt]
         bench.end(OK)  # after the client's result
 
@@ -222,8 +222,8 @@
             answer(told)
 
         ask.reply = answered
-        move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
-        assert isinstance(await soon(final), Refused)
+        advance_clock(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
+        assert isinstance(await with_timeout(final), Refused)
         assert [sent.call.attempt for sent in dropped_by_then] == [ask.attempt]
 
     with_balancer(test)
@@ -240,11 +240,11 @@
         )
         ask, final = bench.ask(PAY)
         assert len(bench.sends(ask)) == out
-        move(1.0)
-        await turns()
+        advance_clock(1.0)
+        await run_ready_callbacks()
         assert not final.done()
-        move(DEADLINE_SLACK_MS / 1000.0)
-        assert await soon(final) == (Failed(True) if out else Refused(0.0))
+        advance_clock(DEADLINE_SLACK_MS / 1000.0)
+        assert await with_timeout(final) == (Failed(True) if out else Refused(0.0))
         assert bench.peer_links.dropped == bench.peer_links.sent and not table.requests
 
     with_balancer(test)
@@ -363,8 +363,8 @@
     async def test(bench: Bench) -> None:
         for route in (READ, PAY):
             ask, final = bench.ask(route)
-            move(1.2)
-            told = await soon(final)
+            advance_clock(1.2)
+            told = await with_timeout(final)
             assert isinstance(told, Refused) and told.retry_after_ms >= 0.0
             assert not bench.sends(ask) and not bench.peer_links.dropped
 
@@ -388,8 +388,8 @@
         bench.peer_links.at_once = [NotExecuted(RejectReason.DOWN)] * 20
         for route in (READ, PAY):
             _, final = bench.ask(route)
-            move(1.2)
-            assert isinstance(await soon(final), Refused), final
+            advance_clock(1.2)
+            assert isinstance(await with_timeout(final), Refused), final
 
     with_balancer(test)
 
@@ -401,8 +401,8 @@
         assert bench.peer_links.dropped == bench.peer_links.sent
         bench.table(READ).client_gone(ask)
         bench.end(UNCLEAR)  # it ended while it was being dropped
-        move(2.0)
-        await turns()
+        advance_clock(2.0)
+        await run_ready_callbacks()
         assert not final.done() and len(bench.sends(ask)) == 1 and len(bench.peer_links.dropped) == 1
         assert not bench.table(READ).requests
 
@@ -418,11 +418,11 @@
         if left:
             bench.table(READ).client_gone(ask)
         else:
-            move(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
-            await turns()
+            advance_clock(1.0 + DEADLINE_SLACK_MS / 1000.0 + 0.01)
+            await run_ready_callbacks()
         assert balancer.limits.inflight == 0 and not balancer.requests
         assert [(server.inflight, server.trial) for server in balancer.servers.values()] == [(0, False)]
-        move(10.0)
+        advance_clock(10.0)
         bench.serve(3)
         assert len(bench.peer_links.sent) == 4
 
--- a/tests/mesh/test_data_plane_shutdown.py
+++ b/tests/mesh/test_data_plane_shutdown.py
@@ -25,7 +25,7 @@
 from mesh.event_log import events
 from mesh.runtime.grace import EXIT_S, EXIT_SHARE, exit_after_s
 from mesh.transport.frames import frame
-from rigs.mesh_peers import Client, move, soon, turns, until
+from rigs.mesh_peers import Client, advance_clock, run_ready_callbacks, wait_until, with_timeout
 from rigs.whole_sidecar import PeerSidecar, SidecarRig, peer_call, run_with_sidecar
 
 GRACE_S = 6.0
@@ -39,8 +39,8 @@
 async def advance(seconds: float) -> None:
     """Advances time in steps and runs what is due."""
     for _ in range(max(round(seconds / 0.05), 1)):
-        move(0.05)
-        await turns()
+        advance_clock(0.05)
+        await run_ready_callbacks()
 
 
 def keep_upstream_accepting(rig: SidecarRig) -> None:
@@ -71,13 +71,13 @@
         keep_upstream_accepting(rig)
         client = await rig.client()
         client.send("a1", "/read/hold")
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         client.send("a2", "/read/ok")
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         (connection,) = rig.proxy.client_listener._connections
-        await until(lambda: connection._slots[-1].reply is not None)  # type: ignore[attr-defined]
+        await wait_until(lambda: connection._slots[-1].reply is not None)  # type: ignore[attr-defined]
         stop_task = start_shutdown(rig)
-        await turns()
+        await run_ready_callbacks()
         rig.upstream.release.set()
         answers = [await client.read() for _ in range(2)]
         assert [response and response.status for response in answers] == [200, 200]
@@ -85,7 +85,7 @@
         assert await client.read() is None
         client.abort()
         await advance(NOTICE_S + 0.2)
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -96,7 +96,7 @@
         client = await rig.client()
         client.write(b"GET /read/ok HTTP/1.1\r\nhost: h.example\r\n")  # an incomplete request
         (connection,) = rig.proxy.client_listener._connections
-        await until(lambda: connection.reader.partial)
+        await wait_until(lambda: connection.reader.partial)
         stop_task = start_shutdown(rig)
         await advance(shutdown_times(GRACE_S).last_request_s + 0.1)
         client.write(b"attempt-id: a1\r\n\r\n")
@@ -105,7 +105,7 @@
         assert response.get(b"retry-after") == f"{DEFAULT_RETRY_S:.3f}"
         assert rig.upstream.received == [] and not rig.proxy.request_dispatcher.open_requests
         client.abort()
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -115,18 +115,18 @@
         keep_upstream_accepting(rig)
         client = await rig.client()
         client.send("a1", "/read/hold")
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         stop_task = start_shutdown(rig)
         await advance(shutdown_times(GRACE_S).last_request_s + 0.1)
         client.send("a2", "/read/ok")
-        await turns()
+        await run_ready_callbacks()
         rig.upstream.release.set()
         response = await client.read()
         assert response is not None and (response.status, response.get(b"connection")) == (200, "close")
         assert await client.read() is None
         assert [message.get(b"attempt-id") for message in rig.upstream.received] == ["a1"]
         client.abort()
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -138,7 +138,7 @@
         response = await client.request("a1", "/read/ok")
         assert response.get(b"keep-alive") == "timeout=2"
         stop_task = start_shutdown(rig)
-        await turns()
+        await run_ready_callbacks()
         await advance(1.9)
         assert rig.proxy.client_listener.held() == 1
         # Sent in time, so it is served; its connection closes with it.
@@ -150,7 +150,7 @@
         ) == (200, "close", None)
         client.abort()
         await advance(NOTICE_S)
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -172,7 +172,7 @@
         assert await early.read() is None and not stop_task.done()
         await advance(TRANSIT_S + 0.1)
         assert await late.read() is None
-        await soon(stop_task)
+        await with_timeout(stop_task)
         assert loop.time() - at < NOTICE_S + TRANSIT_S + 1.0
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
@@ -202,8 +202,8 @@
         stop_task = start_shutdown(rig)
         await advance(NOTICE_S - 0.1)
         connection = socket.create_connection(rig.outbound)  # waits in the backlog
-        move(0.2)
-        await until(lambda: rig.proxy.client_listener._listener is None)
+        advance_clock(0.2)
+        await wait_until(lambda: rig.proxy.client_listener._listener is None)
         assert rig.proxy.client_listener.held() == 1
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(rig.outbound)
@@ -212,7 +212,7 @@
         response = await client.request("a1", "/read/ok")
         assert (response.status, response.get(b"connection")) == (200, "close")
         client.abort()
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -222,22 +222,22 @@
         keep_upstream_accepting(rig)
         client_listener, client = rig.proxy.client_listener, await rig.client()
         client.send("a1", "/read/hold")
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         stop_task = start_shutdown(rig)
-        await turns()
+        await run_ready_callbacks()
         rig.upstream.release.set()
         (connection,) = client_listener._connections
-        await until(lambda: connection.refused)
+        await wait_until(lambda: connection.refused)
         for at in range(5):
             client.send(f"b{at}", "/read/ok", body=b"x" * 20_000)
-            await turns()
+            await run_ready_callbacks()
         response = await client.read()
         assert response is not None and (response.status, response.get(b"connection")) == (200, "close")
         assert await client.read() is None
         assert len(rig.upstream.received) == 1
         client.abort()
         await advance(NOTICE_S)
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -251,19 +251,19 @@
         monkeypatch.setattr("anisestair.http.frontend.time", SimpleNamespace(monotonic=loop.time))
         client = await rig.client()
         client.send("a1", "/read/hold", body=body)
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         stop_task = start_shutdown(rig)
-        await turns()
+        await run_ready_callbacks()
         rig.upstream.release.set()
         (connection,) = rig.proxy.client_listener._connections
-        await until(lambda: connection.refused)  # written, but not accepted by the kernel
+        await wait_until(lambda: connection.refused)  # written, but not accepted by the kernel
         assert connection.transport is not None and connection.transport.get_write_buffer_size()
         await advance(NOTICE_S + 0.5)  # longer than the wait for a client that has its response
         assert not stop_task.done()
         response = await client.read()
         assert response is not None and response.body.endswith(body)
         client.abort()
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -282,7 +282,7 @@
         clients = [await rig.client() for _ in range(10)]
         for at, client in enumerate(clients):  # nine for an upstream with eight slots
             client.send(f"a{at}", "/read/hold", time_remaining_ms=30_000)
-        await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
+        await wait_until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         (waiting,) = (call for _, _, call in proxy.upstream_dispatch.queue._waiting)
         proxy.upstream_dispatch.queue._expiries.clear()  # its wait does not end
         shutdown = Shutdown(proxy)
@@ -292,7 +292,7 @@
         refused = clients[int(waiting.call.attempt[1:])]  # type: ignore[attr-defined]
         response = await refused.read()
         assert response is not None and (response.status, response.get(b"connection")) == (503, "close")
-        await soon(stop_task)
+        await with_timeout(stop_task)
         assert (events.CALLS_ABANDONED, {"requests": 9, "calls": 9}) in emitted
         assert proxy.client_listener.held() >= 9  # the kernel closes them at the exit, without a response
 
@@ -332,11 +332,11 @@
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(rig.peers)
         other.send(3, "/read/ok")  # crosses GoAway
-        await turns()
+        await run_ready_callbacks()
         assert len(rig.upstream.received) == 2 and link.owed_replies == 0
         other.writer.close()
         await advance(0.3)
-        await soon(stop_task)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test, grace_s=GRACE_S)
 
@@ -347,7 +347,7 @@
         proxy, other = rig.proxy, await PeerSidecar.connect(rig)
         for number in range(1, 11):
             other.send(number, "/read/hold")
-        await until(lambda: len(proxy.upstream_dispatch.queue) == 1)
+        await wait_until(lambda: len(proxy.upstream_dispatch.queue) == 1)
         proxy.upstream_dispatch.reject_queued()
         found = await other.next_end()
         assert found == NotExecuted(RejectReason.LEAVING)
@@ -362,14 +362,14 @@
         other = await PeerSidecar.connect(rig)
         head = peer_call("b1", "/read/ok", b"x" * 100_000).head(1, in_pieces=True)
         other.writer.write(frame(head) + frame(BodyPiece(number=1), b"x" * 1000))
-        await until(lambda: bool(rig.proxy.incoming_links))
+        await wait_until(lambda: bool(rig.proxy.incoming_links))
         (link,) = rig.proxy.incoming_links
-        await until(lambda: isinstance(link.peer, IncomingCalls) and link.peer.receiving)
+        await wait_until(lambda: isinstance(link.peer, IncomingCalls) and link.peer.receiving)
         assert isinstance(link.peer, IncomingCalls)
         link.peer.leave()
         assert await other.next_end() == NotExecuted(RejectReason.LEAVING)
         other.writer.write(frame(BodyPiece(number=1), b"x" * 99_000))  # the rest arrives too late
-        await turns()
+        await run_ready_callbacks()
         assert rig.upstream.received == [] and not link.peer.receiving and link.owed_replies == 0
         assert rig.proxy.request_dispatcher.bodies.held_bytes == 0
         other.writer.close()
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -23,7 +23,14 @@
     UpstreamConnectionPool,
 )
 from mesh.event_log.log import EventLog
-from rigs.mesh_peers import Upstream, move, play, soon, turns, until
+from rigs.mesh_peers import (
+    Upstream,
+    advance_clock,
+    run_async_test,
+    run_ready_callbacks,
+    wait_until,
+    with_timeout,
+)
 
 
 class Asked:
@@ -46,7 +53,7 @@
         return asked
 
     async def ask(self, attempt: str) -> ExchangeOutcome:
-        return await soon((await self.begin(attempt)).outcome)
+        return await with_timeout((await self.begin(attempt)).outcome)
 
     async def good(self, attempt: str) -> None:
         outcome = await self.ask(attempt)
@@ -70,7 +77,7 @@
             pool.close()
             upstream.close()
 
-    play(run)
+    run_async_test(run)
 
 
 def test_a_connection_is_used_again() -> None:
@@ -94,7 +101,7 @@
 def test_a_connection_with_answers_to_others_alone_is_given_up() -> None:
     async def test(bench: Bench) -> None:
         assert isinstance(await bench.ask("a1"), ExchangeFailed)
-        await until(lambda: not bench.upstream.open_connections)
+        await wait_until(lambda: not bench.upstream.open_connections)
 
     tapped(test, ["strays"])
 
@@ -102,7 +109,7 @@
 def test_the_second_of_two_answers_is_nobodys_and_the_connection_ends() -> None:
     async def test(bench: Bench) -> None:
         await bench.good("a1")
-        await until(lambda: not bench.upstream.open_connections)
+        await wait_until(lambda: not bench.upstream.open_connections)
         await bench.good("a2")
         assert bench.upstream.connections_opened == 2
 
@@ -113,7 +120,7 @@
     async def test(bench: Bench) -> None:
         await bench.good("a1")
         bench.upstream.send_unsolicited(bench.upstream.response(bench.upstream.received[0]))
-        await until(lambda: not bench.upstream.open_connections)
+        await wait_until(lambda: not bench.upstream.open_connections)
         assert not bench.connections._idle and not bench.connections._open
         await bench.good("a2")
 
@@ -123,16 +130,16 @@
 def test_a_connection_on_which_something_stands_unread_is_not_used_again() -> None:
     async def test(bench: Bench) -> None:
         asked = await bench.begin("a1")
-        await soon(asked.outcome)
+        await with_timeout(asked.outcome)
         connection = asked.connection
         assert connection is not None and connection._transport is not None
         connection._transport.pause_reading()  # this process reads late
         assert connection.usable(0.0)
         bench.upstream.send_unsolicited(b"x")
-        await until(lambda: bool(connection._poll.poll(0)))
+        await wait_until(lambda: bool(connection._poll.poll(0)))
         await bench.good("a2")
         assert bench.upstream.connections_opened == 2
-        await until(lambda: bench.upstream.open_connections == 1)
+        await wait_until(lambda: bench.upstream.open_connections == 1)
 
     tapped(test)
 
@@ -150,16 +157,16 @@
     async def test(bench: Bench) -> None:
         await bench.good("a1")
         if kept_s:
-            move(kept_s - 0.3)
+            advance_clock(kept_s - 0.3)
             bench.connections.close_expired()
             await bench.good("a2")  # from here on for the same time again
             assert bench.upstream.connections_opened == 1
-        move(kept_s)
+        advance_clock(kept_s)
         await bench.good("a3")
         assert bench.upstream.connections_opened == 2
-        move(kept_s)
+        advance_clock(kept_s)
         bench.connections.close_expired()
-        await until(lambda: not bench.upstream.open_connections)
+        await wait_until(lambda: not bench.upstream.open_connections)
         assert not bench.connections._open
 
     tapped(test, keep_alive=told)
@@ -180,9 +187,9 @@
 
         bench.connections._loop.create_connection = never  # type: ignore[method-assign,assignment]
         task = asyncio.get_running_loop().create_task(bench.ask("a1"))
-        await until(lambda: bench.connections._connecting == 1)
-        move(1.0)
-        assert await soon(task) == NotSent(refused=False)
+        await wait_until(lambda: bench.connections._connecting == 1)
+        advance_clock(1.0)
+        assert await with_timeout(task) == NotSent(refused=False)
         assert bench.connections._connecting == 0
 
     tapped(test)
@@ -203,15 +210,15 @@
     async def test(bench: Bench) -> None:
         held = [await bench.begin(f"a{at}") for at in range(2)]
         coming = asyncio.get_running_loop().create_task(bench.begin("a2"))
-        await until(lambda: bench.connections._connecting == 1)
+        await wait_until(lambda: bench.connections._connecting == 1)
         assert await bench.ask("b") == NotSent(refused=False)  # one that is being opened counts
         held.append(await coming)
         assert await bench.ask("b") == NotSent(refused=False)
-        await until(lambda: len(bench.upstream.received) == 3)
+        await wait_until(lambda: len(bench.upstream.received) == 3)
         assert bench.upstream.connections_opened == 3 and bench.upstream.runs["b"] == 0
         bench.upstream.release.set()
         for asked in held:
-            assert isinstance(await soon(asked.outcome), ResponseReceived)
+            assert isinstance(await with_timeout(asked.outcome), ResponseReceived)
         await bench.good("b")
         assert bench.upstream.connections_opened == 3
 
@@ -256,10 +263,10 @@
 def test_a_call_that_is_dropped_ends_its_connection_and_has_no_outcome() -> None:
     async def test(bench: Bench) -> None:
         asked = await bench.begin("a1")
-        await soon(bench.upstream.incoming.get())
+        await with_timeout(bench.upstream.incoming.get())
         assert asked.connection is not None
         asked.connection.drop()
-        await until(lambda: not bench.connections._open)
+        await wait_until(lambda: not bench.connections._open)
         assert not asked.outcome.done()
         bench.upstream.release.set()
         await bench.good("a2")
@@ -284,12 +291,12 @@
                 patch.setattr(loop, "create_connection", hangs)
                 outcome: asyncio.Future[ExchangeOutcome] = loop.create_future()
                 task = loop.create_task(pool.send(b"a1", b"", outcome.set_result))
-                await turns()
-                move(0.9 * most_s)
-                await turns()
+                await run_ready_callbacks()
+                advance_clock(0.9 * most_s)
+                await run_ready_callbacks()
                 assert not outcome.done()
-                move(0.2 * most_s)
-                await turns()
+                advance_clock(0.2 * most_s)
+                await run_ready_callbacks()
                 assert outcome.done() and outcome.result() == NotSent(False)
                 await task
 
--- a/tests/mesh/test_data_plane_upstream_dispatch.py
+++ b/tests/mesh/test_data_plane_upstream_dispatch.py
@@ -20,7 +20,14 @@
 from mesh.membership.instance_commands import Heartbeat, read_heartbeat
 from mesh.membership.instance_lifecycle import SILENT_HEARTBEATS, InstanceUpdate
 from mesh.membership.instance_lifecycle import Upstream as Life
-from rigs.mesh_peers import Upstream, move, play, soon, turns, until
+from rigs.mesh_peers import (
+    Upstream,
+    advance_clock,
+    run_async_test,
+    run_ready_callbacks,
+    wait_until,
+    with_timeout,
+)
 
 DRAIN_MS = 2000.0
 
@@ -57,12 +64,12 @@
         """Fills all slots of the upstream with calls that it holds."""
         at_once, _ = call_limits(self.upstream_dispatch.upstream)
         held = [self.take(f"held-{at}") for at in range(at_once)]
-        await until(lambda: len(self.upstream.received) == at_once)
+        await wait_until(lambda: len(self.upstream.received) == at_once)
         return held
 
     async def runs(self) -> str:
         """The next request that reaches the upstream."""
-        return (await soon(self.upstream.incoming.get())).get(b"attempt-id") or ""
+        return (await with_timeout(self.upstream.incoming.get())).get(b"attempt-id") or ""
 
 
 def behind(
@@ -88,7 +95,7 @@
             connections.close()
             upstream.close()
 
-    play(run)
+    run_async_test(run)
 
 
 def held(message: http.Message) -> str:
@@ -110,7 +117,7 @@
         _, end = bench.take(
             "a1", headers=sent, method=b"POST", target=b"/x?q=1", body=b"\x00\r\n", remaining_ms=700.9
         )
-        answer = await soon(end)
+        answer = await with_timeout(end)
         assert isinstance(answer, UpstreamResponse) and answer.status == 200
         (seen,) = bench.upstream.received
         assert (seen.method, seen.target, seen.body) == (b"POST", b"/x?q=1", b"\x00\r\n")
@@ -130,7 +137,7 @@
 @pytest.mark.parametrize("behavior", ["unsealed", "unnamed"])
 def test_a_success_without_its_seal_or_id_is_unclear(behavior: str) -> None:
     async def test(bench: Bench) -> None:
-        assert isinstance(await soon(bench.take("a1")[1]), Unclear)
+        assert isinstance(await with_timeout(bench.take("a1")[1]), Unclear)
         assert not bench.upstream_dispatch.running
 
     behind(test, lambda _: behavior)
@@ -139,7 +146,7 @@
 @pytest.mark.parametrize("behavior", ["cut", "reset", "garbage"])
 def test_a_call_that_broke_off_is_unclear(behavior: str) -> None:
     async def test(bench: Bench) -> None:
-        assert isinstance(await soon(bench.take("a1")[1]), Unclear)
+        assert isinstance(await with_timeout(bench.take("a1")[1]), Unclear)
         assert not bench.upstream_dispatch.running
 
     behind(test, lambda _: behavior)
@@ -150,7 +157,7 @@
     behavior: str, why: RejectReason
 ) -> None:
     async def test(bench: Bench) -> None:
-        assert await soon(bench.take("a1")[1]) == NotExecuted(why, reached_upstream=True)
+        assert await with_timeout(bench.take("a1")[1]) == NotExecuted(why, reached_upstream=True)
         assert not bench.upstream.runs
 
     behind(test, lambda _: behavior)
@@ -158,7 +165,7 @@
 
 def test_the_upstreams_own_failure_is_its_answer() -> None:
     async def test(bench: Bench) -> None:
-        end = await soon(bench.take("a1")[1])
+        end = await with_timeout(bench.take("a1")[1])
         assert isinstance(end, UpstreamResponse)
         assert (end.status, end.body, end.executed) == (500, b"own words", True)
 
@@ -168,10 +175,10 @@
 def test_nobody_there_is_a_turn_away_that_did_not_arrive_and_an_end_once_beats_are_missing() -> None:
     async def test(bench: Bench) -> None:
         bench.upstream.close()
-        assert await soon(bench.take("a1")[1]) == NotExecuted(RejectReason.DOWN)
+        assert await with_timeout(bench.take("a1")[1]) == NotExecuted(RejectReason.DOWN)
         assert not bench.told
-        move(SILENT_HEARTBEATS + 0.1)
-        assert await soon(bench.take("a2")[1]) == NotExecuted(RejectReason.DOWN)
+        advance_clock(SILENT_HEARTBEATS + 0.1)
+        assert await with_timeout(bench.take("a2")[1]) == NotExecuted(RejectReason.DOWN)
         assert [(one.instance, one.value) for one in bench.told] == [("i-1", None)]
         assert bench.take("a3")[1].result() == NotExecuted(RejectReason.DOWN)  # at once now
 
@@ -182,7 +189,7 @@
     async def test(bench: Bench) -> None:
         bench.take("held-1")
         await bench.runs()
-        assert await soon(bench.take("a")[1]) == NotExecuted(RejectReason.FULL)
+        assert await with_timeout(bench.take("a")[1]) == NotExecuted(RejectReason.FULL)
 
     behind(test, held, capacity=4, most=1)
 
@@ -194,8 +201,8 @@
         assert end.result() == NotExecuted(RejectReason.OTHER)
         assert bench.take("a", remaining_ms=0.0)[1].result() == NotExecuted(RejectReason.LATE)
         bench.send_heartbeat("decaying")
-        assert isinstance(await soon(bench.take("a")[1]), UpstreamResponse)
-        move(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
+        assert isinstance(await with_timeout(bench.take("a")[1]), UpstreamResponse)
+        advance_clock(DRAIN_SHARE * DRAIN_MS / 1000.0 + 0.01)
         assert bench.take("a")[1].result() == NotExecuted(RejectReason.LEAVING)
         assert len(bench.upstream.received) == 1
 
@@ -206,12 +213,12 @@
     async def test(bench: Bench) -> None:
         _, end = bench.take("held-1", remaining_ms=500.0)
         await bench.runs()
-        move(0.5)
-        await turns()
+        advance_clock(0.5)
+        await run_ready_callbacks()
         assert not end.done()
-        move(RESPONSE_GRACE_S)
-        assert isinstance(await soon(end), Unclear)
-        await until(lambda: not bench.upstream.open_connections)
+        advance_clock(RESPONSE_GRACE_S)
+        assert isinstance(await with_timeout(end), Unclear)
+        await wait_until(lambda: not bench.upstream.open_connections)
         assert not bench.upstream_dispatch.running
 
     behind(test, held)
@@ -236,8 +243,8 @@
         assert len(bench.upstream.received) == at_once
         bench.upstream.release.set()
         for _, end in [*taken, *line[1:]]:
-            assert isinstance(await soon(end), UpstreamResponse)
-        assert isinstance(await soon(more), UpstreamResponse)
+            assert isinstance(await with_timeout(end), UpstreamResponse)
+        assert isinstance(await with_timeout(more), UpstreamResponse)
         assert len(bench.upstream.received) == at_once + waiting
         assert not bench.upstream_dispatch.running and not len(bench.upstream_dispatch.queue)
 
@@ -269,7 +276,7 @@
         bench.take("low", rank=0.1)
         _, waiting = call_limits(bench.upstream_dispatch.upstream)
         others = [bench.take(f"b{at}", rank=5.0) for at in range(waiting)]
-        assert await soon(others[0][1]) == NotExecuted(RejectReason.FULL)
+        assert await with_timeout(others[0][1]) == NotExecuted(RejectReason.FULL)
         bench.upstream.release.set()
         for _ in range(call_limits(bench.upstream_dispatch.upstream)[0]):
             await bench.runs()
@@ -283,14 +290,14 @@
         await bench.fill()
         _, short = bench.take("short", max_wait_ms=500.0)
         _, long = bench.take("long", max_wait_ms=3000.0)
-        move(0.4)
-        await turns()
+        advance_clock(0.4)
+        await run_ready_callbacks()
         assert not short.done()
-        move(0.15)
-        assert await soon(short) == NotExecuted(RejectReason.FULL)
+        advance_clock(0.15)
+        assert await with_timeout(short) == NotExecuted(RejectReason.FULL)
         assert not long.done() and len(bench.upstream_dispatch.queue) == 1
-        move(2.5)
-        assert await soon(long) == NotExecuted(RejectReason.FULL)
+        advance_clock(2.5)
+        assert await with_timeout(long) == NotExecuted(RejectReason.FULL)
         assert not bench.upstream.runs.keys() & {"short", "long"}
 
     behind(test, held)
@@ -301,11 +308,11 @@
         await bench.fill()
         _, low = bench.take("low", rank=0.0, max_wait_ms=300.0, extended_wait_ms=900.0)
         _, high = bench.take("high", rank=2.0, max_wait_ms=300.0, extended_wait_ms=900.0)
-        move(0.35)
-        assert await soon(low) == NotExecuted(RejectReason.FULL)
+        advance_clock(0.35)
+        assert await with_timeout(low) == NotExecuted(RejectReason.FULL)
         assert not high.done()
-        move(0.6)
-        assert await soon(high) == NotExecuted(RejectReason.FULL)
+        advance_clock(0.6)
+        assert await with_timeout(high) == NotExecuted(RejectReason.FULL)
 
     behind(test, held)
 
@@ -315,8 +322,8 @@
         await bench.fill()
         bench.take("long", max_wait_ms=3000.0)
         _, short = bench.take("short", max_wait_ms=500.0)
-        move(1.0)
-        await turns()
+        advance_clock(1.0)
+        await run_ready_callbacks()
         assert short.done()
 
     behind(test, held)
@@ -326,9 +333,9 @@
     async def test(bench: Bench) -> None:
         await bench.fill()
         _, end = bench.take("late", remaining_ms=300.0, max_wait_ms=3000.0)
-        move(0.4)
+        advance_clock(0.4)
         bench.upstream.release.set()
-        assert await soon(end) == NotExecuted(RejectReason.LATE)
+        assert await with_timeout(end) == NotExecuted(RejectReason.LATE)
         assert "late" not in bench.upstream.runs
 
     behind(test, held)
@@ -338,9 +345,9 @@
     async def test(bench: Bench) -> None:
         await bench.fill()
         _, end = bench.take("w", remaining_ms=1000.0, max_wait_ms=900.0)
-        move(0.6)
+        advance_clock(0.6)
         bench.upstream.release.set()
-        assert isinstance(await soon(end), UpstreamResponse)
+        assert isinstance(await with_timeout(end), UpstreamResponse)
         assert 0 < int(bench.upstream.received[-1].get(b"time-remaining") or "") <= 400
 
     behind(test, held)
@@ -354,10 +361,10 @@
         bench.upstream_dispatch.drop(running)
         assert not len(bench.upstream_dispatch.queue)
         bench.upstream.release.set()
-        await until(lambda: not bench.upstream_dispatch.running)
-        move(2.0)
+        await wait_until(lambda: not bench.upstream_dispatch.running)
+        advance_clock(2.0)
         _, after = bench.take("after")
-        await soon(after)
+        await with_timeout(after)
         assert not end.done() and "w" not in bench.upstream.runs
 
     behind(test, held)
@@ -370,9 +377,9 @@
         running, end = taken[0]
         assert running is not None
         bench.upstream_dispatch.drop(running)
-        assert isinstance(await soon(waits), UpstreamResponse)
+        assert isinstance(await with_timeout(waits), UpstreamResponse)
         # All except the dropped call's, and in addition the one of "w".
-        await until(lambda: bench.upstream.open_connections == len(taken))
+        await wait_until(lambda: bench.upstream.open_connections == len(taken))
         assert not end.done()
 
     behind(test, held)
@@ -382,10 +389,10 @@
     async def test(bench: Bench) -> None:
         running, _ = bench.take("held-1")
         assert running is not None
-        await until(lambda: bench.upstream_dispatch.connections._connecting == 1)
+        await wait_until(lambda: bench.upstream_dispatch.connections._connecting == 1)
         bench.upstream_dispatch.drop(running)
-        await until(lambda: bench.upstream_dispatch.connections._connecting == 0)
-        await turns()
+        await wait_until(lambda: bench.upstream_dispatch.connections._connecting == 0)
+        await run_ready_callbacks()
         assert not bench.upstream_dispatch.connections._open
 
     behind(test, held)
--- a/tests/mesh/test_data_plane_upstream_registration.py
+++ b/tests/mesh/test_data_plane_upstream_registration.py
@@ -13,7 +13,7 @@
 from mesh.data_plane.shutdown import NOTICE_S
 from mesh.membership.instance_commands import DECAYING, SETTLED
 from mesh.membership.instance_lifecycle import FINAL_VERSION, SILENT_HEARTBEATS
-from rigs.mesh_peers import Upstream, call, move, soon, turns, until
+from rigs.mesh_peers import Upstream, advance_clock, call, run_ready_callbacks, wait_until, with_timeout
 from rigs.whole_sidecar import SidecarRig, run_with_sidecar
 
 
@@ -68,7 +68,7 @@
         proxy.registry.reconcile()
         assert (state(proxy, "i-1"), state(proxy, "i-drains")) == (SETTLED, DECAYING)
         assert proxy.upstream.published_decaying == {"i-drains"}
-        move(SILENT_HEARTBEATS * proxy.upstream.heartbeat_ms / 1000.0 + 0.01)
+        advance_clock(SILENT_HEARTBEATS * proxy.upstream.heartbeat_ms / 1000.0 + 0.01)
         proxy.registry.reconcile()
         assert (state(proxy, "i-1"), state(proxy, "i-drains")) == (None, None)
 
@@ -116,7 +116,7 @@
         published_states: list[str | None] = []
         proxy.channels.schedule_answers = lambda: published_states.append(state(proxy, "i-1"))  # type: ignore[method-assign]
         stop_task = loop.create_task(proxy.stop())
-        await turns()
+        await run_ready_callbacks()
         assert published_states and published_states[-1] == DECAYING
         assert (await call(rig.readiness, b"GET", b"/"))[0] == 503
         for attempt in ("a1", "a2"):  # new connections are accepted, and close with their response
@@ -126,10 +126,10 @@
             assert (response.status, response.get(b"connection")) == (503, "close")
             assert await client.read() is None
         assert proxy.client_listener._listener is not None
-        move(NOTICE_S)
-        await until(lambda: proxy.client_listener._listener is None)
-        move(1.0)
-        await soon(stop_task)
+        advance_clock(NOTICE_S)
+        await wait_until(lambda: proxy.client_listener._listener is None)
+        advance_clock(1.0)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test)
 
--- a/tests/mesh/test_data_plane_whole.py
+++ b/tests/mesh/test_data_plane_whole.py
@@ -19,7 +19,7 @@
 from mesh.data_plane.shutdown import NOTICE_S
 from mesh.replication.membership_epochs import MEMBERS, VIEW
 from mesh.runtime.grace import EXIT_S as BEFORE_KILL_S
-from rigs.mesh_peers import Client, call, move, route, soon, turns, until
+from rigs.mesh_peers import Client, advance_clock, call, route, run_ready_callbacks, wait_until, with_timeout
 from rigs.whole_sidecar import PeerSidecar, SidecarRig, peer_call, run_with_sidecar
 
 LIMITS = {"header_bytes": 65536, "body_bytes": 12 << 20, "header_lag_ms": 3000, "quiescent_ms": 15000}
@@ -71,11 +71,13 @@
         bodies = rig.proxy.request_dispatcher.bodies = BufferQuota(2 * 1000, 900)
         held = await rig.client()
         held.send("a1", "/read/hold", body=b"x" * 600)
-        assert (await soon(rig.upstream.incoming.get())).body == b"x" * 600 and bodies.held_bytes == 600
+        assert (
+            await with_timeout(rig.upstream.incoming.get())
+        ).body == b"x" * 600 and bodies.held_bytes == 600
         for size, status in (400, 200), (401, 503), (901, 503):
             client = await rig.client()
             client.write(HEAD % (b"ok", b"a2", b"expect: 100-continue\r\ncontent-length: %d\r\n" % size))
-            head = await soon(client._stream.readuntil(b"\r\n\r\n"))
+            head = await with_timeout(client._stream.readuntil(b"\r\n\r\n"))
             if status == 200:
                 assert head.startswith(b"HTTP/1.1 100") and bodies.held_bytes == 1000
                 client.write(b"x" * size)
@@ -111,12 +113,12 @@
             client = await rig.client()
             client.write(sent)
             if end == "leaves":
-                await until(lambda: bodies.held_bytes > 0)
+                await wait_until(lambda: bodies.held_bytes > 0)
                 client.abort()
             else:
                 response = await client.read()
                 assert response is not None and response.status == int(end), sent
-            await until(lambda: bodies.held_bytes == 0)
+            await wait_until(lambda: bodies.held_bytes == 0)
 
     run_with_sidecar(tmp_path, test)
 
@@ -130,7 +132,7 @@
         heads.max_bytes = heads.max_message_bytes = 40_000
         held = await rig.client()
         held.send("a1", "/read/hold", headers=[(b"x-own", b"x" * 25_000)])
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         assert 20_000 < heads.held_bytes < 30_000
         other = await rig.client()
         assert (await other.request("a2", "/read/ok", headers=[(b"x-own", b"x" * 20_000)])).status == 503
@@ -140,7 +142,7 @@
         rig.upstream.release.set()
         response = await held.read()
         assert response is not None and response.status == 200
-        await until(lambda: heads.held_bytes == 0)
+        await wait_until(lambda: heads.held_bytes == 0)
 
     run_with_sidecar(tmp_path, test)
 
@@ -156,7 +158,7 @@
         response = await client.request("a1", "/read/ok", body=b"x" * size)
         assert response.status == (502 if size > answers.max_bytes else 200)
         assert rig.upstream.runs["a1"] >= 1
-        await until(lambda: answers.held_bytes == 0)
+        await wait_until(lambda: answers.held_bytes == 0)
         assert (await client.request("a2", "/read/ok")).status == 200
 
     run_with_sidecar(tmp_path, test)
@@ -168,16 +170,16 @@
         answers = rig.proxy.request_dispatcher.buffers.answers
         client = await Client.connect(rig.outbound)
         client.send("a1", "/read/ok", body=b"x" * (9 << 20))
-        await until(lambda: len(rig.upstream.received) == 1 and answers.held_bytes > 1 << 20)
+        await wait_until(lambda: len(rig.upstream.received) == 1 and answers.held_bytes > 1 << 20)
         usage = rig.proxy.request_dispatcher.buffers.usage()["answers"]
         assert usage["held_bytes"] == answers.memory <= usage["most_bytes"]
         response = await client.read()
         assert response is not None and response.status == 200
-        await until(lambda: answers.held_bytes == 0)
+        await wait_until(lambda: answers.held_bytes == 0)
         client.send("a2", "/read/ok", body=b"x" * (9 << 20))
-        await until(lambda: len(rig.upstream.received) == 2 and answers.held_bytes > 1 << 20)
+        await wait_until(lambda: len(rig.upstream.received) == 2 and answers.held_bytes > 1 << 20)
         client.abort()
-        await until(lambda: answers.held_bytes == 0)
+        await wait_until(lambda: answers.held_bytes == 0)
 
     run_with_sidecar(tmp_path, test)
 
@@ -209,16 +211,16 @@
             assert (await client.request(f"a{at}", "/read/ok")).status == 200
         await rig.wait_for_clients(8)
         for _ in range(6):
-            move(0.13 * 15.0)
+            advance_clock(0.13 * 15.0)
             client_listener._sweep()
-            await turns()
+            await run_ready_callbacks()
         late = await rig.client()
         # Connections are scarce: only the one that never sent a request was closed.
         await rig.wait_for_clients(8)
         for at, client in enumerate(clients[:7]):
             assert (await client.request(f"b{at}", "/read/ok")).status == 200
         assert (await late.request("c", "/read/ok")).status == 200
-        move(1.01 * 15.0)
+        advance_clock(1.01 * 15.0)
         client_listener._sweep()
         await rig.wait_for_clients(0)
 
@@ -235,13 +237,13 @@
         rig.apply_item("input_limits", "input_limits", LIMITS)
         early = await rig.client()
         await rig.wait_for_clients(1)
-        move(0.8 * 15.0)
+        advance_clock(0.8 * 15.0)
         client_listener._sweep()
         assert (await early.request("a1", "/read/ok")).status == 200
         rig.apply_item("input_limits", "input_limits", None)  # without the operators' limits it may not
         silent = await rig.client()
         await rig.wait_for_clients(2)
-        move(IDLE_S + 0.1)
+        advance_clock(IDLE_S + 0.1)
         client_listener._sweep()
         assert await silent.read() is None
         assert (await early.request("a2", "/read/ok")).status == 200
@@ -256,7 +258,7 @@
         proxy, loop = rig.proxy, asyncio.get_running_loop()
         client = await rig.client()
         client.send("a1", "/read/hold", time_remaining_ms=30_000)
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         stop_calls: list[tuple[float, float | None]] = []
         stop = proxy.client_listener.stop
 
@@ -267,17 +269,17 @@
 
         monkeypatch.setattr(proxy.client_listener, "stop", record_stop)
         stop_task = loop.create_task(proxy.stop())
-        await turns()
+        await run_ready_callbacks()
         assert stop_calls == [(NOTICE_S, 20.0 - BEFORE_KILL_S)]
-        move(NOTICE_S)
+        advance_clock(NOTICE_S)
         for _ in range(4):
-            move(EXIT_S / 2.0)
-            await turns()
+            advance_clock(EXIT_S / 2.0)
+            await run_ready_callbacks()
         assert len(stop_calls) == 1 and not stop_task.done() and proxy.client_listener.held() == 1
         rig.upstream.release.set()
         response = await client.read()
         assert response is not None and (response.status, response.get(b"connection")) == (200, "close")
-        await soon(stop_task)
+        await with_timeout(stop_task)
         monkeypatch.undo()
 
     run_with_sidecar(tmp_path, test, grace_s=20.0)
@@ -300,23 +302,23 @@
         stream, writer = await asyncio.open_connection(sock=small, limit=1024)
         await rig.wait_for_clients(1)
         (connection,) = client_listener._connections
-        await until(lambda: connection.transport is not None)
+        await wait_until(lambda: connection.transport is not None)
         transport, found = connection.transport, b""
         assert transport is not None
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
         writer.write(HEAD % (b"ok", b"a1", b"content-length: %d\r\n" % len(body)) + body)
-        await until(lambda: connection.choked)
+        await wait_until(lambda: connection.choked)
         for _ in range(4):  # each longer than the wait without a byte
             client_listener._sweep()
             before = transport.get_write_buffer_size()
             while reads and transport.get_write_buffer_size() == before:
-                found += (data := await soon(stream.read(65536)))
+                found += (data := await with_timeout(stream.read(65536)))
                 assert data
-            move(0.9 * client_listener.request_s)
-            await turns()
+            advance_clock(0.9 * client_listener.request_s)
+            await run_ready_callbacks()
         assert client_listener.held() == reads
         while reads and not found.endswith(body):
-            found += (data := await soon(stream.read(1 << 20)))
+            found += (data := await with_timeout(stream.read(1 << 20)))
             assert data
         writer.transport.abort()
 
@@ -333,21 +335,21 @@
         proxy, loop, body = rig.proxy, asyncio.get_running_loop(), b"x" * 8_000_000
         other = await PeerSidecar.connect(rig)
         other.send(1, "/read/hold", body)
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         stop_task = loop.create_task(proxy.stop())
-        await turns()
-        move(NOTICE_S)
-        await until(lambda: proxy.client_listener._listener is None)  # its client side has shut down
+        await run_ready_callbacks()
+        advance_clock(NOTICE_S)
+        await wait_until(lambda: proxy.client_listener._listener is None)  # its client side has shut down
         assert not stop_task.done()
         rig.upstream.release.set()
-        await until(lambda: not proxy.upstream_dispatch.running)
+        await wait_until(lambda: not proxy.upstream_dispatch.running)
         for _ in range(3):
-            move(0.05)
-            await turns()
+            advance_clock(0.05)
+            await run_ready_callbacks()
         assert not stop_task.done(), "the peer has not read it yet"
         found = await other.next_end()
         assert isinstance(found, UpstreamResponse) and found.body.endswith(body)
-        await soon(stop_task)
+        await with_timeout(stop_task)
         other.writer.close()
 
     run_with_sidecar(tmp_path, test, grace_s=20.0)
@@ -357,7 +359,7 @@
     async def test(rig: SidecarRig) -> None:
         client = await rig.client()
         client.send("a1", "/read/hold")
-        await soon(rig.upstream.incoming.get())
+        await with_timeout(rig.upstream.incoming.get())
         settings = rig.proxy.settings
         rig.proxy.apply_settings(
             replace(settings, seeds=(("127.0.0.8", 1),), bounds=replace(settings.bounds))
@@ -366,7 +368,7 @@
         rig.apply_item("route", "read", {**route("read", "/read/", "t"), "host": "h.example"})
         rig.apply_item("plant", "s", None)
         rig.apply_item("route", "read", None)
-        await turns()
+        await run_ready_callbacks()
         rig.upstream.release.set()
         response = await client.read()
         assert response is not None and (response.status, response.get(b"attempt-id")) == (200, "a1")
@@ -383,10 +385,10 @@
         rig.proxy.channels.last_complete_at = asyncio.get_running_loop().time()
         assert await ready()
         stop_task = asyncio.get_running_loop().create_task(rig.proxy.stop())
-        await turns()
+        await run_ready_callbacks()
         assert not await ready()
-        move(NOTICE_S)
-        await soon(stop_task)
+        advance_clock(NOTICE_S)
+        await with_timeout(stop_task)
 
     run_with_sidecar(tmp_path, test)
 
@@ -429,16 +431,16 @@
         async def end_of(attempt: str) -> End:
             ended: asyncio.Future[End] = asyncio.get_running_loop().create_future()
             proxy.upstream_dispatch.accept(peer_call(attempt, "/read/ok"), ended.set_result)
-            return await soon(ended)
+            return await with_timeout(ended)
 
         assert await send_command(b"PUT", b"no beat") == 400  # nothing of it is applied
         assert await send_command(b"PUT", upstream.heartbeat_body("decaying")) == 200
         assert isinstance(await end_of("b1"), UpstreamResponse)
-        move(0.9 * DRAIN_SHARE * 2.0)
+        advance_clock(0.9 * DRAIN_SHARE * 2.0)
         # Repeated; the time counts from the first one.
         assert await send_command(b"PUT", upstream.heartbeat_body("decaying")) == 200
         assert isinstance(await end_of("b2"), UpstreamResponse)
-        move(0.2 * DRAIN_SHARE * 2.0)
+        advance_clock(0.2 * DRAIN_SHARE * 2.0)
         assert await end_of("b3") == NotExecuted(RejectReason.LEAVING)
         assert await send_command(b"DELETE") == 200 and await send_command(b"DELETE") == 200
         assert await end_of("b4") == NotExecuted(RejectReason.DOWN)
--- a/tests/mesh/test_lost_links.py
+++ b/tests/mesh/test_lost_links.py
@@ -28,7 +28,7 @@
     Rule,
 )
 from rigs.lost_links.play import LostLinksRun, RunSettings
-from rigs.mesh_peers import soon, until
+from rigs.mesh_peers import wait_until, with_timeout
 from rigs.relay import Faults
 
 KEY, OTHER = "k1", "k2"
@@ -211,16 +211,16 @@
     async def work(relay: HoldingRelay, received: list[bytes], ended: asyncio.Event) -> None:
         reader, first = await asyncio.open_connection("127.0.0.1", relay.port)
         first.write(b"one")
-        assert await soon(reader.readexactly(3)) == b"one"
+        assert await with_timeout(reader.readexactly(3)) == b"one"
         held = relay.hold(to_target=True, to_client=False)
         first.write(b"late")
         first.transport.abort()
         reader, second = await asyncio.open_connection("127.0.0.1", relay.port)
         second.write(b"two")
-        assert await soon(reader.readexactly(3)) == b"two"
+        assert await with_timeout(reader.readexactly(3)) == b"two"
         assert received == [b"one", b"two"] and not ended.is_set()
         release_held(held)
-        await soon(ended.wait())
+        await with_timeout(ended.wait())
         assert received == [b"one", b"two", b"late"]
         second.close()
 
@@ -232,11 +232,13 @@
         streams = [await asyncio.open_connection("127.0.0.1", relay.port) for _ in range(4)]
         for reader, writer in streams:
             writer.write(b"x")
-            assert await soon(reader.readexactly(1)) == b"x"
+            assert await with_timeout(reader.readexactly(1)) == b"x"
         assert reset_half([relay], random.Random(1)) == 2
         for _, writer in streams:
             writer.write(b"y")
-        found = await soon(asyncio.gather(*(one.read(1) for one, _ in streams), return_exceptions=True))
+        found = await with_timeout(
+            asyncio.gather(*(one.read(1) for one, _ in streams), return_exceptions=True)
+        )
         assert sum(isinstance(one, ConnectionResetError) for one in found) == 2 and found.count(b"y") == 2
         for _, writer in streams:
             writer.transport.abort()
@@ -305,7 +307,7 @@
         _, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(bytes(600_000))
         await writer.drain()
-        await until(
+        await wait_until(
             lambda: any(
                 side.queue
                 for connection in relay.open()
@@ -315,7 +317,7 @@
         )
         assert len(received) < 600_000
         relay.set_faults(Faults())
-        await until(lambda: len(received) == 600_000, 5.0)
+        await wait_until(lambda: len(received) == 600_000, 5.0)
         writer.close()
         relay.close()
         server.close()
--- a/tests/mesh/test_mesh_process.py
+++ b/tests/mesh/test_mesh_process.py
@@ -25,9 +25,9 @@
     call,
     free_ports,
     patch_body,
-    polled,
+    poll_until,
     route,
-    until,
+    wait_until,
     write_settings,
 )
 
@@ -171,7 +171,7 @@
                 seen.add(response.body.partition(b":")[0].decode())
             return instances <= seen
 
-        await polled(all_seen, PROPAGATION_TIMEOUT_S)
+        await poll_until(all_seen, PROPAGATION_TIMEOUT_S)
 
     def log_tails(self) -> str:
         """Returns the last part of each log, for a failed test."""
@@ -215,7 +215,7 @@
             assert not await there.is_ready(0)  # without a configuration
             await operator.change(INITIAL, START_TIMEOUT_S)
             for at in range(MACHINES):
-                await polled(lambda at=at: there.is_ready(at), START_TIMEOUT_S)  # type: ignore[misc]
+                await poll_until(lambda at=at: there.is_ready(at), START_TIMEOUT_S)  # type: ignore[misc]
             for at in range(MACHINES):
                 await there.wait_for_instances(at, "/read/ok", {"i-0", "i-1"})
                 await there.wait_for_instances(at, "/pay/ok", {"i-2"})
@@ -300,7 +300,7 @@
             client, attempt = await there.client(at), there.new_attempt_id()
             client.send(attempt, path)
             held[attempt] = client
-        await until(lambda: sum(there.runs[attempt] for attempt in held) == len(held), START_TIMEOUT_S)
+        await wait_until(lambda: sum(there.runs[attempt] for attempt in held) == len(held), START_TIMEOUT_S)
         requests = asyncio.get_running_loop().create_task(until_refused(there))
 
         program.process.send_signal(signal.SIGTERM)
@@ -308,7 +308,7 @@
         async def not_ready() -> bool:
             return not await there.is_ready(2)
 
-        await polled(not_ready, 2.0)  # the platform sees it while requests go on
+        await poll_until(not_ready, 2.0)  # the platform sees it while requests go on
         assert program.process.returncode is None and not requests.done()
         for upstream in upstreams:
             upstream.release.set()
--- a/tests/mesh/test_restore.py
+++ b/tests/mesh/test_restore.py
@@ -16,7 +16,7 @@
 from mesh.replication.membership_epochs import EMPTY_VIEW, View
 from mesh.replication.quorum import Place, Tolerance
 from mesh.replication.restore import EPOCH_STEP, restored_view
-from rigs.mesh_peers import patch_body, polled, route
+from rigs.mesh_peers import patch_body, poll_until, route
 
 ONE = Tolerance(1, 0, 0)
 ABC = View(5, {name: Place("z", "r") for name in "abc"})
@@ -101,7 +101,7 @@
         results.append(await asyncio.to_thread(run_command, mesh, "state", "restore", *arguments))
         return results[-1].exit_code == 0
 
-    await polled(done, 20.0)
+    await poll_until(done, 20.0)
     return results[-1]
 
 
@@ -114,7 +114,7 @@
             await mesh.kill(at)
         shutil.rmtree(mesh.folder / "disk-1")
         await mesh.start(1, cold=False)
-        await polled(lambda: _both_answer(mesh, 0, 1), 20.0)
+        await poll_until(lambda: _both_answer(mesh, 0, 1), 20.0)
         refused = await asyncio.to_thread(run_command, mesh, "state", "restore", "--from", "core-0")
         assert refused.exit_code == 4 and "is not reached, and may hold" in refused.stderr.replace("\n", " ")
         result = await restore_until_successful(mesh, "--from", "core-0", "--lost", mesh.ips[2])
@@ -141,7 +141,7 @@
             shutil.rmtree(mesh.folder / f"disk-{at}")
         for at in range(3):
             await mesh.start(at, cold=False)
-        await polled(lambda: _both_answer(mesh, 0, 1), 20.0)
+        await poll_until(lambda: _both_answer(mesh, 0, 1), 20.0)
         shutil.copytree(mesh.folder / "kept", mesh.folder / "disk-0" / "kept")
         await restore_until_successful(mesh, "kept", "--from", "core-0")
         for at in range(3):
--- a/tests/mesh/test_runtime_imports.py
+++ b/tests/mesh/test_runtime_imports.py
@@ -17,7 +17,7 @@
 
 from mesh.runtime.import_policy import LIBRARIES, OWN_PACKAGES, STANDARD_LIBRARY
 from rigs.mesh_demo import FIRST_PROXY_HOST, Mesh
-from rigs.mesh_peers import Upstream, polled
+from rigs.mesh_peers import Upstream, poll_until
 
 ROOT = Path(__file__).parent.parent.parent
 START_S = 20.0
@@ -57,7 +57,7 @@
             async def started() -> bool:
                 return all("started" in log.read_text() for log in logs.values())
 
-            await polled(started, START_S)
+            await poll_until(started, START_S)
             return {program: log.read_text() for program, log in logs.items()}
         finally:
             await mesh.stop()
--- a/tests/mesh/test_transport_http_calls.py
+++ b/tests/mesh/test_transport_http_calls.py
@@ -12,7 +12,7 @@
 from mesh.transport import http_calls as module
 from mesh.transport.http_calls import Answer, HttpServer
 from mesh.transport.link import Address
-from rigs.mesh_peers import Client, move, play, read_message, soon, until
+from rigs.mesh_peers import Client, advance_clock, read_message, run_async_test, wait_until, with_timeout
 
 
 class GatedHandler:
@@ -41,7 +41,7 @@
             for connection in list(http_server._connections):
                 connection.close()
 
-    play(run)
+    run_async_test(run)
 
 
 def request_bytes(path: bytes, *headers: bytes, body: bytes = b"") -> bytes:
@@ -53,14 +53,16 @@
         client = await Client.connect(address)
         handler.gate.clear()
         client.write(request_bytes(b"/a", b"content-length: 2", body=b"xy"))
-        assert await soon(handler.started.get()) == b"/a"
+        assert await with_timeout(handler.started.get()) == b"/a"
         client.write(request_bytes(b"/b") + request_bytes(b"/c"))
-        await until(lambda: sum(len(connection._waiting) for connection in http_server._connections) == 2)
+        await wait_until(
+            lambda: sum(len(connection._waiting) for connection in http_server._connections) == 2
+        )
         assert handler.started.empty() and http_server.busy
         handler.gate.set()
         answers = [await client.read() for _ in range(3)]
         assert [answer and answer.body for answer in answers] == [b"/axy", b"/b", b"/c"]
-        await until(lambda: not http_server.busy)
+        await wait_until(lambda: not http_server.busy)
 
     run_server(test)
 
@@ -96,9 +98,9 @@
     async def test(http_server: HttpServer, handler: GatedHandler, address: Address) -> None:
         stream, writer = await asyncio.open_connection(*address)
         writer.write(request_bytes(b"/a", b"content-length: 2", b"expect: 100-continue"))
-        assert await soon(stream.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+        assert await with_timeout(stream.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
         writer.write(b"xy")
-        answer = await soon(read_message(http.Reader(httptools.HttpResponseParser, 100), stream))
+        answer = await with_timeout(read_message(http.Reader(httptools.HttpResponseParser, 100), stream))
         assert answer and answer.body == b"/axy"
         writer.transport.abort()
 
@@ -113,7 +115,10 @@
         at_bound, over = await Client.connect(address), await Client.connect(address)
         at_bound.write(request_bytes(b"/a"))
         over.write(request_bytes(b"/b"))
-        assert {await soon(handler.started.get()), await soon(handler.started.get())} == {b"/a", b"/b"}
+        assert {await with_timeout(handler.started.get()), await with_timeout(handler.started.get())} == {
+            b"/a",
+            b"/b",
+        }
         at_bound.write(request_bytes(b"/a") * 3)
         over.write(request_bytes(b"/b") * 4)
         assert await over.read() is None
@@ -158,16 +163,16 @@
         for client in reversed(clients):  # the last one opened has been idle for longest
             client.write(request_bytes(b"/x"))
             assert await client.read()
-            await soon(handler.started.get())
+            await with_timeout(handler.started.get())
         handler.gate.clear()
         clients[0].write(request_bytes(b"/a"))
-        await soon(handler.started.get())
+        await with_timeout(handler.started.get())
         clients.append(await Client.connect(address))
         assert await clients[2].read() is None
-        await until(lambda: len(http_server._connections) == 3)
+        await wait_until(lambda: len(http_server._connections) == 3)
         for at, path in (1, b"/b"), (3, b"/c"):
             clients[at].write(request_bytes(path))
-            assert await soon(handler.started.get()) == path
+            assert await with_timeout(handler.started.get()) == path
         late = await Client.connect(address)  # all others are busy, so it is closed
         assert await late.read() is None
         handler.gate.set()
@@ -182,7 +187,7 @@
         idle, busy = await Client.connect(address), await Client.connect(address)
         handler.gate.clear()
         busy.write(request_bytes(b"/a"))
-        await soon(handler.started.get())
+        await with_timeout(handler.started.get())
         http_server.stop()
         assert await idle.read() is None
         with pytest.raises(OSError):
@@ -225,15 +230,15 @@
     async def test(http_server: HttpServer, _: GatedHandler, address: Address) -> None:
         client = await Client.connect(address)
         client.write(request_bytes(b"/a", b"connection: close"))
-        await until(lambda: any(connection._lingering for connection in http_server._connections))
+        await wait_until(lambda: any(connection._lingering for connection in http_server._connections))
         client.write(b"x" * 100_000)
         answer = await client.read()
         assert answer is not None and (answer.status, answer.body) == (200, b"/a")
         assert (
             await client.read() is None and http_server.busy == 1
         )  # until the client has closed as well, or LINGER_S
-        move(module.LINGER_S)
-        await until(lambda: not http_server.busy)
+        advance_clock(module.LINGER_S)
+        await wait_until(lambda: not http_server.busy)
 
     run_server(test)
 
@@ -243,7 +248,7 @@
         client, stuck = await Client.connect(address), await Client.connect(address)
         for one in client, stuck:
             one.write(request_bytes(b"/a", b"content-length: 2", body=b"x"))
-        await until(
+        await wait_until(
             lambda: len(http_server._connections) == 2
             and all(one._reader.partial for one in http_server._connections)
         )
@@ -252,8 +257,8 @@
         answer = await client.read()
         assert answer is not None and (answer.body, answer.get(b"connection")) == (b"/axy", "close")
         client.abort()
-        await until(lambda: http_server.busy == 1)
-        move(module.PARTIAL_CALL_S)
+        await wait_until(lambda: http_server.busy == 1)
+        advance_clock(module.PARTIAL_CALL_S)
         assert http_server.busy == 0  # a partial call that has paused does not delay the shutdown
 
     run_server(test)
@@ -265,10 +270,10 @@
         done.write(request_bytes(b"/b", b"connection: close"))
         answer = await done.read()
         assert answer is not None and answer.status == 200
-        assert await soon(handler.started.get()) == b"/b"
+        assert await with_timeout(handler.started.get()) == b"/b"
         handler.gate.clear()
         client.write(request_bytes(b"/a"))
-        assert await soon(handler.started.get()) == b"/a"
+        assert await with_timeout(handler.started.get()) == b"/a"
         http_server.stop()
         http_server.abort_calls(Answer(503, b"{}"))
         answer = await client.read()
--- a/tests/mesh/test_transport_link.py
+++ b/tests/mesh/test_transport_link.py
@@ -11,7 +11,7 @@
 from mesh.transport import link as module
 from mesh.transport.frames import Head, frame
 from mesh.transport.link import HEARTBEAT, HEARTBEAT_INTERVAL_S, SILENCE_TIMEOUT_S, Link, connect, listen
-from rigs.mesh_peers import move, play, soon, until
+from rigs.mesh_peers import advance_clock, run_async_test, wait_until, with_timeout
 
 
 class End:
@@ -51,44 +51,44 @@
         peer, end = RawPeer(), End()
         server = await asyncio.start_server(peer.take, "127.0.0.1", 0, limit=1024)
         try:
-            link = await soon(connect(server.sockets[0].getsockname()[:2], end.make))
+            link = await with_timeout(connect(server.sockets[0].getsockname()[:2], end.make))
             assert link is end.link and link.up
-            writer = await soon(peer.connected)
+            writer = await with_timeout(peer.connected)
             await test(end, peer, writer)
             writer.transport.abort()
             end.link.close("over")
         finally:
             server.close()
 
-    play(run)
+    run_async_test(run)
 
 
 def test_two_links_tell_each_other_whole_frames_and_the_loss_once() -> None:
     async def run() -> None:
         here, there = End(), End()
         server = await listen(("127.0.0.1", 0), there.make)
-        assert await soon(connect(server.sockets[0].getsockname()[:2], here.make)) is not None
+        assert await with_timeout(connect(server.sockets[0].getsockname()[:2], here.make)) is not None
         here.link.send({"t": "a"}, b"x" * 300_000)
         here.link.tick(here.link.last_sent_at + 1.0)  # owes no reply: no heartbeat
         here.link.send({"t": "b"})
-        assert await soon(there.frames.get()) == ({"t": "a", "body": 300_000}, b"x" * 300_000)
-        assert await soon(there.frames.get()) == ({"t": "b"}, b"")
+        assert await with_timeout(there.frames.get()) == ({"t": "a", "body": 300_000}, b"x" * 300_000)
+        assert await with_timeout(there.frames.get()) == ({"t": "b"}, b"")
         here.link.close("done with it")
-        assert await soon(here.lost) == "done with it"
-        await soon(there.lost)
+        assert await with_timeout(here.lost) == "done with it"
+        await with_timeout(there.lost)
         assert not here.link.up and not here.link.send({"t": "c"})
         assert (here.ups, there.ups) == (1, 1)
         server.close()
 
-    play(run)
+    run_async_test(run)
 
 
-def tick_until(link: Link, until: float) -> None:
-    """Ticks at the interval of the programs until this time."""
+def tick_until(link: Link, deadline: float) -> None:
+    """Calls ``tick`` at the programs' interval up to this time."""
     now = link.last_received_at
-    while (now := now + TICK_S) < until:
+    while (now := now + TICK_S) < deadline:
         link.tick(now)
-    link.tick(until)
+    link.tick(deadline)
 
 
 def test_silence_ends_a_link_that_expects_and_no_idle_one() -> None:
@@ -100,14 +100,14 @@
         tick_until(link, link.last_received_at + SILENCE_TIMEOUT_S - 1e-3)
         assert link.up
         received_at = link.last_received_at
-        move(0.5 * SILENCE_TIMEOUT_S)
+        advance_clock(0.5 * SILENCE_TIMEOUT_S)
         writer.write(HEARTBEAT)  # any byte counts; a heartbeat is not passed to the owner
-        await until(lambda: link.last_received_at > received_at)
+        await wait_until(lambda: link.last_received_at > received_at)
         tick_until(link, received_at + SILENCE_TIMEOUT_S + 1e-6)
         assert link.up and end.frames.empty()
         tick_until(link, link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
         assert not link.up
-        assert await soon(end.lost) == "silent"
+        assert await with_timeout(end.lost) == "silent"
 
     run_against_raw_peer(test)
 
@@ -116,7 +116,7 @@
     async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         end.link.mutual_heartbeat = True
         tick_until(end.link, end.link.last_received_at + 1.01 * SILENCE_TIMEOUT_S)
-        assert await soon(end.lost) == "silent"
+        assert await with_timeout(end.lost) == "silent"
 
     run_against_raw_peer(test)
 
@@ -133,7 +133,7 @@
         tick_until(link, resumed_at + 1.01 * SILENCE_TIMEOUT_S)
         assert not link.up
 
-        assert await soon(end.lost) == "silent"
+        assert await with_timeout(end.lost) == "silent"
 
     run_against_raw_peer(test)
 
@@ -146,7 +146,7 @@
         for at in range(1, 4):
             link.tick(started + 0.45 * at)
         assert not link.up
-        assert await soon(end.lost) == "silent"
+        assert await with_timeout(end.lost) == "silent"
 
     run_against_raw_peer(test)
 
@@ -165,7 +165,7 @@
         link.tick(at + 3.3 * HEARTBEAT_INTERVAL_S)
         link.send({"t": "last"})
         last = frame({"t": "last"})
-        assert await soon(peer.reader.readuntil(last)) == 3 * HEARTBEAT + last
+        assert await with_timeout(peer.reader.readuntil(last)) == 3 * HEARTBEAT + last
 
     run_against_raw_peer(test)
 
@@ -181,7 +181,7 @@
             most = max(most, link.unsent)
         assert not link.up
         assert 200_000 < most < 200_000 + 2 * len(part)
-        assert await soon(end.lost) == "the other end does not read"
+        assert await with_timeout(end.lost) == "the other end does not read"
 
     run_against_raw_peer(test)
 
@@ -189,10 +189,10 @@
 def test_bytes_that_are_no_frame_end_the_link_and_nothing_of_it_is_told() -> None:
     async def test(end: End, peer: RawPeer, writer: asyncio.StreamWriter) -> None:
         writer.write(frame({"t": "good"}))
-        assert (await soon(end.frames.get()))[0] == {"t": "good"}
+        assert (await with_timeout(end.frames.get()))[0] == {"t": "good"}
         writer.write(b"what?")
         writer.write(b" is this")
-        assert (await soon(end.lost)).startswith("bad frame: ")
+        assert (await with_timeout(end.lost)).startswith("bad frame: ")
         assert end.frames.empty()
 
     run_against_raw_peer(test)
@@ -208,7 +208,7 @@
 
         end.link._on_frame = take
         writer.write(frame({"n": 1}) + frame({"n": 2}))
-        assert await soon(end.lost) == "enough"
+        assert await with_timeout(end.lost) == "enough"
         assert seen == [{"n": 1}]
 
     run_against_raw_peer(test)
@@ -220,9 +220,9 @@
         address = server.sockets[0].getsockname()[:2]
         server.close()
         await server.wait_closed()
-        assert await soon(connect(address, End().make)) is None
+        assert await with_timeout(connect(address, End().make)) is None
 
-    play(run)
+    run_async_test(run)
 
 
 def test_frames_behind_long_ones_do_not_end_the_link_and_a_peer_that_reads_is_not_silent(
@@ -240,12 +240,12 @@
             before = link.unsent
             for _ in range(40):
                 await peer.reader.read(65536)
-            await until(lambda before=before: link.unsent < before)  # type: ignore[misc]
-            move(0.8 * SILENCE_TIMEOUT_S)
+            await wait_until(lambda before=before: link.unsent < before)  # type: ignore[misc]
+            advance_clock(0.8 * SILENCE_TIMEOUT_S)
         assert link.up
-        move(1.1 * SILENCE_TIMEOUT_S)
+        advance_clock(1.1 * SILENCE_TIMEOUT_S)
         link.tick(end.link._loop.time())  # the peer has read in between
         link.tick(end.link._loop.time() + 1.1 * SILENCE_TIMEOUT_S)
-        assert await soon(end.lost) == "silent"
+        assert await with_timeout(end.lost) == "silent"
 
     run_against_raw_peer(test)
