--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,5 +1,6 @@
-"""Several real processes of the program with faults between them, in one play of a few seconds: facts from
-the ledger, nothing timed. The full form with hundreds is benchmarks/many.py."""
+"""Several real processes of the program with network faults between them, in plays of a few seconds.
+
+The tests check recorded facts and measure no times. For hundreds of processes see benchmarks/many.py."""
 
 from __future__ import annotations
 
@@ -25,15 +26,16 @@
 from rigs.relay import Faults, TcpRelay, UdpRelay
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENT: dict[str, Any] = {
+LONG_DEADLINE_CLASS: dict[str, Any] = {
     "name": "call", "work_ms": 20.0, "aim_ms": 4000.0, "deadline_ms": 6000.0, "effect": "keyed",
     "group": "all", "window_ms": 6000.0,
 }  # fmt: skip
 
 
-def source(troubles: list[dict[str, Any]], **tables: Any) -> Source:
+def small_source(troubles: list[dict[str, Any]], **tables: Any) -> Source:
     tree: dict[str, Any] = {
-        "name": "many", "seconds": 9.0, "settle_ms": 0.0, "classes": [PATIENT], "troubles": troubles,
+        "name": "many", "seconds": 9.0, "settle_ms": 0.0, "classes": [LONG_DEADLINE_CLASS],
+        "troubles": troubles,
         "servers": {"count": 6, "warm_up_ms": 500.0}, "sidecars": {"count": 10},
         "network": {"zones": ["a", "b"]}, "load": {"share": 0.06}, "clients": {"impatient": 0.0},
         "discovery": {"silent_notice_ms": [800.0, 1500.0]},
@@ -58,43 +60,45 @@
 
 @pytest.fixture(scope="module")
 def played() -> socket_simulation.SocketPlayResult:
-    found, _ = many.play(source(FAULTS), 2, drivers=2)
+    found, _ = many.play(small_source(FAULTS), 2, drivers=2)
     return found
 
 
-def test_ten_sidecars_with_faults_between_keep_the_rules(played: socket_simulation.SocketPlayResult) -> None:
+def test_ten_sidecars_keep_the_rules_under_network_faults(played: socket_simulation.SocketPlayResult) -> None:
     assert not played.row.fault and not played.checker.violations, played.checker.first_violations
     assert played.row.ran_twice == 0 and played.row.falls == 0
 
 
-def test_the_ledger_has_all_that_was_served(played: socket_simulation.SocketPlayResult) -> None:
+def test_every_served_call_is_recorded(played: socket_simulation.SocketPlayResult) -> None:
     bins = played.measures.bins
     served = sum(item.served for item in bins)
     assert served > 200 and played.latency.get_total_count() == served
     assert sum(sum(cells) for cells in played.evenness.counts.values()) >= served
 
 
-def test_no_server_is_left_idle_and_service_is_back(played: socket_simulation.SocketPlayResult) -> None:
+def test_no_server_stays_idle_and_service_recovers(played: socket_simulation.SocketPlayResult) -> None:
     assert all(sum(cells) > 0 for cells in played.evenness.counts.values())
-    late = played.measures.bins[
-        26:30
-    ]  # from 6.5 s on: all faults are over, and calls from then had their time
-    assert sum(item.served for item in late) > 0.8 * sum(item.first for item in late)
+    # From 6.5 s on all faults are over, and calls that started since then had enough time to end.
+    late = played.measures.bins[26:30]
+    assert sum(bin_.served for bin_ in late) > 0.8 * sum(bin_.first for bin_ in late)
 
 
 def test_both_drivers_and_every_sidecar_took_part(played: socket_simulation.SocketPlayResult) -> None:
-    assert len(played.memory_kb) == 12  # ten, two of which began again
-    assert all(own <= part <= resident for resident, part, own in played.memory_kb)
+    assert len(played.memory_kb) == 12  # ten sidecars, two of which were restarted
+    assert all(private <= proportional <= resident for resident, proportional, private in played.memory_kb)
 
 
-def test_a_server_that_fails_at_once_attracts_nobody_and_one_busy_sidecar_is_carried() -> None:
-    """500 in no time looks quick: over six processes it gets less than its part, and the five quiet ones
-    and the one that suddenly has twenty times its traffic are served by the others."""
+def test_a_fast_failing_server_attracts_no_load_and_a_busy_sidecar_is_served() -> None:
+    """An immediate status 500 has a low latency: the failing server must still get less than an even
+    share, and all six sidecars, one of them with twenty times its usual traffic, are served by the other
+    servers."""
     troubles = [
         {"kind": "errors", "at_ms": 1000.0, "for_ms": 5000.0, "share": 0.2, "size": 1.0},
         {"kind": "hot", "at_ms": 1500.0, "for_ms": 4000.0, "share": 0.15, "size": 20.0},
     ]
-    made = source(troubles, seconds=7.0, servers={"count": 5}, sidecars={"count": 6}, load={"share": 0.03})
+    made = small_source(
+        troubles, seconds=7.0, servers={"count": 5}, sidecars={"count": 6}, load={"share": 0.03}
+    )
     found, _ = many.play(made, 3, drivers=1)
     assert not found.row.fault and not found.checker.violations, found.checker.first_violations
     (failing,) = {server for server, marks in found.evenness._marks.items() if marks[0][1] == "errors"}
@@ -105,18 +109,18 @@
     assert sum(item.served for item in bins) > 0.9 * sum(item.first for item in bins) > 30
 
 
-def test_a_check_of_the_rules_sees_a_sale_that_is_sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same notes, with what was never asked twice told twice: the check is not blind."""
+def test_the_checker_reports_an_unsafe_call_that_is_sent_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A recorded send of an unsafe call is duplicated; the checker must count it."""
     reports: list[dict[str, Any]] = []
-    real = socket_simulation.SocketPlayResult.__init__
+    original = socket_simulation.SocketPlayResult.__init__
 
-    def keep(self: Any, scenario: Any, seed: int, found: Any) -> None:
-        reports.extend(found)
-        real(self, scenario, seed, found)
+    def keep(self: Any, scenario: Any, seed: int, driver_reports: Any) -> None:
+        reports.extend(driver_reports)
+        original(self, scenario, seed, driver_reports)
 
     monkeypatch.setattr(socket_simulation.SocketPlayResult, "__init__", keep)
-    sale = msgspec.json.decode(msgspec.json.encode(PATIENT | {"effect": "unsafe"}))
-    small = source([], seconds=2.0, classes=[sale], sidecars={"count": 2})
+    unsafe_class = msgspec.json.decode(msgspec.json.encode(LONG_DEADLINE_CLASS | {"effect": "unsafe"}))
+    small = small_source([], seconds=2.0, classes=[unsafe_class], sidecars={"count": 2})
     many.play(small, 1, drivers=1)
     monkeypatch.undo()
     (report,) = reports
@@ -130,55 +134,55 @@
     )
 
 
-def test_a_rig_that_is_killed_leaves_nothing_running(tmp_path: Path) -> None:
-    """SIGKILL to the command while all is up: its drivers, their parents of sidecars and the sidecars end."""
+def test_a_killed_command_leaves_no_process_running(tmp_path: Path) -> None:
+    """SIGKILL of the command while all processes run: drivers, fork servers and sidecars must all end."""
     file = tmp_path / "many.toml"
     file.write_text('name = "many"\nseconds = 60.0\n[sidecars]\ncount = 8\n[load]\nshare = 0.05\n')
-    words = [sys.executable, "-m", "lab", "sockets", str(file), "--drivers", "2"]
-    process = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
-    until = time.monotonic() + PATIENCE_S
-    while len(found := family(process.pid)) < 1 + 2 + 2 + 8:
-        assert process.poll() is None and time.monotonic() < until, found
+    command = [sys.executable, "-m", "lab", "sockets", str(file), "--drivers", "2"]
+    process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    deadline = time.monotonic() + PATIENCE_S
+    while len(pids := process_tree(process.pid)) < 1 + 2 + 2 + 8:
+        assert process.poll() is None and time.monotonic() < deadline, pids
         time.sleep(0.05)
     process.kill()
     process.wait()
-    while left := [pid for pid in found if alive(pid)]:
-        assert time.monotonic() < until, left
+    while remaining := [pid for pid in pids if is_alive(pid)]:
+        assert time.monotonic() < deadline, remaining
         time.sleep(0.02)
 
 
-def family(pid: int) -> list[int]:
-    """A process and all below it (proc(5), children)."""
+def process_tree(pid: int) -> list[int]:
+    """A process and all its descendants (proc(5), children)."""
     try:
-        below = Path(f"/proc/{pid}/task/{pid}/children").read_text(encoding="ascii").split()
+        children = Path(f"/proc/{pid}/task/{pid}/children").read_text(encoding="ascii").split()
     except OSError:
         return []
-    return [pid, *(one for child in below for one in family(int(child)))]
+    return [pid, *(descendant for child in children for descendant in process_tree(int(child)))]
 
 
-def alive(pid: int) -> bool:
+def is_alive(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-def test_changes_of_versions_are_not_played_over_sockets() -> None:
+def test_changes_of_versions_are_rejected_over_sockets() -> None:
     with pytest.raises(InvalidInput, match="changes of versions"):
-        asyncio.run(_open(source([{"kind": "upgrade"}])))
+        asyncio.run(_create_simulation(small_source([{"kind": "upgrade"}])))
 
 
-async def _open(made: Source) -> None:
-    socket_simulation.SocketSimulation(made.scenario_for(1), 1)
+async def _create_simulation(upgrade: Source) -> None:
+    socket_simulation.SocketSimulation(upgrade.scenario_for(1), 1)
 
 
 # Relays
 
 
-def run(what: Callable[[], Awaitable[None]]) -> None:
+def run(test: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(PATIENCE_S):
-            await what()
+            await test()
 
     asyncio.run(bounded())
 
@@ -189,7 +193,7 @@
     writer.close()
 
 
-def test_a_cut_link_holds_what_it_has_and_gives_it_when_it_is_sound() -> None:
+def test_a_partitioned_link_keeps_its_bytes_and_delivers_them_when_it_is_healed() -> None:
     async def play() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         relay = TcpRelay(*server.sockets[0].getsockname()[:2], seed=1)
@@ -223,7 +227,7 @@
     run(play)
 
 
-def test_nothing_connects_through_a_cut_link() -> None:
+def test_no_connection_opens_through_a_partitioned_link() -> None:
     async def play() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         relay = TcpRelay(*server.sockets[0].getsockname()[:2], seed=1)
@@ -241,7 +245,7 @@
     run(play)
 
 
-def test_a_relay_holds_no_more_than_its_bound() -> None:
+def test_a_relay_buffers_no_more_than_its_limit() -> None:
     async def play() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         relay = TcpRelay(*server.sockets[0].getsockname()[:2], seed=1)
@@ -262,27 +266,30 @@
     run(play)
 
 
-def test_datagrams_are_lost_late_and_doubled_by_seed() -> None:
+def test_datagrams_are_lost_delayed_and_duplicated_by_seed() -> None:
     async def play() -> None:
         with (
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as target,
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as source_,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
         ):
             target.bind(("127.0.0.1", 0))
             target.setblocking(False)
             relay = await UdpRelay.start(target.getsockname(), seed=3)
             relay.faults = Faults(loss=0.3, duplicate=0.3, delay_ms=1.0, jitter_ms=5.0)
             for number in range(300):
-                source_.sendto(b"%d" % number, ("127.0.0.1", relay.port))
-            loop, came = asyncio.get_running_loop(), Counter[bytes]()
-            while came.total() + relay.dropped < 300 or relay._in_flight:
+                sender.sendto(b"%d" % number, ("127.0.0.1", relay.port))
+            loop, received = asyncio.get_running_loop(), Counter[bytes]()
+            while received.total() + relay.dropped < 300 or relay._in_flight:
                 try:
-                    came[await asyncio.wait_for(loop.sock_recv(target, 100), 0.2)] += 1
+                    received[await asyncio.wait_for(loop.sock_recv(target, 100), 0.2)] += 1
                 except TimeoutError:
                     continue
-            assert 0.15 * 300 < 300 - len(came) < 0.45 * 300 and 20 < sum(n > 1 for n in came.values()) < 120
+            assert (
+                0.15 * 300 < 300 - len(received) < 0.45 * 300
+                and 20 < sum(n > 1 for n in received.values()) < 120
+            )
             relay.faults = Faults(to_target=False)
-            source_.sendto(b"never", ("127.0.0.1", relay.port))
+            sender.sendto(b"never", ("127.0.0.1", relay.port))
             before = relay.dropped
             while relay.dropped == before:
                 await asyncio.sleep(0.01)
@@ -291,39 +298,41 @@
     run(play)
 
 
-def test_notes_of_a_killed_driver_are_missed_in_words() -> None:
-    """A driver that ends before its report is named, and the others are ended."""
+def test_a_killed_driver_is_reported() -> None:
+    """A driver that ends before its report is named in the error, and the others are ended."""
 
     async def play() -> None:
-        real = many.read_message
+        original = many.read_message
         count = 0
 
-        async def dies(reader: Any) -> Any:
+        async def kill_a_driver(reader: Any) -> Any:
             nonlocal count
             count += 1
             if count == 3:
-                for pid in family(os.getpid())[1:]:
+                for pid in process_tree(os.getpid())[1:]:
                     if b"lab.driver" in Path(f"/proc/{pid}/cmdline").read_bytes():
                         os.kill(pid, signal.SIGKILL)
                         break
-            return await real(reader)
+            return await original(reader)
 
-        many.read_message = dies  # type: ignore[assignment]
+        many.read_message = kill_a_driver  # type: ignore[assignment]
         try:
             with pytest.raises(many.DriverDied, match="ended with -9"):
-                await many._play_with_drivers(source([], seconds=2.0, sidecars={"count": 2}), 1, 2, "http")
+                await many._play_with_drivers(
+                    small_source([], seconds=2.0, sidecars={"count": 2}), 1, 2, "http"
+                )
         finally:
-            many.read_message = real
+            many.read_message = original
         assert not [
             pid
-            for pid in family(os.getpid())[1:]
+            for pid in process_tree(os.getpid())[1:]
             if b"lab.driver" in Path(f"/proc/{pid}/cmdline").read_bytes()
         ]
 
     asyncio.run(play())
 
 
-def test_the_checker_and_the_notes_take_the_same_words() -> None:
+def test_the_checker_and_the_event_recorder_have_the_same_parameters() -> None:
     from lab.ledger import EventRecorder
 
     for name in ("started", "listed", "asked", "sent", "ended", "final", "left", "overdue", "ran", "breach"):
@@ -335,5 +344,5 @@
         ), name
 
 
-def test_the_scenario_of_the_many_loads() -> None:
+def test_the_scenario_for_many_processes_loads() -> None:
     assert scenario.load(ROOT / "lab/scenarios/even.toml").scenario_for(1).sidecars.count == 200
