--- a/simulation/mesh/clock.py
+++ b/simulation/mesh/clock.py
@@ -21,7 +21,7 @@
 
 
 NEVER = float("inf")
-CURRENT_INCARNATION: contextvars.ContextVar[Any] = contextvars.ContextVar("life")
+CURRENT_INCARNATION: contextvars.ContextVar[Any] = contextvars.ContextVar("incarnation")
 
 
 class SimulationStalled(Exception):
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -367,19 +367,19 @@
         at = rng.choice(world.controllers())
         yield from world.commit([at], patch_body("last", 1, 800))
         across = rng.choice(other_controllers(world, at))
-        struck = world.env.event()
+        fault_point_reached = world.env.event()
 
-        def strike(_: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
-            if not struck.triggered:
-                struck.succeed()
+        def mark_reached(_: World, incarnation: Incarnation, end: ConnectionEnd | None) -> float | None:
+            if not fault_point_reached.triggered:
+                fault_point_reached.succeed()
             return 0.0
 
-        world.recording_points, world.fault_index, world.fault = True, number, strike
+        world.recording_points, world.fault_index, world.fault = True, number, mark_reached
         world.env.process(world.repeat_writes(at, "here", rng.uniform(0.1, 0.5), rng))
         world.env.process(world.repeat_writes(across, "there", rng.uniform(0.1, 0.5), rng))
         world.env.process(world.race_writes(at, across, rng.uniform(0.2, 1.0), rng))
         if number >= 0:
-            yield struck | world.env.timeout(2.0)
+            yield fault_point_reached | world.env.timeout(2.0)
         world.env.process(world.start_new_proxies([at, across], rng.uniform(1.0, 4.0), rng))
         yield from PARTITIONS[name](world, at)
         yield from world.wait_for_catch_up()
--- a/tests/mesh/test_large_orders_world.py
+++ b/tests/mesh/test_large_orders_world.py
@@ -35,7 +35,7 @@
     return json.dumps({"apply": apply}).encode()
 
 
-class OrderLog:
+class WriteLog:
     """Sends writes, and checks each after its acknowledgement at all proxies in contact."""
 
     def __init__(self, world: World) -> None:
@@ -81,10 +81,10 @@
             machine.incarnation.began = float(self.env.now)  # type: ignore[attr-defined]
 
 
-def small_orders(world: World, orders: OrderLog, seconds: float, gap_s: float) -> Script:
+def send_small_writes(world: World, writes: WriteLog, seconds: float, gap_s: float) -> Script:
     until = world.env.now + seconds
     while world.env.now < until:
-        yield from orders.send([f"small{orders.version % 5}"])
+        yield from writes.send([f"small{writes.version % 5}"])
         yield world.env.timeout(gap_s)
 
 
@@ -94,15 +94,15 @@
     return [f"r-{rng.getrandbits(44):09x}" for _ in range(ROUTES)]
 
 
-def run_day(day: Callable[[World, OrderLog], Script]) -> list[str]:
+def run_scenario(scenario: Callable[[World, WriteLog], Script]) -> list[str]:
     def script(world: World) -> Script:
         yield from world.boot(5, proxies=PROXIES)
-        orders = OrderLog(world)
-        yield from orders.send(["first"])
+        writes = WriteLog(world)
+        yield from writes.send(["first"])
         yield world.env.timeout(4.0)
-        yield from day(world, orders)
+        yield from scenario(world, writes)
         yield world.env.timeout(SETTLE_S + 0.5)
-        violations.extend(orders.late_proxies)
+        violations.extend(writes.late_proxies)
 
     violations: list[str] = []
     with NarrowLinkWorld(Tolerance(2, 0, 0)) as world:
@@ -110,33 +110,33 @@
 
 
 def test_large_writes_are_in_force_in_time_while_proxies_restart_beside_small_writes() -> None:
-    def day(world: World, orders: OrderLog) -> Script:
-        yield from orders.send(large(1))
+    def scenario(world: World, writes: WriteLog) -> Script:
+        yield from writes.send(large(1))
         proxies = [machine for machine in world.machines.values() if not machine.is_controller]
         for machine in proxies[: PROXIES // 2]:
             world.kill(machine)
             world.restart(machine)
-        world.env.process(small_orders(world, orders, 5.0, 0.15))
+        world.env.process(send_small_writes(world, writes, 5.0, 0.15))
         yield world.env.timeout(6.0)
 
-    assert run_day(day) == []
+    assert run_scenario(scenario) == []
 
 
 def test_three_large_orders_in_turn_are_each_in_force_in_time() -> None:
-    def day(world: World, orders: OrderLog) -> Script:
-        world.env.process(small_orders(world, orders, 5.0, 0.3))
+    def scenario(world: World, writes: WriteLog) -> Script:
+        world.env.process(send_small_writes(world, writes, 5.0, 0.3))
         for number in range(3):
-            yield from orders.send(large(number))
+            yield from writes.send(large(number))
         yield world.env.timeout(5.0)
 
-    assert run_day(day) == []
+    assert run_scenario(scenario) == []
 
 
 def test_who_starts_over_is_told_each_item_about_once() -> None:
     """Counts all bytes that arrive over its link, from any sender."""
 
-    def day(world: World, orders: OrderLog) -> Script:
-        yield from orders.send(large(1))
+    def scenario(world: World, writes: WriteLog) -> Script:
+        yield from writes.send(large(1))
         yield world.env.timeout(3.0)
         one = world.machines["s1"]
         world.kill(one)
@@ -150,7 +150,7 @@
 
     received_bytes: list[int] = []
     elapsed_s: list[float] = []
-    violations = run_day(day)
+    violations = run_scenario(scenario)
     assert violations == []
     assert received_bytes[0] < 1.5 * compressed_bytes(), f"{received_bytes[0]} bytes, {elapsed_s[0]:.2f} s"
 
@@ -180,48 +180,48 @@
 
 
 def test_a_large_order_is_acknowledged_when_it_is_in_force_also_behind_a_choked_link() -> None:
-    def day(world: World, orders: OrderLog) -> Script:
+    def scenario(world: World, writes: WriteLog) -> Script:
         choked = choke_proxy_link(world)
         began = float(world.env.now)
-        yield from orders.send(large(1))
-        elapsed_s.append(orders.acknowledged[orders.version] - began)
-        assert choked.program.routes.get(orders.routes[orders.version]) is not None
+        yield from writes.send(large(1))
+        elapsed_s.append(writes.acknowledged[writes.version] - began)
+        assert choked.program.routes.get(writes.routes[writes.version]) is not None
 
     elapsed_s: list[float] = []
-    assert run_day(day) == []
+    assert run_scenario(scenario) == []
     assert 1.0 < elapsed_s[0] < 0.5 * (4.0 + 0.003 * ROUTES) + 1.0
 
 
 def test_a_small_order_behind_one_that_spreads_slowly_waits_as_well() -> None:
-    def day(world: World, orders: OrderLog) -> Script:
+    def scenario(world: World, writes: WriteLog) -> Script:
         choked = choke_proxy_link(world)
-        world.env.process(orders.send(large(1)))
+        world.env.process(writes.send(large(1)))
         yield world.env.timeout(0.9)
-        yield from orders.send(["small"])
+        yield from writes.send(["small"])
         assert choked.program.routes.get("small") is not None
 
-    assert run_day(day) == []
+    assert run_scenario(scenario) == []
 
 
 def test_an_unreachable_proxy_delays_no_acknowledgement() -> None:
-    def day(world: World, orders: OrderLog) -> Script:
+    def scenario(world: World, writes: WriteLog) -> Script:
         world.power_off(world.machines["s1"])
         yield world.env.timeout(1.0)
         began = float(world.env.now)
-        yield from orders.send(large(1))
+        yield from writes.send(large(1))
         assert world.env.now - began < 1.5
 
-    assert run_day(day) == []
+    assert run_scenario(scenario) == []
 
 
 def test_who_is_heard_and_does_not_confirm_holds_an_acknowledgement_up_to_its_bound() -> None:
-    def day(world: World, orders: OrderLog) -> Script:
+    def scenario(world: World, writes: WriteLog) -> Script:
         linked_proxy(world).program.staged_routes._report = lambda: None  # it never reports again
         began = float(world.env.now)
-        yield from orders.send(large(1))
+        yield from writes.send(large(1))
         elapsed_s.append(float(world.env.now) - began)
 
     elapsed_s: list[float] = []
-    assert run_day(day) == []
+    assert run_scenario(scenario) == []
     bound = 0.5 * (4.0 + 0.003 * ROUTES)
     assert bound <= elapsed_s[0] < bound + 1.0
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -113,16 +113,16 @@
 
 def test_a_repeated_write_is_always_accepted_and_another_content_never() -> None:
     def again(world: World) -> Script:
-        one, two, rival = patch_body(["r1"], 1, 1), patch_body(["r1"], 2, 2), patch_body(["r1"], 1, 3)
+        one, two, conflicting = patch_body(["r1"], 1, 1), patch_body(["r1"], 2, 2), patch_body(["r1"], 1, 3)
         for body in (one, one, two, one):  # the last one: after it was superseded
             for at in range(3):
                 assert (yield from first_clear_answer(world, at, body)).status == 200
-        assert (yield from first_clear_answer(world, 1, rival)).status == 409
+        assert (yield from first_clear_answer(world, 1, conflicting)).status == 409
         troubles.all_killed(world, world.controllers()[0].incarnation, None)  # type: ignore[arg-type]
         yield world.env.timeout(2.0)
         for at in range(3):
             assert (yield from first_clear_answer(world, at, one)).status == 200
-            assert (yield from first_clear_answer(world, at, rival)).status == 409
+            assert (yield from first_clear_answer(world, at, conflicting)).status == 409
         late = patch_body(["r2"], 3, 1)  # versions 1 and 2 of r2 are first sent after version 3 is in force
         assert (yield from first_clear_answer(world, 0, late)).status == 200
         assert (yield from first_clear_answer(world, 1, patch_body(["r2"], 2, 1))).status == 200
@@ -233,11 +233,11 @@
         assert values_in_force(world) == {(1, 1)}
         assert not any(machine.program.acceptor.votes for machine in others)
         # The body also sets a service: a 409 for several items needs an answer of all members.
-        rival = patch_body(["r1"], 1, 2)
-        assert (yield from world.patch(others[0], rival)).status == 503
+        conflicting = patch_body(["r1"], 1, 2)
+        assert (yield from world.patch(others[0], conflicting)).status == 503
         world.start(first)
         yield world.env.timeout(1.0)
-        assert (yield from first_clear_answer(world, 1, rival)).status == 409
+        assert (yield from first_clear_answer(world, 1, conflicting)).status == 409
         assert (yield from first_clear_answer(world, 0, patch_body(["r1", "r2"], 1, 1))).status == 200
 
     assert run_world(left) == []
@@ -309,7 +309,7 @@
 # Faults at numbered points
 
 
-def rivals(world: World) -> Script:
+def conflicting_writes(world: World) -> Script:
     """Two conflicting writes at once; the first is then sent again to another machine, whatever its
     outcome."""
     yield from world.boot(3, proxies=1)
@@ -332,7 +332,7 @@
     yield from world.checker.check_recovered()
 
 
-def overtaking(world: World) -> Script:
+def supersede(world: World) -> Script:
     """A version, the next one and then the first again, each sent to another machine."""
     yield from world.boot(3, proxies=1)
     world.env.process(world.checker.watch())
@@ -352,7 +352,7 @@
     return 0.0
 
 
-SCRIPTS: dict[str, Play] = {"rivals": rivals, "overtaking": overtaking}
+SCRIPTS: dict[str, Play] = {"conflict": conflicting_writes, "supersede": supersede}
 FAULTS = {**troubles.PROCESS_FAULTS, **troubles.FRAME_FAULTS, **troubles.DISK_FAULTS, "frozen": frozen}
 MAX_POINTS = 7  # points of a script at which each fault is injected
 
--- a/tests/mesh/test_owners_world.py
+++ b/tests/mesh/test_owners_world.py
@@ -77,10 +77,10 @@
     assert run_play(scenario) == []
 
 
-@pytest.mark.parametrize("trouble", key_troubles.FAULTS, ids=lambda one: one.__name__)
-def test_after_each_trouble_alone_all_keys_are_held_again(trouble: key_troubles.FaultScript) -> None:
+@pytest.mark.parametrize("fault", key_troubles.FAULTS, ids=lambda one: one.__name__)
+def test_after_each_trouble_alone_all_keys_are_held_again(fault: key_troubles.FaultScript) -> None:
     def scenario(world: KeyOwnershipWorld) -> Script:
-        yield from trouble(world, random.Random(4))
+        yield from fault(world, random.Random(4))
         yield world.env.timeout(0.5)
         yield from wait_until_all_held(world, TAKEOVER_S + 7.0)  # a freeze lasts up to 7 s
 
@@ -134,7 +134,7 @@
         with seed_fault():
             if any("OWNER" in line for line in run_play(play)):
                 return
-    pytest.fail(f"not seen in {MAX_PLAYS} plays")
+    pytest.fail(f"not detected in {MAX_PLAYS} plays")
 
 
 @pytest.mark.parametrize("scene", key_troubles.SCENES, ids=lambda one: one.__name__)
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -86,8 +86,8 @@
             assert not program.peer_links._retiring
         for controller in world.controllers():
             assert controller.program.reports.items[REPORT, "s1"].value is None
-        ((_, _, told),) = world.events_of(events.NODE_DROPPED)
-        assert told["instances"] == 1 and told["silent_s"] >= GONE_S
+        ((_, _, values),) = world.events_of(events.NODE_DROPPED)
+        assert values["instances"] == 1 and values["silent_s"] >= GONE_S
 
     assert run_play(after_boot(dies)) == []
 
@@ -138,8 +138,8 @@
         yield world.env.timeout(5.0 + REMOVAL_DELAY_S)
         assert sorted(removed_names(world)) == ["s3", "s4", "s5"]
         # The check of the world also reports that most of a zone was removed, which is intended here.
-        told, world.checker.violations = world.checker.violations, []
-        assert len(told) == 1 and "most of zone b" in told[0]
+        expected, world.checker.violations = world.checker.violations, []
+        assert len(expected) == 1 and "most of zone b" in expected[0]
 
     assert run_play(after_boot(partition)) == []
 
@@ -292,8 +292,10 @@
     lease.latest, lease._claimed, lease._first_since = LeaseRecord(1, holder.name), 1, now
     world.power_off(world.machines["s1"])
     yield world.env.timeout(GONE_S + 1.5)
-    told = [values for _, name, values in world.events_of(events.STALE_EPOCH_REFUSED) if name != holder.name]
-    assert told and all((values["epoch"], values["newest"]) == (1, 5) for values in told)
+    refused = [
+        values for _, name, values in world.events_of(events.STALE_EPOCH_REFUSED) if name != holder.name
+    ]
+    assert refused and all((values["epoch"], values["newest"]) == (1, 5) for values in refused)
     yield world.env.timeout(1.0)
     left = [values for _, name, values in world.events_of(events.DUTY_RELEASED) if name == holder.name]
     assert left[0]["epoch"] == 1 and not world.removed_nodes
--- a/tests/mesh/test_repair_world.py
+++ b/tests/mesh/test_repair_world.py
@@ -173,7 +173,7 @@
 
 
 def test_a_controller_accepts_no_repair_from_a_proxy() -> None:
-    def sidecar(world: ReapingWorld) -> Script:
+    def proxy_repairs(world: ReapingWorld) -> Script:
         controller, proxy = world.machines["c1"].program, world.machines["s1"].program
         (channel, *_) = [one for one in proxy.channels.open if one.peer_hello["ip"] == "10.0.0.1"]
         item = altered_item(controller.config_store.items[R1], 9)
@@ -188,7 +188,7 @@
             controller.config_store.items[R1].version == 3 and controller.node_reaper.lease.latest.epoch < 99
         )
 
-    assert run_play(sidecar) == []
+    assert run_play(proxy_repairs) == []
 
 
 def test_many_differences_are_repaired_in_consecutive_rounds() -> None:
--- a/tests/mesh/test_stages_world.py
+++ b/tests/mesh/test_stages_world.py
@@ -280,16 +280,16 @@
     world._mark_disturbed(world.controllers())
 
 
-TROUBLES = (
+FAULTS = (
     *(kill_canary, kill_held, freeze_canary, freeze_held, isolate_canary, isolate_held),
     *(kill_controllers, isolate_one_controller, stall_disks),
 )
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda one: one.__name__)
+@pytest.mark.parametrize("inject_fault", FAULTS, ids=lambda one: one.__name__)
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.2, 0.58])
 def test_a_fault_during_any_stage_violates_nothing(
-    trouble: Callable[[RolloutWorld, Machine, Machine], None], after_s: float
+    inject_fault: Callable[[RolloutWorld, Machine, Machine], None], after_s: float
 ) -> None:
     """Before the change, while it spreads, while the other proxies hold it, and as they put it in force."""
 
@@ -301,7 +301,7 @@
         world.env.process(move_routes(world, 2))
         if after_s:
             yield world.env.timeout(after_s)
-        trouble(world, canary, held_proxy)
+        inject_fault(world, canary, held_proxy)
         yield world.env.timeout(1.0)
         yield from move_routes(world, 5, "p")
         yield world.env.timeout(2.5)
