--- a/mesh/cli/__init__.py
+++ b/mesh/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line. The mesh's programs import nothing of it."""
+"""The operators' command line. The programs of the mesh do not import this package."""
--- a/mesh/cli/bearing.py
+++ b/mesh/cli/bearing.py
@@ -12,7 +12,7 @@
 from mesh.configuration.validation import check_change
 from mesh.replication.items import Item, Key, same_content
 
-MIN_ANSWERS = 5  # fewer allow no conclusion
+MIN_ANSWERS = 5  # with fewer samples an aim is not judged
 MAX_FIELDS = 200  # in the differences of one item
 
 
@@ -74,9 +74,9 @@
             continue
         name = item_label(write.kind, write.name)
         if write.version < item.version:
-            what = f"is r{write.version} and r{item.version} stands: it changes nothing"
+            what = f"is r{write.version}, older than the current r{item.version}: it changes nothing"
         elif not same_content(_as_item(write), item):
-            what = f"is r{write.version}, which stands with other content"
+            what = f"is r{write.version}, which already exists with other content"
         else:
             continue
         yield ChangeFinding(name, "epoch", what, f"give r{item.version + 1} or higher")
@@ -108,7 +108,9 @@
         *outranked, winner = sorted(routes, key=lambda route: (route.version, route.name))
         for route in outranked:
             if route.name in named or winner.name in named:
-                what = f"{prefix} at {host} is never reached: {winner.name} r{winner.version} outranks it"
+                what = (
+                    f"{prefix} at {host} is never matched: {winner.name} r{winner.version} takes precedence"
+                )
                 yield ChangeFinding(
                     item_label(ROUTE, route.name), "predicate.prefix", what, "drop one of the two"
                 )
@@ -119,14 +121,15 @@
         if not facts.settled_by_service.get(service):
             split = f"gives {share:.0%} to" if len(route.split) > 1 else "goes to"
             where = "response.distribution" if len(route.split) > 1 else "response.plant"
-            what = f"{split} {service}, which has no upstream that takes calls"
+            what = f"{split} {service}, which has no upstream that accepts calls"
             yield ChangeFinding(
-                item_label(ROUTE, route.name), where, what, "start one first, or name another service"
+                item_label(ROUTE, route.name), where, what, "start an upstream first, or name another service"
             )
 
 
 def _aim(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
-    """Compares the aim with recent answers of the route or, if these are few, of its services."""
+    """Compares the route's target response time with recent answers of the route or, if these are few, of its
+    services."""
     count, least = _least_ms(facts, "by_route", {route.name})
     source = "this route's"
     if count < MIN_ANSWERS:
@@ -134,9 +137,9 @@
         source = "its services'"
     if count >= MIN_ANSWERS and least > route.aim_ms:
         what = (
-            f"is {route.aim_ms:g}: none of {source} last {count} answers met it, the best took {least:g} ms"
+            f"is {route.aim_ms:g}: none of {source} last {count} answers met it; the best took {least:g} ms"
         )
-        mend = "give a longer aim, or more or quicker upstreams"
+        mend = "set a higher setpoint_ms, or add more or faster upstreams"
         yield ChangeFinding(item_label(ROUTE, route.name), "setpoint_ms", what, mend)
 
 
@@ -152,9 +155,9 @@
 
 def _trials(route: Route, facts: MeshFacts) -> Iterator[ChangeFinding]:
     if route.trials > 1 and facts.retry_ratios and min(facts.retry_ratios) <= 0.0:
-        what = f"is {route.trials}, and the budget for further tries grows by nothing (retry_ratio 0)"
+        what = f"is {route.trials}, but a sidecar allows no retries (retry_ratio 0)"
         yield ChangeFinding(
-            item_label(ROUTE, route.name), "response.trials", what, "give 1, or a retry_ratio above 0"
+            item_label(ROUTE, route.name), "response.trials", what, "set 1, or a retry_ratio above 0"
         )
 
 
@@ -184,7 +187,7 @@
             sign = "<"
         elif item is not None and write.version == item.version:
             same = same_content(_as_item(write), item)
-            sign, fields = ("=", ()) if same else ("<", ("the same version stands with other content",))
+            sign, fields = ("=", ()) if same else ("<", ("the same version exists with other content",))
         elif write.value is None:
             sign = "=" if item is None or item.value is None else "-"
         elif item is None or item.value is None:
--- a/mesh/cli/client.py
+++ b/mesh/cli/client.py
@@ -16,8 +16,8 @@
 from mesh.transport.link import Address, Link, connect
 
 MAX_OPEN_LINKS = 128
-MAX_COPIES = 3  # of one store
-MAX_ITEMS = 100_000  # in one copy
+MAX_COPIES = 3  # copies of one store that are read and merged
+MAX_ITEMS = 100_000  # items read from one copy
 T = TypeVar("T")
 S = TypeVar("S")
 
@@ -90,7 +90,9 @@
         waiting, self._waiting = self._waiting, {}
         for future in waiting.values():
             if not future.done():
-                future.set_result(Unreachable("the link was lost; it may be of another version"))
+                future.set_result(
+                    Unreachable("the link was lost; the process may run another protocol version")
+                )
 
     def close(self) -> None:
         if self._link is not None:
@@ -189,7 +191,7 @@
     and all once more if their configurations differ, since a change may be in progress."""
     first = await find_processes(addresses, within_s)
     if not first:
-        return Unreachable(f"nobody answers at {', '.join(f'{host}:{port}' for host, port in addresses)}")
+        return Unreachable(f"no process answers at {', '.join(f'{host}:{port}' for host, port in addresses)}")
     membership_items = await read_merged_items(first, "roll", within_s)
     if isinstance(membership_items, Unreachable):
         return membership_items
@@ -202,7 +204,7 @@
     for name, value in sorted(nodes.items()):
         address = read_address(value.get("address"))
         if address is None:
-            found.append(Process(name, ("", 0), None, "the roll has no address of it"))
+            found.append(Process(name, ("", 0), None, "the membership store has no address for it"))
         elif address in known:
             process = known.pop(address)
             found.append(
--- a/mesh/cli/command.py
+++ b/mesh/cli/command.py
@@ -44,10 +44,10 @@
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
     no_args_is_help=True,
-    help="Looks at a mesh, changes its configuration and checks its state. Exit codes: 0 fine, 1 findings, "
-    "2 usage, 3 nobody answers, 4 refused by the mesh.",
+    help="Inspects a mesh, changes its configuration and checks its state. Exit codes: 0 success, 1 problems "
+    "found, 2 usage error, 3 no process answers, 4 refused by the mesh.",
 )
-routes = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="How requests find their way.")
+routes = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="How requests are routed.")
 app.add_typer(routes, name="routes")
 app.add_typer(config, name="config")
 app.add_typer(state, name="state")
@@ -55,14 +55,16 @@
 app.add_typer(ownership, name="ownership")
 app.add_typer(rollout, name="rollout")
 
-FromNode = Annotated[str, typer.Option("--from", metavar="NODE", help="The sidecar to ask; else any.")]
+FromNode = Annotated[
+    str, typer.Option("--from", metavar="NODE", help="The sidecar to ask; any one by default.")
+]
 
 
 @app.command("status")
 def _status(
     at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
 ) -> None:
-    """Members, core, upstreams by service, versions in force; what is not as it should be is first."""
+    """Overview of the mesh: problems first, then members, leases, configurations and upstreams by service."""
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json)
     problems = findings(snapshot)
     value = {
@@ -80,7 +82,7 @@
 def _nodes(
     at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
 ) -> None:
-    """Every process, one line each."""
+    """Lists every process, one line each."""
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json)
     rows = [shape.process_row(snapshot, process) for process in snapshot.processes]
     print_and_exit(rows, shape.node_lines(rows), as_json)
@@ -88,13 +90,15 @@
 
 @app.command("upstreams")
 def _upstreams(
-    service: Annotated[str, typer.Argument(metavar="[SERVICE]", help="The one to show; else all.")] = "",
+    service: Annotated[
+        str, typer.Argument(metavar="[SERVICE]", help="The service to show; all by default.")
+    ] = "",
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Upstreams counted by service, or those of one service as the sidecars see them."""
+    """Counts upstreams by service, or lists those of one service as the sidecars see them."""
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), wait, (PROXY,) if service else ()), as_json
     )
@@ -104,7 +108,11 @@
     answers = [one for _, one in asyncio.run(_ask_sidecars(snapshot, "upstreams", wait, service=service))[0]]
     rows = shape.merge_upstreams(answers)
     if not rows:
-        fail(EXIT_FINDINGS, f"{service}: no upstream of it is known; start one, or look at the name", as_json)
+        fail(
+            EXIT_FINDINGS,
+            f"{service}: no upstream of this service is known; start one, or check the name",
+            as_json,
+        )
     print_and_exit(rows, shape.upstream_lines(rows), as_json)
 
 
@@ -112,7 +120,7 @@
 def _doctor(
     at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
 ) -> None:
-    """What is not as it should be, each with its mend."""
+    """Lists all problems found, each with its remedy."""
     problems = findings(run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait), as_json))
     value = [asdict(finding) for finding in problems]
     print_and_exit(value, shape.doctor_lines(problems), as_json, EXIT_FINDINGS if problems else EXIT_OK)
@@ -120,13 +128,15 @@
 
 @app.command("trace")
 def _trace(
-    attempt: Annotated[str, typer.Argument(metavar="ATTEMPT-ID", help="As the client sent it.")],
+    attempt: Annotated[
+        str, typer.Argument(metavar="ATTEMPT-ID", help="The attempt id that the client sent.")
+    ],
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Both hops of a call of late: what was decided, and how it ended."""
+    """Shows both hops of a recent call: where it was sent and how each try ended."""
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (PROXY,)), as_json)
     answers, silent = asyncio.run(_ask_sidecars(snapshot, "trace", wait, attempt=attempt))
     entries: list[dict[str, Any]] = []
@@ -139,7 +149,7 @@
     if silent:
         lines.append(f"no answer from {len(silent)} sidecars: {join_names(silent, 60)}")
     if not entries:
-        lines.append(f"nothing is kept of it at {len(answers)} sidecars: only the last calls are")
+        lines.append(f"not found at {len(answers)} sidecars: each keeps only its most recent calls")
     value = {"attempt": attempt, "entries": entries, "silent": silent}
     print_and_exit(value, lines, as_json, EXIT_OK if entries else EXIT_FINDINGS)
 
@@ -154,7 +164,7 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Where a request would go, as one sidecar sees it: route, services, upstreams, and why each."""
+    """Shows where one sidecar would send a request: route, services and upstreams, with reasons."""
     snapshot = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, ()), as_json)
     answering = snapshot.answering(PROXY)
     others = [p for p in snapshot.processes if text_field(snapshot.nodes.get(p.name), "role") == PROXY]
@@ -164,11 +174,11 @@
             fail(EXIT_USAGE, f"--from: no node {where} is known; nodes lists them", as_json)
     node, reply = asyncio.run(_ask_first(answering or others, wait, host, path))
     if isinstance(reply, Unreachable):
-        fail(EXIT_NO_ANSWER, f"{node}: {reply.why}; name another sidecar with --from", as_json)
+        fail(EXIT_NO_ANSWER, f"{node}: {reply.why}; choose another sidecar with --from", as_json)
     if isinstance(reply, Refused):
         fail(EXIT_REFUSED, f"{node}: {reply.reason}", as_json)
     if reply.value.get("route") is None:
-        known = "no route takes it: 404" if reply.value.get("configured") else "no configuration yet: 503"
+        known = "no route matches: 404" if reply.value.get("configured") else "no configuration yet: 503"
         print_and_exit({"node": node, **reply.value}, [f"at {node}: {known}"], as_json, EXIT_FINDINGS)
     print_and_exit({"node": node, **reply.value}, shape.route_lines(node, reply.value), as_json)
 
--- a/mesh/cli/config.py
+++ b/mesh/cli/config.py
@@ -50,7 +50,8 @@
 File = Annotated[
     str,
     typer.Argument(
-        metavar="FILE", help="A call with apply and remove, or what `config get` prints; - for input."
+        metavar="FILE",
+        help="A JSON file with apply and remove, or the output of `config get`; - reads standard input.",
     ),
 ]
 
@@ -90,7 +91,7 @@
     change = decode_change(body)
     if isinstance(change, Invalid):
         what, _, mend = change.reason.partition("; ")
-        finding = bearing.ChangeFinding(change.item, change.field, what, mend or "mend it")
+        finding = bearing.ChangeFinding(change.item, change.field, what, mend or "correct it")
         print_and_exit({"findings": [asdict(finding)]}, wrapped(finding.line()), as_json, EXIT_FINDINGS)
     return change
 
@@ -117,16 +118,17 @@
 
 @config.command("get")
 def _get(
-    item: Annotated[str, typer.Option("--item", metavar="KIND/NAME", help="One item alone.")] = "",
+    item: Annotated[str, typer.Option("--item", metavar="KIND/NAME", help="Only this item.")] = "",
     held: Annotated[
-        bool, typer.Option("--held", help="What the processes that answer hold, be it the newest or not.")
+        bool,
+        typer.Option("--held", help="What the processes that answer hold, even if it is not the newest."),
     ] = False,
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """The newest configuration, whole, or one item of it; always JSON."""
+    """Prints the newest configuration, or one item of it, as JSON."""
     addresses = contact_addresses(at, settings, as_json)
     if held:
         _, configuration = run_or_exit(_current_configuration(addresses, wait), as_json)
@@ -137,7 +139,9 @@
         snapshot = run_or_exit(take_snapshot(addresses, wait, (CONTROLLER,)), as_json)
         outcome = asyncio.run(write_client.send(control_addresses(snapshot), b"GET", PATH, b"", wait))
         if not isinstance(outcome, write_client.Accepted):
-            _fail_without_answer(outcome, "config get --held shows what those that answer hold", as_json)
+            _fail_without_answer(
+                outcome, "config get --held shows what the processes that answer hold", as_json
+            )
         content = outcome.body
     value = msgspec.json.decode(content)
     if item:
@@ -155,7 +159,7 @@
                 return write.value
     fail(
         EXIT_FINDINGS,
-        f"--item: {wanted} does not stand; give KIND/NAME such as route/r1 or plant/red",
+        f"--item: {wanted} does not exist; give KIND/NAME such as route/r1 or plant/red",
         as_json,
     )
 
@@ -167,7 +171,7 @@
         fail(EXIT_REFUSED, f"{outcome.status}: {outcome.reason}", as_json)
     fail(
         EXIT_REFUSED if outcome.any_answer else EXIT_NO_ANSWER,
-        f"no clear answer ({outcome.reason}); {mend}",
+        f"no definite answer ({outcome.reason}); {mend}",
         as_json,
     )
 
@@ -180,14 +184,14 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Judges a change before it is sent: by itself, by what stands, and by what the mesh can bear now."""
+    """Checks a change, without sending it, against the current configuration and the state of the mesh."""
     change = decode_or_exit(read_file(file, as_json), as_json)
     snapshot, configuration = run_or_exit(
         _current_configuration(contact_addresses(at, settings, as_json), wait), as_json
     )
     findings = bearing.review_change(change, configuration, asyncio.run(_facts(snapshot, wait)))
     lines = [line for finding in findings for line in wrapped(finding.line())]
-    summary = f"{len(change.writes)} items: nothing speaks against them"
+    summary = f"{len(change.writes)} items: no problems found"
     value = {"items": len(change.writes), "findings": [asdict(finding) for finding in findings]}
     print_and_exit(value, lines or [summary], as_json, EXIT_FINDINGS if findings else EXIT_OK)
 
@@ -210,7 +214,7 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """What sending a change would do: + new, ~ changed, - dropped, < older than what stands."""
+    """Shows what a change would do: + new, ~ changed, - dropped, < older than the current version."""
     change = decode_or_exit(read_file(file, as_json), as_json)
     _, configuration = run_or_exit(
         _current_configuration(contact_addresses(at, settings, as_json), wait), as_json
@@ -226,7 +230,7 @@
         lines += [line for field in one.fields for line in wrapped(f"    {field}", "      ")]
     named = {(write.kind, write.name) for write in change.writes}
     others = sum(item.value is not None and key not in named for key, item in configuration.items())
-    lines.append(f"{unchanged} items stand as they are in the file, {others} are not named in it and stay")
+    lines.append(f"{unchanged} items are unchanged, {others} are not in the file and stay as they are")
     value = {
         "differences": [asdict(one) for one in changes if one.sign != "="],
         "alike": unchanged,
@@ -239,14 +243,14 @@
 def _apply(
     file: File,
     within: Annotated[
-        float, typer.Option("--within", min=0.5, max=3600.0, help="Seconds until a clear answer.")
+        float, typer.Option("--within", min=0.5, max=3600.0, help="Timeout of all tries in seconds.")
     ] = 10.0,
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Sends a change, the same to one control process after another, until one answers clearly."""
+    """Sends a change to one control process after another until one gives a definite answer."""
     body = read_file(file, as_json)
     change = decode_or_exit(body, as_json)
     snapshot = run_or_exit(
@@ -261,9 +265,11 @@
         )
     outcome = asyncio.run(write_client.send(addresses, b"PATCH", PATH, body, within))
     if not isinstance(outcome, write_client.Accepted):
-        _fail_without_answer(outcome, "it may be in force: send the same file again", as_json)
+        _fail_without_answer(outcome, "the change may be in force: send the same file again", as_json)
     else:
         names = [item_label(write.kind, write.name) for write in change.writes]
         host, port = outcome.address
         value = {"items": len(names), "by": f"{host}:{port}", "tries": outcome.tries}
-        print_and_exit(value, [f"taken by {host}:{port}: {len(names)} items are in force and kept"], as_json)
+        print_and_exit(
+            value, [f"accepted by {host}:{port}: {len(names)} items are in force and stored"], as_json
+        )
--- a/mesh/cli/judge.py
+++ b/mesh/cli/judge.py
@@ -59,8 +59,8 @@
             yield Finding(
                 "member missing",
                 address,
-                "its disk counts and it does not answer",
-                "start the control process there; its disk is needed for changes",
+                "a voting member does not answer",
+                "start the control process there; its vote may be needed for changes",
             )
 
 
@@ -70,16 +70,16 @@
         yield Finding(
             "core out of reach",
             "-",
-            "no control process answers: no change can be made, calls go on",
-            "start the control processes, or look at the network to them",
+            "no control process answers: no change can be made; calls are still served",
+            "start the control processes, or check the network to them",
         )
     for process in controllers:
         if process.status is not None and not process.status.get("in_touch"):
             yield Finding(
                 "core cut",
                 process.node,
-                "hears too few others: it takes no change and may miss some",
-                "start the missing members or mend the network between them",
+                "has no contact with a quorum: it accepts no change and may miss some",
+                "start the missing members or repair the network between them",
             )
         conflicts = object_field(process.status or {}, "votes").get("rivalled", [])
         recent = [one for one in conflicts if number_field(one, "ago_ms") < CONFLICT_REPORT_MS]
@@ -88,13 +88,13 @@
             yield Finding(
                 "rivalled number",
                 process.node,
-                f"refused {len(recent)} orders in ten minutes since others have their numbers, last {named}",
-                "two operators use the same versions; read back and send under higher ones",
+                f"refused {len(recent)} changes in ten minutes whose versions others had used, last {named}",
+                "two operators use the same versions; read the configuration and send higher versions",
             )
 
 
 def _tolerance(snapshot: MeshSnapshot) -> Iterator[Finding]:
-    """One control process with contact is enough for a finding."""
+    """One control process with quorum contact is enough for a finding."""
     for process in snapshot.answering(CONTROLLER):
         tolerable, required = object_field(process.status, "borne"), object_field(process.status, "tolerates")
         reduced = [
@@ -110,7 +110,7 @@
             yield Finding(
                 "fewer losses borne",
                 "-",
-                f"more losses that orders would go on after: {shortfall}",
+                f"further losses after which changes would still be possible: {shortfall}",
                 "start or replace the members that are down (members show)",
             )
             return
@@ -122,14 +122,14 @@
         refused = text_field(process.status, "refused")
         if refused:
             yield Finding(
-                "disk refuses", process.node, refused, "make room or replace the disk; it is tried on"
+                "disk refuses", process.node, refused, "free space or replace the disk; writes are retried"
             )
         if process.status.get("counted") and not process.status.get("whole"):
             yield Finding(
                 "disk not whole",
                 process.node,
-                "its disk came back empty or damaged and does not count yet",
-                "it reads from the others by itself; where it stays so, start the missing members",
+                "its disk came back empty or damaged and has no vote yet",
+                "it catches up from the others by itself; if that does not end, start the missing members",
             )
 
 
@@ -141,14 +141,14 @@
                 "no answer",
                 process.name,
                 process.why,
-                "start it or look at its network; where its machine is gone, nothing is to do",
+                "start it or check its network; if its machine is gone for good, do nothing",
             )
         elif process.status is not None and process.name in snapshot.nodes and process.node != process.name:
             yield Finding(
                 "other node there",
                 process.name,
                 f"{process.node} answers at its address",
-                "nothing, where one machine took the other's place; else give each its own address",
+                "nothing if one machine replaced the other; else give each its own address",
             )
 
 
@@ -160,8 +160,8 @@
             yield Finding(
                 "behind",
                 process.node,
-                f"holds {number_field(held, 'items'):.0f} items, digest {process.digest}, unlike most",
-                "look again in 4 s; where it stays so, look at its links to the control processes",
+                f"holds {number_field(held, 'items'):.0f} items, digest {process.digest}, unlike most others",
+                "check again in 4 s; if it is still behind, check its links to the control processes",
             )
 
 
@@ -173,7 +173,7 @@
                 "instance without node",
                 instance,
                 f"of {text_field(value, 'plant')}; its node {node or '?'} is not known",
-                "look whether that machine runs; calls to it fail and go elsewhere",
+                "check whether that machine runs; calls to it fail and are sent elsewhere",
             )
 
 
@@ -187,8 +187,8 @@
             yield Finding(
                 "not ready",
                 process.node,
-                "has no configuration yet, or none that is known to be whole",
-                "look at the control processes; it asks them by itself",
+                "has no configuration yet, or none that is known to be complete",
+                "check the control processes; the sidecar asks them by itself",
             )
         control = object_field(status, "control")
         if status.get("ready") and control.get("without_ms") is not None:
@@ -198,21 +198,24 @@
             yield Finding(
                 "cut from core",
                 process.node,
-                f"no control process with contact in reach for {without_s:.1f} s; "
-                f"it goes on by a configuration that may be {behind_s:.1f} s old",
-                "start the missing members or mend the network to the core; it takes the newest by itself",
+                f"no control process with quorum contact has been reachable for {without_s:.1f} s; "
+                f"it uses a configuration that may be {behind_s:.1f} s old",
+                "start the missing members or repair the network to them; the sidecar catches up by itself",
             )
         upstream, beat_ms = object_field(status, "upstream"), number_field(status, "beat_ms", 1500.0)
         silent = number_field(upstream, "silent_ms")
         if not upstream:
-            what = "no upstream has announced itself beside it"
+            what = "no upstream has registered with this sidecar"
         elif upstream.get("gone"):
-            what = f"its upstream {text_field(upstream, 'instance')} has gone and no other has come"
+            what = f"its upstream {text_field(upstream, 'instance')} is gone and no other has registered"
         elif silent > SILENT_HEARTBEATS * beat_ms:
-            what = f"its upstream {text_field(upstream, 'instance')} is silent for {silent / 1000.0:.1f} s"
+            what = (
+                f"its upstream {text_field(upstream, 'instance')} has sent no heartbeat for "
+                f"{silent / 1000.0:.1f} s"
+            )
         else:
             continue
-        yield Finding("no beats", process.node, what, "look at the upstream on that machine")
+        yield Finding("no beats", process.node, what, "check the upstream on that machine")
 
 
 def _clocks(snapshot: MeshSnapshot) -> Iterator[Finding]:
@@ -227,7 +230,7 @@
                 "clock off",
                 process.node,
                 f"{abs(offset_s):.1f} s {'ahead of' if offset_s > 0 else 'behind'} the others",
-                "set that machine's clock; its log lines and its own item's version go by it",
+                "set that machine's clock; its log times and the version of its own item depend on it",
             )
 
 
@@ -239,7 +242,7 @@
                 "unknown settings",
                 process.node,
                 ", ".join(str(name) for name in unknown[:5]),
-                "nothing, where the file is meant for a newer program; else mend the names",
+                "nothing if the file is meant for a newer program; else correct the names",
             )
 
 
--- a/mesh/cli/members.py
+++ b/mesh/cli/members.py
@@ -29,19 +29,21 @@
 
 REMOVE_WAIT_S = 10.0
 
-members = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="Whose disks count in the core.")
+members = typer.Typer(
+    rich_markup_mode=None, no_args_is_help=True, help="The voting members of the control plane."
+)
 
 
 @members.command("show")
 def _show(
     at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
 ) -> None:
-    """Who counts, under which epoch, what each lacks, and how many more losses are borne."""
+    """Shows the members, their epoch, the state of their disks, and how many more losses are tolerated."""
     view = run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json)
     process = pick_controller(view, as_json)
     reply = asyncio.run(ask(process.address, "members", wait))
     holder = _holder(view, reply)
-    # Only the holder knows why a silent member is kept
+    # Only the holder of the lease knows why a silent member is kept
     if holder is not None and holder.node != process.node:
         answer = asyncio.run(ask(holder.address, "members", wait))
         if isinstance(answer, Answered):
@@ -55,13 +57,15 @@
 
 @members.command("remove")
 def _remove(
-    node: Annotated[str, typer.Argument(metavar="NODE", help="A node, or a member's address.")],
+    node: Annotated[
+        str, typer.Argument(metavar="NODE", help="The name of a node or the address of a member.")
+    ],
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = REMOVE_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Says that a machine which counts is gone for good; refused where taking it out is not safe."""
+    """Removes a member whose machine is permanently gone; refused if the removal is not safe."""
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), min(wait, DEFAULT_WAIT_S), (CONTROLLER,)),
         as_json,
@@ -71,13 +75,13 @@
     if isinstance(reply, Unreachable):
         fail(
             EXIT_NO_ANSWER,
-            f"{process.node}: {reply.why}; it may be under way: look with members show",
+            f"{process.node}: {reply.why}; the removal may be in progress: check members show",
             as_json,
         )
     if not isinstance(reply, Answered):
         fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     names = ", ".join(str(one) for one in reply.value.get("members", []))
-    lines = wrapped(f"{node} counts no more, epoch {number_field(reply.value, 'epoch'):.0f}: {names}")
+    lines = wrapped(f"{node} is no longer a member, epoch {number_field(reply.value, 'epoch'):.0f}: {names}")
     print_and_exit({"node": process.node, **reply.value}, lines, as_json, EXIT_OK)
 
 
@@ -96,7 +100,7 @@
 
 
 def member_lines(answer: Mapping[str, Any]) -> list[str]:
-    suffix = ", a change is under way" if answer.get("joint") else ""
+    suffix = ", a change is in progress" if answer.get("joint") else ""
     lines = [
         line(
             f"epoch {number_field(answer, 'epoch'):.0f}{suffix}; "
@@ -106,18 +110,18 @@
     rows, why = [], []
     listed = answer.get("members")
     for row in listed if isinstance(listed, list) else []:
-        counts = "counts" if row.get("counts") else "joins" if row.get("joins") else "no"
+        vote = "yes" if row.get("counts") else "joining" if row.get("joins") else "no"
         if row.get("before") and not row.get("counts"):
-            counts = "goes"
-        disk = "whole" if row.get("whole") else "not whole"
-        state = "leaves" if row.get("leaves") else "heard" if row.get("heard") else "silent"
+            vote = "leaving"
+        disk = "complete" if row.get("whole") else "incomplete"
+        state = "leaving" if row.get("leaves") else "heard" if row.get("heard") else "silent"
         if state == "silent":
             state += f" {number_field(row, 'silent_s'):.0f} s"
-        cells = (row.get("address"), row.get("node") or "-", row.get("zone") or "-", counts, disk)
+        cells = (row.get("address"), row.get("node") or "-", row.get("zone") or "-", vote, disk)
         rows.append((*cells, f"{number_field(row, 'level'):.0f}", state))
         if text_field(row, "stays"):
-            why += wrapped(f"{row.get('address')} stays: {text_field(row, 'stays')}")
-    lines += ["", *table(("member", "node", "zone", "counts", "disk", "level", "state"), rows)]
+            why += wrapped(f"{row.get('address')} is kept: {text_field(row, 'stays')}")
+    lines += ["", *table(("member", "node", "zone", "vote", "disk", "level", "state"), rows)]
     if why or text_field(answer, "waits"):
         lines += ["", *why]
     if text_field(answer, "waits"):
--- a/mesh/cli/options.py
+++ b/mesh/cli/options.py
@@ -22,7 +22,7 @@
 
 At = Annotated[
     list[str] | None,
-    typer.Option("--at", metavar="HOST:PORT", help="A process of the mesh, by its peers' port; repeatable."),
+    typer.Option("--at", metavar="HOST:PORT", help="The peer port of any process of the mesh; repeatable."),
 ]
 SettingsFile = Annotated[
     Path | None,
@@ -30,11 +30,13 @@
         "--settings",
         metavar="FILE",
         envvar="ANISESTAIR_BOOT",
-        help="A process's settings file: its seeds are asked. --at wins over it.",
+        help="A process's settings file; its seeds are contacted. --at overrides it.",
     ),
 ]
-Wait = Annotated[float, typer.Option("--wait", min=0.05, max=600.0, help="Seconds for one answer.")]
-AsJson = Annotated[bool, typer.Option("--json", help="The answer as JSON.")]
+Wait = Annotated[
+    float, typer.Option("--wait", min=0.05, max=600.0, help="Timeout of each answer in seconds.")
+]
+AsJson = Annotated[bool, typer.Option("--json", help="Print the result as JSON.")]
 
 
 def fail(code: int, reason: str, as_json: bool) -> NoReturn:
@@ -58,7 +60,7 @@
         if None in addresses:
             fail(
                 EXIT_USAGE,
-                f"--at: {at[addresses.index(None)]} is no HOST:PORT; give a process's peer port",
+                f"--at: {at[addresses.index(None)]} is not HOST:PORT; give a process's peer port",
                 as_json,
             )
         return [address for address in addresses if address is not None]
--- a/mesh/cli/ownership.py
+++ b/mesh/cli/ownership.py
@@ -28,15 +28,17 @@
 from mesh.cli.text import line, table
 from mesh.data_plane.membership import CONTROLLER
 
-ownership = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="Who holds the keys of a service.")
+ownership = typer.Typer(
+    rich_markup_mode=None, no_args_is_help=True, help="Which upstream holds which keys of a service."
+)
 
 Service = Annotated[str, typer.Option(help="Only this service.")]
-Key = Annotated[int | None, typer.Option(min=0, max=65535, help="Only the row with this key.")]
+Key = Annotated[int | None, typer.Option(min=0, max=65535, help="Only the key range with this key.")]
 
 
 @ownership.callback()
 def _ownership() -> None:
-    """Who holds the keys of a service."""
+    """Which upstream holds which keys of a service."""
 
 
 @ownership.command("show")
@@ -48,7 +50,7 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """The map of each divided service: rows, holders, what is in motion, and each row's share of traffic."""
+    """Shows the key ranges of each sharded service: holders, moves in progress, and shares of the traffic."""
     process = pick_controller(
         run_or_exit(take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json),
         as_json,
@@ -66,7 +68,7 @@
     if service and not services:
         fail(
             EXIT_REFUSED,
-            f"service {service[:80]!r}: it has no map; it is not divided, or has no upstream",
+            f"service {service[:80]!r} has no key map: it is not sharded, or has no upstream",
             as_json,
         )
     print_and_exit({"node": process.node, "services": services}, ownership_lines(services), as_json, EXIT_OK)
@@ -79,23 +81,23 @@
 
 
 def ownership_lines(services: Mapping[str, Mapping[str, Any]]) -> list[str]:
-    """The maps as lines."""
+    """The key maps as lines."""
     lines: list[str] = []
     for name, key_map in services.items():
         rows = key_map.get("rows", [])
         vacant = sum(row[1] - row[0] + 1 for row in rows if not row[2])
         moving = sum(row[4] is not None for row in rows)
-        head = f"{name}: map {number_field(key_map, 'version'):.0f}, {len(rows)} rows, {moving} in motion"
+        head = f"{name}: map {number_field(key_map, 'version'):.0f}, {len(rows)} ranges, {moving} moving"
         lines += [line(head + (f", {vacant} keys without a holder" if vacant else "")), ""]
         cells = [
             (
                 f"{first}-{last}",
-                holder or "nobody",
+                holder or "none",
                 str(fence),
-                "-" if to is None else f"to {to or 'whoever is least busy'}, {for_s or 0:.1f} s",
+                "-" if to is None else f"to {to or 'the least busy'}, {for_s or 0:.1f} s",
                 f"{100.0 * share:.1f}%",
             )
             for first, last, holder, fence, to, for_s, share in rows
         ]
-        lines += [*table(("keys", "holder", "fence", "leaves", "traffic"), cells), ""]
-    return lines or ["no service is divided by key"]
+        lines += [*table(("keys", "holder", "fence", "moves", "traffic"), cells), ""]
+    return lines or ["no service is sharded by key"]
--- a/mesh/cli/rollout.py
+++ b/mesh/cli/rollout.py
@@ -29,19 +29,23 @@
 from mesh.data_plane.membership import CONTROLLER, PROXY
 from mesh.rollout.change_kinds import STAGED
 
-rollout = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="Changes as they go out in stages.")
+rollout = typer.Typer(
+    rich_markup_mode=None, no_args_is_help=True, help="Staged rollouts of changes to the sidecars."
+)
 
 NAMES_WIDTH = 60  # in columns
-Item = Annotated[str, typer.Argument(metavar="ITEM", help="KIND/NAME; a name alone is a route's.")]
+Item = Annotated[str, typer.Argument(metavar="ITEM", help="KIND/NAME, or the name of a route.")]
 Name = Annotated[str, typer.Argument(metavar="ROUTE", help="The route's name.")]
-Next = Annotated[bool, typer.Option("--next", help="For the route's next version, if it comes within 60 s.")]
+Next = Annotated[
+    bool, typer.Option("--next", help="Apply to the route's next version, if it arrives within 60 s.")
+]
 
 
 @rollout.command("show")
 def _show(
     at: At = None, settings: SettingsFile = None, wait: Wait = DEFAULT_WAIT_S, as_json: AsJson = False
 ) -> None:
-    """The changes of late, and which sidecars have not confirmed them."""
+    """Shows the recent changes and the sidecars that have not confirmed them."""
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), wait, (CONTROLLER,)), as_json
     )
@@ -64,7 +68,7 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Who took an item's versions and when, and why a stage waited."""
+    """Shows when each sidecar activated an item's versions, and why a stage waited."""
     kind, _, name = (
         item.rpartition("/")
         if item.startswith(("route/", "plant/", "input_limits/"))
@@ -95,7 +99,7 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """The others wait for their latest instant, whatever the first part says."""
+    """Holds the second stage back until its deadline, whatever the canaries report."""
     _order("hold", route, at_next, at, settings, wait, as_json)
 
 
@@ -108,7 +112,7 @@
     wait: Wait = DEFAULT_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """All take it at once."""
+    """Activates the route's held version at all sidecars at once."""
     _order("go", route, at_next, at, settings, wait, as_json)
 
 
@@ -131,11 +135,11 @@
         fail(
             EXIT_REFUSED,
             f"{route}: {in_force or 'nothing'} is in force, nothing is held back; send a higher version, or "
-            "order --next",
+            "use --next",
             as_json,
         )
     print_and_exit(
-        value, [f"{command}: {len(obeyed)} of {len(answers)} sidecars still held it back", *notes], as_json
+        value, [f"{command}: {len(obeyed)} of {len(answers)} sidecars were holding it back", *notes], as_json
     )
 
 
@@ -198,17 +202,17 @@
                 join_names([str(name) for name in one.get("lack", [])], 24) or "-",
             ]
         )
-    return table(["ago", "items", "which", "confirmed", "after", "first part", "lack it"], cells)
+    return table(["ago", "items", "which", "confirmed", "after", "canaries", "missing at"], cells)
 
 
 def vote_lines(votes: JsonObject) -> list[str]:
     """The number of open votes, and a line for each refused order of a version that another order has."""
     count = int(number_field(votes, "open"))
-    lines = [f"{count} votes are open: they are decided within seconds"] if count else []
+    lines = [f"{count} open votes: they are decided within seconds"] if count else []
     for one in votes.get("rivalled", []):
         ago = f"{number_field(one, 'ago_ms') / 1000.0:.1f} s ago"
         named = f"{one.get('kind')} {one.get('name')} r{one.get('version')}"
-        lines.append(f"rivalled: {named}, {ago}: another order has it")
+        lines.append(f"conflict: {named}, {ago}: another change has this version")
     return lines
 
 
@@ -216,7 +220,7 @@
     """The stage that a sidecar belongs to; changes that are not staged have only one."""
     if passed.get("kind") not in {kind.value for kind in STAGED}:
         return "all"
-    return "first" if passed.get("first") else "rest"
+    return "canary" if passed.get("first") else "rest"
 
 
 def explain_lines(
@@ -230,14 +234,14 @@
     ]
     for node, since in core.get("lack", []):
         last_report = (
-            "never heard of"
+            "never reported"
             if since is None
             else f"last report {number_field({'s': since}, 's') / 1000.0:.1f} s ago"
         )
         lines.append(f"  {node} has not confirmed it: {last_report}")
     if kind != ROUTE:
-        return [*lines, "  taken whole at once by each sidecar as it comes to know it"]
-    lines += wrapped(f"  first part: {', '.join(str(one) for one in core.get('first', []))}", "    ")
+        return [*lines, "  not staged: each sidecar activates it as soon as it receives it"]
+    lines += wrapped(f"  canaries: {', '.join(str(one) for one in core.get('first', []))}", "    ")
     new_calls, new_failures, old_calls, old_failures = [*core.get("word", []), 0, 0, 0, 0][:4]
     if new_calls:
         lines.append(
@@ -245,7 +249,7 @@
         )
     for one in answers:
         if one.get("dry"):
-            lines.append(f"  {one['node']}: {one['dry']} had no live upstream when the route came")
+            lines.append(f"  {one['node']}: {one['dry']} had no live upstream when the route arrived")
     versions = sorted({int(p["version"]) for one in answers for p in one.get("passes", [])}, reverse=True)
     for version in versions[:4]:
         rows = []
@@ -264,7 +268,7 @@
                         ]
                     )
         lines.append(f"r{version}")
-        lines += table(["node", "part", "state", "known", "in force after", "why"], rows, "  ")
+        lines += table(["node", "stage", "state", "received", "in force after", "why"], rows, "  ")
     if silent:
         lines.append(f"no answer from {len(silent)} sidecars: {join_names(silent, NAMES_WIDTH)}")
     return lines
--- a/mesh/cli/shape.py
+++ b/mesh/cli/shape.py
@@ -12,7 +12,7 @@
 from mesh.data_plane.membership import CONTROLLER, PROXY, ROLE_NAMES
 
 MAX_ROWS = 10  # of each table in `status`, which must fit on a screen
-MAX_ALIKE_FINDINGS = 10  # of one kind in `doctor`; --json has all
+MAX_ALIKE_FINDINGS = 10  # of one kind in the output of `doctor`; --json shows all
 
 
 def service_counts(snapshot: MeshSnapshot) -> list[dict[str, Any]]:
@@ -70,12 +70,12 @@
     """At most about 50 lines, regardless of the size of the mesh."""
     lines = []
     if found:
-        lines.append("NOT AS IT SHOULD BE (doctor tells what to do)")
+        lines.append("PROBLEMS FOUND (doctor shows the remedies)")
         for kind, similar in group_by_kind(list(found)).items():
             label = f"  {kind:<22}{len(similar):>5}  "
             lines.append(line(label + join_names([finding.subject for finding in similar], 100 - len(label))))
     else:
-        lines.append("all is as it should be")
+        lines.append("no problems found")
     lines.append("")
     for role in (CONTROLLER, PROXY):
         known = [p for p in snapshot.processes if snapshot.role_of(p) == role]
@@ -107,7 +107,7 @@
             if epoch > found.get(lease, (0.0, ""))[0]:
                 found[lease] = epoch, text_field(lease_status, "holder")
     return [
-        line(f"{'duties':<12}{lease} by {holder}, epoch {epoch:.0f}")
+        line(f"{'leases':<12}{lease} by {holder}, epoch {epoch:.0f}")
         for lease, (epoch, holder) in sorted(found.items())[:MAX_ROWS]
     ]
 
@@ -120,7 +120,7 @@
     if not statuses:
         return []
     newest = max(statuses, key=lambda one: (bool(one.get("in_touch")), number_field(one, "epoch")))
-    count = f"{len(object_field(newest, 'members'))} count, epoch {number_field(newest, 'epoch'):.0f}"
+    count = f"{len(object_field(newest, 'members'))}, epoch {number_field(newest, 'epoch'):.0f}"
     return [line(f"{'members':<12}{count}; {tolerated_losses(object_field(newest, 'borne'))}")]
 
 
@@ -129,7 +129,7 @@
     rows = []
     for process in controllers[:MAX_ROWS]:
         status = process.status or {}
-        disk = "refuses" if status.get("refused") else "whole" if status.get("whole") else "not whole"
+        disk = "refuses" if status.get("refused") else "complete" if status.get("whole") else "incomplete"
         rows.append(
             (
                 *(
@@ -185,10 +185,10 @@
             lines += wrapped(f"{kind}: {finding.subject}: {finding.what}")
         if len(similar) > MAX_ALIKE_FINDINGS:
             omitted = [finding.subject for finding in similar[MAX_ALIKE_FINDINGS:]]
-            lines.append(line(f"  and {len(omitted)} more alike: {join_names(omitted, 70)}"))
+            lines.append(line(f"  and {len(omitted)} more of this kind: {join_names(omitted, 70)}"))
         for mend in dict.fromkeys(finding.mend for finding in similar):
             lines += wrapped(f"  -> {mend}", "     ")
-    return lines or ["nothing is found"]
+    return lines or ["no problems found"]
 
 
 def merge_upstreams(answers: Sequence[JsonObject]) -> list[dict[str, Any]]:
@@ -257,7 +257,7 @@
         if rows:
             lines += table(("instance", "node", "w ms", "deficit", "active", "held", "why"), rows, "  ")
         else:
-            lines.append("  no upstream of it is known: calls are refused")
+            lines.append("  no upstream is known: calls are refused")
     return lines
 
 
@@ -281,12 +281,12 @@
                     "    ",
                 )
             if entry.get("further"):
-                lines.append(f"  and {number_field(entry, 'further'):.0f} tries more")
+                lines.append(f"  and {number_field(entry, 'further'):.0f} more tries")
             end = f"  end: {text_field(entry, 'end')}, after {number_field(entry, 'took_ms'):g} ms"
             lines += wrapped(f"{end} (aim {number_field(entry, 'aim_ms'):g} ms)", "    ")
         else:
             ran = entry.get("ran_ms")
-            passed = f"passed on, ran {ran:g} ms" if isinstance(ran, int | float) else "not passed on"
+            passed = f"forwarded, ran {ran:g} ms" if isinstance(ran, int | float) else "not forwarded"
             lines += wrapped(
                 f"{lead}: for {text_field(entry, 'instance')}, called by "
                 f"{text_field(entry, 'caller')}: waited "
--- a/mesh/cli/state.py
+++ b/mesh/cli/state.py
@@ -30,14 +30,16 @@
 
 STATUS_WAIT_S = 2.0  # for statuses; the longer wait is for disks
 
-state = typer.Typer(rich_markup_mode=None, no_args_is_help=True, help="The state on the core's disks.")
+state = typer.Typer(
+    rich_markup_mode=None, no_args_is_help=True, help="The state on the control processes' disks."
+)
 
 
 @state.command("verify")
 def _verify(
     at: At = None, settings: SettingsFile = None, wait: Wait = DISK_WAIT_S, as_json: AsJson = False
 ) -> None:
-    """Every row of every control process's disk, read and checked; changes wait for it there."""
+    """Reads and checks every row on every control process's disk; changes wait there meanwhile."""
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
         as_json,
@@ -61,7 +63,7 @@
         for finding in row["findings"]:
             lines += wrapped(f"{row['node']}: {finding}")
         if not row["findings"]:
-            moving = "; changes came meanwhile, so memory was not compared" if row.get("moving") else ""
+            moving = "; changed during the check, so memory was not compared" if row.get("moving") else ""
             lines.append(f"{row['node']}: {row.get('items')} items, digest {row.get('disk')}{moving}")
     has_findings = any(row["findings"] for row in rows)
     print_and_exit(rows, lines, as_json, EXIT_FINDINGS if has_findings else EXIT_OK)
@@ -79,7 +81,7 @@
         reasons.append(
             f"disk holds {number_field(answer, 'items'):.0f} items, digest {text_field(answer, 'disk')}, "
             f"memory {text_field(answer, 'memory')}; "
-            f"look for refusals of the disk in its log, then start it again"
+            f"look for refused disk writes in its log, then restart it"
         )
     return reasons
 
@@ -88,22 +90,25 @@
 def _restore(
     copy: Annotated[
         str,
-        typer.Argument(metavar="[COPY]", help="A copy's folder under the state folder; else its disk."),
+        typer.Argument(
+            metavar="[COPY]",
+            help="A backup's folder under the state folder; by default the process's own disk.",
+        ),
     ] = "",
     lost: Annotated[
         list[str] | None,
-        typer.Option("--lost", metavar="ADDRESS", help="A member that is gone for good; repeatable."),
+        typer.Option("--lost", metavar="ADDRESS", help="A member that is permanently lost; repeatable."),
     ] = None,
     where: Annotated[
-        str, typer.Option("--from", metavar="NODE", help="The control process that leads.")
+        str, typer.Option("--from", metavar="NODE", help="The control process whose state is restored.")
     ] = "",
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = DISK_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """After more losses than are borne: what a control process holds, or a copy, leads on. Refused where
-    that would make older state lead."""
+    """Restores the mesh from one control process's disk, or from a backup, after more losses than are
+    tolerated. Refused if that would replace newer state by older."""
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
         as_json,
@@ -115,29 +120,31 @@
     process = candidates[0]
     reply = asyncio.run(ask(process.address, "restore", wait, copy=copy, lost=list(lost or ())))
     if isinstance(reply, Unreachable):
-        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; it may be done: look at status", as_json)
+        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; the restore may be done: check status", as_json)
     if not isinstance(reply, Answered):
         fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     answer = reply.value
     names = ", ".join(str(one) for one in answer.get("members", []))
     lines = wrapped(
-        f"{process.node}: {number_field(answer, 'items'):.0f} items lead, "
+        f"{process.node}: {number_field(answer, 'items'):.0f} items restored, "
         f"epoch {number_field(answer, 'epoch'):.0f}, "
-        f"counted: {names}; the others come to count by themselves"
+        f"members: {names}; the others join again by themselves"
     )
     print_and_exit({"node": process.node, **answer}, lines, as_json)
 
 
 @state.command("backup")
 def _backup(
-    to: Annotated[str, typer.Argument(metavar="TO", help="A folder under the process's state folder.")],
-    where: Annotated[str, typer.Option("--from", metavar="NODE", help="The control process; else any.")] = "",
+    to: Annotated[str, typer.Argument(metavar="TO", help="A new folder under the process's state folder.")],
+    where: Annotated[
+        str, typer.Option("--from", metavar="NODE", help="The control process; any one by default.")
+    ] = "",
     at: At = None,
     settings: SettingsFile = None,
     wait: Wait = DISK_WAIT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Has a control process copy its store, as it is now, to a new folder under its state folder."""
+    """Backs up a control process's store to a new folder under its state folder."""
     snapshot = run_or_exit(
         take_snapshot(contact_addresses(at, settings, as_json), min(wait, STATUS_WAIT_S), (CONTROLLER,)),
         as_json,
@@ -151,7 +158,11 @@
     process = candidates[0]
     reply = asyncio.run(ask(process.address, "backup", wait, to=to))
     if isinstance(reply, Unreachable):
-        fail(EXIT_NO_ANSWER, f"{process.node}: {reply.why}; the copy may still be made: look there", as_json)
+        fail(
+            EXIT_NO_ANSWER,
+            f"{process.node}: {reply.why}; the backup may still be made: check that folder",
+            as_json,
+        )
     if not isinstance(reply, Answered):
         fail(EXIT_REFUSED, f"{process.node}: {reply.reason}", as_json)
     value = {"node": process.node, **reply.value}
--- a/mesh/cli/text.py
+++ b/mesh/cli/text.py
@@ -45,7 +45,7 @@
 
 
 def join_names(items: Sequence[str], width: int) -> str:
-    """The first names that fit into ``room`` columns, and the number of the others."""
+    """The first names that fit into ``width`` columns, and the number of the others."""
     shown = ""
     for at, name in enumerate(items):
         suffix = f" and {len(items) - at} more"
@@ -59,9 +59,9 @@
 def tolerated_losses(losses: Mapping[str, Any]) -> str:
     """How many more losses the members tolerate."""
     if losses.get("machines") == -1:
-        return "orders do not go on now"
+        return "changes are not possible now"
     kinds = [f"{kind} {losses.get(kind, '?')}" for kind in ("machines", "zones", "regions")]
-    return f"losses borne now: {', '.join(kinds)}"
+    return f"losses tolerated now: {', '.join(kinds)}"
 
 
 def _cell_text(cell: object) -> str:
--- a/mesh/cli/write_client.py
+++ b/mesh/cli/write_client.py
@@ -97,7 +97,7 @@
     """Sends a call to the processes in turn until one answers definitely or ``within_s`` has passed."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + within_s
-    pause_s, tries, other_errors, any_answer, reason = MIN_PAUSE_S, 0, 0, False, "nobody answers"
+    pause_s, tries, other_errors, any_answer, reason = MIN_PAUSE_S, 0, 0, False, "no process answers"
     while addresses and loop.time() < deadline:
         address = addresses[tries % len(addresses)]
         tries += 1
--- a/tests/mesh/test_cli_judge.py
+++ b/tests/mesh/test_cli_judge.py
@@ -146,7 +146,7 @@
     view = snapshot(*processes)
     lines = shape.status_lines(view, findings(view))
     assert len(lines) <= 50 and max(map(len, lines)) <= 100
-    assert lines[0].startswith("NOT AS IT SHOULD BE") and lines[1].split()[:3] == ["member", "missing", "1"]
+    assert lines[0].startswith("PROBLEMS FOUND") and lines[1].split()[:3] == ["member", "missing", "1"]
     assert any(line.split()[:3] == ["no", "answer", "500"] and "more" in line for line in lines)
     assert "proxies     500 of 1000 answer" in lines
     doctor_lines = shape.doctor_lines(findings(view))
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -173,7 +173,7 @@
         result = run(mesh, "status", at=at)
         assert result.exit_code == 0, result.output
         lines = narrow(result)
-        assert lines[0] == "all is as it should be"
+        assert lines[0] == "no problems found"
         assert "controllers 2 of 2 answer" in lines and "proxies     2 of 2 answer" in lines
         assert any(
             line.startswith("configuration 4 items, 0 dropped") and "4 processes" in line for line in lines
@@ -189,10 +189,10 @@
 def test_members_are_shown_and_one_that_runs_is_not_removed(mesh: Mesh) -> None:
     mesh.wait(lambda: all(core.joining.settled() for core in mesh.cores))
     head, _, columns, *rows = narrow(run(mesh, "members", "show"))
-    assert head == "epoch 3; losses borne now: machines 0, zones 0, regions 0"
-    assert columns.split() == ["member", "node", "zone", "counts", "disk", "level", "state"]
+    assert head == "epoch 3; losses tolerated now: machines 0, zones 0, regions 0"
+    assert columns.split() == ["member", "node", "zone", "vote", "disk", "level", "state"]
     assert [row.split()[:5] for row in rows] == [
-        [ip, f"core-{at}", "z", "counts", "whole"] for at, ip in enumerate(CORES)
+        [ip, f"core-{at}", "z", "yes", "complete"] for at, ip in enumerate(CORES)
     ]
     shown = told(mesh, "members", "show")
     assert [row["address"] for row in shown["members"]] == CORES and shown["joint"] is False
@@ -246,7 +246,7 @@
     lines = narrow(run(mesh, "trace", failed))
     assert any("500, the upstream's own answer" in line for line in lines)
     result = run(mesh, "trace", "f" * 16)
-    assert result.exit_code == 1 and "nothing is kept of it at 2 sidecars" in result.stdout
+    assert result.exit_code == 1 and "not found at 2 sidecars" in result.stdout
 
 
 def test_config_get_gives_what_stands_and_one_item_of_it(mesh: Mesh) -> None:
@@ -280,7 +280,7 @@
         "+ route new: r1",
         "~ route read: r1 -> r4",
         "    response.trials: 2 -> 3",
-        "0 items stand as they are in the file, 2 are not named in it and stay",
+        "0 items are unchanged, 2 are not in the file and stay as they are",
     ]
     result = run(mesh, "config", "apply", file)
     assert result.exit_code == 4 and "names the unknown service blue" in result.output
@@ -336,7 +336,7 @@
     assert found["disk refuses"]["subject"] == "core-0" and found["no beats"]["subject"] == "side-1"
     assert all(one["mend"] for one in found.values())
     result = run(mesh, "status")
-    assert result.exit_code == 1 and narrow(result)[0].startswith("NOT AS IT SHOULD BE")
+    assert result.exit_code == 1 and narrow(result)[0].startswith("PROBLEMS FOUND")
     narrow(run(mesh, "doctor"))
 
 
@@ -351,7 +351,7 @@
     ):
         result = CliRunner().invoke(app, [*words, *nobody])
         assert result.exit_code == 3 and len(result.stderr.splitlines()) == 1, (words, result.output)
-        assert "nobody answers" in result.stderr
+        assert "no process answers" in result.stderr
         assert json.loads(CliRunner().invoke(app, [*words, *nobody, "--json"]).stdout)["error"]
         result = CliRunner().invoke(app, words, env={"ANISESTAIR_BOOT": ""})
         assert result.exit_code == 2, words
--- a/tests/mesh/test_cli_rollout.py
+++ b/tests/mesh/test_cli_rollout.py
@@ -55,7 +55,10 @@
     newest = lines[lines.index(f"r{version}") :][2:4]
     assert sum("first part: taken at once" in line for line in newest) == 1, newest
     assert sum("its latest instant" in line for line in newest) == 1, newest
-    assert any("taken whole at once" in line for line in narrow(run(mesh, "rollout", "explain", "plant/red")))
+    assert any(
+        "activates it as soon as it receives it" in line
+        for line in narrow(run(mesh, "rollout", "explain", "plant/red"))
+    )
 
 
 def test_an_order_for_what_is_in_force_is_refused_and_one_for_the_next_version_obeyed(mesh: Mesh) -> None:
@@ -82,8 +85,8 @@
         showing = run(mesh, "rollout", "show")
         assert showing.exit_code == 1 and "1 of 2" in showing.output
         assert "held" in run(mesh, "rollout", "explain", "read").output
-        assert "1 of 2 sidecars still held it back" in run(mesh, "rollout", "hold", "read").output
-        assert "1 of 2 sidecars still held it back" in run(mesh, "rollout", "go", "read").output
+        assert "1 of 2 sidecars were holding it back" in run(mesh, "rollout", "hold", "read").output
+        assert "1 of 2 sidecars were holding it back" in run(mesh, "rollout", "go", "read").output
         assert all(side.routes.get("read").version == version for side in mesh.sides)
     finally:
         for side in mesh.sides:
@@ -94,7 +97,7 @@
     assert change_lines([], 0) == ["no change since this control process started"]
     assert len(change_lines([{}, {"missing": 3, "lack": ["s1"], "worse": ["a"], "took_ms": 4}], 9)) == 3
     lines = explain_lines("route", "a", {"lack": [["s1", None], ["s2", 1500]]}, [], ["s3"])
-    assert any("never heard of" in line for line in lines) and any("s3" in line for line in lines)
+    assert any("never reported" in line for line in lines) and any("s3" in line for line in lines)
 
 
 def test_the_page_shows_each_command() -> None:
--- a/tests/mesh/test_restore.py
+++ b/tests/mesh/test_restore.py
@@ -118,7 +118,7 @@
         refused = await asyncio.to_thread(run_command, mesh, "state", "restore", "--from", "core-0")
         assert refused.exit_code == 4 and "is not reached, and may hold" in refused.stderr.replace("\n", " ")
         result = await restore_until_successful(mesh, "--from", "core-0", "--lost", mesh.ips[2])
-        assert "1 items lead" in result.stdout or "2 items lead" in result.stdout, result.stdout
+        assert "1 items restored" in result.stdout or "2 items restored" in result.stdout, result.stdout
         await mesh.wait_until_caught_up(1, 20.0)
         assert await routes(mesh, 1) == {"one": "r1"}
         await mesh.operator.change(patch_body(route("one", "/one/", "p", 2)))
@@ -161,4 +161,4 @@
 
 def test_a_result_is_json_with_the_json_flag(mesh: Mesh) -> None:
     result = run_command(mesh, "state", "restore", "--json")
-    assert result.exit_code == 3 and "nobody answers" in json.loads(result.stdout)["error"]
+    assert result.exit_code == 3 and "no process answers" in json.loads(result.stdout)["error"]
