--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -1,4 +1,4 @@
-"""The CPU budget of decisions: no window above it, levels with hysteresis, gradual loss of service."""
+"""The CPU budget of decisions: no window exceeds it, levels have hysteresis, service degrades gradually."""
 
 from __future__ import annotations
 
@@ -30,48 +30,48 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 400.0), st.booleans()), max_size=200))
-def test_no_window_pays_for_more_than_its_budget(steps: list[tuple[float, bool]]) -> None:
+def test_no_window_spends_more_than_its_budget(steps: list[tuple[float, bool]]) -> None:
     """Work that is done only if the bucket can pay for it keeps to the rate plus one bucket in any window."""
-    governor, now, paid = Governor(SETTINGS), 0.0, list[tuple[float, float]]()
+    governor, now, spent = Governor(SETTINGS), 0.0, list[tuple[float, float]]()
     for gap, most_worth in steps:
         now += gap
         governor.refill(now)
-        while governor.tokens >= governor.mean_cost and governor.affords(most_worth) and len(paid) < 4000:
+        while governor.tokens >= governor.mean_cost and governor.affords(most_worth) and len(spent) < 4000:
             governor.spend(governor.mean_cost)
-            paid.append((now, governor.mean_cost))
-    for at, (begin, _) in enumerate(paid[:: max(len(paid) // 50, 1)]):
-        window = [cost for when, cost in paid[at:] if begin <= when <= begin + 1000.0]
+            spent.append((now, governor.mean_cost))
+    for index, (begin, _) in enumerate(spent[:: max(len(spent) // 50, 1)]):
+        window = [cost for when, cost in spent[index:] if begin <= when <= begin + 1000.0]
         assert sum(window) <= (RATE_SHARE + BUCKET_MS / 1000.0) * BUDGET + governor.mean_cost
     assert -governor.capacity <= governor.tokens <= governor.capacity and FULL <= governor.level <= SHED
 
 
-def test_effort_falls_in_steps_and_comes_back_later_than_it_fell() -> None:
+def test_effort_falls_in_steps_and_recovers_with_hysteresis() -> None:
     governor, seen = Governor(SETTINGS), list[int]()
     governor.refill(0.0)
     while governor.tokens > 0.0:
         governor.spend(10.0)
         seen.append(governor.level)
     assert seen == sorted(seen) and set(seen) == {0, 1, 2, 3}
-    fell = seen.index(SHED) / len(seen)
+    shed_at = seen.index(SHED) / len(seen)
     for now in range(1, 200):
         governor.refill(float(now))
         governor.spend(0.0)
         if governor.level < SHED:
             break
-    assert governor.tokens / governor.capacity > 1.0 - fell + 0.1
+    assert governor.tokens / governor.capacity > 1.0 - shed_at + 0.1
 
 
-def test_a_window_that_keeps_near_a_mark_does_not_turn_effort_to_and_fro() -> None:
-    governor, turns, last = Governor(SETTINGS), 0, FULL
+def test_a_fill_near_a_threshold_does_not_make_the_level_oscillate() -> None:
+    governor, level_changes, last = Governor(SETTINGS), 0, FULL
     for step in range(2000):  # spends at the refill rate in lumps, so the fill stays near one value
         governor.refill(float(step))
         governor.spend(governor.rate + (40.0 if step % 2 else -governor.rate))
-        turns, last = turns + (governor.level != last), governor.level
-    assert turns <= 6
+        level_changes, last = level_changes + (governor.level != last), governor.level
+    assert level_changes <= 6
 
 
 @pytest.mark.parametrize("delay", [float("nan"), float("inf"), -1.0, 0.0, 1e300])
-def test_a_clock_that_the_host_misreads_holds_nothing_up_for_long(delay: float) -> None:
+def test_an_invalid_delay_from_the_host_has_no_lasting_effect(delay: float) -> None:
     governor = Governor(SETTINGS)
     governor.on_delay(delay)
     governor.refill(0.0)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("cost", [0.0, 10e6])
-def test_costs_of_nothing_and_of_ten_seconds(cost: float) -> None:
+def test_costs_of_zero_and_of_ten_seconds(cost: float) -> None:
     """Costs of 0: nothing is charged. Costs of ten seconds: every request is refused at once."""
     costs = api.Costs(cost, cost, cost, cost, cost, cost, cost)
     module = Balancer(replace(SETTINGS, costs=costs), 1)
@@ -93,7 +93,7 @@
     assert (module.governor.level == SHED) == bool(cost) and not (cost and module.requests)
 
 
-def test_those_of_less_worth_are_refused_first_and_told_to_stay_away() -> None:
+def test_requests_of_less_worth_are_refused_first_with_a_retry_delay() -> None:
     module = Balancer(SETTINGS, 1)
     module.handle(0.0, api.ServerList(api.ListKind.FULL, 1, (api.ServerEntry("s"),)))
     refused = {"much": 0, "less": 0}
@@ -108,7 +108,7 @@
     assert refused["less"] > 2 * refused["much"]
 
 
-def test_a_late_host_lowers_effort_and_gets_it_back() -> None:
+def test_a_delayed_event_loop_lowers_effort_until_it_recovers() -> None:
     module = Balancer(replace(SETTINGS, costs=api.Costs()), 1)  # no budget: only the delay counts
     for delay, level in ((5.0, FULL), (15.0, SAMPLED), (60.0, SHED)):
         module.handle(0.0, api.Late(delay))
@@ -123,8 +123,8 @@
     return Simulation(source.scenario_for(1), 1, balancer).run().service
 
 
-def test_service_falls_smoothly_where_a_textbook_policy_falls_off_a_cliff() -> None:
-    """Traffic from within the budget up to three times as much: what the budget pays for is served."""
-    found = {share: service(Balancer, share) for share in (0.3, 0.45, 0.9)}
-    assert found[0.3] > 0.99 and found[0.45] > 0.85
-    assert found[0.9] > 0.5 > service(LeastOfTwo, 0.9)
+def test_service_degrades_gradually_where_a_textbook_policy_collapses() -> None:
+    """Traffic from within the budget up to three times as much: as much as the budget allows is served."""
+    services = {share: service(Balancer, share) for share in (0.3, 0.45, 0.9)}
+    assert services[0.3] > 0.99 and services[0.45] > 0.85
+    assert services[0.9] > 0.5 > service(LeastOfTwo, 0.9)
