--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -48,15 +48,15 @@
 def run_real(source: Source, seed: int) -> dict[str, Any]:
     """Runs a play with real processes; its row, and figures of the rig."""
     load_average, started_at = os.getloadavg()[0], time.monotonic()
-    found, up_s = many.play(source, seed)
+    result, up_s = many.play(source, seed)
     return {
-        "row": found.row,
+        "row": result.row,
         "up_s": round(up_s, 2),
-        "memory_mb": found.memory_mb(),
-        "late_ms": round(found.late_ms, 1),
+        "memory_mb": result.memory_mb(),
+        "late_ms": round(result.late_ms, 1),
         "took_s": round(time.monotonic() - started_at, 1),
         "machine_load": load_average,
-        "broken": dict(found.checker.first_violations),
+        "broken": dict(result.checker.first_violations),
     }
 
 
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command `python -m lab`."""
+
 from lab.command import main
 
 main()
--- a/lab/charts.py
+++ b/lab/charts.py
@@ -26,19 +26,19 @@
     plt.close(figure)
 
 
-def scores(found: Sequence[Cell], metric: str, path: Path) -> None:
+def scores(cells: Sequence[Cell], metric: str, path: Path) -> None:
     """The mean of each point with its interval, one colour per policy."""
-    policies = sorted({cell.point.policy for cell in found})
-    points = sorted({(cell.point.scenario, cell.point.factors()) for cell in found})
+    policies = sorted({cell.point.policy for cell in cells})
+    points = sorted({(cell.point.scenario, cell.point.factors()) for cell in cells})
     colours = matplotlib.colormaps["tab20"]
     figure, axes = plt.subplots(figsize=(9, 1.2 + 0.32 * len(points) * max(len(policies), 2) / 2))
-    for cell in found:
+    for cell in cells:
         row = points.index((cell.point.scenario, cell.point.factors()))
         policy_index = policies.index(cell.point.policy)
-        at = row + 0.8 * (policy_index + 0.5) / len(policies) - 0.4
+        position = row + 0.8 * (policy_index + 0.5) / len(policies) - 0.4
         low, high = np.nan_to_num([cell.metric.low, cell.metric.high], nan=cell.metric.mean)
-        axes.plot([low, high], [at, at], color=colours(policy_index % 20), linewidth=1.5)
-        axes.plot(cell.metric.mean, at, "o", color=colours(policy_index % 20), markersize=4)
+        axes.plot([low, high], [position, position], color=colours(policy_index % 20), linewidth=1.5)
+        axes.plot(cell.metric.mean, position, "o", color=colours(policy_index % 20), markersize=4)
     for policy_index, policy in enumerate(policies):
         axes.plot([], [], "o-", color=colours(policy_index % 20), label=policy)
     axes.set_yticks(
@@ -109,12 +109,12 @@
     _save(figure, path)
 
 
-def metric_map(found: MetricMap, metric: str, path: Path) -> None:
+def metric_map(table: MetricMap, metric: str, path: Path) -> None:
     """A metric over two factors; the contour line is where service recovers in half of the plays."""
     figure, axes = plt.subplots(figsize=(7, 4.2))
-    values = np.array(found.values)
+    values = np.array(table.values)
     image = axes.imshow(values, origin="lower", aspect="auto", cmap="viridis", vmin=0.0, vmax=1.0)
-    for y, line in enumerate(found.values):
+    for y, line in enumerate(table.values):
         for x, value in enumerate(line):
             if not np.isnan(value):
                 axes.text(
@@ -126,19 +126,19 @@
                     fontsize=7,
                     color="w" if value < 0.6 else "k",
                 )
-    recovered_share = np.array(found.recovered_share)
+    recovered_share = np.array(table.recovered_share)
     if (
         recovered_share.shape[0] > 1
         and recovered_share.shape[1] > 1
         and np.nanmin(recovered_share) < 0.5 < np.nanmax(recovered_share)
     ):
         axes.contour(np.nan_to_num(recovered_share), levels=[0.5], colors="red", linewidths=1.5)
-    axes.set_xticks(range(len(found.xs)), [f"{value:g}" for value in found.xs])
-    axes.set_yticks(range(len(found.ys)), [f"{value:g}" for value in found.ys])
-    axes.set_xlabel(found.x)
-    axes.set_ylabel(found.y)
+    axes.set_xticks(range(len(table.xs)), [f"{value:g}" for value in table.xs])
+    axes.set_yticks(range(len(table.ys)), [f"{value:g}" for value in table.ys])
+    axes.set_xlabel(table.x)
+    axes.set_ylabel(table.y)
     axes.set_title(
-        f"{found.scenario}, {found.policy}{': ' + found.other_levels if found.other_levels else ''}",
+        f"{table.scenario}, {table.policy}{': ' + table.other_levels if table.other_levels else ''}",
         fontsize=9,
     )
     figure.colorbar(image, label=metric)
--- a/lab/command.py
+++ b/lab/command.py
@@ -88,8 +88,8 @@
     return 0
 
 
-def _print_cells(found: list[tables.Cell], metric: str) -> None:
-    for cell in found:
+def _print_cells(cells: list[tables.Cell], metric: str) -> None:
+    for cell in cells:
         ends = f"[{tables.format_number(cell.metric.low)} to {tables.format_number(cell.metric.high)}]"
         mean = f"{metric} {tables.format_number(cell.metric.mean)} {ends}"
         line = f"{cell.point.label()}: {mean}, {cell.metric.n} plays"
@@ -170,12 +170,12 @@
                 revisions = Revisions(Path(checkouts))
                 codes = {revisions.code(policy_name) for policy_name in policies}
             rows = [row for row in rows if row["code"] in codes]
-            found = [
+            comparisons = [
                 tables.compare_points(rows, plan.points[2 * index], plan.points[2 * index + 1], metric)
                 for index in range(len(sources))
             ]
             more = (
-                max(statistics.more_seeds(item.difference, until, most_seeds) for item in found)
+                max(statistics.more_seeds(item.difference, until, most_seeds) for item in comparisons)
                 if until
                 else 0
             )
@@ -186,7 +186,7 @@
         f"{policy_name}{' with ' + ', '.join(settings) if settings else ''}"
         for policy_name, settings in ((first, set_a), (second, set_b))
     ]
-    for name, item in zip(sources, found, strict=True):
+    for name, item in zip(sources, comparisons, strict=True):
         click.echo(f"{name}: {item.verdict(labels[0], labels[1], metric)}")
     return 0
 
@@ -232,14 +232,17 @@
     Example: python -m lab way lab/results/scale
     """
     rows = rows_of_one_code(ResultFolder(folder).load().rows, codes)
-    found = tables.gaps_closed(rows, metric, floor, ceiling)
-    for item in found:
+    gaps = tables.gaps_closed(rows, metric, floor, ceiling)
+    for item in gaps:
         share, number = item.gap_closed, tables.format_number
-        ends = f"[{number(share.low, 2)}, {number(share.high, 2)}]"
-        values = f"{number(item.own.mean)} between {number(item.floor.mean)} and {number(item.ceiling.mean)}"
-        text = f"{number(share.mean, 2)} {ends} of the gap; {metric} {values}, {share.n} seeds"
+        interval = f"[{number(share.low, 2)}, {number(share.high, 2)}]"
+        values = (
+            f"{number(item.policy_mean.mean)} between {number(item.floor.mean)}"
+            f" and {number(item.ceiling.mean)}"
+        )
+        text = f"{number(share.mean, 2)} {interval} of the gap; {metric} {values}, {share.n} seeds"
         click.echo(f"{item.point.label()}: {text}")
-    if not found:
+    if not gaps:
         raise InvalidInput(
             f"{folder}: no plays of {floor!r}, {ceiling!r} and another policy on the same seeds; run them"
         )
@@ -273,23 +276,23 @@
 
     source = scenario.load(file).with_changes(parse_changes(settings))
     try:
-        found, up_s = many.play(source, seed, drivers, protocol)
+        result, up_s = many.play(source, seed, drivers, protocol)
     except many.DriverDied as fault:
         click.echo(str(fault), err=True)
         return 1
-    real, emulated = found.row, Simulation(source.scenario_for(seed), seed).run()
-    shown = {
-        "sockets": msgspec.structs.asdict(real) | found.percentiles(),
+    real, emulated = result.row, Simulation(source.scenario_for(seed), seed).run()
+    output = {
+        "sockets": msgspec.structs.asdict(real) | result.percentiles(),
         "emulated": msgspec.structs.asdict(emulated),
         "service_less_emulated": round(real.service - emulated.service, 4),
-        "most_late_ms": round(found.late_ms, 1),
+        "most_late_ms": round(result.late_ms, 1),
         "up_s": round(up_s, 2),
-        "memory_mb": found.memory_mb(),
+        "memory_mb": result.memory_mb(),
     }
-    click.echo(msgspec.json.format(msgspec.json.encode(shown)).decode())
-    for rule, message in sorted(found.checker.first_violations.items()):
+    click.echo(msgspec.json.format(msgspec.json.encode(output)).decode())
+    for rule, message in sorted(result.checker.first_violations.items()):
         click.echo(f"{rule}: {message}", err=True)
-    return 1 if found.checker.violations or real.fault else 0
+    return 1 if result.checker.violations or real.fault else 0
 
 
 @main.command("schema")
--- a/lab/launch.py
+++ b/lab/launch.py
@@ -14,7 +14,7 @@
 from rigs.fleet import CLOCK_TICKS_PER_S, START_TIMEOUT_S, StartError
 from rigs.zygote import ForkedProcess, Zygote
 
-LAST_LINES = 50  # number of last log lines kept of a process
+LAST_LINES = 50  # log lines kept of a process
 
 
 class SidecarProcess:
--- a/lab/policies/__init__.py
+++ b/lab/policies/__init__.py
@@ -45,7 +45,7 @@
     """The policy of this name, and whether storm detection runs in front of it.
 
     A revision after "@" is ignored here; the worker loads it. Raises UnknownPolicy."""
-    found = POLICIES.get(name.partition("@")[0])
-    if found is None:
+    entry = POLICIES.get(name.partition("@")[0])
+    if entry is None:
         raise UnknownPolicy(f"policy: {name!r} is unknown; choose one of: {', '.join(sorted(POLICIES))}")
-    return found
+    return entry
--- a/lab/policies/oracle.py
+++ b/lab/policies/oracle.py
@@ -96,7 +96,7 @@
         return POLL_INTERVAL_MS
 
     def rank(self, end: float) -> float:
-        """The value by which servers are compared, given the time when one would finish; the lowest wins."""
+        """The value by which servers are compared, from the time when the call would end; the lowest wins."""
         return end
 
     def _start_time(self, server: ServerRecord, state: ServerSnapshot, arrival: float) -> float:
--- a/lab/report.py
+++ b/lab/report.py
@@ -36,13 +36,13 @@
     results.MixedCodes if a policy has rows of several code versions and ``codes`` names none."""
     rows = rows_of_one_code(loaded.rows, codes)
     folder.mkdir(parents=True, exist_ok=True)
-    found = tables.cells(rows, metric)
+    cells = tables.cells(rows, metric)
     parts = [f"<h1>{escape(title)}</h1>", f"<p>{len(rows)} plays; metric: {escape(metric)}.</p>"]
-    if found:
-        charts.scores(found, metric, folder / "scores.png")
-        parts += [_image("scores.png"), _score_table(found, metric)]
-        parts.append(_rule_table(found))
-        parts.append(_comparison_table(rows, reference or found[0].point.policy, metric))
+    if cells:
+        charts.scores(cells, metric, folder / "scores.png")
+        parts += [_image("scores.png"), _score_table(cells, metric)]
+        parts.append(_rule_table(cells))
+        parts.append(_comparison_table(rows, reference or cells[0].point.policy, metric))
     for index, metric_map in enumerate(tables.metric_maps(rows, metric)):
         name = f"map-{index}.png"
         charts.metric_map(metric_map, metric, folder / name)
@@ -75,8 +75,8 @@
     ):
         scenario, factors, policy, seed = key
         name = f"time-{index:02}-{_file_name_part(scenario)}-{_file_name_part(policy)}.png"
-        words = f"{scenario}, {policy}, seed {seed}" + (f", {factors}" if factors != "{}" else "")
-        charts.over_time(rows, words, fall_multiple, folder / name)
+        title = f"{scenario}, {policy}, seed {seed}" + (f", {factors}" if factors != "{}" else "")
+        charts.over_time(rows, title, fall_multiple, folder / name)
         parts.append(_image(name))
     if len(groups) > MAX_TIME_CHARTS:
         parts.append(f"<p>{len(groups) - MAX_TIME_CHARTS} more plays are in series.parquet.</p>")
@@ -91,7 +91,7 @@
     return re.sub(r"[^a-z0-9]+", "-", text.lower()).strip("-")
 
 
-def _score_table(found: Sequence[Cell], metric: str) -> str:
+def _score_table(cells: Sequence[Cell], metric: str) -> str:
     heads = (
         "scenario",
         "levels",
@@ -104,7 +104,7 @@
         "falls",
     )
     lines = ["<table><tr>" + "".join(f"<th>{escape(head)}</th>" for head in heads) + "</tr>"]
-    for cell in found:
+    for cell in cells:
         levels = ", ".join(f"{path} {value}" for path, value in cell.point.changes.items())
         recovered = format_number(cell.recovered_ms / 1000.0, 1)
         fields = (cell.point.scenario, levels, cell.point.policy)
@@ -140,27 +140,27 @@
     )
     lines = [f"<h2>{escape(reference)} against the others</h2>"]
     lines.append("<table><tr>" + "".join(f"<th>{escape(head)}</th>" for head in heads) + "</tr>")
-    for point, item in compared:
-        found = item.difference
+    for point, comparison in compared:
+        difference = comparison.difference
         levels = ", ".join(f"{path} {value}" for path, value in point.changes.items())
-        mark = "" if found.low > 0 or found.high < 0 else " class=same"
-        words = (
+        mark = "" if difference.low > 0 or difference.high < 0 else " class=same"
+        fields = (
             point.scenario,
             levels,
             point.policy,
-            f"{found.mean:+.4f}",
-            f"{found.low:+.4f} to {found.high:+.4f}",
+            f"{difference.mean:+.4f}",
+            f"{difference.low:+.4f} to {difference.high:+.4f}",
         )
-        cells = "".join(f"<td>{escape(word)}</td>" for word in (*words, str(found.n)))
-        lines.append(f"<tr{mark}>{cells}</tr>")
+        columns = "".join(f"<td>{escape(value)}</td>" for value in (*fields, str(difference.n)))
+        lines.append(f"<tr{mark}>{columns}</tr>")
     return "\n".join([*lines, "</table>"])
 
 
-def _rule_table(found: Sequence[Cell]) -> str:
+def _rule_table(cells: Sequence[Cell]) -> str:
     """By policy, in how many plays each rule was broken, over all scenarios."""
     totals: dict[str, dict[str, int]] = {}
     plays: dict[str, int] = {}
-    for cell in found:
+    for cell in cells:
         plays[cell.point.policy] = plays.get(cell.point.policy, 0) + cell.metric.n
         policy_totals = totals.setdefault(cell.point.policy, {})
         for rule, count in cell.broken.items():
@@ -171,8 +171,8 @@
         "<h2>Broken rules</h2><table><tr><th>policy</th><th>plays</th><th>plays that broke a rule</th></tr>"
     ]
     for policy in sorted(totals):
-        words = ", ".join(f"{rule}: {count}" for rule, count in sorted(totals[policy].items())) or "none"
+        breaches = ", ".join(f"{rule}: {count}" for rule, count in sorted(totals[policy].items())) or "none"
         lines.append(
-            f"<tr><td>{escape(policy)}</td><td class=n>{plays[policy]}</td><td>{escape(words)}</td></tr>"
+            f"<tr><td>{escape(policy)}</td><td class=n>{plays[policy]}</td><td>{escape(breaches)}</td></tr>"
         )
     return "\n".join([*lines, "</table>"])
--- a/lab/running.py
+++ b/lab/running.py
@@ -76,12 +76,12 @@
     series: list[dict[str, Any]] = []
     saved_at = time.monotonic()
     try:
-        for done, (play, found) in enumerate(pool.run(jobs, workers, timeout_s), 1):
+        for done, (play, result) in enumerate(pool.run(jobs, workers, timeout_s), 1):
             progress(done, len(jobs), f"{play.point.label()}, seed {play.seed}")
-            if found.row.fault.startswith("the worker ended"):
-                print(f"{play.point.label()}, seed {play.seed}: {found.row.fault}", file=sys.stderr)
+            if result.row.fault.startswith("the worker ended"):
+                print(f"{play.point.label()}, seed {play.seed}: {result.row.fault}", file=sys.stderr)
                 continue  # not saved as a result, so that the next invocation repeats it
-            row, play_series = result_rows(play, found)
+            row, play_series = result_rows(play, result)
             rows.append(row)
             series += play_series
             if len(rows) >= MAX_PLAYS_PER_PART or time.monotonic() - saved_at > MAX_PART_AGE_S:
--- a/lab/tables.py
+++ b/lab/tables.py
@@ -33,11 +33,11 @@
     groups: dict[tuple[str, str, str], list[dict[str, Any]]] = {}
     for row in rows:
         groups.setdefault((row["scenario"], row["factors"], row["policy"]), []).append(row)
-    found = []
+    summaries = []
     for key in sorted(groups):
         group = groups[key]
         recovered = [row["recovered_ms"] for row in group if not math.isnan(row["recovered_ms"])]
-        found.append(
+        summaries.append(
             Cell(
                 row_point(group[0]),
                 mean_interval([row[metric] for row in group]),
@@ -48,7 +48,7 @@
                 sum(bool(row["fault"]) for row in group),
             )
         )
-    return found
+    return summaries
 
 
 def metric_by_seed(rows: Sequence[dict[str, Any]], point: Point, metric: str) -> dict[int, float]:
@@ -71,21 +71,24 @@
 
     Returns the point of the other policy with each comparison."""
     points = [cell.point for cell in cells(rows, metric)]
-    found = []
-    for own in points:
-        if own.policy != policy:
+    compared = []
+    for point in points:
+        if point.policy != policy:
             continue
         for other in points:
-            if other.policy != policy and (other.scenario, other.factors()) == (own.scenario, own.factors()):
-                found.append((other, compare_points(rows, own, other, metric)))
-    return found
+            if other.policy != policy and (other.scenario, other.factors()) == (
+                point.scenario,
+                point.factors(),
+            ):
+                compared.append((other, compare_points(rows, point, other, metric)))
+    return compared
 
 
 class GapClosed(msgspec.Struct, frozen=True):
     """The share of the gap between the policies ``floor`` and ``ceiling`` that a policy closes at a point."""
 
     point: Point
-    own: Interval
+    policy_mean: Interval
     floor: Interval
     ceiling: Interval
     gap_closed: Interval
@@ -93,25 +96,29 @@
 
 def gaps_closed(rows: Sequence[dict[str, Any]], metric: str, floor: str, ceiling: str) -> list[GapClosed]:
     """One for each point of another policy for which floor and ceiling were played on the same seeds."""
-    found = []
+    gaps = []
     for cell in cells(rows, metric):
         point = cell.point
         if point.policy in (floor, ceiling):
             continue
-        ends = [
+        references = [
             metric_by_seed(
                 rows, Point(scenario=point.scenario, policy=reference, changes=point.changes), metric
             )
             for reference in (floor, ceiling)
         ]
-        if ends[0] and ends[1]:
-            low, high = (mean_interval(list(end.values())) for end in ends)
-            found.append(
+        if references[0] and references[1]:
+            low, high = (mean_interval(list(values.values())) for values in references)
+            gaps.append(
                 GapClosed(
-                    point, cell.metric, low, high, gap_closed(metric_by_seed(rows, point, metric), *ends)
+                    point,
+                    cell.metric,
+                    low,
+                    high,
+                    gap_closed(metric_by_seed(rows, point, metric), *references),
                 )
             )
-    return found
+    return gaps
 
 
 def latency_curves(rows: Sequence[dict[str, Any]], scenario: str) -> dict[str, list[float]]:
@@ -145,7 +152,7 @@
     groups: dict[tuple[str, str], list[dict[str, Any]]] = {}
     for row in rows:
         groups.setdefault((row["scenario"], row["policy"]), []).append(row)
-    found = []
+    result = []
     for (scenario, policy), group in sorted(groups.items()):
         changes = [row_point(row).changes for row in group]
         numeric = {
@@ -177,8 +184,8 @@
                 recovered_share.append(
                     [_mean([finite(row["recovered_ms"], -1.0) >= 0 for row in cell]) for cell in cells_at_y]
                 )
-            found.append(MetricMap(scenario, policy, x, y, xs, ys, values, recovered_share, other_levels))
-    return found
+            result.append(MetricMap(scenario, policy, x, y, xs, ys, values, recovered_share, other_levels))
+    return result
 
 
 def _other_levels(change: dict[str, Any], x: str, y: str) -> str:
