--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -24,7 +24,7 @@
     OPEN_VOTE_SHARE,
     PROBE_INTERVAL_SHARE,
     REPLY_VALID_SHARE,
-    Proof,
+    ContactLevel,
     QuorumContact,
 )
 from mesh.transport.frames import Head
@@ -73,7 +73,7 @@
 
     # Proofs
 
-    def proof(self, settled: bool = False) -> Proof:
+    def level(self, settled: bool = False) -> ContactLevel:
         """What recent answers prove; ``settled``: only answers of members without a stale open vote count."""
         pulled = {address_of(channel) for channel in self._links if channel.exchange.pull_complete}
         own = (
@@ -82,7 +82,7 @@
             else None
         )
         view, tolerance = self._member_set.view(), self._member_set.tolerance
-        return self.contact.proof(self._loop.time(), view, tolerance, own, pulled, settled)
+        return self.contact.level(self._loop.time(), view, tolerance, own, pulled, settled)
 
     def _has_stale_vote(self) -> bool:
         """Whether a vote has been open here for so long that others may know its decision."""
@@ -90,15 +90,15 @@
 
     def has_contact(self) -> bool:
         """Whether the members that answered hold, together, all that was acknowledged."""
-        return self.proof() >= Proof.READS
+        return self.level() >= ContactLevel.READS
 
     def holds_all(self) -> bool:
         """Whether the store here, with updates on their way to it, lacks nothing that was acknowledged."""
-        return self.proof(settled=True) >= Proof.READS
+        return self.level(settled=True) >= ContactLevel.READS
 
     def may_act(self) -> bool:
         """Whether the members that answered can decide a write; true on at most one side of a partition."""
-        return self.proof() is Proof.ORDERS
+        return self.level() is ContactLevel.WRITES
 
     def redirect_address(self) -> str:
         """The control address of a member that reported contact within the bound, for redirects; "" if there
@@ -112,11 +112,11 @@
         return ""
 
     def status(self) -> dict[str, Any]:
-        """For operators: the proof, for how long it has held, and who has answered recently."""
-        now, proof = self._loop.time(), self.proof()
+        """For operators: the level, for how long it has held, and who has answered recently."""
+        now, level = self._loop.time(), self.level()
         recent = self.contact.valid_replies(now)
         return {
-            "proof": proof.name.lower(),
+            "proof": level.status_name,
             "for_ms": round((now - self._contact_changed_at) * 1000.0),
             "heard": {
                 member: {
--- a/mesh/control_plane/introspection.py
+++ b/mesh/control_plane/introspection.py
@@ -123,7 +123,7 @@
 
 def status(sources: IntrospectionSources, clock: float) -> JsonObject:
     """The state of this process. ``members``: by address, with zone and region; ``refused``: why the disk
-    refused the last batch, else ""; ``contact``: the proof, for how long it has held, and who has answered
+    refused the last batch, else ""; ``contact``: the level, for how long it has held, and who has answered
     recently; ``control``: the address for operator calls; ``duties``: holder and epoch of each lease, as
     known here, and whether this process holds it; ``borne``: how many more losses of each kind
     configuration writes survive, -1 if they are not decided now."""
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -21,7 +21,7 @@
 from mesh.replication.acceptor import Acceptor, Slot, Vote
 from mesh.replication.membership_epochs import VIEW
 from mesh.replication.proposer import Conflict, Decided
-from mesh.replication.quorum_contact import Proof
+from mesh.replication.quorum_contact import ContactLevel
 from mesh.replication.store import Store
 from mesh.transport.http_calls import Answer
 
@@ -95,8 +95,8 @@
             return Answer(
                 command.status, error_body("path: this address takes GET and PATCH of /configuration")
             )
-        required = Proof.READS if isinstance(command, ReadConfiguration) else Proof.ORDERS
-        if self._contact_probes.proof() < required:
+        required = ContactLevel.READS if isinstance(command, ReadConfiguration) else ContactLevel.WRITES
+        if self._contact_probes.level() < required:
             return self._answer_without_contact()
         if isinstance(command, Invalid):
             return self._answer_refused(command)
--- a/mesh/replication/quorum_contact.py
+++ b/mesh/replication/quorum_contact.py
@@ -23,16 +23,21 @@
 CLOCK_STEP_SHARE = 1 / 4  # of the reply validity, by which the clocks may diverge between two checks
 
 
-class Proof(IntEnum):
-    """What the recent replies prove; each level is stated below its value."""
+class ContactLevel(IntEnum):
+    """What the recent replies prove, and so what may be served; explained below each level."""
 
     NONE = 0
     """Others may have acknowledged writes that are not known here."""
     READS = 1
     """Nothing can have been acknowledged without one of the responders: reads are served."""
-    ORDERS = 2
+    WRITES = 2
     """The responders alone can acknowledge writes: writes are accepted. Half of an even view never can."""
 
+    @property
+    def status_name(self) -> str:
+        """The level's name in the status that operators read."""
+        return "orders" if self is ContactLevel.WRITES else self.name.lower()
+
 
 class ProbeReply(Struct, frozen=True):
     """One member's reply to the latest probe that it has answered."""
@@ -110,7 +115,7 @@
             if now - reply.sent_at <= self.reply_valid_s
         }
 
-    def proof(
+    def level(
         self,
         now: float,
         view: View,
@@ -118,7 +123,7 @@
         own: str | None,
         synced: Collection[str],
         no_open_votes: bool = False,
-    ) -> Proof:
+    ) -> ContactLevel:
         """``own``: this member, None while its disk is not complete; ``synced``: members that have sent
         everything they held over the current link, so that their updates are known here.
 
@@ -130,7 +135,7 @@
         """
         replies = self.valid_replies(now)
         if any(reply.epoch > view.epoch for reply in replies.values()):
-            return Proof.NONE
+            return ContactLevel.NONE
         counts = {
             member
             for member, reply in replies.items()
@@ -142,8 +147,8 @@
         if own is not None:
             counts.add(own)
         if not view.overlaps(counts, tolerance):
-            return Proof.NONE
-        return Proof.ORDERS if view.durable(counts, tolerance) else Proof.READS
+            return ContactLevel.NONE
+        return ContactLevel.WRITES if view.durable(counts, tolerance) else ContactLevel.READS
 
     def members_with_contact(self, now: float) -> list[str]:
         """Members that reported contact within the bound, the latest first: callers may be redirected to
--- a/simulation/mesh/contact_seeds.py
+++ b/simulation/mesh/contact_seeds.py
@@ -11,20 +11,20 @@
 from mesh.data_plane.program import Proxy
 from mesh.dissemination.peers import Channels
 from mesh.replication import quorum_contact as contact_module
-from mesh.replication.quorum_contact import Proof, QuorumContact
+from mesh.replication.quorum_contact import ContactLevel, QuorumContact
 from simulation.mesh.seeds import Patch
 
 
 def open_links_count_as_contact(patch: Patch) -> None:
     """A former rule: an open link over which one full exchange was made counts as contact."""
 
-    def proof(self: ContactProbes, settled: bool = False) -> Proof:
+    def level(self: ContactProbes, settled: bool = False) -> ContactLevel:
         heard = {address_of(channel) for channel in self._links if channel.exchange.pull_complete}
         heard |= {self._member_set.own_address} if self._disk_writer.complete else set()
         view, tolerance = self._member_set.view(), self._member_set.tolerance
-        return Proof.ORDERS if view.overlaps(heard, tolerance) else Proof.NONE
+        return ContactLevel.WRITES if view.overlaps(heard, tolerance) else ContactLevel.NONE
 
-    patch.setattr(ContactProbes, "proof", proof)
+    patch.setattr(ContactProbes, "level", level)
 
 
 def replies_valid_from_arrival(patch: Patch) -> None:
@@ -43,12 +43,12 @@
 
 
 def half_accepts_writes(patch: Patch) -> None:
-    original = QuorumContact.proof
+    original = QuorumContact.level
 
-    def proof(self: QuorumContact, *args: Any) -> Proof:
-        return Proof.ORDERS if original(self, *args) >= Proof.READS else Proof.NONE
+    def level(self: QuorumContact, *args: Any) -> ContactLevel:
+        return ContactLevel.WRITES if original(self, *args) >= ContactLevel.READS else ContactLevel.NONE
 
-    patch.setattr(QuorumContact, "proof", proof)
+    patch.setattr(QuorumContact, "level", level)
 
 
 def writes_accepted_without_contact(patch: Patch) -> None:
@@ -64,8 +64,8 @@
 
 
 class _AlwaysInContact:
-    def proof(self) -> Proof:
-        return Proof.ORDERS
+    def level(self) -> ContactLevel:
+        return ContactLevel.WRITES
 
 
 def ready_after_any_answer(patch: Patch) -> None:
--- a/simulation/mesh/cuts.py
+++ b/simulation/mesh/cuts.py
@@ -13,7 +13,7 @@
 from mesh.configuration.commands import ConfigurationWrite, decode_change
 from mesh.event_log.events import Event
 from mesh.replication.items import Key
-from mesh.replication.quorum_contact import OPEN_VOTE_SHARE, REPLY_VALID_SHARE, Proof
+from mesh.replication.quorum_contact import OPEN_VOTE_SHARE, REPLY_VALID_SHARE, ContactLevel
 from mesh.runtime.settings import Settings
 from mesh.transport.http_calls import Answer
 from simulation.mesh.clock import CURRENT_INCARNATION
@@ -55,7 +55,8 @@
         self.clock_steps: dict[str, float] = {}
         self.seeds_by_machine: dict[str, list[Machine]] = {}
         self.logged_events: list[tuple[float, str, Event, dict[str, Any]]] = []
-        self.proof_lost_at: dict[tuple[str, Proof], float] = {}  # since when a machine cannot have that proof
+        # Since when a machine cannot have that level
+        self.level_lost_at: dict[tuple[str, ContactLevel], float] = {}
         self.ready: dict[str, tuple[Incarnation, bool]] = {}
         self.answers_by_status: dict[int, int] = {}  # of machines that had certainly lost contact
         self.acknowledged_versions: dict[Key, list[tuple[int, float]]] = {}  # and when
@@ -84,13 +85,13 @@
     def report(self, line: str) -> None:
         self.checker.violations.append(f"{self.env.now:.3f} {line}")
 
-    # The strongest proof of contact that a machine could have
+    # The strongest level of contact that a machine could have
 
-    def best_possible_proof(self, machine: Machine) -> Proof:
+    def best_possible_level(self, machine: Machine) -> ContactLevel:
         """Judged by the current network paths and running processes."""
         program, now = machine.program, self.env.now
         if program is None or machine.incarnation is None or machine.incarnation.frozen_until > now:
-            return Proof.NONE
+            return ContactLevel.NONE
         reached = {
             other.ip
             for other, there in self.programs(controllers=True)
@@ -101,30 +102,30 @@
         }
         view = program.member_set.view()
         if not view.overlaps(reached, self.tolerance):
-            return Proof.NONE
-        return Proof.ORDERS if view.durable(reached, self.tolerance) else Proof.READS
+            return ContactLevel.NONE
+        return ContactLevel.WRITES if view.durable(reached, self.tolerance) else ContactLevel.READS
 
     def monitor(self) -> Generator[simpy.Event, Any, None]:
         while True:
             now = float(self.env.now)
             for machine, program in self.programs(controllers=True):
-                best = self.best_possible_proof(machine)
-                for proof in (Proof.READS, Proof.ORDERS):
-                    if best >= proof:
-                        self.proof_lost_at.pop((machine.name, proof), None)
-                    elif self.has_lost(machine, proof) and program.contact_probes.proof() >= proof:
-                        self.report(f"{machine.name} has {proof.name}, cut off for {CONTACT_BOUND_S:g} s")
+                best = self.best_possible_level(machine)
+                for level in (ContactLevel.READS, ContactLevel.WRITES):
+                    if best >= level:
+                        self.level_lost_at.pop((machine.name, level), None)
+                    elif self.has_lost(machine, level) and program.contact_probes.level() >= level:
+                        self.report(f"{machine.name} has {level.name}, cut off for {CONTACT_BOUND_S:g} s")
                     else:
-                        self.proof_lost_at.setdefault((machine.name, proof), now)
-                if self.has_lost(machine, Proof.ORDERS, 1.2) and program.node_reaper._held_epoch:
+                        self.level_lost_at.setdefault((machine.name, level), now)
+                if self.has_lost(machine, ContactLevel.WRITES, 1.2) and program.node_reaper._held_epoch:
                     if machine.incarnation is not None and machine.incarnation.frozen_until <= now - 1.2:
                         self.report(f"{machine.name} keeps its lease while it is cut off")
             for machine, program in self.programs(controllers=False):
                 self._check_proxy(machine, program, now)
             yield self.env.timeout(MONITOR_INTERVAL_S)
 
-    def has_lost(self, machine: Machine, proof: Proof, more_s: float = 0.0) -> bool:
-        since = self.proof_lost_at.get((machine.name, proof))
+    def has_lost(self, machine: Machine, level: ContactLevel, more_s: float = 0.0) -> bool:
+        since = self.level_lost_at.get((machine.name, level))
         return since is not None and self.env.now - since > CONTACT_LOST_S + more_s
 
     def _check_proxy(self, machine: Machine, program: Any, now: float) -> None:
@@ -153,10 +154,10 @@
     # Operator calls
 
     def operator_call(self, machine: Machine, method: bytes, body: bytes = b"") -> Script:
-        wanted = Proof.READS if method == b"GET" else Proof.ORDERS
+        wanted = ContactLevel.READS if method == b"GET" else ContactLevel.WRITES
         began, called = float(self.env.now), machine.incarnation
         cut = self.has_lost(machine, wanted)
-        since = self.proof_lost_at.get((machine.name, wanted))
+        since = self.level_lost_at.get((machine.name, wanted))
         answer: Answer | None = yield from super().operator_call(machine, method, body)
         if method == b"PATCH" and answer is not None and answer.status == 200:
             change = decode_change(body)
@@ -167,7 +168,7 @@
         frozen = called is None or called.frozen_until > began
         if not cut or called is None or called is not machine.incarnation or not called.alive or frozen:
             return answer
-        if since != self.proof_lost_at.get((machine.name, wanted)):
+        if since != self.level_lost_at.get((machine.name, wanted)):
             return answer
         status = answer.status if answer is not None else 0
         self.answers_by_status[status] = self.answers_by_status.get(status, 0) + 1
--- a/simulation/mesh/seeds.py
+++ b/simulation/mesh/seeds.py
@@ -19,7 +19,7 @@
 from mesh.membership.failure_detection import NodeInfo, SilenceReport, SilenceThresholds, Verdict, min_silence
 from mesh.replication.acceptor import Acceptor, Refusal
 from mesh.replication.membership_epochs import View
-from mesh.replication.quorum_contact import Proof
+from mesh.replication.quorum_contact import ContactLevel
 from mesh.replication.store import Store
 from mesh.storage.lmdb_store import WriteFailed
 
@@ -59,7 +59,7 @@
         return True
 
     patch.setattr(ProposerHost, "read", read)
-    patch.setattr(ContactProbes, "proof", lambda self, settled=False: Proof.ORDERS)
+    patch.setattr(ContactProbes, "level", lambda self, settled=False: ContactLevel.WRITES)
 
 
 def wiped_disk_counts_at_once(patch: Patch) -> None:
--- a/tests/mesh/test_contact_probing.py
+++ b/tests/mesh/test_contact_probing.py
@@ -14,7 +14,7 @@
 from mesh.event_log.log import EventLog
 from mesh.replication.membership_epochs import View
 from mesh.replication.quorum import Place, Tolerance
-from mesh.replication.quorum_contact import Proof
+from mesh.replication.quorum_contact import ContactLevel
 
 
 @dataclass(eq=False)
@@ -105,17 +105,17 @@
     old = rig.open_link(Peer("c1", "c1.a"))
     number = rig.send_probes()
     rig.receive_answer(old, number)
-    assert rig.contact_probes.proof() is Proof.ORDERS
+    assert rig.contact_probes.level() is ContactLevel.WRITES
     new = rig.open_link(Peer("c1", "c1.b"))
-    assert rig.contact_probes.proof() is Proof.NONE  # it may have another disk
+    assert rig.contact_probes.level() is ContactLevel.NONE  # it may have another disk
     rig.receive_answer(old, rig.send_probes())
-    assert rig.contact_probes.proof() is Proof.NONE
+    assert rig.contact_probes.level() is ContactLevel.NONE
     rig.receive_answer(new, rig.send_probes())
-    assert rig.contact_probes.proof() is Proof.ORDERS
+    assert rig.contact_probes.level() is ContactLevel.WRITES
     rig.contact_probes.link_closed(old)
-    assert rig.contact_probes.proof() is Proof.ORDERS
+    assert rig.contact_probes.level() is ContactLevel.WRITES
     rig.contact_probes.link_closed(new)
-    assert rig.contact_probes.proof() is Proof.NONE
+    assert rig.contact_probes.level() is ContactLevel.NONE
     assert not rig.contact_probes.contact.valid_replies(0.0)  # nothing is kept of peers that are gone
 
 
@@ -129,7 +129,7 @@
     rig.contact_probes.handle_frame(peer, {"t": "probe", "n": 8, "e": 4})
     assert "view" not in peer.sent[-1]
     rig.receive_answer(peer, rig.send_probes(), e=5, view=answer["view"])
-    assert [item.version for item in rig.applied] == [4] and rig.contact_probes.proof() is Proof.NONE
+    assert [item.version for item in rig.applied] == [4] and rig.contact_probes.level() is ContactLevel.NONE
 
 
 def test_an_open_vote_is_told_and_heeded_in_what_sidecars_are_told() -> None:
@@ -143,7 +143,7 @@
     assert peer.sent[-1]["o"] is True
     rig.open_vote_s = 0.4
     rig.receive_answer(peer, rig.send_probes(), o=True)
-    assert not rig.contact_probes.holds_all() and rig.contact_probes.proof() is Proof.ORDERS
+    assert not rig.contact_probes.holds_all() and rig.contact_probes.level() is ContactLevel.WRITES
 
 
 @pytest.mark.parametrize(
--- a/tests/mesh/test_contact_world.py
+++ b/tests/mesh/test_contact_world.py
@@ -11,7 +11,7 @@
 import pytest
 
 from mesh.event_log import events
-from mesh.replication.quorum_contact import PROBE_INTERVAL_SHARE, Proof
+from mesh.replication.quorum_contact import PROBE_INTERVAL_SHARE, ContactLevel
 from simulation.mesh import contact_seeds as seeds
 from simulation.mesh.cuts import (
     CATCH_UP_S,
@@ -160,7 +160,7 @@
         at, near = controllers[0], controllers[1]
         world.partition([at], controllers[2:])
         yield world.env.timeout(CONTACT_BOUND_S + 0.5)
-        assert at.program.contact_probes.proof() is Proof.NONE
+        assert at.program.contact_probes.level() is ContactLevel.NONE
         for method, body in ((b"GET", b""), (b"PATCH", patch_body("last", 2, 700))):
             answer = yield from world.operator_call(at, method, body)
             assert (answer.status, answer.location) == (307, f"http://{near.ip}:8146/configuration")
@@ -199,7 +199,7 @@
         for step_s in (3600.0, -7200.0):
             world.clock_steps[at.name] = world.clock_steps.get(at.name, 0.0) + step_s
             yield world.env.timeout(0.5)
-            assert at.program.contact_probes.proof() is Proof.ORDERS
+            assert at.program.contact_probes.level() is ContactLevel.WRITES
             answer = yield from world.operator_call(at, b"GET")
             assert answer.status == 200
 
