--- a/lab/command.py
+++ b/lab/command.py
@@ -277,7 +277,7 @@
     source = scenario.load(file).with_changes(parse_changes(settings))
     try:
         result, up_s = many.play(source, seed, drivers, protocol)
-    except many.DriverDied as fault:
+    except many.DriverDiedError as fault:
         click.echo(str(fault), err=True)
         return 1
     real, emulated = result.row, Simulation(source.scenario_for(seed), seed).run()
--- a/lab/command_options.py
+++ b/lab/command_options.py
@@ -13,8 +13,8 @@
 import msgspec
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from lab.policies import UnknownPolicy
-from lab.results import MixedCodes
+from lab.policies import UnknownPolicyError
+from lab.results import MixedCodesError
 from lab.scenario import InvalidInput
 
 P = ParamSpec("P")
@@ -30,7 +30,7 @@
     def call(*args: P.args, **kwargs: P.kwargs) -> None:
         try:
             sys.exit(command(*args, **kwargs) or 0)
-        except (InvalidInput, UnknownPolicy, MixedCodes) as fault:
+        except (InvalidInput, UnknownPolicyError, MixedCodesError) as fault:
             click.echo(f"lab: {fault}", err=True)
             sys.exit(2)
 
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -23,7 +23,7 @@
 import msgspec
 from msgspec import Meta
 
-from lab.policies import UnknownPolicy, find_policy
+from lab.policies import UnknownPolicyError, find_policy
 from lab.scenario import InvalidInput, Source
 from lab.scenario import load as load_scenario
 from lab.scenario_tables import Table
@@ -132,7 +132,7 @@
     except msgspec.ValidationError as fault:
         text, _, field = str(fault).partition(" - at `$.")
         raise InvalidInput(f"{path}: {field.rstrip('`') or 'the file'}: {text}") from None
-    except (OSError, UnknownPolicy, tomllib.TOMLDecodeError) as fault:
+    except (OSError, UnknownPolicyError, tomllib.TOMLDecodeError) as fault:
         raise InvalidInput(f"{path}: {fault}") from None
     sources: dict[str, Source] = {}
     for name in experiment.scenarios:
--- a/lab/many.py
+++ b/lab/many.py
@@ -29,7 +29,7 @@
 )
 
 
-class DriverDied(Exception):
+class DriverDiedError(Exception):
     """A driver ended before it sent its report; its error output is on standard error."""
 
 
@@ -52,11 +52,13 @@
         self._stdin.write(len(message).to_bytes(4, "big") + message)
 
     async def receive(self) -> dict[str, Any]:
-        """The driver's next message. Raises DriverDied."""
+        """The driver's next message. Raises DriverDiedError."""
         try:
             message = await read_message(self._stdout)
         except EOFError:
-            raise DriverDied(f"driver {self.process.pid} ended with {await self.process.wait()}") from None
+            raise DriverDiedError(
+                f"driver {self.process.pid} ended with {await self.process.wait()}"
+            ) from None
         assert isinstance(message, dict)
         return message
 
@@ -119,7 +121,7 @@
 def play(
     source: Source, seed: int, drivers: int | None = None, protocol: CallProtocol = "http"
 ) -> tuple[SocketPlayResult, float]:
-    """Runs a play; its result, and the seconds until all sidecars were up. Raises DriverDied."""
+    """Runs a play; its result, and the seconds until all sidecars were up. Raises DriverDiedError."""
     scenario = source.scenario_for(seed)
     count = drivers or drivers_for(scenario)
     reports, startup_s = asyncio.run(_play_with_drivers(source, seed, count, protocol))
--- a/lab/policies/__init__.py
+++ b/lab/policies/__init__.py
@@ -37,15 +37,15 @@
 }
 
 
-class UnknownPolicy(ValueError):
+class UnknownPolicyError(ValueError):
     """There is no policy of that name; the message is one line."""
 
 
 def find_policy(name: str) -> tuple[Policy, bool]:
     """The policy of this name, and whether storm detection runs in front of it.
 
-    A revision after "@" is ignored here; the worker loads it. Raises UnknownPolicy."""
+    A revision after "@" is ignored here; the worker loads it. Raises UnknownPolicyError."""
     entry = POLICIES.get(name.partition("@")[0])
     if entry is None:
-        raise UnknownPolicy(f"policy: {name!r} is unknown; choose one of: {', '.join(sorted(POLICIES))}")
+        raise UnknownPolicyError(f"policy: {name!r} is unknown; choose one of: {', '.join(sorted(POLICIES))}")
     return entry
--- a/lab/report.py
+++ b/lab/report.py
@@ -33,7 +33,7 @@
     """Writes the page and returns its path.
 
     ``reference``: the policy that all others are compared with; the first by name if it is empty. Raises
-    results.MixedCodes if a policy has rows of several code versions and ``codes`` names none."""
+    results.MixedCodesError if a policy has rows of several code versions and ``codes`` names none."""
     rows = rows_of_one_code(loaded.rows, codes)
     folder.mkdir(parents=True, exist_ok=True)
     cells = tables.cells(rows, metric)
--- a/lab/results.py
+++ b/lab/results.py
@@ -48,7 +48,7 @@
     series: list[tuple[float, list[int], float, float, list[float]]] = []
 
 
-class MixedCodes(ValueError):
+class MixedCodesError(ValueError):
     """Results of several code versions where one is expected; the message is one line with the remedy."""
 
 
@@ -161,7 +161,7 @@
 def rows_of_one_code(rows: list[dict[str, Any]], codes: Iterable[str] = ()) -> list[dict[str, Any]]:
     """The rows of the given code digests; if none are given, all rows.
 
-    Raises MixedCodes if none are given and a policy has rows of several."""
+    Raises MixedCodesError if none are given and a policy has rows of several."""
     selected = set(codes)
     if selected:
         return [row for row in rows if row["code"] in selected]
@@ -171,7 +171,7 @@
     for policy, digests in by_policy.items():
         if len(digests) > 1:
             names = ", ".join(sorted(digests))
-            raise MixedCodes(
+            raise MixedCodesError(
                 f"policy {policy!r} has results of several codes ({names}); name one with --code"
             )
     return rows
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -23,7 +23,7 @@
 from lab.experiment import Plan, Play, Point
 from lab.measures import Row
 from lab.reduce import Symptom, candidates, reduce_scenario
-from lab.results import MixedCodes, ResultFolder, rows_of_one_code
+from lab.results import MixedCodesError, ResultFolder, rows_of_one_code
 from lab.revisions import libraries
 from lab.scenario import Draw, InvalidInput
 from lab.statistics import compare_paired, mean_interval, more_seeds
@@ -132,7 +132,7 @@
     rows = ResultFolder(folder).load().rows
     older = [row | {"code": "0" * 16, "score": 0.0} for row in rows]
     ResultFolder(folder).add(older, [])
-    with pytest.raises(MixedCodes, match=r"several codes .*--code"):
+    with pytest.raises(MixedCodesError, match=r"several codes .*--code"):
         rows_of_one_code(ResultFolder(folder).load().rows)
     one = rows_of_one_code(ResultFolder(folder).load().rows, {row["code"] for row in rows})
     assert list(map(repr, one)) == list(map(repr, rows))
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -317,7 +317,7 @@
 
         many.read_message = kill_a_driver  # type: ignore[assignment]
         try:
-            with pytest.raises(many.DriverDied, match="ended with -9"):
+            with pytest.raises(many.DriverDiedError, match="ended with -9"):
                 await many._play_with_drivers(
                     small_source([], seconds=2.0, sidecars={"count": 2}), 1, 2, "http"
                 )
