--- a/lab/driver.py
+++ b/lab/driver.py
@@ -87,6 +87,7 @@
 
 
 def main() -> None:
+    """Runs one job and ends; ends without a report if the parent process ends first."""
     gc.set_threshold(200_000, 20, 50)
     sink, sys.stdout = sys.stdout.buffer, sys.stderr  # nothing else may write to the message stream
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/lab/hunt.py
+++ b/lab/hunt.py
@@ -81,6 +81,7 @@
     before, from ranges half as wide."""
 
     def __init__(self, source: Source, first_seed: int = 1) -> None:
+        """``first_seed``: the seed of the first play; each further play has the next one."""
         self.source, self.seed = source, first_seed
         self.trials: list[Trial] = []
         self._ranges: list[dict[str, Draw]] = [source.draws]
--- a/lab/launch.py
+++ b/lab/launch.py
@@ -23,6 +23,7 @@
     def __init__(
         self, process: ForkedProcess, port: int, last_lines: deque[str], reader: asyncio.StreamReader
     ) -> None:
+        """``reader``: the log of the process; ``last_lines``: where its last lines are kept."""
         self.forked, self.port, self.last_lines, self._reader = process, port, last_lines, reader
         self._drain_task: asyncio.Task[None] | None = None
 
@@ -54,6 +55,7 @@
     ends all of them."""
 
     def __init__(self) -> None:
+        """Starts no process yet."""
         self._zygote = Zygote(ROOT)
         self._folder = tempfile.TemporaryDirectory(prefix="lab-")
         self._count = 0
@@ -61,6 +63,7 @@
         self.pids: list[int] = []
 
     async def start(self) -> None:
+        """Starts the process from which sidecars are forked."""
         await self._zygote.start()
 
     async def start_sidecar(self, config: str, operator: str = "") -> SidecarProcess:
@@ -92,6 +95,7 @@
         return sidecar
 
     async def close(self) -> None:
+        """Ends all sidecars and removes their configuration files."""
         await self._zygote.close()
         for pipe in self._pipes:
             pipe.close()
--- a/lab/results.py
+++ b/lab/results.py
@@ -85,6 +85,7 @@
     """The results of one experiment, possibly of several code versions."""
 
     def __init__(self, path: Path, libraries: dict[str, str] | None = None) -> None:
+        """``libraries``: versions that are written into the metadata of new files."""
         self.path, self.parts = path, path / "parts"
         self._metadata = {f"library {name}": version for name, version in sorted((libraries or {}).items())}
         self._next_part = 0
--- a/lab/revisions.py
+++ b/lab/revisions.py
@@ -44,6 +44,7 @@
     """Decision modules by revision, extracted into a folder when they are first needed."""
 
     def __init__(self, folder: Path) -> None:
+        """``folder``: where older revisions are extracted."""
         self._folder = folder
         self._checkouts: dict[str, tuple[Path, str]] = {}
 
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -37,6 +37,7 @@
     """The upgrade of a sidecar. ``stall_ms``: how long each process is stalled in turn; 0 for no stalls."""
 
     def __init__(self, simulation: UpgradeHost, number: int, stall_ms: float) -> None:
+        """Creates the new process; ``begin`` starts it."""
         self.simulation, self.clock, self.number, self.stall_ms = (
             simulation,
             simulation.clock,
--- a/lab/wall.py
+++ b/lab/wall.py
@@ -18,6 +18,7 @@
     then, so a busy machine delays events but does not lower their rate."""
 
     def __init__(self, max_events: int) -> None:
+        """``max_events``: a run that needs more raises TooManyEvents."""
         self.events, self._max_events = 0, max_events
         self._loop = asyncio.get_running_loop()
         self._start = time.monotonic()
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -89,6 +89,7 @@
 
 
 def main() -> None:
+    """Runs jobs until standard input ends."""
     gc.set_threshold(200_000, 20, 50)  # a play allocates many medium-lived objects and few cycles
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     sys.stdout = sys.stderr  # nothing else may write to the result stream
