--- a/mesh/cli/shape.py
+++ b/mesh/cli/shape.py
@@ -84,7 +84,7 @@
     lines.append(
         f"{'upstreams':<12}{len(snapshot.instances)} of {len(snapshot.instances_by_service())} services"
     )
-    lines += duty_lines(snapshot) + member_lines(snapshot)
+    lines += lease_lines(snapshot) + member_lines(snapshot)
     for at, held in enumerate(configurations(snapshot)[:MAX_ROWS]):
         label = "configuration" if at == 0 else "  other"
         header = f"{label} {held['items']} items, {held['dropped']} dropped, digest {held['digest']}: "
@@ -96,7 +96,7 @@
     return lines
 
 
-def duty_lines(snapshot: MeshSnapshot) -> list[str]:
+def lease_lines(snapshot: MeshSnapshot) -> list[str]:
     """The holder of each lease, by the highest epoch that any control process reports."""
     found: dict[str, tuple[float, str]] = {}
     for process in snapshot.answering(CONTROLLER):
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -356,7 +356,7 @@
     view = MeshSnapshot(
         (core("c1", duties=new), core("c2", duties=old), core("c3"), core("c4", duties={REAPING: 7}))
     )
-    assert shape.duty_lines(view) == ["duties      reaping by c12, epoch 12"]
-    assert shape.duty_lines(view)[0] in shape.status_lines(view, [])
+    assert shape.lease_lines(view) == ["leases      reaping by c12, epoch 12"]
+    assert shape.lease_lines(view)[0] in shape.status_lines(view, [])
     nobody = {REAPING: {"epoch": 0, "holder": "", "here": False}}
-    assert shape.duty_lines(MeshSnapshot((core("c1", duties=nobody),))) == []
+    assert shape.lease_lines(MeshSnapshot((core("c1", duties=nobody),))) == []
