--- a/mesh/configuration/commands.py
+++ b/mesh/configuration/commands.py
@@ -73,7 +73,7 @@
     try:
         call = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        return Invalid("call", "body", f"is not whole JSON: {error}; send it again in full")
+        return Invalid("call", "body", f"is not valid JSON: {error}; send the complete document")
     except RecursionError:
         return Invalid("call", "body", f"is nested too deep; give at most {MAX_DEPTH} levels")
     if not isinstance(call, dict):
@@ -107,7 +107,7 @@
         """Adds a write of ``value`` for the item ``sent``, whose ``epoch`` is parsed here."""
         self.item_count += 1
         if self.item_count > MAX_ITEMS:
-            return Invalid("call", "body", f"holds over {MAX_ITEMS} items; send them in several calls")
+            return Invalid("call", "body", f"has over {MAX_ITEMS} items; send them in several calls")
         item = item_label(kind, name)
         epoch = sent.get("epoch")
         if not isinstance(epoch, str) or not _EPOCH.fullmatch(epoch):
@@ -226,12 +226,12 @@
 def _route_error(item: str, rule: dict[str, Any]) -> Invalid | None:
     if "host" in rule:
         # The stored value has the host of the entry in this field, so this one could not be read back.
-        return Invalid(item, "host", "stands in the rule; give it in the entry of input_ports alone")
+        return Invalid(item, "host", "is not allowed in the rule; give it only in the entry of input_ports")
     if rule.get("kind") not in ("idempotent", "effectful"):
         return Invalid(item, "kind", _correction(rule.get("kind"), "idempotent or effectful"))
     priority = rule.get("priority")
     if priority is not None and not _is_whole(priority, least=0):
-        return Invalid(item, "priority", _correction(priority, "a whole number from 0"))
+        return Invalid(item, "priority", _correction(priority, "an integer of at least 0"))
     predicate = rule.get("predicate")
     if not isinstance(predicate, dict):
         return Invalid(item, "predicate", _correction(predicate, "an object with prefix"))
@@ -252,7 +252,7 @@
         return Invalid(item, "response.horizon_ms", _correction(horizon, f"1 to {MAX_HORIZON_MS}"))
     trials = response.get("trials")
     if trials is not None and not _is_whole(trials, least=1):
-        return Invalid(item, "response.trials", _correction(trials, "a whole number from 1"))
+        return Invalid(item, "response.trials", _correction(trials, "an integer of at least 1"))
     if setpoint is not None:
         if not _is_number(setpoint) or setpoint >= horizon + MAX_SETPOINT_EXCESS_MS:
             wanted = f"0 to less than horizon_ms + {MAX_SETPOINT_EXCESS_MS}"
@@ -268,10 +268,10 @@
         return None
     field = "response.distribution"
     if plant is not None:
-        return Invalid(item, field, "stands beside response.plant; give one of the two")
+        return Invalid(item, field, "is given together with response.plant; give only one of them")
     if not isinstance(split, list) or not 0 < len(split) <= MAX_SPLIT_ENTRIES:
         return Invalid(
-            item, field, f"is no list of 1 to {MAX_SPLIT_ENTRIES} entries; give plant and gain in each"
+            item, field, f"is not a list of 1 to {MAX_SPLIT_ENTRIES} entries; give plant and gain in each"
         )
     for index, part in enumerate(split):
         if not isinstance(part, dict):
@@ -281,7 +281,9 @@
                 item, f"{field}[{index}].plant", _correction(part.get("plant"), "a service's name")
             )
         if not _is_number(part.get("gain")):
-            return Invalid(item, f"{field}[{index}].gain", _correction(part.get("gain"), "a number from 0"))
+            return Invalid(
+                item, f"{field}[{index}].gain", _correction(part.get("gain"), "a number of at least 0")
+            )
     if not any(part["gain"] for part in split):
         return Invalid(item, field, "has no gain above 0; give one to a service")
     return None
--- a/mesh/control_plane/acceptor_host.py
+++ b/mesh/control_plane/acceptor_host.py
@@ -38,7 +38,7 @@
 
 MAX_PROMISE_BYTES = 8 << 20  # of the states in one promise
 ROW_OVERHEAD_BYTES = 200  # estimated bytes of a row beside its content
-DISK_FULL = "disk: no room for more; drop some items and wait until they are forgotten"
+DISK_FULL = "disk: full; drop some items and wait until their tombstones are collected"
 MAX_PAGED_WRITES = 8  # partly received writes that are kept; the oldest is discarded
 
 
@@ -72,9 +72,9 @@
         """Why nothing can be answered under that epoch; None if it can. Waits until the epoch is on disk."""
         while True:
             if not self._disk_writer.complete:
-                return Refusal(0, "its disk does not count")
+                return Refusal(0, "the member's disk has no vote")
             if self._member_set.view().epoch != epoch:
-                return Refusal(0, f"it has epoch {self._member_set.view().epoch}")
+                return Refusal(0, f"the member has epoch {self._member_set.view().epoch}")
             if self._durable_epoch == epoch:
                 return None
             await self._disk_writer.flush()
@@ -117,7 +117,7 @@
             return refusal
         for (kind, _, _), value in writes.items():
             if kind == VIEW and value is not None and "before" not in value and not self.synced():
-                return Refusal(0, "it is not synced with the joint view")
+                return Refusal(0, "the member is not synced with the joint view")
         if not self.has_room(writes):
             return Refusal(0, DISK_FULL)
         changed = self.acceptor.accept(ballot, by, writes, tags)
@@ -196,7 +196,7 @@
                 writes = {decode_slot(row): row[3] for row in rows}
                 tags = {decode_slot(row): str(row[4]) for row in rows if len(row) > 4}
                 if any(not (value is None or isinstance(value, dict)) for value in writes.values()):
-                    raise ValueError("a content is an object, or null where the item is dropped")
+                    raise ValueError("an item's value must be an object, or null for a dropped item")
                 self.spawn(self._handle_accept(channel, head, decode_ballot(head["b"]), writes, tags))
         elif kind == "decided":
             self._handle_decided(head)
@@ -295,7 +295,7 @@
     """Decodes a ballot; raises TypeError or ValueError if it is malformed."""
     round, proposer = data
     if not isinstance(round, int) or not isinstance(proposer, str):
-        raise ValueError("a ballot is a round and its proposer's incarnation")
+        raise ValueError("a ballot must be a round and its proposer's incarnation")
     return Ballot(round, proposer)
 
 
@@ -303,7 +303,7 @@
     """Decodes the first three fields; raises TypeError or ValueError if they are no slot."""
     kind, name, version = data[:3]
     if not (isinstance(kind, str) and isinstance(name, str) and isinstance(version, int)):
-        raise ValueError("a slot is kind, name and version")
+        raise ValueError("a slot must be kind, name and version")
     return kind, name, version
 
 
--- a/mesh/control_plane/backup.py
+++ b/mesh/control_plane/backup.py
@@ -98,7 +98,7 @@
     if path == base_path or not path.is_relative_to(base_path):
         return Refusal(f"to: {to} lies outside {base}; give a folder under it, such as backup-1")
     if path.is_relative_to(base_path / "charter"):
-        return Refusal(f"to: {to} lies in the store's own folder; give another under {base}")
+        return Refusal(f"to: {to} lies in the store's own folder; give another folder under {base}")
     return path
 
 
@@ -111,10 +111,10 @@
         )
         size = (base / "charter" / NAME).stat().st_size
     except OSError as fault:
-        return Refusal(f"disk: {fault}; look at {base}")
+        return Refusal(f"disk: {fault}; check {base}")
     if used + size > most:
         return Refusal(
-            f"disk: {used} of {most} bytes are used and a copy takes {size}; remove an older one under {base}"
+            f"disk: {used} of {most} bytes are used, a backup needs {size}; remove an older one under {base}"
         )
     outcome = disk_store.backup(to)
     if isinstance(outcome, WriteFailed):
--- a/mesh/control_plane/catch_up.py
+++ b/mesh/control_plane/catch_up.py
@@ -131,7 +131,7 @@
         )
         if own_start[0] >= self._start_count() and own_start[1] != own_source:
             if self._disk_writer.complete:
-                self._start_over(f"{channel.node} knows of a later start than its disk")
+                self._start_over(f"{channel.node} knows a later start of this machine than its disk records")
             starts = max(own_start[0], self._start_count()) + 1
             self._record_start(self._member_set.own_address, starts, self._config_store.source)
         peer_start = records.get(member, (0, ""))
@@ -147,9 +147,9 @@
         if me in view.names:
             self._is_reader = False
         elif me in before.names:
-            self._start_over("it was removed from the view")
+            self._start_over("this machine was removed from the view")
         elif self._is_reader:
-            self._start_over("it is not a member")
+            self._start_over("this machine is not a member")
 
     def items_changed(self, items: Iterable[Item]) -> None:
         """Checks a changed view; to be called with all configuration items that changed here."""
@@ -175,7 +175,7 @@
         self._update_hello()
         # Requests sent on these links carry the old vector, so their answers would omit what was dropped.
         for channel in list(self._channels.open):
-            channel.link.close("its disk starts over")
+            channel.link.close("this process discards its outdated state")
 
     async def _rewrite_disk(self) -> None:
         while not isinstance(await self._disk_writer.rewrite(), Durable):
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -53,7 +53,7 @@
     silent = [float(silent_s) for silent_s in head["silent"]]
     linked = head.get("linked", [None] * len(nodes))
     if len(silent) != len(nodes) or len(linked) != len(nodes):
-        raise ValueError("an answer to another number of nodes")
+        raise ValueError("the answer is for another number of nodes")
     linked_s = {name: float(age_s) for name, age_s in zip(nodes, linked, strict=True) if age_s is not None}
     return failure_detection.SilenceReport(dict(zip(nodes, silent, strict=True)), linked_s)
 
@@ -143,11 +143,11 @@
     def _release(self) -> None:
         newest = self.lease.latest
         if newest.epoch != self._held_epoch:
-            why = f"{newest.holder} has it"
+            why = f"{newest.holder} holds it"
         elif not self._has_contact():
-            why = "no contact with most members"
+            why = "no contact with a quorum"
         else:
-            why = "not the first that is live"
+            why = "another live process precedes this one"
         self._event_log.emit(events.DUTY_RELEASED, duty=REAPING, epoch=self._held_epoch, why=why)
         self._held_epoch, self._round = 0, None
         self._kept_zones.clear()
@@ -275,7 +275,7 @@
             or not isinstance(nodes, list)
             or len(nodes) > failure_detection.MAX_QUERIED_NODES
         ):
-            raise ValueError("a query for an unknown lease, or for too many nodes")
+            raise ValueError("the query is for an unknown lease or for too many nodes")
         epoch = self._member_set.view().epoch
         # A holder with an older view may count a majority that no longer is one.
         old_view = int(head.get("e", epoch)) < epoch
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -122,9 +122,9 @@
         # A process that ranks first now has to claim the lease before this one gives it up, or nobody would
         # perform it. A new view leaves this process without contact for a moment.
         if self.lease.latest != LeaseRecord(self._held_epoch, self.node):
-            self._release(f"{self.lease.latest.holder} has it")
+            self._release(f"{self.lease.latest.holder} holds it")
         elif now - self._last_live_at > LINK_ALIVE_S:
-            self._release("no contact with most members")
+            self._release("no contact with a quorum")
         else:
             self._plan_change(now, view)
 
@@ -241,10 +241,10 @@
         if status.responding or address not in view.members:
             return ""
         if not self._held_epoch:
-            holder = self.lease.latest.holder or "nobody yet"
-            return f"{holder} has the duty members, and knows why"
+            holder = self.lease.latest.holder or "no process yet"
+            return f"{holder} holds the lease members and knows why"
         reason = self.member_silence.describe_wait(now, view, address)
-        return reason or ("" if not view.joint else "the change under way comes first")
+        return reason or ("" if not view.joint else "another change is in progress")
 
     def status(self) -> JsonObject:
         """For operators: holder and epoch of the lease, and whether this process holds it."""
@@ -268,13 +268,13 @@
         nodes = self._nodes()
         address = next((a for a, node in nodes.items() if node == name), name)
         if address not in view.names:
-            return Refusal(f"{name}: does not count; members show lists those that do")
+            return Refusal(f"{name}: is not a member; members show lists the members")
         if address in self.joining.reachable() | {self._member_set.own_address}:
-            return Refusal(f"{name}: runs, and would join again: end it, or set counted = false there")
+            return Refusal(f"{name}: runs, and would join again: stop it, or set counted = false there")
         if not self._member_set.has_contact():
-            return Refusal(f"{self.node} has no contact with most members; ask another with --at")
+            return Refusal(f"{self.node} has no contact with a quorum; ask another with --at")
         if view.joint:
-            return Refusal(f"a change is under way (epoch {view.epoch}); try again once it is over")
+            return Refusal(f"a change is in progress (epoch {view.epoch}); try again when it has ended")
         planned = plan_change(
             view,
             self.joining.known_members(self.member_silence.absences(self._loop.time()), address),
@@ -286,11 +286,9 @@
             return Refusal(f"{name}: not safe now: {planned.blocked_by}")
         until = self._loop.time() + REMOVE_TIMEOUT_S
         if not await self._propose(planned.view):
-            return Refusal(
-                f"{name}: the change was not decided in time; look with members show, and try again"
-            )
+            return Refusal(f"{name}: the change was not decided in time; check members show and try again")
         while (after := self._member_set.view()).joint and self._loop.time() < until:
             await asyncio.sleep(0.02)
         if address in after.names:
-            return Refusal(f"{name}: the change is under way (epoch {after.epoch}); look with members show")
+            return Refusal(f"{name}: the change is in progress (epoch {after.epoch}); check members show")
         return {"removed": address, "epoch": after.epoch, "members": sorted(after.members)}
--- a/mesh/control_plane/member_messages.py
+++ b/mesh/control_plane/member_messages.py
@@ -31,7 +31,7 @@
         """The report on the queried nodes. Raises ValueError if it answers another query."""
         linked = self.linked or [None] * len(nodes)
         if len(self.silent) != len(nodes) or len(linked) != len(nodes):
-            raise ValueError("an answer to another number of nodes")
+            raise ValueError("the answer is for another number of nodes")
         linked_s = {name: age_s for name, age_s in zip(nodes, linked, strict=True) if age_s is not None}
         return SilenceReport(dict(zip(nodes, self.silent, strict=True)), linked_s)
 
@@ -56,7 +56,7 @@
     except msgspec.ValidationError as fault:
         raise ValueError(str(fault)) from fault
     if isinstance(frame, SilenceQuery) and len(frame.of) > MAX_QUERIED_NODES:
-        raise ValueError("a query for too many nodes")
+        raise ValueError("the query is for too many nodes")
     return frame
 
 
--- a/mesh/control_plane/member_silence.py
+++ b/mesh/control_plane/member_silence.py
@@ -186,10 +186,10 @@
             query = self._round
             awaiting = ", ".join(sorted(query.awaiting)) if query is not None else ""
             if awaiting:
-                return f"the others are asked; no answer yet from {awaiting}"
+                return f"the other members were asked; no answer yet from {awaiting}"
             if query is not None and not is_majority(query.answered, view.names):
-                return f"of {len(view.names)} members only {len(query.answered)} could be asked"
-            return "the others are asked next"
+                return f"only {len(query.answered)} of {len(view.names)} members answered"
+            return "the other members are asked next"
         if absence.silent:
             return ""
         if absence.silent_s < bound_s:
@@ -197,8 +197,9 @@
         zone = _place(view, address).zone
         left_s = max(self.thresholds.zone_gone_s - absence.silent_s, 0.0)
         return (
-            f"nobody of zone {zone} was heard after it, or only just now: the zone may be cut off. It goes "
-            f"once another machine of the zone is heard, after {left_s:.0f} s, or by members remove"
+            f"no node of zone {zone} was heard after it, or only just now: the zone may be cut off. The "
+            f"member is removed once another machine of the zone is heard, after {left_s:.0f} s, or by "
+            "members remove"
         )
 
     # Frames
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -93,7 +93,7 @@
         command = decode_command(message)
         if isinstance(command, UnknownEndpoint):
             return Answer(
-                command.status, error_body("path: this address takes GET and PATCH of /configuration")
+                command.status, error_body("path: this address serves GET and PATCH of /configuration")
             )
         required = ContactLevel.READS if isinstance(command, ReadConfiguration) else ContactLevel.WRITES
         if self._contact_probes.level() < required:
@@ -112,11 +112,11 @@
         address = self._contact_probes.redirect_address()
         if address:
             return Answer(307, location=f"http://{address}{PATH.decode()}")
-        return unresolved_answer("no contact with most control processes here; another one may have it")
+        return unresolved_answer("this control process has no contact with a quorum; another one may have it")
 
     async def _read(self) -> Answer:
         if not await self._proposer_host.read(READ_TIMEOUT_S):
-            return unresolved_answer("too few control processes answer to know the newest")
+            return unresolved_answer("too few control processes answer to determine the newest configuration")
         return Answer(200, self._rendered())
 
     def _rendered(self) -> bytes:
@@ -136,7 +136,7 @@
                 return self._answer_unresolved("too few control processes answer")
             invalid = check_change(change, self._current)
             if invalid is not None and any(isinstance(self._acceptor.state(slot), Vote) for slot in writes):
-                return self._answer_unresolved("a part of it is being decided")
+                return self._answer_unresolved("a part of the change is still being decided")
         if invalid is not None:
             return self._answer_refused(invalid)
         if not writes:
@@ -150,9 +150,7 @@
             return await self._acknowledge(writes, until - self._loop.time())
         if isinstance(outcome, Conflict):
             kind, name, version = outcome.slot
-            message = (
-                f"{item_label(kind, name)}: another order has r{version}; send it under a higher version"
-            )
+            message = f"{item_label(kind, name)}: another change has r{version}; send a higher version"
             self._event_log.emit(events.CHANGE_CONFLICT, kind=kind, name=name, version=version)
             return Answer(409, error_body(message))
         return self._answer_unresolved(outcome.reason)
@@ -162,7 +160,7 @@
         items = [self._config_store.items.get((kind, name)) for kind, name, _ in slots]
         if await self._confirmations.wait_confirmed([item for item in items if item is not None], within_s):
             return Answer(200, b"{}")
-        return self._answer_unresolved("it is decided, but not yet in force at all sidecars")
+        return self._answer_unresolved("the change is decided, but not yet in force at all sidecars")
 
     def _answer_unresolved(self, reason: str) -> Answer:
         self._event_log.emit(events.NOT_ACKNOWLEDGED, reason=reason)
--- a/mesh/control_plane/proposals.py
+++ b/mesh/control_plane/proposals.py
@@ -122,7 +122,7 @@
     def _check_room(self, writes: Collection[Slot]) -> str:
         """The reason why another write is rejected now; "" if there is room."""
         if len(self._pending_writes) >= MAX_PENDING_WRITES:
-            return f"{MAX_PENDING_WRITES} orders wait already"
+            return f"{MAX_PENDING_WRITES} writes are pending already"
         keys = {(kind, name) for kind, name, _ in [*writes, *self._acceptor.votes]}
         count = len(self._config_store.items) + sum(key not in self._config_store.items for key in keys)
         if count > self._config_store.max_items and count > len(self._config_store.items):
@@ -229,7 +229,7 @@
         chosen = running.proposer.accepted(member, epoch, running.prepare.ballot)
         if chosen is not None:
             self._announce(chosen)
-            running.finish(running.proposer.outcome() or Retry(0, "another order had a slot of this one"))
+            running.finish(running.proposer.outcome() or Retry(0, "another write has a slot of this one"))
 
     def _refused(self, running: _RunningBallot, member: str, refusal: Refusal) -> None:
         step = running.proposer.refused(member, running.prepare.ballot, refusal)
--- a/mesh/control_plane/restore.py
+++ b/mesh/control_plane/restore.py
@@ -1,4 +1,4 @@
-"""`state restore`: an operator states that more was lost than is tolerated, and that this state is the
+"""`state restore`: an operator confirms that more was lost than is tolerated and that this state is the
 newest."""
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
         """Restores from ``head``; raises KeyError, TypeError or ValueError if it is malformed."""
         lost = [str(one) for one in head["lost"]][:MAX_LOST]
         if self._busy:
-            return Refusal("another restore is under way")
+            return Refusal("another restore is in progress")
         self._busy = True
         try:
             if not self._member_set.has_contact():
@@ -71,8 +71,8 @@
             if head["copy"] and all(item.kind == VIEW for item in self._config_store.items.values()):
                 return await self._import_copy(str(head["copy"]))
             return Refusal(
-                "the mesh serves, and holds all that was acknowledged; to go back to an earlier "
-                "configuration, send it under higher versions"
+                "the mesh serves and has all acknowledged changes; to go back to an earlier "
+                "configuration, send it with higher versions"
             )
         finally:
             self._busy = False
--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -196,7 +196,7 @@
     ]
     shown = told(mesh, "members", "show")
     assert [row["address"] for row in shown["members"]] == CORES and shown["joint"] is False
-    for name, why in (("core-1", "runs, and would join again"), ("core-7", "does not count")):
+    for name, why in (("core-1", "runs, and would join again"), ("core-7", "is not a member")):
         refused = run(mesh, "members", "remove", name)
         assert refused.exit_code == 4 and why in refused.output
 
--- a/tests/mesh/test_members_world.py
+++ b/tests/mesh/test_members_world.py
@@ -312,7 +312,7 @@
         yield from remove("c4")
         assert "runs, and would join again" in answers[-1].reason
         yield from remove("nobody")
-        assert "does not count" in answers[-1].reason
+        assert "is not a member" in answers[-1].reason
         remove_machine(world, controllers[3])
         yield world.env.timeout(1.5)
         yield from remove("c4")
--- a/tests/mesh/test_orders_world.py
+++ b/tests/mesh/test_orders_world.py
@@ -91,7 +91,7 @@
             answer = yield from first_clear_answer(world, at, body)
             statuses.append(answer.status)
             if answer.status == 409:
-                assert b"r1" in answer.body and b"another order" in answer.body and b"\n" not in answer.body
+                assert b"r1" in answer.body and b"another change" in answer.body and b"\n" not in answer.body
         assert sorted(statuses) == [200, 409, 409]
         yield world.env.timeout(0.5)
         assert values_in_force(world) == {(1, statuses.index(200) + 1)}
