--- a/mesh/control_plane/confirmations.py
+++ b/mesh/control_plane/confirmations.py
@@ -170,7 +170,10 @@
             if now - decided_at >= self.bound_s(len(items)):
                 waited_ms = round((now - decided_at) * 1000.0)
                 self._event_log.emit(
-                    events.ACKNOWLEDGED_EARLY, items=len(items), sidecars=len(lacking), waited_ms=waited_ms
+                    events.CHANGE_ACKNOWLEDGED_EARLY,
+                    items=len(items),
+                    sidecars=len(lacking),
+                    waited_ms=waited_ms,
                 )
                 return True
             if now - started_at >= within_s:
--- a/mesh/control_plane/contact_probes.py
+++ b/mesh/control_plane/contact_probes.py
@@ -148,7 +148,7 @@
             self._had_contact = not self._had_contact
             for_ms, self._contact_changed_at = round((now - self._contact_changed_at) * 1000.0), now
             if self._had_contact:
-                self._event_log.emit(events.CONTACT_CONFIRMED, without_ms=for_ms)
+                self._event_log.emit(events.CONTACT_ESTABLISHED, without_ms=for_ms)
             else:
                 heard = len(self.contact.valid_replies(now))
                 self._event_log.emit(events.CONTACT_LOST, heard=heard, of=len(self._member_set.view().names))
--- a/mesh/control_plane/joining.py
+++ b/mesh/control_plane/joining.py
@@ -142,7 +142,7 @@
             try:
                 await self._step()
             except Exception as fault:  # the task must go on: nothing else restarts it
-                self._event_log.emit(events.PROGRAM_ERROR, where="joining", what=repr(fault))
+                self._event_log.emit(events.INTERNAL_ERROR, where="joining", what=repr(fault))
             self.announce()
             await asyncio.sleep(STEP_INTERVAL_S)
 
--- a/mesh/control_plane/key_assignment.py
+++ b/mesh/control_plane/key_assignment.py
@@ -112,7 +112,7 @@
         try:
             key_map = read_map(item.version, item.value)
         except (KeyError, TypeError, ValueError) as fault:
-            self._event_log.emit(events.PROGRAM_ERROR, where=f"keys of {item.name}", what=str(fault))
+            self._event_log.emit(events.INTERNAL_ERROR, where=f"keys of {item.name}", what=str(fault))
             return
         now = self._loop.time()
         self._maps[item.name] = key_map
--- a/mesh/control_plane/leases.py
+++ b/mesh/control_plane/leases.py
@@ -103,7 +103,7 @@
                 try:
                     self.lease.note(now, read_lease(item.version, item.value))
                 except ValueError as fault:
-                    self._event_log.emit(events.PROGRAM_ERROR, where=f"duty {item.name}", what=str(fault))
+                    self._event_log.emit(events.INTERNAL_ERROR, where=f"duty {item.name}", what=str(fault))
 
     def link_closed(self, channel: Channel) -> None:
         """Notes the last contact with the node on a link that closed."""
@@ -135,7 +135,7 @@
         if isinstance(decided, Hold):
             if self._held_epoch != decided.epoch:
                 self._held_epoch = decided.epoch
-                self._event_log.emit(events.DUTY_TAKEN, duty=REAPING, epoch=decided.epoch)
+                self._event_log.emit(events.LEASE_ACQUIRED, duty=REAPING, epoch=decided.epoch)
             self._query_silence(now, nodes, decided.epoch)
         elif self._held_epoch:
             self._release()
@@ -148,7 +148,7 @@
             why = "no contact with a quorum"
         else:
             why = "another live process precedes this one"
-        self._event_log.emit(events.DUTY_RELEASED, duty=REAPING, epoch=self._held_epoch, why=why)
+        self._event_log.emit(events.LEASE_RELEASED, duty=REAPING, epoch=self._held_epoch, why=why)
         self._held_epoch, self._round = 0, None
         self._kept_zones.clear()
 
--- a/mesh/control_plane/member_changes.py
+++ b/mesh/control_plane/member_changes.py
@@ -90,7 +90,7 @@
                 try:
                     self.lease.note(self._loop.time(), read_lease(item.version, item.value))
                 except ValueError as fault:
-                    self._event_log.emit(events.PROGRAM_ERROR, where=f"duty {item.name}", what=str(fault))
+                    self._event_log.emit(events.INTERNAL_ERROR, where=f"duty {item.name}", what=str(fault))
 
     def tick(self, now: float) -> None:
         """Claims, releases or acts under the lease; called several times a second."""
@@ -114,7 +114,7 @@
                 decided = Hold(decided.epoch)
         if isinstance(decided, Hold) and self._held_epoch != decided.epoch:
             self._held_epoch = decided.epoch
-            self._event_log.emit(events.DUTY_TAKEN, duty=MEMBERS_LEASE, epoch=decided.epoch)
+            self._event_log.emit(events.LEASE_ACQUIRED, duty=MEMBERS_LEASE, epoch=decided.epoch)
         if self.node in live:
             self._last_live_at = now
         if not self._held_epoch:
@@ -133,7 +133,7 @@
         return {node for address, node in self._nodes().items() if address in view.members}
 
     def _release(self, why: str) -> None:
-        self._event_log.emit(events.DUTY_RELEASED, duty=MEMBERS_LEASE, epoch=self._held_epoch, why=why)
+        self._event_log.emit(events.LEASE_RELEASED, duty=MEMBERS_LEASE, epoch=self._held_epoch, why=why)
         self._held_epoch = 0
         self.member_silence.stop()
 
--- a/mesh/control_plane/operator_api.py
+++ b/mesh/control_plane/operator_api.py
@@ -163,7 +163,7 @@
         return self._answer_unresolved("the change is decided, but not yet in force at all sidecars")
 
     def _answer_unresolved(self, reason: str) -> Answer:
-        self._event_log.emit(events.NOT_ACKNOWLEDGED, reason=reason)
+        self._event_log.emit(events.CHANGE_NOT_ACKNOWLEDGED, reason=reason)
         return unresolved_answer(reason)
 
     def _answer_refused(self, invalid: Invalid) -> Answer:
--- a/mesh/control_plane/rollouts.py
+++ b/mesh/control_plane/rollouts.py
@@ -179,7 +179,7 @@
                 if rollout.missing:
                     names = ",".join(sorted(rollout.missing)[:MAX_NAMES])
                     self._event_log.emit(
-                        events.NOT_CONFIRMED,
+                        events.CHANGE_NOT_CONFIRMED,
                         items=len(rollout.versions),
                         sidecars=len(rollout.missing),
                         names=names,
--- a/mesh/data_plane/program.py
+++ b/mesh/data_plane/program.py
@@ -327,7 +327,7 @@
                 self._apply_item(item)
             self.staged_routes.schedule_report()
             newest = max((item.version for item in items), default=0)
-            self.event_log.emit(events.IN_FORCE, items=len(items), version=newest)
+            self.event_log.emit(events.CONFIGURATION_IN_FORCE, items=len(items), version=newest)
         else:
             self.tombstones.note(self.loop.time(), items)
             for service, entries in self.membership.apply(items).items():
--- a/mesh/data_plane/service_balancers.py
+++ b/mesh/data_plane/service_balancers.py
@@ -245,7 +245,7 @@
                         self._execute(action)
                 except Exception as error:
                     # An exception in the decision module fails the current request only, not all others.
-                    self.context.event_log.emit(events.PROGRAM_ERROR, where=self.service, what=repr(error))
+                    self.context.event_log.emit(events.INTERNAL_ERROR, where=self.service, what=repr(error))
                     request = self.requests.get(getattr(event, "request", ""))
                     if request is not None:
                         self._finish(request, Failed(False))
@@ -281,7 +281,7 @@
             return True
         if now - self._denied_logged_at >= self.context.retry_window_ms:
             refused = self.budget.denied - self._denied_logged
-            self.context.event_log.emit(events.BUDGET_SPENT, service=self.service, refused=refused)
+            self.context.event_log.emit(events.RETRY_BUDGET_SPENT, service=self.service, refused=refused)
             self._denied_logged, self._denied_logged_at = self.budget.denied, now
         return False
 
--- a/mesh/data_plane/upstream_connections.py
+++ b/mesh/data_plane/upstream_connections.py
@@ -220,7 +220,7 @@
                 self.apply(Event.STRAY)
                 self._stray_responses += 1
                 self._pool.event_log.emit(
-                    events.WRONG_ANSWER, wanted=self._attempt_id.decode("latin-1"), got=received_id
+                    events.ANSWER_MISMATCHED, wanted=self._attempt_id.decode("latin-1"), got=received_id
                 )
                 if self._stray_responses > MAX_STRAY_RESPONSES:
                     self.close()
--- a/mesh/data_plane/upstream_dispatch.py
+++ b/mesh/data_plane/upstream_dispatch.py
@@ -289,7 +289,9 @@
             self._finish(dispatched, NotExecuted(RejectReason.DOWN if outcome.refused else RejectReason.FULL))
             return
         if not isinstance(outcome, ResponseReceived):
-            self._event_log.emit(events.CALL_UNCLEAR, attempt=dispatched.call.attempt, why=outcome.reason)
+            self._event_log.emit(
+                events.CALL_OUTCOME_UNKNOWN, attempt=dispatched.call.attempt, why=outcome.reason
+            )
             self._finish(dispatched, Unclear(outcome.reason))
             return
         message = outcome.message
--- a/mesh/event_log/events.py
+++ b/mesh/event_log/events.py
@@ -54,7 +54,7 @@
 ENDED = _define_event(104, Level.INFO, "ended")
 SETTINGS_APPLIED = _define_event(106, Level.INFO, "changed settings applied")
 SETTINGS_REFUSED = _define_event(107, Level.WARNING, "changed settings refused", "findings")
-PROGRAM_ERROR = _define_event(105, Level.ERROR, "internal error", "where", "what")
+INTERNAL_ERROR = _define_event(105, Level.ERROR, "internal error", "where", "what")
 
 LINK_UP = _define_event(201, Level.INFO, "link up", "peer")
 PEER_REACHABLE = _define_event(210, Level.INFO, "peer reachable again", "peer")
@@ -67,7 +67,7 @@
 NODE_DROPPED = _define_event(212, Level.INFO, "node given up", "peer", "silent_s", "instances")
 ZONE_KEPT = _define_event(213, Level.WARNING, "most of a zone is silent, its nodes are kept", "zone")
 CONTACT_LOST = _define_event(220, Level.WARNING, "contact with most members lost", "heard", "of")
-CONTACT_CONFIRMED = _define_event(221, Level.INFO, "contact with most members proven", "without_ms")
+CONTACT_ESTABLISHED = _define_event(221, Level.INFO, "contact with most members proven", "without_ms")
 CONTROL_LOST = _define_event(
     222, Level.WARNING, "no control process with contact in reach", "links", "behind_ms"
 )
@@ -84,8 +84,8 @@
 
 CHANGE_DECIDED = _define_event(301, Level.INFO, "change decided", "items")
 CHANGE_REFUSED = _define_event(302, Level.WARNING, "change refused", "reason")
-NOT_ACKNOWLEDGED = _define_event(303, Level.WARNING, "change not acknowledged in time", "reason")
-IN_FORCE = _define_event(305, Level.INFO, "configuration in force", "items", "version")
+CHANGE_NOT_ACKNOWLEDGED = _define_event(303, Level.WARNING, "change not acknowledged in time", "reason")
+CONFIGURATION_IN_FORCE = _define_event(305, Level.INFO, "configuration in force", "items", "version")
 STATE_FULL = _define_event(308, Level.ERROR, "control state full", "reason")
 ROUTE_DEGRADED = _define_event(
     309, Level.ERROR, "route degraded by its new version", "route", "version", "failed", "before"
@@ -94,11 +94,13 @@
     310, Level.WARNING, "route has no live upstream", "route", "version", "service"
 )
 ROLLOUT_ORDERED = _define_event(311, Level.INFO, "rollout ordered", "order", "route", "version")
-NOT_CONFIRMED = _define_event(312, Level.WARNING, "change not confirmed by all", "items", "sidecars", "names")
+CHANGE_NOT_CONFIRMED = _define_event(
+    312, Level.WARNING, "change not confirmed by all", "items", "sidecars", "names"
+)
 CHANGE_CONFLICT = _define_event(
     313, Level.WARNING, "change refused, another one has its version", "kind", "name", "version"
 )
-ACKNOWLEDGED_EARLY = _define_event(
+CHANGE_ACKNOWLEDGED_EARLY = _define_event(
     316,
     Level.WARNING,
     "acknowledged before all confirmed it",
@@ -124,12 +126,14 @@
 TOMBSTONES_COLLECTED = _define_event(411, Level.INFO, "tombstones collected that all members hold", "items")
 DISK_MIGRATED = _define_event(408, Level.INFO, "store layout migrated", "note")
 
-BUDGET_SPENT = _define_event(502, Level.WARNING, "retry budget spent", "service", "refused")
+RETRY_BUDGET_SPENT = _define_event(502, Level.WARNING, "retry budget spent", "service", "refused")
 CALLS_INTERRUPTED = _define_event(
     503, Level.WARNING, "link lost with calls in flight", "peer", "calls", "asked", "why"
 )
-WRONG_ANSWER = _define_event(504, Level.ERROR, "mismatched answer dropped", "wanted", "got")
-CALL_UNCLEAR = _define_event(505, Level.WARNING, "outcome of an effectful call unknown", "attempt", "why")
+ANSWER_MISMATCHED = _define_event(504, Level.ERROR, "mismatched answer dropped", "wanted", "got")
+CALL_OUTCOME_UNKNOWN = _define_event(
+    505, Level.WARNING, "outcome of an effectful call unknown", "attempt", "why"
+)
 CALLS_ABANDONED = _define_event(506, Level.WARNING, "calls abandoned at shutdown", "requests", "calls")
 CALL_AT_FIRST_HOP = _define_event(
     *(510, Level.DEBUG, "call over at its first hop", "attempt", "route", "service", "aim_ms", "took_ms"),
@@ -148,8 +152,8 @@
     513, Level.DEBUG, "answer waited for those before it", "attempt", "waited_ms", limited=False
 )
 
-DUTY_TAKEN = _define_event(601, Level.INFO, "duty taken", "duty", "epoch")
-DUTY_RELEASED = _define_event(602, Level.INFO, "duty left", "duty", "epoch", "why")
+LEASE_ACQUIRED = _define_event(601, Level.INFO, "duty taken", "duty", "epoch")
+LEASE_RELEASED = _define_event(602, Level.INFO, "duty left", "duty", "epoch", "why")
 STALE_EPOCH_REFUSED = _define_event(
     603, Level.WARNING, "order of an old epoch refused", "duty", "epoch", "newest"
 )
--- a/tests/mesh/test_event_log_log.py
+++ b/tests/mesh/test_event_log_log.py
@@ -26,7 +26,7 @@
     event_log, stream, _ = log()
     event_log.emit(events.LINK_LOST, why="reset by peer", peer="core-2", after_ms=12.5)
     event_log.emit(events.DISK_EMPTY, first=False)
-    event_log.emit(events.DUTY_RELEASED, duty="census", why=None)
+    event_log.emit(events.LEASE_RELEASED, duty="census", why=None)
     assert stream.getvalue().splitlines() == [
         '14:03:07.250 W202 link lost peer=core-2 why="reset by peer" after_ms=12.5',
         "14:03:07.250 W402 store begun on an empty disk first=no",
--- a/tests/mesh/test_reaping_world.py
+++ b/tests/mesh/test_reaping_world.py
@@ -297,7 +297,7 @@
     ]
     assert refused and all((values["epoch"], values["newest"]) == (1, 5) for values in refused)
     yield world.env.timeout(1.0)
-    left = [values for _, name, values in world.events_of(events.DUTY_RELEASED) if name == holder.name]
+    left = [values for _, name, values in world.events_of(events.LEASE_RELEASED) if name == holder.name]
     assert left[0]["epoch"] == 1 and not world.removed_nodes
     yield world.env.timeout(20.0)
     assert removed_names(world) == ["s1"]
