--- a/lab/checker.py
+++ b/lab/checker.py
@@ -145,7 +145,7 @@
         record.in_flight -= 1
         if outcome in NEVER_RAN:
             record.ran.pop(attempt, None)
-        self._forget(sidecar, name, record)
+        self._drop_if_finished(sidecar, name, record)
 
     def final(self, sidecar: int, name: str, outcome: str, now: float) -> None:
         """Called when a sidecar has given a request its final answer."""
@@ -163,13 +163,13 @@
             and not deduplicated_by_all
         ):
             self.breach("twice", f"{name} ({record.klass.name}) was refused although it may have run")
-        self._forget(sidecar, name, record)
+        self._drop_if_finished(sidecar, name, record)
 
     def left(self, sidecar: int, name: str, now: float) -> None:
         """Called when the client has gone: no further attempt may be sent."""
         if (record := self._requests[sidecar].get(name)) is not None:
             record.closed_at = min(record.closed_at, now)
-            self._forget(sidecar, name, record)
+            self._drop_if_finished(sidecar, name, record)
 
     def overdue(self, sidecar: int, name: str) -> None:
         """Called when the client has given up after the deadline."""
@@ -177,7 +177,7 @@
         if record is not None and record.closed_at == math.inf and record.deadline < math.inf:
             self.breach("lost", f"{name} has no final outcome by its deadline, {record.deadline:.1f} ms")
 
-    def _forget(self, sidecar: int, name: str, record: RequestRecord) -> None:
+    def _drop_if_finished(self, sidecar: int, name: str, record: RequestRecord) -> None:
         if record.closed_at < math.inf and not record.in_flight:
             self._requests[sidecar].pop(name, None)
 
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -51,9 +51,9 @@
     def server_stopped(self, server: Server, silent: bool) -> None:
         """Called when a server stops; it is reported as gone after the detection delay."""
         low, high = self.config.silent_notice_ms if silent else self.config.notice_ms
-        self.clock.schedule(self.rng.uniform(low, high), self._gone, server, server.epoch)
+        self.clock.schedule(self.rng.uniform(low, high), self._detect_stop, server, server.epoch)
 
-    def _gone(self, server: Server, epoch: int) -> None:
+    def _detect_stop(self, server: Server, epoch: int) -> None:
         if server.epoch == epoch:
             self.update_entry(server, ServerState.GONE)
 
@@ -61,9 +61,9 @@
         """Called when a server starts; it is reported as ready after the registration delay."""
         if server.name not in self.entries:
             self.simulation.evenness.mark(self.clock.now, server.number, "unlisted", True)
-        self.clock.schedule(self.rng.uniform(*self.config.add_ms), self._added, server, server.epoch)
+        self.clock.schedule(self.rng.uniform(*self.config.add_ms), self._detect_start, server, server.epoch)
 
-    def _added(self, server: Server, epoch: int) -> None:
+    def _detect_start(self, server: Server, epoch: int) -> None:
         if server.epoch == epoch:
             self.update_entry(server, ServerState.READY)
 
@@ -108,21 +108,21 @@
         one after the other; a call fails if it waits too long or discovery is down."""
         wait = max(self.free_at - self.clock.now, 0.0)
         if self.is_down or wait > self.config.timeout_ms:
-            self.clock.schedule(self.config.timeout_ms, self._failed, sidecar, sidecar.incarnation)
+            self.clock.schedule(self.config.timeout_ms, self._fail_call, sidecar, sidecar.incarnation)
             return
         self.free_at = self.clock.now + wait + self.config.call_ms
-        self.clock.schedule(wait + self.config.call_ms, self._answered, sidecar, sidecar.incarnation)
+        self.clock.schedule(wait + self.config.call_ms, self._answer_call, sidecar, sidecar.incarnation)
 
-    def _failed(self, sidecar: Sidecar, incarnation: int) -> None:
+    def _fail_call(self, sidecar: Sidecar, incarnation: int) -> None:
         if sidecar.incarnation == incarnation:
             sidecar.subscribed = False
             sidecar.handle_event(api.ServerList(ListKind.LOST))
 
-    def _answered(self, sidecar: Sidecar, incarnation: int) -> None:
+    def _answer_call(self, sidecar: Sidecar, incarnation: int) -> None:
         if sidecar.incarnation != incarnation:
             return
         if self.is_down:
-            self._failed(sidecar, incarnation)
+            self._fail_call(sidecar, incarnation)
             return
         sidecar.subscribed = True
         sidecar.list_version = len(self.changes)
@@ -136,12 +136,12 @@
         if self.config.mode == "ask":
             for sidecar in self.simulation.processes():
                 if sidecar.subscribed:
-                    self._failed(sidecar, sidecar.incarnation)
+                    self._fail_call(sidecar, sidecar.incarnation)
 
     def end_outage(self) -> None:
         """Brings discovery back. In the mode "push", every sidecar receives the missed changes."""
         self.is_down = False
-        self.simulation.evenness.cause(self.clock.now, "discovery is back")
+        self.simulation.evenness.cause(self.clock.now, "discovery restored")
         if self.config.mode == "push":
             for sidecar in self.simulation.processes():
                 if sidecar.is_local:
--- a/lab/evenness.py
+++ b/lab/evenness.py
@@ -24,7 +24,7 @@
     """An event that many sidecars learn of at about the same time, and the servers that it concerns."""
 
     at: float
-    what: str
+    kind: str
     servers: tuple[int, ...]
 
 
@@ -78,9 +78,9 @@
         """Marks a server as unhealthy for a reason from now on, or as no longer so for that reason."""
         self._marks.setdefault(server, []).append((now, reason, unhealthy))
 
-    def cause(self, now: float, what: str, servers: Iterable[int] = ()) -> None:
+    def cause(self, now: float, kind: str, servers: Iterable[int] = ()) -> None:
         """Records an event that may cause a herd."""
-        self.causes.append(Cause(now, what, tuple(servers)))
+        self.causes.append(Cause(now, kind, tuple(servers)))
 
     # Measures
 
@@ -109,9 +109,9 @@
         """Returns the strongest herd by kind of cause: the attempts that the servers concerned received in a
         quarter of a second, relative to their fair share of all attempts then. Counts are pooled over the
         causes of a kind for each delay since the cause; the highest ratio is returned."""
-        width, found = int(HERD_MS / CELL_MS), dict[str, float]()
-        for what in {cause.what for cause in self.causes if cause.servers}:
-            causes = [c for c in self.causes if c.what == what and c.at + HERD_OVER_MS + HERD_MS <= until]
+        width, strongest = int(HERD_MS / CELL_MS), dict[str, float]()
+        for kind in {cause.kind for cause in self.causes if cause.servers}:
+            causes = [c for c in self.causes if c.kind == kind and c.at + HERD_OVER_MS + HERD_MS <= until]
             most = math.nan
             for delay in range(int(HERD_OVER_MS / CELL_MS)):
                 received = fair = 0.0
@@ -124,8 +124,8 @@
                         fair += total * self.capacity[server] / total_capacity
                 if fair >= MIN_FAIR_COUNT and not received / fair <= most:
                     most = received / fair
-            found[what] = most
-        return found
+            strongest[kind] = most
+        return strongest
 
     def crest(self, until: float) -> float:
         """Returns the most attempts that any server received within a quarter of a second soon after a cause,
@@ -156,7 +156,7 @@
 
     def _healthy_cells(self, until: float) -> Mapping[int, Sequence[bool]]:
         """Returns for each server whether it is healthy in each cell."""
-        cells, found = int(until / CELL_MS), dict[int, list[bool]]()
+        cells, by_server = int(until / CELL_MS), dict[int, list[bool]]()
         for server in self.counts:
             cells_healthy, reasons, at = [True] * cells, set[str](), 0
             for now, reason, unhealthy in self._marks.get(server, ()):
@@ -167,8 +167,8 @@
                 (reasons.add if unhealthy else reasons.discard)(reason)
             if reasons:
                 cells_healthy[at:] = [False] * max(cells - at, 0)
-            found[server] = cells_healthy
-        return found
+            by_server[server] = cells_healthy
+        return by_server
 
     def _fair_shares(self, healthy: Mapping[int, Sequence[bool]], first: int, last: int) -> dict[int, float]:
         """Returns the fair shares of the servers that are healthy throughout a window."""
--- a/lab/ledger.py
+++ b/lab/ledger.py
@@ -18,7 +18,7 @@
 
 
 class EventRecorder:
-    """Takes the location of the checker and of the evenness measure, and records the calls to them.
+    """Takes the place of the checker and of the evenness measure, and records the calls to them.
 
     The methods have the names and parameters of `Checker` and `Evenness`.
     """
@@ -88,8 +88,8 @@
     def mark(self, now: float, server: int, reason: str, unhealthy: bool) -> None:
         self._record("mark", server, reason, unhealthy)
 
-    def cause(self, now: float, what: str, servers: Iterable[int] = ()) -> None:
-        self._record("cause", what, list(servers))
+    def cause(self, now: float, kind: str, servers: Iterable[int] = ()) -> None:
+        self._record("cause", kind, list(servers))
 
 
 def merge_recordings(recordings: Sequence[Iterable[RecordedEvent]]) -> Iterable[RecordedEvent]:
--- a/lab/pool.py
+++ b/lab/pool.py
@@ -26,7 +26,7 @@
 
 
 class WorkerDied(Exception):
-    """The worker process results, or was killed, before it finished its run."""
+    """The worker process ended, or was killed, before it finished its run."""
 
 
 class _Worker:
@@ -60,7 +60,7 @@
         return msgspec.msgpack.decode(message, type=PlayResult)
 
     def kill(self) -> None:
-        """Kills the process without jobs for its end."""
+        """Kills the process without waiting for its end."""
         self._process.kill()
 
     def close(self) -> None:
@@ -97,10 +97,10 @@
         thread.start()
     try:
         for _ in range(count):
-            found = results.get()
-            if isinstance(found, BaseException):
-                raise found
-            yield found
+            result = results.get()
+            if isinstance(result, BaseException):
+                raise result
+            yield result
     finally:
         stop.set()
         for worker in list(alive.values()):
@@ -126,14 +126,14 @@
                         worker.close()
                     worker = alive[threading.get_ident()] = _Worker(directory, timeout_s)
                 try:
-                    found = worker.run(job)
+                    result = worker.run(job)
                     break
                 except WorkerDied as error:
                     worker.close()
-                    worker, found = None, PlayResult(row=failed_row(str(error)), quantiles_ms=[])
+                    worker, result = None, PlayResult(row=failed_row(str(error)), quantiles_ms=[])
                     if stop.is_set() or attempt + 1 == MAX_TRIES:
                         break
-            results.put((play, found))
+            results.put((play, result))
     except BaseException as error:  # passed on, otherwise the iteration would wait forever
         results.put(error)
     finally:
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: the fleet, its load, its clients and what befalls them. One TOML file, typed, with a schema.
+"""Loads scenarios: the servers, the load, the clients and the troubles, as a TOML file with a schema.
 
     include = ["base.toml"]            # tables are merged; values of the including file take precedence
     [draw]                             # any value can be drawn anew for each seed
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -59,7 +59,7 @@
     def discovery(self) -> ServerEvents:
         """Receives the starts and stops of servers."""
 
-    def server_fell(self, server: Server) -> None:
+    def server_crashed(self, server: Server) -> None:
         """Called when a server has crashed from overload."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -202,7 +202,7 @@
         work = self._work_with_cache(attempt)
         self.record_load(work)
         if self.state != UP:
-            return  # this request config it crash; its open attempts were reset
+            return  # this request made it crash; its open attempts were reset
         if self.errors > 0 and self.rng.random() < self.errors:
             self.simulation.reply(attempt, Outcome.ERROR)
         elif self.running < self.kind.workers:
@@ -232,7 +232,7 @@
         if load_ratio > config.fall_multiple and (warm_fraction < 1.0 or config.falls_warm):
             self.falls += 1
             self.simulation.measures.record_fall(warm_fraction < 1.0)
-            self.simulation.server_fell(self)
+            self.simulation.server_crashed(self)
             self.stop(DEAD)
             self.clock.schedule(config.down_ms, self.start)
 
@@ -262,13 +262,13 @@
         self._report_load()
         duration = work * slowdown / (self.speed * self.warm_fraction())
         attempt.ends = self.clock.now + duration
-        self.clock.schedule(duration, self._done, attempt, self.epoch)
+        self.clock.schedule(duration, self._finish_work, attempt, self.epoch)
 
-    def _done(self, attempt: Attempt, epoch: int) -> None:
+    def _finish_work(self, attempt: Attempt, epoch: int) -> None:
         if epoch != self.epoch or attempt.state != "running":
             return
         if self.clock.now < self.paused_until:
-            self.clock.schedule(self.paused_until - self.clock.now, self._done, attempt, epoch)
+            self.clock.schedule(self.paused_until - self.clock.now, self._finish_work, attempt, epoch)
             return
         attempt.state = ""
         self.open_attempts.discard(attempt)
@@ -278,10 +278,10 @@
             if not attempt.open:
                 self.simulation.measures.wasted += 1
             self.simulation.reply(attempt, Outcome.OK)
-        self._start_waiting()
+        self._start_queued_calls()
         self._report_load()
 
-    def _start_waiting(self) -> None:
+    def _start_queued_calls(self) -> None:
         while self.waiting and self.running < self.kind.workers:
             attempt = self.waiting.popleft()
             if attempt.state == "waiting":
@@ -299,7 +299,7 @@
             return
         attempt.state = ""
         self.open_attempts.discard(attempt)
-        self._start_waiting()
+        self._start_queued_calls()
         self._report_load()
 
     def _update_choke(self) -> None:
--- a/lab/sidecars.py
+++ b/lab/sidecars.py
@@ -186,15 +186,15 @@
                 named = {entry.server for entry in event.entries}
                 self.known = {name: entry for name, entry in self.known.items() if name in named}
             self.simulation.checker.listed(self.number, self.clock.now, event)
-        now, watch = self.clock.now, self.storm_watch
-        if watch is not None and (change := watch.told(now, event)) is not None:
+        now, storm_watch = self.clock.now, self.storm_watch
+        if storm_watch is not None and (change := storm_watch.told(now, event)) is not None:
             self.simulation.measures.storm_changes.append((self.number, change))
         actions = self.balancer.handle(now, event)
         if self.cpu_meter is not None:
             self._charge_cpu(now, event, actions)
         for action in actions:
-            if watch is not None:
-                action = watch.said(now, action)
+            if storm_watch is not None:
+                action = storm_watch.said(now, action)
             if isinstance(action, api.Send):
                 self._send(action)
             elif isinstance(action, api.SetTimer):
@@ -243,25 +243,25 @@
     def client_gone(self, client_try: Try) -> None:
         """Called when the client gives up this try."""
         if self.open_tries.pop(client_try.name, None) is not None and self.up:
-            self._client_gone(client_try.name)
+            self._handle_client_gone(client_try.name)
 
-    def _client_gone(self, name: str) -> None:
+    def _handle_client_gone(self, name: str) -> None:
         """Handles a client that has gone. A paused process learns of it when it resumes."""
         if self.paused:
-            self.inbox.append((self._client_gone, (name,)))
+            self.inbox.append((self._handle_client_gone, (name,)))
             return
         self.simulation.checker.left(self.number, name, self.clock.now)
         self.handle_event(api.ClientGone(name))
-        self._forget(name)
+        self._drop_attempt_counts(name)
 
     def _finish(self, name: str, outcome: str, advice_ms: float) -> None:
         self.simulation.checker.final(self.number, name, outcome, self.clock.now)
         client_try = self.open_tries.pop(name, None)
-        self._forget(name)
+        self._drop_attempt_counts(name)
         if client_try is not None:
             self.simulation.clients.try_ended(client_try, outcome, advice_ms)
 
-    def _forget(self, name: str) -> None:
+    def _drop_attempt_counts(self, name: str) -> None:
         """Drops the attempt counts of a finished request once none of its attempts is in flight."""
         if name not in self.open_tries and not self.attempts_open.get(name):
             self.attempts_sent.pop(name, None)
@@ -383,6 +383,6 @@
         if outcome is Outcome.OK and name in self.open_tries:
             self._finish(name, "served", 0.0)
         else:
-            self._forget(name)
+            self._drop_attempt_counts(name)
         closed = name not in self.open_tries
         self.handle_event(api.AttemptEnded(name, number, outcome, self.clock.now - attempt.sent, closed))
--- a/lab/sight.py
+++ b/lab/sight.py
@@ -73,7 +73,7 @@
 
     def _snapshot_of(self, server: Server, now: float) -> ServerSnapshot:
         workers, warmth = server.kind.workers, server.warm_fraction()
-        free = sorted(held.ends for held in server.open_attempts if held.state == "running")
+        free = sorted(attempt.ends for attempt in server.open_attempts if attempt.state == "running")
         slowdown = server.slow * (server.config.choke.slower if server.is_choked else 1.0)
         capacity = workers * server.speed * server.config.fall_ms * warmth
         return ServerSnapshot(
@@ -81,7 +81,7 @@
             server.epoch,
             server.speed * warmth / slowdown,
             (*(now for _ in range(workers - len(free))), *free),
-            sum(held.work for held in server.waiting),
+            sum(attempt.work for attempt in server.waiting),
             warmth >= 1.0,
             server.recent_work / max(capacity, 1e-9),
             server.errors,
@@ -104,11 +104,11 @@
 
     def work_in_flight(self, name: str) -> Sequence[float]:
         """Returns the work of each call on its way to a server."""
-        found, now = self._in_flight.get(name), self._clock.now
-        if not found:
+        in_flight, now = self._in_flight.get(name), self._clock.now
+        if not in_flight:
             return ()
-        del found[: bisect_right(found, (now, math.inf))]
-        return [work for _, work in found]
+        del in_flight[: bisect_right(in_flight, (now, math.inf))]
+        return [work for _, work in in_flight]
 
     def announce_waiting(self, sidecar: int, value: float, until: float) -> None:
         """Records the highest worth per work that waits at a sidecar. It holds until the given instant."""
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -154,7 +154,7 @@
             self._views[key] = FleetView(self.clock, self.by_name, mean_work_ms, round_trip, history)
         return self._views[key]
 
-    def server_fell(self, server: Server) -> None:
+    def server_crashed(self, server: Server) -> None:
         """Called after a server has crashed from overload."""
 
     # Network
--- a/lab/socket_simulation.py
+++ b/lab/socket_simulation.py
@@ -110,7 +110,7 @@
         for server in self.servers:
             cast(SocketServer, server).apply_link(zones, link)
 
-    def server_fell(self, server: Server) -> None:
+    def server_crashed(self, server: Server) -> None:
         """A warming server of this process failed under too much load."""
         self.on_server_fall(server.number)
 
--- a/lab/statistics.py
+++ b/lab/statistics.py
@@ -74,16 +74,18 @@
 
     def verdict(self, first: str, second: str, metric: str) -> str:
         """Returns the result of the comparison as a sentence."""
-        found = self.difference
-        if found.n < MIN_PAIRS:
-            return f"{found.n} seeds are too few; use {MIN_PAIRS} or more"
-        ends = f"[{found.low:+.4f}, {found.high:+.4f}]"
-        if found.low > 0.0 or found.high < 0.0:
-            more, less = (first, second) if found.mean > 0 else (second, first)
-            return f"{more} has {abs(found.mean):.4f} more {metric} than {less} {ends} at n = {found.n}"
-        text = f"no difference seen at n = {found.n} {ends}, smallest detectable difference {self.shows:.4f}"
+        interval = self.difference
+        if interval.n < MIN_PAIRS:
+            return f"{interval.n} seeds are too few; use {MIN_PAIRS} or more"
+        ends = f"[{interval.low:+.4f}, {interval.high:+.4f}]"
+        if interval.low > 0.0 or interval.high < 0.0:
+            more, less = (first, second) if interval.mean > 0 else (second, first)
+            return f"{more} has {abs(interval.mean):.4f} more {metric} than {less} {ends} at n = {interval.n}"
+        text = (
+            f"no difference seen at n = {interval.n} {ends}, smallest detectable difference {self.shows:.4f}"
+        )
         if self.settles:
-            text += f"; {self.settles} seeds would settle a difference of {found.mean:+.4f}"
+            text += f"; {self.settles} seeds would settle a difference of {interval.mean:+.4f}"
         return text
 
 
@@ -91,13 +93,13 @@
     """Compares two sets of values by seed. Seeds that only one of them has are left out."""
     seeds = sorted(first.keys() & second.keys())
     differences = [first[seed] - second[seed] for seed in seeds]
-    found = mean_interval(differences)
+    interval = mean_interval(differences)
     deviation = float(np.std(differences, ddof=1)) if len(seeds) > 1 else math.nan
     shows = (_Z + _NORMAL.inv_cdf(POWER)) * deviation / math.sqrt(max(len(seeds), 1))
     settles = 0
-    if deviation > 0 and found.mean != 0.0:
-        settles = min(math.ceil((_Z * deviation / found.mean) ** 2), 10**9)
-    return Comparison(found, shows, settles)
+    if deviation > 0 and interval.mean != 0.0:
+        settles = min(math.ceil((_Z * deviation / interval.mean) ** 2), 10**9)
+    return Comparison(interval, shows, settles)
 
 
 MIN_GAP = 0.01  # with a smaller gap between floor and ceiling no share of it is computed
@@ -127,18 +129,18 @@
     return (own - floor) / np.maximum(ceiling - floor, 1e-12)
 
 
-def more_seeds(found: Interval, precision: float, most: int) -> int:
+def more_seeds(interval: Interval, precision: float, most: int) -> int:
     """Returns how many further seeds narrow the interval to a half-width of ``precision``.
 
     The width shrinks with the square root of n. The number is at least a fifth of the present one, and the
     total is at most ``most``; 0 if the interval is narrow enough or the limit is reached.
     """
-    if found.n >= most or (found.n >= MIN_PAIRS and found.half_width() <= precision):
+    if interval.n >= most or (interval.n >= MIN_PAIRS and interval.half_width() <= precision):
         return 0
-    if found.n < MIN_PAIRS or precision <= 0:
-        wanted = max(2 * found.n, MIN_PAIRS)
+    if interval.n < MIN_PAIRS or precision <= 0:
+        wanted = max(2 * interval.n, MIN_PAIRS)
     else:
         # Capped before squaring: a tiny precision cannot ask for more than ``most`` seeds.
-        ratio = min(found.half_width() / precision, math.sqrt(most))
-        wanted = math.ceil(found.n * ratio**2)
-    return min(max(wanted, math.ceil(1.2 * found.n), found.n + 1), most) - found.n
+        ratio = min(interval.half_width() / precision, math.sqrt(most))
+        wanted = math.ceil(interval.n * ratio**2)
+    return min(max(wanted, math.ceil(1.2 * interval.n), interval.n + 1), most) - interval.n
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -17,7 +17,7 @@
 import xxhash
 
 BLOCK = 256  # uniforms generated at a time; one at a time costs ten times as much
-GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0
+GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # the fractional part of the golden ratio
 
 
 class Stream:
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -27,7 +27,7 @@
     """The parts of the simulation that troubles use.
 
     ``cut_zones``: zones that no message leaves or enters; ``loss_share``: share of attempts that are lost;
-    ``removed_servers``: servers that do not come back.
+    ``removed_servers``: servers that do not return.
     """
 
     cut_zones: set[str]
@@ -46,16 +46,18 @@
 def plan(simulation: TroublesHost) -> None:
     """Schedules all troubles of the simulation's scenario."""
     for number, trouble in enumerate(simulation.scenario.troubles):
-        planned = _Planned(simulation, trouble, simulation.streams.of("trouble", number, trouble.kind))
-        getattr(planned, f"plan_{trouble.kind}")()
+        scheduler = _TroubleScheduler(
+            simulation, trouble, simulation.streams.of("trouble", number, trouble.kind)
+        )
+        getattr(scheduler, f"plan_{trouble.kind}")()
 
 
-class _Planned:
+class _TroubleScheduler:
     """One trouble, with a ``plan_`` method for each kind. It affects only servers and sidecars that exist at
     the start of the run."""
 
-    def __init__(self, simulation: TroublesHost, trouble: Trouble, chance: Stream) -> None:
-        self.simulation, self.trouble, self.rng = simulation, trouble, chance
+    def __init__(self, simulation: TroublesHost, trouble: Trouble, rng: Stream) -> None:
+        self.simulation, self.trouble, self.rng = simulation, trouble, rng
         self.clock = simulation.clock
         self.start, self.end = trouble.at_ms, trouble.at_ms + trouble.for_ms
 
@@ -79,11 +81,11 @@
 
     def _plan_stops(self, state: str) -> None:
         for server in self.affected_servers():
-            later = self.rng.uniform(0.0, self.trouble.spread_ms)
+            delay = self.rng.uniform(0.0, self.trouble.spread_ms)
             for index in range(self.trouble.times):
                 begin = self.start + 2.0 * index * self.trouble.for_ms
                 self.clock.schedule(begin, self._stop, server, state)
-                self.clock.schedule(begin + self.trouble.for_ms + later, server.start)
+                self.clock.schedule(begin + self.trouble.for_ms + delay, server.start)
 
     @staticmethod
     def _stop(server: Server, state: str) -> None:
@@ -195,9 +197,9 @@
     # Discovery
 
     def plan_disagree(self) -> None:
-        late = self.simulation.discovery.extra_delay_by_sidecar
+        delays = self.simulation.discovery.extra_delay_by_sidecar
         affected = {sidecar.number: self.trouble.size for sidecar in self.affected_sidecars()}
-        self._schedule_span(lambda: late.update(affected), late.clear)
+        self._schedule_span(lambda: delays.update(affected), delays.clear)
 
     def plan_away(self) -> None:
         self._schedule_span(self.simulation.discovery.begin_outage, self.simulation.discovery.end_outage)
@@ -227,22 +229,24 @@
         self.clock.schedule(self.start, lambda: self.simulation.evenness.cause(self.clock.now, "burst"))
 
     def plan_hot(self) -> None:
-        hot = self.simulation.clients.sidecar_factors
+        factors = self.simulation.clients.sidecar_factors
         affected = {sidecar.number: self.trouble.size for sidecar in self.affected_sidecars()}
-        self._schedule_span(lambda: hot.update(affected), hot.clear)
+        self._schedule_span(lambda: factors.update(affected), factors.clear)
 
     def plan_loud(self) -> None:
         names = [item.name for item in self.simulation.scenario.members]
-        loud, member = self.simulation.clients.member_factors, names.index(self.trouble.member)
-        self._schedule_span(lambda: loud.update({member: self.trouble.size}), lambda: loud.pop(member, None))
+        factors, member = self.simulation.clients.member_factors, names.index(self.trouble.member)
+        self._schedule_span(
+            lambda: factors.update({member: self.trouble.size}), lambda: factors.pop(member, None)
+        )
 
     # Sidecars
 
     def plan_die(self) -> None:
         for sidecar in self.affected_sidecars():
-            later = self.rng.uniform(0.0, self.trouble.spread_ms)
+            delay = self.rng.uniform(0.0, self.trouble.spread_ms)
             self.clock.schedule(self.start, sidecar.crash)
-            self.clock.schedule(self.end + later, self._restart, sidecar)
+            self.clock.schedule(self.end + delay, self._restart, sidecar)
 
     @staticmethod
     def _restart(sidecar: Sidecar) -> None:
@@ -252,14 +256,14 @@
     def plan_pause(self) -> None:
         for sidecar in self.affected_sidecars():
             self._schedule_span(sidecar.pause, sidecar.resume)
-        self.clock.schedule(self.end, lambda: self.simulation.evenness.cause(self.clock.now, "go on"))
+        self.clock.schedule(self.end, lambda: self.simulation.evenness.cause(self.clock.now, "resumed"))
 
     def plan_upgrade(self) -> None:
         for sidecar in self.affected_sidecars():
             begin = self.start + self.rng.uniform(0.0, self.trouble.for_ms)
             for index in range(self.trouble.times):
-                later = begin + index * (self.trouble.for_ms + self.trouble.spread_ms)
-                self.clock.schedule(later, self._upgrade, sidecar.number)
+                instant = begin + index * (self.trouble.for_ms + self.trouble.spread_ms)
+                self.clock.schedule(instant, self._upgrade, sidecar.number)
 
     def _upgrade(self, number: int) -> None:
         simulation = self.simulation
--- a/tests/test_lab_ceiling.py
+++ b/tests/test_lab_ceiling.py
@@ -35,9 +35,8 @@
 def test_a_delayed_view_shows_the_state_of_that_long_ago() -> None:
     source = scenario.load(SCENARIOS / "calm.toml").with_changes({"network.cross_ms": 20.0, "seconds": 5.0})
     simulation = Simulation(source.scenario_for(1), 1, *find_policy("random"))
-    present, delayed = simulation.fleet_view(0, False), simulation.fleet_view(0, True)
-    assert (present.delay_ms, delayed.delay_ms) == (0.0, 40.0)
-    assert simulation.fleet_view(1, True) is not delayed
+    now, past = simulation.fleet_view(0, False), simulation.fleet_view(0, True)
+    assert (now.delay_ms, past.delay_ms) == (0.0, 40.0) and simulation.fleet_view(1, True) is not past
     seen = []
 
     def stop_server() -> None:
@@ -46,13 +45,13 @@
             simulation.clock.schedule(after, record_views)
 
     def record_views() -> None:
-        states = present.snapshot("s-0"), delayed.snapshot("s-0")
+        states = now.snapshot("s-0"), past.snapshot("s-0")
         seen.append([state.up for state in states if state is not None])
 
     simulation.clock.schedule(2000.0, stop_server)
     simulation.run()
     assert seen == [[False, True], [False, True], [False, False]]
-    assert present.snapshot("nobody") is None
+    assert now.snapshot("nobody") is None
 
 
 @pytest.mark.parametrize(
