--- a/tests/mesh/test_cli_mesh.py
+++ b/tests/mesh/test_cli_mesh.py
@@ -155,13 +155,13 @@
     return CliRunner().invoke(app, [*words, "--at", f"{at or CORES[0]}:{mesh.ports[0]}"])
 
 
-def told(mesh: Mesh, *words: str, code: int = 0, at: str = "") -> Any:
+def run_json(mesh: Mesh, *words: str, code: int = 0, at: str = "") -> Any:
     result = run(mesh, *words, "--json", at=at)
     assert result.exit_code == code, result.output
     return json.loads(result.stdout)
 
 
-def narrow(result: Result) -> list[str]:
+def output_lines(result: Result) -> list[str]:
     lines = result.stdout.splitlines()
     assert all(len(line) <= 100 and line.isprintable() for line in lines), lines
     return lines
@@ -172,15 +172,15 @@
         mesh.send_heartbeats()
         result = run(mesh, "status", at=at)
         assert result.exit_code == 0, result.output
-        lines = narrow(result)
+        lines = output_lines(result)
         assert lines[0] == "no problems found"
         assert "controllers 2 of 2 answer" in lines and "proxies     2 of 2 answer" in lines
         assert any(
             line.startswith("configuration 4 items, 0 dropped") and "4 processes" in line for line in lines
         )
     mesh.send_heartbeats()
-    assert told(mesh, "doctor") == []
-    rows = {row["node"]: row for row in told(mesh, "nodes")}
+    assert run_json(mesh, "doctor") == []
+    rows = {row["node"]: row for row in run_json(mesh, "nodes")}
     assert sorted(rows) == ["core-0", "core-1", "side-0", "side-1"]
     assert len({row["digest"] for row in rows.values()}) == 1
     assert rows["side-1"]["upstream"] == "i-1" and abs(rows["side-1"]["ahead_s"]) < 1.0
@@ -188,13 +188,13 @@
 
 def test_members_are_shown_and_one_that_runs_is_not_removed(mesh: Mesh) -> None:
     mesh.wait(lambda: all(core.joining.settled() for core in mesh.cores))
-    head, _, columns, *rows = narrow(run(mesh, "members", "show"))
+    head, _, columns, *rows = output_lines(run(mesh, "members", "show"))
     assert head == "epoch 3; losses tolerated now: machines 0, zones 0, regions 0"
     assert columns.split() == ["member", "node", "zone", "vote", "disk", "level", "state"]
     assert [row.split()[:5] for row in rows] == [
         [ip, f"core-{at}", "z", "yes", "complete"] for at, ip in enumerate(CORES)
     ]
-    shown = told(mesh, "members", "show")
+    shown = run_json(mesh, "members", "show")
     assert [row["address"] for row in shown["members"]] == CORES and shown["joint"] is False
     for name, why in (("core-1", "runs, and would join again"), ("core-7", "is not a member")):
         refused = run(mesh, "members", "remove", name)
@@ -208,21 +208,21 @@
 
 def test_upstreams_are_counted_and_those_of_one_service_shown_as_the_sidecars_see_them(mesh: Mesh) -> None:
     mesh.request(0, "/read/ok")
-    (counted,) = told(mesh, "upstreams")
+    (counted,) = run_json(mesh, "upstreams")
     assert counted == {"service": "red", "upstreams": 2, "settled": 2, "capacity": 16, "zones": 1}
-    rows = told(mesh, "upstreams", "red")
+    rows = run_json(mesh, "upstreams", "red")
     assert [(row["instance"], row["node"], row["used_by"] >= 1) for row in rows] == [
         ("i-0", "side-0", True),
         ("i-1", "side-1", True),
     ]
-    narrow(run(mesh, "upstreams", "red"))
+    output_lines(run(mesh, "upstreams", "red"))
     assert run(mesh, "upstreams", "none").exit_code == 1
 
 
 def test_routes_try_says_where_a_request_would_go_and_why(mesh: Mesh) -> None:
     for _ in range(4):
         mesh.request(1, "/read/ok")
-    found = told(mesh, "routes", "try", "H.example:80", "/read/x?y", "--from", "side-1")
+    found = run_json(mesh, "routes", "try", "H.example:80", "/read/x?y", "--from", "side-1")
     assert (found["node"], found["route"]["name"], found["route"]["version"]) == ("side-1", "read", 1)
     (service,) = found["services"]
     assert service["service"] == "red" and service["share"] == 1.0
@@ -230,31 +230,31 @@
     assert sorted(by_name) == ["i-0", "i-1"]
     active = [one for one in by_name.values() if one["active"]]
     assert active and all(one["w"] > 0 and one["why"].startswith("in turn") for one in active)
-    narrow(run(mesh, "routes", "try", "h.example", "/read/x"))
+    output_lines(run(mesh, "routes", "try", "h.example", "/read/x"))
     assert run(mesh, "routes", "try", "h.example", "/nowhere/x").exit_code == 1
     assert run(mesh, "routes", "try", "h.example", "/read/x", "--from", "nobody").exit_code == 2
 
 
 def test_trace_tells_both_hops_of_a_call_and_of_one_that_failed(mesh: Mesh) -> None:
     fine, failed = mesh.request(0, "/read/ok"), mesh.request(0, "/pay/500")
-    found = told(mesh, "trace", fine)
+    found = run_json(mesh, "trace", fine)
     assert [entry["hop"] for entry in found["entries"]] == [1, 2]
     first, second = found["entries"]
     assert (first["node"], first["route"], first["service"]) == ("side-0", "read", "red")
     assert first["end"].startswith("200") and first["tries"][0]["instance"] == second["instance"]
     assert second["caller"] == "red" and second["end"] == "200" and second["ran_ms"] > 0.0
-    lines = narrow(run(mesh, "trace", failed))
+    lines = output_lines(run(mesh, "trace", failed))
     assert any("500, the upstream's own answer" in line for line in lines)
     result = run(mesh, "trace", "f" * 16)
     assert result.exit_code == 1 and "not found at 2 sidecars" in result.stdout
 
 
 def test_config_get_gives_what_stands_and_one_item_of_it(mesh: Mesh) -> None:
-    whole = told(mesh, "config", "get")
+    whole = run_json(mesh, "config", "get")
     rules = whole["input_ports"][0]["control_law"]
     assert sorted(rule["name"] for rule in rules) == ["pay", "read"]
-    assert told(mesh, "config", "get", "--held") == whole
-    assert told(mesh, "config", "get", "--item", "route/pay")["kind"] == "effectful"
+    assert run_json(mesh, "config", "get", "--held") == whole
+    assert run_json(mesh, "config", "get", "--item", "route/pay")["kind"] == "effectful"
     assert run(mesh, "config", "get", "--item", "route/none").exit_code == 1
 
 
@@ -264,19 +264,19 @@
 
 
 def test_a_change_is_checked_compared_taken_and_then_in_force_everywhere(mesh: Mesh) -> None:
-    stands = write(mesh, told(mesh, "config", "get"))  # the printed form can be sent
+    stands = write(mesh, run_json(mesh, "config", "get"))  # the printed form can be sent
     mesh.send_heartbeats()
     assert run(mesh, "config", "check", stands).exit_code == 0
-    assert told(mesh, "config", "diff", stands) == {"differences": [], "alike": 3, "others": 0}
+    assert run_json(mesh, "config", "diff", stands) == {"differences": [], "alike": 3, "others": 0}
 
     file = write(mesh, patch_body(route("read", "/read/", "red", 4, trials=3), route("new", "/new/", "blue")))
-    found = told(mesh, "config", "check", file, code=1)["findings"]
+    found = run_json(mesh, "config", "check", file, code=1)["findings"]
     assert [(one["item"], one["field"]) for one in found] == [
         ("route new", "response.plant")  # the reason for which the mesh would refuse it
     ]
     result = run(mesh, "config", "diff", file)
     assert result.exit_code == 1
-    assert narrow(result)[:4] == [
+    assert output_lines(result)[:4] == [
         "+ route new: r1",
         "~ route read: r1 -> r4",
         "    response.trials: 2 -> 3",
@@ -294,10 +294,10 @@
 
 
 def test_state_is_verified_and_copied_under_the_state_folder_alone(mesh: Mesh) -> None:
-    rows = told(mesh, "state", "verify")
+    rows = run_json(mesh, "state", "verify")
     assert [row["node"] for row in rows] == ["core-0", "core-1"]
     assert all(row["findings"] == [] and row["disk"] == row["memory"] for row in rows)
-    copy = told(mesh, "state", "backup", "copies/one", "--from", "core-1")
+    copy = run_json(mesh, "state", "backup", "copies/one", "--from", "core-1")
     assert copy["node"] == "core-1" and Path(copy["to"]) == mesh.folder / "disk-1" / "copies" / "one"
     assert (Path(copy["to"]) / "store.mdb").stat().st_size == copy["bytes"]
     (mesh.folder / "disk-0" / "away").symlink_to(mesh.folder)
@@ -312,8 +312,8 @@
     opened = DiskStore.open(tmp_path / "charter", 1 << 20)
     assert isinstance(opened, Fresh)
     size = (tmp_path / "charter" / "store.mdb").stat().st_size
-    told = _copy(opened.disk_store, tmp_path / "copy", tmp_path, 2 * size - 1)
-    assert isinstance(told, Refusal) and not (tmp_path / "copy").exists()
+    outcome = _copy(opened.disk_store, tmp_path / "copy", tmp_path, 2 * size - 1)
+    assert isinstance(outcome, Refusal) and not (tmp_path / "copy").exists()
     assert not isinstance(_copy(opened.disk_store, tmp_path / "copy", tmp_path, 2 * size), Refusal)
 
 
@@ -332,12 +332,12 @@
 ) -> None:
     monkeypatch.setattr(mesh.cores[0].disk_writer, "last_refusal", "no space left")
     monkeypatch.setattr(mesh.sides[1].upstream, "heartbeat_at", -1e9)
-    found = {one["kind"]: one for one in told(mesh, "doctor", code=1)}
+    found = {one["kind"]: one for one in run_json(mesh, "doctor", code=1)}
     assert found["disk refuses"]["subject"] == "core-0" and found["no beats"]["subject"] == "side-1"
     assert all(one["mend"] for one in found.values())
     result = run(mesh, "status")
-    assert result.exit_code == 1 and narrow(result)[0].startswith("PROBLEMS FOUND")
-    narrow(run(mesh, "doctor"))
+    assert result.exit_code == 1 and output_lines(result)[0].startswith("PROBLEMS FOUND")
+    output_lines(run(mesh, "doctor"))
 
 
 def test_nobody_and_nothing_to_ask_have_codes_of_their_own_and_one_line(mesh: Mesh, tmp_path: Path) -> None:
--- a/tests/mesh/test_configuration_validation.py
+++ b/tests/mesh/test_configuration_validation.py
@@ -26,7 +26,7 @@
     return ItemWrite("plant", "p", version, None)
 
 
-def judged(standing: Standing, *writes: ItemWrite) -> Invalid | None:
+def check(standing: Standing, *writes: ItemWrite) -> Invalid | None:
     return check_change(ConfigurationWrite(writes), lambda kind, name: standing.get((kind, name)))
 
 
@@ -52,7 +52,7 @@
 def test_routes_that_lead_somewhere_or_change_nothing_are_taken(
     standing: Standing, writes: list[ItemWrite]
 ) -> None:
-    assert judged(standing, *writes) is None
+    assert check(standing, *writes) is None
 
 
 @pytest.mark.parametrize(
@@ -68,13 +68,13 @@
     ],
 )
 def test_an_unknown_service_is_named_with_its_route(standing: Standing, writes: list[ItemWrite]) -> None:
-    fault = judged(standing, *writes)
+    fault = check(standing, *writes)
     assert fault is not None
     assert fault.line() == "route r: response.plant names the unknown service p; set it in plant_groups"
 
 
 def test_a_split_is_judged_in_every_part_those_without_share_too() -> None:
-    fault = judged({}, route(1, "q", "p"), plant(1))
+    fault = check({}, route(1, "q", "p"), plant(1))
     assert fault is not None and fault.field == "response.distribution[0].plant"
-    fault = judged(STANDS, route(1, "p", "q"))
+    fault = check(STANDS, route(1, "p", "q"))
     assert fault is not None and fault.field == "response.distribution[1].plant"
