--- a/lab/links.py
+++ b/lab/links.py
@@ -50,6 +50,7 @@
         self.on_change: Callable[[ZonePair, Link], None] = lambda zones, link: None
 
     def of(self, sidecar_zone: str, server_zone: str) -> Link:
+        """Returns the present state of a link."""
         return self._degraded.get((sidecar_zone, server_zone), HEALTHY) if self._degraded else HEALTHY
 
     def begin(self, zones: ZonePair, trouble: Trouble, cuts_requests: bool) -> None:
