--- a/rigs/zygote.py
+++ b/rigs/zygote.py
@@ -37,11 +37,13 @@
 )
 
 
-def _run_child(request: dict[str, Any], log: int) -> None:
-    """Runs the program in a forked child; never returns."""
+def _run_child(request: dict[str, Any], log: int, parent: int) -> None:
+    """Runs the program in a forked child of the process ``parent``; never returns."""
     code = 1
     try:
         kill_with_parent()
+        if os.getppid() != parent:  # the parent was killed before, so its exit sends no signal
+            return
         dev_null = os.open(os.devnull, os.O_RDONLY)
         os.dup2(dev_null, 0)
         os.dup2(log, 1)
@@ -80,10 +82,11 @@
         if not message:
             return
         request = json.loads(message)
+        parent = os.getpid()
         process = os.fork()
         if not process:
             control.close()
-            _run_child(request, descriptors[0])
+            _run_child(request, descriptors[0], parent)
         os.close(descriptors[0])
         running.add(process)
         control.send(json.dumps({"began": process, "of": request["of"]}).encode())
