--- a/tests/mesh/test_cli_traces.py
+++ b/tests/mesh/test_cli_traces.py
@@ -19,7 +19,7 @@
 MAX_ENTRY_BYTES = 6000  # including all objects that an entry refers to
 
 
-def asked(attempt: str, tries: int = 1, taken: float = 0.0, **fields: Any) -> Any:
+def dispatched_request(attempt: str, tries: int = 1, taken: float = 0.0, **fields: Any) -> Any:
     route = SimpleNamespace(name="r" * 256, version=1, aim_ms=100.0)
     tried = [("i" * 128, describe_end(Unclear("w" * 9000)), 1.0) for _ in range(tries)]
     return SimpleNamespace(
@@ -60,7 +60,7 @@
 
 def test_entries_are_bounded_whatever_was_in_the_call() -> None:
     first, second = FirstHopTraces(), SecondHopTraces()
-    first.record(1.0, asked("a" * 128, tries=500), Failed(True))
+    first.record(1.0, dispatched_request("a" * 128, tries=500), Failed(True))
     (entry,) = first.notable
     assert entry[8] == 500 and len(entry[7]) == MAX_TRIES and deep_size(entry) < MAX_ENTRY_BYTES
     second.record(1.0, call("a" * 100_000, "i" * 100_000, "c" * 100_000), 0.0, 0.5, Unclear("w" * 100_000))
@@ -72,12 +72,12 @@
     first, second = FirstHopTraces(), SecondHopTraces()
     ok = UpstreamResponse(200, [], b"", True)
     for at, told in enumerate((500, Refused(1.0), Failed(False), None)):
-        first.record(1.0, asked(f"odd-{at}"), told)
-    first.record(1.0, asked("twice", tries=2), 200)
-    first.record(101.0, asked("late"), 200)
+        first.record(1.0, dispatched_request(f"odd-{at}"), told)
+    first.record(1.0, dispatched_request("twice", tries=2), 200)
+    first.record(101.0, dispatched_request("late"), 200)
     second.record(1.0, call("full"), 0.0, 0.0, NotExecuted(RejectReason.FULL))
     for at in range(3 * RING_SIZE):
-        first.record(1.0, asked(f"{at}"), 200)
+        first.record(1.0, dispatched_request(f"{at}"), 200)
         second.record(1.0, call(f"{at}"), 0.0, 0.5, ok)
     assert [one[0] for one in first.notable] == ["odd-0", "odd-1", "odd-2", "odd-3", "twice", "late"]
     assert [one[0] for one in second.notable] == ["full"]
--- a/tests/mesh/test_configuration_routes.py
+++ b/tests/mesh/test_configuration_routes.py
@@ -16,7 +16,7 @@
     return Route(name, version, host, prefix, False, 800.0, 200.0, 2, 0, (("p", 1.0),))
 
 
-def searched(routes: dict[str, Route], host: str, path: str) -> Route | None:
+def linear_search(routes: dict[str, Route], host: str, path: str) -> Route | None:
     fits = [one for one in routes.values() if one.host == host and path.startswith(one.prefix)]
     return max(fits, key=lambda one: (len(one.prefix), one.version, one.name), default=None)
 
@@ -46,7 +46,7 @@
             plain.pop(step, None)
         assert len(routes) == len(plain) and routes.names() == plain.keys()
         for host, path in [*asked, *((one.host, one.prefix) for one in plain.values())]:
-            assert routes.find(host, path) == searched(plain, host, path)
+            assert routes.find(host, path) == linear_search(plain, host, path)
     for name in list(plain):
         routes.remove(name)
     assert not routes._hosts, "a tree without routes keeps no nodes"
--- a/tests/mesh/test_data_plane_body_transfer.py
+++ b/tests/mesh/test_data_plane_body_transfer.py
@@ -29,17 +29,17 @@
 Test = Callable[[Bench, RemotePeer], Awaitable[None]]
 
 
-def give_room(bench: Bench, far: RemotePeer) -> None:
+def enlarge_buffers(bench: Bench, far: RemotePeer) -> None:
     for hop in bench.peer_links.local, far.second:
         hop.bodies, hop.answers, hop.frames = (BufferQuota(ROOM, ROOM) for _ in range(3))
 
 
-def over(test: Test) -> None:
+def run_with_long_bodies(test: Test) -> None:
     """Runs a test between two ends that support bodies in pieces and have much memory."""
 
     async def run(bench: Bench, far: RemotePeer) -> None:
         far.window = WINDOW_BYTES
-        give_room(bench, far)
+        enlarge_buffers(bench, far)
         await bench.known(far)
         await test(bench, far)
         answers = bench.peer_links.local.answers
@@ -67,7 +67,7 @@
     return link
 
 
-async def served(
+async def serve_long_call(
     bench: Bench, far: RemotePeer, body: bytes = LONG, answer: bytes = LONG
 ) -> tuple[OutgoingCall, End]:
     out, end = bench.send(far, long_call("a1", body=body))
@@ -80,7 +80,7 @@
 
 def test_a_long_body_and_its_long_answer_cross_the_link_in_pieces_unchanged() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
-        _, end = await served(bench, far)
+        _, end = await serve_long_call(bench, far)
         assert end == dataclasses.replace(SERVED, body=LONG)
         pieces = [head for head in far.heads if isinstance(head, BodyPiece)]
         assert len(pieces) == len(LONG) // PIECE_BYTES
@@ -88,16 +88,16 @@
         await wait_until(lambda: (far.links[0].owed_replies, far.links[0].expected_replies) == (0, 0))
         assert far.second.bodies.held_bytes == 0
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_a_body_beyond_one_frame_ends_no_link() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         body = bytes(MAX_NETSTRING_BYTES + 1)
-        _, end = await served(bench, far, body, body)
+        _, end = await serve_long_call(bench, far, body, body)
         assert end == dataclasses.replace(SERVED, body=body) and len(far.links) == 1
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_a_short_call_passes_a_long_body_that_is_on_its_way() -> None:
@@ -112,7 +112,7 @@
         assert await with_timeout(end) == SERVED
         await wait_until(lambda: len(far.second.taken) == 3)
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 @pytest.mark.parametrize("effectful", [True, False])
@@ -128,7 +128,7 @@
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
         await wait_until(lambda: far.second.bodies.held_bytes == 0)
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_what_had_left_whole_is_asked_after_and_barred_though_its_last_pieces_come_late() -> None:
@@ -147,7 +147,7 @@
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
         assert far.second.bodies.held_bytes == 0 and out.state is State.ENDED
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_what_is_asked_after_over_another_link_while_it_still_comes_over_a_silent_one_never_runs() -> None:
@@ -164,7 +164,7 @@
             incoming.handle_frame(head, data)
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_a_second_hop_that_ends_midway_never_ran_the_call() -> None:
@@ -175,7 +175,7 @@
         assert await with_timeout(end) == NOT_RUN
         assert [running.call.attempt for running in far.second.taken] == ["warm"]
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_a_client_that_goes_away_midway_stops_the_rest_and_nothing_runs() -> None:
@@ -186,10 +186,10 @@
         assert out.state is State.WITHDRAWN
         far.hear()
         await wait_until(lambda: far.links[0].owed_replies == 0 and far.second.bodies.held_bytes == 0)
-        assert await served(bench, far) != (None, None)  # the window is free again
+        assert await serve_long_call(bench, far) != (None, None)  # the window is free again
         assert not end.done() and len(far.second.taken) == 2
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 @pytest.mark.parametrize("effectful", [True, False])
@@ -207,7 +207,7 @@
         assert told == dataclasses.replace(SERVED, body=LONG) if effectful else isinstance(told, Unclear)
         await wait_until(lambda: far.second.answers.held_bytes == 0)
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_a_client_that_goes_away_midway_of_its_answer_gives_its_memory_back() -> None:
@@ -225,7 +225,7 @@
         )
         assert not end.done() and (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_an_answer_that_the_first_hops_memory_does_not_bear_may_have_run_and_is_stopped() -> None:
@@ -242,7 +242,7 @@
         assert isinstance(incoming, IncomingCalls)
         await wait_until(lambda: not incoming._sending and far.links[0].owed_replies == 0)
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_of_five_hundred_bodies_at_once_memory_takes_some_and_the_others_never_run() -> None:
@@ -264,7 +264,7 @@
             0,
         )
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_what_was_turned_away_when_all_of_it_was_written_takes_nothing_of_the_window() -> None:
@@ -275,16 +275,16 @@
             assert out.state is State.SENT and await with_timeout(end) == NotExecuted(RejectReason.FULL)
         assert (link_of(bench).owed_replies, link_of(bench).expected_replies) == (0, 0)
         far.second.bodies = bodies
-        assert (await served(bench, far))[1] == dataclasses.replace(SERVED, body=LONG)
+        assert (await serve_long_call(bench, far))[1] == dataclasses.replace(SERVED, body=LONG)
 
-    over(test)
+    run_with_long_bodies(test)
 
 
 def test_an_earlier_release_at_the_second_hop_gets_whole_frames_and_none_that_ends_its_link() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
-        give_room(bench, far)
+        enlarge_buffers(bench, far)
         await bench.known(far)
-        _, end = await served(bench, far)
+        _, end = await serve_long_call(bench, far)
         assert end == dataclasses.replace(SERVED, body=LONG)
         assert "piece" not in [kind_of(head) for head in far.heads]
         _, end = bench.send(far, long_call("a2", body=bytes(MAX_NETSTRING_BYTES + 1)))  # type: ignore[assignment]
@@ -296,9 +296,9 @@
 
 def test_an_earlier_release_at_the_first_hop_gets_no_answer_that_ends_its_link() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
-        give_room(bench, far)
+        enlarge_buffers(bench, far)
         await bench.known(far)
-        _, end = await served(bench, far, b"x", bytes(MAX_NETSTRING_BYTES + 1))
+        _, end = await serve_long_call(bench, far, b"x", bytes(MAX_NETSTRING_BYTES + 1))
         assert isinstance(end, Unclear) and far.links[0].up
 
     over_earlier(test)
@@ -306,7 +306,7 @@
 
 def test_a_whole_frame_that_memory_does_not_bear_is_turned_away_and_its_link_stays() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
-        give_room(bench, far)
+        enlarge_buffers(bench, far)
         await bench.known(far)
         far.links[0]._frames._room = BufferQuota(len(LONG), len(LONG))  # its copies leave half of that
         _, end = bench.send(far, long_call("a1"))
@@ -333,7 +333,7 @@
 def test_a_life_that_comes_late_is_heard_all_the_same() -> None:
     async def test(bench: Bench, far: RemotePeer) -> None:
         far.window, far.deaf = WINDOW_BYTES, True
-        give_room(bench, far)
+        enlarge_buffers(bench, far)
         _, end = bench.send(far, call("a1", effectful=False))
         await wait_until(lambda: len(far.unread) == 2)
         advance_clock(INCARNATION_WAIT_S + 0.01)
@@ -344,7 +344,7 @@
         await wait_until(lambda: outgoing.peer_incarnation == far.life)
         far.second.end(0, SERVED)
         assert await with_timeout(end) == SERVED
-        await served(bench, far)
+        await serve_long_call(bench, far)
         assert "piece" in [kind_of(head) for head in far.heads]
 
     over_earlier(test)
@@ -360,4 +360,4 @@
         link_of(bench).close("over")
         await wait_until(lambda: far.second.bodies.held_bytes == 0)
 
-    over(test)
+    run_with_long_bodies(test)
--- a/tests/mesh/test_data_plane_peer_calls.py
+++ b/tests/mesh/test_data_plane_peer_calls.py
@@ -127,7 +127,7 @@
         return self.peer_links.send(call(attempt, body), node, address, end.set_result), end
 
 
-def over(test: Callable[[Bench, RemotePeer], Awaitable[None]], real: bool = False) -> None:
+def run_with_remote_peer(test: Callable[[Bench, RemotePeer], Awaitable[None]], real: bool = False) -> None:
     """``real``: the remote end has `IncomingCalls`."""
 
     async def run() -> None:
@@ -164,7 +164,7 @@
         link = bench.peer_links._links["there"].link
         assert link is not None and link.expected_replies == 0
 
-    over(test, real=True)
+    run_with_remote_peer(test, real=True)
 
 
 def test_a_link_that_is_lost_leaves_all_calls_that_are_out_unclear() -> None:
@@ -189,7 +189,7 @@
         link.send(*end_head(head["n"], SERVED))
         assert await with_timeout(end) == SERVED and len(far.links) == 2
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_silence_while_calls_are_out_is_a_loss() -> None:
@@ -208,7 +208,7 @@
             bench.tick()
         assert await with_timeout(end) == Unclear("silent")
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_a_second_hop_that_owes_is_not_silent() -> None:
@@ -227,7 +227,7 @@
         running.on_end(SERVED)
         assert await with_timeout(end) == SERVED
 
-    over(test, real=True)
+    run_with_remote_peer(test, real=True)
 
 
 def test_a_link_that_does_not_come_up_turns_away_what_waits_and_at_once_what_comes_next() -> None:
@@ -249,7 +249,7 @@
         link.send(*end_head(head["n"], SERVED))
         assert await with_timeout(end) == SERVED
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_calls_wait_for_a_link_that_hangs_for_a_moment_only() -> None:
@@ -272,7 +272,7 @@
         await bench.comes_back()
         assert not far.frames.qsize() or (await with_timeout(far.frames.get()))[1]["t"] == "hello"
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_calls_that_wait_for_a_link_go_over_it_when_it_is_up() -> None:
@@ -283,7 +283,7 @@
         assert found == ["a0", "a2"] and len(far.links) == 1
         assert not sent[1][1].done()
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_what_a_call_waited_for_its_link_is_taken_off_what_the_second_hop_is_told_is_left() -> None:
@@ -313,7 +313,7 @@
         assert all(least <= waited_ms <= most for waited_ms in waited), waited
         assert not end.done()
 
-    over(test, real=True)
+    run_with_remote_peer(test, real=True)
 
 
 def test_a_drop_crosses_the_link() -> None:
@@ -332,7 +332,7 @@
         assert not end.done() and far.second.dropped == ["a1"]
         assert running.call.attempt == "a1"
 
-    over(test, real=True)
+    run_with_remote_peer(test, real=True)
 
 
 def test_an_answer_that_crosses_a_drop_is_nobodys() -> None:
@@ -348,7 +348,7 @@
         assert await with_timeout(other) == Unclear("x")
         assert not end.done()
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_calls_in_hand_over_one_link_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -368,7 +368,7 @@
         assert await with_timeout(bench.send("c", far.address)[1]) == NotExecuted(RejectReason.FULL)
         assert far.links[0].owed_replies == 3
 
-    over(test, real=True)
+    run_with_remote_peer(test, real=True)
 
 
 def test_bodies_in_hand_are_bounded_together_and_counted_to_their_ends() -> None:
@@ -396,7 +396,7 @@
         far.links[0].peer.link_lost()
         assert bodies.held_bytes == 0
 
-    over(test, real=True)
+    run_with_remote_peer(test, real=True)
 
 
 def test_a_node_that_has_moved_gets_a_new_link_and_the_old_ones_calls_are_unclear() -> None:
@@ -416,7 +416,7 @@
         await wait_until(lambda: moved.lost == 1)
         moved.close()
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_a_link_that_carries_nothing_is_closed_and_one_that_does_is_not() -> None:
@@ -437,7 +437,7 @@
         await run_ready_callbacks()
         assert bench.peer_links.reaches("there") and not bench.reached
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_calls_for_this_machine_take_no_link() -> None:
@@ -449,7 +449,7 @@
         bench.local.full = True
         assert bench.send("a2", None, node="here")[1].result() == NotExecuted(RejectReason.FULL)
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_an_end_that_cannot_be_read_leaves_its_call_unclear() -> None:
@@ -460,7 +460,7 @@
         await wait_until(lambda: far.lost == 1)
         assert isinstance(await asyncio.wait_for(end, 0.2), Unclear)
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_a_link_that_comes_up_for_an_address_that_is_old_by_then_does_not_stay() -> None:
@@ -477,7 +477,7 @@
         finally:
             moved.close()
 
-    over(test)
+    run_with_remote_peer(test)
 
 
 def test_calls_whose_first_hop_is_lost_are_dropped(tmp_path: Path) -> None:
@@ -512,4 +512,4 @@
             proxy.upstream_connections.close()
             await run_ready_callbacks()
 
-    over(test)
+    run_with_remote_peer(test)
--- a/tests/mesh/test_data_plane_upstream_connections.py
+++ b/tests/mesh/test_data_plane_upstream_connections.py
@@ -61,7 +61,7 @@
         assert outcome.message.get(b"attempt-id") == attempt
 
 
-def tapped(
+def run_with_connections(
     test: Callable[[Bench], Awaitable[None]], ways: Sequence[str] = (), most: int = 4, keep_alive: str = ""
 ) -> None:
     """``ways``: what the upstream does with one request after another; then "ok"."""
@@ -86,7 +86,7 @@
             await bench.good(attempt)
         assert bench.upstream.connections_opened == 1
 
-    tapped(test)
+    run_with_connections(test)
 
 
 def test_an_answer_with_another_id_is_passed_over_and_the_right_one_returned() -> None:
@@ -95,7 +95,7 @@
         await bench.good("a2")
         assert bench.upstream.connections_opened == 1
 
-    tapped(test, ["stray"])
+    run_with_connections(test, ["stray"])
 
 
 def test_a_connection_with_answers_to_others_alone_is_given_up() -> None:
@@ -103,7 +103,7 @@
         assert isinstance(await bench.ask("a1"), ExchangeFailed)
         await wait_until(lambda: not bench.upstream.open_connections)
 
-    tapped(test, ["strays"])
+    run_with_connections(test, ["strays"])
 
 
 def test_the_second_of_two_answers_is_nobodys_and_the_connection_ends() -> None:
@@ -113,7 +113,7 @@
         await bench.good("a2")
         assert bench.upstream.connections_opened == 2
 
-    tapped(test, ["twice"])
+    run_with_connections(test, ["twice"])
 
 
 def test_an_answer_too_many_that_comes_while_the_connection_is_idle_ends_it() -> None:
@@ -124,7 +124,7 @@
         assert not bench.connections._idle and not bench.connections._open
         await bench.good("a2")
 
-    tapped(test)
+    run_with_connections(test)
 
 
 def test_a_connection_on_which_something_stands_unread_is_not_used_again() -> None:
@@ -141,7 +141,7 @@
         assert bench.upstream.connections_opened == 2
         await wait_until(lambda: bench.upstream.open_connections == 1)
 
-    tapped(test)
+    run_with_connections(test)
 
 
 @pytest.mark.parametrize(
@@ -169,7 +169,7 @@
         await wait_until(lambda: not bench.upstream.open_connections)
         assert not bench.connections._open
 
-    tapped(test, keep_alive=told)
+    run_with_connections(test, keep_alive=told)
 
 
 def test_nobody_there_is_not_sent() -> None:
@@ -177,7 +177,7 @@
         bench.upstream.close()
         assert await bench.ask("a1") == NotSent(refused=True)
 
-    tapped(test)
+    run_with_connections(test)
 
 
 def test_a_connection_that_does_not_come_up_is_not_sent_in_time() -> None:
@@ -192,7 +192,7 @@
         assert await with_timeout(task) == NotSent(refused=False)
         assert bench.connections._connecting == 0
 
-    tapped(test)
+    run_with_connections(test)
 
 
 @pytest.mark.parametrize("behavior", ["cut", "reset", "garbage"])
@@ -203,7 +203,7 @@
         await bench.good("a2")
         assert bench.upstream.connections_opened == 2
 
-    tapped(test, [behavior])
+    run_with_connections(test, [behavior])
 
 
 def test_connections_are_bounded_and_a_call_beyond_them_is_not_sent() -> None:
@@ -222,7 +222,7 @@
         await bench.good("b")
         assert bench.upstream.connections_opened == 3
 
-    tapped(test, ["hold"] * 3, most=3)
+    run_with_connections(test, ["hold"] * 3, most=3)
 
 
 def test_a_second_use_of_an_id_has_a_connection_of_its_own() -> None:
@@ -236,7 +236,7 @@
         await bench.good("a1")
         assert bench.upstream.connections_opened == 2 and bench.connections._idle[-1] is not first
 
-    tapped(test)
+    run_with_connections(test)
 
 
 def test_a_second_use_of_an_id_makes_itself_room_among_idle_connections() -> None:
@@ -245,7 +245,7 @@
         await bench.good("a1")
         assert bench.upstream.connections_opened == 2 and len(bench.connections._open) == 1
 
-    tapped(test, most=1)
+    run_with_connections(test, most=1)
 
 
 def test_the_ids_that_are_kept_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -257,7 +257,7 @@
         assert bench.connections._recent == {b"a2", b"a3", b"a4"}
         assert len(bench.connections._recent_order) == 3 and bench.upstream.connections_opened == 1
 
-    tapped(test)
+    run_with_connections(test)
 
 
 def test_a_call_that_is_dropped_ends_its_connection_and_has_no_outcome() -> None:
@@ -272,7 +272,7 @@
         await bench.good("a2")
         assert not asked.outcome.done()
 
-    tapped(test, ["hold"])
+    run_with_connections(test, ["hold"])
 
 
 def test_opening_a_connection_holds_a_call_up_for_a_part_of_a_short_drain(
@@ -300,4 +300,4 @@
                 assert outcome.done() and outcome.result() == NotSent(False)
                 await task
 
-    tapped(test)
+    run_with_connections(test)
--- a/tests/mesh/test_duty_carried.py
+++ b/tests/mesh/test_duty_carried.py
@@ -116,7 +116,7 @@
     return [head for head in alone.sent[name] if head["t"] == "heard"]
 
 
-def asked(sides: int = 1) -> Alone:
+def holder_with_query(sides: int = 1) -> Alone:
     """It has the duty and has asked for its silent nodes."""
     alone = Alone(sides)
     keep = [f"s{at}" for at in range(sides, 3 * sides)]
@@ -136,13 +136,13 @@
 
 def test_nothing_is_dropped_before_all_that_were_asked_have_answered() -> None:
     def test() -> None:
-        alone = asked()
+        alone = holder_with_query()
         alone.answer(OTHERS[0], 60.0)
         alone.answer(OTHERS[0], 60.0)  # once more counts for nobody else
         assert alone.dropped == []
         alone.answer(OTHERS[1], SPANS.gone_s - 0.1)
         assert alone.dropped == []
-        alone = asked()
+        alone = holder_with_query()
         alone.took_all([(INSTANCE, "i", 7, {"plant": "p", "node": "s0", "zone": "z"})])
         for name in OTHERS:
             alone.answer(name, 60.0)
@@ -154,12 +154,12 @@
 
 def test_an_answer_that_is_late_out_of_place_or_unreadable_changes_nothing() -> None:
     def test() -> None:
-        alone = asked()
+        alone = holder_with_query()
         alone.answer(OTHERS[0], 60.0)
         alone.now += ANSWER_TIMEOUT_S + 0.1
         alone.answer(OTHERS[1], 60.0)
         assert alone.dropped == []
-        alone = asked()
+        alone = holder_with_query()
         number = alone.sent[OTHERS[0]][-1]["n"]
         for bad in ([60.0, 60.0], [], ["x"], None):
             with pytest.raises((ValueError, TypeError)):
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("overtaken", ["by a claim", "by an order", "by a refusal", "out of touch"])
 def test_who_is_overtaken_or_out_of_touch_while_it_waits_drops_nothing(overtaken: str) -> None:
     def test() -> None:
-        alone = asked()
+        alone = holder_with_query()
         alone.answer(OTHERS[0], 60.0)
         if overtaken == "by a claim":
             alone.took_all([(LEASE, REAPING, 2, {"holder": OTHERS[1]})])
@@ -239,7 +239,7 @@
         for told in ({"e": 3}, {"e": 4}, {}):  # of this view, a newer one, a program that names none
             alone.hear(OTHERS[0], {**order, **told})
             assert alone.sent[OTHERS[0]][-1]["t"] == "hears"
-        holder = asked()
+        holder = holder_with_query()
         assert questions(holder, OTHERS[0])[-1]["e"] == 3
         holder.answer(OTHERS[0], 60.0)
         holder.hear(OTHERS[1], {"t": "overtaken", "epoch": 1, "holder": ME})  # it refused: nobody else has it
@@ -250,7 +250,7 @@
 
 def test_what_another_heard_is_not_asked_for_again_until_its_silence_is_over() -> None:
     def test() -> None:
-        alone = asked()
+        alone = holder_with_query()
         before = len(questions(alone, OTHERS[0]))
         alone.answer(OTHERS[0], 0.0)
         alone.answer(OTHERS[1], 60.0)
@@ -300,7 +300,7 @@
 
 def test_so_many_are_dropped_at_once_and_the_rest_later() -> None:
     def test() -> None:
-        alone = asked(MAX_DROPPED_NODES + 50)
+        alone = holder_with_query(MAX_DROPPED_NODES + 50)
         for name in OTHERS:
             alone.answer(name, 60.0)
         assert len(alone.dropped) == MAX_DROPPED_NODES
--- a/tests/mesh/test_lost_links.py
+++ b/tests/mesh/test_lost_links.py
@@ -42,7 +42,7 @@
     return Execution("a1", instance, "red", "proxy-1", 1.1, 1.2, "ok", seal=f"{instance}.1", response_crc=7)
 
 
-def served() -> Ledger:
+def ledger_of_served_calls() -> Ledger:
     """Two calls that were served correctly."""
     ledger = Ledger()
     for at, key in enumerate((KEY, OTHER)):
@@ -134,7 +134,7 @@
     ],
 )
 def test_the_judge_sees_each_broken_rule(break_rule: Callable[[Ledger], None], rule: Rule) -> None:
-    ledger = served()
+    ledger = ledger_of_served_calls()
     assert not list(ledger.violations())
     break_rule(ledger)
     assert [(violation.rule, violation.key) for violation in ledger.violations()] == [(rule, KEY)]
@@ -142,13 +142,13 @@
 
 @pytest.mark.parametrize("end", [CONNECTION_CLOSED, CLIENT_LEFT])
 def test_a_connection_that_ended_promises_nothing(end: str) -> None:
-    ledger = served()
+    ledger = ledger_of_served_calls()
     set_outcome(ledger, end)
     assert not list(ledger.violations())
 
 
 def test_an_idempotent_call_may_run_twice_and_after_a_close() -> None:
-    ledger = served()
+    ledger = ledger_of_served_calls()
     ledger.calls[KEY].effectful = False
     execute_again(ledger)
     assert not list(ledger.violations())
@@ -157,7 +157,7 @@
 
 
 def test_calls_in_doubt_are_grouped_by_execution_at_the_peer_and_by_fault() -> None:
-    ledger = served()
+    ledger = ledger_of_served_calls()
     ledger.faults = [InjectedFault("reset", 1, 1.0, 1.1)]
     ledger.lost_calls = [
         LostCall(KEY, "proxy-1", 1.15, True, "reset"),
--- a/tests/mesh/test_repair_copies.py
+++ b/tests/mesh/test_repair_copies.py
@@ -28,7 +28,7 @@
 FORGETS, KEEPS = True, False
 
 
-def filled(source: str, items: list[Item], vector: dict[str, int] | None = None) -> Store:
+def store_with_items(source: str, items: list[Item], vector: dict[str, int] | None = None) -> Store:
     store = Store(source, 40_000)
     store.merge(items, vector if vector is not None else {item.source: item.number for item in items})
     return store
@@ -83,7 +83,7 @@
         others.append(Item("route", odd.name, 2, {}, "w", odd.number))
     elif how == "other content":
         others.append(Item("route", odd.name, 3, {"a": 1}, "w", odd.number))
-    pair = [filled("a", items, {"w": 10_000}), filled("b", others, {"w": 10_000})]
+    pair = [store_with_items("a", items, {"w": 10_000}), store_with_items("b", others, {"w": 10_000})]
     one, other = pair if where == 0 else pair[::-1]
     count, size, changed = repaired(one, other, KEEPS)
     assert (count, changed) == (6, 1) and size < 4096, size
@@ -93,12 +93,12 @@
 
 def test_what_was_mended_reaches_those_who_ask_though_their_vectors_had_counted_it() -> None:
     items = routes(3)
-    lacking = filled("b", items[:2], {"w": 3})
-    reader = filled("s", items[:2], {"w": 3})
+    lacking = store_with_items("b", items[:2], {"w": 3})
+    reader = store_with_items("s", items[:2], {"w": 3})
     asks, answers = Exchange({"charter": reader}), Exchange({"charter": lacking})
     answers.record_pull(asks.pull_request(), "s")
     assert answers.answer(True) is None
-    repaired(filled("a", items), lacking, KEEPS)
+    repaired(store_with_items("a", items), lacking, KEEPS)
     told = answers.answer(True)
     assert told is not None
     asks.merge_answer(told)
@@ -115,7 +115,7 @@
         Item("k", name, version, value, source + "w", at)
         for at, (name, (version, value)) in enumerate(copy.items(), 1)
     ]
-    return filled(source, items)
+    return store_with_items(source, items)
 
 
 @settings(max_examples=120)
@@ -149,7 +149,7 @@
 
 
 def test_copies_that_differ_everywhere_are_mended_bit_by_bit_within_the_bounds_of_a_frame() -> None:
-    one, other = filled("a", routes(6000)), Store("b", 40_000)
+    one, other = store_with_items("a", routes(6000)), Store("b", 40_000)
     before, turn, most = 0, 0, 0
     while not same(one, other):
         count, size, changed = repaired(one, other, KEEPS, turn)
@@ -159,7 +159,7 @@
 
 
 def test_only_so_many_ranges_and_leaves_are_gone_into_and_other_ones_the_next_time() -> None:
-    one, other = filled("a", routes(6000)), Store("b", 40_000)
+    one, other = store_with_items("a", routes(6000)), Store("b", 40_000)
     level = compare(other.digests, {"": one.digests.children("")}, 0)
     assert isinstance(level, DifferingRanges) and len(level.ranges) == MAX_RANGES == 16
     seen: set[str] = set()
@@ -173,8 +173,8 @@
 
 
 def test_two_contents_of_one_version_are_told_and_one_of_them_wins_on_both_sides() -> None:
-    one = filled("a", [Item("route", "r", 3, {"a": 1}, "w", 1)])
-    other = filled("b", [Item("route", "r", 3, {"a": 2}, "w", 1)])
+    one = store_with_items("a", [Item("route", "r", 3, {"a": 1}, "w", 1)])
+    other = store_with_items("b", [Item("route", "r", 3, {"a": 2}, "w", 1)])
     leaf = next(iter(other.digests._leaves))
     told = plan_repair(one, {leaf: "0" * 16}, items_under(other, [leaf]), KEEPS)
     assert [item.name for item in told.conflicting] == ["r"] and len(told.fetch) + len(told.send) == 1
@@ -183,14 +183,14 @@
 
 
 def test_a_tree_that_is_wrong_is_told_and_nothing_is_sent_for_it() -> None:
-    one, other = filled("a", routes(50)), filled("b", routes(50))
+    one, other = store_with_items("a", routes(50)), store_with_items("b", routes(50))
     key = one.items["route", "r7"].key
     one.digests.update(one.items[key], Item(*key, 3, {"rotten": 1}))  # the item itself is as it was
     leaf = next(leaf for leaf, keys in other.digests._leaves.items() if key in keys)
     digests = {leaf: other.digests.children(leaf[:-1])[leaf]}
     told = plan_repair(one, digests, items_under(other, [leaf]), KEEPS)
     assert (told.fetch, told.send, told.inconsistent_leaves) == ([], [], [leaf])
-    well = plan_repair(filled("c", routes(50)), digests, items_under(other, [leaf]), KEEPS)
+    well = plan_repair(store_with_items("c", routes(50)), digests, items_under(other, [leaf]), KEEPS)
     assert (well.fetch, well.send, well.inconsistent_leaves) == ([], [], [])
 
 
--- a/tests/mesh/test_replication_reconfiguration.py
+++ b/tests/mesh/test_replication_reconfiguration.py
@@ -36,7 +36,7 @@
     return MemberStatus(at(), responding=False, **more)
 
 
-def wanted(found: View | None) -> str:
+def member_names(found: View | None) -> str:
     assert found is not None
     return "".join(sorted(found.members))
 
@@ -71,15 +71,15 @@
         statuses = responding("ab", c=leaver)
         found = plan_change(view("abc"), statuses, ONE)
         assert found.view is None and "3 are needed" in found.retained["c"]
-        assert wanted(plan_change(view("abc"), statuses | responding("d"), ONE).view) == "abd"
+        assert member_names(plan_change(view("abc"), statuses | responding("d"), ONE).view) == "abd"
 
 
 def test_two_that_leave_at_once_go_as_far_as_is_safe() -> None:
     leaving = MemberStatus(at(), leaving=True)
     found = plan_change(view("abcde"), responding("abc", d=leaving, e=leaving), ONE)
-    assert wanted(found.view) == "abc" and not found.retained
+    assert member_names(found.view) == "abc" and not found.retained
     found = plan_change(view("abcd"), responding("ab", c=leaving, d=leaving), ONE)
-    assert wanted(found.view) == "abd" and "only a, b would respond and stay" in found.retained["d"]
+    assert member_names(found.view) == "abd" and "only a, b would respond and stay" in found.retained["d"]
 
 
 def test_silence_takes_nobody_out_of_less_than_a_majority_of_the_view_before() -> None:
@@ -91,11 +91,11 @@
 def test_one_that_is_silent_for_the_shorter_bound_goes_only_where_more_is_borne_without_it() -> None:
     silent = away(silent=True)
     found = plan_change(view("abcd"), responding("abc", d=silent), ONE)
-    assert wanted(found.view) == "abc"  # a quorum of four needs all three; of three, one may be lost
+    assert member_names(found.view) == "abc"  # a quorum of four needs all three; of three, one may be lost
     found = plan_change(view("abcde"), responding("abcd", e=silent), ONE)
     assert found.view is None and "shorter bound" in found.retained["e"]
-    assert wanted(plan_change(view("abcde"), responding("abcd", e=away(gone=True)), ONE).view) == "abcd"
-    assert wanted(plan_change(view("abc"), responding("abd", c=silent), ONE).view) == "abd"
+    assert member_names(plan_change(view("abcde"), responding("abcd", e=away(gone=True)), ONE).view) == "abcd"
+    assert member_names(plan_change(view("abc"), responding("abd", c=silent), ONE).view) == "abd"
 
 
 def test_the_last_of_a_zone_that_is_asked_for_stays_until_its_successor_comes() -> None:
@@ -104,7 +104,7 @@
     found = plan_change(View(1, members), statuses, Tolerance(0, 1, 0))
     assert found.view is None and "2 zones would be left, 3 are needed" in found.retained["c"]
     statuses["e"] = MemberStatus(at("3"))
-    assert wanted(plan_change(View(1, members), statuses, Tolerance(0, 1, 0)).view) == "abde"
+    assert member_names(plan_change(View(1, members), statuses, Tolerance(0, 1, 0)).view) == "abde"
 
 
 def test_places_that_become_known_are_a_change_and_members_are_bounded() -> None:
--- a/tests/mesh/test_replication_snapshot.py
+++ b/tests/mesh/test_replication_snapshot.py
@@ -18,7 +18,7 @@
 PAGE = 7
 
 
-def filled(source: str, count: int, size: int = 1) -> Store:
+def store_with_items(source: str, count: int, size: int = 1) -> Store:
     store = Store(source, 10_000)
     for number in range(count):
         store.write("k", f"{number:04}", 1, {"v": "x" * size})
@@ -45,7 +45,7 @@
 
 
 def test_who_lacks_most_gets_pages_by_key_and_the_vector_with_the_last() -> None:
-    sender, receiver = filled("g", 40), Store("t", 100)
+    sender, receiver = store_with_items("g", 40), Store("t", 100)
     seen = []
     while pull_page(receiver, sender):
         seen.append(receiver.vector)
@@ -58,7 +58,7 @@
 
 
 def test_who_lacks_little_or_takes_none_gets_news() -> None:
-    sender, receiver = filled("g", 40), Store("t", 100)
+    sender, receiver = store_with_items("g", 40), Store("t", 100)
     while pull_page(receiver, sender):
         pass
     for number in range(15):
@@ -69,7 +69,7 @@
 
 
 def test_what_the_giver_holds_and_does_not_claim_is_not_told_as_a_snapshot_again_and_again() -> None:
-    sender, receiver, author = filled("g", 5), Store("t", 100), filled("a", 60)
+    sender, receiver, author = store_with_items("g", 5), Store("t", 100), store_with_items("a", 60)
     sender.merge(author.items.values(), {})  # all items, but not as updates
     sender.write("k", "last", 1, {"v": "last"})
     for _ in range(2 * len(author.items) // PAGE):
@@ -85,7 +85,7 @@
 
 
 def test_items_that_follow_what_is_claimed_are_claimed_with_them_and_others_are_not() -> None:
-    store, author = Store("s", 100), filled("a", 9)
+    store, author = Store("s", 100), store_with_items("a", 9)
     items = list(author.items.values())
     assert store.contiguous_vector("a", 4, 3) == {}
     store.merge(items[:3], store.contiguous_vector("a", 1, 3))
@@ -97,7 +97,7 @@
 
 
 def test_what_changes_meanwhile_comes_after_the_moment() -> None:
-    sender, receiver = filled("g", 40), Store("t", 100)
+    sender, receiver = store_with_items("g", 40), Store("t", 100)
     number = 0
     while pull_page(receiver, sender):
         number += 1
@@ -113,7 +113,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.data())
 def test_any_giver_with_that_root_goes_on_whatever_is_lost_or_comes_twice(data: st.DataObject) -> None:
-    first = filled("g", data.draw(st.integers(PAGE + 1, 60)))
+    first = store_with_items("g", data.draw(st.integers(PAGE + 1, 60)))
     senders = [first, copied("h", first), copied("i", first)]
     receiver = Store("t", 1000)
     late: list[tuple[list[Item], dict[str, int]]] = []
@@ -146,7 +146,7 @@
 
 
 def test_a_link_lost_midway_costs_no_page_again() -> None:
-    sender, receiver = filled("g", 70), Store("t", 100)
+    sender, receiver = store_with_items("g", 70), Store("t", 100)
     other = copied("h", sender)
     for _ in range(5):
         pull_page(receiver, sender)
@@ -161,7 +161,7 @@
 
 
 def test_a_life_that_ends_midway_begins_anew_and_a_moment_that_is_gone_too() -> None:
-    sender, receiver = filled("g", 70), Store("t", 100)
+    sender, receiver = store_with_items("g", 70), Store("t", 100)
     for _ in range(4):
         pull_page(receiver, sender)
     again = Store("t2", 100)
@@ -180,7 +180,7 @@
 
 
 def test_what_does_not_have_its_root_is_told_and_its_vector_not_taken() -> None:
-    sender, receiver = filled("g", 3 * PAGE), Store("t", 100)
+    sender, receiver = store_with_items("g", 3 * PAGE), Store("t", 100)
     pull_page(receiver, sender)
     pull_page(receiver, sender)
     last = sender.delta_for(receiver.vector, PAGE, snapshots=True)
@@ -191,7 +191,7 @@
 
 
 def test_pages_are_bounded_in_bytes_and_one_item_goes_whatever_its_size() -> None:
-    sender = filled("g", 30, size=1000)
+    sender = store_with_items("g", 30, size=1000)
     assert len(sender.delta_for({}, 100, max_bytes=5000).items) == 4
     assert len(sender.delta_for({}, 5, max_bytes=3000, snapshots=True).items) == 2
     assert len(limit_bytes(sender.items.values(), 1)) == 1
@@ -206,7 +206,7 @@
 
 
 def test_moments_and_takings_are_bounded() -> None:
-    sender = filled("g", 2 * PAGE)
+    sender = store_with_items("g", 2 * PAGE)
     for number in range(5):
         for name in range(PAGE + 1):
             sender.write("k", f"{name:04}", 2 + number, {})
--- a/tests/mesh/test_stages_frames.py
+++ b/tests/mesh/test_stages_frames.py
@@ -108,7 +108,7 @@
     assert exchange_all(new, old) <= 4 and ("route", "a") in new.stores["charter"].items
 
 
-def typed(data: bytes, decode: Callable[[bytes], Any]) -> list[tuple[Any, bytes]]:
+def decode_frames(data: bytes, decode: Callable[[bytes], Any]) -> list[tuple[Any, bytes]]:
     """The frames as the links of calls decode them."""
     frames = Frames()
     frames.decode = decode
@@ -131,15 +131,15 @@
         accept_stale_route=True,
     )
     fields = msgspec.to_builtins(call.head(3))
-    ((head, body),) = typed(frame({**fields, "of a newer program": [1]}, b""), decode_from_first_hop)
+    ((head, body),) = decode_frames(frame({**fields, "of a newer program": [1]}, b""), decode_from_first_hop)
     assert read_call(head, body) == call
     del fields["v"]
-    old = read_call(typed(frame(fields), decode_from_first_hop)[0][0], b"")
+    old = read_call(decode_frames(frame(fields), decode_from_first_hop)[0][0], b"")
     assert (old.route, old.accept_stale_route) == ("", False)
 
 
 def test_a_turning_away_carries_the_newer_item() -> None:
     item = Item("route", "a", 8, {"x": 1}, "c1", 4)
     for end in (NotExecuted(RejectReason.OLD, newer_item=pack(item)), NotExecuted(RejectReason.FULL)):
-        ((head, body),) = typed(frame(end_head(1, end)[0]), decode_from_second_hop)
+        ((head, body),) = decode_frames(frame(end_head(1, end)[0]), decode_from_second_hop)
         assert read_end(head, body) == end
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -46,7 +46,7 @@
     return [reply for line in lines if (reply := host.read_line(line)) is not None]
 
 
-def sends(reply: list[str]) -> list[tuple[str, str]]:
+def sent_messages(reply: list[str]) -> list[tuple[str, str]]:
     return re.findall(r"SEND msg-id=(\S+) upstream=(\S+)", "\n".join(reply))
 
 
@@ -75,7 +75,7 @@
         ask("01", 900.0),
     )
     (reply,) = play(lines)
-    assert sends(reply) == [("00", "a:1"), ("01", "b:1")]
+    assert sent_messages(reply) == [("00", "a:1"), ("01", "b:1")]
     assert reply.index("SOURCE who=1") < reply.index("SOURCE who=2")
 
 
@@ -83,7 +83,7 @@
     lines = batch(1.0, *start(1), *items(0, "a:1"), "SYNC kind=warm_copy index=1 ref=0")
     again = [*start(1), *items(1, "b:1"), "SYNC kind=warm_copy index=1 ref=1", ask("00", 900.0)]
     lines += batch(2.0, "FOR who=1", "DOWN", *again)
-    assert sends(play(lines)[1]) == [("00", "b:1")]
+    assert sent_messages(play(lines)[1]) == [("00", "b:1")]
 
 
 def test_instances_do_not_depend_on_who_shares_their_process() -> None:
@@ -112,7 +112,7 @@
     tags = re.findall(r"SET_ALARM span-ms=\S+ tag=(\d+)", "\n".join(play(lines)[1]))
     lines += batch(500.0, "FOR who=1", *(f"WAKE tag={tag}" for tag in tags))
     reply = [line for part in play(lines)[1:] for line in part]
-    names = {name for name, _ in sends(reply)}
+    names = {name for name, _ in sent_messages(reply)}
     assert len(names | set(re.findall(r"DENY msg-id=(\S+)", "\n".join(reply)))) == 3000
 
 
--- a/tests/test_lives_on_sockets.py
+++ b/tests/test_lives_on_sockets.py
@@ -93,7 +93,7 @@
                 self.feed(ev.Lost(effect.connection))
 
 
-def seen(lives: Lives) -> Any:
+def comparable_state(lives: Lives) -> Any:
     """What the tables hold, but for the numbers of connections."""
     exchanges = {
         request: (item.owed, [(attempt.stage, attempt.may_have_run) for attempt in item.attempts])
@@ -206,8 +206,8 @@
                         )
                     else:
                         upstreams[number].server.close()
-                want = seen(machines.lives)
-                await until(lambda want=want: seen(there.sidecar.lives) == want)  # type: ignore[misc]
+                want = comparable_state(machines.lives)
+                await until(lambda want=want: comparable_state(there.sidecar.lives) == want)  # type: ignore[misc]
                 await until(lambda: statuses == machines.finals)
             for task in asked.values():
                 task.cancel()
