--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -26,6 +26,7 @@
 from rigs.relay import Faults, TcpRelay, UdpRelay
 
 ROOT = Path(__file__).resolve().parent.parent
+EXIT_LIMIT_S = 5.0  # until all processes of a killed command have ended
 LONG_DEADLINE_CLASS: dict[str, Any] = {
     "name": "call", "work_ms": 20.0, "aim_ms": 4000.0, "deadline_ms": 6000.0, "effect": "keyed",
     "group": "all", "window_ms": 6000.0,
@@ -140,12 +141,13 @@
     file.write_text('name = "many"\nseconds = 60.0\n[sidecars]\ncount = 8\n[load]\nshare = 0.05\n')
     command = [sys.executable, "-m", "lab", "sockets", str(file), "--drivers", "2"]
     process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + many.START_TIMEOUT_S
     while len(pids := process_tree(process.pid)) < 1 + 2 + 2 + 8:
         assert process.poll() is None and time.monotonic() < deadline, pids
         time.sleep(0.05)
     process.kill()
     process.wait()
+    deadline = time.monotonic() + EXIT_LIMIT_S
     while remaining := [pid for pid in pids if is_alive(pid)]:
         assert time.monotonic() < deadline, remaining
         time.sleep(0.02)
