--- a/benchmarks/panel.py
+++ b/benchmarks/panel.py
@@ -1,13 +1,15 @@
-"""A panel of drawn deployments in the operators' simulator, beside its built-in policies on the same days.
+"""Runs a panel of randomly drawn deployments in the operators' simulator and compares with its built-in
+policies on the same days.
 
     python -m benchmarks.panel --bench LBSIM --site A.toml --site B.toml [--count 12] [--seed 1]
 
-Each deployment is a changed copy of one of the sites, drawn over the ranges of both and beyond: 2 to 60
-sidecars, 3 to 60 servers, work of 2 to 500 ms, aims of 1.2 to 20 times the work, drains of 200 ms to 5 s,
-classes safe, keyed by cell, zone and all, and unsafe, 1 to 6 attempts, with and without probes, cancel and
-advice; lists pushed or asked. A deployment's figure is the mean over its days; of the built-in
-policies the best that kept the rules. --checkout names another revision's decisions. The plays' journal stays
-in a scratch folder. Not part of CI: the simulator is the operators'.
+Each deployment is a modified copy of one of the sites, drawn over the ranges of both and beyond: 2 to 60
+sidecars, 3 to 60 servers, work of 2 to 500 ms, latency targets of 1.2 to 20 times the work, drain times of
+200 ms to 5 s, request classes that are safe, keyed (by cell, zone or all) and unsafe, 1 to 6 attempts, with
+and without probes, cancellation and retry advice; server lists pushed or queried. The score of a deployment
+is the mean over its days; of the built-in policies the best one that kept the rules is used. --checkout runs
+the decisions of another revision. The journal of the runs stays in a scratch folder. Not part of CI, as the
+simulator belongs to the operators.
 """
 
 from __future__ import annotations
@@ -40,20 +42,20 @@
     {"effect": "keyed", "group": "cell"},
     {"effect": "keyed", "group": "all"},
 )
-PER_SERVER_S = (8.0, 250.0)  # calls a second that one server carries at full load, held within these
-MOST_RATE = 1500.0  # calls a second in all: a day has to be played in time
+SERVER_RATE_BOUNDS_S = (8.0, 250.0)  # bounds of the calls per second that one server handles at full load
+MAX_TOTAL_RATE = 1500.0  # calls per second in total, so that a day completes in time
 
 
-def drawn(base: dict[str, Any], name: str, chance: random.Random, even: float) -> dict[str, Any]:
-    """A changed copy of a site; ``even`` in 0 to 1 spreads the sizes over their range, small to large."""
+def draw_site(base: dict[str, Any], name: str, rng: random.Random, size_quantile: float) -> dict[str, Any]:
+    """Draws a modified copy of a site. ``size_quantile``, 0 to 1, sets the number of servers in its range."""
     site: dict[str, Any] = json.loads(json.dumps(base))
 
-    def log(low: float, high: float) -> float:
-        return float(low * (high / low) ** chance.random())
+    def log_uniform(low: float, high: float) -> float:
+        return float(low * (high / low) ** rng.random())
 
-    servers = round(3 * 20**even)
-    sidecars = round(2 * 30 ** chance.random())
-    work = log(2.0, 500.0)
+    servers = round(3 * 20**size_quantile)
+    sidecars = round(2 * 30 ** rng.random())
+    work = log_uniform(2.0, 500.0)
     site["name"] = name
     site["scale"] = {
         "servers": [servers, servers],
@@ -63,44 +65,45 @@
         "twin_servers": servers,
         "twin_balancers": min(sidecars, 3),
     }
-    cores = max(min(round(min(PER_SERVER_S[1], MOST_RATE / servers) * work / 1000.0), 32), 1)
+    cores = max(min(round(min(SERVER_RATE_BOUNDS_S[1], MAX_TOTAL_RATE / servers) * work / 1000.0), 32), 1)
     site["day"] |= {"length_s": [24, 28], "max_requests": 45000}
     tier = site["tier"][0]
     for kind in tier["kind"]:
-        kind["cores"] = max(round(cores * log(0.7, 1.4)), 1)
-    for klass in site["class"]:
+        kind["cores"] = max(round(cores * log_uniform(0.7, 1.4)), 1)
+    for request_class in site["class"]:
         for field in ("group", "window_ms"):
-            klass.pop(field, None)
-        klass |= chance.choice(EFFECTS)
-        own = work * log(0.7, 1.6)
-        klass["work_ms"] = [0.75 * own, 1.3 * own]
-        klass["aim_ms"] = round(own * log(1.2, 20.0) + 10.0, 1)
-        klass["deadline_ms"] = round(klass["aim_ms"] * log(1.8, 5.0), 1)
-        if klass["effect"] == "keyed":
-            klass["window_ms"] = round(klass["deadline_ms"] * log(1.0, 3.0), 1)
-    site["rules"] |= {"drain_grace_ms": round(log(200.0, 5000.0))}
+            request_class.pop(field, None)
+        request_class |= rng.choice(EFFECTS)
+        class_work = work * log_uniform(0.7, 1.6)
+        request_class["work_ms"] = [0.75 * class_work, 1.3 * class_work]
+        request_class["aim_ms"] = round(class_work * log_uniform(1.2, 20.0) + 10.0, 1)
+        request_class["deadline_ms"] = round(request_class["aim_ms"] * log_uniform(1.8, 5.0), 1)
+        if request_class["effect"] == "keyed":
+            request_class["window_ms"] = round(request_class["deadline_ms"] * log_uniform(1.0, 3.0), 1)
+    site["rules"] |= {"drain_grace_ms": round(log_uniform(200.0, 5000.0))}
     site["allow"] |= {
-        "max_attempts": chance.randint(1, 6),
-        "probes": chance.random() < 0.5,
-        "cancel": chance.random() < 0.5,
-        "retry_after": chance.random() < 0.6,
+        "max_attempts": rng.randint(1, 6),
+        "probes": rng.random() < 0.5,
+        "cancel": rng.random() < 0.5,
+        "retry_after": rng.random() < 0.6,
     }
-    # Drawn beside, so that the rest is as it was before lists were drawn as well.
+    # From a separate generator, so that all other draws stay as they were before this one was added.
     site["discovery"]["mode"] = random.Random(f"{name}/list").choice(["push", "ask"])
     return site
 
 
-def play(bench: Path, checkout: Path, site: Path, jobs: int) -> list[dict[str, Any]]:
-    """The rows of one site's quick days; RuntimeError, with the bench's last line, where there are none."""
+def score_site(bench: Path, checkout: Path, site: Path, jobs: int) -> list[dict[str, Any]]:
+    """Returns the rows of the quick days of one site. Raises RuntimeError with the simulator's last line if
+    there are none."""
     with tempfile.TemporaryDirectory() as folder:
         scratch = Path(folder)
-        for part in ("hareloom", "deploy", ".compiled"):  # the last where that checkout has built it
+        for part in ("hareloom", "deploy", ".compiled"):  # .compiled only if that checkout has built it
             if (checkout / part).is_dir():
                 shutil.copytree(checkout / part, scratch / part)
         subprocess.run(["git", "init", "-q", folder], check=True)
-        words = [str(bench), "score", str(site), "--quick", "--no-build", "--jobs", str(jobs)]
-        words += ["--why", f"Panel: {site.stem}", "--", sys.executable, "-m", "hareloom.wirehost"]
-        run = subprocess.run(words, cwd=scratch, capture_output=True, text=True)
+        command = [str(bench), "score", str(site), "--quick", "--no-build", "--jobs", str(jobs)]
+        command += ["--why", f"Panel: {site.stem}", "--", sys.executable, "-m", "hareloom.wirehost"]
+        run = subprocess.run(command, cwd=scratch, capture_output=True, text=True)
     rows = [found.groupdict() for line in run.stdout.splitlines() if (found := ROW.match(line.rstrip()))]
     if not rows:
         raise RuntimeError(f"{site.name}: {(run.stdout + run.stderr).strip().splitlines()[-1]}")
@@ -112,35 +115,46 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--bench", type=Path, required=True, help="the simulator's program")
-    words.add_argument("--site", type=Path, action="append", required=True, help="a site file; twice or more")
-    words.add_argument("--count", type=int, default=12)
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--only", type=int, action="append", help="these numbers alone")
-    words.add_argument("--checkout", type=Path, default=ROOT, help="whose decisions; this one's by default")
-    words.add_argument("--jobs", type=int, default=1, help="days at once, of each deployment")
-    words.add_argument("--at-once", type=int, default=2, help="deployments at once")
-    words.add_argument("--keep", type=Path, help="a folder that the drawn site files are kept in")
-    given = words.parse_args()
-    bases = [(path, tomllib.loads(path.read_text())) for path in given.site]
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--bench", type=Path, required=True, help="the simulator's program")
+    parser.add_argument(
+        "--site", type=Path, action="append", required=True, help="a site file; may be given several times"
+    )
+    parser.add_argument("--count", type=int, default=12)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument(
+        "--only",
+        type=int,
+        action="append",
+        help="only the deployment with this number; may be given several times",
+    )
+    parser.add_argument(
+        "--checkout", type=Path, default=ROOT, help="checkout whose decisions are used (default: this one)"
+    )
+    parser.add_argument("--jobs", type=int, default=1, help="concurrent days per deployment")
+    parser.add_argument("--at-once", type=int, default=2, help="concurrent deployments")
+    parser.add_argument("--keep", type=Path, help="folder in which the drawn site files are kept")
+    args = parser.parse_args()
+    bases = [(path, tomllib.loads(path.read_text())) for path in args.site]
     with tempfile.TemporaryDirectory() as folder:
-        keep = given.keep or Path(folder)
+        keep = args.keep or Path(folder)
         keep.mkdir(parents=True, exist_ok=True)
         sites = []
-        for number in range(given.count):
+        for number in range(args.count):
             path, base = bases[number % len(bases)]
-            chance = random.Random(f"panel/{given.seed}/{number}")
-            site = drawn(base, f"panel-{given.seed}-{number}", chance, number / max(given.count - 1, 1))
+            rng = random.Random(f"panel/{args.seed}/{number}")
+            site = draw_site(base, f"panel-{args.seed}-{number}", rng, number / max(args.count - 1, 1))
             site["wire"] = str((path.parent / base["wire"]).resolve())
             made = keep / f"{site['name']}.toml"
             made.write_text(tomli_w.dumps(site))
-            if not given.only or number in given.only:
+            if not args.only or number in args.only:
                 sites.append(made)
 
         def row(site: Path) -> dict[str, Any]:
             try:
-                days = play(given.bench.resolve(), given.checkout.resolve(), site, given.jobs)
+                days = score_site(args.bench.resolve(), args.checkout.resolve(), site, args.jobs)
             except RuntimeError as fault:
                 print(fault, flush=True)
                 return {"site": site.stem, "fault": str(fault)}
@@ -150,7 +164,7 @@
                 print(site.stem, {k: v for k, v in day.items() if k not in ("top", "random")}, flush=True)
             return {"site": site.stem, "score": round(ours, 3), "textbook": round(theirs, 3), "days": days}
 
-        with ThreadPoolExecutor(given.at_once) as pool:
+        with ThreadPoolExecutor(args.at_once) as pool:
             rows = list(pool.map(row, sites))
     print(json.dumps(rows))
 
--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -1,15 +1,17 @@
-"""How readable the tree is, in figures that an issue can compare: python -m benchmarks.readability
+"""Measures the readability of the repository in figures that an issue can compare.
 
-Counted over the Python files that git tracks, tests included where nothing else is said:
+    python -m benchmarks.readability
 
-- files longer than ``MOST_LINES`` lines;
+Counts over the Python files that git tracks, including tests unless stated otherwise:
+
+- files longer than ``MAX_LINES`` lines;
 - the longest function, in lines from its ``def`` to its end;
-- import circles, tests excepted: groups of modules that reach one another, by every import statement, also
-  those for types alone and those within functions;
-- the rules that ruff has on, and the exceptions (file and rule) listed in ``lint_exceptions.toml``;
-- frames written as bare maps outside tests: dictionary displays with the key ``"t"``;
-- public items outside tests without a docstring (ruff's D1), and those in tests;
-- pairs of places that the command ``duplicates`` reports; null where that command is not installed.
+- import cycles outside tests: groups of modules that import one another, directly or indirectly, by any
+  import statement, including those for types only and those within functions;
+- the enabled ruff rules, and the exceptions (file and rule) listed in ``lint_exceptions.toml``;
+- frames written as plain dicts outside tests: dict displays with the key ``"t"``;
+- public items without a docstring (ruff's D1), outside tests and in tests;
+- pairs of duplicates that the command ``duplicates`` reports; null if that command is not installed.
 
 The last line is JSON.
 """
@@ -30,13 +32,13 @@
 
 from benchmarks.lint_exceptions import LIST, listed
 
-MOST_LINES = 400
+MAX_LINES = 400
 FRAME_KIND_KEY = "t"
 PACKAGES = ("anisestair", "benchmarks", "hareloom", "lab", "mesh", "rigs", "simulation", "statecheck")
 
 
 def tracked_files() -> list[Path]:
-    """The Python files that git tracks below the current folder, which is the repository's root."""
+    """Returns the Python files tracked by git below the current folder, the root of the repository."""
     listing = subprocess.run(
         ["git", "ls-files", "--cached", "--others", "--exclude-standard", "*.py"],
         capture_output=True,
@@ -47,19 +49,19 @@
 
 
 def is_test(path: Path) -> bool:
-    """Whether a file belongs to the tests."""
+    """Tells whether a file belongs to the tests."""
     return path.parts[0] == "tests"
 
 
 def long_files(paths: list[Path]) -> dict[str, int]:
-    """Files over the bound and their lines, longest first."""
+    """Returns the files over the limit and their lines, longest first."""
     lengths = {str(path): len(path.read_text().splitlines()) for path in paths}
-    over = [(name, lines) for name, lines in lengths.items() if lines > MOST_LINES]
+    over = [(name, lines) for name, lines in lengths.items() if lines > MAX_LINES]
     return dict(sorted(over, key=lambda row: -row[1]))
 
 
 def functions(path: Path) -> Iterator[tuple[str, int]]:
-    """The functions of a file, as ``path:name``, and their lines."""
+    """Yields the functions of a file as ``path:name``, with their lines."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
             assert node.end_lineno is not None
@@ -67,7 +69,7 @@
 
 
 def bare_map_frames(path: Path) -> int:
-    """How many dictionary displays of a file have the key that tells a frame's kind."""
+    """Counts the dict displays of a file with the key that holds the kind of a frame."""
     return sum(
         isinstance(key, ast.Constant) and key.value == FRAME_KIND_KEY
         for node in ast.walk(ast.parse(path.read_text()))
@@ -76,36 +78,36 @@
     )
 
 
-def circles_of(imports: Mapping[str, set[str]]) -> list[list[str]]:
-    """Groups of two or more modules that reach one another by what each of them imports, largest first."""
-    reached = {module: _reached(module, imports) for module in imports}
+def cycles_of(imports: Mapping[str, set[str]]) -> list[list[str]]:
+    """Returns the groups of two or more modules that import one another, directly or not, largest first."""
+    reachable = {module: _reachable(module, imports) for module in imports}
     groups = {
-        tuple(sorted(other for other in found if module in reached.get(other, ())))
-        for module, found in reached.items()
+        tuple(sorted(other for other in found if module in reachable.get(other, ())))
+        for module, found in reachable.items()
     }
     return sorted((list(group) for group in groups if len(group) > 1), key=lambda group: (-len(group), group))
 
 
-def _reached(module: str, imports: Mapping[str, set[str]]) -> set[str]:
-    """The modules that imports lead to from this one; itself only where a circle does."""
-    found: set[str] = set()
+def _reachable(module: str, imports: Mapping[str, set[str]]) -> set[str]:
+    """Returns the modules that a module imports directly or indirectly; itself only if it is in a cycle."""
+    reachable: set[str] = set()
     to_visit = list(imports[module])
     while to_visit:
         visited = to_visit.pop()
-        if visited not in found:
-            found.add(visited)
+        if visited not in reachable:
+            reachable.add(visited)
             to_visit.extend(imports.get(visited, ()))
-    return found
+    return reachable
 
 
-def import_circles(packages: tuple[str, ...] = PACKAGES) -> list[list[str]]:
-    """The circles among the modules of these packages."""
+def find_import_cycles(packages: tuple[str, ...] = PACKAGES) -> list[list[str]]:
+    """Finds the import cycles among the modules of these packages."""
     graph = grimp.build_graph(*packages, cache_dir=None)
-    return circles_of({module: graph.find_modules_directly_imported_by(module) for module in graph.modules})
+    return cycles_of({module: graph.find_modules_directly_imported_by(module) for module in graph.modules})
 
 
 def ruff(*arguments: str) -> str:
-    """What ruff prints; that it finds something is no error here."""
+    """Returns the output of ruff check. Findings are not an error."""
     command = [sys.executable, "-m", "ruff", "check", *arguments]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     if done.returncode not in (0, 1):
@@ -113,48 +115,48 @@
     return done.stdout
 
 
-def rules_on() -> int:
-    """How many of ruff's rules are on."""
-    told = ruff("--show-settings", "benchmarks/readability.py")
-    enabled = re.search(r"linter\.rules\.enabled = \[(.*?)\]", told, re.DOTALL)
+def enabled_rule_count() -> int:
+    """Returns the number of enabled ruff rules."""
+    output = ruff("--show-settings", "benchmarks/readability.py")
+    enabled = re.search(r"linter\.rules\.enabled = \[(.*?)\]", output, re.DOTALL)
     assert enabled is not None
     return len(enabled[1].split(",\n")) - 1
 
 
-def exceptions() -> int:
-    """Pairs of file and rule that ruff passes over."""
+def exception_count() -> int:
+    """Returns the number of listed exceptions, each a file and a rule."""
     return sum(len(rules) for rules in listed().values()) if LIST.exists() else 0
 
 
-def undocumented() -> tuple[int, int]:
-    """Public items without a docstring: outside tests, in tests."""
-    found = json.loads(ruff("--isolated", "--select", "D1", "--output-format", "json", "."))
-    in_tests = sum(is_test(Path(row["filename"]).relative_to(Path.cwd())) for row in found)
-    return len(found) - in_tests, in_tests
+def undocumented_counts() -> tuple[int, int]:
+    """Counts the public items without a docstring, outside tests and in tests."""
+    findings = json.loads(ruff("--isolated", "--select", "D1", "--output-format", "json", "."))
+    in_tests = sum(is_test(Path(row["filename"]).relative_to(Path.cwd())) for row in findings)
+    return len(findings) - in_tests, in_tests
 
 
 def duplicate_pairs() -> int | None:
-    """Pairs that ``duplicates`` counts in its first line."""
+    """Returns the number of pairs in the first line of ``duplicates``."""
     if shutil.which("duplicates") is None:
         return None
-    told = subprocess.run(
+    output = subprocess.run(
         ["duplicates", "--seconds", "100"], capture_output=True, text=True, check=True
     ).stdout
-    counted = re.match(r"(\d+) pairs", told)
-    return int(counted[1]) if counted else 0
+    count = re.match(r"(\d+) pairs", output)
+    return int(count[1]) if count else 0
 
 
 def measure() -> dict[str, Any]:
-    """All figures, by name."""
+    """Returns all figures by name."""
     paths = tracked_files()
-    served = [path for path in paths if not is_test(path)]
+    production = [path for path in paths if not is_test(path)]
     longest, lines = max((row for path in paths for row in functions(path)), key=lambda row: row[1])
-    served_longest, served_lines = max(
-        (row for path in served for row in functions(path)), key=lambda row: row[1]
+    production_longest, production_lines = max(
+        (row for path in production for row in functions(path)), key=lambda row: row[1]
     )
-    missing, missing_in_tests = undocumented()
+    missing, missing_in_tests = undocumented_counts()
     over = long_files(paths)
-    circles = import_circles()
+    cycles = find_import_cycles()
     return {
         "files": len(paths),
         "lines": sum(len(path.read_text().splitlines()) for path in paths),
@@ -162,12 +164,12 @@
         "files_over_outside_tests": sum(not is_test(Path(name)) for name in over),
         "largest_file": next(iter(over.items()), None),
         "longest_function": [longest, lines],
-        "longest_function_outside_tests": [served_longest, served_lines],
-        "import_circles": len(circles),
-        "modules_in_circles": sum(map(len, circles)),
-        "ruff_rules_on": rules_on(),
-        "ruff_exceptions": exceptions(),
-        "bare_map_frames": sum(map(bare_map_frames, served)),
+        "longest_function_outside_tests": [production_longest, production_lines],
+        "import_circles": len(cycles),
+        "modules_in_circles": sum(map(len, cycles)),
+        "ruff_rules_on": enabled_rule_count(),
+        "ruff_exceptions": exception_count(),
+        "bare_map_frames": sum(map(bare_map_frames, production)),
         "undocumented": missing,
         "undocumented_in_tests": missing_in_tests,
         "duplicate_pairs": duplicate_pairs(),
@@ -175,12 +177,12 @@
 
 
 def main() -> None:
-    """Print each figure, then all as JSON."""
+    """Prints each figure, then all as JSON."""
     figures = measure()
     for name, lines in long_files(tracked_files()).items():
         print(f"{lines:5} lines  {name}")
-    for circle in import_circles():
-        print(f"circle of {len(circle)}: {', '.join(circle)}")
+    for cycle in find_import_cycles():
+        print(f"import cycle of {len(cycle)}: {', '.join(cycle)}")
     for name, value in figures.items():
         print(f"{name}: {value}")
     print(json.dumps(figures))
